--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -126,6 +126,9 @@
 	life := c.life
 	c.w.steps++
 	for _, a := range actions {
+		if c.w.recorder != nil {
+			c.w.recorder(c.name, a)
+		}
 		switch a := a.(type) {
 		case coordination.Reply:
 			if answer := c.waiting[a.ID]; answer != nil {
--- /dev/null
+++ b/internal/simulation/fingerprint_test.go
@@ -0,0 +1,398 @@
+package simulation
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const fingerprintsFile = "testdata/fingerprints.txt"
+
+// fingerprint is a hash over every action of every controller in order, in the form in
+// which it leaves the process: no type, field or package of the program has a part in it.
+type fingerprint struct {
+	w       *World
+	hash    hash.Hash
+	actions int
+	trace   io.Writer // a readable copy, nil for none
+}
+
+// watch has a fingerprint made of what the controllers of a world do from now on.
+func (f *fingerprint) watch(w *World) *World {
+	f.w, f.hash = w, sha256.New()
+	w.recorder = f.record
+	return w
+}
+
+// sum is the hash in hexadecimal and the number of actions.
+func (f *fingerprint) sum() string {
+	return fmt.Sprintf("%s %d", hex.EncodeToString(f.hash.Sum(nil)[:16]), f.actions)
+}
+
+// record adds an action.
+func (f *fingerprint) record(controller string, action coordination.Action) {
+	switch a := action.(type) {
+	case coordination.Request:
+		f.add(controller, "request", targetName(a.To), a.Address, a.Method, a.Path, a.Body, a.Timeout)
+	case coordination.Reply:
+		f.add(controller, "reply", a.ID, a.Status, a.Body, a.RetryAfter)
+	case coordination.PeerSend:
+		f.add(controller, "send", a.Peer, protocol.AppendPeer(nil, a.Message))
+	case coordination.PeerReset:
+		f.add(controller, "reset", a.Peer)
+	default:
+		panic("an action that fingerprints do not know")
+	}
+}
+
+// targetName names an outside system, and the connection kept for the leader lease.
+func targetName(to coordination.Target) string {
+	switch to {
+	case coordination.ToState:
+		return "state"
+	case coordination.ToLeaderLease:
+		return "leader lease"
+	case coordination.ToCloud:
+		return "cloud"
+	case coordination.ToWorker:
+		return "worker"
+	}
+	panic("a target that fingerprints do not know")
+}
+
+// add hashes the parts of an action, each with its length before it.
+func (f *fingerprint) add(controller, kind string, parts ...any) {
+	f.actions++
+	f.number(uint64(f.w.Now.UnixNano()))
+	f.text([]byte(controller))
+	f.text([]byte(kind))
+	for _, part := range parts {
+		switch p := part.(type) {
+		case string:
+			f.text([]byte(p))
+		case []byte:
+			f.text(p)
+		case int:
+			f.number(uint64(p))
+		case uint64:
+			f.number(p)
+		case time.Duration:
+			f.number(uint64(p))
+		default:
+			panic("a part that fingerprints do not know")
+		}
+	}
+	if f.trace != nil {
+		fmt.Fprintln(f.trace, f.w.clock(), controller, kind, readable(parts))
+	}
+}
+
+// readable shows the parts of an action on one line.
+func readable(parts []any) string {
+	var out strings.Builder
+	for _, part := range parts {
+		switch p := part.(type) {
+		case string, []byte:
+			fmt.Fprintf(&out, " %q", p)
+		default:
+			fmt.Fprint(&out, " ", p)
+		}
+	}
+	return out.String()
+}
+
+func (f *fingerprint) number(n uint64) {
+	var b [8]byte
+	binary.BigEndian.PutUint64(b[:], n)
+	f.hash.Write(b[:])
+}
+
+func (f *fingerprint) text(b []byte) {
+	f.number(uint64(len(b)))
+	f.hash.Write(b)
+}
+
+// fingerprintDay is a kind of day that fingerprints are taken of.
+type fingerprintDay struct {
+	name  string
+	seeds int // that the golden file has, from 0 on
+	play  func(seed uint64, f *fingerprint)
+}
+
+// ofShape is a random day of a shape.
+func ofShape(shape Shape) func(seed uint64, f *fingerprint) {
+	return func(seed uint64, f *fingerprint) { f.watch(NewShaped(seed, logs(), shape)).playDay() }
+}
+
+// fingerprintDays are shapes and events that between them reach all that a controller does.
+func fingerprintDays() []fingerprintDay {
+	recoveringTiny, slow := tiny(), Small()
+	recoveringTiny.Recovery, slow.Slow = true, true
+	return []fingerprintDay{
+		{"small", 6, ofShape(Small())},
+		{"small-recovery", 6, ofShape(recovering())},
+		{"tiny", 5, ofShape(tiny())},
+		{"tiny-recovery", 5, ofShape(recoveringTiny)},
+		{"slow", 3, ofShape(slow)},
+		{"slow-crowd", 2, slowCrowdDay},
+		{"upgrade-0.2", 4, upgradeDay(0)},
+		{"upgrade-0.3", 4, upgradeDay(1)},
+		{"upgrade-mixed", 4, upgradeDay(2)},
+		{"lowered-limits", len(lowerings), loweredLimitsDay},
+		{"services", len(serviceFaults), servicesDay},
+		{"cold-restart", 4, coldRestartDay},
+		{"restored-store", 3, restoredStoreDay},
+		{"damaged-records", 2, damagedRecordsDay},
+		{"fleet", 2, fleetDay},
+	}
+}
+
+// randomFaults injects faults of kinds drawn by lot for a while.
+func (w *World) randomFaults(apart time.Duration, times int) {
+	w.every(apart, times, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+	w.Run(time.Duration(times) * apart)
+	w.Run(40 * time.Second)
+	w.faultsOver = w.Now
+	w.healWorkers()
+}
+
+// slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
+func slowCrowdDay(seed uint64, f *fingerprint) {
+	shape := weakest()
+	shape.Slow, shape.Capacity = true, 328
+	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
+	w := f.watch(NewShaped(seed, logs(), shape))
+	w.Run(3 * time.Second)
+	w.crowd(60, 60*time.Second)
+	w.every(20*time.Millisecond, 500, func(i int) {
+		w.nodes[i%len(w.nodes)].ask(func(id uint64) coordination.Event {
+			return coordination.Query{ID: id, Job: fmt.Sprintf("run-%06d", 900_000+i)}
+		}, func(int, []byte) {})
+	})
+	w.Run(40 * time.Second)
+	w.randomFaults(7*time.Second, 8)
+	w.Run(60 * time.Second)
+}
+
+// upgradeDay is a day of TestUpgrade: from 0.2, 0.3 or both; the limits are lowered after.
+// Only the first seed is without other faults.
+func upgradeDay(from int) func(seed uint64, f *fingerprint) {
+	return func(seed uint64, f *fingerprint) {
+		f.watch(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
+	}
+}
+
+// loweredLimitsDay has the limits fall far in one of the ways of TestLimitsLoweredFar, with
+// other faults after.
+func loweredLimitsDay(seed uint64, f *fingerprint) {
+	c := lowerings[seed%uint64(len(lowerings))]
+	w := f.watch(c.newWorld(seed))
+	w.submitWide()
+	c.play(w)
+	w.Run(20 * time.Second)
+	w.randomFaults(9*time.Second, 5)
+	w.Run(60 * time.Second)
+}
+
+// servicesDay has services beside other work, one of the faults of TestServices and others
+// after.
+func servicesDay(seed uint64, f *fingerprint) {
+	w := f.watch(New(seed, logs()))
+	w.Run(6 * time.Second)
+	u := w.submit(0, service("run-000001", 4), 0, 150*time.Second, false)
+	w.Run(10 * time.Second)
+	for i := range 3 {
+		s := service(fmt.Sprintf("run-00001%d", i), 1+w.rng.IntN(6))
+		s.Spread, s.GPUs = i%2 == 0, float64(w.rng.IntN(2))
+		w.submit(w.between(0, 20*time.Second), s, 0, w.between(100*time.Second, 200*time.Second), false)
+	}
+	w.load(8, 60*time.Second)
+	w.Run(4 * time.Second)
+	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
+	w.Run(40 * time.Second)
+	w.randomFaults(9*time.Second, 6)
+	w.Run(60 * time.Second)
+}
+
+// coldRestartDay loses all controllers of a hundred and twenty machines in the middle of work.
+func coldRestartDay(seed uint64, f *fingerprint) {
+	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, Equal: seed%3 == 0}
+	w := f.watch(newWorld(seed, logs(), c.Shape(), nil))
+	if _, err := c.run(&simulated{w}); err != nil {
+		panic(err)
+	}
+}
+
+// restoredStoreDay has the state service come back without its newest records while no
+// controller is up.
+func restoredStoreDay(seed uint64, f *fingerprint) {
+	shape := Small()
+	shape.Recovery, shape.Capacity = seed%2 == 0, 24
+	w := f.watch(NewShaped(seed, logs(), shape))
+	w.Run(6 * time.Second)
+	w.load(10, 60*time.Second)
+	w.Run(40 * time.Second)
+	old := w.state.backup()
+	w.Run(w.between(5*time.Second, 20*time.Second))
+	if seed%3 == 1 {
+		w.state.revision += 1_000_000
+	}
+	w.replace(time.Second)
+	w.Run(12 * time.Second)
+	for _, c := range w.nodes {
+		c.crash(2 * time.Second)
+	}
+	w.Run(time.Second)
+	w.state.restore(old)
+	w.Run(100 * time.Second)
+	w.randomFaults(9*time.Second, 4)
+}
+
+// damagedRecordsDay has new leaders find records that make no sense.
+func damagedRecordsDay(seed uint64, f *fingerprint) {
+	shape := Small()
+	shape.Recovery, shape.Machines = seed%2 == 0, 8
+	w := f.watch(NewShaped(seed, logs(), shape))
+	w.Run(6 * time.Second)
+	w.submit(0, array("run-000001", 5), 150, 0, false)
+	w.submit(0, gangJob("run-000002", 6), 150, 0, false)
+	w.load(8, 60*time.Second)
+	w.Run(30 * time.Second)
+	for _, c := range w.nodes {
+		c.crash(3 * time.Second)
+	}
+	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
+	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
+	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
+	w.damage("g/m/nobody", `{"w":"x","rooms":7}`)
+	w.damage("g/q/unknown", `1`)
+	w.Run(60 * time.Second)
+	w.randomFaults(9*time.Second, 4)
+}
+
+// fleetDay is a day of some three hundred machines with random faults, the loss of a zone
+// and of all controllers.
+func fleetDay(seed uint64, f *fingerprint) {
+	shape := grown()
+	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
+	w := f.watch(NewShaped(seed, logs(), shape))
+	w.crowd(70, 60*time.Second)
+	w.Run(30 * time.Second)
+	dark := shape.Zones[2]
+	w.interrupt(30*time.Second, true, func(a, b string) bool { return (w.zoneOf[a] == dark) != (w.zoneOf[b] == dark) })
+	w.Run(35 * time.Second)
+	w.loseMachines(20)
+	for _, c := range w.nodes {
+		c.crash(4 * time.Second)
+	}
+	w.Run(20 * time.Second)
+	w.randomFaults(8*time.Second, 6)
+}
+
+// fingerprintOf plays a day; FINGERPRINT_TRACE names a directory for readable copies.
+func fingerprintOf(t *testing.T, day fingerprintDay, seed uint64) string {
+	f := &fingerprint{}
+	if dir := os.Getenv("FINGERPRINT_TRACE"); dir != "" {
+		file, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.txt", day.name, seed)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer file.Close()
+		out := bufio.NewWriter(file)
+		defer out.Flush()
+		f.trace = out
+	}
+	day.play(seed, f)
+	return f.sum()
+}
+
+// TestFingerprints: the same seed makes every controller do the same at the same moment, to
+// the byte, in every process and in every version of the program that is to behave the
+// same. A change of a hash is a change of behaviour: -update writes the golden file anew.
+// FINGERPRINT_SEEDS=a-b prints the hashes of other seeds instead, without comparing.
+func TestFingerprints(t *testing.T) {
+	var first, last uint64
+	printed := os.Getenv("FINGERPRINT_SEEDS")
+	if printed != "" {
+		if n, err := fmt.Sscanf(printed, "%d-%d", &first, &last); n != 2 || err != nil || last < first {
+			t.Fatalf("FINGERPRINT_SEEDS=%s: not of the form a-b", printed)
+		}
+	}
+	golden := readFingerprints(t)
+	var lock sync.Mutex
+	var names []string
+	found := map[string]string{}
+	for _, day := range fingerprintDays() {
+		from, to := first, last+1
+		if printed == "" {
+			from, to = 0, uint64(day.seeds)
+		}
+		for seed := from; seed < to; seed++ {
+			name := fmt.Sprint(day.name, "/", seed)
+			names = append(names, name)
+			t.Run(name, func(t *testing.T) {
+				t.Parallel()
+				sum := fingerprintOf(t, day, seed)
+				lock.Lock()
+				found[name] = sum
+				lock.Unlock()
+				if printed == "" && !*update && sum != golden[name] {
+					t.Errorf("%s, in the golden file %q", sum, golden[name])
+				}
+			})
+		}
+	}
+	t.Cleanup(func() {
+		switch {
+		case printed != "":
+			for _, name := range names {
+				fmt.Println("fingerprint", name, found[name])
+			}
+		case *update && len(found) < len(names):
+			t.Errorf("%d of %d fingerprints were taken: the golden file stays as it was", len(found), len(names))
+		case *update:
+			writeFingerprints(t, names, found)
+		case len(golden) != len(names):
+			t.Errorf("the golden file has %d fingerprints, want %d", len(golden), len(names))
+		}
+	})
+}
+
+func readFingerprints(t *testing.T) map[string]string {
+	golden := map[string]string{}
+	data, err := os.ReadFile(fingerprintsFile)
+	if err != nil && !*update {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(data)) {
+		name, sum, _ := strings.Cut(strings.TrimSpace(line), " ")
+		golden[name] = sum
+	}
+	return golden
+}
+
+func writeFingerprints(t *testing.T, names []string, found map[string]string) {
+	var out strings.Builder
+	for _, name := range names {
+		fmt.Fprintln(&out, name, found[name])
+	}
+	if err := os.WriteFile(fingerprintsFile, []byte(out.String()), 0o644); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -213,8 +213,22 @@
 
 func day(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
+	history := w.playDay()
+	w.served(2 * largestWithin) // with a fault every few seconds for four minutes
+	if w.rules.started == 0 {
+		t.Error("nothing ran")
+	}
+	if len(w.rules.failures) > 0 {
+		t.Errorf("troubles: %v", history)
+		for _, f := range w.rules.failures {
+			t.Error(f)
+		}
+	}
+}
+
+// playDay lets a day with overlapping faults pass until all is over, and lists the faults.
+func (w *World) playDay() (history []string) {
 	w.load(24, 150*time.Second)
-	var history []string
 	for w.Now.Sub(time.Unix(1_800_000_000, 0)) < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
 		what := w.clock() + " " + w.injectFault()
@@ -228,16 +242,7 @@
 	}
 	w.left()
 	w.end()
-	w.served(2 * largestWithin) // with a fault every few seconds for four minutes
-	if w.rules.started == 0 {
-		t.Error("nothing ran")
-	}
-	if len(w.rules.failures) > 0 {
-		t.Errorf("troubles: %v", history)
-		for _, f := range w.rules.failures {
-			t.Error(f)
-		}
-	}
+	return history
 }
 
 // TestSameSeedSameRun guards the determinism that makes a failing seed worth
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -42,45 +42,57 @@
 	for seed := range days {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shape := lowered(Small(), 12, 4)
-			if seed%2 == 1 {
-				shape = lowered(tiny(), 12, 4)
-			}
-			shape.Capacity = 30
-			w := NewShaped(uint64(900+seed), logs(), shape)
-			for i, c := range w.nodes {
-				// From 0.2, from 0.3, or from both.
-				w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
-				c.crash(time.Millisecond)
-			}
-			w.load(12, 100*time.Second)
-			for i := range 4 {
-				s := array(fmt.Sprintf("run-60000%d", i), 60+w.rng.IntN(90))
-				s.GPUs, s.CPUs, s.MemoryGB, s.Spot = 0.25, 1, 5, true
-				w.submit(w.between(0, 50*time.Second), s, 20+60*w.rng.Float64(), 0, false)
-				g := gangJob(fmt.Sprintf("run-60001%d", i), 16+w.rng.IntN(8))
-				g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
-				w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
-			}
-			w.Run(w.between(30*time.Second, 60*time.Second))
-			if seed%3 > 0 {
-				w.every(9*time.Second, 8, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
-			}
-			w.upgrade(w.between(time.Second, 20*time.Second))
-			w.Run(70 * time.Second)
-			w.state.lower()
-			w.Run(40 * time.Second)
-			w.replace(300 * time.Millisecond)
-			w.Run(60 * time.Second)
-			w.faultsOver = w.Now
-			w.healWorkers()
-			w.left()
-			w.end()
+			w := newUpgradeWorld(seed)
+			w.playUpgrade(seed%3 > 0)
 			w.check(t)
 		})
 	}
 }
 
+// newUpgradeWorld is a world of controllers of earlier versions.
+func newUpgradeWorld(seed int) *World {
+	shape := lowered(Small(), 12, 4)
+	if seed%2 == 1 {
+		shape = lowered(tiny(), 12, 4)
+	}
+	shape.Capacity = 30
+	w := NewShaped(uint64(900+seed), logs(), shape)
+	for i, c := range w.nodes {
+		// From 0.2, from 0.3, or from both.
+		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
+		c.crash(time.Millisecond)
+	}
+	return w
+}
+
+// playUpgrade lets the controllers be replaced amid work, with faults or without, and the
+// limits be lowered, until all is over.
+func (w *World) playUpgrade(faults bool) {
+	w.load(12, 100*time.Second)
+	for i := range 4 {
+		s := array(fmt.Sprintf("run-60000%d", i), 60+w.rng.IntN(90))
+		s.GPUs, s.CPUs, s.MemoryGB, s.Spot = 0.25, 1, 5, true
+		w.submit(w.between(0, 50*time.Second), s, 20+60*w.rng.Float64(), 0, false)
+		g := gangJob(fmt.Sprintf("run-60001%d", i), 16+w.rng.IntN(8))
+		g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
+		w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
+	}
+	w.Run(w.between(30*time.Second, 60*time.Second))
+	if faults {
+		w.every(9*time.Second, 8, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+	}
+	w.upgrade(w.between(time.Second, 20*time.Second))
+	w.Run(70 * time.Second)
+	w.state.lower()
+	w.Run(40 * time.Second)
+	w.replace(300 * time.Millisecond)
+	w.Run(60 * time.Second)
+	w.faultsOver = w.Now
+	w.healWorkers()
+	w.left()
+	w.end()
+}
+
 // healWorkers lets sick machines work again.
 func (w *World) healWorkers() {
 	for _, k := range w.workers {
@@ -255,6 +267,19 @@
 
 // run plays it with records that need many parts.
 func (c lowering) run(t *testing.T, seed uint64) {
+	w := c.newWorld(seed)
+	users := w.submitWide()
+	c.play(w)
+	w.Run(60 * time.Second)
+	w.faultsOver = w.Now
+	w.waitFor(t, 400*time.Second, "all are over", func() bool { return !slices.ContainsFunc(users, func(u *user) bool { return !u.over }) })
+	w.Run(20 * time.Second)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.state.tooLarge, w.rules.started)
+	w.check(t)
+}
+
+// newWorld is a world of the earlier version whose records may be large.
+func (c lowering) newWorld(seed uint64) *World {
 	shape := lowered(Small(), 15, 4)
 	shape.State.ValueKB, shape.State.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
@@ -263,8 +288,12 @@
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
 	}
+	return w
+}
+
+// submitWide makes users with jobs whose records are the largest, and lets them run for a while.
+func (w *World) submitWide() (users []*user) {
 	w.Run(5 * time.Second)
-	var users []*user
 	for i := range 3 {
 		a := wide(array(fmt.Sprintf("run-60000%d", i), 98))
 		a.GPUs, a.CPUs, a.MemoryGB = 0, 1, 0.5
@@ -274,11 +303,5 @@
 		users = append(users, w.submit(0, g, 50+30*w.rng.Float64(), 0, false))
 	}
 	w.Run(30 * time.Second)
-	c.play(w)
-	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
-	w.waitFor(t, 400*time.Second, "all are over", func() bool { return !slices.ContainsFunc(users, func(u *user) bool { return !u.over }) })
-	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.state.tooLarge, w.rules.started)
-	w.check(t)
+	return users
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -104,6 +105,8 @@
 	release    map[string]release // of every controller
 	close      bool               // users look closely: they ask every node after every answer
 	atEnd      float64            // this share of the jobs is called off at the moment of their end
+	// recorder, if there is one, is shown every action of every controller as it is carried out.
+	recorder func(controller string, action coordination.Action)
 }
 
 // New makes a small world of three controllers.
