--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -80,8 +80,9 @@
 	}
 	if late {
 		n.expireAt = n.now.Add(tuning.ExpireEvery)
-		for id, c := range n.forwarded {
-			if n.now.After(c.expire) {
+		// In the order of their numbers: the same seed must give the same run.
+		for _, id := range slices.Sorted(maps.Keys(n.forwarded)) {
+			if c := n.forwarded[id]; n.now.After(c.expire) {
 				delete(n.forwarded, id)
 				n.refuse(c.reply, "leader does not answer")
 			}
