--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/bookkeeping/bookkeeping_test.go
@@ -14,7 +14,7 @@
 // description, numbers and names that they may hold.
 func TestRecordsFit(t *testing.T) {
 	for _, kb := range []float64{2, 4, 8, 64} {
-		spec := &protocol.Job{ID: "run-" + strings.Repeat("9", 30), Tasks: protocol.MaxTasks}
+		spec := &protocol.Job{ID: protocol.JobID("run-" + strings.Repeat("9", 30)), Tasks: protocol.MaxTasks}
 		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(kb, spec) {
 			spec.Image += "x"
 		}
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -42,26 +42,34 @@
 )
 
 // JobKey is the key of an unfinished job.
-func JobKey(id string) string { return JobPrefix + id }
+func JobKey(id protocol.JobID) string { return JobPrefix + string(id) }
+
+// ParseJobKey takes such a key apart.
+func ParseJobKey(key string) (id protocol.JobID, ok bool) {
+	rest, ok := strings.CutPrefix(key, JobPrefix)
+	return protocol.JobID(rest), ok
+}
 
 // FinalKey is the key of a finished job.
-func FinalKey(id string) string { return FinalPrefix + id }
+func FinalKey(id protocol.JobID) string { return FinalPrefix + string(id) }
 
 // TaskRecordKey is the key of a job's n-th record of tasks, n from 1.
-func TaskRecordKey(id string, n int) string { return TaskPrefix + id + "/" + strconv.Itoa(n) }
+func TaskRecordKey(id protocol.JobID, n int) string {
+	return TaskPrefix + string(id) + "/" + strconv.Itoa(n)
+}
 
 // ParseTaskRecordKey takes such a key apart.
-func ParseTaskRecordKey(key string) (id string, n int, ok bool) {
+func ParseTaskRecordKey(key string) (id protocol.JobID, n int, ok bool) {
 	rest, ok := strings.CutPrefix(key, TaskPrefix)
 	if !ok {
 		return "", 0, false
 	}
-	id, num, ok := strings.Cut(rest, "/")
+	job, num, ok := strings.Cut(rest, "/")
 	if !ok {
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(num)
-	return id, n, err == nil && n > 0
+	return protocol.JobID(job), n, err == nil && n > 0
 }
 
 // MachineRecordKey is the key of a machine record.
@@ -110,7 +118,7 @@
 type Task struct {
 	Index   int
 	Attempt uint64
-	Machine string
+	Machine protocol.MachineID
 	Session uint64
 	Done    bool
 }
@@ -170,11 +178,11 @@
 
 func (list *Tasks) unmarshalLong(value []byte) error {
 	var long []struct {
-		Index   int    `json:"i"`
-		Attempt uint64 `json:"n"`
-		Machine string `json:"m"`
-		Session uint64 `json:"s"`
-		Done    bool   `json:"d"`
+		Index   int                `json:"i"`
+		Attempt uint64             `json:"n"`
+		Machine protocol.MachineID `json:"m"`
+		Session uint64             `json:"s"`
+		Done    bool               `json:"d"`
 	}
 	err := json.Unmarshal(value, &long)
 	*list = nil
@@ -247,11 +255,11 @@
 
 // MachineEntry is a machine's entry in its machine record.
 type MachineEntry struct {
-	ID      string `json:"id"`
-	Address string `json:"addr"`
-	Type    string `json:"type"`
-	Zone    string `json:"zone"`
-	Spot    bool   `json:"spot,omitempty"`
+	ID      protocol.MachineID `json:"id"`
+	Address string             `json:"addr"`
+	Type    string             `json:"type"`
+	Zone    string             `json:"zone"`
+	Spot    bool               `json:"spot,omitempty"`
 	// Cordoned machines take no further tasks.
 	Cordoned bool `json:"closed,omitempty"`
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -116,7 +117,7 @@
 // pinSurvivors keeps the machines of a broken gang's other tasks for its next
 // attempt: the repair then only has to find room for what was lost.
 func (l *leader) pinSurvivors(j *job) {
-	j.survivors = map[string]bool{}
+	j.survivors = map[protocol.MachineID]bool{}
 	for _, c := range j.sortedAttempts() {
 		j.survivors[c.m.id] = true
 		if c.m.hold == nil {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -20,7 +20,7 @@
 func fullFleet(waiting int) *leader {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 2000 {
-		l.testMachine(fmt.Sprintf("i-%06d", i), "big", []string{"a", "b", "c"}[i%3], false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []string{"a", "b", "c"}[i%3], false)
 	}
 	s := gangOf(100, 2)
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
@@ -121,16 +121,16 @@
 	for i := range 4000 / 40 {
 		rec := bookkeeping.MachineRecord{}
 		for k := range 40 {
-			rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: fmt.Sprintf("i-%06d", i*40+k), Address: "10.0.0.1:9000", Type: "big", Zone: "a"})
+			rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID(fmt.Sprintf("i-%06d", i*40+k)), Address: "10.0.0.1:9000", Type: "big", Zone: "a"})
 		}
 		add(bookkeeping.MachineRecordKey(fmt.Sprint("boot-", i)), rec)
 	}
 	for i := range 800 {
 		s := gangOf(10, 2)
-		s.ID, s.Priority = fmt.Sprintf("run-%06d", i), "high"
+		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", i)), "high"
 		rec := bookkeeping.Job{Spec: &s, Seq: uint64(i + 1), Attempt: 1, RecordTasks: 60}
 		for k := range 10 {
-			rec.Tasks = append(rec.Tasks, bookkeeping.Task{Index: k, Attempt: 1, Machine: fmt.Sprintf("i-%06d", (i*10+k)%4000), Session: 1})
+			rec.Tasks = append(rec.Tasks, bookkeeping.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Session: 1})
 		}
 		add(bookkeeping.JobKey(s.ID), rec)
 	}
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -10,7 +10,7 @@
 
 // cancel marks a job as cancelled by a guarded transaction. Whoever leads
 // learns it from its watch.
-func (n *Node) cancel(id uint64, job string) {
+func (n *Node) cancel(id uint64, job protocol.JobID) {
 	if f, ok := n.finals[job]; ok {
 		n.reply(id, 200, protocol.Accepted{ID: job, Phase: f.Phase})
 		return
@@ -30,7 +30,7 @@
 	n.cancelFresh(id, job, deadline)
 }
 
-func (n *Node) cancelFresh(id uint64, job string, deadline time.Time) {
+func (n *Node) cancelFresh(id uint64, job protocol.JobID, deadline time.Time) {
 	n.read(id, bookkeeping.JobKey(job), deadline, func(e *protocol.Entry) {
 		if e != nil {
 			n.cancelRecord(id, job, e, deadline)
@@ -50,7 +50,7 @@
 	})
 }
 
-func (n *Node) cancelRecord(id uint64, job string, e *protocol.Entry, deadline time.Time) {
+func (n *Node) cancelRecord(id uint64, job protocol.JobID, e *protocol.Entry, deadline time.Time) {
 	rec, err := bookkeeping.DecodeJob(e.Value)
 	if err != nil {
 		n.refuse(id, "record does not parse")
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -321,7 +321,7 @@
 			}
 			return
 		}
-		id, _ := strings.CutPrefix(key, bookkeeping.JobPrefix)
+		id, _ := bookkeeping.ParseJobKey(key)
 		j := l.jobs[id]
 		if j == nil {
 			return
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -76,13 +76,13 @@
 // Query is a user's poll.
 type Query struct {
 	ID  uint64
-	Job string
+	Job protocol.JobID
 }
 
 // Cancel is a user's cancellation.
 type Cancel struct {
 	ID  uint64
-	Job string
+	Job protocol.JobID
 }
 
 // WorkerReport is a worker's report that this node was sent.
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -100,7 +100,7 @@
 	if got := ops(l.testReport(m, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: j.id + "/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskReport{Task: protocol.TaskName(j.id, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := ops(l.testReport(m, l.n.lease.term, exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,8 +14,8 @@
 type fleet struct {
 	calls   *rate.Limiter
 	demand  []demand
-	load    map[string]int       // machines in every zone, at the last reckoning
-	deleted map[string]time.Time // names that are gone for certain
+	load    map[string]int                   // machines in every zone, at the last reckoning
+	deleted map[protocol.MachineID]time.Time // names that are gone for certain
 	rentals []*rental
 	refused map[offer]time.Time
 	listing bool
@@ -33,7 +33,7 @@
 
 func newFleet(rps float64) fleet {
 	return fleet{calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps))),
-		deleted: map[string]time.Time{}, refused: map[offer]time.Time{}, lostIn: map[string]time.Time{}}
+		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, lostIn: map[string]time.Time{}}
 }
 
 func (l *leader) tickFleet() {
@@ -137,7 +137,7 @@
 
 func (l *leader) sendDeletes() {
 	f := &l.fleet
-	var names []string
+	var names []protocol.MachineID
 	for _, m := range l.roster {
 		if m.deleting && len(names) < tuning.DeleteCount {
 			names = append(names, m.id)
@@ -161,7 +161,7 @@
 }
 
 // forget takes machines out that are gone for certain.
-func (l *leader) forget(names ...string) {
+func (l *leader) forget(names ...protocol.MachineID) {
 	for _, id := range names {
 		m := l.machines[id]
 		if m == nil {
@@ -188,7 +188,7 @@
 }
 
 // listOn asks for the next page when the budget of calls allows it.
-func (l *leader) listOn(after string) {
+func (l *leader) listOn(after protocol.MachineID) {
 	pause := l.fleet.calls.ReserveN(l.n.now, 1).DelayFrom(l.n.now)
 	if pause == 0 {
 		l.list(after)
@@ -202,7 +202,7 @@
 }
 
 // list reads the machine list, page by page.
-func (l *leader) list(after string) {
+func (l *leader) list(after protocol.MachineID) {
 	f := &l.fleet
 	f.pages++
 	l.n.request(ToCloud, "", "GET", protocol.MachinesPath(after, tuning.ListPage), nil, tuning.CloudTimeout, func(status int, body []byte) {
@@ -214,7 +214,7 @@
 			f.listing, f.listAt = false, l.n.now.Add(time.Second)
 			return
 		}
-		last := ""
+		last := protocol.MachineID("")
 		for i := range page.Machines {
 			l.listed(&page.Machines[i])
 			last = page.Machines[i].ID
@@ -230,7 +230,7 @@
 // listed takes one machine of the list. Machines that nobody expected are
 // used like any other, and returned when they are idle.
 func (l *leader) listed(e *protocol.Machine) {
-	if e.ID == "" || strings.ContainsAny(e.ID, " /") {
+	if e.ID == "" || strings.ContainsAny(string(e.ID), " /") {
 		return
 	}
 	if _, gone := l.fleet.deleted[e.ID]; gone {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -128,7 +128,7 @@
 	watch := protocol.WatchAnswer{Revision: 90}
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
-		s.ID, s.Priority = fmt.Sprintf("run-%06d", 50+i), "high"
+		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: uint64(80 + i),
 			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -12,7 +12,7 @@
 
 // job is an unfinished job.
 type job struct {
-	id         string
+	id         protocol.JobID
 	spec       *protocol.Job
 	rank       protocol.Rank
 	seq        uint64
@@ -46,10 +46,10 @@
 	reclaimChecked bool         // whether mayReclaim was first decided
 	stopping       bool         // the gang's attempt is being ended
 	retryAt        time.Time
-	survivors      map[string]bool // machines of the broken attempt that are still there
-	failures       map[string]bool // machines on which a task failed
-	blamedCount    int             // how often the job, not a machine, was blamed for a failure
-	avoid          map[string]time.Time
+	survivors      map[protocol.MachineID]bool // machines of the broken attempt that are still there
+	failures       map[protocol.MachineID]bool // machines on which a task failed
+	blamedCount    int                         // how often the job, not a machine, was blamed for a failure
+	avoid          map[protocol.MachineID]time.Time
 	waitingSince   time.Time  // since when something waits for its place
 	held           []*machine // machines whose room is kept for it
 	searchAt       time.Time  // when room may be made for it again
@@ -70,7 +70,7 @@
 type attemptKey struct {
 	index   int
 	attempt uint64
-	machine string
+	machine protocol.MachineID
 }
 
 // taskAttempt is one attempt of a task on one machine, from the moment it is
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -19,12 +19,12 @@
 	n     *Node
 	since time.Time
 
-	jobs     map[string]*job
-	machines map[string]*machine
+	jobs     map[protocol.JobID]*job
+	machines map[protocol.MachineID]*machine
 	roster   []*machine // the machines by name, the order of their creation; never changed in place
 	teams    map[string]*team
 	// jobs with a record that cannot be read, which are left alone
-	unreadable map[string]bool
+	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
 	stored     storedState     // all of this as package recovery sees it
 	reconciler recovery.Reconciler
@@ -109,7 +109,7 @@
 		l.deleteStrayRecord(ev)
 		return
 	}
-	id, ok := strings.CutPrefix(ev.Set, bookkeeping.JobPrefix)
+	id, ok := bookkeeping.ParseJobKey(ev.Set)
 	if !ok {
 		return
 	}
@@ -145,7 +145,7 @@
 // cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
-func (l *leader) cancelFromPeer(id string) {
+func (l *leader) cancelFromPeer(id protocol.JobID) {
 	if j := l.jobs[id]; j != nil {
 		l.cancelJob(j)
 	}
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -10,18 +10,19 @@
 )
 
 type taskKey struct {
-	job     string
+	job     protocol.JobID
 	index   int
 	attempt uint64
 }
 
 // machine is a rented machine and its worker.
 type machine struct {
-	id, address, typeName, zone string
-	spot                        bool
-	slots                       buddy.Map
-	kind                        *protocol.MachineType // nil until it is known, and the slots with it
-	cpus, gpus, memory          float64               // in use
+	id                      protocol.MachineID
+	address, typeName, zone string
+	spot                    bool
+	slots                   buddy.Map
+	kind                    *protocol.MachineType // nil until it is known, and the slots with it
+	cpus, gpus, memory      float64               // in use
 
 	record    *machineRecord // its machine record, shared with others
 	entrySize int            // of its entry there, at most
@@ -64,7 +65,7 @@
 
 	born     time.Time
 	phase    protocol.MachinePhase
-	failed   map[string]bool // jobs that failed here, none succeeding between
+	failed   map[protocol.JobID]bool // jobs that failed here, none succeeding between
 	distrust bool
 	images   []image
 	hold     *job // room freed by preemption is kept for it
@@ -77,10 +78,10 @@
 }
 
 // machine finds a machine or enters a new one.
-func (l *leader) machine(id, address, typeName, zone string, spot bool) *machine {
+func (l *leader) machine(id protocol.MachineID, address, typeName, zone string, spot bool) *machine {
 	m := l.machines[id]
 	if m == nil {
-		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[string]bool{},
+		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[protocol.JobID]bool{},
 			idleSince: l.n.now, born: l.n.now, slots: buddy.New(0)}
 		l.machines[id] = m
 		l.enroll(m)
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -16,9 +16,9 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.fleet.rentals = append(l.fleet.rentals, &rental{})
 	l.sendRental(&rental{offer: offer{"big", "a", true}, count: 100})
-	var names []string
+	var names []protocol.MachineID
 	for i := range 100 {
-		names = append(names, fmt.Sprintf("i-%06d", i))
+		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
 	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: bookkeeping.Encode(protocol.MachineNames{Machines: names})})
 	l.commitNext()
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -25,9 +25,9 @@
 	rng  *rand.Rand
 	boot string
 
-	began            time.Time            // of this life
-	confirmedCancels map[string]time.Time // cancellations that users were told of, and since when
-	expireCancelsAt  int                  // how many of them are kept before old ones are dropped
+	began            time.Time                    // of this life
+	confirmedCancels map[protocol.JobID]time.Time // cancellations that users were told of, and since when
+	expireCancelsAt  int                          // how many of them are kept before old ones are dropped
 	confirmation     peerConfirmation
 
 	now         time.Time
@@ -57,7 +57,7 @@
 	unanswered        bool // it did not answer the last request
 	limitsLowered     bool // it has refused what its limits used to allow
 
-	finals map[string]bookkeeping.Final
+	finals map[protocol.JobID]bookkeeping.Final
 	polls  []poll
 	pollAt time.Time
 
@@ -69,13 +69,13 @@
 	names           []string // of all controllers, in order
 	peers           map[string]*peer
 	beatAt          time.Time
-	forwarded       map[uint64]forwardedRequest // requests that peers answer
-	expireAt        time.Time                   // when they are looked over for late ones
-	received        map[uint64]receivedRequest  // requests of peers that this node answers
-	delegated       map[uint64]delegatedCall    // calls that peers make
-	redirects       *rate.Limiter               // of workers to their proxies
-	leaderRedirects *rate.Limiter               // the same by the leader, to all peers
-	contacts        map[string]contact          // workers that report here, or did
+	forwarded       map[uint64]forwardedRequest    // requests that peers answer
+	expireAt        time.Time                      // when they are looked over for late ones
+	received        map[uint64]receivedRequest     // requests of peers that this node answers
+	delegated       map[uint64]delegatedCall       // calls that peers make
+	redirects       *rate.Limiter                  // of workers to their proxies
+	leaderRedirects *rate.Limiter                  // the same by the leader, to all peers
+	contacts        map[protocol.MachineID]contact // workers that report here, or did
 	queuedReports   []queuedReport
 	outboxes        map[string]*outbox
 }
@@ -88,13 +88,13 @@
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		pending:          map[uint64]func(int, []byte){},
 		types:            map[string]*protocol.MachineType{},
-		finals:           map[string]bookkeeping.Final{},
-		confirmedCancels: map[string]time.Time{},
+		finals:           map[protocol.JobID]bookkeeping.Final{},
+		confirmedCancels: map[protocol.JobID]time.Time{},
 		peers:            map[string]*peer{},
 		forwarded:        map[uint64]forwardedRequest{},
 		received:         map[uint64]receivedRequest{},
 		delegated:        map[uint64]delegatedCall{},
-		contacts:         map[string]contact{},
+		contacts:         map[protocol.MachineID]contact{},
 		outboxes:         map[string]*outbox{},
 	}
 	n.names = []string{cfg.Name}
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -25,7 +25,7 @@
 }
 
 // noteCancel keeps note of a cancellation that a user is being told of.
-func (n *Node) noteCancel(job string) {
+func (n *Node) noteCancel(job protocol.JobID) {
 	if n.lead != nil {
 		n.lead.cancelFromPeer(job) // it may have read that while its watch hangs
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -157,7 +157,7 @@
 
 // announceCancel tells the leader of a cancellation that is in the records, so that
 // it need not wait for its watch, or for the state service to serve it again.
-func (n *Node) announceCancel(job string) {
+func (n *Node) announceCancel(job protocol.JobID) {
 	if n.lead != nil {
 		n.lead.cancelFromPeer(job)
 		return
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -30,7 +30,7 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id, typeName, zone string, spot bool) *machine {
+func (l *leader) testMachine(id protocol.MachineID, typeName, zone string, spot bool) *machine {
 	m := l.machine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
 	m.record.revision = 1
@@ -40,7 +40,7 @@
 }
 
 func (l *leader) testJob(s protocol.Job) *job {
-	s.ID = fmt.Sprintf("run-%06d", len(l.jobs)+1)
+	s.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(l.jobs)+1))
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
@@ -61,7 +61,7 @@
 			if rng.IntN(3) == 0 {
 				kind = &smallType
 			}
-			l.testMachine(fmt.Sprintf("i-%02d", i), kind.Name, kind.Zones[rng.IntN(len(kind.Zones))], rng.IntN(3) == 0)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), kind.Name, kind.Zones[rng.IntN(len(kind.Zones))], rng.IntN(3) == 0)
 		}
 		for range 12 {
 			s := protocol.Job{Team: []string{"free", "tight"}[rng.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + rng.IntN(6),
@@ -97,7 +97,7 @@
 			if len(j.attempts) != s.Tasks {
 				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.attempts))
 			}
-			machines, zones := map[string]bool{}, map[string]bool{}
+			machines, zones := map[protocol.MachineID]bool{}, map[string]bool{}
 			for _, c := range j.attempts {
 				machines[c.m.id], zones[c.m.zone] = true, true
 			}
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -14,7 +14,7 @@
 // that any node has given.
 type poll struct {
 	id       uint64
-	job      string
+	job      protocol.JobID
 	revision uint64
 	short    bool // the answer to a repeated submission
 	expire   time.Time
@@ -81,14 +81,14 @@
 type pollBatch struct {
 	polls   []poll
 	compare protocol.Txn
-	status  map[string]protocol.Status // by job, as the mirror has it
-	stale   map[string]bool            // keys whose records have changed since
+	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
+	stale   map[string]bool                    // keys whose records have changed since
 }
 
 // takePolls takes the first of the waiting polls.
 func (n *Node) takePolls(limit int) *pollBatch {
 	count := min(limit, len(n.polls))
-	b := &pollBatch{polls: n.polls[:count], status: map[string]protocol.Status{}, stale: map[string]bool{}}
+	b := &pollBatch{polls: n.polls[:count], status: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
 	n.polls = append([]poll(nil), n.polls[count:]...)
 	for _, p := range b.polls {
 		if _, ok := b.status[p.job]; ok {
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -20,7 +20,7 @@
 }
 
 // Job implements recovery.Records.
-func (s *storedState) Job(id string) (recovery.Job, bool) {
+func (s *storedState) Job(id protocol.JobID) (recovery.Job, bool) {
 	j := s.l.jobs[id]
 	if j == nil {
 		return recovery.Job{Unreadable: s.l.unreadable[id]}, false
@@ -39,7 +39,7 @@
 }
 
 // Attempts implements recovery.Records.
-func (s *storedState) Attempts(name string, list []recovery.Attempt) []recovery.Attempt {
+func (s *storedState) Attempts(name protocol.MachineID, list []recovery.Attempt) []recovery.Attempt {
 	m := s.l.machines[name]
 	if m == nil {
 		return list
@@ -186,7 +186,7 @@
 		m.idleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
-	l.logOnce("entry of a report makes no sense", m.id+" "+entry.Task, "machine", m.id, "task", entry.Task, "state", string(entry.State))
+	l.logOnce("entry of a report makes no sense", string(m.id)+" "+entry.Task, "machine", m.id, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -141,13 +141,13 @@
 	l, _ := lowering(t)
 	rec := bookkeeping.MachineRecord{}
 	for i := range 90 {
-		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: "i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26)), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
+		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 	}
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
 	old := l.machineRecords[0]
 	l.queueMachineRecord(old.members[0]) // it is to be written at once
-	named := map[string]string{}
+	named := map[protocol.MachineID]string{}
 	for _, m := range rec.Machines {
 		named[m.ID] = "g/m/old"
 	}
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -59,7 +59,7 @@
 
 // hostName is the name of the machine that has all tasks; a long one, so that a record
 // of 98 tasks needs many parts.
-var hostName = "i-" + strings.Repeat("0", 80) + "231"
+var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
 // wideJob is a job whose description leaves room for few tasks in its first record.
 func wideJob(shape protocol.Shape) *bookkeeping.Job {
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -13,7 +13,7 @@
 // known or its lease has lapsed.
 type recoveryPhase interface {
 	Observe(d recovery.Difference)
-	Known(machine string)
+	Known(machine protocol.MachineID)
 	Ordered(op protocol.Verb)
 	Tick(now time.Time) (ended bool)
 	Summary() recovery.Summary
@@ -24,7 +24,7 @@
 
 func (noRecoveryPhase) Observe(recovery.Difference) {}
 
-func (noRecoveryPhase) Known(string) {}
+func (noRecoveryPhase) Known(protocol.MachineID) {}
 
 func (noRecoveryPhase) Ordered(protocol.Verb) {}
 
@@ -40,7 +40,7 @@
 		l.recovery = noRecoveryPhase{}
 		return
 	}
-	stored := make(map[string][]recovery.Attempt, len(l.roster))
+	stored := make(map[protocol.MachineID][]recovery.Attempt, len(l.roster))
 	for _, m := range l.roster {
 		stored[m.id] = l.stored.Attempts(m.id, nil)
 	}
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -36,7 +36,7 @@
 
 // reported tells what becomes of a machine's report at a node: where the worker
 // is sent, "carried", or the status.
-func reported(n *Node, machine string) string {
+func reported(n *Node, machine protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
 	n.out = nil
@@ -64,8 +64,8 @@
 	b, c := follower("b", 250), follower("c", 250)
 	count := map[string]int{}
 	for i := range 2000 {
-		m := fmt.Sprintf("i-%06d", i)
-		atB, atC := reported(b, m), reported(c, m)
+		m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
+		atB, atC := reported(b, m), reported(c, protocol.MachineID(m))
 		switch {
 		case atB == "a" && atC == "a":
 			count["a"]++
@@ -90,9 +90,9 @@
 // the leader: by way of third nodes or of relayed messages only some could be carried.
 func TestFrontsInTrouble(t *testing.T) {
 	b := follower("b", 0)
-	own, other := "", ""
+	var own, other protocol.MachineID
 	for i := 0; own == "" || other == ""; i++ {
-		if m := fmt.Sprintf("i-%06d", i); b.proxyFor(m, "a", 0) == "b" {
+		if m := protocol.MachineID(fmt.Sprintf("i-%06d", i)); b.proxyFor(m, "a", 0) == "b" {
 			own = m
 		} else {
 			other = m
@@ -132,11 +132,11 @@
 		}
 		n.leaderRedirects.SetLimit(rate.Inf)
 		for i := range 300 {
-			l.testMachine(fmt.Sprintf("i-%06d", i), "big", "a", false)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 		}
 		away := 0
 		for i := range 300 {
-			m := fmt.Sprintf("i-%06d", i)
+			m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
 			switch got := reported(n, m); got {
 			case "200":
 			case "o", "p":
@@ -210,7 +210,7 @@
 		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []string{"n", "x"}}}
 	}
 	for i := range 60 {
-		l.testMachine(fmt.Sprintf("i-%06d", i), "big", "a", false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
 	m := l.roster[0]
 	order := func(path string) (action Action, ended *int) {
@@ -266,7 +266,7 @@
 	b.redirects = paced.redirects
 	sent := 0
 	for i := range 600 {
-		if got := reported(b, fmt.Sprintf("i-%06d", i)); got == "a" || got == "c" {
+		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", i))); got == "a" || got == "c" {
 			sent++
 		} else if got != "carried to a" {
 			t.Fatalf("report %d: %s", i, got)
@@ -283,7 +283,7 @@
 				p.heard = b.now
 			}
 		}
-		if got := reported(b, fmt.Sprintf("i-%06d", 1000+i)); got == "a" || got == "c" {
+		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", 1000+i))); got == "a" || got == "c" {
 			more++
 		}
 	}
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -58,7 +58,7 @@
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
 // nodes reckon the same.
-func (n *Node) proxyFor(machine, leader string, keeps uint64) string {
+func (n *Node) proxyFor(machine protocol.MachineID, leader string, keeps uint64) string {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	sum := uint64(h.Sum32())
@@ -114,7 +114,7 @@
 
 // redirectTarget is the node that a worker should rather report to, "" if this one
 // fetches the leader's answer for it.
-func (n *Node) redirectTarget(machine, leader string) string {
+func (n *Node) redirectTarget(machine protocol.MachineID, leader string) string {
 	c := n.contacts[machine]
 	if n.redirectedLately(machine) {
 		return ""
@@ -162,7 +162,7 @@
 // redirectedLately says whether a worker was sent to another node lately and came back:
 // it cannot reach that one then. After a while it is sent again, for the cut may be
 // over, and answering it here costs more.
-func (n *Node) redirectedLately(machine string) bool {
+func (n *Node) redirectedLately(machine protocol.MachineID) bool {
 	c := n.contacts[machine]
 	return !c.redirectedAt.IsZero() && c.term == n.lease.revision && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
 }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -49,7 +49,7 @@
 }
 
 // askForTerm asks the state service whether this leader's term is the newest still.
-func (l *leader) askForTerm(machine string) {
+func (l *leader) askForTerm(machine protocol.MachineID) {
 	s := &l.restored
 	if s.asking {
 		return
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -17,7 +17,7 @@
 func TestOrdersOfGangInOrder(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 24 {
-		l.testMachine(fmt.Sprintf("i-%02d", i), "big", "a", false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", "a", false)
 	}
 	j := l.testJob(gangOf(24, 4))
 	if !l.placeGang(j) {
@@ -52,7 +52,7 @@
 				continue
 			}
 			pages++
-			page := protocol.MachineList{More: pages%12 != 0, Machines: []protocol.Machine{{ID: fmt.Sprintf("i-%06d", pages%12)}}}
+			page := protocol.MachineList{More: pages%12 != 0, Machines: []protocol.Machine{{ID: protocol.MachineID(fmt.Sprintf("i-%06d", pages%12))}}}
 			l.n.pending[r.ID](200, bookkeeping.Encode(page))
 		}
 	}
@@ -71,7 +71,7 @@
 	l.n.peers["p"] = &peer{}
 	tell := func(from, to int) protocol.PeerConfirm {
 		for i := from; i < to; i++ {
-			l.n.noteCancel(fmt.Sprintf("run-%06d", i))
+			l.n.noteCancel(protocol.JobID(fmt.Sprintf("run-%06d", i)))
 		}
 		l.n.out = nil
 		l.n.confirm("p", protocol.PeerConfirmRequest{ID: 1})
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"encoding/json"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
@@ -13,7 +12,7 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, since: n.now, jobs: map[string]*job{}, machines: map[string]*machine{}, teams: map[string]*team{}, unreadable: map[string]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
+	l := &leader{n: n, since: n.now, jobs: map[protocol.JobID]*job{}, machines: map[protocol.MachineID]*machine{}, teams: map[string]*team{}, unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
 		calls: n.workerCalls(), fleet: newFleet(n.cfg.Cluster.Cloud.RPS)}
 	l.stored.l = l
 	n.lead = l
@@ -47,7 +46,7 @@
 		record bookkeeping.MachineRecord
 	}
 	var entries []entry
-	var names []string
+	var names []protocol.MachineID
 	l.n.mirror.Each(bookkeeping.MachinePrefix, func(e protocol.Entry) {
 		rec, ok := parse[bookkeeping.MachineRecord](e.Value)
 		if !ok || len(rec.Machines) == 0 { // an empty one is deleted, so this is something else
@@ -76,7 +75,8 @@
 	l.n.mirror.Each(bookkeeping.JobPrefix, func(e protocol.Entry) {
 		rec, err := bookkeeping.DecodeJob(e.Value)
 		if err != nil {
-			l.leaveAlone(strings.TrimPrefix(e.Key, bookkeeping.JobPrefix), err)
+			id, _ := bookkeeping.ParseJobKey(e.Key)
+			l.leaveAlone(id, err)
 			return
 		}
 		l.addJob(rec, e.Revision).loaded = true
@@ -117,7 +117,7 @@
 // committed only on machines that a machine record has, and a machine leaves its record
 // only after its deletion was answered: a predecessor has proven it gone.
 func (l *leader) forgetUnrecorded() {
-	var names []string
+	var names []protocol.MachineID
 	for _, m := range l.roster {
 		if m.record == nil {
 			names = append(names, m.id)
@@ -135,7 +135,7 @@
 		tasks:     make([]task, s.Tasks),
 		revisions: make([]uint64, max(rec.BaseRecords(), rec.Parts)),
 		attempts:  map[attemptKey]*taskAttempt{}, dirty: map[int]bool{}, leftovers: map[int]uint64{},
-		failures: map[string]bool{}, avoid: map[string]time.Time{},
+		failures: map[protocol.MachineID]bool{}, avoid: map[protocol.MachineID]time.Time{},
 		waitingSince: l.n.now,
 	}
 	if j.seq == 0 {
@@ -157,7 +157,7 @@
 // leaveAlone has a job kept as it is because a record of it cannot be read: one of a
 // later version, or a damaged one. Nothing of it is written, deleted, placed or stopped
 // except that a job whose own record was read can still be cancelled.
-func (l *leader) leaveAlone(id string, err error) {
+func (l *leader) leaveAlone(id protocol.JobID, err error) {
 	if l.unreadable[id] {
 		return
 	}
@@ -173,7 +173,7 @@
 func (l *leader) addTasks(j *job, record int, tasks []bookkeeping.Task) {
 	for _, t := range tasks {
 		if t.Index < 0 || t.Index >= len(j.tasks) {
-			l.logOnce("record names a task that its job does not have", j.id, "job", j.id, "task", t.Index)
+			l.logOnce("record names a task that its job does not have", string(j.id), "job", j.id, "task", t.Index)
 			continue
 		}
 		if record >= j.baseRecords() {
@@ -191,7 +191,7 @@
 		}
 		m := l.machine(t.Machine, "", "", "", false)
 		if m.attempts[taskKey{j.id, t.Index, t.Attempt}] != nil {
-			l.logOnce("record places an attempt twice", j.id, "job", j.id, "task", t.Index)
+			l.logOnce("record places an attempt twice", string(j.id), "job", j.id, "task", t.Index)
 			continue
 		}
 		c := l.addAttempt(j, t.Index, t.Attempt, m, t.Session)
@@ -212,6 +212,6 @@
 	t.active = c
 	if older != nil {
 		older.stray = true
-		l.logOnce("record places a task twice", j.id, "job", j.id, "task", c.key.index)
+		l.logOnce("record places a task twice", string(j.id), "job", j.id, "task", c.key.index)
 	}
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -49,7 +49,7 @@
 			l.tickFleet()
 			if txn, _ := l.nextTxn(t); txn != nil {
 				for _, c := range txn.Then {
-					if strings.Contains(c.Set+c.Delete, rec.Spec.ID) {
+					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
 						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
 					}
 				}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -78,7 +78,7 @@
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
-func (n *Node) refuseUnrunnable(id uint64, job, why string) {
+func (n *Node) refuseUnrunnable(id uint64, job protocol.JobID, why string) {
 	n.lookUp(id, job, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
 		if s != nil {
 			n.reply(id, 200, protocol.Accepted{ID: job, Phase: s.Phase})
@@ -102,7 +102,7 @@
 
 // storeSubmission sends it, and again while its answer is lost: it may yet apply, and
 // the same one again finds out.
-func (n *Node) storeSubmission(id uint64, job string, txn []byte, deadline time.Time) {
+func (n *Node) storeSubmission(id uint64, job protocol.JobID, txn []byte, deadline time.Time) {
 	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
 		switch {
 		case status == 200:
@@ -118,7 +118,7 @@
 }
 
 // answerRepeated answers the submission of a job that is known already.
-func (n *Node) answerRepeated(id uint64, job string, deadline time.Time) {
+func (n *Node) answerRepeated(id uint64, job protocol.JobID, deadline time.Time) {
 	n.lookUp(id, job, deadline, func(s *protocol.Status) {
 		if s == nil {
 			n.refuse(id, "try again")
@@ -148,7 +148,7 @@
 }
 
 // query answers a user's poll.
-func (n *Node) query(id uint64, job string) {
+func (n *Node) query(id uint64, job protocol.JobID) {
 	if f, ok := n.finals[job]; ok {
 		n.reply(id, 200, finalStatus(job, f))
 		return
@@ -179,7 +179,7 @@
 	n.refuse(id, "busy")
 }
 
-func (n *Node) answerQuery(id uint64, job string, deadline time.Time) {
+func (n *Node) answerQuery(id uint64, job protocol.JobID, deadline time.Time) {
 	n.lookUp(id, job, deadline, func(s *protocol.Status) {
 		if s == nil {
 			n.reply(id, 404, protocol.ErrorBody{Error: "no such job"})
@@ -189,12 +189,12 @@
 	})
 }
 
-func finalStatus(job string, f bookkeeping.Final) protocol.Status {
+func finalStatus(job protocol.JobID, f bookkeeping.Final) protocol.Status {
 	return protocol.Status{ID: job, Phase: f.Phase, Done: f.Done}
 }
 
 // cacheFinal remembers a final state; it never changes.
-func (n *Node) cacheFinal(job string, f bookkeeping.Final) {
+func (n *Node) cacheFinal(job protocol.JobID, f bookkeeping.Final) {
 	if len(n.finals) >= tuning.FinalCache {
 		clear(n.finals)
 	}
@@ -222,7 +222,7 @@
 // lookUp reads a job's state from the state service itself. The unfinished
 // record is read first: a job moves from there to its final record and never
 // back, so one of the two reads finds it.
-func (n *Node) lookUp(id uint64, job string, deadline time.Time, found func(s *protocol.Status)) {
+func (n *Node) lookUp(id uint64, job protocol.JobID, deadline time.Time, found func(s *protocol.Status)) {
 	n.read(id, bookkeeping.JobKey(job), deadline, func(e *protocol.Entry) {
 		if e != nil {
 			rec, err := bookkeeping.DecodeJob(e.Value)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -76,12 +76,12 @@
 
 // MachineNames lists machines by name.
 type MachineNames struct {
-	Machines []string `json:"berths"`
+	Machines []MachineID `json:"berths"`
 }
 
 // Machine is an entry of the cloud's machine list.
 type Machine struct {
-	ID      string       `json:"uid"`
+	ID      MachineID    `json:"uid"`
 	Address string       `json:"address"`
 	Type    string       `json:"build"`
 	Zone    string       `json:"yard"`
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -65,7 +65,7 @@
 
 // Job is a submission.
 type Job struct {
-	ID          string   `json:"uid"`
+	ID          JobID    `json:"uid"`
 	Class       string   `json:"lane"`
 	Team        string   `json:"crew"`
 	Shape       Shape    `json:"shape"`
@@ -123,9 +123,9 @@
 	DeadlineS   *float64  `json:"due_s"`
 }
 
-// ValidID says whether s has the form of a job id: "run-" and digits.
-func ValidID(s string) bool {
-	digits, ok := strings.CutPrefix(s, "run-")
+// ValidID says whether id has the form of a job id: "run-" and digits.
+func ValidID(id JobID) bool {
+	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
 		return false
 	}
@@ -169,7 +169,7 @@
 // job takes all fields.
 func (c *jobChecker) job(w *jobWire) *Job {
 	j := &Job{
-		ID:          c.text("uid", w.ID),
+		ID:          JobID(c.text("uid", w.ID)),
 		Class:       c.text("lane", w.Class),
 		Team:        c.text("crew", w.Team),
 		Shape:       Shape(c.text("shape", w.Shape)),
@@ -270,14 +270,14 @@
 
 // Status is what a user is told of a job.
 type Status struct {
-	ID      string `json:"uid"`
-	Phase   Phase  `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	ID      JobID `json:"uid"`
+	Phase   Phase `json:"phase"`
+	Done    int   `json:"done"`
+	Running int   `json:"running"`
 }
 
 // Accepted is the short answer to a submission or a cancellation.
 type Accepted struct {
-	ID    string `json:"uid"`
-	Phase Phase  `json:"phase"`
+	ID    JobID `json:"uid"`
+	Phase Phase `json:"phase"`
 }
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -36,8 +36,8 @@
 )
 
 // MachinesPath asks for a page of the machine list.
-func MachinesPath(after string, limit int) string {
-	return PathMachines + "?after=" + url.QueryEscape(after) + "&page=" + strconv.Itoa(limit)
+func MachinesPath(after MachineID, limit int) string {
+	return PathMachines + "?after=" + url.QueryEscape(string(after)) + "&page=" + strconv.Itoa(limit)
 }
 
 // KeyPath reads one key.
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -62,13 +62,13 @@
 	Origin string
 	Target string
 	Verb   string // submit, query or cancel
-	Job    string
+	Job    JobID
 	Body   []byte
 }
 
 // PeerCancelled tells the leader of a job whose cancellation is in the records. It
 // goes only to a node that has announced PeerKnowsCancelled.
-type PeerCancelled struct{ Job string }
+type PeerCancelled struct{ Job JobID }
 
 // PeerConfirmRequest has a node confirm for what it has told users and for not leading. ID is
 // the asker's, and comes back.
@@ -82,7 +82,7 @@
 	Term     uint64
 	UpMs     uint64
 	Complete bool // false: there were too many to name, or the node cannot say
-	Cancels  []string
+	Cancels  []JobID
 }
 
 // FitsFrame says whether the cancellations fit into one frame.
@@ -203,17 +203,17 @@
 	return int(n)
 }
 
-func (e *encoder) strs(list []string) {
+func encodeStrings[S ~string](e *encoder, list []S) {
 	e.num(uint64(len(list)))
 	for _, s := range list {
-		e.str(s)
+		e.str(string(s))
 	}
 }
 
-func (d *decoder) strs() (list []string) {
+func decodeStrings[S ~string](d *decoder) (list []S) {
 	n := d.count(1)
 	for i := 0; i < n && d.err == nil; i++ {
-		list = append(list, d.str())
+		list = append(list, S(d.str()))
 	}
 	return list
 }
@@ -229,7 +229,7 @@
 		e.num(m.Term)
 		e.str(m.Leader)
 		e.flag(m.StateOK)
-		e.strs(m.Links)
+		encodeStrings(e, m.Links)
 		e.num(m.DirectShare)
 	case PeerReport:
 		e.num(m.ID)
@@ -248,7 +248,7 @@
 		e.str(m.Origin)
 		e.str(m.Target)
 		e.str(m.Verb)
-		e.str(m.Job)
+		e.str(string(m.Job))
 		e.str(string(m.Body))
 	case PeerCall:
 		e.num(m.ID)
@@ -256,7 +256,7 @@
 		e.str(m.Address)
 		e.str(string(m.Body))
 	case PeerCancelled:
-		e.str(m.Job)
+		e.str(string(m.Job))
 	case PeerConfirmRequest:
 		e.num(m.ID)
 	case PeerConfirm:
@@ -264,14 +264,14 @@
 		e.num(m.Term)
 		e.num(m.UpMs)
 		e.flag(m.Complete)
-		e.strs(m.Cancels)
+		encodeStrings(e, m.Cancels)
 	}
 	binary.BigEndian.PutUint32(e.b[start+4:], uint32(len(e.b)-start-peerHeader))
 	return e.b
 }
 
 func (e *encoder) report(r *Report) {
-	e.str(r.Machine)
+	e.str(string(r.Machine))
 	e.str(r.Address)
 	e.str(r.Type)
 	e.str(r.Zone)
@@ -294,7 +294,7 @@
 }
 
 func (d *decoder) report() *Report {
-	r := &Report{Machine: d.str(), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
+	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
 		Session: d.num(), Seq: d.num(), Token: d.num()}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
@@ -338,21 +338,21 @@
 	case PeerHello{}.kind():
 		m = PeerHello{Node: d.str()}
 	case PeerStatus{}.kind():
-		m = PeerStatus{Term: d.num(), Leader: d.str(), StateOK: d.flag(), Links: d.strs(), DirectShare: d.num()}
+		m = PeerStatus{Term: d.num(), Leader: d.str(), StateOK: d.flag(), Links: decodeStrings[string](d), DirectShare: d.num()}
 	case PeerReport{}.kind():
 		m = PeerReport{ID: d.num(), Origin: d.str(), Target: d.str(), Hops: d.num(), Report: d.report()}
 	case PeerAnswer{}.kind():
 		m = PeerAnswer{ID: d.num(), Target: d.str(), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
 	case PeerRequest{}.kind():
-		m = PeerRequest{ID: d.num(), Origin: d.str(), Target: d.str(), Verb: d.str(), Job: d.str(), Body: []byte(d.str())}
+		m = PeerRequest{ID: d.num(), Origin: d.str(), Target: d.str(), Verb: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
 	case PeerCall{}.kind():
 		m = PeerCall{ID: d.num(), Origin: d.str(), Address: d.str(), Body: []byte(d.str())}
 	case PeerCancelled{}.kind():
-		m = PeerCancelled{Job: d.str()}
+		m = PeerCancelled{Job: JobID(d.str())}
 	case PeerConfirmRequest{}.kind():
 		m = PeerConfirmRequest{ID: d.num()}
 	case PeerConfirm{}.kind():
-		m = PeerConfirm{ID: d.num(), Term: d.num(), UpMs: d.num(), Complete: d.flag(), Cancels: d.strs()}
+		m = PeerConfirm{ID: d.num(), Term: d.num(), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -178,7 +178,7 @@
 		PeerCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
 		PeerCancelled{Job: "run-000412"},
 		PeerConfirmRequest{ID: 1 << 40},
-		PeerConfirm{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []string{"run-000412", "run-2"}},
+		PeerConfirm{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
 		PeerConfirm{ID: 3, Term: 9},
 		Announcement("berth-1"),
 		PeerReport{ID: 1, Origin: "a", Target: "b", Hops: 1, Report: &Report{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -57,7 +57,7 @@
 
 // Report is a worker's report.
 type Report struct {
-	Machine string       `json:"berth"`
+	Machine MachineID    `json:"berth"`
 	Address string       `json:"address"`
 	Type    string       `json:"build"`
 	Zone    string       `json:"yard"`
@@ -85,15 +85,16 @@
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("not valid JSON for a report: %w", err)
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(r.Machine, " /") || r.Session == 0 {
+	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Session == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
 	}
 	return &r, nil
 }
 
 // SplitTask takes a task's name, such as run-000412/3, apart.
-func SplitTask(name string) (job string, index int, ok bool) {
-	job, rest, ok := strings.Cut(name, "/")
+func SplitTask(name string) (job JobID, index int, ok bool) {
+	before, rest, ok := strings.Cut(name, "/")
+	job = JobID(before)
 	if !ok || !ValidID(job) {
 		return "", 0, false
 	}
@@ -105,7 +106,7 @@
 }
 
 // TaskName is the name of a job's task.
-func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+func TaskName(job JobID, index int) string { return string(job) + "/" + strconv.Itoa(index) }
 
 // Command is one order to a worker.
 type Command struct {
--- a/internal/recovery/classes.go
+++ b/internal/recovery/classes.go
@@ -4,6 +4,8 @@
 // difference has exactly one resolution, which docs/cold-restart.md explains.
 package recovery
 
+import "github.com/gappond/gappond/internal/protocol"
+
 // Class is the kind of a difference between the records and a worker's report.
 type Class uint8
 
@@ -69,7 +71,7 @@
 
 // TaskID names a task of a job.
 type TaskID struct {
-	Job   string
+	Job   protocol.JobID
 	Index int
 }
 
@@ -83,7 +85,7 @@
 type Difference struct {
 	Class   Class
 	ID      AttemptID
-	Machine string
+	Machine protocol.MachineID
 	// Entry is the report's entry, -1 if the report does not have the attempt.
 	Entry int
 	// Current: the report shows the present leader's token. One that does not may be a
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -42,17 +42,17 @@
 // what is done about each difference is its class's resolution, in the phase and after.
 type Phase struct {
 	summary Summary
-	lapse   time.Time           // when every silent worker's lease has lapsed
-	silent  map[string]struct{} // workers that are neither heard nor proven gone
-	classes map[Placement]Class // of every attempt that was observed, its latest class
-	gangs   map[string]struct{} // found incomplete
+	lapse   time.Time                       // when every silent worker's lease has lapsed
+	silent  map[protocol.MachineID]struct{} // workers that are neither heard nor proven gone
+	classes map[Placement]Class             // of every attempt that was observed, its latest class
+	gangs   map[protocol.JobID]struct{}     // found incomplete
 }
 
 // Begin begins a phase at a takeover. lapse is the moment from which the lease of any
 // worker that this leader has not answered has surely lapsed; stored lists the attempts
 // of every worker that the records name.
-func Begin(now, lapse time.Time, stored map[string][]Attempt) *Phase {
-	p := &Phase{lapse: lapse, silent: make(map[string]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[string]struct{}{}}
+func Begin(now, lapse time.Time, stored map[protocol.MachineID][]Attempt) *Phase {
+	p := &Phase{lapse: lapse, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
 	p.summary.Began, p.summary.Workers = now, len(stored)
 	for machine, attempts := range stored {
 		p.silent[machine] = struct{}{}
@@ -96,7 +96,7 @@
 }
 
 // Known notes that a worker has shown the leader's token, or is proven gone.
-func (p *Phase) Known(machine string) {
+func (p *Phase) Known(machine protocol.MachineID) {
 	delete(p.silent, machine)
 	p.summary.Silent = len(p.silent)
 }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -19,7 +19,7 @@
 type Task struct {
 	LastAttempt uint64
 	Done        bool
-	Machine     string // where the latest attempt is placed, "" if nowhere
+	Machine     protocol.MachineID // where the latest attempt is placed, "" if nowhere
 }
 
 // Attempt is an attempt that the records, or a leader's accounts, have on a machine.
@@ -36,11 +36,11 @@
 // Records answers what is stored.
 type Records interface {
 	// Job is a job that is not over; false if there is none of that name.
-	Job(id string) (Job, bool)
+	Job(id protocol.JobID) (Job, bool)
 	// Task is a task of such a job.
 	Task(id TaskID) Task
 	// Attempts appends the attempts on a machine, in a fixed order.
-	Attempts(machine string, list []Attempt) []Attempt
+	Attempts(machine protocol.MachineID, list []Attempt) []Attempt
 }
 
 // Reconciler squares reports with records. It keeps buffers between calls, and no state.
@@ -157,7 +157,7 @@
 }
 
 // classify tells the class of a reported attempt.
-func (c *Reconciler) classify(records Records, machine string, id AttemptID, t *protocol.TaskReport, current bool) Class {
+func (c *Reconciler) classify(records Records, machine protocol.MachineID, id AttemptID, t *protocol.TaskReport, current bool) Class {
 	var stored *Attempt
 	if i, ok := c.places[id]; ok {
 		stored = &c.stored[i]
@@ -226,27 +226,27 @@
 	// number that are known of each worker.
 	Machines() []Worker
 	// Gangs lists the gangs that are not over.
-	Gangs() []string
+	Gangs() []protocol.JobID
 	// Placed lists where the latest attempt of a gang is placed.
-	Placed(gang string) []Placement
+	Placed(gang protocol.JobID) []Placement
 }
 
 // Placement is an attempt on a machine.
 type Placement struct {
 	ID      AttemptID
-	Machine string
+	Machine protocol.MachineID
 }
 
 // Worker is what is known of a machine's worker.
 type Worker struct {
-	Machine      string
+	Machine      protocol.MachineID
 	Session, Seq uint64
 }
 
 // Reconcile squares a snapshot with all reports that came. Of each worker only the newest
 // report counts, so that their order does not matter.
 func (c *Reconciler) Reconcile(s Snapshot, token uint64, reports []*protocol.Report) []Difference {
-	newest := map[string]*protocol.Report{}
+	newest := map[protocol.MachineID]*protocol.Report{}
 	workers := s.Machines()
 	for _, r := range reports {
 		at := slices.IndexFunc(workers, func(w Worker) bool { return w.Machine == r.Machine })
@@ -276,7 +276,7 @@
 // incompleteGangs lists the gangs that what was found leaves incomplete.
 func incompleteGangs(s Snapshot, found []Difference) (list []Difference) {
 	gone := map[Placement]bool{}
-	done := map[string]bool{}
+	done := map[protocol.JobID]bool{}
 	for _, d := range found {
 		switch d.Class.Resolution() {
 		case Release, RecordEnd:
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -15,23 +15,23 @@
 
 // store is a snapshot for the tests.
 type store struct {
-	jobs     map[string]Job
+	jobs     map[protocol.JobID]Job
 	tasks    map[TaskID]Task
-	attempts map[string][]Attempt
+	attempts map[protocol.MachineID][]Attempt
 	workers  []Worker
 }
 
-func (s *store) Job(id string) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
+func (s *store) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
 
 func (s *store) Task(id TaskID) Task { return s.tasks[id] }
 
-func (s *store) Attempts(machine string, list []Attempt) []Attempt {
+func (s *store) Attempts(machine protocol.MachineID, list []Attempt) []Attempt {
 	return append(list, s.attempts[machine]...)
 }
 
 func (s *store) Machines() []Worker { return s.workers }
 
-func (s *store) Gangs() (list []string) {
+func (s *store) Gangs() (list []protocol.JobID) {
 	for id, j := range s.jobs {
 		if j.Gang {
 			list = append(list, id)
@@ -41,7 +41,7 @@
 	return list
 }
 
-func (s *store) Placed(gang string) (list []Placement) {
+func (s *store) Placed(gang protocol.JobID) (list []Placement) {
 	for machine, attempts := range s.attempts {
 		for _, a := range attempts {
 			if a.ID.Job == gang && !a.Fenced {
@@ -53,16 +53,16 @@
 }
 
 // truth is what really is on the workers.
-type truth map[string][]protocol.TaskReport
+type truth map[protocol.MachineID][]protocol.TaskReport
 
-func job(n int) string { return fmt.Sprintf("run-%06d", n) }
+func job(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
 
 // world draws a snapshot, the true state of its workers, which may differ from it in every
 // way, and reports of it: current ones, late copies, halves.
 func world(t *rapid.T) (*store, truth, []*protocol.Report) {
-	s := &store{jobs: map[string]Job{}, tasks: map[TaskID]Task{}, attempts: map[string][]Attempt{}}
+	s := &store{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
 	real := truth{}
-	machines := []string{"m0", "m1", "m2", "m3"}
+	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
 		s.workers = append(s.workers, Worker{Machine: m, Session: 1})
 	}
@@ -217,7 +217,7 @@
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _, reports := world(t)
-		heard := map[string]*protocol.Report{}
+		heard := map[protocol.MachineID]*protocol.Report{}
 		for _, r := range reports {
 			if r.Token == token {
 				heard[r.Machine] = r
@@ -327,9 +327,9 @@
 // TestClasses has one case for each class, and for input that makes no sense.
 func TestClasses(t *testing.T) {
 	s := &store{
-		jobs:  map[string]Job{job(1): {Tasks: 4}, job(2): {Tasks: 2, Gang: true, Epoch: 3}, job(3): {Tasks: 1, Service: true}, job(4): {Unreadable: true}},
+		jobs:  map[protocol.JobID]Job{job(1): {Tasks: 4}, job(2): {Tasks: 2, Gang: true, Epoch: 3}, job(3): {Tasks: 1, Service: true}, job(4): {Unreadable: true}},
 		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
-		attempts: map[string][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Session: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Session: 1},
+		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Session: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Session: 1},
 			{ID: AttemptID{TaskID{job(1), 3}, 1}, Session: 1, Undelivered: true}}},
 		workers: []Worker{{Machine: "m0", Session: 1}},
 	}
@@ -377,7 +377,7 @@
 func TestPhase(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	id := AttemptID{TaskID{job(1), 0}, 3}
-	stored := map[string][]Attempt{"m0": {{ID: id, Session: 1}}, "m1": nil}
+	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Session: 1}}, "m1": nil}
 	p := Begin(now, now.Add(40*time.Second), stored)
 	for _, class := range []Class{NotYetReported, OlderEpoch, Matching, OlderEpoch} {
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -11,7 +11,7 @@
 // Audit judges what workers were told by their own logs and the jobs alone. It knows
 // nothing of the controllers, their records or their logs.
 type Audit struct {
-	jobs   map[string]*auditedJob
+	jobs   map[protocol.JobID]*auditedJob
 	here   map[instance]bool // attempts on machines: true until they have exited
 	at     map[string]int    // attempts of a task that have not exited
 	need   [3]map[string]int // orders that the state of things asks for, by kind and task
@@ -32,8 +32,9 @@
 }
 
 type instance struct {
-	machine, task string
-	attempt       uint64
+	machine protocol.MachineID
+	task    string
+	attempt uint64
 }
 
 // Verdict counts orders that workers have executed since a moment, and what of them the
@@ -55,7 +56,7 @@
 )
 
 func newAudit() *Audit {
-	return &Audit{jobs: map[string]*auditedJob{}, here: map[instance]bool{}, at: map[string]int{},
+	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, here: map[instance]bool{}, at: map[string]int{},
 		since: map[instance]time.Time{}, before: map[instance]float64{}, again: map[instance]time.Time{}, need: [3]map[string]int{{}, {}, {}}}
 }
 
@@ -72,14 +73,14 @@
 }
 
 // cancelled notes that a user has asked for it: whatever is there may be stopped.
-func (a *Audit) cancelled(id string) {
+func (a *Audit) cancelled(id protocol.JobID) {
 	if j := a.jobs[id]; j != nil && !j.cancelled {
 		j.cancelled = true
 		a.stopAll(id, j)
 	}
 }
 
-func (a *Audit) stopAll(id string, j *auditedJob) {
+func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
 		a.need[needStop][name] += a.at[name]
@@ -90,7 +91,7 @@
 func (a *Audit) Judge(now time.Time) {
 	a.from, a.Verdict = now, Verdict{}
 	a.need = [3]map[string]int{{}, {}, {}}
-	ending := map[string]bool{} // jobs of which nothing is to go on
+	ending := map[protocol.JobID]bool{} // jobs of which nothing is to go on
 	for id, j := range a.jobs {
 		present := 0
 		for i := range j.tasks {
@@ -132,7 +133,7 @@
 }
 
 // ordered takes an order that a worker has executed.
-func (a *Audit) ordered(now time.Time, machine string, c protocol.Command) {
+func (a *Audit) ordered(now time.Time, machine protocol.MachineID, c protocol.Command) {
 	kind := slices.Index([]protocol.Verb{protocol.OpStart, protocol.OpStop, protocol.OpForget}, c.Op)
 	a.Orders[kind]++
 	if a.from.IsZero() {
@@ -200,7 +201,7 @@
 
 // brokenBy: the first task of a gang's attempt to end otherwise than done has the others
 // stopped, those that do not end by themselves.
-func (a *Audit) brokenBy(id string, k instance, j *auditedJob) {
+func (a *Audit) brokenBy(id protocol.JobID, k instance, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
 		for other, on := range a.here {
--- a/internal/simulation/cloud_service.go
+++ b/internal/simulation/cloud_service.go
@@ -16,7 +16,7 @@
 type cloudService struct {
 	w        *World
 	hosts    []*host
-	rented   map[string][]string
+	rented   map[string][]protocol.MachineID
 	next     int
 	down     bool
 	capacity int
@@ -38,7 +38,7 @@
 }
 
 func newCloudService(w *World) *cloudService {
-	c := &cloudService{w: w, rented: map[string][]string{}, capacity: w.shape.Capacity,
+	c := &cloudService{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	var tick func()
 	tick = func() {
@@ -63,16 +63,16 @@
 	return c
 }
 
-func (c *cloudService) add(zone string, spot bool, boot time.Duration) string {
+func (c *cloudService) add(zone string, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
-	id := fmt.Sprintf("i-%06d", c.next)
-	address := id
+	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
+	address := string(id)
 	if c.w.live != nil {
 		address = c.w.live.address(id)
 	}
 	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, born: c.w.Now}
 	c.hosts = append(c.hosts, h)
-	c.w.zoneOf[id] = zone
+	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
 		if !h.gone {
 			h.Phase = protocol.MachineRunning
@@ -124,7 +124,7 @@
 			list = s.list
 		}
 	}
-	from, found := slices.BinarySearchFunc(list, q.Get("after"), func(m protocol.Machine, id string) int { return cmp.Compare(m.ID, id) })
+	from, found := slices.BinarySearchFunc(list, protocol.MachineID(q.Get("after")), func(m protocol.Machine, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
 	if found {
 		from++
 	}
@@ -151,7 +151,7 @@
 		answer(503, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
-	var names []string
+	var names []protocol.MachineID
 	for range min(r.Count, c.capacity-up) {
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"github.com/gappond/gappond/internal/protocol"
 	"slices"
 	"testing"
 	"time"
@@ -79,7 +80,7 @@
 			w.state.refuse(c, 100*time.Second)
 			w.state.blind = c
 			// The message about the cancellation is lost: only the confirmation names it.
-			w.interrupt(1500*time.Millisecond, false, func(a, b string) bool { return a == c.name && b != "state" && w.workers[b] == nil })
+			w.interrupt(1500*time.Millisecond, false, func(a, b string) bool { return a == c.name && b != "state" && w.workers[protocol.MachineID(b)] == nil })
 			w.Run(200 * time.Millisecond)
 		}
 		for !v.over {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"github.com/gappond/gappond/internal/protocol"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
@@ -180,7 +181,7 @@
 			answered(status, body)
 		}
 		to, handle = a.Address, func(answer func(int, []byte)) {
-			if k := c.w.workers[a.Address]; k != nil {
+			if k := c.w.workers[protocol.MachineID(a.Address)]; k != nil {
 				k.serve(a.Method, a.Path, a.Body, answer)
 			}
 		}
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -19,14 +19,14 @@
 	lapses     int // workers' sessions that ended
 	lastServed time.Time
 	longest    time.Duration // the longest time without a request that was served
-	sessions   map[string]uint64
+	sessions   map[protocol.MachineID]uint64
 	until      time.Time
 }
 
 // watchDowntime sends requests of every kind to the nodes that are up, as the load
 // balancer does, and looks at the workers' sessions.
 func (w *World) watchDowntime(accepted string, until time.Duration) *downtime {
-	d := &downtime{w: w, lastServed: w.Now, sessions: map[string]uint64{}, until: w.Now.Add(until)}
+	d := &downtime{w: w, lastServed: w.Now, sessions: map[protocol.MachineID]uint64{}, until: w.Now.Add(until)}
 	requests := 0
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
 		for id, k := range w.workers {
@@ -38,14 +38,14 @@
 		requests++
 		switch i % 3 {
 		case 0:
-			d.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: accepted} })
+			d.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(accepted)} })
 		case 1:
 			d.ask(5*time.Second, func(id uint64) coordination.Event {
-				return coordination.Submit{ID: id, Job: array(fmt.Sprintf("run-7%05d", requests), 1)}
+				return coordination.Submit{ID: id, Job: array(protocol.JobID(fmt.Sprintf("run-7%05d", requests)), 1)}
 			})
 		case 2:
 			d.ask(5*time.Second, func(id uint64) coordination.Event {
-				return coordination.Cancel{ID: id, Job: fmt.Sprintf("run-7%05d", requests-1)}
+				return coordination.Cancel{ID: id, Job: protocol.JobID(fmt.Sprintf("run-7%05d", requests-1))}
 			})
 		}
 	})
@@ -170,7 +170,7 @@
 	services := []*user{w.submit(0, service("run-000002", 4), 0, 0, false), w.submit(0, service("run-000003", 3), 0, 0, false)}
 	w.waitFor(t, 40*time.Second, "all runs", func() bool { return w.running(gang) && w.running(services[0]) && w.running(services[1]) })
 	w.Run(10 * time.Second)
-	starts := map[string]int{}
+	starts := map[protocol.JobID]int{}
 	for _, u := range append(services, gang) {
 		u.up, u.away = 0, 0
 		starts[u.j.spec.ID] = sum(u.j.starts)
@@ -242,7 +242,7 @@
 			return status, phase
 		}
 		for i, c := range w.nodes {
-			s := service(fmt.Sprintf("run-00001%d", i), 3)
+			s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 3)
 			w.rules.jobs[s.ID] = &simJob{spec: s, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[uint64]*gang{}}
 			submit := func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }
 			tooLarge := service("run-000099", 3)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -24,7 +24,7 @@
 var faultCombinations = []faultCombination{
 	{name: "jobs bound to a zone lose machines", play: func(w *World) {
 		for i := range 6 {
-			s := array(fmt.Sprintf("run-80001%d", i), 4)
+			s := array(protocol.JobID(fmt.Sprintf("run-80001%d", i)), 4)
 			s.OneZone = true
 			if i%2 == 0 {
 				s.Shape = protocol.ShapeGang
@@ -54,7 +54,7 @@
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
 				id := k.h.ID
-				w.interrupt(18*time.Second, i%2 == 0, func(a, _ string) bool { return a == id })
+				w.interrupt(18*time.Second, i%2 == 0, func(a, _ string) bool { return a == string(id) })
 			}
 			w.after(2*time.Second, func() { w.replace(time.Second) })
 			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
@@ -64,7 +64,7 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.h.ID
-				held := &cut{hold: true, match: func(a, _ string) bool { return a == id }}
+				held := &cut{hold: true, match: func(a, _ string) bool { return a == string(id) }}
 				w.cuts = append(w.cuts, held)
 				w.after(12*time.Second, func() { w.mend(held) })
 			}
@@ -90,7 +90,7 @@
 			if i%3 == 0 {
 				cancel = w.between(time.Millisecond, 80*time.Millisecond)
 			}
-			w.submit(0, array(fmt.Sprintf("run-8002%02d", i), 1), 3, cancel, false)
+			w.submit(0, array(protocol.JobID(fmt.Sprintf("run-8002%02d", i)), 1), 3, cancel, false)
 		})
 		w.every(30*time.Second, 3, func(int) { w.replace(400 * time.Millisecond) })
 	}, most: 2},
@@ -150,7 +150,7 @@
 	}},
 	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
 		for i := range 8 {
-			u := w.submit(time.Duration(i)*time.Second, array(fmt.Sprintf("run-80003%d", i), 2+i%2), 60, 0, false)
+			u := w.submit(time.Duration(i)*time.Second, array(protocol.JobID(fmt.Sprintf("run-80003%d", i)), 2+i%2), 60, 0, false)
 			u.j.progress[0], u.j.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.replace(1500 * time.Millisecond) })
@@ -178,10 +178,10 @@
 		w.every(40*time.Second, 3, func(i int) {
 			for n, k := range w.someWorkers(3) {
 				if n == 0 {
-					w.blockInbound(k.h.ID, 35*time.Second, i%2 == 0)
+					w.blockInbound(string(k.h.ID), 35*time.Second, i%2 == 0)
 				} else {
 					id := k.h.ID
-					w.interrupt(15*time.Second, true, func(a, _ string) bool { return a == id })
+					w.interrupt(15*time.Second, true, func(a, _ string) bool { return a == string(id) })
 				}
 			}
 			w.after(2*time.Second, func() { w.replace(3 * time.Second) })
@@ -224,14 +224,14 @@
 		w.after(110*time.Second, func() { w.copies = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				w.blockInbound(k.h.ID, secs(w.shape.Workers.LeaseS)+3*time.Second, i%2 == 0)
+				w.blockInbound(string(k.h.ID), secs(w.shape.Workers.LeaseS)+3*time.Second, i%2 == 0)
 			}
 			w.after(10*time.Second, func() { w.replace(time.Second) })
 		})
 	}, most: 2},
 	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", play: func(w *World) {
 		for i := range 10 {
-			s := array(fmt.Sprintf("run-80004%d", i), 6)
+			s := array(protocol.JobID(fmt.Sprintf("run-80004%d", i)), 6)
 			s.Team = []string{"red", "blue"}[i%2]
 			w.submit(0, s, 45, 0, false)
 		}
@@ -239,7 +239,7 @@
 			w.cancelNow(5, 20*time.Second)
 			for _, k := range w.someWorkers(1) {
 				id := k.h.ID
-				w.interrupt(20*time.Second, i%2 == 0, func(a, _ string) bool { return a == id })
+				w.interrupt(20*time.Second, i%2 == 0, func(a, _ string) bool { return a == string(id) })
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.replace(2 * time.Second) })
 		})
@@ -264,7 +264,7 @@
 			if i%4 == 0 {
 				cancel = w.between(10*time.Millisecond, 8*time.Second)
 			}
-			w.submit(0, array(fmt.Sprintf("run-81%04d", i), 1), 4, cancel, false)
+			w.submit(0, array(protocol.JobID(fmt.Sprintf("run-81%04d", i)), 1), 4, cancel, false)
 		})
 	}, most: 10},
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -98,7 +98,7 @@
 					})
 				}
 			}
-			s := array(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000)), 2)
+			s := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
 			switch w.rng.IntN(5) {
 			case 0:
 				s.CPUs = 1000
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -43,15 +43,15 @@
 			id := w.cloud.hosts[0].ID
 			if busy {
 				s := array("run-000001", 2)
-				s.Zone = w.zoneOf[id]
+				s.Zone = w.zoneOf[string(id)]
 				u := w.submit(0, s, 500, 0, false)
 				w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
 				w.after(time.Second+time.Millisecond, u.cancel)
 			}
-			w.blockInbound(id, 600*time.Second, hold)
+			w.blockInbound(string(id), 600*time.Second, hold)
 			w.Run(time.Second)
 			s := gangJob("run-000010", 4) // takes a whole machine of that zone
-			s.Zone = w.zoneOf[id]
+			s.Zone = w.zoneOf[string(id)]
 			u := w.submit(0, s, 15, 0, false)
 			took := w.waitFor(t, 100*time.Second, "the gang is done", func() bool { return u.over })
 			t.Logf("busy %v, hold %v: done after %v", busy, hold, took)
@@ -74,7 +74,7 @@
 	u := w.submit(0, s, 80, 0, false)
 	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
 	id := w.rules.onAt["run-000001/0"].k.h.ID
-	w.blockInbound(id, 400*time.Second, false)
+	w.blockInbound(string(id), 400*time.Second, false)
 	w.Run(secs(w.shape.Workers.LeaseS) + 2*time.Second)
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
 		return w.running(u) && w.rules.onAt["run-000001/0"].k.h.ID != id
@@ -155,7 +155,7 @@
 	w.check(t)
 }
 
-func containsName(value []byte, id string) bool {
+func containsName(value []byte, id protocol.MachineID) bool {
 	var rack bookkeeping.MachineRecord
 	decode(value, &rack)
 	return slices.ContainsFunc(rack.Machines, func(r bookkeeping.MachineEntry) bool { return r.ID == id })
@@ -233,7 +233,7 @@
 		w.copies = 5 * time.Second // reports of their former lives come late
 		w.Run(5 * time.Second)
 		for i := range 8 {
-			w.submit(time.Duration(i)*2*time.Second, array(fmt.Sprintf("run-%06d", i), 3), 10, 0, false)
+			w.submit(time.Duration(i)*2*time.Second, array(protocol.JobID(fmt.Sprintf("run-%06d", i)), 3), 10, 0, false)
 		}
 		for i := range 12 {
 			if c := w.leader(); c != nil && i%3 == 0 {
@@ -272,7 +272,7 @@
 		}
 	}
 	for i := range 12 {
-		s := gangJob(fmt.Sprintf("run-%06d", 900+i), 32)
+		s := gangJob(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 32)
 		s.Class, s.Team, s.Priority, s.GPUs, s.CPUs, s.MemoryGB, s.OneZone = "gang", "team-0", "high", 2, 20, 110, true
 		w.submit(time.Duration(i)*time.Second, s, 60, 0, false)
 	}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"github.com/gappond/gappond/internal/protocol"
 	"testing"
 	"time"
 
@@ -52,7 +53,7 @@
 	w := NewShaped(1, logs(), fleet4000())
 	w.crowd(300, 70*time.Second)
 	for i := range 8 {
-		s := array(fmt.Sprintf("run-%06d", 900+i), 1300)
+		s := array(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 1300)
 		s.Class, s.Team, s.Priority, s.Spot, s.EstimateS = "array", w.shape.Teams[i].Name, "idle", true, 40
 		w.submit(w.between(0, 20*time.Second), s, 30+20*w.rng.Float64(), 0, false)
 	}
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -29,7 +29,7 @@
 // crowd makes gangs and arrays of many sizes come for a while.
 func (w *World) crowd(jobs int, span time.Duration) {
 	for i := range jobs {
-		s := array(fmt.Sprintf("run-%06d", 100+i), 1+w.rng.IntN(40))
+		s := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
 		s.Class, s.Team, s.Priority, s.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
 		s.Image, s.ImageGB, s.EstimateS, s.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		s.MemoryGB = 54
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -132,7 +132,7 @@
 }
 
 // address gives a machine its worker's address.
-func (v *Live) address(id string) string {
+func (v *Live) address(id protocol.MachineID) string {
 	s := v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
 		if k := v.w.workers[id]; k != nil {
 			k.serve(r.Method, r.URL.Path, body, answer)
@@ -150,9 +150,9 @@
 	case coordination.Submit:
 		path, body = protocol.PathJobs, encode(e.Job)
 	case coordination.Query:
-		method, path = "GET", protocol.PathJobs+"/"+e.Job
+		method, path = "GET", protocol.PathJobs+"/"+string(e.Job)
 	case coordination.Cancel:
-		path = protocol.PathJobs + "/" + e.Job + "/" + protocol.CancelAction
+		path = protocol.PathJobs + "/" + string(e.Job) + "/" + protocol.CancelAction
 	}
 	go func() {
 		status, answer := v.fetch(method, "http://"+v.users[node]+path, timeout, body)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"github.com/gappond/gappond/internal/protocol"
 	"slices"
 	"time"
 
@@ -89,7 +90,7 @@
 	}
 	c := w.nodes[node]
 	w.call(from, c.name, timeout, func(answer func(int, []byte)) {
-		if k := w.workers[from]; k == nil || !k.mute {
+		if k := w.workers[protocol.MachineID(from)]; k == nil || !k.mute {
 			c.ask(event, answer)
 		}
 	}, done)
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -89,11 +89,11 @@
 	for task, machine := range s.lost {
 		id, index, _ := strings.Cut(task, "/")
 		for _, k := range s.w.workers {
-			if k.h.ID == machine || k.dead {
+			if string(k.h.ID) == machine || k.dead {
 				continue
 			}
 			for _, t := range k.tasks {
-				if t.name != task || t.job == nil || t.job.ID != id || strconv.Itoa(t.index) != index || s.ends[task][commitment].IsZero() {
+				if t.name != task || t.job == nil || string(t.job.ID) != id || strconv.Itoa(t.index) != index || s.ends[task][commitment].IsZero() {
 					continue
 				}
 				s.end(task, command)
@@ -114,7 +114,7 @@
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
-		j := service(fmt.Sprintf("run-00000%d", i), 6)
+		j := service(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 6)
 		j.Team = shape.Teams[0].Name
 		users = append(users, w.submit(0, j, 0, 0, false))
 	}
@@ -137,7 +137,7 @@
 func (s *stageLog) lose(k *worker) {
 	for name, t := range s.w.rules.onAt {
 		if t.k == k {
-			s.lost[name] = k.h.ID
+			s.lost[name] = string(k.h.ID)
 		}
 	}
 	k.kill()
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-func service(id string, replicas int) *protocol.Job {
+func service(id protocol.JobID, replicas int) *protocol.Job {
 	j := array(id, replicas)
 	j.Class, j.Shape, j.Priority, j.GPUs, j.CPUs, j.MemoryGB, j.EstimateS, j.Spread = "service", protocol.ShapeService, "critical", 0, 2, 10, 0, true
 	return j
@@ -34,23 +34,23 @@
 		}
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		k := w.rules.onAt[u.j.spec.ID+"/1"].k
+		k := w.rules.onAt[protocol.TaskName(u.j.spec.ID, 1)].k
 		k.kill()
 		delete(w.workers, k.h.ID)
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
-		k := w.rules.onAt[u.j.spec.ID+"/1"].k
+		k := w.rules.onAt[protocol.TaskName(u.j.spec.ID, 1)].k
 		n := 20.0
 		k.notice, k.changed = &n, true
 		w.after(20*time.Second, func() { w.cloud.destroy(k.h) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.rules.onAt[u.j.spec.ID+"/1"].k.sick = true
+		w.rules.onAt[protocol.TaskName(u.j.spec.ID, 1)].k.sick = true
 		w.submit(time.Second, array("run-000081", 4), 10, 0, false)
 		w.submit(2*time.Second, array("run-000082", 4), 10, 0, false)
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
-		k := w.rules.onAt[u.j.spec.ID+"/1"].k
+		k := w.rules.onAt[protocol.TaskName(u.j.spec.ID, 1)].k
 		k.mute = true
 		w.after(100*time.Second, func() { k.mute = false })
 	}, 0.98},
@@ -104,7 +104,7 @@
 	}
 	u.asked = false
 	for i, ends := range []time.Duration{200 * time.Millisecond, 0} {
-		v := w.submit(0, service(fmt.Sprintf("run-00001%d", i), 6), 0, 0, ends == 0)
+		v := w.submit(0, service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 6), 0, 0, ends == 0)
 		v.j.ends = ends
 		w.Run(150 * time.Second)
 		n := 0
@@ -128,7 +128,7 @@
 	w := New(72, logs())
 	w.Run(6 * time.Second)
 	for replicas, want := range map[int]int{2: 201, 3: 422} {
-		s := service(fmt.Sprintf("run-00000%d", replicas), replicas)
+		s := service(protocol.JobID(fmt.Sprintf("run-00000%d", replicas)), replicas)
 		s.Team, s.GPUs = "red", 4 // of 10
 		got := 0
 		w.nodes[0].ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }, func(status int, _ []byte) { got = status })
@@ -151,11 +151,11 @@
 	big := w.submit(0, g, 20, 0, false)
 	w.waitFor(t, 20*time.Second, "the gang runs", func() bool { return w.running(big) })
 	for i := range 4 {
-		s := service(fmt.Sprintf("run-00001%d", i), 4)
+		s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 4)
 		s.Spread = i%2 == 0
 		u := w.submit(0, s, 0, 0, false)
 		w.waitFor(t, 10*time.Second, "it runs", func() bool { return w.running(u) })
-		on := map[string]int{}
+		on := map[protocol.MachineID]int{}
 		for k := range 4 {
 			on[w.rules.onAt[protocol.TaskName(s.ID, k)].k.h.ID]++
 		}
@@ -165,7 +165,7 @@
 	}
 	w.waitFor(t, 60*time.Second, "the gang is done", func() bool { return big.over })
 	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
-		u := w.submit(0, func() *protocol.Job { g := *g; g.ID = fmt.Sprintf("run-00002%d", i); return &g }(), 20, 0, false)
+		u := w.submit(0, func() *protocol.Job { g := *g; g.ID = protocol.JobID(fmt.Sprintf("run-00002%d", i)); return &g }(), 20, 0, false)
 		w.waitFor(t, 10*time.Second, "another gang runs beside them", func() bool { return w.running(u) })
 	}
 	w.check(t)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -10,7 +10,7 @@
 // rules checks the protocol's rules at every step.
 type rules struct {
 	w           *World
-	jobs        map[string]*simJob
+	jobs        map[protocol.JobID]*simJob
 	onAt        map[string]*workerTask // where a task is
 	use         map[string]float64     // GPUs by team
 	failures    []string
@@ -36,7 +36,7 @@
 }
 
 func newRules(w *World) *rules {
-	return &rules{w: w, jobs: map[string]*simJob{}, onAt: map[string]*workerTask{}, use: map[string]float64{}}
+	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, onAt: map[string]*workerTask{}, use: map[string]float64{}}
 }
 
 func (r *rules) violated(rule, format string, args ...any) {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -40,12 +40,12 @@
 	}
 }
 
-func array(id string, tasks int) *protocol.Job {
+func array(id protocol.JobID, tasks int) *protocol.Job {
 	return &protocol.Job{ID: id, Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks,
 		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
-func gangJob(id string, tasks int) *protocol.Job {
+func gangJob(id protocol.JobID, tasks int) *protocol.Job {
 	j := array(id, tasks)
 	j.Shape = protocol.ShapeGang
 	return j
@@ -104,7 +104,7 @@
 	w := New(3, logs())
 	w.Run(6 * time.Second)
 	c := w.leader()
-	w.interrupt(60*time.Second, true, func(a, b string) bool { return a == c.name && w.workers[b] != nil })
+	w.interrupt(60*time.Second, true, func(a, b string) bool { return a == c.name && w.workers[protocol.MachineID(b)] != nil })
 	u := w.submit(0, array("run-000001", 4), 5, 0, false)
 	w.waitFor(t, 50*time.Second, "done across the cut", func() bool { return u.over })
 	starts := w.rules.started
@@ -181,7 +181,7 @@
 	w.Run(5 * time.Second)
 	c := w.leader()
 	for i := range 6 {
-		w.submit(time.Duration(i)*time.Second, array(fmt.Sprintf("run-00000%d", i), 2), 8, 0, false)
+		w.submit(time.Duration(i)*time.Second, array(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 2), 8, 0, false)
 	}
 	lossy := &cut{match: func(a, b string) bool { return a == "state" && b == c.name && w.rng.IntN(2) == 0 }}
 	w.cuts = append(w.cuts, lossy)
@@ -232,7 +232,7 @@
 			for k := range 10 {
 				asked++
 				job := fmt.Sprintf("run-%06d", 1+(i+k)%2)
-				n.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: job} }, func(int, []byte) { answers++ })
+				n.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(int, []byte) { answers++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
@@ -258,12 +258,12 @@
 	u := w.submit(0, array("run-000001", 8), 500, 0, false)
 	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
 	c := w.leader()
-	mine := map[string]bool{}
+	mine := map[protocol.MachineID]bool{}
 	for i := range 8 {
 		mine[w.rules.onAt[protocol.TaskName("run-000001", i)].k.h.ID] = true
 	}
 	w.interrupt(100*time.Second, true, func(a, b string) bool {
-		inside := func(h string) bool { return h == c.name || mine[h] }
+		inside := func(h string) bool { return h == c.name || mine[protocol.MachineID(h)] }
 		return inside(a) != inside(b)
 	})
 	w.Run(2 * time.Second)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 // load makes users with jobs of every shape.
 func (w *World) load(jobs int, span time.Duration) {
 	for range jobs {
-		s := &protocol.Job{ID: fmt.Sprintf("run-%06d", 100+len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
+		s := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+len(w.users)*7)), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
 			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
@@ -104,7 +104,7 @@
 		func() string {
 			if someone != nil {
 				id := someone.h.ID
-				w.interrupt(span, hold, func(a, _ string) bool { return a == id })
+				w.interrupt(span, hold, func(a, _ string) bool { return a == string(id) })
 			}
 			return fmt.Sprint("machine cut, hold ", hold)
 		},
@@ -129,7 +129,7 @@
 		},
 		func() string {
 			if someone != nil {
-				w.blockInbound(someone.h.ID, 2*span, hold)
+				w.blockInbound(string(someone.h.ID), 2*span, hold)
 			}
 			return fmt.Sprint("machine not receiving, hold ", hold)
 		},
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -55,10 +55,10 @@
 			}
 			w.load(12, 100*time.Second)
 			for i := range 4 {
-				s := array(fmt.Sprintf("run-60000%d", i), 60+w.rng.IntN(90))
+				s := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 60+w.rng.IntN(90))
 				s.GPUs, s.CPUs, s.MemoryGB, s.Spot = 0.25, 1, 5, true
 				w.submit(w.between(0, 50*time.Second), s, 20+60*w.rng.Float64(), 0, false)
-				g := gangJob(fmt.Sprintf("run-60001%d", i), 16+w.rng.IntN(8))
+				g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 16+w.rng.IntN(8))
 				g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
 				w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
 			}
@@ -103,10 +103,10 @@
 	w.Run(5 * time.Second)
 	w.crowd(60, 30*time.Second)
 	for i := range 5 {
-		s := array(fmt.Sprintf("run-60000%d", i), 150)
+		s := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 150)
 		s.Team, s.Class, s.Priority = "team-0", "array", "idle"
 		w.submit(0, s, 150, 0, false)
-		g := gangJob(fmt.Sprintf("run-60001%d", i), 32)
+		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 32)
 		g.Team, g.Class, g.Priority, g.GPUs, g.CPUs, g.MemoryGB, g.OneZone = "team-1", "gang", "high", 2, 20, 110, true
 		w.submit(0, g, 100, 0, false)
 	}
@@ -266,10 +266,10 @@
 	w.Run(5 * time.Second)
 	var users []*user
 	for i := range 3 {
-		a := wide(array(fmt.Sprintf("run-60000%d", i), 98))
+		a := wide(array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 98))
 		a.GPUs, a.CPUs, a.MemoryGB = 0, 1, 0.5
 		users = append(users, w.submit(0, a, 60+30*w.rng.Float64(), 0, false))
-		g := wide(gangJob(fmt.Sprintf("run-60001%d", i), 40))
+		g := wide(gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 40))
 		g.GPUs, g.CPUs, g.MemoryGB, g.CheckpointS, g.SaveS = 0, 1, 0.5, 20, 2
 		users = append(users, w.submit(0, g, 50+30*w.rng.Float64(), 0, false))
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -122,7 +122,7 @@
 	if w.copies > 0 && w.rng.IntN(4) == 0 {
 		w.after(w.between(time.Second, w.copies), func() { w.copyReport(w.nodes[w.rng.IntN(len(w.nodes))], body) })
 	}
-	w.reach(k.h.ID, k.node, 4*time.Second, func(id uint64) coordination.Event {
+	w.reach(string(k.h.ID), k.node, 4*time.Second, func(id uint64) coordination.Event {
 		r, err := protocol.ParseReport(body)
 		if err != nil {
 			panic(err)
@@ -253,7 +253,7 @@
 
 func attemptName(task string, attempt uint64) string { return fmt.Sprintf("%s#%d", task, attempt) }
 
-func (k *worker) start(key, id string, index int, c protocol.Command) {
+func (k *worker) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	j := k.w.rules.jobs[id]
 	t := &workerTask{k: k, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
 	k.changed = true
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -91,7 +91,7 @@
 	nodes      []*controller
 	state      *stateService
 	cloud      *cloudService
-	workers    map[string]*worker
+	workers    map[protocol.MachineID]*worker
 	users      []*user
 	rules      *rules
 	steps      int           // of all controllers
@@ -127,7 +127,7 @@
 		Now:     time.Unix(1_800_000_000, 0),
 		rng:     rand.New(rand.NewPCG(seed, 7)),
 		zoneOf:  map[string]string{},
-		workers: map[string]*worker{},
+		workers: map[protocol.MachineID]*worker{},
 		release: map[string]release{},
 	}
 	if logs != nil {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -106,9 +106,9 @@
 }
 
 // askJob asks the owner about the job that the path names.
-func (o *Owner) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, job string) coordination.Event) {
+func (o *Owner) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, job protocol.JobID) coordination.Event) {
 	o.conns.bound(o.conns.keepUsers, w)
-	job := r.PathValue("id")
+	job := protocol.JobID(r.PathValue("id"))
 	if !protocol.ValidID(job) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
@@ -119,11 +119,11 @@
 }
 
 func (o *Owner) handleQuery(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, job string) coordination.Event { return coordination.Query{ID: id, Job: job} })
+	o.askJob(w, r, func(id uint64, job protocol.JobID) coordination.Event { return coordination.Query{ID: id, Job: job} })
 }
 
 func (o *Owner) handleCancel(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, job string) coordination.Event { return coordination.Cancel{ID: id, Job: job} })
+	o.askJob(w, r, func(id uint64, job protocol.JobID) coordination.Event { return coordination.Cancel{ID: id, Job: job} })
 }
 
 func (o *Owner) handleReport(w http.ResponseWriter, r *http.Request) {
