--- a/internal/bookkeeping/bench_test.go
+++ b/internal/bookkeeping/bench_test.go
@@ -14,7 +14,7 @@
 	for i := range 90 {
 		t := Task{Index: i, Attempt: 1, Done: i%2 == 0}
 		if !t.Done {
-			t.Machine, t.Session = "i-000123", 1
+			t.Machine, t.Incarnation = "i-000123", 1
 		}
 		rec.Tasks = append(rec.Tasks, t)
 	}
--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/bookkeeping/bookkeeping_test.go
@@ -22,7 +22,7 @@
 		size := TasksPerRecord(kb, 12, spec)
 		var tasks []Task
 		for i := range size {
-			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Session: 9_999, Done: false})
+			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Incarnation: 9_999, Done: false})
 		}
 		rec := Job{Writer: strings.Repeat("w", 40), Spec: spec, AtMs: 1 << 50, Seq: 1 << 60, Attempt: 1 << 30, Cancelled: true,
 			Done: protocol.MaxTasks, Placed: protocol.MaxTasks, RecordTasks: size, Tasks: tasks}
@@ -110,7 +110,7 @@
 	for want, task := range map[string]Task{
 		`[3,2]`:            {Index: 3, Attempt: 2},
 		`[3,2,1]`:          {Index: 3, Attempt: 2, Done: true},
-		`[0,1,"i-\"1",7]`:  {Index: 0, Attempt: 1, Machine: `i-"1`, Session: 7},
+		`[0,1,"i-\"1",7]`:  {Index: 0, Attempt: 1, Machine: `i-"1`, Incarnation: 7},
 		`[9,1,"i-0001",0]`: {Index: 9, Attempt: 1, Machine: "i-0001"},
 	} {
 		if got := string(Encode(task)); got != want {
@@ -122,7 +122,7 @@
 		}
 	}
 	var old Tasks
-	if err := json.Unmarshal([]byte(`[{"i":3,"n":2,"m":"i-1","s":4}]`), &old); err != nil || len(old) != 1 || old[0] != (Task{Index: 3, Attempt: 2, Machine: "i-1", Session: 4}) {
+	if err := json.Unmarshal([]byte(`[{"i":3,"n":2,"m":"i-1","s":4}]`), &old); err != nil || len(old) != 1 || old[0] != (Task{Index: 3, Attempt: 2, Machine: "i-1", Incarnation: 4}) {
 		t.Errorf("the long form is read %+v, %v", old, err)
 	}
 	for _, bad := range []string{`[]`, `[1]`, `[1,2,"m",1,5]`, `["a",1]`, `[1,-1]`, `[1,2,3,4]`, `{"i":"1"}`} {
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -112,15 +112,15 @@
 }
 
 // Task is the part of a task that must outlive every controller. It is written
-// as [index,attempt] when it has no place, [index,attempt,"machine",session]
+// as [index,attempt] when it has no place, [index,attempt,"machine",incarnation]
 // when it has one, and [index,attempt,1] when it is done: a job of a hundred
 // tasks then fits into one record.
 type Task struct {
-	Index   int
-	Attempt uint64
-	Machine protocol.MachineID
-	Session uint64
-	Done    bool
+	Index       int
+	Attempt     protocol.AttemptNumber
+	Machine     protocol.MachineID
+	Incarnation protocol.Incarnation
+	Done        bool
 }
 
 // MarshalJSON writes the short form.
@@ -129,7 +129,7 @@
 	b = append(b, '[')
 	b = strconv.AppendInt(b, int64(t.Index), 10)
 	b = append(b, ',')
-	b = strconv.AppendUint(b, t.Attempt, 10)
+	b = strconv.AppendUint(b, uint64(t.Attempt), 10)
 	switch {
 	case t.Done:
 		b = append(b, ",1"...)
@@ -140,7 +140,7 @@
 		}
 		b = append(append(b, ','), name...)
 		b = append(b, ',')
-		b = strconv.AppendUint(b, t.Session, 10)
+		b = strconv.AppendUint(b, uint64(t.Incarnation), 10)
 	}
 	return append(b, ']'), nil
 }
@@ -164,10 +164,10 @@
 		t.Done = len(fields) == 3
 		var errs [4]error
 		t.Index, errs[0] = strconv.Atoi(string(fields[0]))
-		t.Attempt, errs[1] = strconv.ParseUint(string(fields[1]), 10, 64)
+		t.Attempt, errs[1] = parseNumber[protocol.AttemptNumber](fields[1])
 		if len(fields) == 4 {
 			errs[2] = json.Unmarshal(fields[2], &t.Machine)
-			t.Session, errs[3] = strconv.ParseUint(string(fields[3]), 10, 64)
+			t.Incarnation, errs[3] = parseNumber[protocol.Incarnation](fields[3])
 		}
 		if err := errors.Join(errs[:]...); err != nil {
 			return err
@@ -176,13 +176,19 @@
 	return nil
 }
 
+// parseNumber reads a number of a short form.
+func parseNumber[N ~uint64](field json.RawMessage) (N, error) {
+	n, err := strconv.ParseUint(string(field), 10, 64)
+	return N(n), err
+}
+
 func (list *Tasks) unmarshalLong(value []byte) error {
 	var long []struct {
-		Index   int                `json:"i"`
-		Attempt uint64             `json:"n"`
-		Machine protocol.MachineID `json:"m"`
-		Session uint64             `json:"s"`
-		Done    bool               `json:"d"`
+		Index       int                    `json:"i"`
+		Attempt     protocol.AttemptNumber `json:"n"`
+		Machine     protocol.MachineID     `json:"m"`
+		Incarnation protocol.Incarnation   `json:"s"`
+		Done        bool                   `json:"d"`
 	}
 	err := json.Unmarshal(value, &long)
 	*list = nil
@@ -195,15 +201,15 @@
 // Job is the record of an unfinished job. Writer is unique to every write: by
 // it a transaction whose answer was lost is told from one that never happened.
 type Job struct {
-	Writer      string        `json:"w"`
-	Spec        *protocol.Job `json:"spec"`
-	AtMs        int64         `json:"at"`            // time of day of the submission
-	Seq         uint64        `json:"seq,omitempty"` // revision of the submission: the order of arrival
-	Attempt     uint64        `json:"try,omitempty"` // the gang's epoch
-	Cancelled   bool          `json:"off,omitempty"`
-	Done        int           `json:"done,omitempty"`
-	Placed      int           `json:"placed,omitempty"`
-	RecordTasks int           `json:"chunk"` // tasks per record
+	Writer      string                 `json:"w"`
+	Spec        *protocol.Job          `json:"spec"`
+	AtMs        int64                  `json:"at"`            // time of day of the submission
+	Seq         uint64                 `json:"seq,omitempty"` // revision of the submission: the order of arrival
+	Attempt     protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
+	Cancelled   bool                   `json:"off,omitempty"`
+	Done        int                    `json:"done,omitempty"`
+	Placed      int                    `json:"placed,omitempty"`
+	RecordTasks int                    `json:"chunk"` // tasks per record
 	// Parts is the number of records if there are more than the chunk says: one that
 	// had outgrown the limits was split, and what it gave away is in the last ones.
 	// Version 0.2 would not find those.
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -9,8 +9,8 @@
 )
 
 // addAttempt enters an attempt into every account.
-func (l *leader) addAttempt(j *job, index int, attempt uint64, m *machine, session uint64) *taskAttempt {
-	c := &taskAttempt{j: j, key: attemptKey{index, attempt, m.id}, m: m, session: session, since: l.n.now}
+func (l *leader) addAttempt(j *job, index int, attempt protocol.AttemptNumber, m *machine, incarnation protocol.Incarnation) *taskAttempt {
+	c := &taskAttempt{j: j, key: attemptKey{index, attempt, m.id}, m: m, incarnation: incarnation, since: l.n.now}
 	c.slots = m.slots.Carve(taskSlots(j.spec))
 	j.attempts[c.key] = c
 	j.tasks[index].liveAttempts++
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -270,7 +270,7 @@
 		}
 		rec := bookkeeping.Task{Index: i, Attempt: t.lastAttempt, Done: t.done}
 		if c := t.active; c != nil && !t.done {
-			rec.Machine, rec.Session = c.m.id, c.session
+			rec.Machine, rec.Incarnation = c.m.id, c.incarnation
 			if !c.committed {
 				placed = append(placed, c)
 			}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -49,7 +49,7 @@
 	for i := range b.N {
 		m := bodies[i%len(bodies)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
-			m.id, m.zone, m.seq+1, l.n.lease.term)
+			m.id, m.zone, m.sequence+1, l.n.lease.term)
 		for k, c := range sortedAttempts(m) {
 			if k > 0 {
 				body = append(body, ',')
@@ -130,7 +130,7 @@
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", i)), "high"
 		rec := bookkeeping.Job{Spec: &s, Seq: uint64(i + 1), Attempt: 1, RecordTasks: 60}
 		for k := range 10 {
-			rec.Tasks = append(rec.Tasks, bookkeeping.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Session: 1})
+			rec.Tasks = append(rec.Tasks, bookkeeping.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Incarnation: 1})
 		}
 		add(bookkeeping.JobKey(s.ID), rec)
 	}
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -16,7 +16,7 @@
 
 func (l *leader) testReport(m *machine, token uint64, tasks ...protocol.TaskReport) []protocol.Command {
 	cmds, _ := l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Spot: m.spot,
-		Session: 1, Seq: m.seq + 1, Token: token, Tasks: tasks}, true)
+		Incarnation: 1, Sequence: m.sequence + 1, Token: token, Tasks: tasks}, true)
 	return cmds
 }
 
@@ -44,7 +44,7 @@
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
 	j := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.id, Session: 1}}}, 9)
+		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1}}}, 9)
 	return j, j.sortedAttempts()[0]
 }
 
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -71,7 +71,7 @@
 	switch {
 	case m.phase == protocol.MachineFailed:
 		l.delete(m, "failed")
-	case !m.reported && m.session == 0 && t != nil && now.Sub(m.born) > seconds(t.BootS*tuning.BootPatience)+tuning.BootSlack:
+	case !m.reported && m.incarnation == 0 && t != nil && now.Sub(m.born) > seconds(t.BootS*tuning.BootPatience)+tuning.BootSlack:
 		l.delete(m, "never came up")
 	case len(m.attempts) > 0 || !m.reported || m.lapsed:
 	case m.cordoned:
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -148,8 +148,8 @@
 	n := l.n
 	m := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
-		m.seq++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.id, Address: "h:1", Type: "big", Zone: "a", Session: 1, Seq: m.seq + 10, Token: n.lease.term}}
+		m.sequence++
+		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.id, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: m.sequence + 10, Token: n.lease.term}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -217,7 +217,7 @@
 			p.heard = n.now.Add(after)
 			p.status = protocol.PeerStatus{Term: n.lease.revision, Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []string{"first", "second"}}
 		}
-		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Session: 1, Seq: seq}}})
+		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
@@ -281,7 +281,7 @@
 	if n.Leading() {
 		t.Fatal("leads before its claim was renewed")
 	}
-	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Session: 1, Seq: 1}}})
+	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
 			t.Fatalf("a report is answered %d meanwhile", r.Status)
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -17,9 +17,9 @@
 	rank       protocol.Rank
 	seq        uint64
 	at         time.Time
-	startBy    []time.Time // an array must start by then to meet its deadline and its class's aims
-	everPlaced bool        // a task of it has had a place
-	epoch      uint64      // the gang's epoch
+	startBy    []time.Time            // an array must start by then to meet its deadline and its class's aims
+	everPlaced bool                   // a task of it has had a place
+	epoch      protocol.AttemptNumber // the gang's epoch
 	cancelled  bool
 	chunk      int
 	tasks      []task
@@ -59,7 +59,7 @@
 // task is one task of a job. A task has at most one attempt that it is waiting
 // for; older attempts that may still be somewhere are in job.attempts too.
 type task struct {
-	lastAttempt  uint64
+	lastAttempt  protocol.AttemptNumber
 	done         bool
 	liveAttempts int
 	active       *taskAttempt
@@ -69,30 +69,30 @@
 
 type attemptKey struct {
 	index   int
-	attempt uint64
+	attempt protocol.AttemptNumber
 	machine protocol.MachineID
 }
 
 // taskAttempt is one attempt of a task on one machine, from the moment it is
 // planned until it is proven gone. While it exists it takes room and quota.
 type taskAttempt struct {
-	j         *job
-	key       attemptKey
-	m         *machine
-	session   uint64
-	slots     []int
-	committed bool
-	sent      bool               // a start may have left
-	state     protocol.TaskState // as last reported, "" while never seen
-	since     time.Time
-	running   time.Time // when it was first seen running
-	pinned    bool      // a direct start was never answered: it may yet arrive
-	direct    int       // direct orders with its start under way
-	directAt  time.Time // when the last of them left
-	stop      bool
-	grace     float64
-	stopSent  time.Time
-	inReply   bool // its start is in the answer to the last report
+	j           *job
+	key         attemptKey
+	m           *machine
+	incarnation protocol.Incarnation
+	slots       []int
+	committed   bool
+	sent        bool               // a start may have left
+	state       protocol.TaskState // as last reported, "" while never seen
+	since       time.Time
+	running     time.Time // when it was first seen running
+	pinned      bool      // a direct start was never answered: it may yet arrive
+	direct      int       // direct orders with its start under way
+	directAt    time.Time // when the last of them left
+	stop        bool
+	grace       float64
+	stopSent    time.Time
+	inReply     bool // its start is in the answer to the last report
 	// loaded attempts come from a predecessor's record, which does not say whether
 	// they ended since: what they took may have been given to others by then.
 	// So they are never started again; one that a worker does not have is gone.
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -20,7 +20,7 @@
 // that a predecessor recorded may have been returned since; unless the machine
 // list shows it, it is not waited for.
 func (l *leader) isBooting(m *machine) bool {
-	if m.reported || m.session > 0 {
+	if m.reported || m.incarnation > 0 {
 		return false
 	}
 	if !m.loaded || m.phase == protocol.MachineBooting {
@@ -145,7 +145,7 @@
 	zones := map[string]count{}
 	var all count
 	for _, m := range l.roster {
-		if !m.reported && m.session == 0 {
+		if !m.reported && m.incarnation == 0 {
 			continue
 		}
 		z := zones[m.zone]
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -12,7 +12,7 @@
 type taskKey struct {
 	job     protocol.JobID
 	index   int
-	attempt uint64
+	attempt protocol.AttemptNumber
 }
 
 // machine is a rented machine and its worker.
@@ -29,15 +29,15 @@
 	recorded  bool           // the record has it
 	cordoned  bool           // takes no further tasks, says the machine record
 
-	loaded         bool      // known from a predecessor's record
-	reported       bool      // to this leader
-	tokenConfirmed bool      // the worker has shown this leader's token
-	session        uint64    // newest known
-	seq            uint64    // newest known within the session
-	lastReport     time.Time // newest message of any kind
-	answered       time.Time // the last answered report: the lease counts from here at most
-	lapsed         bool      // the lease has surely run out since
-	lapsedAt       time.Time // when that was found
+	loaded         bool                 // known from a predecessor's record
+	reported       bool                 // to this leader
+	tokenConfirmed bool                 // the worker has shown this leader's token
+	incarnation    protocol.Incarnation // newest known
+	sequence       protocol.Sequence    // newest known within the incarnation
+	lastReport     time.Time            // newest message of any kind
+	answered       time.Time            // the last answered report: the lease counts from here at most
+	lapsed         bool                 // the lease has surely run out since
+	lapsedAt       time.Time            // when that was found
 
 	attempts map[taskKey]*taskAttempt
 	exited   []protocol.TaskReport // as last reported
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -70,7 +70,7 @@
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
 		entries := []protocol.Entry{{Key: bookkeeping.JobKey(s.ID), Revision: 9, Value: bookkeeping.Encode(bookkeeping.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
-			Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: "i-1", Session: 1}}})}}
+			Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
 			entries = append(entries, protocol.Entry{Key: bookkeeping.MachineRecordKey("r"), Revision: 4,
 				Value: bookkeeping.Encode(bookkeeping.MachineRecord{Machines: []bookkeeping.MachineEntry{{ID: "i-1", Address: "h:1", Type: "big", Zone: "a"}}})})
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -143,7 +143,7 @@
 // presentToken shows the token to a worker with tasks that has not reported to
 // this leader, if there is time: most of them report by themselves.
 func (l *leader) presentToken(m *machine) {
-	if !m.reported && m.session > 0 && !m.orderInFlight && !m.deleting && m.address != "" && !l.n.now.Before(m.directAt) && l.mayCall(true) {
+	if !m.reported && m.incarnation > 0 && !m.orderInFlight && !m.deleting && m.address != "" && !l.n.now.Before(m.directAt) && l.mayCall(true) {
 		l.direct(m, nil)
 	}
 }
@@ -162,7 +162,7 @@
 		}
 	}
 	m.orderInFlight = true
-	body := protocol.Orders{Token: l.n.lease.term, Session: m.session, Commands: cmds}
+	body := protocol.Orders{Token: l.n.lease.term, Incarnation: m.incarnation, Commands: cmds}
 	l.call(m, "POST", protocol.PathOrders, body, func(status int, body []byte) {
 		m.orderInFlight = false
 		for _, c := range starts {
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/buddy"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // Placement is HDF-B: a gang goes whole into the smallest domain (a machine,
@@ -183,7 +184,7 @@
 }
 
 // nextAttempt is the gang's next epoch: above every attempt of every task.
-func (l *leader) nextAttempt(j *job) uint64 {
+func (l *leader) nextAttempt(j *job) protocol.AttemptNumber {
 	next := j.epoch
 	for i := range j.tasks {
 		next = max(next, j.tasks[i].lastAttempt)
@@ -192,9 +193,9 @@
 }
 
 // assign plans a task onto a machine. Its start leaves once that is committed.
-func (l *leader) assign(j *job, index int, attempt uint64, m *machine) {
+func (l *leader) assign(j *job, index int, attempt protocol.AttemptNumber, m *machine) {
 	t := &j.tasks[index]
-	c := l.addAttempt(j, index, attempt, m, m.session)
+	c := l.addAttempt(j, index, attempt, m, m.incarnation)
 	t.lastAttempt, t.active, j.everPlaced = attempt, c, true
 	l.n.log.Debug("task placed", "job", j.id, "task", index, "attempt", attempt, "machine", m.id)
 	if m.hold == j {
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -34,7 +34,7 @@
 	m := l.machine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
 	m.record.revision = 1
-	m.recorded, m.reported, m.tokenConfirmed, m.session, m.lastReport, m.answered = true, true, true, 1, l.n.now, l.n.now
+	m.recorded, m.reported, m.tokenConfirmed, m.incarnation, m.lastReport, m.answered = true, true, true, 1, l.n.now, l.n.now
 	l.kind(m)
 	return m
 }
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -76,7 +76,7 @@
 	j := l.testJob(high)
 	for i := range tuning.JobErrors {
 		m := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
-		c := l.addAttempt(j, 0, uint64(i+1), m, 1)
+		c := l.addAttempt(j, 0, protocol.AttemptNumber(i+1), m, 1)
 		l.exited(m, c, protocol.TaskReport{Cause: protocol.CauseError})
 		l.dropAttempt(c)
 		m.cordoned = true
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -39,7 +39,7 @@
 				}
 				if answers {
 					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName,
-						Zone: m.zone, Session: 1, Seq: m.seq + 1, Token: l.n.lease.term})})
+						Zone: m.zone, Incarnation: 1, Sequence: m.sequence + 1, Token: l.n.lease.term})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
@@ -67,7 +67,7 @@
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Session: 2, Seq: 1, Token: l.n.lease.term}, true)
+	l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
 	if l.takesTasks(m) {
 		t.Error("takes new work")
 	}
@@ -124,7 +124,7 @@
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Session: 1, Seq: m.seq + 1, Token: l.n.lease.term}, false)
+		l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Incarnation: 1, Sequence: m.sequence + 1, Token: l.n.lease.term}, false)
 	}
 	if !l.isConfirmedAlive(m) || l.takesTasks(m) {
 		t.Errorf("alive %v, takes work %v", l.isConfirmedAlive(m), l.takesTasks(m))
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -45,7 +45,7 @@
 		return list
 	}
 	for _, c := range sortedAttempts(m) {
-		list = append(list, recovery.Attempt{ID: c.attemptID(), Session: c.session, Undelivered: s.undelivered(c), Fenced: c.stray})
+		list = append(list, recovery.Attempt{ID: c.attemptID(), Incarnation: c.incarnation, Undelivered: s.undelivered(c), Fenced: c.stray})
 	}
 	return list
 }
@@ -139,7 +139,7 @@
 	}
 	c := m.attempts[key]
 	if c == nil {
-		c = l.addAttempt(j, key.index, key.attempt, m, m.session)
+		c = l.addAttempt(j, key.index, key.attempt, m, m.incarnation)
 		c.committed, c.sent, c.loaded, c.stray = true, true, true, true
 	}
 	l.shows(c, entry.State)
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -23,8 +23,8 @@
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Session: 1}
-	j := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.id, Session: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: m.id, Session: 1})
+	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1}
+	j := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.id, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: m.id, Incarnation: 1})
 	if n := j.tasks[0].liveAttempts; n != 2 || j.tasks[0].active.m != m {
 		t.Errorf("%d attempts", n)
 	}
@@ -44,7 +44,7 @@
 func TestUnreadableReport(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
-	j := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Session: 1})
+	j := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1})
 	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.testReport(m, l.n.lease.term, nonsense)
@@ -63,7 +63,7 @@
 // current report shows it; the next attempt of the task is numbered above it, unless its
 // number is beyond reason.
 func TestUnrecordedAttempt(t *testing.T) {
-	for _, attempt := range []uint64{9, tuning.AttemptsMost + 1} {
+	for _, attempt := range []protocol.AttemptNumber{9, tuning.AttemptsMost + 1} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		m := l.testMachine("i-1", "big", "a", false)
 		j := l.placed()
@@ -94,7 +94,7 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.RecoveryPhase = enabled
 		full, silent := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-		silent.loaded, silent.reported, silent.tokenConfirmed, silent.session = true, false, false, 0
+		silent.loaded, silent.reported, silent.tokenConfirmed, silent.incarnation = true, false, false, 0
 		l.beginRecovery()
 		low := l.testJob(func() protocol.Job { s := gangOf(8, 1); s.Shape, s.Priority = protocol.ShapeArray, "idle"; return s }())
 		l.placeArray(low, false)
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -25,7 +25,7 @@
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	rec := &bookkeeping.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
 	for i := range s.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 1 + uint64(i%3), Machine: "i-000231", Session: 1}
+		task := bookkeeping.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
 			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
 		}
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -67,7 +67,7 @@
 		Image: "img", ImageGB: 1, Types: []string{"big", strings.Repeat("x", 1450)}}
 	rec := &bookkeeping.Job{Writer: "w-1", Spec: s, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
 	for i := range s.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 2, Machine: hostName, Session: 1}
+		task := bookkeeping.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
 			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
 		}
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -40,7 +40,7 @@
 	n.nextID++
 	id := n.nextID
 	n.out = nil
-	n.routeReport(id, &protocol.Report{Machine: machine, Session: 1, Seq: id})
+	n.routeReport(id, &protocol.Report{Machine: machine, Incarnation: 1, Sequence: protocol.Sequence(id)})
 	for _, a := range n.out {
 		switch a := a.(type) {
 		case Reply:
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -13,11 +13,11 @@
 		return nil, false // what is deleted can only have sent this before
 	}
 	m := l.machine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
-	if !r.Newer(m.session, m.seq) {
+	if !r.Newer(m.incarnation, m.sequence) {
 		return nil, false
 	}
 	differences := l.compare(r, answered)
-	l.reportedSession(m, r)
+	l.reportedIncarnation(m, r)
 	l.reportedLiveness(m, r, answered)
 	l.checkedTokens(m)
 	if m.record == nil && m.tokenConfirmed {
@@ -41,17 +41,17 @@
 	return commands, true
 }
 
-// reportedSession takes the session and sequence number of a report. A newer session
+// reportedIncarnation takes the incarnation and sequence number of a report. A newer one
 // has forgotten every attempt of an older one.
-func (l *leader) reportedSession(m *machine, r *protocol.Report) {
-	if r.Session > m.session {
+func (l *leader) reportedIncarnation(m *machine, r *protocol.Report) {
+	if r.Incarnation > m.incarnation {
 		m.pins = map[taskKey]bool{}
 		if m.tokenConfirmed && l.n.now.Sub(m.answered) < seconds(l.n.cfg.Cluster.Workers.LeaseS) {
 			// Its lease ran out although its reports were answered all the time.
 			m.unseenAnswers = tuning.MissedAnswers
 		}
 	}
-	m.session, m.seq = r.Session, r.Seq
+	m.incarnation, m.sequence = r.Incarnation, r.Sequence
 }
 
 // reportedLiveness notes the sign of life that a report is.
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -194,11 +194,11 @@
 			l.logOnce("record places an attempt twice", string(j.id), "job", j.id, "task", t.Index)
 			continue
 		}
-		c := l.addAttempt(j, t.Index, t.Attempt, m, t.Session)
+		c := l.addAttempt(j, t.Index, t.Attempt, m, t.Incarnation)
 		c.committed, c.sent, c.loaded = true, true, true
 		l.activate(j, jt, c)
 		m.useImage(j.spec, nil)
-		m.session = max(m.session, t.Session)
+		m.incarnation = max(m.incarnation, t.Incarnation)
 	}
 }
 
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -6,3 +6,14 @@
 // MachineID names a rented machine and the agent on it. The cloud chooses it and does
 // not use it again.
 type MachineID string
+
+// AttemptNumber numbers the attempts of a task from 1. All tasks of a gang share the
+// numbers, so that one names an attempt of the gang too. 0: there was none.
+type AttemptNumber uint64
+
+// Incarnation numbers the lives of a machine's agent from 1. A newer one has none of the
+// tasks of an older one, and refuses commands that are meant for that. 0: not known.
+type Incarnation uint64
+
+// Sequence numbers an agent's reports within an incarnation.
+type Sequence uint64
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -276,8 +276,8 @@
 	e.str(r.Type)
 	e.str(r.Zone)
 	e.flag(r.Spot)
-	e.num(r.Session)
-	e.num(r.Seq)
+	e.num(uint64(r.Incarnation))
+	e.num(uint64(r.Sequence))
 	e.num(r.Token)
 	e.flag(r.NoticeS != nil)
 	if r.NoticeS != nil {
@@ -286,7 +286,7 @@
 	e.num(uint64(len(r.Tasks)))
 	for _, t := range r.Tasks {
 		e.str(t.Task)
-		e.num(t.Attempt)
+		e.num(uint64(t.Attempt))
 		e.str(string(t.State))
 		e.str(string(t.Cause))
 		e.flag(t.Saved)
@@ -295,14 +295,14 @@
 
 func (d *decoder) report() *Report {
 	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
-		Session: d.num(), Seq: d.num(), Token: d.num()}
+		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: d.num()}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
 		r.NoticeS = &v
 	}
 	n := d.count(5)
 	for i := 0; i < n && d.err == nil; i++ {
-		r.Tasks = append(r.Tasks, TaskReport{Task: d.str(), Attempt: d.num(), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
+		r.Tasks = append(r.Tasks, TaskReport{Task: d.str(), Attempt: AttemptNumber(d.num()), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
 	}
 	return r
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -151,13 +151,14 @@
 }
 
 func TestNewer(t *testing.T) {
-	r := &Report{Session: 2, Seq: 5}
+	r := &Report{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
-		session, seq uint64
-		want         bool
+		incarnation Incarnation
+		sequence    Sequence
+		want        bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {3, 1, false}} {
-		if r.Newer(c.session, c.seq) != c.want {
-			t.Errorf("newer than %d/%d: %v", c.session, c.seq, !c.want)
+		if r.Newer(c.incarnation, c.sequence) != c.want {
+			t.Errorf("newer than %d/%d: %v", c.incarnation, c.sequence, !c.want)
 		}
 	}
 }
@@ -182,7 +183,7 @@
 		PeerConfirm{ID: 3, Term: 9},
 		Announcement("berth-1"),
 		PeerReport{ID: 1, Origin: "a", Target: "b", Hops: 1, Report: &Report{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
-			Session: 2, Seq: 3, Token: 4, NoticeS: &n, Tasks: []TaskReport{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
+			Incarnation: 2, Sequence: 3, Token: 4, NoticeS: &n, Tasks: []TaskReport{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
 		PeerAnswer{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
 		PeerRequest{ID: 5, Origin: "a", Target: "c", Verb: "submit", Job: "run-1", Body: []byte(`{"x":1}`)},
 	}
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -48,34 +48,34 @@
 
 // TaskReport is one task in a worker's report.
 type TaskReport struct {
-	Task    string    `json:"piece"`
-	Attempt uint64    `json:"try"`
-	State   TaskState `json:"phase"`
-	Cause   Cause     `json:"cause,omitempty"`
-	Saved   bool      `json:"kept,omitempty"`
+	Task    string        `json:"piece"`
+	Attempt AttemptNumber `json:"try"`
+	State   TaskState     `json:"phase"`
+	Cause   Cause         `json:"cause,omitempty"`
+	Saved   bool          `json:"kept,omitempty"`
 }
 
 // Report is a worker's report.
 type Report struct {
-	Machine MachineID    `json:"berth"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"tenure"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"warrant"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []TaskReport `json:"pieces"`
+	Machine     MachineID    `json:"berth"`
+	Address     string       `json:"address"`
+	Type        string       `json:"build"`
+	Zone        string       `json:"yard"`
+	Spot        bool         `json:"loaners"`
+	Incarnation Incarnation  `json:"tenure"`
+	Sequence    Sequence     `json:"tally"`
+	Token       uint64       `json:"warrant"`
+	NoticeS     *float64     `json:"recall_s"`
+	Tasks       []TaskReport `json:"pieces"`
 }
 
-// Newer says whether r is a newer message than (session, seq).
-func (r *Report) Newer(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+// Newer says whether r is a newer message than (incarnation, sequence).
+func (r *Report) Newer(incarnation Incarnation, sequence Sequence) bool {
+	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Sequence > sequence
 }
 
 // Shows says whether the report has an attempt of a task, in any state.
-func (r *Report) Shows(task string, attempt uint64) bool {
+func (r *Report) Shows(task string, attempt AttemptNumber) bool {
 	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool { return t.Attempt == attempt && t.Task == task })
 }
 
@@ -85,7 +85,7 @@
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("not valid JSON for a report: %w", err)
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Session == 0 {
+	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
 	}
 	return &r, nil
@@ -110,10 +110,10 @@
 
 // Command is one order to a worker.
 type Command struct {
-	Op      Verb    `json:"verb"`
-	Task    string  `json:"piece"`
-	Attempt uint64  `json:"try"`
-	GraceS  float64 `json:"leeway_s,omitempty"`
+	Op      Verb          `json:"verb"`
+	Task    string        `json:"piece"`
+	Attempt AttemptNumber `json:"try"`
+	GraceS  float64       `json:"leeway_s,omitempty"`
 }
 
 // MarshalJSON writes the grace for a stop even when it is zero.
@@ -124,7 +124,7 @@
 	b = append(b, `","piece":`...)
 	b = strconv.AppendQuote(b, c.Task)
 	b = append(b, `,"try":`...)
-	b = strconv.AppendUint(b, c.Attempt, 10)
+	b = strconv.AppendUint(b, uint64(c.Attempt), 10)
 	if c.Op == OpStop {
 		b = append(b, `,"leeway_s":`...)
 		b = strconv.AppendFloat(b, c.GraceS, 'f', -1, 64)
@@ -145,7 +145,7 @@
 
 // Orders is a direct command to a worker.
 type Orders struct {
-	Token    uint64    `json:"warrant"`
-	Session  uint64    `json:"tenure"`
-	Commands []Command `json:"orders"`
+	Token       uint64      `json:"warrant"`
+	Incarnation Incarnation `json:"tenure"`
+	Commands    []Command   `json:"orders"`
 }
--- a/internal/recovery/classes.go
+++ b/internal/recovery/classes.go
@@ -78,7 +78,7 @@
 // AttemptID names an attempt of a task.
 type AttemptID struct {
 	TaskID
-	Attempt uint64
+	Attempt protocol.AttemptNumber
 }
 
 // Difference is one attempt as the records and a report have it.
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -11,21 +11,21 @@
 type Job struct {
 	Tasks         int
 	Gang, Service bool
-	Epoch         uint64 // of a gang: its latest attempt
-	Unreadable    bool   // a record of it cannot be read
+	Epoch         protocol.AttemptNumber // of a gang: its latest attempt
+	Unreadable    bool                   // a record of it cannot be read
 }
 
 // Task is what the records say of a task.
 type Task struct {
-	LastAttempt uint64
+	LastAttempt protocol.AttemptNumber
 	Done        bool
 	Machine     protocol.MachineID // where the latest attempt is placed, "" if nowhere
 }
 
 // Attempt is an attempt that the records, or a leader's accounts, have on a machine.
 type Attempt struct {
-	ID      AttemptID
-	Session uint64 // of the worker when it was placed
+	ID          AttemptID
+	Incarnation protocol.Incarnation // of the worker when it was placed
 	// Undelivered: its start may be on its way, or is yet to be ordered. A report
 	// without it proves nothing.
 	Undelivered bool
@@ -62,13 +62,13 @@
 	c.stored = records.Attempts(r.Machine, c.stored[:0])
 	current := r.Token == token
 	readable := c.index(r)
-	c.releaseOlderSessions(r, current)
+	c.releaseOlderIncarnations(r, current)
 	for i := range r.Tasks {
 		c.addEntry(records, r, i, current)
 	}
 	for i := range c.stored {
 		a := &c.stored[i]
-		if _, shown := c.entries[a.ID]; shown || a.Session < r.Session {
+		if _, shown := c.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
 			continue
 		}
 		class := NotYetReported
@@ -91,7 +91,7 @@
 	clear(c.places)
 	clear(c.entries)
 	for i := range c.stored {
-		if c.stored[i].Session >= r.Session {
+		if c.stored[i].Incarnation >= r.Incarnation {
 			c.places[c.stored[i].ID] = i
 		}
 	}
@@ -118,11 +118,11 @@
 	return AttemptID{TaskID{job, index}, t.Attempt}, valid
 }
 
-// releaseOlderSessions adds the attempts of earlier sessions, all of which a newer session
+// releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
 // proves gone whatever else the report says.
-func (c *Reconciler) releaseOlderSessions(r *protocol.Report, current bool) {
+func (c *Reconciler) releaseOlderIncarnations(r *protocol.Report, current bool) {
 	for i := range c.stored {
-		if a := &c.stored[i]; a.Session < r.Session {
+		if a := &c.stored[i]; a.Incarnation < r.Incarnation {
 			c.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
 		}
 	}
@@ -222,7 +222,7 @@
 // Snapshot is all that is stored: records that can list their machines and gangs.
 type Snapshot interface {
 	Records
-	// Machines lists the machines that the records name, and the session and sequence
+	// Machines lists the machines that the records name, and the incarnation and sequence
 	// number that are known of each worker.
 	Machines() []Worker
 	// Gangs lists the gangs that are not over.
@@ -239,8 +239,9 @@
 
 // Worker is what is known of a machine's worker.
 type Worker struct {
-	Machine      protocol.MachineID
-	Session, Seq uint64
+	Machine     protocol.MachineID
+	Incarnation protocol.Incarnation
+	Sequence    protocol.Sequence
 }
 
 // Reconcile squares a snapshot with all reports that came. Of each worker only the newest
@@ -250,10 +251,10 @@
 	workers := s.Machines()
 	for _, r := range reports {
 		at := slices.IndexFunc(workers, func(w Worker) bool { return w.Machine == r.Machine })
-		if at >= 0 && !r.Newer(workers[at].Session, workers[at].Seq) {
+		if at >= 0 && !r.Newer(workers[at].Incarnation, workers[at].Sequence) {
 			continue
 		}
-		if n := newest[r.Machine]; n == nil || r.Newer(n.Session, n.Seq) {
+		if n := newest[r.Machine]; n == nil || r.Newer(n.Incarnation, n.Sequence) {
 			newest[r.Machine] = r
 		}
 	}
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -64,7 +64,7 @@
 	real := truth{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
-		s.workers = append(s.workers, Worker{Machine: m, Session: 1})
+		s.workers = append(s.workers, Worker{Machine: m, Incarnation: 1})
 	}
 	state := rapid.SampledFrom([]protocol.TaskState{protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited})
 	cause := rapid.SampledFrom([]protocol.Cause{protocol.CauseDone, protocol.CauseStopped, protocol.CauseError})
@@ -87,15 +87,15 @@
 			}
 			if stored && !task.Done && rapid.IntRange(0, 4).Draw(t, "placed") > 0 {
 				task.Machine = at
-				s.attempts[at] = append(s.attempts[at], Attempt{ID: AttemptID{id, 3}, Session: 1})
+				s.attempts[at] = append(s.attempts[at], Attempt{ID: AttemptID{id, 3}, Incarnation: 1})
 			}
 			s.tasks[id] = task
 			if rapid.IntRange(0, 4).Draw(t, "there") == 0 {
 				continue
 			}
-			on, attempt := at, uint64(3)
+			on, attempt := at, protocol.AttemptNumber(3)
 			if rapid.IntRange(0, 4).Draw(t, "other") == 0 {
-				on, attempt = rapid.SampledFrom(machines).Draw(t, "on"), rapid.Uint64Range(1, 5).Draw(t, "attempt")
+				on, attempt = rapid.SampledFrom(machines).Draw(t, "on"), protocol.AttemptNumber(rapid.Uint64Range(1, 5).Draw(t, "attempt"))
 			}
 			e := protocol.TaskReport{Task: protocol.TaskName(id.Job, i), Attempt: attempt, State: state.Draw(t, "state")}
 			if e.State == protocol.TaskExited {
@@ -106,13 +106,13 @@
 	}
 	var reports []*protocol.Report
 	for _, m := range machines {
-		r := &protocol.Report{Machine: m, Session: rapid.Uint64Range(1, 2).Draw(t, "session"), Seq: 20, Token: token, Tasks: real[m]}
-		if r.Session == 2 { // it has forgotten all
+		r := &protocol.Report{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, Token: token, Tasks: real[m]}
+		if r.Incarnation == 2 { // it has forgotten all
 			r.Tasks, real[m] = nil, nil
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "copies") {
 			old := *r
-			old.Session, old.Seq, old.Token = 1, uint64(1+i), token-1
+			old.Incarnation, old.Sequence, old.Token = 1, protocol.Sequence(1+i), token-1
 			old.Tasks = nil
 			reports = append(reports, &old)
 		}
@@ -196,12 +196,12 @@
 		for _, r := range reports {
 			if r.Token == token {
 				later := *r
-				later.Seq, later.Tasks = r.Seq+1, real[r.Machine]
+				later.Sequence, later.Tasks = r.Sequence+1, real[r.Machine]
 				again = append(again, &later)
 			}
 		}
 		for i := range s.workers {
-			s.workers[i].Session, s.workers[i].Seq = 1, 20
+			s.workers[i].Incarnation, s.workers[i].Sequence = 1, 20
 		}
 		for _, d := range reconcile(s, again) {
 			if r := d.Class.Resolution(); r != Keep && r != Await {
@@ -232,11 +232,11 @@
 			})
 			switch d.Class.Resolution() {
 			case Stop:
-				if recorded && r.Session == 1 || !there {
+				if recorded && r.Incarnation == 1 || !there {
 					t.Fatalf("a valid attempt is stopped: %+v", d)
 				}
 			case Release:
-				if !recorded || there && r.Session == 1 || r == nil {
+				if !recorded || there && r.Incarnation == 1 || r == nil {
 					t.Fatalf("given up without proof: %+v", d)
 				}
 				if released[d.ID.TaskID] {
@@ -274,7 +274,7 @@
 				continue
 			}
 			for _, a := range s.attempts[r.Machine] {
-				if class := judged[Placement{a.ID, r.Machine}][0]; r.Session == 2 && class != ReportedAbsent {
+				if class := judged[Placement{a.ID, r.Machine}][0]; r.Incarnation == 2 && class != ReportedAbsent {
 					t.Fatalf("%+v of an earlier session is %v", a.ID, class)
 				}
 			}
@@ -317,10 +317,10 @@
 
 // report makes a current report of machine m0.
 func report(tasks ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: "m0", Session: 1, Seq: 2, Token: token, Tasks: tasks}
+	return &protocol.Report{Machine: "m0", Incarnation: 1, Sequence: 2, Token: token, Tasks: tasks}
 }
 
-func entry(n, index int, attempt uint64, state protocol.TaskState, cause protocol.Cause) protocol.TaskReport {
+func entry(n, index int, attempt protocol.AttemptNumber, state protocol.TaskState, cause protocol.Cause) protocol.TaskReport {
 	return protocol.TaskReport{Task: protocol.TaskName(job(n), index), Attempt: attempt, State: state, Cause: cause}
 }
 
@@ -329,9 +329,9 @@
 	s := &store{
 		jobs:  map[protocol.JobID]Job{job(1): {Tasks: 4}, job(2): {Tasks: 2, Gang: true, Epoch: 3}, job(3): {Tasks: 1, Service: true}, job(4): {Unreadable: true}},
 		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
-		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Session: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Session: 1},
-			{ID: AttemptID{TaskID{job(1), 3}, 1}, Session: 1, Undelivered: true}}},
-		workers: []Worker{{Machine: "m0", Session: 1}},
+		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Incarnation: 1},
+			{ID: AttemptID{TaskID{job(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
+		workers: []Worker{{Machine: "m0", Incarnation: 1}},
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
 	late := report(replica)
@@ -357,8 +357,8 @@
 		"unknown state":    {report(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
 		"contradiction":    {report(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
 		"said twice":       {report(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"done by any copy": {&protocol.Report{Machine: "m0", Session: 1, Seq: 2, Tasks: []protocol.TaskReport{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
-		"newer session":    {&protocol.Report{Machine: "m0", Session: 2, Seq: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
+		"done by any copy": {&protocol.Report{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskReport{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
+		"newer session":    {&protocol.Report{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
 	} {
 		got := map[AttemptID][]Class{}
 		for _, d := range reconcile(s, []*protocol.Report{c.r}) {
@@ -377,7 +377,7 @@
 func TestPhase(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	id := AttemptID{TaskID{job(1), 0}, 3}
-	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Session: 1}}, "m1": nil}
+	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Incarnation: 1}}, "m1": nil}
 	p := Begin(now, now.Add(40*time.Second), stored)
 	for _, class := range []Class{NotYetReported, OlderEpoch, Matching, OlderEpoch} {
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -34,7 +34,7 @@
 type instance struct {
 	machine protocol.MachineID
 	task    string
-	attempt uint64
+	attempt protocol.AttemptNumber
 }
 
 // Verdict counts orders that workers have executed since a moment, and what of them the
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"cmp"
-	"github.com/gappond/gappond/internal/protocol"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // TestUnseenCancellationThenOutage: the leader's watches hang while its renewals pass, others confirm
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"github.com/gappond/gappond/internal/protocol"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -19,14 +19,14 @@
 	lapses     int // workers' sessions that ended
 	lastServed time.Time
 	longest    time.Duration // the longest time without a request that was served
-	sessions   map[protocol.MachineID]uint64
+	sessions   map[protocol.MachineID]protocol.Incarnation
 	until      time.Time
 }
 
 // watchDowntime sends requests of every kind to the nodes that are up, as the load
 // balancer does, and looks at the workers' sessions.
 func (w *World) watchDowntime(accepted string, until time.Duration) *downtime {
-	d := &downtime{w: w, lastServed: w.Now, sessions: map[protocol.MachineID]uint64{}, until: w.Now.Add(until)}
+	d := &downtime{w: w, lastServed: w.Now, sessions: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
 		for id, k := range w.workers {
@@ -243,7 +243,7 @@
 		}
 		for i, c := range w.nodes {
 			s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 3)
-			w.rules.jobs[s.ID] = &simJob{spec: s, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[uint64]*gang{}}
+			w.rules.jobs[s.ID] = &simJob{spec: s, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[protocol.AttemptNumber]*gang{}}
 			submit := func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }
 			tooLarge := service("run-000099", 3)
 			tooLarge.Team, tooLarge.GPUs = "red", 4
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
-	"github.com/gappond/gappond/internal/protocol"
 	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -14,7 +14,7 @@
 	job     *protocol.Job
 	name    string
 	index   int
-	attempt uint64
+	attempt protocol.AttemptNumber
 	state   protocol.TaskState
 	cause   protocol.Cause
 	kept    bool
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,11 +1,11 @@
 package simulation
 
 import (
-	"github.com/gappond/gappond/internal/protocol"
 	"slices"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // cut is an interruption between hosts. Packets are held and delivered in
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -26,7 +26,7 @@
 	run       float64
 	progress  []float64
 	done      []bool
-	gangs     map[uint64]*gang
+	gangs     map[protocol.AttemptNumber]*gang
 	mistaken  bool
 	cancelled time.Time // when its user was told
 	began     time.Time // when it first ran, a gang as a whole
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"fmt"
-	"github.com/gappond/gappond/internal/protocol"
 	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // TestSlowControllers plays days of controllers that take time for what they do,
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -26,7 +26,7 @@
 // submit lets a user come after a while. A user gives up polls after 2 s and
 // submissions after 5 s.
 func (w *World) submit(after time.Duration, spec *protocol.Job, run float64, cancel time.Duration, mistaken bool) *user {
-	j := &simJob{spec: spec, run: run, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[uint64]*gang{}, mistaken: mistaken}
+	j := &simJob{spec: spec, run: run, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}, mistaken: mistaken}
 	u := &user{w: w, j: j, cancelAt: cancel}
 	w.users = append(w.users, u)
 	j.last = func() {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,8 +14,8 @@
 type worker struct {
 	w        *World
 	h        *host
-	session  uint64
-	seq      uint64
+	session  protocol.Incarnation
+	seq      protocol.Sequence
 	token    uint64
 	answered time.Time // when the last answered report was sent, or the session began
 	tasks    map[string]*workerTask
@@ -104,7 +104,7 @@
 func (k *worker) report() *protocol.Report {
 	k.seq++
 	r := &protocol.Report{Machine: k.h.ID, Address: k.h.Address, Type: k.h.Type, Zone: k.h.Zone, Spot: k.h.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.notice}
+		Incarnation: k.session, Sequence: k.seq, Token: k.token, NoticeS: k.notice}
 	for _, t := range k.list() {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.kept})
 	}
@@ -132,7 +132,7 @@
 }
 
 // reportAnswered takes the answer to a report.
-func (k *worker) reportAnswered(status int, body []byte, sent time.Time, session uint64) {
+func (k *worker) reportAnswered(status int, body []byte, sent time.Time, session protocol.Incarnation) {
 	if k.dead {
 		return
 	}
@@ -216,7 +216,7 @@
 	}
 	var o protocol.Orders
 	decode(body, &o)
-	if o.Session != k.session || !k.accept(o.Token) {
+	if o.Incarnation != k.session || !k.accept(o.Token) {
 		answer(409, encode(k.report()))
 		return
 	}
@@ -251,7 +251,9 @@
 	}
 }
 
-func attemptName(task string, attempt uint64) string { return fmt.Sprintf("%s#%d", task, attempt) }
+func attemptName(task string, attempt protocol.AttemptNumber) string {
+	return fmt.Sprintf("%s#%d", task, attempt)
+}
 
 func (k *worker) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	j := k.w.rules.jobs[id]
