--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/bookkeeping/bookkeeping_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func entry(key string, stamp uint64) protocol.Entry {
+func entry(key string, stamp protocol.Revision) protocol.Entry {
 	return protocol.Entry{Key: key, Value: []byte(fmt.Sprint(stamp)), Revision: stamp}
 }
 
@@ -147,10 +147,10 @@
 	} {
 		rec := Job{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, RecordTasks: 9, Done: want.Done, Placed: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
 		value := Encode(rec)
-		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: uint64(stamp + 2)})
+		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(stamp + 2)})
 		for range 2 {
 			got, at, ok := m.Status(key)
-			if !ok || got != want || at != uint64(stamp+2) {
+			if !ok || got != want || at != protocol.Revision(stamp+2) {
 				t.Errorf("revision %d: %+v at %d, %v, want %+v", stamp+2, got, at, ok, want)
 			}
 		}
--- a/internal/bookkeeping/mirror.go
+++ b/internal/bookkeeping/mirror.go
@@ -8,10 +8,10 @@
 
 // Mirror is a node's copy of the live records: complete up to Revision.
 type Mirror struct {
-	Revision uint64
+	Revision protocol.Revision
 	items    map[string]protocol.Entry
 	loading  map[string]protocol.Entry
-	loadRev  uint64
+	loadRev  protocol.Revision
 	ready    bool
 	statuses map[string]status
 }
@@ -19,7 +19,7 @@
 // status is what a job's record says to its user, as of a revision: users ask
 // far more often than records change.
 type status struct {
-	revision uint64
+	revision protocol.Revision
 	answer   protocol.Status
 }
 
@@ -79,7 +79,7 @@
 
 // Status is what a job's user is told by the record under a key, and the
 // record's revision; false if there is no sound one.
-func (m *Mirror) Status(key string) (protocol.Status, uint64, bool) {
+func (m *Mirror) Status(key string) (protocol.Status, protocol.Revision, bool) {
 	e, ok := m.items[key]
 	if !ok {
 		return protocol.Status{}, 0, false
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -107,8 +107,8 @@
 // Restored marks a state service that lacks what workers have seen of it: jobs of before
 // may run on workers that have yet to report. Token is the highest that a worker held.
 type Restored struct {
-	Writer string `json:"w"`
-	Token  uint64 `json:"token"`
+	Writer string        `json:"w"`
+	Token  protocol.Term `json:"token"`
 }
 
 // Task is the part of a task that must outlive every controller. It is written
@@ -204,7 +204,7 @@
 	Writer      string                 `json:"w"`
 	Spec        *protocol.Job          `json:"spec"`
 	AtMs        int64                  `json:"at"`            // time of day of the submission
-	Seq         uint64                 `json:"seq,omitempty"` // revision of the submission: the order of arrival
+	Seq         protocol.Revision      `json:"seq,omitempty"` // revision of the submission: the order of arrival
 	Attempt     protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
 	Cancelled   bool                   `json:"off,omitempty"`
 	Done        int                    `json:"done,omitempty"`
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -34,7 +34,7 @@
 	return b.remainingChanges() >= ops && len(b.txn.If)+conditions <= conditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.TxnBytes
 }
 
-func (b *batch) guard(key string, revision uint64) {
+func (b *batch) guard(key string, revision protocol.Revision) {
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Revision: revision})
 	b.bytes += len(key) + 40
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -39,7 +39,7 @@
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
 	b := &batch{l: l, tx: tx, guarded: map[*machineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
-	b.guard(bookkeeping.LeaderKey, l.n.lease.term)
+	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.lease.term))
 	b.addMachineRecords(func(r *machineRecord) bool { return r.queued })
 	var later []*job
 	list, urgent, ready := l.byUrgency()
@@ -187,7 +187,7 @@
 	})
 }
 
-func (l *leader) committed(tx *commit, revision uint64) {
+func (l *leader) committed(tx *commit, revision protocol.Revision) {
 	l.inFlight = nil
 	l.n.metrics.Commits++
 	l.n.metrics.CommitSeconds = append(l.n.metrics.CommitSeconds, l.n.now.Sub(tx.sent).Seconds())
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -11,15 +11,15 @@
 
 // leaderLease is what a node knows of the leader lease.
 type leaderLease struct {
-	holder   string // the leader lease's node, "" while nobody holds it
-	revision uint64 // the leader lease's revision, 0 while nobody holds it
+	holder   string            // the leader lease's node, "" while nobody holds it
+	revision protocol.Revision // the leader lease's revision, 0 while nobody holds it
 
 	acquiring bool
 	retryAt   time.Time
 
 	// While this node holds the leader lease.
-	term      uint64
-	leaseID   uint64
+	term      protocol.Term
+	leaseID   protocol.LeaseID
 	renewedAt time.Time // when the last renewal that succeeded was sent
 	renewing  bool
 	renewAt   time.Time
@@ -72,7 +72,7 @@
 }
 
 // leaseObserved notes the leader lease as it now stands.
-func (n *Node) leaseObserved(value json.RawMessage, revision uint64) {
+func (n *Node) leaseObserved(value json.RawMessage, revision protocol.Revision) {
 	var c bookkeeping.LeaderLease
 	if json.Unmarshal(value, &c) != nil {
 		n.log.Error("leader lease does not parse", "value", string(value))
@@ -81,7 +81,7 @@
 	if n.lease.term == 0 {
 		return
 	}
-	if revision > n.lease.term {
+	if protocol.Term(revision) > n.lease.term {
 		n.stepDown("leader lease taken over")
 	}
 }
@@ -136,7 +136,7 @@
 			if c.revision > a.Revision {
 				return // somebody has taken it over already
 			}
-			c.term, c.leaseID, c.renewedAt, c.renewAt = a.Revision, l.Lease, sent, n.now
+			c.term, c.leaseID, c.renewedAt, c.renewAt = protocol.Term(a.Revision), l.Lease, sent, n.now
 			c.unconfirmed, c.resumedAt = true, n.now
 			n.log.Info("leader lease acquired", "term", c.term)
 		})
@@ -191,7 +191,7 @@
 // the return of all workers comes on top, so that leader leases lapsed before their first
 // renewal left.
 func (n *Node) startLeading() {
-	if n.lead == nil && n.hasAuthority() && !n.lease.unconfirmed && n.lease.revision == n.lease.term {
+	if n.lead == nil && n.hasAuthority() && !n.lease.unconfirmed && protocol.Term(n.lease.revision) == n.lease.term {
 		n.takeOver()
 	}
 }
@@ -203,6 +203,11 @@
 	return n.lease.term != 0 && (n.now.Sub(n.authorityStart()) < n.authority() || n.confirmedByPeers())
 }
 
+// leads is the condition of a transaction that this node's term lasts.
+func (n *Node) leads() protocol.Condition {
+	return protocol.Condition{Key: bookkeeping.LeaderKey, Revision: protocol.Revision(n.lease.term)}
+}
+
 // mayAct says whether the node may command workers and write records now.
 func (n *Node) mayAct() bool {
 	return n.lead != nil && n.hasAuthority() && !n.lease.unconfirmed
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -14,7 +14,7 @@
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(m *machine, token uint64, tasks ...protocol.TaskReport) []protocol.Command {
+func (l *leader) testReport(m *machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
 	cmds, _ := l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Spot: m.spot,
 		Incarnation: 1, Sequence: m.sequence + 1, Token: token, Tasks: tasks}, true)
 	return cmds
@@ -157,11 +157,11 @@
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
 	txn, _ := parse[protocol.Txn](r.Body)
-	guards := map[string]uint64{}
+	guards := map[string]protocol.Revision{}
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]uint64{bookkeeping.LeaderKey: l.n.lease.term, bookkeeping.JobKey(j.id): stamp, m.record.key: m.record.revision} {
+	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(j.id): stamp, m.record.key: m.record.revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -129,7 +129,7 @@
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
-		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: uint64(80 + i),
+		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: protocol.Revision(80 + i),
 			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
 	n.mirror.BeginLoad()
@@ -207,7 +207,7 @@
 	n := l.n
 	n.stepDown("a test")
 	n.peers = map[string]*peer{"first": {up: true}, "second": {up: true}}
-	lead := func(name string, stamp uint64) {
+	lead := func(name string, stamp protocol.Revision) {
 		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
@@ -215,7 +215,7 @@
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: n.lease.revision, Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []string{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []string{"first", "second"}}
 		}
 		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -15,7 +15,7 @@
 	id         protocol.JobID
 	spec       *protocol.Job
 	rank       protocol.Rank
-	seq        uint64
+	seq        protocol.Revision
 	at         time.Time
 	startBy    []time.Time            // an array must start by then to meet its deadline and its class's aims
 	everPlaced bool                   // a task of it has had a place
@@ -24,15 +24,15 @@
 	chunk      int
 	tasks      []task
 	done       int
-	revisions  []uint64       // revision of every record, the first is the job's own
-	moved      map[int]int    // tasks that are not in the record that the chunk says
-	extraParts [][]int        // the tasks of the records beyond those
-	newParts   map[int]int    // records split off that the job's own record does not name yet, and from which
-	staged     map[int]bool   // those of them that are written as they should be
-	leftovers  map[int]uint64 // parts that a predecessor staged and never named, with their revisions
-	splitting  bool           // the split takes several transactions: nothing is placed meanwhile
-	unwritable bool           // its records cannot be brought under the lowered limits
-	specSize   int            // of the description in the first record
+	revisions  []protocol.Revision       // revision of every record, the first is the job's own
+	moved      map[int]int               // tasks that are not in the record that the chunk says
+	extraParts [][]int                   // the tasks of the records beyond those
+	newParts   map[int]int               // records split off that the job's own record does not name yet, and from which
+	staged     map[int]bool              // those of them that are written as they should be
+	leftovers  map[int]protocol.Revision // parts that a predecessor staged and never named, with their revisions
+	splitting  bool                      // the split takes several transactions: nothing is placed meanwhile
+	unwritable bool                      // its records cannot be brought under the lowered limits
+	specSize   int                       // of the description in the first record
 
 	attempts       map[attemptKey]*taskAttempt
 	dirty          map[int]bool // records that must be written
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -135,7 +135,7 @@
 }
 
 // merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(j *job, rec *bookkeeping.Job, revision uint64) {
+func (l *leader) merge(j *job, rec *bookkeeping.Job, revision protocol.Revision) {
 	j.revisions[0] = max(j.revisions[0], revision)
 	if rec.Cancelled {
 		l.cancelJob(j)
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -47,8 +47,8 @@
 	strays     []taskKey // tasks of jobs that nobody knows
 	idleSince  time.Time
 
-	spotNotice bool   // the cloud takes the machine away soon
-	heldToken  uint64 // a token above this leader's term that the worker has shown
+	spotNotice bool          // the cloud takes the machine away soon
+	heldToken  protocol.Term // a token above this leader's term that the worker has shown
 	// since when every report has had entries that name no task
 	unreadableSince time.Time
 
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -13,7 +13,7 @@
 type machineRecord struct {
 	key      string
 	zone     string
-	revision uint64 // revision, 0 while it was never written
+	revision protocol.Revision // revision, 0 while it was never written
 	members  []*machine
 	bytes    int  // of the record, at most
 	queued   bool // is to be written soon: machines were added or closed
@@ -76,7 +76,7 @@
 }
 
 // loadMachineRecord takes a machine record at a takeover.
-func (l *leader) loadMachineRecord(key string, revision uint64, rec *bookkeeping.MachineRecord) {
+func (l *leader) loadMachineRecord(key string, revision protocol.Revision, rec *bookkeeping.MachineRecord) {
 	r := &machineRecord{key: key, revision: revision}
 	for _, entry := range rec.Machines {
 		m := l.machine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
@@ -170,7 +170,7 @@
 }
 
 // machineRecordWritten takes a machine record's new revision.
-func (l *leader) machineRecordWritten(w machineRecordWrite, revision uint64) {
+func (l *leader) machineRecordWritten(w machineRecordWrite, revision protocol.Revision) {
 	if len(w.members) == 0 {
 		// The key is gone. Machines that came meanwhile are written under another:
 		// a late creation of the old one must find no guard that it meets.
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -59,7 +59,7 @@
 		return
 	}
 	n.state("POST", protocol.PathTxn, protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: n.lease.term}},
+		If:   []protocol.Condition{n.leads()},
 		Then: []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
 	}, func(int, []byte) {})
 }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -3,16 +3,18 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 )
 
 // Metrics are the node's counters, read after a step.
 type Metrics struct {
-	Term, Commits, CommitConflicts, Sheds, Repairs, Preemptions, Starts uint64
-	Machines, Waiting                                                   int
-	CommitSeconds, WaitSeconds                                          []float64 // since the last step
-	Now                                                                 time.Time
-	Recovery                                                            recovery.Summary // of this leader's takeover
+	Term                                                          protocol.Term
+	Commits, CommitConflicts, Sheds, Repairs, Preemptions, Starts uint64
+	Machines, Waiting                                             int
+	CommitSeconds, WaitSeconds                                    []float64 // since the last step
+	Now                                                           time.Time
+	Recovery                                                      recovery.Summary // of this leader's takeover
 }
 
 // TakeMetrics returns the counters and forgets the observations.
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -37,7 +37,7 @@
 // observedRevision is a revision that the state service had when a request sent at that
 // time was carried out, or later.
 type observedRevision struct {
-	revision uint64
+	revision protocol.Revision
 	sentAt   time.Time
 }
 
@@ -62,7 +62,7 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: n.lease.term}}}
+	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
 	n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
 		if a, ok := parse[protocol.TxnAnswer](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
 			n.awaitRevision(observedRevision{a.Revision, sent})
@@ -99,7 +99,7 @@
 }
 
 // watched takes the answer to a watch for what came after a revision.
-func (n *Node) watched(sent time.Time, after uint64, status int, body []byte) {
+func (n *Node) watched(sent time.Time, after protocol.Revision, status int, body []byte) {
 	if sent.Equal(n.watchSent) {
 		n.watching = false
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -102,7 +102,7 @@
 			delete(n.contacts, name)
 		}
 	}
-	status := protocol.PeerStatus{Term: n.lease.revision, Leader: n.lease.holder, StateOK: n.now.Sub(n.servedAt) < tuning.ServedLately, Links: n.reachablePeers()}
+	status := protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, StateOK: n.now.Sub(n.servedAt) < tuning.ServedLately, Links: n.reachablePeers()}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
 	}
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -44,7 +44,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, uint64(len(l.jobs)+10))
+	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -15,7 +15,7 @@
 type poll struct {
 	id       uint64
 	job      protocol.JobID
-	revision uint64
+	revision protocol.Revision
 	short    bool // the answer to a repeated submission
 	expire   time.Time
 }
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -179,7 +179,7 @@
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: l.n.lease.term + uint64(l.n.now.Unix()%1000)})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
 	if len(old.movedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -17,7 +17,7 @@
 // storedRecords is what a state service holds, for leaders that begin from it.
 type storedRecords struct {
 	entries  map[string]protocol.Entry
-	revision uint64
+	revision protocol.Revision
 }
 
 // apply carries a transaction out if its conditions hold.
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -16,9 +16,9 @@
 
 // contact is what a node remembers of a worker that reports to it.
 type contact struct {
-	term         uint64    // of the leader at that time
-	redirectedAt time.Time // when it was sent to another node, zero if it was not
-	proxiedAt    time.Time // when this node last answered it for the leader as its proxy
+	term         protocol.Term // of the leader at that time
+	redirectedAt time.Time     // when it was sent to another node, zero if it was not
+	proxiedAt    time.Time     // when this node last answered it for the leader as its proxy
 }
 
 // queuedReport is a report that came while nobody was known to lead.
@@ -131,7 +131,7 @@
 		return ""
 	}
 	s := n.peers[leader].status
-	if s.Term != n.lease.revision || s.Leader != leader {
+	if s.Term != protocol.Term(n.lease.revision) || s.Leader != leader {
 		return "" // it has yet to say how many it keeps
 	}
 	to := n.proxyFor(machine, leader, s.DirectShare)
@@ -164,12 +164,12 @@
 // over, and answering it here costs more.
 func (n *Node) redirectedLately(machine protocol.MachineID) bool {
 	c := n.contacts[machine]
-	return !c.redirectedAt.IsZero() && c.term == n.lease.revision && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
+	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
 }
 
 // redirect sends a worker to another node.
 func (n *Node) redirect(id uint64, r *protocol.Report, to string) {
-	n.contacts[r.Machine] = contact{term: n.lease.revision, redirectedAt: n.now}
+	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
 	n.reply(id, 421, protocol.Redirect{ReportTo: to})
 }
 
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -20,11 +20,11 @@
 
 // restoredStore is what a leader knows of a state service that was restored.
 type restoredStore struct {
-	tokensChecked bool   // a recorded worker has taken this leader's token
-	marked        bool   // the marker stands
-	proven        bool   // in this term
-	highest       uint64 // token seen
-	revision      uint64 // of the state service, when it was last told
+	tokensChecked bool              // a recorded worker has taken this leader's token
+	marked        bool              // the marker stands
+	proven        bool              // in this term
+	highest       protocol.Term     // token seen
+	revision      protocol.Revision // of the state service, when it was last told
 	asking        bool
 	writing       bool
 }
@@ -55,7 +55,7 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: l.n.lease.term}}}
+	term := protocol.Txn{If: []protocol.Condition{l.n.leads()}}
 	l.n.state("POST", protocol.PathTxn, term, func(status int, body []byte) {
 		if l.n.lead != l {
 			return
@@ -87,10 +87,10 @@
 // reachableToken is the highest token of a worker above which the revision can be raised
 // before the workers' leases run out, 0 if there is none. A single token beyond reason
 // costs no more than its own worker.
-func (l *leader) reachableToken() (token uint64) {
+func (l *leader) reachableToken() (token protocol.Term) {
 	changes := l.n.cfg.Cluster.State.WriteRPS * l.n.cfg.Cluster.Workers.LeaseS / 2
 	for _, m := range l.roster {
-		if m.heldToken <= l.restored.revision+uint64(changes) {
+		if m.heldToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
 			token = max(token, m.heldToken)
 		}
 	}
@@ -112,7 +112,7 @@
 		switch token := l.reachableToken(); {
 		case token <= l.n.lease.term:
 			l.returnUnreachable()
-		case s.revision >= token:
+		case protocol.Term(s.revision) >= token:
 			l.n.stepDown("workers hold higher tokens, the next term is above them")
 		default:
 			l.raiseRevision()
@@ -165,7 +165,7 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: l.n.lease.term}}, Then: []protocol.Change{change}}
+	txn := protocol.Txn{If: []protocol.Condition{l.n.leads()}, Then: []protocol.Change{change}}
 	l.n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
 		if l.n.lead != l {
 			return
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -127,14 +127,14 @@
 }
 
 // addJob takes a job from its own record.
-func (l *leader) addJob(rec *bookkeeping.Job, revision uint64) *job {
+func (l *leader) addJob(rec *bookkeeping.Job, revision protocol.Revision) *job {
 	s := rec.Spec
 	j := &job{
 		id: s.ID, spec: s, rank: s.Rank(), seq: rec.Seq, at: time.UnixMilli(rec.AtMs),
 		epoch: rec.Attempt, cancelled: rec.Cancelled, chunk: rec.RecordTasks,
 		tasks:     make([]task, s.Tasks),
-		revisions: make([]uint64, max(rec.BaseRecords(), rec.Parts)),
-		attempts:  map[attemptKey]*taskAttempt{}, dirty: map[int]bool{}, leftovers: map[int]uint64{},
+		revisions: make([]protocol.Revision, max(rec.BaseRecords(), rec.Parts)),
+		attempts:  map[attemptKey]*taskAttempt{}, dirty: map[int]bool{}, leftovers: map[int]protocol.Revision{},
 		failures: map[protocol.MachineID]bool{}, avoid: map[protocol.MachineID]time.Time{},
 		waitingSince: l.n.now,
 	}
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -17,3 +17,15 @@
 
 // Sequence numbers an agent's reports within an incarnation.
 type Sequence uint64
+
+// Revision counts the changes of the key-value store. That of a key is the store's at the
+// key's last change; 0: the key does not exist.
+type Revision uint64
+
+// Term is a leader's time in office, which agents see as its fencing token: they obey none
+// that is lower than the highest they have seen. It is the revision at which the leader
+// lease was won, so that a later leader's is higher. 0: nobody leads.
+type Term uint64
+
+// LeaseID names a lease of the key-value store. 0: none.
+type LeaseID uint64
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -53,12 +53,12 @@
 }
 
 // WatchPath waits for changes below a prefix.
-func WatchPath(prefix string, after uint64, waitMs int64) string {
-	return "/watch?starts=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(after, 10) +
+func WatchPath(prefix string, after Revision, waitMs int64) string {
+	return "/watch?starts=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(uint64(after), 10) +
 		"&block_ms=" + strconv.FormatInt(waitMs, 10)
 }
 
 // RenewPath renews a lease.
-func RenewPath(lease uint64) string {
-	return PathLeases + "/" + strconv.FormatUint(lease, 10) + "/renew"
+func RenewPath(lease LeaseID) string {
+	return PathLeases + "/" + strconv.FormatUint(uint64(lease), 10) + "/renew"
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -31,7 +31,7 @@
 
 // PeerStatus is what a node says of itself at every beat.
 type PeerStatus struct {
-	Term        uint64
+	Term        Term
 	Leader      string
 	StateOK     bool
 	Links       []string // peers that this node has a link to
@@ -79,7 +79,7 @@
 // younger than they may take but these.
 type PeerConfirm struct {
 	ID       uint64
-	Term     uint64
+	Term     Term
 	UpMs     uint64
 	Complete bool // false: there were too many to name, or the node cannot say
 	Cancels  []JobID
@@ -226,7 +226,7 @@
 	case PeerHello:
 		e.str(m.Node)
 	case PeerStatus:
-		e.num(m.Term)
+		e.num(uint64(m.Term))
 		e.str(m.Leader)
 		e.flag(m.StateOK)
 		encodeStrings(e, m.Links)
@@ -261,7 +261,7 @@
 		e.num(m.ID)
 	case PeerConfirm:
 		e.num(m.ID)
-		e.num(m.Term)
+		e.num(uint64(m.Term))
 		e.num(m.UpMs)
 		e.flag(m.Complete)
 		encodeStrings(e, m.Cancels)
@@ -278,7 +278,7 @@
 	e.flag(r.Spot)
 	e.num(uint64(r.Incarnation))
 	e.num(uint64(r.Sequence))
-	e.num(r.Token)
+	e.num(uint64(r.Token))
 	e.flag(r.NoticeS != nil)
 	if r.NoticeS != nil {
 		e.num(math.Float64bits(*r.NoticeS))
@@ -295,7 +295,7 @@
 
 func (d *decoder) report() *Report {
 	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
-		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: d.num()}
+		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: Term(d.num())}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
 		r.NoticeS = &v
@@ -338,7 +338,7 @@
 	case PeerHello{}.kind():
 		m = PeerHello{Node: d.str()}
 	case PeerStatus{}.kind():
-		m = PeerStatus{Term: d.num(), Leader: d.str(), StateOK: d.flag(), Links: decodeStrings[string](d), DirectShare: d.num()}
+		m = PeerStatus{Term: Term(d.num()), Leader: d.str(), StateOK: d.flag(), Links: decodeStrings[string](d), DirectShare: d.num()}
 	case PeerReport{}.kind():
 		m = PeerReport{ID: d.num(), Origin: d.str(), Target: d.str(), Hops: d.num(), Report: d.report()}
 	case PeerAnswer{}.kind():
@@ -352,7 +352,7 @@
 	case PeerConfirmRequest{}.kind():
 		m = PeerConfirmRequest{ID: d.num()}
 	case PeerConfirm{}.kind():
-		m = PeerConfirm{ID: d.num(), Term: d.num(), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
+		m = PeerConfirm{ID: d.num(), Term: Term(d.num()), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -9,29 +9,29 @@
 type Entry struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"data"`
-	Revision uint64          `json:"stamp"`
-	Lease    uint64          `json:"permit,omitempty"`
+	Revision Revision        `json:"stamp"`
+	Lease    LeaseID         `json:"permit,omitempty"`
 }
 
 // Entries is a page of keys.
 type Entries struct {
-	Items    []Entry `json:"entries"`
-	More     bool    `json:"truncated"`
-	Revision uint64  `json:"ledger"`
+	Items    []Entry  `json:"entries"`
+	More     bool     `json:"truncated"`
+	Revision Revision `json:"ledger"`
 }
 
 // Condition demands that a key's last change is the given revision; 0: the
 // key does not exist.
 type Condition struct {
-	Key      string `json:"k"`
-	Revision uint64 `json:"stamp"`
+	Key      string   `json:"k"`
+	Revision Revision `json:"stamp"`
 }
 
 // Change writes or deletes a key.
 type Change struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
-	Lease  uint64          `json:"permit,omitempty"`
+	Lease  LeaseID         `json:"permit,omitempty"`
 	Delete string          `json:"delete,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 
 // TxnAnswer is the answer to a transaction, done or refused.
 type TxnAnswer struct {
-	Revision uint64   `json:"ledger"`
+	Revision Revision `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
@@ -54,7 +54,7 @@
 
 // LeaseAnswer names a new lease.
 type LeaseAnswer struct {
-	Lease uint64 `json:"permit"`
+	Lease LeaseID `json:"permit"`
 }
 
 // WatchEvent is one change that a watch saw.
@@ -62,11 +62,11 @@
 	Set      string          `json:"set"`
 	Value    json.RawMessage `json:"data"`
 	Delete   string          `json:"delete"`
-	Revision uint64          `json:"stamp"`
+	Revision Revision        `json:"stamp"`
 }
 
 // WatchAnswer is what a watch returns.
 type WatchAnswer struct {
-	Revision uint64       `json:"ledger"`
+	Revision Revision     `json:"ledger"`
 	Events   []WatchEvent `json:"news"`
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -64,7 +64,7 @@
 	Spot        bool         `json:"loaners"`
 	Incarnation Incarnation  `json:"tenure"`
 	Sequence    Sequence     `json:"tally"`
-	Token       uint64       `json:"warrant"`
+	Token       Term         `json:"warrant"`
 	NoticeS     *float64     `json:"recall_s"`
 	Tasks       []TaskReport `json:"pieces"`
 }
@@ -134,7 +134,7 @@
 
 // ReportAnswer is the answer to a report that was taken.
 type ReportAnswer struct {
-	Token    uint64    `json:"warrant"`
+	Token    Term      `json:"warrant"`
 	Commands []Command `json:"orders"`
 }
 
@@ -145,7 +145,7 @@
 
 // Orders is a direct command to a worker.
 type Orders struct {
-	Token       uint64      `json:"warrant"`
+	Token       Term        `json:"warrant"`
 	Incarnation Incarnation `json:"tenure"`
 	Commands    []Command   `json:"orders"`
 }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -57,7 +57,7 @@
 // Compare squares one worker's report with the records. The report must be newer than
 // what was known of its worker. token is the present leader's. The result is valid
 // until the next call.
-func (c *Reconciler) Compare(records Records, token uint64, r *protocol.Report) []Difference {
+func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Report) []Difference {
 	c.found = c.found[:0]
 	c.stored = records.Attempts(r.Machine, c.stored[:0])
 	current := r.Token == token
@@ -246,7 +246,7 @@
 
 // Reconcile squares a snapshot with all reports that came. Of each worker only the newest
 // report counts, so that their order does not matter.
-func (c *Reconciler) Reconcile(s Snapshot, token uint64, reports []*protocol.Report) []Difference {
+func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Report) []Difference {
 	newest := map[protocol.MachineID]*protocol.Report{}
 	workers := s.Machines()
 	for _, r := range reports {
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -312,10 +312,10 @@
 // work starts on others. Nothing runs twice, and it is logged by name.
 func TestRestoredStore(t *testing.T) {
 	for name, play := range map[string]struct {
-		lacks uint64 // revisions beyond those of the last seconds
-		hangs bool   // a worker with attempts that are on no record
-		wild  bool   // a worker holds a token beyond reason
-		keeps bool   // the workers go on
+		lacks protocol.Revision // revisions beyond those of the last seconds
+		hangs bool              // a worker with attempts that are on no record
+		wild  bool              // a worker holds a token beyond reason
+		keeps bool              // the workers go on
 	}{
 		"seconds old":        {keeps: true},
 		"a little more":      {lacks: 60, keeps: true},
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -251,7 +251,7 @@
 			w.injectFault()
 		}
 		w.Run(60 * time.Second)
-		return w.state.revision, w.rules.started
+		return uint64(w.state.revision), w.rules.started
 	}
 	rev, started := run()
 	for range 3 {
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -63,4 +63,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() uint64 { return w.state.keys[bookkeeping.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.state.keys[bookkeeping.LeaderKey].Revision }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -37,11 +37,11 @@
 // stateService is a stand-in for the state service.
 type stateService struct {
 	w        *World
-	revision uint64
+	revision protocol.Revision
 	keys     map[string]protocol.Entry
 	changes  []change
-	leases   map[uint64]*lease
-	nextID   uint64
+	leases   map[protocol.LeaseID]*lease
+	nextID   protocol.LeaseID
 	watches  []*watch
 	down     bool
 	slow     time.Duration // an answer takes so much longer
@@ -69,14 +69,14 @@
 type watch struct {
 	from   *controller
 	prefix string
-	after  uint64
+	after  protocol.Revision
 	answer func(int, []byte)
 	ended  bool
 }
 
 func newStateService(w *World) *stateService {
 	budget := func(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), int(rps)) }
-	s := &stateService{w: w, limits: w.shape.State, keys: map[string]protocol.Entry{}, leases: map[uint64]*lease{},
+	s := &stateService{w: w, limits: w.shape.State, keys: map[string]protocol.Entry{}, leases: map[protocol.LeaseID]*lease{},
 		calls: budget(w.shape.State.RPS), writes: budget(w.shape.State.WriteRPS)}
 	var tick func()
 	tick = func() {
@@ -102,7 +102,7 @@
 
 // backup is the service's state at a moment.
 type backup struct {
-	revision uint64
+	revision protocol.Revision
 	keys     map[string]protocol.Entry
 }
 
@@ -113,7 +113,7 @@
 func (s *stateService) restore(b backup) {
 	s.revision, s.keys = b.revision, maps.Clone(b.keys)
 	maps.DeleteFunc(s.keys, func(_ string, e protocol.Entry) bool { return e.Lease != 0 })
-	s.changes, s.leases, s.watches = nil, map[uint64]*lease{}, nil
+	s.changes, s.leases, s.watches = nil, map[protocol.LeaseID]*lease{}, nil
 }
 
 // refuse makes the service refuse one node alone; its watches wait.
@@ -143,7 +143,7 @@
 	if s.down {
 		return
 	}
-	var ended []uint64
+	var ended []protocol.LeaseID
 	for id, l := range s.leases {
 		if s.w.Now.After(l.expires) {
 			ended = append(ended, id)
@@ -212,7 +212,7 @@
 func (s *stateService) watch(q url.Values, from *controller, answer func(int, []byte)) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
-	x := &watch{from: from, prefix: q.Get("starts"), after: after, answer: answer}
+	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), answer: answer}
 	s.watches = append(s.watches, x)
 	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.show(x, true) })
 	s.notify()
@@ -270,13 +270,13 @@
 // renew renews the lease that a path names.
 func (s *stateService) renew(path string, answer func(int, []byte)) {
 	id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
-	l := s.leases[id]
+	l := s.leases[protocol.LeaseID(id)]
 	if l == nil {
 		answer(404, nil)
 		return
 	}
 	l.expires = s.w.Now.Add(l.ttl)
-	answer(200, encode(protocol.LeaseAnswer{Lease: id}))
+	answer(200, encode(protocol.LeaseAnswer{Lease: protocol.LeaseID(id)}))
 }
 
 // txn carries a transaction out if it keeps within the limits and its conditions hold.
@@ -366,7 +366,7 @@
 		return
 	}
 	var events []protocol.WatchEvent
-	from, _ := slices.BinarySearchFunc(s.changes, x.after+1, func(c change, after uint64) int { return cmp.Compare(c.event.Revision, after) })
+	from, _ := slices.BinarySearchFunc(s.changes, x.after+1, func(c change, after protocol.Revision) int { return cmp.Compare(c.event.Revision, after) })
 	for _, c := range s.changes[from:] {
 		if strings.HasPrefix(c.key, x.prefix) {
 			events = append(events, c.event)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -16,7 +16,7 @@
 	h        *host
 	session  protocol.Incarnation
 	seq      protocol.Sequence
-	token    uint64
+	token    protocol.Term
 	answered time.Time // when the last answered report was sent, or the session began
 	tasks    map[string]*workerTask
 	images   map[string]bool
@@ -186,7 +186,7 @@
 	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(int, []byte) {})
 }
 
-func (k *worker) accept(token uint64) bool {
+func (k *worker) accept(token protocol.Term) bool {
 	if token < k.token {
 		k.w.rules.lowerTokens++
 		return false
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -25,7 +25,7 @@
 // shows a watch what was set since.
 type stateStub struct {
 	mu       sync.Mutex
-	revision uint64
+	revision protocol.Revision
 	keys     map[string]protocol.Entry
 	changed  chan struct{}
 }
@@ -47,7 +47,7 @@
 		}
 		answer(404, protocol.TxnAnswer{Revision: s.revision})
 	case r.URL.Path == "/watch":
-		var after uint64
+		var after protocol.Revision
 		fmt.Sscan(r.URL.Query().Get("after"), &after)
 		for s.revision <= after && r.Context().Err() == nil {
 			ch := s.changed
