--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -264,7 +264,7 @@
 	ID      protocol.MachineID `json:"id"`
 	Address string             `json:"addr"`
 	Type    string             `json:"type"`
-	Zone    string             `json:"zone"`
+	Zone    protocol.ZoneName  `json:"zone"`
 	Spot    bool               `json:"spot,omitempty"`
 	// Cordoned machines take no further tasks.
 	Cordoned bool `json:"closed,omitempty"`
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,6 +6,8 @@
 	"math"
 	"net"
 	"strconv"
+
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // The least limits of the state service that the records keep within: the
@@ -48,16 +50,16 @@
 
 // teams checks that names are unique and amounts sound.
 func (c *checker) teams(teams []Team) {
-	seen := map[string]bool{}
+	seen := map[protocol.TeamName]bool{}
 	for i, t := range teams {
 		if t.Name == "" || seen[t.Name] {
 			c.fail("cluster.teams[%d].name: %q is empty or used twice", i, t.Name)
 		}
 		seen[t.Name] = true
-		c.amount("cluster.teams["+t.Name+"].cpus", t.CPUs)
-		c.amount("cluster.teams["+t.Name+"].cpus_max", t.MaxCPUs)
-		c.amount("cluster.teams["+t.Name+"].gpus", t.GPUs)
-		c.amount("cluster.teams["+t.Name+"].gpus_max", t.MaxGPUs)
+		c.amount("cluster.teams["+string(t.Name)+"].cpus", t.CPUs)
+		c.amount("cluster.teams["+string(t.Name)+"].cpus_max", t.MaxCPUs)
+		c.amount("cluster.teams["+string(t.Name)+"].gpus", t.GPUs)
+		c.amount("cluster.teams["+string(t.Name)+"].gpus_max", t.MaxGPUs)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,24 +9,25 @@
 	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 	"github.com/pelletier/go-toml/v2"
 )
 
 // Peer is another controller.
 type Peer struct {
-	Name string `toml:"host_name"`
-	Zone string `toml:"domain"`
-	Addr string `toml:"addr"`
+	Name string            `toml:"host_name"`
+	Zone protocol.ZoneName `toml:"domain"`
+	Addr string            `toml:"addr"`
 }
 
 // Team is a team's guarantee and limit. A limit of 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	MaxCPUs float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	MaxGPUs float64 `toml:"gpus_max"`
+	Name    protocol.TeamName `toml:"name"`
+	CPUs    float64           `toml:"cpus"`
+	MaxCPUs float64           `toml:"cpus_max"`
+	GPUs    float64           `toml:"gpus"`
+	MaxGPUs float64           `toml:"gpus_max"`
 }
 
 // Objective is an aim for a class of jobs.
@@ -141,12 +142,12 @@
 
 // Cluster is what all controllers share.
 type Cluster struct {
-	Nodes      int         `toml:"nodes"`
-	Zones      []string    `toml:"zones"`
-	SkewMs     float64     `toml:"skew_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
+	Nodes      int                 `toml:"nodes"`
+	Zones      []protocol.ZoneName `toml:"zones"`
+	SkewMs     float64             `toml:"skew_ms"`
+	Teams      []Team              `toml:"teams"`
+	Objectives []Objective         `toml:"objectives"`
+	Workers    Workers             `toml:"workers"`
 	// State holds the tightest limits of the state service that are known; Present
 	// those that it has now, where they are others.
 	State     State     `toml:"state"`
@@ -163,13 +164,13 @@
 
 // Config is the whole of the settings.
 type Config struct {
-	Name       string    `toml:"host_name"`
-	Zone       string    `toml:"domain"`
-	Listen     string    `toml:"listen"`
-	PeerListen string    `toml:"peer_bind"`
-	Peers      []Peer    `toml:"siblings"`
-	Endpoints  Endpoints `toml:"endpoints"`
-	Cluster    Cluster   `toml:"cluster"`
+	Name       string            `toml:"host_name"`
+	Zone       protocol.ZoneName `toml:"domain"`
+	Listen     string            `toml:"listen"`
+	PeerListen string            `toml:"peer_bind"`
+	Peers      []Peer            `toml:"siblings"`
+	Endpoints  Endpoints         `toml:"endpoints"`
+	Cluster    Cluster           `toml:"cluster"`
 
 	Operator tuning.Operator `toml:"-"`
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -20,7 +20,7 @@
 func fullFleet(waiting int) *leader {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 2000 {
-		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []string{"a", "b", "c"}[i%3], false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i%3], false)
 	}
 	s := gangOf(100, 2)
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
--- a/internal/coordination/eviction.go
+++ b/internal/coordination/eviction.go
@@ -120,7 +120,7 @@
 		})
 		var taken []eviction
 		cost := 0.0
-		per := map[string]int{}
+		per := map[protocol.ZoneName]int{}
 		for _, e := range list {
 			c := min(e.count, need, limit[e.m.zone]-per[e.m.zone])
 			if c <= 0 {
@@ -140,7 +140,7 @@
 		}
 	}
 	p := l.currentPass()
-	collect := func(zone string) (list []eviction) {
+	collect := func(zone protocol.ZoneName) (list []eviction) {
 		p.looks += len(p.open)
 		for _, m := range p.open {
 			if zone != "" && m.zone != zone || only != "" && m.zone != only || !l.suits(j, m) || warm && !m.hasImage(j.spec.Image) {
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,7 +14,7 @@
 type fleet struct {
 	calls   *rate.Limiter
 	demand  []demand
-	load    map[string]int                   // machines in every zone, at the last reckoning
+	load    map[protocol.ZoneName]int        // machines in every zone, at the last reckoning
 	deleted map[protocol.MachineID]time.Time // names that are gone for certain
 	rentals []*rental
 	refused map[offer]time.Time
@@ -25,7 +25,7 @@
 	// idle machines that the replicas of a zone would need if it were lost
 	reserve   map[*machine]bool
 	reserveAt time.Time
-	lostIn    map[string]time.Time // when a machine of a zone was last given up as silent
+	lostIn    map[protocol.ZoneName]time.Time // when a machine of a zone was last given up as silent
 	packAt    time.Time
 	deleting  bool
 	deleteAt  time.Time
@@ -33,7 +33,7 @@
 
 func newFleet(rps float64) fleet {
 	return fleet{calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps))),
-		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, lostIn: map[string]time.Time{}}
+		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, lostIn: map[protocol.ZoneName]time.Time{}}
 }
 
 func (l *leader) tickFleet() {
@@ -62,7 +62,7 @@
 }
 
 // considerReturn decides whether a machine is to go.
-func (l *leader) considerReturn(m *machine, spares map[string]int) {
+func (l *leader) considerReturn(m *machine, spares map[protocol.ZoneName]int) {
 	if m.deleting {
 		return
 	}
@@ -85,8 +85,8 @@
 // are kept while jobs come; a machine that only carries work of the lowest
 // priority is a spare too, for it yields at once. Jobs that may not use spot
 // machines need spares that are none.
-func (l *leader) spares() map[string]int {
-	count := map[string]int{}
+func (l *leader) spares() map[protocol.ZoneName]int {
+	count := map[protocol.ZoneName]int{}
 	if l.n.now.Sub(l.lastJob) > tuning.SpareMemory {
 		return count
 	}
@@ -105,7 +105,7 @@
 
 // spareWanted says whether an idle machine is one of its zone's spares. One
 // that is not no longer counts as such.
-func (l *leader) spareWanted(m *machine, spares map[string]int) bool {
+func (l *leader) spareWanted(m *machine, spares map[protocol.ZoneName]int) bool {
 	if spares[m.zone] == 0 || !l.mayBeSpare(m) {
 		return false
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -22,7 +22,7 @@
 	jobs     map[protocol.JobID]*job
 	machines map[protocol.MachineID]*machine
 	roster   []*machine // the machines by name, the order of their creation; never changed in place
-	teams    map[string]*team
+	teams    map[protocol.TeamName]*team
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -2,13 +2,15 @@
 
 import (
 	"math"
+
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // zoneLimits says how many more tasks of the job each zone may take, given
 // where its tasks may be at this moment. The second result is the only zone
 // left, if one_zone has been decided.
-func (l *leader) zoneLimits(j *job) (limit map[string]int, only string) {
-	limit = map[string]int{}
+func (l *leader) zoneLimits(j *job) (limit map[protocol.ZoneName]int, only protocol.ZoneName) {
+	limit = map[protocol.ZoneName]int{}
 	for _, c := range j.attempts {
 		limit[c.m.zone]++
 		only = c.m.zone
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -66,7 +66,7 @@
 func (l *leader) tickMachines() {
 	now := l.n.now
 	suspected, _ := l.suspectedZones(l.silence())
-	var early, heard map[string]bool // the same as soon as a host may be missing
+	var early, heard map[protocol.ZoneName]bool // the same as soon as a host may be missing
 	for _, m := range l.roster {
 		if l.n.lead != l {
 			return
@@ -140,9 +140,9 @@
 // behind a cut are back when it ends, with their images; what is rented in
 // their place boots, perhaps behind the same cut. heard are the zones most of whose
 // machines report as ever.
-func (l *leader) suspectedZones(silence time.Duration) (suspected, heard map[string]bool) {
+func (l *leader) suspectedZones(silence time.Duration) (suspected, heard map[protocol.ZoneName]bool) {
 	type count struct{ silent, total int }
-	zones := map[string]count{}
+	zones := map[protocol.ZoneName]count{}
 	var all count
 	for _, m := range l.roster {
 		if !m.reported && m.incarnation == 0 {
@@ -158,7 +158,7 @@
 		zones[m.zone] = z
 	}
 	many := func(c count, share float64) bool { return c.silent > 2 && float64(c.silent) > share*float64(c.total) }
-	suspected, heard = map[string]bool{}, map[string]bool{}
+	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
 	for name, z := range zones {
 		suspected[name] = many(z, tuning.ZoneSilentShare) || many(all, tuning.SilentShare)
 		heard[name] = z.total > 0 && float64(z.silent) < tuning.HeardSilentShare*float64(z.total)
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -17,12 +17,13 @@
 
 // machine is a rented machine and its worker.
 type machine struct {
-	id                      protocol.MachineID
-	address, typeName, zone string
-	spot                    bool
-	slots                   buddy.Map
-	kind                    *protocol.MachineType // nil until it is known, and the slots with it
-	cpus, gpus, memory      float64               // in use
+	id                 protocol.MachineID
+	address, typeName  string
+	zone               protocol.ZoneName
+	spot               bool
+	slots              buddy.Map
+	kind               *protocol.MachineType // nil until it is known, and the slots with it
+	cpus, gpus, memory float64               // in use
 
 	record    *machineRecord // its machine record, shared with others
 	entrySize int            // of its entry there, at most
@@ -78,7 +79,7 @@
 }
 
 // machine finds a machine or enters a new one.
-func (l *leader) machine(id protocol.MachineID, address, typeName, zone string, spot bool) *machine {
+func (l *leader) machine(id protocol.MachineID, address, typeName string, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machines[id]
 	if m == nil {
 		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[protocol.JobID]bool{},
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -12,7 +12,7 @@
 // or a mass return costs a change or two, not one for every machine.
 type machineRecord struct {
 	key      string
-	zone     string
+	zone     protocol.ZoneName
 	revision protocol.Revision // revision, 0 while it was never written
 	members  []*machine
 	bytes    int  // of the record, at most
--- a/internal/coordination/pass.go
+++ b/internal/coordination/pass.go
@@ -14,9 +14,9 @@
 	vacant []*machine // those of them that have room for a task that takes GPUs, if they have any
 	looks  int        // machines looked at so far
 	most   int        // looks after which no more room is made in this pass
-	supply map[string]*supply
+	supply map[protocol.ZoneName]*supply
 	// free room of every zone's machines that have yet to report in a recovery
-	awaited map[string]resources
+	awaited map[protocol.ZoneName]resources
 }
 
 // supply is the most that a zone could give to a job: what is free or on its
@@ -57,11 +57,11 @@
 func (p *pass) isExhausted() bool { return p.looks >= p.most }
 
 // zoneSupplies adds up what the zones could give.
-func (l *leader) zoneSupplies(p *pass) map[string]*supply {
+func (l *leader) zoneSupplies(p *pass) map[protocol.ZoneName]*supply {
 	if p.supply != nil {
 		return p.supply
 	}
-	p.supply = map[string]*supply{}
+	p.supply = map[protocol.ZoneName]*supply{}
 	p.looks += len(p.open)
 	for _, m := range p.open {
 		s := p.supply[m.zone]
@@ -102,11 +102,11 @@
 }
 
 // awaitedRoom adds up what machines have free that have yet to report.
-func (l *leader) awaitedRoom(p *pass) map[string]resources {
+func (l *leader) awaitedRoom(p *pass) map[protocol.ZoneName]resources {
 	if p.awaited != nil {
 		return p.awaited
 	}
-	p.awaited = map[string]resources{}
+	p.awaited = map[protocol.ZoneName]resources{}
 	p.looks += len(l.roster)
 	for _, m := range l.roster {
 		if m.loaded && !m.tokenConfirmed && !m.deleting && !m.cordoned && !m.lapsed {
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -62,7 +62,7 @@
 // zonePlace finds the zone with a free block of the gang's order and the least
 // residual room; without one, the zone that holds the gang as a union of
 // smaller blocks.
-func (l *leader) zonePlace(j *job, g int, only string) []site {
+func (l *leader) zonePlace(j *job, g int, only protocol.ZoneName) []site {
 	type choice struct {
 		sites     []site
 		aligned   bool
@@ -107,7 +107,7 @@
 }
 
 // regionPlace spreads a gang over the fewest zones that its limits allow.
-func (l *leader) regionPlace(j *job, g int, limit map[string]int) []site {
+func (l *leader) regionPlace(j *job, g int, limit map[protocol.ZoneName]int) []site {
 	type zoneSites struct {
 		list []site
 		fits int
@@ -142,8 +142,8 @@
 		quota = min(quota, 1)
 	}
 	var list []site
-	var limit map[string]int
-	var only string
+	var limit map[protocol.ZoneName]int
+	var only protocol.ZoneName
 	next := 0 // sites before this one are full or not allowed
 	for i := range j.tasks {
 		t := &j.tasks[i]
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -13,13 +13,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []string{"a", "b", "c"}}
-var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []string{"a", "b"}}
+var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
+var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 
 // testLeader is a leader that never had to be elected.
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
-	cfg.Cluster = config.Cluster{Zones: []string{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
+	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
 		Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
 		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6}}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
@@ -30,7 +30,7 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id protocol.MachineID, typeName, zone string, spot bool) *machine {
+func (l *leader) testMachine(id protocol.MachineID, typeName string, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
 	m.record.revision = 1
@@ -64,7 +64,7 @@
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), kind.Name, kind.Zones[rng.IntN(len(kind.Zones))], rng.IntN(3) == 0)
 		}
 		for range 12 {
-			s := protocol.Job{Team: []string{"free", "tight"}[rng.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + rng.IntN(6),
+			s := protocol.Job{Team: []protocol.TeamName{"free", "tight"}[rng.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + rng.IntN(6),
 				CPUs: float64(1 + rng.IntN(9)), GPUs: float64(rng.IntN(5)), MemoryGB: float64(8 + rng.IntN(60)), Image: "x",
 				OneZone: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0, Spot: rng.IntN(2) == 0}
 			if rng.IntN(3) == 0 {
@@ -97,7 +97,7 @@
 			if len(j.attempts) != s.Tasks {
 				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.attempts))
 			}
-			machines, zones := map[protocol.MachineID]bool{}, map[string]bool{}
+			machines, zones := map[protocol.MachineID]bool{}, map[protocol.ZoneName]bool{}
 			for _, c := range j.attempts {
 				machines[c.m.id], zones[c.m.zone] = true, true
 			}
@@ -118,7 +118,7 @@
 		return false, false, false
 	}
 	s, g := j.spec, len(j.tasks)
-	perZone := map[string]int{}
+	perZone := map[protocol.ZoneName]int{}
 	for _, m := range l.machines {
 		if !l.usable(j, m) {
 			continue
@@ -143,7 +143,7 @@
 
 func (l *leader) checkPlacement(t *testing.T, j *job) {
 	t.Helper()
-	zones := map[string]int{}
+	zones := map[protocol.ZoneName]int{}
 	for _, c := range j.attempts {
 		m := c.m
 		zones[m.zone]++
@@ -166,7 +166,7 @@
 			r := used[c.m]
 			r.addTasks(o.spec, 1)
 			used[c.m] = r
-			gpus[o.spec.Team] += o.spec.GPUs
+			gpus[string(o.spec.Team)] += o.spec.GPUs
 		}
 	}
 	for m, r := range used {
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -152,7 +152,7 @@
 	byArrival := slices.Clone(queue)
 	slices.SortFunc(byArrival, func(a, b *job) int { return cmp.Or(cmp.Compare(a.seq, b.seq), cmp.Compare(a.id, b.id)) })
 	type sum struct{ cpus, gpus float64 }
-	used := map[string]sum{}
+	used := map[protocol.TeamName]sum{}
 	for _, j := range byArrival {
 		t := l.teams[j.spec.Team]
 		if t == nil || j.cancelled {
@@ -175,7 +175,7 @@
 // behind takes its turn: else the teams of an overloaded deployment would
 // take the same machines from each other again and again.
 func (l *leader) markReclaimers(queue []*job) {
-	over := map[string]bool{}
+	over := map[protocol.TeamName]bool{}
 	for _, j := range queue {
 		if !j.cancelled && !j.guaranteed {
 			over[j.spec.Team] = true
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -81,7 +81,7 @@
 		start := time.Unix(1_800_000_000, 0)
 		l := testLeader(start)
 		for i := range 24 {
-			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", []string{"a", "b", "c"}[i/8], false)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i/8], false)
 		}
 		lease := seconds(l.n.cfg.Cluster.Workers.LeaseS)
 		returned := func(till time.Duration) (n int) {
--- a/internal/coordination/rental.go
+++ b/internal/coordination/rental.go
@@ -12,8 +12,9 @@
 
 // offer is what can be rented: a type in a zone, ordinary or spot.
 type offer struct {
-	typeName, zone string
-	spot           bool
+	typeName string
+	zone     protocol.ZoneName
+	spot     bool
 }
 
 // rental is a request under way.
@@ -64,8 +65,8 @@
 // newRentalPlan begins with the room that is there and on its way.
 func (l *leader) newRentalPlan() *rentalPlan {
 	f := &l.fleet
-	f.load = map[string]int{}
-	k := &rentalPlan{l: l, slots: map[string][]*demandSlot{}, want: map[offer]int{},
+	f.load = map[protocol.ZoneName]int{}
+	k := &rentalPlan{l: l, slots: map[protocol.ZoneName][]*demandSlot{}, want: map[offer]int{},
 		plain: slices.ContainsFunc(f.demand, func(d demand) bool { return d.j.spec.GPUs == 0 })}
 	for _, m := range l.roster {
 		f.load[m.zone]++
@@ -140,7 +141,7 @@
 }
 
 // offers lists what could be rented for a job, the cheapest first.
-func (l *leader) offers(j *job, zone string) []offer {
+func (l *leader) offers(j *job, zone protocol.ZoneName) []offer {
 	type priced struct {
 		offer
 		price float64
--- a/internal/coordination/rental_plan.go
+++ b/internal/coordination/rental_plan.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"slices"
+
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // rentalPlan compares what waits with what is there and on its way. Room that
@@ -10,9 +12,9 @@
 // it, and every job that waits looks at the rest.
 type rentalPlan struct {
 	l     *leader
-	slots map[string][]*demandSlot // of every zone
-	want  map[offer]int            // machines to rent
-	plain bool                     // something that waits takes no GPUs
+	slots map[protocol.ZoneName][]*demandSlot // of every zone
+	want  map[offer]int                       // machines to rent
+	plain bool                                // something that waits takes no GPUs
 }
 
 // add enters room that is there.
@@ -29,7 +31,7 @@
 }
 
 // lack is how many of n tasks find no room in a zone.
-func (k *rentalPlan) lack(j *job, zone string, n int) int {
+func (k *rentalPlan) lack(j *job, zone protocol.ZoneName, n int) int {
 	for _, r := range k.slots[zone] {
 		if n == 0 {
 			break
@@ -42,7 +44,7 @@
 }
 
 // take gives up to n tasks room in a zone and returns how many have it.
-func (k *rentalPlan) take(j *job, zone string, n int) (taken int) {
+func (k *rentalPlan) take(j *job, zone protocol.ZoneName, n int) (taken int) {
 	used := false
 	for _, r := range k.slots[zone] {
 		if taken == n {
@@ -76,7 +78,7 @@
 // gang finds the zone where a gang lacks least and takes what it needs there,
 // room that is there first.
 func (k *rentalPlan) gang(d demand) {
-	bestZone, bestLack, bestOffers := "", math.MaxInt, []offer(nil)
+	bestZone, bestLack, bestOffers := protocol.ZoneName(""), math.MaxInt, []offer(nil)
 	for _, z := range k.l.n.cfg.Cluster.Zones {
 		lack := k.lack(d.j, z, d.tasks)
 		var offers []offer
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -43,8 +43,8 @@
 func (l *leader) placeService(j *job) (waiting int) {
 	quota := l.teamQuota(j)
 	var list []site
-	var limit map[string]int
-	var only string
+	var limit map[protocol.ZoneName]int
+	var only protocol.ZoneName
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.liveAttempts > 0 || l.n.now.Before(t.retryAt) {
@@ -84,7 +84,7 @@
 // replicaSites lists the machines that can take a replica. One whose report is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
-func (l *leader) replicaSites(j *job, zone string) []site {
+func (l *leader) replicaSites(j *job, zone protocol.ZoneName) []site {
 	list := slices.DeleteFunc(l.sites(j, zone), func(s site) bool {
 		return l.n.now.Sub(s.m.lastReport) > l.replicaSilence()
 	})
@@ -103,7 +103,7 @@
 
 // lostMachineLately says whether a machine of a zone was given up as silent a moment
 // ago: the rest of the zone may be lost too and only not missed yet.
-func (l *leader) lostMachineLately(zone string) bool {
+func (l *leader) lostMachineLately(zone protocol.ZoneName) bool {
 	at, ok := l.fleet.lostIn[zone]
 	return ok && l.n.now.Sub(at) < tuning.ZoneDistrust
 }
@@ -231,8 +231,8 @@
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
 // back only with the cut's end, and then where a machine is rented for them.
-func (l *leader) isReplaceable(m *machine, heard map[string]bool) bool {
-	if !slices.ContainsFunc(l.n.cfg.Cluster.Zones, func(z string) bool { return z != m.zone && heard[z] }) {
+func (l *leader) isReplaceable(m *machine, heard map[protocol.ZoneName]bool) bool {
+	if !slices.ContainsFunc(l.n.cfg.Cluster.Zones, func(z protocol.ZoneName) bool { return z != m.zone && heard[z] }) {
 		return false
 	}
 	gain := 0
--- a/internal/coordination/sites.go
+++ b/internal/coordination/sites.go
@@ -74,7 +74,7 @@
 }
 
 // allows says whether the job may use machines of this type, zone and kind.
-func allows(s *protocol.Job, typeName, zone string, spot bool) bool {
+func allows(s *protocol.Job, typeName string, zone protocol.ZoneName, spot bool) bool {
 	return protocol.Allowed(s.Types, typeName) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
@@ -105,7 +105,7 @@
 }
 
 // sites lists the machines that can take tasks of a job, the best first.
-func (l *leader) sites(j *job, zone string) []site {
+func (l *leader) sites(j *job, zone protocol.ZoneName) []site {
 	var list []site
 	p := l.currentPass()
 	machines := p.vacant
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -12,7 +12,7 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, since: n.now, jobs: map[protocol.JobID]*job{}, machines: map[protocol.MachineID]*machine{}, teams: map[string]*team{}, unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
+	l := &leader{n: n, since: n.now, jobs: map[protocol.JobID]*job{}, machines: map[protocol.MachineID]*machine{}, teams: map[protocol.TeamName]*team{}, unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
 		calls: n.workerCalls(), fleet: newFleet(n.cfg.Cluster.Cloud.RPS)}
 	l.stored.l = l
 	n.lead = l
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -27,7 +27,7 @@
 		if t.MaxGPUs > 0 && j.GPUs*count > t.MaxGPUs+amountSlack || t.MaxCPUs > 0 && j.CPUs*count > t.MaxCPUs+amountSlack {
 			return "more than the team's limit"
 		}
-		zones := map[string]bool{}
+		zones := map[protocol.ZoneName]bool{}
 		for _, m := range n.types {
 			if m.Fits(j) {
 				for _, z := range m.Zones {
@@ -35,7 +35,7 @@
 				}
 			}
 		}
-		maps.DeleteFunc(zones, func(_ string, allowed bool) bool { return !allowed })
+		maps.DeleteFunc(zones, func(_ protocol.ZoneName, allowed bool) bool { return !allowed })
 		switch {
 		case len(zones) == 0:
 			return "fits no allowed machine type"
--- a/internal/coordination/zone_reserve.go
+++ b/internal/coordination/zone_reserve.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -60,13 +61,13 @@
 
 // servicesByZone lists the services that have replicas in each zone, the largest
 // replicas first.
-func (l *leader) servicesByZone() map[string][]zoneReplicas {
-	zones := map[string][]zoneReplicas{}
+func (l *leader) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
+	zones := map[protocol.ZoneName][]zoneReplicas{}
 	for _, j := range l.jobs {
 		if !j.spec.Service() || j.cancelled || j.blamedCount > 0 {
 			continue
 		}
-		per := map[string]int{}
+		per := map[protocol.ZoneName]int{}
 		for i := range j.tasks {
 			if c := j.tasks[i].active; c != nil && !c.stop {
 				per[c.m.zone]++
@@ -88,7 +89,7 @@
 
 // movableFrom is how many replicas the rules allow in other zones when one is lost,
 // beyond those that are there.
-func (j *job) movableFrom(lost string, per map[string]int, zones []string) int {
+func (j *job) movableFrom(lost protocol.ZoneName, per map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
 	if j.spec.Zone != "" {
 		return 0
 	}
@@ -152,7 +153,7 @@
 }
 
 // provide sees to it that the replicas of one zone have places in the others.
-func (z *zoneReserve) provide(lost string, services []zoneReplicas) {
+func (z *zoneReserve) provide(lost protocol.ZoneName, services []zoneReplicas) {
 	if len(services) == 0 {
 		return
 	}
@@ -188,7 +189,7 @@
 
 // rent wants machines for replicas that have no place outside a zone: in the zone of
 // the others that has the fewest machines, of the cheapest kind.
-func (z *zoneReserve) rent(lost string, j *job, need int) {
+func (z *zoneReserve) rent(lost protocol.ZoneName, j *job, need int) {
 	for need > 0 && len(z.slots) < tuning.ReserveSlots {
 		var best *offer
 		for _, zone := range z.l.n.cfg.Cluster.Zones {
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -37,7 +37,7 @@
 	} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.ZoneReserve = !c.off
-		l.n.cfg.Cluster.Zones = []string{"a", "b"}
+		l.n.cfg.Cluster.Zones = []protocol.ZoneName{"a", "b"}
 		m := l.testMachine("i-1", "big", "a", false)
 		s := serviceOf(4, 4)
 		if c.job != nil {
@@ -54,7 +54,7 @@
 				c.other(l, other)
 			}
 		}
-		l.fleet.load = map[string]int{}
+		l.fleet.load = map[protocol.ZoneName]int{}
 		want := map[offer]int{}
 		l.planReserve(want)
 		rented := 0
@@ -70,7 +70,7 @@
 		if c.kept {
 			l.n.now = l.n.now.Add(l.n.cfg.Operator.IdleReturn + time.Second)
 			other.lastReport = l.n.now
-			l.considerReturn(other, map[string]int{})
+			l.considerReturn(other, map[protocol.ZoneName]int{})
 			if other.deleting {
 				t.Errorf("%s: the machine is returned", c.name)
 			}
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -29,3 +29,9 @@
 
 // LeaseID names a lease of the key-value store. 0: none.
 type LeaseID uint64
+
+// ZoneName names a failure domain, in which machines and controllers are.
+type ZoneName string
+
+// TeamName names a team, which has a guarantee and a limit.
+type TeamName string
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -67,7 +67,7 @@
 type Job struct {
 	ID          JobID    `json:"uid"`
 	Class       string   `json:"lane"`
-	Team        string   `json:"crew"`
+	Team        TeamName `json:"crew"`
 	Shape       Shape    `json:"shape"`
 	Priority    string   `json:"rank"`
 	Tasks       int      `json:"pieces"`
@@ -77,7 +77,7 @@
 	Image       string   `json:"bundle"`
 	ImageGB     float64  `json:"pull_gb"`
 	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
+	Zone        ZoneName `json:"yard,omitempty"`
 	OneZone     bool     `json:"one_zone"`
 	Spread      bool     `json:"scatter"`
 	Spot        bool     `json:"loaners"`
@@ -171,7 +171,7 @@
 	j := &Job{
 		ID:          JobID(c.text("uid", w.ID)),
 		Class:       c.text("lane", w.Class),
-		Team:        c.text("crew", w.Team),
+		Team:        TeamName(c.text("crew", w.Team)),
 		Shape:       Shape(c.text("shape", w.Shape)),
 		Priority:    c.text("rank", w.Priority),
 		Image:       c.text("bundle", w.Image),
@@ -193,7 +193,7 @@
 	c.check("rank", known)
 	j.Tasks = c.tasks(w.Tasks)
 	if w.Zone != nil {
-		j.Zone = c.text("yard", w.Zone)
+		j.Zone = ZoneName(c.text("yard", w.Zone))
 	}
 	j.Types = c.types(w.Types)
 	return j
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -274,7 +274,7 @@
 	e.str(string(r.Machine))
 	e.str(r.Address)
 	e.str(r.Type)
-	e.str(r.Zone)
+	e.str(string(r.Zone))
 	e.flag(r.Spot)
 	e.num(uint64(r.Incarnation))
 	e.num(uint64(r.Sequence))
@@ -294,7 +294,7 @@
 }
 
 func (d *decoder) report() *Report {
-	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
+	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: ZoneName(d.str()), Spot: d.flag(),
 		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: Term(d.num())}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -60,7 +60,7 @@
 	Machine     MachineID    `json:"berth"`
 	Address     string       `json:"address"`
 	Type        string       `json:"build"`
-	Zone        string       `json:"yard"`
+	Zone        ZoneName     `json:"yard"`
 	Spot        bool         `json:"loaners"`
 	Incarnation Incarnation  `json:"tenure"`
 	Sequence    Sequence     `json:"tally"`
--- a/internal/simulation/cloud_service.go
+++ b/internal/simulation/cloud_service.go
@@ -63,7 +63,7 @@
 	return c
 }
 
-func (c *cloudService) add(zone string, spot bool, boot time.Duration) protocol.MachineID {
+func (c *cloudService) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
 	address := string(id)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -232,7 +232,7 @@
 	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", play: func(w *World) {
 		for i := range 10 {
 			s := array(protocol.JobID(fmt.Sprintf("run-80004%d", i)), 6)
-			s.Team = []string{"red", "blue"}[i%2]
+			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
 			w.submit(0, s, 45, 0, false)
 		}
 		w.every(22*time.Second, 5, func(i int) {
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -216,7 +216,7 @@
 			return false
 		}
 	}
-	room := map[string]int{}
+	room := map[protocol.ZoneName]int{}
 	for _, k := range w.workers {
 		if k.hung || k.notice != nil || s.Zone != "" && s.Zone != k.h.Zone || k.h.Spot && !s.Spot {
 			continue
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -12,12 +12,12 @@
 // Grown is a deployment of a thousand machines and three zones.
 func grown() Shape {
 	s := Small()
-	s.Zones = []string{"east", "north", "west"}
+	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
 	s.Teams = nil
 	for i := range 8 {
-		s.Teams = append(s.Teams, config.Team{Name: fmt.Sprint("team-", i), GPUs: 200, MaxGPUs: 800})
+		s.Teams = append(s.Teams, config.Team{Name: protocol.TeamName(fmt.Sprint("team-", i)), GPUs: 200, MaxGPUs: 800})
 	}
 	s.Workers = config.Workers{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
 	s.State = config.State{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -11,8 +11,8 @@
 type rules struct {
 	w           *World
 	jobs        map[protocol.JobID]*simJob
-	onAt        map[string]*workerTask // where a task is
-	use         map[string]float64     // GPUs by team
+	onAt        map[string]*workerTask        // where a task is
+	use         map[protocol.TeamName]float64 // GPUs by team
 	failures    []string
 	started     int
 	late        int // starts after a confirmed cancellation
@@ -36,7 +36,7 @@
 }
 
 func newRules(w *World) *rules {
-	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, onAt: map[string]*workerTask{}, use: map[string]float64{}}
+	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, onAt: map[string]*workerTask{}, use: map[protocol.TeamName]float64{}}
 }
 
 func (r *rules) violated(rule, format string, args ...any) {
@@ -69,7 +69,7 @@
 	if s.Zone != "" && s.Zone != t.k.h.Zone || t.k.h.Spot && !s.Spot {
 		r.violated("wrong_place", "%s on %s", t.name, t.k.h.ID)
 	}
-	zones := map[string]int{}
+	zones := map[protocol.ZoneName]int{}
 	if s.OneZone || s.Spread {
 		for i := range s.Tasks {
 			if o := r.onAt[protocol.TaskName(s.ID, i)]; o != nil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -220,7 +220,7 @@
 	all, done := map[string]int{}, map[string]int{}
 	for _, u := range counted {
 		s := u.j.spec
-		groups := []string{"class " + s.Class, "team " + s.Team}
+		groups := []string{"class " + s.Class, "team " + string(s.Team)}
 		if s.Tasks == largest[s.Class] {
 			groups = append(groups, "the largest of "+s.Class)
 			if late := cmp.Or(u.j.began, w.Now).Sub(u.since); late > within {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -42,7 +42,7 @@
 
 // Shape is a deployment's size: zones, machines, teams and budgets.
 type Shape struct {
-	Zones     []string
+	Zones     []protocol.ZoneName
 	Machines  int // up at the start, shared among the zones
 	Capacity  int // machines that the cloud has, those included
 	Type      protocol.MachineType
@@ -61,7 +61,7 @@
 
 // Small is the shape of most tests.
 func Small() Shape {
-	zones := []string{"east", "west"}
+	zones := []protocol.ZoneName{"east", "west"}
 	return Shape{
 		Zones: zones, Machines: 4, Capacity: 12,
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
@@ -86,7 +86,7 @@
 	seq   int
 	log   *slog.Logger
 
-	zoneOf     map[string]string
+	zoneOf     map[string]protocol.ZoneName
 	cuts       []*cut
 	nodes      []*controller
 	state      *stateService
@@ -126,7 +126,7 @@
 		Audit:   newAudit(),
 		Now:     time.Unix(1_800_000_000, 0),
 		rng:     rand.New(rand.NewPCG(seed, 7)),
-		zoneOf:  map[string]string{},
+		zoneOf:  map[string]protocol.ZoneName{},
 		workers: map[protocol.MachineID]*worker{},
 		release: map[string]release{},
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -100,7 +100,7 @@
 	case !c.up:
 		w.WriteHeader(503)
 	case r.URL.Path == protocol.PathMachineTypes:
-		json.NewEncoder(w).Encode(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "t", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"a"}, BootS: 30}}})
+		json.NewEncoder(w).Encode(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "t", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []protocol.ZoneName{"a"}, BootS: 30}}})
 	default:
 		json.NewEncoder(w).Encode(protocol.MachineList{})
 	}
@@ -125,7 +125,7 @@
 	cfg := &config.Config{Name: "n0", Listen: freeAddr(t), PeerListen: freeAddr(t), Operator: tuning.Defaults(),
 		Peers:     []config.Peer{{Name: "n1", Addr: freeAddr(t)}},
 		Endpoints: config.Endpoints{State: state.Listener.Addr().String(), Cloud: cloud.Listener.Addr().String()},
-		Cluster: config.Cluster{Zones: []string{"a"}, Teams: []config.Team{{Name: "vision", MaxGPUs: 4}},
+		Cluster: config.Cluster{Zones: []protocol.ZoneName{"a"}, Teams: []config.Team{{Name: "vision", MaxGPUs: 4}},
 			Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
 			State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6},
 			Resources: config.Resources{FDLimit: sockets}}}
