--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		file := filepath.Join(p.dir, v.Config(i).Name+".toml")
+		file := filepath.Join(p.dir, string(v.Config(i).Name)+".toml")
 		if err := os.WriteFile(file, settings, 0o644); err != nil {
 			return err
 		}
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -76,15 +76,18 @@
 func MachineRecordKey(id string) string { return MachinePrefix + id }
 
 // RelayKey is the key of the messages from one controller to another.
-func RelayKey(from, to string) string { return RelayPrefix + from + "/" + to }
+func RelayKey(from, to protocol.NodeName) string {
+	return RelayPrefix + string(from) + "/" + string(to)
+}
 
 // ParseRelayKey takes such a key apart.
-func ParseRelayKey(key string) (from, to string, ok bool) {
+func ParseRelayKey(key string) (from, to protocol.NodeName, ok bool) {
 	rest, ok := strings.CutPrefix(key, RelayPrefix)
 	if !ok {
 		return "", "", false
 	}
-	return strings.Cut(rest, "/")
+	sender, receiver, ok := strings.Cut(rest, "/")
+	return protocol.NodeName(sender), protocol.NodeName(receiver), ok
 }
 
 // RelayedFrames holds frames of the controllers' binary format.
@@ -99,7 +102,7 @@
 
 // LeaderLease is the leader lease. Its revision is the term and the token.
 type LeaderLease struct {
-	Node string `json:"node"`
+	Node protocol.NodeName `json:"node"`
 	// Boot tells two lives of one node apart.
 	Boot string `json:"boot"`
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -96,7 +96,7 @@
 	c.addr("peer_bind", cfg.PeerListen)
 	c.addr("endpoints.cloud", cfg.Endpoints.Cloud)
 	c.addr("endpoints.state", cfg.Endpoints.State)
-	seen := map[string]bool{cfg.Name: true}
+	seen := map[protocol.NodeName]bool{cfg.Name: true}
 	for i, s := range cfg.Peers {
 		if s.Name == "" || seen[s.Name] {
 			c.fail("siblings[%d].host_name: %q is empty or used twice", i, s.Name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,7 +16,7 @@
 
 // Peer is another controller.
 type Peer struct {
-	Name string            `toml:"host_name"`
+	Name protocol.NodeName `toml:"host_name"`
 	Zone protocol.ZoneName `toml:"domain"`
 	Addr string            `toml:"addr"`
 }
@@ -164,7 +164,7 @@
 
 // Config is the whole of the settings.
 type Config struct {
-	Name       string            `toml:"host_name"`
+	Name       protocol.NodeName `toml:"host_name"`
 	Zone       protocol.ZoneName `toml:"domain"`
 	Listen     string            `toml:"listen"`
 	PeerListen string            `toml:"peer_bind"`
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -11,7 +11,7 @@
 
 // leaderLease is what a node knows of the leader lease.
 type leaderLease struct {
-	holder   string            // the leader lease's node, "" while nobody holds it
+	holder   protocol.NodeName // the leader lease's node, "" while nobody holds it
 	revision protocol.Revision // the leader lease's revision, 0 while nobody holds it
 
 	acquiring bool
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -41,12 +41,12 @@
 
 // PeerSend sends a message to a peer, if there is a link.
 type PeerSend struct {
-	Peer    string
+	Peer    protocol.NodeName
 	Message protocol.PeerMessage
 }
 
 // PeerReset closes a link that has gone silent, so that it is dialled anew.
-type PeerReset struct{ Peer string }
+type PeerReset struct{ Peer protocol.NodeName }
 
 func (Request) action() {}
 
@@ -92,15 +92,15 @@
 }
 
 // PeerUp and PeerDown say that a link to a peer exists or no longer does.
-type PeerUp struct{ Peer string }
+type PeerUp struct{ Peer protocol.NodeName }
 
 // PeerDown says that the last link to a peer is gone.
-type PeerDown struct{ Peer string }
+type PeerDown struct{ Peer protocol.NodeName }
 
 // PeerReceive is a message from a peer. The links that a process accepts are
 // numbered as they come; a link begins with PeerHello.
 type PeerReceive struct {
-	Peer    string
+	Peer    protocol.NodeName
 	Link    uint64
 	Message protocol.PeerMessage
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -206,8 +206,8 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.stepDown("a test")
-	n.peers = map[string]*peer{"first": {up: true}, "second": {up: true}}
-	lead := func(name string, stamp protocol.Revision) {
+	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
+	lead := func(name protocol.NodeName, stamp protocol.Revision) {
 		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
@@ -215,7 +215,7 @@
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []string{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
 		}
 		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
@@ -226,7 +226,7 @@
 				}
 			case PeerSend:
 				if _, ok := a.Message.(protocol.PeerReport); ok {
-					return "carried to " + a.Peer
+					return string("carried to " + a.Peer)
 				}
 			}
 		}
--- a/internal/coordination/forwarding.go
+++ b/internal/coordination/forwarding.go
@@ -16,7 +16,7 @@
 
 // receivedRequest is a request that a peer sent on to this node.
 type receivedRequest struct {
-	origin string
+	origin protocol.NodeName
 	id     uint64
 }
 
@@ -43,7 +43,7 @@
 	if id&receivedID != 0 {
 		return false
 	}
-	list := slices.DeleteFunc(n.reachablePeers(), func(name string) bool { return !n.peers[name].status.StateOK })
+	list := slices.DeleteFunc(n.reachablePeers(), func(name protocol.NodeName) bool { return !n.peers[name].status.StateOK })
 	if len(list) == 0 {
 		return false
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -66,8 +66,8 @@
 	lease leaderLease
 	lead  *leader
 
-	names           []string // of all controllers, in order
-	peers           map[string]*peer
+	names           []protocol.NodeName // of all controllers, in order
+	peers           map[protocol.NodeName]*peer
 	beatAt          time.Time
 	forwarded       map[uint64]forwardedRequest    // requests that peers answer
 	expireAt        time.Time                      // when they are looked over for late ones
@@ -77,7 +77,7 @@
 	leaderRedirects *rate.Limiter                  // the same by the leader, to all peers
 	contacts        map[protocol.MachineID]contact // workers that report here, or did
 	queuedReports   []queuedReport
-	outboxes        map[string]*outbox
+	outboxes        map[protocol.NodeName]*outbox
 }
 
 // New makes a node. The seed feeds its random pauses; boot tells this life of
@@ -90,14 +90,14 @@
 		types:            map[string]*protocol.MachineType{},
 		finals:           map[protocol.JobID]bookkeeping.Final{},
 		confirmedCancels: map[protocol.JobID]time.Time{},
-		peers:            map[string]*peer{},
+		peers:            map[protocol.NodeName]*peer{},
 		forwarded:        map[uint64]forwardedRequest{},
 		received:         map[uint64]receivedRequest{},
 		delegated:        map[uint64]delegatedCall{},
 		contacts:         map[protocol.MachineID]contact{},
-		outboxes:         map[string]*outbox{},
+		outboxes:         map[protocol.NodeName]*outbox{},
 	}
-	n.names = []string{cfg.Name}
+	n.names = []protocol.NodeName{cfg.Name}
 	for _, s := range cfg.Peers {
 		n.peers[s.Name] = &peer{}
 		n.names = append(n.names, s.Name)
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -19,9 +19,9 @@
 // peerConfirmation is what a leader knows of its peers' confirmation.
 type peerConfirmation struct {
 	requestID   uint64
-	requestedAt time.Time       // when the question under way was sent
-	answers     map[string]bool // who has answered it
-	confirmedAt time.Time       // when the last question that all answered was sent
+	requestedAt time.Time                  // when the question under way was sent
+	answers     map[protocol.NodeName]bool // who has answered it
+	confirmedAt time.Time                  // when the last question that all answered was sent
 }
 
 // noteCancel keeps note of a cancellation that a user is being told of.
@@ -69,7 +69,7 @@
 		return
 	}
 	n.nextID++
-	v.requestID, v.requestedAt, v.answers = n.nextID, n.now, map[string]bool{}
+	v.requestID, v.requestedAt, v.answers = n.nextID, n.now, map[protocol.NodeName]bool{}
 	for _, s := range n.cfg.Peers {
 		if n.isReachable(s.Name) && n.peers[s.Name].level >= protocol.PeerKnowsCancelled {
 			n.out = append(n.out, PeerSend{Peer: s.Name, Message: protocol.PeerConfirmRequest{ID: v.requestID}})
@@ -78,7 +78,7 @@
 }
 
 // confirm answers a leader's question.
-func (n *Node) confirm(from string, ask protocol.PeerConfirmRequest) {
+func (n *Node) confirm(from protocol.NodeName, ask protocol.PeerConfirmRequest) {
 	m := protocol.PeerConfirm{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds())}
 	n.expireConfirmedCancels()
 	for job := range n.confirmedCancels {
@@ -92,7 +92,7 @@
 }
 
 // takeConfirmation takes a peer's confirmation.
-func (n *Node) takeConfirmation(from string, m protocol.PeerConfirm) {
+func (n *Node) takeConfirmation(from protocol.NodeName, m protocol.PeerConfirm) {
 	v := &n.confirmation
 	if n.lead == nil || m.ID != v.requestID {
 		return // an old one, perhaps held back
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -19,28 +19,28 @@
 	level  uint64 // what it has announced on that link that it knows
 }
 
-func (n *Node) peerUp(name string) {
+func (n *Node) peerUp(name protocol.NodeName) {
 	if p := n.peers[name]; p != nil {
 		p.up, p.heard = true, n.now
 		n.beatAt = time.Time{}
 	}
 }
 
-func (n *Node) peerDown(name string) {
+func (n *Node) peerDown(name protocol.NodeName) {
 	if p := n.peers[name]; p != nil {
 		p.up = false
 	}
 }
 
 // isReachable says whether the link to a peer is there and alive.
-func (n *Node) isReachable(name string) bool {
+func (n *Node) isReachable(name protocol.NodeName) bool {
 	p := n.peers[name]
 	return p != nil && p.up && n.now.Sub(p.heard) < tuning.PeerSilent
 }
 
 // reachablePeers lists the peers within reach, in order of their names.
-func (n *Node) reachablePeers() []string {
-	var l []string
+func (n *Node) reachablePeers() []protocol.NodeName {
+	var l []protocol.NodeName
 	for _, s := range n.cfg.Peers {
 		if n.isReachable(s.Name) {
 			l = append(l, s.Name)
@@ -52,7 +52,7 @@
 
 // route finds the peer to hand a message for target to: the target itself,
 // or a third controller that reaches it. "" if there is none.
-func (n *Node) route(target string) string {
+func (n *Node) route(target protocol.NodeName) protocol.NodeName {
 	if n.isReachable(target) {
 		return target
 	}
@@ -64,7 +64,7 @@
 	return ""
 }
 
-func (n *Node) sendTo(target string, m protocol.PeerMessage) bool {
+func (n *Node) sendTo(target protocol.NodeName, m protocol.PeerMessage) bool {
 	via := n.route(target)
 	if via == "" {
 		return n.relayViaState(target, m)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (n *Node) peerReceive(from string, link uint64, m protocol.PeerMessage) {
+func (n *Node) peerReceive(from protocol.NodeName, link uint64, m protocol.PeerMessage) {
 	p := n.peers[from]
 	if p == nil {
 		return
@@ -208,7 +208,7 @@
 }
 
 // passAlong carries a message between two peers, unless it goes in circles.
-func (n *Node) passAlong(target string, hops uint64, m protocol.PeerMessage) {
+func (n *Node) passAlong(target protocol.NodeName, hops uint64, m protocol.PeerMessage) {
 	if hops <= tuning.PeerHops {
 		n.sendTo(target, m)
 	}
@@ -216,7 +216,7 @@
 
 // isPartitioned says whether a peer that this node reaches is out of the leader's
 // reach: the network has a cut, and workers behind it cannot reach the leader.
-func (n *Node) isPartitioned(leader string) bool {
+func (n *Node) isPartitioned(leader protocol.NodeName) bool {
 	for _, name := range n.reachablePeers() {
 		if name != leader && !slices.Contains(n.peers[leader].status.Links, name) {
 			return true
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -15,9 +15,9 @@
 
 // follower is one of three nodes, each linked to the others, while "a" leads
 // and keeps so many of a thousand workers.
-func follower(name string, keeps uint64) *Node {
+func follower(name protocol.NodeName, keeps uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
-	for _, s := range []string{"a", "b", "c"} {
+	for _, s := range []protocol.NodeName{"a", "b", "c"} {
 		if s != name {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: s})
 		}
@@ -26,9 +26,9 @@
 	n.now = time.Unix(1_800_000_000, 0)
 	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
 	for s, p := range n.peers {
-		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []string{"x", "y"}}}
+		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
 		if s == "a" {
-			p.status.DirectShare, p.status.Links = keeps, []string{"b", "c"}
+			p.status.DirectShare, p.status.Links = keeps, []protocol.NodeName{"b", "c"}
 		}
 	}
 	return n
@@ -48,11 +48,11 @@
 				continue
 			}
 			if r, _ := parse[protocol.Redirect](a.Body); a.Status == 421 {
-				return r.ReportTo
+				return string(r.ReportTo)
 			}
 			return fmt.Sprint(a.Status)
 		case PeerSend:
-			return "carried to " + a.Peer
+			return string("carried to " + a.Peer)
 		}
 	}
 	return "parked"
@@ -126,9 +126,9 @@
 		n := l.n
 		n.cfg.Cluster.Resources.Cores = cores
 		n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-		n.names = []string{"n", "o", "p"}
-		for _, s := range []string{"o", "p"} {
-			n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []string{"n", "x"}}}
+		n.names = []protocol.NodeName{"n", "o", "p"}
+		for _, s := range []protocol.NodeName{"o", "p"} {
+			n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
 		}
 		n.leaderRedirects.SetLimit(rate.Inf)
 		for i := range 300 {
@@ -205,9 +205,9 @@
 	n := l.n
 	n.cfg.Cluster.Resources.Cores = 0.001
 	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-	n.names = []string{"n", "o", "p"}
-	for _, s := range []string{"o", "p"} {
-		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []string{"n", "x"}}}
+	n.names = []protocol.NodeName{"n", "o", "p"}
+	for _, s := range []protocol.NodeName{"o", "p"} {
+		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
 	}
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -58,7 +58,7 @@
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
 // nodes reckon the same.
-func (n *Node) proxyFor(machine protocol.MachineID, leader string, keeps uint64) string {
+func (n *Node) proxyFor(machine protocol.MachineID, leader protocol.NodeName, keeps uint64) protocol.NodeName {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	sum := uint64(h.Sum32())
@@ -114,7 +114,7 @@
 
 // redirectTarget is the node that a worker should rather report to, "" if this one
 // fetches the leader's answer for it.
-func (n *Node) redirectTarget(machine protocol.MachineID, leader string) string {
+func (n *Node) redirectTarget(machine protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
 	c := n.contacts[machine]
 	if n.redirectedLately(machine) {
 		return ""
@@ -168,7 +168,7 @@
 }
 
 // redirect sends a worker to another node.
-func (n *Node) redirect(id uint64, r *protocol.Report, to string) {
+func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
 	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
 	n.reply(id, 421, protocol.Redirect{ReportTo: to})
 }
@@ -180,7 +180,7 @@
 
 // leaderFromPeers is the leader that some peer knows of while this node, which has
 // just started or cannot read the state service, does not; "" if none does.
-func (n *Node) leaderFromPeers() string {
+func (n *Node) leaderFromPeers() protocol.NodeName {
 	if n.mirror.Ready() {
 		return ""
 	}
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -21,7 +21,7 @@
 }
 
 // relayViaState queues a message for a peer that no link leads to.
-func (n *Node) relayViaState(target string, m protocol.PeerMessage) bool {
+func (n *Node) relayViaState(target protocol.NodeName, m protocol.PeerMessage) bool {
 	if _, ok := n.peers[target]; !ok || n.now.Sub(n.servedAt) > tuning.AloneAfter {
 		return false
 	}
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -35,3 +35,6 @@
 
 // TeamName names a team, which has a guarantee and a limit.
 type TeamName string
+
+// NodeName names a controller.
+type NodeName string
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -27,22 +27,22 @@
 type PeerMessage interface{ kind() byte }
 
 // PeerHello opens a link.
-type PeerHello struct{ Node string }
+type PeerHello struct{ Node NodeName }
 
 // PeerStatus is what a node says of itself at every beat.
 type PeerStatus struct {
 	Term        Term
-	Leader      string
+	Leader      NodeName
 	StateOK     bool
-	Links       []string // peers that this node has a link to
-	DirectShare uint64   // of a thousand workers the leader answers so many itself
+	Links       []NodeName // peers that this node has a link to
+	DirectShare uint64     // of a thousand workers the leader answers so many itself
 }
 
 // PeerReport carries a worker's report to the leader.
 type PeerReport struct {
 	ID     uint64
-	Origin string
-	Target string
+	Origin NodeName
+	Target NodeName
 	Hops   uint64
 	Report *Report
 }
@@ -50,7 +50,7 @@
 // PeerAnswer carries the answer back.
 type PeerAnswer struct {
 	ID     uint64
-	Target string // the node that forwarded the request first
+	Target NodeName // the node that forwarded the request first
 	Hops   uint64
 	Status uint64
 	Body   []byte
@@ -59,8 +59,8 @@
 // PeerRequest carries a user's request to a node that reaches the state service.
 type PeerRequest struct {
 	ID     uint64
-	Origin string
-	Target string
+	Origin NodeName
+	Target NodeName
 	Verb   string // submit, query or cancel
 	Job    JobID
 	Body   []byte
@@ -111,7 +111,7 @@
 const announcementID = math.MaxUint64
 
 // Announcement says to a peer what this node knows.
-func Announcement(target string) PeerMessage {
+func Announcement(target NodeName) PeerMessage {
 	return PeerAnswer{ID: announcementID, Target: target, Status: PeerLevel, Body: []byte{}}
 }
 
@@ -127,7 +127,7 @@
 // PeerCall has a node send orders to a worker for the leader.
 type PeerCall struct {
 	ID      uint64
-	Origin  string
+	Origin  NodeName
 	Address string // of the worker
 	Body    []byte
 }
@@ -224,35 +224,35 @@
 	e := &encoder{append(b, 'G', 'P', peerVersion, m.kind(), 0, 0, 0, 0)}
 	switch m := m.(type) {
 	case PeerHello:
-		e.str(m.Node)
+		e.str(string(m.Node))
 	case PeerStatus:
 		e.num(uint64(m.Term))
-		e.str(m.Leader)
+		e.str(string(m.Leader))
 		e.flag(m.StateOK)
 		encodeStrings(e, m.Links)
 		e.num(m.DirectShare)
 	case PeerReport:
 		e.num(m.ID)
-		e.str(m.Origin)
-		e.str(m.Target)
+		e.str(string(m.Origin))
+		e.str(string(m.Target))
 		e.num(m.Hops)
 		e.report(m.Report)
 	case PeerAnswer:
 		e.num(m.ID)
-		e.str(m.Target)
+		e.str(string(m.Target))
 		e.num(m.Hops)
 		e.num(m.Status)
 		e.str(string(m.Body))
 	case PeerRequest:
 		e.num(m.ID)
-		e.str(m.Origin)
-		e.str(m.Target)
+		e.str(string(m.Origin))
+		e.str(string(m.Target))
 		e.str(m.Verb)
 		e.str(string(m.Job))
 		e.str(string(m.Body))
 	case PeerCall:
 		e.num(m.ID)
-		e.str(m.Origin)
+		e.str(string(m.Origin))
 		e.str(m.Address)
 		e.str(string(m.Body))
 	case PeerCancelled:
@@ -336,17 +336,17 @@
 	var m PeerMessage
 	switch kind {
 	case PeerHello{}.kind():
-		m = PeerHello{Node: d.str()}
+		m = PeerHello{Node: NodeName(d.str())}
 	case PeerStatus{}.kind():
-		m = PeerStatus{Term: Term(d.num()), Leader: d.str(), StateOK: d.flag(), Links: decodeStrings[string](d), DirectShare: d.num()}
+		m = PeerStatus{Term: Term(d.num()), Leader: NodeName(d.str()), StateOK: d.flag(), Links: decodeStrings[NodeName](d), DirectShare: d.num()}
 	case PeerReport{}.kind():
-		m = PeerReport{ID: d.num(), Origin: d.str(), Target: d.str(), Hops: d.num(), Report: d.report()}
+		m = PeerReport{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Hops: d.num(), Report: d.report()}
 	case PeerAnswer{}.kind():
-		m = PeerAnswer{ID: d.num(), Target: d.str(), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
+		m = PeerAnswer{ID: d.num(), Target: NodeName(d.str()), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
 	case PeerRequest{}.kind():
-		m = PeerRequest{ID: d.num(), Origin: d.str(), Target: d.str(), Verb: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
+		m = PeerRequest{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Verb: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
 	case PeerCall{}.kind():
-		m = PeerCall{ID: d.num(), Origin: d.str(), Address: d.str(), Body: []byte(d.str())}
+		m = PeerCall{ID: d.num(), Origin: NodeName(d.str()), Address: d.str(), Body: []byte(d.str())}
 	case PeerCancelled{}.kind():
 		m = PeerCancelled{Job: JobID(d.str())}
 	case PeerConfirmRequest{}.kind():
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -175,7 +175,7 @@
 	n := 7.5
 	return []PeerMessage{
 		PeerHello{Node: "a"},
-		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []string{"a", "c"}, DirectShare: 250},
+		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
 		PeerCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
 		PeerCancelled{Job: "run-000412"},
 		PeerConfirmRequest{ID: 1 << 40},
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -140,7 +140,7 @@
 
 // Redirect sends a worker to another node.
 type Redirect struct {
-	ReportTo string `json:"steward,omitempty"`
+	ReportTo NodeName `json:"steward,omitempty"`
 }
 
 // Orders is a direct command to a worker.
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -93,9 +93,9 @@
 		if up != c.peers[o.name] {
 			c.peers[o.name] = up
 			if up {
-				c.step(coordination.PeerUp{Peer: o.name})
+				c.step(coordination.PeerUp{Peer: protocol.NodeName(o.name)})
 			} else {
-				c.step(coordination.PeerDown{Peer: o.name})
+				c.step(coordination.PeerDown{Peer: protocol.NodeName(o.name)})
 			}
 		}
 	}
@@ -138,12 +138,12 @@
 				continue
 			}
 			for _, o := range c.w.nodes {
-				if o.name == a.Peer && c.peers[o.name] {
+				if o.name == string(a.Peer) && c.peers[o.name] {
 					to := o.life
 					m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
 					c.w.carry(c.name, o.name, func() {
 						if o.alive && o.life == to {
-							o.step(coordination.PeerReceive{Peer: c.name, Link: uint64(life), Message: m})
+							o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
 						}
 					})
 				}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -70,10 +70,10 @@
 // Config is the settings of one of the controllers.
 func (v *Live) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
-	c.Listen, c.PeerListen = v.users[i], v.peers[c.Name]
+	c.Listen, c.PeerListen = v.users[i], v.peers[string(c.Name)]
 	c.Endpoints = config.Endpoints{State: v.state.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
 	for k := range c.Peers {
-		c.Peers[k].Addr = v.peers[c.Peers[k].Name]
+		c.Peers[k].Addr = v.peers[string(c.Peers[k].Name)]
 	}
 	return c
 }
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -51,7 +51,7 @@
 	case protocol.PeerCancelled, protocol.PeerConfirmRequest, protocol.PeerConfirm:
 		added = true
 	}
-	if added && c.w.release[a.Peer] == release02 {
+	if added && c.w.release[string(a.Peer)] == release02 {
 		c.w.rules.violated("compatibility", "%s sends %T to %s", c.name, a.Message, a.Peer)
 	}
 	return c.w.release[c.name] != release02 || !announces && !added
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -161,7 +161,7 @@
 	var r protocol.Redirect
 	decode(body, &r)
 	for i, o := range k.w.nodes {
-		if o.name == r.ReportTo && i != k.node {
+		if o.name == string(r.ReportTo) && i != k.node {
 			k.node = i
 			k.w.after(k.w.between(0, 500*time.Millisecond), func() { k.inFlight, k.changed = false, true })
 			return
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -156,11 +156,11 @@
 }
 
 func (w *World) config(name string) *config.Config {
-	c := &config.Config{Name: name, Zone: w.zoneOf[name], Operator: tuning.Defaults()}
+	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
 	c.Operator.RecoveryPhase = w.shape.Recovery
 	for _, n := range w.nodes {
 		if n.name != name {
-			c.Peers = append(c.Peers, config.Peer{Name: n.name, Zone: w.zoneOf[n.name]})
+			c.Peers = append(c.Peers, config.Peer{Name: protocol.NodeName(n.name), Zone: w.zoneOf[n.name]})
 		}
 	}
 	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Workers: w.shape.Workers,
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -22,20 +22,21 @@
 	cfg    *config.Config
 	log    *slog.Logger
 	events chan<- coordination.Event
-	links  map[string]*link
+	links  map[protocol.NodeName]*link
 	gather time.Duration // for which workers' reports wait for others on their way to the leader
 	taken  atomic.Uint64 // links accepted so far
 }
 
 type link struct {
-	name, addr string
-	queue      chan protocol.PeerMessage
-	mu         sync.Mutex
-	conn       net.Conn
+	name  protocol.NodeName
+	addr  string
+	queue chan protocol.PeerMessage
+	mu    sync.Mutex
+	conn  net.Conn
 }
 
 func newPeers(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peers {
-	p := &peers{cfg: cfg, log: log, events: events, links: map[string]*link{}, gather: gatherFor(cfg)}
+	p := &peers{cfg: cfg, log: log, events: events, links: map[protocol.NodeName]*link{}, gather: gatherFor(cfg)}
 	for _, s := range cfg.Peers {
 		p.links[s.Name] = &link{name: s.Name, addr: s.Addr, queue: make(chan protocol.PeerMessage, max(tuning.PeerQueue, cfg.Cluster.Resources.FDLimit))}
 	}
@@ -77,7 +78,7 @@
 }
 
 // send queues a message; a full queue drops it, as a broken link would.
-func (p *peers) send(name string, m protocol.PeerMessage) {
+func (p *peers) send(name protocol.NodeName, m protocol.PeerMessage) {
 	if l := p.links[name]; l != nil {
 		select {
 		case l.queue <- m:
@@ -87,7 +88,7 @@
 }
 
 // reset closes a link that has gone silent, so that it is dialled anew.
-func (p *peers) reset(name string) {
+func (p *peers) reset(name protocol.NodeName) {
 	if l := p.links[name]; l != nil {
 		l.mu.Lock()
 		if l.conn != nil {
@@ -176,7 +177,7 @@
 func (p *peers) read(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReaderSize(conn, tuning.PeerBatch)
-	name, number := "", p.taken.Add(1)
+	name, number := protocol.NodeName(""), p.taken.Add(1)
 	for {
 		conn.SetReadDeadline(time.Now().Add(tuning.PeerRead))
 		m, err := protocol.ReadPeer(r)
