--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -264,11 +264,11 @@
 
 // MachineEntry is a machine's entry in its machine record.
 type MachineEntry struct {
-	ID      protocol.MachineID `json:"id"`
-	Address string             `json:"addr"`
-	Type    string             `json:"type"`
-	Zone    protocol.ZoneName  `json:"zone"`
-	Spot    bool               `json:"spot,omitempty"`
+	ID      protocol.MachineID       `json:"id"`
+	Address string                   `json:"addr"`
+	Type    protocol.MachineTypeName `json:"type"`
+	Zone    protocol.ZoneName        `json:"zone"`
+	Spot    bool                     `json:"spot,omitempty"`
 	// Cordoned machines take no further tasks.
 	Cordoned bool `json:"closed,omitempty"`
 }
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -18,7 +18,8 @@
 // machine is a rented machine and its worker.
 type machine struct {
 	id                 protocol.MachineID
-	address, typeName  string
+	address            string
+	typeName           protocol.MachineTypeName
 	zone               protocol.ZoneName
 	spot               bool
 	slots              buddy.Map
@@ -79,7 +80,7 @@
 }
 
 // machine finds a machine or enters a new one.
-func (l *leader) machine(id protocol.MachineID, address, typeName string, zone protocol.ZoneName, spot bool) *machine {
+func (l *leader) machine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machines[id]
 	if m == nil {
 		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[protocol.JobID]bool{},
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -40,7 +40,7 @@
 	stateCalls  *rate.Limiter // requests to the state service
 	metrics     Metrics
 
-	types   map[string]*protocol.MachineType
+	types   map[protocol.MachineTypeName]*protocol.MachineType
 	typesAt time.Time
 
 	mirror    bookkeeping.Mirror
@@ -87,7 +87,7 @@
 		cfg: cfg, log: log, boot: boot,
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		pending:          map[uint64]func(int, []byte){},
-		types:            map[string]*protocol.MachineType{},
+		types:            map[protocol.MachineTypeName]*protocol.MachineType{},
 		finals:           map[protocol.JobID]bookkeeping.Final{},
 		confirmedCancels: map[protocol.JobID]time.Time{},
 		peers:            map[protocol.NodeName]*peer{},
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -30,7 +30,7 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id protocol.MachineID, typeName string, zone protocol.ZoneName, spot bool) *machine {
+func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
 	m.record.revision = 1
@@ -74,7 +74,7 @@
 				s.Zone = "a"
 			}
 			if rng.IntN(5) == 0 {
-				s.Types = []string{"small"}
+				s.Types = []protocol.MachineTypeName{"small"}
 			}
 			j := l.testJob(s)
 			if !j.spec.Gang() {
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -64,7 +64,7 @@
 // wideJob is a job whose description leaves room for few tasks in its first record.
 func wideJob(shape protocol.Shape) *bookkeeping.Job {
 	s := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
-		Image: "img", ImageGB: 1, Types: []string{"big", strings.Repeat("x", 1450)}}
+		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
 	rec := &bookkeeping.Job{Writer: "w-1", Spec: s, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
 	for i := range s.Tasks {
 		task := bookkeeping.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
@@ -306,7 +306,7 @@
 // is refused once and not sent again; it stays readable, and others are written.
 func TestUnwritableRecord(t *testing.T) {
 	rec := wideJob(protocol.ShapeArray)
-	rec.Spec.Types[1] = strings.Repeat("x", 2100)
+	rec.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
 	s := stored(rec)
 	l := s.leader(protocol.PeerLevel)
 	l.n.limitsLowered = true
--- a/internal/coordination/rental.go
+++ b/internal/coordination/rental.go
@@ -12,7 +12,7 @@
 
 // offer is what can be rented: a type in a zone, ordinary or spot.
 type offer struct {
-	typeName string
+	typeName protocol.MachineTypeName
 	zone     protocol.ZoneName
 	spot     bool
 }
--- a/internal/coordination/sites.go
+++ b/internal/coordination/sites.go
@@ -74,7 +74,7 @@
 }
 
 // allows says whether the job may use machines of this type, zone and kind.
-func allows(s *protocol.Job, typeName string, zone protocol.ZoneName, spot bool) bool {
+func allows(s *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
 	return protocol.Allowed(s.Types, typeName) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -24,7 +24,7 @@
 		"processors":        {func(j *protocol.Job) { j.CPUs = 1000 }, false},
 		"GPUs":              {func(j *protocol.Job) { j.GPUs = 64 }, false},
 		"memory":            {func(j *protocol.Job) { j.MemoryGB = 1e6 }, false},
-		"type":              {func(j *protocol.Job) { j.Types = []string{"none"} }, false},
+		"type":              {func(j *protocol.Job) { j.Types = []protocol.MachineTypeName{"none"} }, false},
 		"zone":              {func(j *protocol.Job) { j.Zone = "nowhere" }, false},
 		"gang within limit": {func(j *protocol.Job) { j.Team, j.Tasks = "tight", 6 }, true},
 		"gang over limit":   {func(j *protocol.Job) { j.Team, j.Tasks = "tight", 7 }, false},
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -12,16 +12,16 @@
 
 // MachineType is one entry of the cloud's price list.
 type MachineType struct {
-	Name        string     `json:"label"`
-	CPUs        float64    `json:"cpus"`
-	GPUs        float64    `json:"gpus"`
-	MemoryGB    float64    `json:"memory_gb"`
-	CacheGB     float64    `json:"cache_gb"`
-	FetchGBPerS float64    `json:"fetch_gb_per_s"`
-	Price       float64    `json:"hourly"`
-	SpotPrice   float64    `json:"low_price"`
-	BootS       float64    `json:"startup_s"`
-	Zones       []ZoneName `json:"yards"`
+	Name        MachineTypeName `json:"label"`
+	CPUs        float64         `json:"cpus"`
+	GPUs        float64         `json:"gpus"`
+	MemoryGB    float64         `json:"memory_gb"`
+	CacheGB     float64         `json:"cache_gb"`
+	FetchGBPerS float64         `json:"fetch_gb_per_s"`
+	Price       float64         `json:"hourly"`
+	SpotPrice   float64         `json:"low_price"`
+	BootS       float64         `json:"startup_s"`
+	Zones       []ZoneName      `json:"yards"`
 }
 
 // Fits says whether one task of the job fits an empty machine of this type,
@@ -45,7 +45,7 @@
 }
 
 // Allowed says whether a list of types, empty for any, has this one.
-func Allowed(types []string, name string) bool {
+func Allowed(types []MachineTypeName, name MachineTypeName) bool {
 	if len(types) == 0 {
 		return true
 	}
@@ -67,11 +67,11 @@
 
 // Rental asks the cloud for machines.
 type Rental struct {
-	Request string   `json:"hire"`
-	Type    string   `json:"build"`
-	Zone    ZoneName `json:"yard"`
-	Spot    bool     `json:"loaners"`
-	Count   int      `json:"count"`
+	Request string          `json:"hire"`
+	Type    MachineTypeName `json:"build"`
+	Zone    ZoneName        `json:"yard"`
+	Spot    bool            `json:"loaners"`
+	Count   int             `json:"count"`
 }
 
 // MachineNames lists machines by name.
@@ -81,13 +81,13 @@
 
 // Machine is an entry of the cloud's machine list.
 type Machine struct {
-	ID      MachineID    `json:"uid"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    ZoneName     `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Phase   MachinePhase `json:"phase"`
-	AgeS    float64      `json:"age_s"`
+	ID      MachineID       `json:"uid"`
+	Address string          `json:"address"`
+	Type    MachineTypeName `json:"build"`
+	Zone    ZoneName        `json:"yard"`
+	Spot    bool            `json:"loaners"`
+	Phase   MachinePhase    `json:"phase"`
+	AgeS    float64         `json:"age_s"`
 }
 
 // MachineList is a page of the cloud's machine list.
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -38,3 +38,6 @@
 
 // NodeName names a controller.
 type NodeName string
+
+// MachineTypeName names a machine type of the cloud's price list.
+type MachineTypeName string
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -65,26 +65,26 @@
 
 // Job is a submission.
 type Job struct {
-	ID          JobID    `json:"uid"`
-	Class       string   `json:"lane"`
-	Team        TeamName `json:"crew"`
-	Shape       Shape    `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"memory_gb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"pull_gb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        ZoneName `json:"yard,omitempty"`
-	OneZone     bool     `json:"one_zone"`
-	Spread      bool     `json:"scatter"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"expect_s"`
-	CheckpointS float64  `json:"snapshot_s"`
-	SaveS       float64  `json:"flush_s"`
-	DeadlineS   float64  `json:"due_s,omitempty"`
+	ID          JobID             `json:"uid"`
+	Class       string            `json:"lane"`
+	Team        TeamName          `json:"crew"`
+	Shape       Shape             `json:"shape"`
+	Priority    string            `json:"rank"`
+	Tasks       int               `json:"pieces"`
+	CPUs        float64           `json:"cpus"`
+	GPUs        float64           `json:"gpus"`
+	MemoryGB    float64           `json:"memory_gb"`
+	Image       string            `json:"bundle"`
+	ImageGB     float64           `json:"pull_gb"`
+	Types       []MachineTypeName `json:"builds,omitempty"`
+	Zone        ZoneName          `json:"yard,omitempty"`
+	OneZone     bool              `json:"one_zone"`
+	Spread      bool              `json:"scatter"`
+	Spot        bool              `json:"loaners"`
+	EstimateS   float64           `json:"expect_s"`
+	CheckpointS float64           `json:"snapshot_s"`
+	SaveS       float64           `json:"flush_s"`
+	DeadlineS   float64           `json:"due_s,omitempty"`
 }
 
 // Gang says whether all tasks run at the same time.
@@ -245,17 +245,17 @@
 
 // types takes the allowed machine types. An empty list allows no machine at all: it is
 // not the same as null.
-func (c *jobChecker) types(values []*string) []string {
+func (c *jobChecker) types(values []*string) []MachineTypeName {
 	if values != nil && len(values) == 0 {
-		return []string{noType}
+		return []MachineTypeName{noType}
 	}
-	var list []string
+	var list []MachineTypeName
 	for _, t := range values {
 		if t == nil || *t == "" || len(*t) > maxTypeName || len(values) > maxTypes {
 			c.check("builds", false)
 			return nil
 		}
-		list = append(list, *t)
+		list = append(list, MachineTypeName(*t))
 	}
 	return list
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -273,7 +273,7 @@
 func (e *encoder) report(r *Report) {
 	e.str(string(r.Machine))
 	e.str(r.Address)
-	e.str(r.Type)
+	e.str(string(r.Type))
 	e.str(string(r.Zone))
 	e.flag(r.Spot)
 	e.num(uint64(r.Incarnation))
@@ -294,7 +294,7 @@
 }
 
 func (d *decoder) report() *Report {
-	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: d.str(), Zone: ZoneName(d.str()), Spot: d.flag(),
+	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: MachineTypeName(d.str()), Zone: ZoneName(d.str()), Spot: d.flag(),
 		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: Term(d.num())}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: "high", Tasks: 16,
-		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, OneZone: true, Spot: true,
+		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []MachineTypeName{"g8"}, OneZone: true, Spot: true,
 		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -57,16 +57,16 @@
 
 // Report is a worker's report.
 type Report struct {
-	Machine     MachineID    `json:"berth"`
-	Address     string       `json:"address"`
-	Type        string       `json:"build"`
-	Zone        ZoneName     `json:"yard"`
-	Spot        bool         `json:"loaners"`
-	Incarnation Incarnation  `json:"tenure"`
-	Sequence    Sequence     `json:"tally"`
-	Token       Term         `json:"warrant"`
-	NoticeS     *float64     `json:"recall_s"`
-	Tasks       []TaskReport `json:"pieces"`
+	Machine     MachineID       `json:"berth"`
+	Address     string          `json:"address"`
+	Type        MachineTypeName `json:"build"`
+	Zone        ZoneName        `json:"yard"`
+	Spot        bool            `json:"loaners"`
+	Incarnation Incarnation     `json:"tenure"`
+	Sequence    Sequence        `json:"tally"`
+	Token       Term            `json:"warrant"`
+	NoticeS     *float64        `json:"recall_s"`
+	Tasks       []TaskReport    `json:"pieces"`
 }
 
 // Newer says whether r is a newer message than (incarnation, sequence).
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -180,7 +180,7 @@
 
 // wide is a job whose description takes most of a record's lowered size.
 func wide(j *protocol.Job) *protocol.Job {
-	j.Types = []string{"four", strings.Repeat("x", 1400)}
+	j.Types = []protocol.MachineTypeName{"four", protocol.MachineTypeName(strings.Repeat("x", 1400))}
 	return j
 }
 
