--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -1,5 +1,11 @@
 package protocol
 
+import (
+	"encoding/json"
+	"errors"
+	"reflect"
+)
+
 // JobID names a job, as in run-000412. Its user chooses it; no two jobs share one.
 type JobID string
 
@@ -41,3 +47,18 @@
 
 // MachineTypeName names a machine type of the cloud's price list.
 type MachineTypeName string
+
+// inWireTypes has a decoder's error name the type that an identifier has in JSON and not
+// the identifier's own: senders are told the error.
+func inWireTypes(err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		switch mismatch.Type {
+		case reflect.TypeFor[MachineID](), reflect.TypeFor[MachineTypeName](), reflect.TypeFor[ZoneName]():
+			mismatch.Type = reflect.TypeFor[string]()
+		case reflect.TypeFor[AttemptNumber](), reflect.TypeFor[Incarnation](), reflect.TypeFor[Sequence](), reflect.TypeFor[Term]():
+			mismatch.Type = reflect.TypeFor[uint64]()
+		}
+	}
+	return err
+}
--- /dev/null
+++ b/internal/protocol/identifiers_test.go
@@ -0,0 +1,40 @@
+package protocol
+
+import "testing"
+
+// TestReportRefusalWords: an agent is told of a field of a wrong type in the types of JSON,
+// to the byte as before identifiers had types of their own.
+func TestReportRefusalWords(t *testing.T) {
+	for field, want := range map[string]string{
+		"berth":   "of type string",
+		"address": "of type string",
+		"build":   "of type string",
+		"yard":    "of type string",
+		"loaners": "of type bool",
+		"tenure":  "of type uint64",
+		"tally":   "of type uint64",
+		"warrant": "of type uint64",
+	} {
+		_, err := ParseReport([]byte(`{"` + field + `":-1}`))
+		kind := "number"
+		if want == "of type uint64" {
+			kind = "number -1"
+		}
+		want = "not valid JSON for a report: json: cannot unmarshal " + kind + " into Go struct field Report." + field + " " + want
+		if err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+	for field, want := range map[string]string{"piece": "string", "phase": "protocol.TaskState", "cause": "protocol.Cause"} {
+		_, err := ParseReport([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"` + field + `":7}]}`))
+		want = "not valid JSON for a report: json: cannot unmarshal number into Go struct field TaskReport.pieces." + field + " of type " + want
+		if err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+	_, err := ParseReport([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"try":"x"}]}`))
+	const want = "not valid JSON for a report: json: cannot unmarshal string into Go struct field TaskReport.pieces.try of type uint64"
+	if err == nil || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -83,7 +83,7 @@
 func ParseReport(body []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, fmt.Errorf("not valid JSON for a report: %w", err)
+		return nil, fmt.Errorf("not valid JSON for a report: %w", inWireTypes(err))
 	}
 	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
