--- a/internal/bookkeeping/names_test.go
+++ b/internal/bookkeeping/names_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%s is in no record of the list", tag)
 		}
 	}
-	for _, task := range []Task{{Index: 1, Attempt: 2}, {Index: 1, Attempt: 2, Machine: "m", Session: 3}, {Index: 1, Attempt: 2, Done: true}} {
+	for _, task := range []Task{{Index: 1, Attempt: 2}, {Index: 1, Attempt: 2, Machine: "m", Incarnation: 3}, {Index: 1, Attempt: 2, Done: true}} {
 		list = append(list, "task "+string(Encode(task)))
 	}
 	list = append(list, storedKeys(t)...)
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -42,41 +42,52 @@
 )
 
 // JobKey is the key of an unfinished job.
-func JobKey(id string) string { return JobPrefix + id }
+func JobKey(id protocol.JobID) string { return JobPrefix + string(id) }
+
+// ParseJobKey takes such a key apart.
+func ParseJobKey(key string) (id protocol.JobID, ok bool) {
+	rest, ok := strings.CutPrefix(key, JobPrefix)
+	return protocol.JobID(rest), ok
+}
 
 // FinalKey is the key of a finished job.
-func FinalKey(id string) string { return FinalPrefix + id }
+func FinalKey(id protocol.JobID) string { return FinalPrefix + string(id) }
 
 // TaskRecordKey is the key of a job's n-th record of tasks, n from 1.
-func TaskRecordKey(id string, n int) string { return TaskPrefix + id + "/" + strconv.Itoa(n) }
+func TaskRecordKey(id protocol.JobID, n int) string {
+	return TaskPrefix + string(id) + "/" + strconv.Itoa(n)
+}
 
 // ParseTaskRecordKey takes such a key apart.
-func ParseTaskRecordKey(key string) (id string, n int, ok bool) {
+func ParseTaskRecordKey(key string) (id protocol.JobID, n int, ok bool) {
 	rest, ok := strings.CutPrefix(key, TaskPrefix)
 	if !ok {
 		return "", 0, false
 	}
-	id, num, ok := strings.Cut(rest, "/")
+	job, num, ok := strings.Cut(rest, "/")
 	if !ok {
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(num)
-	return id, n, err == nil && n > 0
+	return protocol.JobID(job), n, err == nil && n > 0
 }
 
 // MachineRecordKey is the key of a machine record.
 func MachineRecordKey(id string) string { return MachinePrefix + id }
 
 // RelayKey is the key of the messages from one controller to another.
-func RelayKey(from, to string) string { return RelayPrefix + from + "/" + to }
+func RelayKey(from, to protocol.NodeName) string {
+	return RelayPrefix + string(from) + "/" + string(to)
+}
 
 // ParseRelayKey takes such a key apart.
-func ParseRelayKey(key string) (from, to string, ok bool) {
+func ParseRelayKey(key string) (from, to protocol.NodeName, ok bool) {
 	rest, ok := strings.CutPrefix(key, RelayPrefix)
 	if !ok {
 		return "", "", false
 	}
-	return strings.Cut(rest, "/")
+	sender, receiver, ok := strings.Cut(rest, "/")
+	return protocol.NodeName(sender), protocol.NodeName(receiver), ok
 }
 
 // RelayedFrames holds frames of the controllers' binary format.
@@ -91,7 +102,7 @@
 
 // LeaderLease is the leader lease. Its revision is the term and the token.
 type LeaderLease struct {
-	Node string `json:"node"`
+	Node protocol.NodeName `json:"node"`
 	// Boot tells two lives of one node apart.
 	Boot string `json:"boot"`
 }
@@ -99,20 +110,20 @@
 // Restored marks a state service that lacks what workers have seen of it: jobs of before
 // may run on workers that have yet to report. Token is the highest that a worker held.
 type Restored struct {
-	Writer string `json:"w"`
-	Token  uint64 `json:"token"`
+	Writer string        `json:"w"`
+	Token  protocol.Term `json:"token"`
 }
 
 // Task is the part of a task that must outlive every controller. It is written
-// as [index,attempt] when it has no place, [index,attempt,"machine",session]
+// as [index,attempt] when it has no place, [index,attempt,"machine",incarnation]
 // when it has one, and [index,attempt,1] when it is done: a job of a hundred
 // tasks then fits into one record.
 type Task struct {
-	Index   int
-	Attempt uint64
-	Machine string
-	Session uint64
-	Done    bool
+	Index       int
+	Attempt     protocol.AttemptNumber
+	Machine     protocol.MachineID
+	Incarnation protocol.Incarnation
+	Done        bool
 }
 
 // MarshalJSON writes the short form.
@@ -121,7 +132,7 @@
 	b = append(b, '[')
 	b = strconv.AppendInt(b, int64(t.Index), 10)
 	b = append(b, ',')
-	b = strconv.AppendUint(b, t.Attempt, 10)
+	b = strconv.AppendUint(b, uint64(t.Attempt), 10)
 	switch {
 	case t.Done:
 		b = append(b, ",1"...)
@@ -132,7 +143,7 @@
 		}
 		b = append(append(b, ','), name...)
 		b = append(b, ',')
-		b = strconv.AppendUint(b, t.Session, 10)
+		b = strconv.AppendUint(b, uint64(t.Incarnation), 10)
 	}
 	return append(b, ']'), nil
 }
@@ -156,10 +167,10 @@
 		t.Done = len(fields) == 3
 		var errs [4]error
 		t.Index, errs[0] = strconv.Atoi(string(fields[0]))
-		t.Attempt, errs[1] = strconv.ParseUint(string(fields[1]), 10, 64)
+		t.Attempt, errs[1] = parseNumber[protocol.AttemptNumber](fields[1])
 		if len(fields) == 4 {
 			errs[2] = json.Unmarshal(fields[2], &t.Machine)
-			t.Session, errs[3] = strconv.ParseUint(string(fields[3]), 10, 64)
+			t.Incarnation, errs[3] = parseNumber[protocol.Incarnation](fields[3])
 		}
 		if err := errors.Join(errs[:]...); err != nil {
 			return err
@@ -168,13 +179,19 @@
 	return nil
 }
 
+// parseNumber reads a number of a short form.
+func parseNumber[N ~uint64](field json.RawMessage) (N, error) {
+	n, err := strconv.ParseUint(string(field), 10, 64)
+	return N(n), err
+}
+
 func (list *Tasks) unmarshalLong(value []byte) error {
 	var long []struct {
-		Index   int    `json:"i"`
-		Attempt uint64 `json:"n"`
-		Machine string `json:"m"`
-		Session uint64 `json:"s"`
-		Done    bool   `json:"d"`
+		Index       int                    `json:"i"`
+		Attempt     protocol.AttemptNumber `json:"n"`
+		Machine     protocol.MachineID     `json:"m"`
+		Incarnation protocol.Incarnation   `json:"s"`
+		Done        bool                   `json:"d"`
 	}
 	err := json.Unmarshal(value, &long)
 	*list = nil
@@ -187,15 +204,15 @@
 // Job is the record of an unfinished job. Writer is unique to every write: by
 // it a transaction whose answer was lost is told from one that never happened.
 type Job struct {
-	Writer      string        `json:"w"`
-	Spec        *protocol.Job `json:"spec"`
-	AtMs        int64         `json:"at"`            // time of day of the submission
-	Seq         uint64        `json:"seq,omitempty"` // revision of the submission: the order of arrival
-	Attempt     uint64        `json:"try,omitempty"` // the gang's epoch
-	Cancelled   bool          `json:"off,omitempty"`
-	Done        int           `json:"done,omitempty"`
-	Placed      int           `json:"placed,omitempty"`
-	RecordTasks int           `json:"chunk"` // tasks per record
+	Writer      string                 `json:"w"`
+	Spec        *protocol.Job          `json:"spec"`
+	AtMs        int64                  `json:"at"`            // time of day of the submission
+	Seq         protocol.Revision      `json:"seq,omitempty"` // revision of the submission: the order of arrival
+	Attempt     protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
+	Cancelled   bool                   `json:"off,omitempty"`
+	Done        int                    `json:"done,omitempty"`
+	Placed      int                    `json:"placed,omitempty"`
+	RecordTasks int                    `json:"chunk"` // tasks per record
 	// Parts is the number of records if there are more than the chunk says: one that
 	// had outgrown the limits was split, and what it gave away is in the last ones.
 	// Version 0.2 would not find those.
@@ -247,11 +264,11 @@
 
 // MachineEntry is a machine's entry in its machine record.
 type MachineEntry struct {
-	ID      string `json:"id"`
-	Address string `json:"addr"`
-	Type    string `json:"type"`
-	Zone    string `json:"zone"`
-	Spot    bool   `json:"spot,omitempty"`
+	ID      protocol.MachineID       `json:"id"`
+	Address string                   `json:"addr"`
+	Type    protocol.MachineTypeName `json:"type"`
+	Zone    protocol.ZoneName        `json:"zone"`
+	Spot    bool                     `json:"spot,omitempty"`
 	// Cordoned machines take no further tasks.
 	Cordoned bool `json:"closed,omitempty"`
 }
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -3,13 +3,14 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // addAttempt enters an attempt into every account.
-func (l *leader) addAttempt(j *job, index int, attempt uint64, m *machine, session uint64) *taskAttempt {
-	c := &taskAttempt{j: j, key: attemptKey{index, attempt, m.id}, m: m, session: session, since: l.n.now}
+func (l *leader) addAttempt(j *job, index int, attempt protocol.AttemptNumber, m *machine, incarnation protocol.Incarnation) *taskAttempt {
+	c := &taskAttempt{j: j, key: attemptKey{index, attempt, m.id}, m: m, incarnation: incarnation, since: l.n.now}
 	c.slots = m.slots.Carve(taskSlots(j.spec))
 	j.attempts[c.key] = c
 	j.tasks[index].liveAttempts++
@@ -116,7 +117,7 @@
 // pinSurvivors keeps the machines of a broken gang's other tasks for its next
 // attempt: the repair then only has to find room for what was lost.
 func (l *leader) pinSurvivors(j *job) {
-	j.survivors = map[string]bool{}
+	j.survivors = map[protocol.MachineID]bool{}
 	for _, c := range j.sortedAttempts() {
 		j.survivors[c.m.id] = true
 		if c.m.hold == nil {
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -14,9 +14,9 @@
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(m *machine, token uint64, tasks ...protocol.TaskReport) []protocol.Command {
+func (l *leader) testReport(m *machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
 	cmds, _ := l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Spot: m.spot,
-		Session: 1, Seq: m.seq + 1, Token: token, Tasks: tasks}, true)
+		Incarnation: 1, Sequence: m.sequence + 1, Token: token, Tasks: tasks}, true)
 	return cmds
 }
 
@@ -44,7 +44,7 @@
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
 	j := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.id, Session: 1}}}, 9)
+		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1}}}, 9)
 	return j, j.sortedAttempts()[0]
 }
 
@@ -100,7 +100,7 @@
 	if got := ops(l.testReport(m, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: j.id + "/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskReport{Task: protocol.TaskName(j.id, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := ops(l.testReport(m, l.n.lease.term, exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
@@ -157,11 +157,11 @@
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
 	txn, _ := parse[protocol.Txn](r.Body)
-	guards := map[string]uint64{}
+	guards := map[string]protocol.Revision{}
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]uint64{bookkeeping.LeaderKey: l.n.lease.term, bookkeeping.JobKey(j.id): stamp, m.record.key: m.record.revision} {
+	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(j.id): stamp, m.record.key: m.record.revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -128,8 +128,8 @@
 	watch := protocol.WatchAnswer{Revision: 90}
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
-		s.ID, s.Priority = fmt.Sprintf("run-%06d", 50+i), "high"
-		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: uint64(80 + i),
+		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
+		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: protocol.Revision(80 + i),
 			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
 	n.mirror.BeginLoad()
@@ -148,8 +148,8 @@
 	n := l.n
 	m := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
-		m.seq++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.id, Address: "h:1", Type: "big", Zone: "a", Session: 1, Seq: m.seq + 10, Token: n.lease.term}}
+		m.sequence++
+		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.id, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: m.sequence + 10, Token: n.lease.term}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -206,8 +206,8 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.stepDown("a test")
-	n.peers = map[string]*peer{"first": {up: true}, "second": {up: true}}
-	lead := func(name string, stamp uint64) {
+	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
+	lead := func(name protocol.NodeName, stamp protocol.Revision) {
 		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
@@ -215,9 +215,9 @@
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: n.lease.revision, Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []string{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
 		}
-		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Session: 1, Seq: seq}}})
+		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
@@ -226,7 +226,7 @@
 				}
 			case PeerSend:
 				if _, ok := a.Message.(protocol.PeerReport); ok {
-					return "carried to " + a.Peer
+					return string("carried to " + a.Peer)
 				}
 			}
 		}
@@ -281,7 +281,7 @@
 	if n.Leading() {
 		t.Fatal("leads before its claim was renewed")
 	}
-	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Session: 1, Seq: 1}}})
+	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
 			t.Fatalf("a report is answered %d meanwhile", r.Status)
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -12,27 +12,27 @@
 
 // job is an unfinished job.
 type job struct {
-	id         string
+	id         protocol.JobID
 	spec       *protocol.Job
 	rank       protocol.Rank
-	seq        uint64
+	seq        protocol.Revision
 	at         time.Time
-	startBy    []time.Time // an array must start by then to meet its deadline and its class's aims
-	everPlaced bool        // a task of it has had a place
-	epoch      uint64      // the gang's epoch
+	startBy    []time.Time            // an array must start by then to meet its deadline and its class's aims
+	everPlaced bool                   // a task of it has had a place
+	epoch      protocol.AttemptNumber // the gang's epoch
 	cancelled  bool
 	chunk      int
 	tasks      []task
 	done       int
-	revisions  []uint64       // revision of every record, the first is the job's own
-	moved      map[int]int    // tasks that are not in the record that the chunk says
-	extraParts [][]int        // the tasks of the records beyond those
-	newParts   map[int]int    // records split off that the job's own record does not name yet, and from which
-	staged     map[int]bool   // those of them that are written as they should be
-	leftovers  map[int]uint64 // parts that a predecessor staged and never named, with their revisions
-	splitting  bool           // the split takes several transactions: nothing is placed meanwhile
-	unwritable bool           // its records cannot be brought under the lowered limits
-	specSize   int            // of the description in the first record
+	revisions  []protocol.Revision       // revision of every record, the first is the job's own
+	moved      map[int]int               // tasks that are not in the record that the chunk says
+	extraParts [][]int                   // the tasks of the records beyond those
+	newParts   map[int]int               // records split off that the job's own record does not name yet, and from which
+	staged     map[int]bool              // those of them that are written as they should be
+	leftovers  map[int]protocol.Revision // parts that a predecessor staged and never named, with their revisions
+	splitting  bool                      // the split takes several transactions: nothing is placed meanwhile
+	unwritable bool                      // its records cannot be brought under the lowered limits
+	specSize   int                       // of the description in the first record
 
 	attempts       map[attemptKey]*taskAttempt
 	dirty          map[int]bool // records that must be written
@@ -46,10 +46,10 @@
 	reclaimChecked bool         // whether mayReclaim was first decided
 	stopping       bool         // the gang's attempt is being ended
 	retryAt        time.Time
-	survivors      map[string]bool // machines of the broken attempt that are still there
-	failures       map[string]bool // machines on which a task failed
-	blamedCount    int             // how often the job, not a machine, was blamed for a failure
-	avoid          map[string]time.Time
+	survivors      map[protocol.MachineID]bool // machines of the broken attempt that are still there
+	failures       map[protocol.MachineID]bool // machines on which a task failed
+	blamedCount    int                         // how often the job, not a machine, was blamed for a failure
+	avoid          map[protocol.MachineID]time.Time
 	waitingSince   time.Time  // since when something waits for its place
 	held           []*machine // machines whose room is kept for it
 	searchAt       time.Time  // when room may be made for it again
@@ -59,7 +59,7 @@
 // task is one task of a job. A task has at most one attempt that it is waiting
 // for; older attempts that may still be somewhere are in job.attempts too.
 type task struct {
-	lastAttempt  uint64
+	lastAttempt  protocol.AttemptNumber
 	done         bool
 	liveAttempts int
 	active       *taskAttempt
@@ -69,30 +69,30 @@
 
 type attemptKey struct {
 	index   int
-	attempt uint64
-	machine string
+	attempt protocol.AttemptNumber
+	machine protocol.MachineID
 }
 
 // taskAttempt is one attempt of a task on one machine, from the moment it is
 // planned until it is proven gone. While it exists it takes room and quota.
 type taskAttempt struct {
-	j         *job
-	key       attemptKey
-	m         *machine
-	session   uint64
-	slots     []int
-	committed bool
-	sent      bool               // a start may have left
-	state     protocol.TaskState // as last reported, "" while never seen
-	since     time.Time
-	running   time.Time // when it was first seen running
-	pinned    bool      // a direct start was never answered: it may yet arrive
-	direct    int       // direct orders with its start under way
-	directAt  time.Time // when the last of them left
-	stop      bool
-	grace     float64
-	stopSent  time.Time
-	inReply   bool // its start is in the answer to the last report
+	j           *job
+	key         attemptKey
+	m           *machine
+	incarnation protocol.Incarnation
+	slots       []int
+	committed   bool
+	sent        bool               // a start may have left
+	state       protocol.TaskState // as last reported, "" while never seen
+	since       time.Time
+	running     time.Time // when it was first seen running
+	pinned      bool      // a direct start was never answered: it may yet arrive
+	direct      int       // direct orders with its start under way
+	directAt    time.Time // when the last of them left
+	stop        bool
+	grace       float64
+	stopSent    time.Time
+	inReply     bool // its start is in the answer to the last report
 	// loaded attempts come from a predecessor's record, which does not say whether
 	// they ended since: what they took may have been given to others by then.
 	// So they are never started again; one that a worker does not have is gone.
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -10,33 +10,36 @@
 )
 
 type taskKey struct {
-	job     string
+	job     protocol.JobID
 	index   int
-	attempt uint64
+	attempt protocol.AttemptNumber
 }
 
 // machine is a rented machine and its worker.
 type machine struct {
-	id, address, typeName, zone string
-	spot                        bool
-	slots                       buddy.Map
-	kind                        *protocol.MachineType // nil until it is known, and the slots with it
-	cpus, gpus, memory          float64               // in use
+	id                 protocol.MachineID
+	address            string
+	typeName           protocol.MachineTypeName
+	zone               protocol.ZoneName
+	spot               bool
+	slots              buddy.Map
+	kind               *protocol.MachineType // nil until it is known, and the slots with it
+	cpus, gpus, memory float64               // in use
 
 	record    *machineRecord // its machine record, shared with others
 	entrySize int            // of its entry there, at most
 	recorded  bool           // the record has it
 	cordoned  bool           // takes no further tasks, says the machine record
 
-	loaded         bool      // known from a predecessor's record
-	reported       bool      // to this leader
-	tokenConfirmed bool      // the worker has shown this leader's token
-	session        uint64    // newest known
-	seq            uint64    // newest known within the session
-	lastReport     time.Time // newest message of any kind
-	answered       time.Time // the last answered report: the lease counts from here at most
-	lapsed         bool      // the lease has surely run out since
-	lapsedAt       time.Time // when that was found
+	loaded         bool                 // known from a predecessor's record
+	reported       bool                 // to this leader
+	tokenConfirmed bool                 // the worker has shown this leader's token
+	incarnation    protocol.Incarnation // newest known
+	sequence       protocol.Sequence    // newest known within the incarnation
+	lastReport     time.Time            // newest message of any kind
+	answered       time.Time            // the last answered report: the lease counts from here at most
+	lapsed         bool                 // the lease has surely run out since
+	lapsedAt       time.Time            // when that was found
 
 	attempts map[taskKey]*taskAttempt
 	exited   []protocol.TaskReport // as last reported
@@ -46,8 +49,8 @@
 	strays     []taskKey // tasks of jobs that nobody knows
 	idleSince  time.Time
 
-	spotNotice bool   // the cloud takes the machine away soon
-	heldToken  uint64 // a token above this leader's term that the worker has shown
+	spotNotice bool          // the cloud takes the machine away soon
+	heldToken  protocol.Term // a token above this leader's term that the worker has shown
 	// since when every report has had entries that name no task
 	unreadableSince time.Time
 
@@ -64,7 +67,7 @@
 
 	born     time.Time
 	phase    protocol.MachinePhase
-	failed   map[string]bool // jobs that failed here, none succeeding between
+	failed   map[protocol.JobID]bool // jobs that failed here, none succeeding between
 	distrust bool
 	images   []image
 	hold     *job // room freed by preemption is kept for it
@@ -77,10 +80,10 @@
 }
 
 // machine finds a machine or enters a new one.
-func (l *leader) machine(id, address, typeName, zone string, spot bool) *machine {
+func (l *leader) machine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machines[id]
 	if m == nil {
-		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[string]bool{},
+		m = &machine{id: id, attempts: map[taskKey]*taskAttempt{}, pins: map[taskKey]bool{}, forgetSent: map[taskKey]time.Time{}, failed: map[protocol.JobID]bool{},
 			idleSince: l.n.now, born: l.n.now, slots: buddy.New(0)}
 		l.machines[id] = m
 		l.enroll(m)
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/buddy"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // Placement is HDF-B: a gang goes whole into the smallest domain (a machine,
@@ -61,7 +62,7 @@
 // zonePlace finds the zone with a free block of the gang's order and the least
 // residual room; without one, the zone that holds the gang as a union of
 // smaller blocks.
-func (l *leader) zonePlace(j *job, g int, only string) []site {
+func (l *leader) zonePlace(j *job, g int, only protocol.ZoneName) []site {
 	type choice struct {
 		sites     []site
 		aligned   bool
@@ -106,7 +107,7 @@
 }
 
 // regionPlace spreads a gang over the fewest zones that its limits allow.
-func (l *leader) regionPlace(j *job, g int, limit map[string]int) []site {
+func (l *leader) regionPlace(j *job, g int, limit map[protocol.ZoneName]int) []site {
 	type zoneSites struct {
 		list []site
 		fits int
@@ -141,8 +142,8 @@
 		quota = min(quota, 1)
 	}
 	var list []site
-	var limit map[string]int
-	var only string
+	var limit map[protocol.ZoneName]int
+	var only protocol.ZoneName
 	next := 0 // sites before this one are full or not allowed
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -183,7 +184,7 @@
 }
 
 // nextAttempt is the gang's next epoch: above every attempt of every task.
-func (l *leader) nextAttempt(j *job) uint64 {
+func (l *leader) nextAttempt(j *job) protocol.AttemptNumber {
 	next := j.epoch
 	for i := range j.tasks {
 		next = max(next, j.tasks[i].lastAttempt)
@@ -192,9 +193,9 @@
 }
 
 // assign plans a task onto a machine. Its start leaves once that is committed.
-func (l *leader) assign(j *job, index int, attempt uint64, m *machine) {
+func (l *leader) assign(j *job, index int, attempt protocol.AttemptNumber, m *machine) {
 	t := &j.tasks[index]
-	c := l.addAttempt(j, index, attempt, m, m.session)
+	c := l.addAttempt(j, index, attempt, m, m.incarnation)
 	t.lastAttempt, t.active, j.everPlaced = attempt, c, true
 	l.n.log.Debug("task placed", "job", j.id, "task", index, "attempt", attempt, "machine", m.id)
 	if m.hold == j {
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -13,13 +13,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []string{"a", "b", "c"}}
-var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []string{"a", "b"}}
+var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
+var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 
 // testLeader is a leader that never had to be elected.
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
-	cfg.Cluster = config.Cluster{Zones: []string{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
+	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
 		Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
 		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6}}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
@@ -30,21 +30,21 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id, typeName, zone string, spot bool) *machine {
+func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *machine {
 	m := l.machine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
 	m.record.revision = 1
-	m.recorded, m.reported, m.tokenConfirmed, m.session, m.lastReport, m.answered = true, true, true, 1, l.n.now, l.n.now
+	m.recorded, m.reported, m.tokenConfirmed, m.incarnation, m.lastReport, m.answered = true, true, true, 1, l.n.now, l.n.now
 	l.kind(m)
 	return m
 }
 
 func (l *leader) testJob(s protocol.Job) *job {
-	s.ID = fmt.Sprintf("run-%06d", len(l.jobs)+1)
+	s.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(l.jobs)+1))
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, uint64(len(l.jobs)+10))
+	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
@@ -61,10 +61,10 @@
 			if rng.IntN(3) == 0 {
 				kind = &smallType
 			}
-			l.testMachine(fmt.Sprintf("i-%02d", i), kind.Name, kind.Zones[rng.IntN(len(kind.Zones))], rng.IntN(3) == 0)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), kind.Name, kind.Zones[rng.IntN(len(kind.Zones))], rng.IntN(3) == 0)
 		}
 		for range 12 {
-			s := protocol.Job{Team: []string{"free", "tight"}[rng.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + rng.IntN(6),
+			s := protocol.Job{Team: []protocol.TeamName{"free", "tight"}[rng.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + rng.IntN(6),
 				CPUs: float64(1 + rng.IntN(9)), GPUs: float64(rng.IntN(5)), MemoryGB: float64(8 + rng.IntN(60)), Image: "x",
 				OneZone: rng.IntN(2) == 0, Spread: rng.IntN(3) == 0, Spot: rng.IntN(2) == 0}
 			if rng.IntN(3) == 0 {
@@ -74,7 +74,7 @@
 				s.Zone = "a"
 			}
 			if rng.IntN(5) == 0 {
-				s.Types = []string{"small"}
+				s.Types = []protocol.MachineTypeName{"small"}
 			}
 			j := l.testJob(s)
 			if !j.spec.Gang() {
@@ -97,7 +97,7 @@
 			if len(j.attempts) != s.Tasks {
 				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.attempts))
 			}
-			machines, zones := map[string]bool{}, map[string]bool{}
+			machines, zones := map[protocol.MachineID]bool{}, map[protocol.ZoneName]bool{}
 			for _, c := range j.attempts {
 				machines[c.m.id], zones[c.m.zone] = true, true
 			}
@@ -118,7 +118,7 @@
 		return false, false, false
 	}
 	s, g := j.spec, len(j.tasks)
-	perZone := map[string]int{}
+	perZone := map[protocol.ZoneName]int{}
 	for _, m := range l.machines {
 		if !l.usable(j, m) {
 			continue
@@ -143,7 +143,7 @@
 
 func (l *leader) checkPlacement(t *testing.T, j *job) {
 	t.Helper()
-	zones := map[string]int{}
+	zones := map[protocol.ZoneName]int{}
 	for _, c := range j.attempts {
 		m := c.m
 		zones[m.zone]++
@@ -166,7 +166,7 @@
 			r := used[c.m]
 			r.addTasks(o.spec, 1)
 			used[c.m] = r
-			gpus[o.spec.Team] += o.spec.GPUs
+			gpus[string(o.spec.Team)] += o.spec.GPUs
 		}
 	}
 	for m, r := range used {
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -25,7 +25,7 @@
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	rec := &bookkeeping.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
 	for i := range s.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 1 + uint64(i%3), Machine: "i-000231", Session: 1}
+		task := bookkeeping.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
 			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
 		}
@@ -141,13 +141,13 @@
 	l, _ := lowering(t)
 	rec := bookkeeping.MachineRecord{}
 	for i := range 90 {
-		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: "i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26)), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
+		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 	}
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
 	old := l.machineRecords[0]
 	l.queueMachineRecord(old.members[0]) // it is to be written at once
-	named := map[string]string{}
+	named := map[protocol.MachineID]string{}
 	for _, m := range rec.Machines {
 		named[m.ID] = "g/m/old"
 	}
@@ -179,7 +179,7 @@
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: l.n.lease.term + uint64(l.n.now.Unix()%1000)})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
 	if len(old.movedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -15,9 +15,9 @@
 
 // follower is one of three nodes, each linked to the others, while "a" leads
 // and keeps so many of a thousand workers.
-func follower(name string, keeps uint64) *Node {
+func follower(name protocol.NodeName, keeps uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
-	for _, s := range []string{"a", "b", "c"} {
+	for _, s := range []protocol.NodeName{"a", "b", "c"} {
 		if s != name {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: s})
 		}
@@ -26,9 +26,9 @@
 	n.now = time.Unix(1_800_000_000, 0)
 	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
 	for s, p := range n.peers {
-		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []string{"x", "y"}}}
+		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
 		if s == "a" {
-			p.status.DirectShare, p.status.Links = keeps, []string{"b", "c"}
+			p.status.DirectShare, p.status.Links = keeps, []protocol.NodeName{"b", "c"}
 		}
 	}
 	return n
@@ -36,11 +36,11 @@
 
 // reported tells what becomes of a machine's report at a node: where the worker
 // is sent, "carried", or the status.
-func reported(n *Node, machine string) string {
+func reported(n *Node, machine protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
 	n.out = nil
-	n.routeReport(id, &protocol.Report{Machine: machine, Session: 1, Seq: id})
+	n.routeReport(id, &protocol.Report{Machine: machine, Incarnation: 1, Sequence: protocol.Sequence(id)})
 	for _, a := range n.out {
 		switch a := a.(type) {
 		case Reply:
@@ -48,11 +48,11 @@
 				continue
 			}
 			if r, _ := parse[protocol.Redirect](a.Body); a.Status == 421 {
-				return r.ReportTo
+				return string(r.ReportTo)
 			}
 			return fmt.Sprint(a.Status)
 		case PeerSend:
-			return "carried to " + a.Peer
+			return string("carried to " + a.Peer)
 		}
 	}
 	return "parked"
@@ -64,8 +64,8 @@
 	b, c := follower("b", 250), follower("c", 250)
 	count := map[string]int{}
 	for i := range 2000 {
-		m := fmt.Sprintf("i-%06d", i)
-		atB, atC := reported(b, m), reported(c, m)
+		m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
+		atB, atC := reported(b, m), reported(c, protocol.MachineID(m))
 		switch {
 		case atB == "a" && atC == "a":
 			count["a"]++
@@ -90,9 +90,9 @@
 // the leader: by way of third nodes or of relayed messages only some could be carried.
 func TestFrontsInTrouble(t *testing.T) {
 	b := follower("b", 0)
-	own, other := "", ""
+	var own, other protocol.MachineID
 	for i := 0; own == "" || other == ""; i++ {
-		if m := fmt.Sprintf("i-%06d", i); b.proxyFor(m, "a", 0) == "b" {
+		if m := protocol.MachineID(fmt.Sprintf("i-%06d", i)); b.proxyFor(m, "a", 0) == "b" {
 			own = m
 		} else {
 			other = m
@@ -126,17 +126,17 @@
 		n := l.n
 		n.cfg.Cluster.Resources.Cores = cores
 		n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-		n.names = []string{"n", "o", "p"}
-		for _, s := range []string{"o", "p"} {
-			n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []string{"n", "x"}}}
+		n.names = []protocol.NodeName{"n", "o", "p"}
+		for _, s := range []protocol.NodeName{"o", "p"} {
+			n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
 		}
 		n.leaderRedirects.SetLimit(rate.Inf)
 		for i := range 300 {
-			l.testMachine(fmt.Sprintf("i-%06d", i), "big", "a", false)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 		}
 		away := 0
 		for i := range 300 {
-			m := fmt.Sprintf("i-%06d", i)
+			m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
 			switch got := reported(n, m); got {
 			case "200":
 			case "o", "p":
@@ -205,12 +205,12 @@
 	n := l.n
 	n.cfg.Cluster.Resources.Cores = 0.001
 	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-	n.names = []string{"n", "o", "p"}
-	for _, s := range []string{"o", "p"} {
-		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []string{"n", "x"}}}
+	n.names = []protocol.NodeName{"n", "o", "p"}
+	for _, s := range []protocol.NodeName{"o", "p"} {
+		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
 	}
 	for i := range 60 {
-		l.testMachine(fmt.Sprintf("i-%06d", i), "big", "a", false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
 	m := l.roster[0]
 	order := func(path string) (action Action, ended *int) {
@@ -266,7 +266,7 @@
 	b.redirects = paced.redirects
 	sent := 0
 	for i := range 600 {
-		if got := reported(b, fmt.Sprintf("i-%06d", i)); got == "a" || got == "c" {
+		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", i))); got == "a" || got == "c" {
 			sent++
 		} else if got != "carried to a" {
 			t.Fatalf("report %d: %s", i, got)
@@ -283,7 +283,7 @@
 				p.heard = b.now
 			}
 		}
-		if got := reported(b, fmt.Sprintf("i-%06d", 1000+i)); got == "a" || got == "c" {
+		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", 1000+i))); got == "a" || got == "c" {
 			more++
 		}
 	}
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -16,9 +16,9 @@
 
 // contact is what a node remembers of a worker that reports to it.
 type contact struct {
-	term         uint64    // of the leader at that time
-	redirectedAt time.Time // when it was sent to another node, zero if it was not
-	proxiedAt    time.Time // when this node last answered it for the leader as its proxy
+	term         protocol.Term // of the leader at that time
+	redirectedAt time.Time     // when it was sent to another node, zero if it was not
+	proxiedAt    time.Time     // when this node last answered it for the leader as its proxy
 }
 
 // queuedReport is a report that came while nobody was known to lead.
@@ -58,7 +58,7 @@
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
 // nodes reckon the same.
-func (n *Node) proxyFor(machine, leader string, keeps uint64) string {
+func (n *Node) proxyFor(machine protocol.MachineID, leader protocol.NodeName, keeps uint64) protocol.NodeName {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	sum := uint64(h.Sum32())
@@ -114,7 +114,7 @@
 
 // redirectTarget is the node that a worker should rather report to, "" if this one
 // fetches the leader's answer for it.
-func (n *Node) redirectTarget(machine, leader string) string {
+func (n *Node) redirectTarget(machine protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
 	c := n.contacts[machine]
 	if n.redirectedLately(machine) {
 		return ""
@@ -131,7 +131,7 @@
 		return ""
 	}
 	s := n.peers[leader].status
-	if s.Term != n.lease.revision || s.Leader != leader {
+	if s.Term != protocol.Term(n.lease.revision) || s.Leader != leader {
 		return "" // it has yet to say how many it keeps
 	}
 	to := n.proxyFor(machine, leader, s.DirectShare)
@@ -162,14 +162,14 @@
 // redirectedLately says whether a worker was sent to another node lately and came back:
 // it cannot reach that one then. After a while it is sent again, for the cut may be
 // over, and answering it here costs more.
-func (n *Node) redirectedLately(machine string) bool {
+func (n *Node) redirectedLately(machine protocol.MachineID) bool {
 	c := n.contacts[machine]
-	return !c.redirectedAt.IsZero() && c.term == n.lease.revision && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
+	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
 }
 
 // redirect sends a worker to another node.
-func (n *Node) redirect(id uint64, r *protocol.Report, to string) {
-	n.contacts[r.Machine] = contact{term: n.lease.revision, redirectedAt: n.now}
+func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
+	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
 	n.reply(id, 421, protocol.Redirect{ReportTo: to})
 }
 
@@ -180,7 +180,7 @@
 
 // leaderFromPeers is the leader that some peer knows of while this node, which has
 // just started or cannot read the state service, does not; "" if none does.
-func (n *Node) leaderFromPeers() string {
+func (n *Node) leaderFromPeers() protocol.NodeName {
 	if n.mirror.Ready() {
 		return ""
 	}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -65,26 +65,26 @@
 
 // Job is a submission.
 type Job struct {
-	ID          string   `json:"uid"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"crew"`
-	Shape       Shape    `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"memory_gb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"pull_gb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
-	OneZone     bool     `json:"one_zone"`
-	Spread      bool     `json:"scatter"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"expect_s"`
-	CheckpointS float64  `json:"snapshot_s"`
-	SaveS       float64  `json:"flush_s"`
-	DeadlineS   float64  `json:"due_s,omitempty"`
+	ID          JobID             `json:"uid"`
+	Class       string            `json:"lane"`
+	Team        TeamName          `json:"crew"`
+	Shape       Shape             `json:"shape"`
+	Priority    string            `json:"rank"`
+	Tasks       int               `json:"pieces"`
+	CPUs        float64           `json:"cpus"`
+	GPUs        float64           `json:"gpus"`
+	MemoryGB    float64           `json:"memory_gb"`
+	Image       string            `json:"bundle"`
+	ImageGB     float64           `json:"pull_gb"`
+	Types       []MachineTypeName `json:"builds,omitempty"`
+	Zone        ZoneName          `json:"yard,omitempty"`
+	OneZone     bool              `json:"one_zone"`
+	Spread      bool              `json:"scatter"`
+	Spot        bool              `json:"loaners"`
+	EstimateS   float64           `json:"expect_s"`
+	CheckpointS float64           `json:"snapshot_s"`
+	SaveS       float64           `json:"flush_s"`
+	DeadlineS   float64           `json:"due_s,omitempty"`
 }
 
 // Gang says whether all tasks run at the same time.
@@ -123,9 +123,9 @@
 	DeadlineS   *float64  `json:"due_s"`
 }
 
-// ValidID says whether s has the form of a job id: "run-" and digits.
-func ValidID(s string) bool {
-	digits, ok := strings.CutPrefix(s, "run-")
+// ValidID says whether id has the form of a job id: "run-" and digits.
+func ValidID(id JobID) bool {
+	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
 		return false
 	}
@@ -169,9 +169,9 @@
 // job takes all fields.
 func (c *jobChecker) job(w *jobWire) *Job {
 	j := &Job{
-		ID:          c.text("uid", w.ID),
+		ID:          JobID(c.text("uid", w.ID)),
 		Class:       c.text("lane", w.Class),
-		Team:        c.text("crew", w.Team),
+		Team:        TeamName(c.text("crew", w.Team)),
 		Shape:       Shape(c.text("shape", w.Shape)),
 		Priority:    c.text("rank", w.Priority),
 		Image:       c.text("bundle", w.Image),
@@ -193,7 +193,7 @@
 	c.check("rank", known)
 	j.Tasks = c.tasks(w.Tasks)
 	if w.Zone != nil {
-		j.Zone = c.text("yard", w.Zone)
+		j.Zone = ZoneName(c.text("yard", w.Zone))
 	}
 	j.Types = c.types(w.Types)
 	return j
@@ -245,17 +245,17 @@
 
 // types takes the allowed machine types. An empty list allows no machine at all: it is
 // not the same as null.
-func (c *jobChecker) types(values []*string) []string {
+func (c *jobChecker) types(values []*string) []MachineTypeName {
 	if values != nil && len(values) == 0 {
-		return []string{noType}
+		return []MachineTypeName{noType}
 	}
-	var list []string
+	var list []MachineTypeName
 	for _, t := range values {
 		if t == nil || *t == "" || len(*t) > maxTypeName || len(values) > maxTypes {
 			c.check("builds", false)
 			return nil
 		}
-		list = append(list, *t)
+		list = append(list, MachineTypeName(*t))
 	}
 	return list
 }
@@ -270,14 +270,14 @@
 
 // Status is what a user is told of a job.
 type Status struct {
-	ID      string `json:"uid"`
-	Phase   Phase  `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	ID      JobID `json:"uid"`
+	Phase   Phase `json:"phase"`
+	Done    int   `json:"done"`
+	Running int   `json:"running"`
 }
 
 // Accepted is the short answer to a submission or a cancellation.
 type Accepted struct {
-	ID    string `json:"uid"`
-	Phase Phase  `json:"phase"`
+	ID    JobID `json:"uid"`
+	Phase Phase `json:"phase"`
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -27,22 +27,22 @@
 type PeerMessage interface{ kind() byte }
 
 // PeerHello opens a link.
-type PeerHello struct{ Node string }
+type PeerHello struct{ Node NodeName }
 
 // PeerStatus is what a node says of itself at every beat.
 type PeerStatus struct {
-	Term        uint64
-	Leader      string
+	Term        Term
+	Leader      NodeName
 	StateOK     bool
-	Links       []string // peers that this node has a link to
-	DirectShare uint64   // of a thousand workers the leader answers so many itself
+	Links       []NodeName // peers that this node has a link to
+	DirectShare uint64     // of a thousand workers the leader answers so many itself
 }
 
 // PeerReport carries a worker's report to the leader.
 type PeerReport struct {
 	ID     uint64
-	Origin string
-	Target string
+	Origin NodeName
+	Target NodeName
 	Hops   uint64
 	Report *Report
 }
@@ -50,7 +50,7 @@
 // PeerAnswer carries the answer back.
 type PeerAnswer struct {
 	ID     uint64
-	Target string // the node that forwarded the request first
+	Target NodeName // the node that forwarded the request first
 	Hops   uint64
 	Status uint64
 	Body   []byte
@@ -59,16 +59,16 @@
 // PeerRequest carries a user's request to a node that reaches the state service.
 type PeerRequest struct {
 	ID     uint64
-	Origin string
-	Target string
+	Origin NodeName
+	Target NodeName
 	Verb   string // submit, query or cancel
-	Job    string
+	Job    JobID
 	Body   []byte
 }
 
 // PeerCancelled tells the leader of a job whose cancellation is in the records. It
 // goes only to a node that has announced PeerKnowsCancelled.
-type PeerCancelled struct{ Job string }
+type PeerCancelled struct{ Job JobID }
 
 // PeerConfirmRequest has a node confirm for what it has told users and for not leading. ID is
 // the asker's, and comes back.
@@ -79,10 +79,10 @@
 // younger than they may take but these.
 type PeerConfirm struct {
 	ID       uint64
-	Term     uint64
+	Term     Term
 	UpMs     uint64
 	Complete bool // false: there were too many to name, or the node cannot say
-	Cancels  []string
+	Cancels  []JobID
 }
 
 // FitsFrame says whether the cancellations fit into one frame.
@@ -111,7 +111,7 @@
 const announcementID = math.MaxUint64
 
 // Announcement says to a peer what this node knows.
-func Announcement(target string) PeerMessage {
+func Announcement(target NodeName) PeerMessage {
 	return PeerAnswer{ID: announcementID, Target: target, Status: PeerLevel, Body: []byte{}}
 }
 
@@ -127,7 +127,7 @@
 // PeerCall has a node send orders to a worker for the leader.
 type PeerCall struct {
 	ID      uint64
-	Origin  string
+	Origin  NodeName
 	Address string // of the worker
 	Body    []byte
 }
@@ -203,17 +203,17 @@
 	return int(n)
 }
 
-func (e *encoder) strs(list []string) {
+func encodeStrings[S ~string](e *encoder, list []S) {
 	e.num(uint64(len(list)))
 	for _, s := range list {
-		e.str(s)
+		e.str(string(s))
 	}
 }
 
-func (d *decoder) strs() (list []string) {
+func decodeStrings[S ~string](d *decoder) (list []S) {
 	n := d.count(1)
 	for i := 0; i < n && d.err == nil; i++ {
-		list = append(list, d.str())
+		list = append(list, S(d.str()))
 	}
 	return list
 }
@@ -224,61 +224,61 @@
 	e := &encoder{append(b, 'G', 'P', peerVersion, m.kind(), 0, 0, 0, 0)}
 	switch m := m.(type) {
 	case PeerHello:
-		e.str(m.Node)
+		e.str(string(m.Node))
 	case PeerStatus:
-		e.num(m.Term)
-		e.str(m.Leader)
+		e.num(uint64(m.Term))
+		e.str(string(m.Leader))
 		e.flag(m.StateOK)
-		e.strs(m.Links)
+		encodeStrings(e, m.Links)
 		e.num(m.DirectShare)
 	case PeerReport:
 		e.num(m.ID)
-		e.str(m.Origin)
-		e.str(m.Target)
+		e.str(string(m.Origin))
+		e.str(string(m.Target))
 		e.num(m.Hops)
 		e.report(m.Report)
 	case PeerAnswer:
 		e.num(m.ID)
-		e.str(m.Target)
+		e.str(string(m.Target))
 		e.num(m.Hops)
 		e.num(m.Status)
 		e.str(string(m.Body))
 	case PeerRequest:
 		e.num(m.ID)
-		e.str(m.Origin)
-		e.str(m.Target)
+		e.str(string(m.Origin))
+		e.str(string(m.Target))
 		e.str(m.Verb)
-		e.str(m.Job)
+		e.str(string(m.Job))
 		e.str(string(m.Body))
 	case PeerCall:
 		e.num(m.ID)
-		e.str(m.Origin)
+		e.str(string(m.Origin))
 		e.str(m.Address)
 		e.str(string(m.Body))
 	case PeerCancelled:
-		e.str(m.Job)
+		e.str(string(m.Job))
 	case PeerConfirmRequest:
 		e.num(m.ID)
 	case PeerConfirm:
 		e.num(m.ID)
-		e.num(m.Term)
+		e.num(uint64(m.Term))
 		e.num(m.UpMs)
 		e.flag(m.Complete)
-		e.strs(m.Cancels)
+		encodeStrings(e, m.Cancels)
 	}
 	binary.BigEndian.PutUint32(e.b[start+4:], uint32(len(e.b)-start-peerHeader))
 	return e.b
 }
 
 func (e *encoder) report(r *Report) {
-	e.str(r.Machine)
+	e.str(string(r.Machine))
 	e.str(r.Address)
-	e.str(r.Type)
-	e.str(r.Zone)
+	e.str(string(r.Type))
+	e.str(string(r.Zone))
 	e.flag(r.Spot)
-	e.num(r.Session)
-	e.num(r.Seq)
-	e.num(r.Token)
+	e.num(uint64(r.Incarnation))
+	e.num(uint64(r.Sequence))
+	e.num(uint64(r.Token))
 	e.flag(r.NoticeS != nil)
 	if r.NoticeS != nil {
 		e.num(math.Float64bits(*r.NoticeS))
@@ -286,7 +286,7 @@
 	e.num(uint64(len(r.Tasks)))
 	for _, t := range r.Tasks {
 		e.str(t.Task)
-		e.num(t.Attempt)
+		e.num(uint64(t.Attempt))
 		e.str(string(t.State))
 		e.str(string(t.Cause))
 		e.flag(t.Saved)
@@ -294,15 +294,15 @@
 }
 
 func (d *decoder) report() *Report {
-	r := &Report{Machine: d.str(), Address: d.str(), Type: d.str(), Zone: d.str(), Spot: d.flag(),
-		Session: d.num(), Seq: d.num(), Token: d.num()}
+	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: MachineTypeName(d.str()), Zone: ZoneName(d.str()), Spot: d.flag(),
+		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: Term(d.num())}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
 		r.NoticeS = &v
 	}
 	n := d.count(5)
 	for i := 0; i < n && d.err == nil; i++ {
-		r.Tasks = append(r.Tasks, TaskReport{Task: d.str(), Attempt: d.num(), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
+		r.Tasks = append(r.Tasks, TaskReport{Task: d.str(), Attempt: AttemptNumber(d.num()), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
 	}
 	return r
 }
@@ -336,23 +336,23 @@
 	var m PeerMessage
 	switch kind {
 	case PeerHello{}.kind():
-		m = PeerHello{Node: d.str()}
+		m = PeerHello{Node: NodeName(d.str())}
 	case PeerStatus{}.kind():
-		m = PeerStatus{Term: d.num(), Leader: d.str(), StateOK: d.flag(), Links: d.strs(), DirectShare: d.num()}
+		m = PeerStatus{Term: Term(d.num()), Leader: NodeName(d.str()), StateOK: d.flag(), Links: decodeStrings[NodeName](d), DirectShare: d.num()}
 	case PeerReport{}.kind():
-		m = PeerReport{ID: d.num(), Origin: d.str(), Target: d.str(), Hops: d.num(), Report: d.report()}
+		m = PeerReport{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Hops: d.num(), Report: d.report()}
 	case PeerAnswer{}.kind():
-		m = PeerAnswer{ID: d.num(), Target: d.str(), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
+		m = PeerAnswer{ID: d.num(), Target: NodeName(d.str()), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
 	case PeerRequest{}.kind():
-		m = PeerRequest{ID: d.num(), Origin: d.str(), Target: d.str(), Verb: d.str(), Job: d.str(), Body: []byte(d.str())}
+		m = PeerRequest{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Verb: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
 	case PeerCall{}.kind():
-		m = PeerCall{ID: d.num(), Origin: d.str(), Address: d.str(), Body: []byte(d.str())}
+		m = PeerCall{ID: d.num(), Origin: NodeName(d.str()), Address: d.str(), Body: []byte(d.str())}
 	case PeerCancelled{}.kind():
-		m = PeerCancelled{Job: d.str()}
+		m = PeerCancelled{Job: JobID(d.str())}
 	case PeerConfirmRequest{}.kind():
 		m = PeerConfirmRequest{ID: d.num()}
 	case PeerConfirm{}.kind():
-		m = PeerConfirm{ID: d.num(), Term: d.num(), UpMs: d.num(), Complete: d.flag(), Cancels: d.strs()}
+		m = PeerConfirm{ID: d.num(), Term: Term(d.num()), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: "high", Tasks: 16,
-		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, OneZone: true, Spot: true,
+		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []MachineTypeName{"g8"}, OneZone: true, Spot: true,
 		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
@@ -151,13 +151,14 @@
 }
 
 func TestNewer(t *testing.T) {
-	r := &Report{Session: 2, Seq: 5}
+	r := &Report{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
-		session, seq uint64
-		want         bool
+		incarnation Incarnation
+		sequence    Sequence
+		want        bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {3, 1, false}} {
-		if r.Newer(c.session, c.seq) != c.want {
-			t.Errorf("newer than %d/%d: %v", c.session, c.seq, !c.want)
+		if r.Newer(c.incarnation, c.sequence) != c.want {
+			t.Errorf("newer than %d/%d: %v", c.incarnation, c.sequence, !c.want)
 		}
 	}
 }
@@ -174,15 +175,15 @@
 	n := 7.5
 	return []PeerMessage{
 		PeerHello{Node: "a"},
-		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []string{"a", "c"}, DirectShare: 250},
+		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
 		PeerCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
 		PeerCancelled{Job: "run-000412"},
 		PeerConfirmRequest{ID: 1 << 40},
-		PeerConfirm{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []string{"run-000412", "run-2"}},
+		PeerConfirm{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
 		PeerConfirm{ID: 3, Term: 9},
 		Announcement("berth-1"),
 		PeerReport{ID: 1, Origin: "a", Target: "b", Hops: 1, Report: &Report{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
-			Session: 2, Seq: 3, Token: 4, NoticeS: &n, Tasks: []TaskReport{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
+			Incarnation: 2, Sequence: 3, Token: 4, NoticeS: &n, Tasks: []TaskReport{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
 		PeerAnswer{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
 		PeerRequest{ID: 5, Origin: "a", Target: "c", Verb: "submit", Job: "run-1", Body: []byte(`{"x":1}`)},
 	}
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -48,34 +48,34 @@
 
 // TaskReport is one task in a worker's report.
 type TaskReport struct {
-	Task    string    `json:"piece"`
-	Attempt uint64    `json:"try"`
-	State   TaskState `json:"phase"`
-	Cause   Cause     `json:"cause,omitempty"`
-	Saved   bool      `json:"kept,omitempty"`
+	Task    string        `json:"piece"`
+	Attempt AttemptNumber `json:"try"`
+	State   TaskState     `json:"phase"`
+	Cause   Cause         `json:"cause,omitempty"`
+	Saved   bool          `json:"kept,omitempty"`
 }
 
 // Report is a worker's report.
 type Report struct {
-	Machine string       `json:"berth"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"tenure"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"warrant"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []TaskReport `json:"pieces"`
+	Machine     MachineID       `json:"berth"`
+	Address     string          `json:"address"`
+	Type        MachineTypeName `json:"build"`
+	Zone        ZoneName        `json:"yard"`
+	Spot        bool            `json:"loaners"`
+	Incarnation Incarnation     `json:"tenure"`
+	Sequence    Sequence        `json:"tally"`
+	Token       Term            `json:"warrant"`
+	NoticeS     *float64        `json:"recall_s"`
+	Tasks       []TaskReport    `json:"pieces"`
 }
 
-// Newer says whether r is a newer message than (session, seq).
-func (r *Report) Newer(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+// Newer says whether r is a newer message than (incarnation, sequence).
+func (r *Report) Newer(incarnation Incarnation, sequence Sequence) bool {
+	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Sequence > sequence
 }
 
 // Shows says whether the report has an attempt of a task, in any state.
-func (r *Report) Shows(task string, attempt uint64) bool {
+func (r *Report) Shows(task string, attempt AttemptNumber) bool {
 	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool { return t.Attempt == attempt && t.Task == task })
 }
 
@@ -83,17 +83,18 @@
 func ParseReport(body []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, fmt.Errorf("not valid JSON for a report: %w", err)
+		return nil, fmt.Errorf("not valid JSON for a report: %w", inWireTypes(err))
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(r.Machine, " /") || r.Session == 0 {
+	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
 	}
 	return &r, nil
 }
 
 // SplitTask takes a task's name, such as run-000412/3, apart.
-func SplitTask(name string) (job string, index int, ok bool) {
-	job, rest, ok := strings.Cut(name, "/")
+func SplitTask(name string) (job JobID, index int, ok bool) {
+	before, rest, ok := strings.Cut(name, "/")
+	job = JobID(before)
 	if !ok || !ValidID(job) {
 		return "", 0, false
 	}
@@ -105,14 +106,14 @@
 }
 
 // TaskName is the name of a job's task.
-func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+func TaskName(job JobID, index int) string { return string(job) + "/" + strconv.Itoa(index) }
 
 // Command is one order to a worker.
 type Command struct {
-	Op      Verb    `json:"verb"`
-	Task    string  `json:"piece"`
-	Attempt uint64  `json:"try"`
-	GraceS  float64 `json:"leeway_s,omitempty"`
+	Op      Verb          `json:"verb"`
+	Task    string        `json:"piece"`
+	Attempt AttemptNumber `json:"try"`
+	GraceS  float64       `json:"leeway_s,omitempty"`
 }
 
 // MarshalJSON writes the grace for a stop even when it is zero.
@@ -123,7 +124,7 @@
 	b = append(b, `","piece":`...)
 	b = strconv.AppendQuote(b, c.Task)
 	b = append(b, `,"try":`...)
-	b = strconv.AppendUint(b, c.Attempt, 10)
+	b = strconv.AppendUint(b, uint64(c.Attempt), 10)
 	if c.Op == OpStop {
 		b = append(b, `,"leeway_s":`...)
 		b = strconv.AppendFloat(b, c.GraceS, 'f', -1, 64)
@@ -133,18 +134,18 @@
 
 // ReportAnswer is the answer to a report that was taken.
 type ReportAnswer struct {
-	Token    uint64    `json:"warrant"`
+	Token    Term      `json:"warrant"`
 	Commands []Command `json:"orders"`
 }
 
 // Redirect sends a worker to another node.
 type Redirect struct {
-	ReportTo string `json:"steward,omitempty"`
+	ReportTo NodeName `json:"steward,omitempty"`
 }
 
 // Orders is a direct command to a worker.
 type Orders struct {
-	Token    uint64    `json:"warrant"`
-	Session  uint64    `json:"tenure"`
-	Commands []Command `json:"orders"`
+	Token       Term        `json:"warrant"`
+	Incarnation Incarnation `json:"tenure"`
+	Commands    []Command   `json:"orders"`
 }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -11,21 +11,21 @@
 type Job struct {
 	Tasks         int
 	Gang, Service bool
-	Epoch         uint64 // of a gang: its latest attempt
-	Unreadable    bool   // a record of it cannot be read
+	Epoch         protocol.AttemptNumber // of a gang: its latest attempt
+	Unreadable    bool                   // a record of it cannot be read
 }
 
 // Task is what the records say of a task.
 type Task struct {
-	LastAttempt uint64
+	LastAttempt protocol.AttemptNumber
 	Done        bool
-	Machine     string // where the latest attempt is placed, "" if nowhere
+	Machine     protocol.MachineID // where the latest attempt is placed, "" if nowhere
 }
 
 // Attempt is an attempt that the records, or a leader's accounts, have on a machine.
 type Attempt struct {
-	ID      AttemptID
-	Session uint64 // of the worker when it was placed
+	ID          AttemptID
+	Incarnation protocol.Incarnation // of the worker when it was placed
 	// Undelivered: its start may be on its way, or is yet to be ordered. A report
 	// without it proves nothing.
 	Undelivered bool
@@ -36,11 +36,11 @@
 // Records answers what is stored.
 type Records interface {
 	// Job is a job that is not over; false if there is none of that name.
-	Job(id string) (Job, bool)
+	Job(id protocol.JobID) (Job, bool)
 	// Task is a task of such a job.
 	Task(id TaskID) Task
 	// Attempts appends the attempts on a machine, in a fixed order.
-	Attempts(machine string, list []Attempt) []Attempt
+	Attempts(machine protocol.MachineID, list []Attempt) []Attempt
 }
 
 // Reconciler squares reports with records. It keeps buffers between calls, and no state.
@@ -57,18 +57,18 @@
 // Compare squares one worker's report with the records. The report must be newer than
 // what was known of its worker. token is the present leader's. The result is valid
 // until the next call.
-func (c *Reconciler) Compare(records Records, token uint64, r *protocol.Report) []Difference {
+func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Report) []Difference {
 	c.found = c.found[:0]
 	c.stored = records.Attempts(r.Machine, c.stored[:0])
 	current := r.Token == token
 	readable := c.index(r)
-	c.releaseOlderSessions(r, current)
+	c.releaseOlderIncarnations(r, current)
 	for i := range r.Tasks {
 		c.addEntry(records, r, i, current)
 	}
 	for i := range c.stored {
 		a := &c.stored[i]
-		if _, shown := c.entries[a.ID]; shown || a.Session < r.Session {
+		if _, shown := c.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
 			continue
 		}
 		class := NotYetReported
@@ -91,7 +91,7 @@
 	clear(c.places)
 	clear(c.entries)
 	for i := range c.stored {
-		if c.stored[i].Session >= r.Session {
+		if c.stored[i].Incarnation >= r.Incarnation {
 			c.places[c.stored[i].ID] = i
 		}
 	}
@@ -118,11 +118,11 @@
 	return AttemptID{TaskID{job, index}, t.Attempt}, valid
 }
 
-// releaseOlderSessions adds the attempts of earlier sessions, all of which a newer session
+// releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
 // proves gone whatever else the report says.
-func (c *Reconciler) releaseOlderSessions(r *protocol.Report, current bool) {
+func (c *Reconciler) releaseOlderIncarnations(r *protocol.Report, current bool) {
 	for i := range c.stored {
-		if a := &c.stored[i]; a.Session < r.Session {
+		if a := &c.stored[i]; a.Incarnation < r.Incarnation {
 			c.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // classify tells the class of a reported attempt.
-func (c *Reconciler) classify(records Records, machine string, id AttemptID, t *protocol.TaskReport, current bool) Class {
+func (c *Reconciler) classify(records Records, machine protocol.MachineID, id AttemptID, t *protocol.TaskReport, current bool) Class {
 	var stored *Attempt
 	if i, ok := c.places[id]; ok {
 		stored = &c.stored[i]
@@ -222,38 +222,39 @@
 // Snapshot is all that is stored: records that can list their machines and gangs.
 type Snapshot interface {
 	Records
-	// Machines lists the machines that the records name, and the session and sequence
+	// Machines lists the machines that the records name, and the incarnation and sequence
 	// number that are known of each worker.
 	Machines() []Worker
 	// Gangs lists the gangs that are not over.
-	Gangs() []string
+	Gangs() []protocol.JobID
 	// Placed lists where the latest attempt of a gang is placed.
-	Placed(gang string) []Placement
+	Placed(gang protocol.JobID) []Placement
 }
 
 // Placement is an attempt on a machine.
 type Placement struct {
 	ID      AttemptID
-	Machine string
+	Machine protocol.MachineID
 }
 
 // Worker is what is known of a machine's worker.
 type Worker struct {
-	Machine      string
-	Session, Seq uint64
+	Machine     protocol.MachineID
+	Incarnation protocol.Incarnation
+	Sequence    protocol.Sequence
 }
 
 // Reconcile squares a snapshot with all reports that came. Of each worker only the newest
 // report counts, so that their order does not matter.
-func (c *Reconciler) Reconcile(s Snapshot, token uint64, reports []*protocol.Report) []Difference {
-	newest := map[string]*protocol.Report{}
+func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Report) []Difference {
+	newest := map[protocol.MachineID]*protocol.Report{}
 	workers := s.Machines()
 	for _, r := range reports {
 		at := slices.IndexFunc(workers, func(w Worker) bool { return w.Machine == r.Machine })
-		if at >= 0 && !r.Newer(workers[at].Session, workers[at].Seq) {
+		if at >= 0 && !r.Newer(workers[at].Incarnation, workers[at].Sequence) {
 			continue
 		}
-		if n := newest[r.Machine]; n == nil || r.Newer(n.Session, n.Seq) {
+		if n := newest[r.Machine]; n == nil || r.Newer(n.Incarnation, n.Sequence) {
 			newest[r.Machine] = r
 		}
 	}
@@ -276,7 +277,7 @@
 // incompleteGangs lists the gangs that what was found leaves incomplete.
 func incompleteGangs(s Snapshot, found []Difference) (list []Difference) {
 	gone := map[Placement]bool{}
-	done := map[string]bool{}
+	done := map[protocol.JobID]bool{}
 	for _, d := range found {
 		switch d.Class.Resolution() {
 		case Release, RecordEnd:
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -98,7 +98,7 @@
 					})
 				}
 			}
-			s := array(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000)), 2)
+			s := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
 			switch w.rng.IntN(5) {
 			case 0:
 				s.CPUs = 1000
@@ -216,7 +216,7 @@
 			return false
 		}
 	}
-	room := map[string]int{}
+	room := map[protocol.ZoneName]int{}
 	for _, k := range w.workers {
 		if k.hung || k.notice != nil || s.Zone != "" && s.Zone != k.h.Zone || k.h.Spot && !s.Spot {
 			continue
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -53,9 +53,9 @@
 	case coordination.Reply:
 		f.add(controller, "reply", a.ID, a.Status, a.Body, a.RetryAfter)
 	case coordination.PeerSend:
-		f.add(controller, "send", a.Peer, protocol.AppendPeer(nil, a.Message))
+		f.add(controller, "send", string(a.Peer), protocol.AppendPeer(nil, a.Message))
 	case coordination.PeerReset:
-		f.add(controller, "reset", a.Peer)
+		f.add(controller, "reset", string(a.Peer))
 	default:
 		panic("an action that fingerprints do not know")
 	}
@@ -182,7 +182,7 @@
 	w.crowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(func(id uint64) coordination.Event {
-			return coordination.Query{ID: id, Job: fmt.Sprintf("run-%06d", 900_000+i)}
+			return coordination.Query{ID: id, Job: protocol.JobID(fmt.Sprintf("run-%06d", 900_000+i))}
 		}, func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
@@ -218,7 +218,7 @@
 	u := w.submit(0, service("run-000001", 4), 0, 150*time.Second, false)
 	w.Run(10 * time.Second)
 	for i := range 3 {
-		s := service(fmt.Sprintf("run-00001%d", i), 1+w.rng.IntN(6))
+		s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 1+w.rng.IntN(6))
 		s.Spread, s.GPUs = i%2 == 0, float64(w.rng.IntN(2))
 		w.submit(w.between(0, 20*time.Second), s, 0, w.between(100*time.Second, 200*time.Second), false)
 	}
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -12,12 +12,12 @@
 // Grown is a deployment of a thousand machines and three zones.
 func grown() Shape {
 	s := Small()
-	s.Zones = []string{"east", "north", "west"}
+	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
 	s.Teams = nil
 	for i := range 8 {
-		s.Teams = append(s.Teams, config.Team{Name: fmt.Sprint("team-", i), GPUs: 200, MaxGPUs: 800})
+		s.Teams = append(s.Teams, config.Team{Name: protocol.TeamName(fmt.Sprint("team-", i)), GPUs: 200, MaxGPUs: 800})
 	}
 	s.Workers = config.Workers{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
 	s.State = config.State{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
@@ -29,7 +29,7 @@
 // crowd makes gangs and arrays of many sizes come for a while.
 func (w *World) crowd(jobs int, span time.Duration) {
 	for i := range jobs {
-		s := array(fmt.Sprintf("run-%06d", 100+i), 1+w.rng.IntN(40))
+		s := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
 		s.Class, s.Team, s.Priority, s.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
 		s.Image, s.ImageGB, s.EstimateS, s.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		s.MemoryGB = 54
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -70,10 +70,10 @@
 // Config is the settings of one of the controllers.
 func (v *Live) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
-	c.Listen, c.PeerListen = v.users[i], v.peers[c.Name]
+	c.Listen, c.PeerListen = v.users[i], v.peers[string(c.Name)]
 	c.Endpoints = config.Endpoints{State: v.state.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
 	for k := range c.Peers {
-		c.Peers[k].Addr = v.peers[c.Peers[k].Name]
+		c.Peers[k].Addr = v.peers[string(c.Peers[k].Name)]
 	}
 	return c
 }
@@ -132,7 +132,7 @@
 }
 
 // address gives a machine its worker's address.
-func (v *Live) address(id string) string {
+func (v *Live) address(id protocol.MachineID) string {
 	s := v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
 		if k := v.w.workers[id]; k != nil {
 			k.serve(r.Method, r.URL.Path, body, answer)
@@ -150,9 +150,9 @@
 	case coordination.Submit:
 		path, body = protocol.PathJobs, encode(e.Job)
 	case coordination.Query:
-		method, path = "GET", protocol.PathJobs+"/"+e.Job
+		method, path = "GET", protocol.PathJobs+"/"+string(e.Job)
 	case coordination.Cancel:
-		path = protocol.PathJobs + "/" + e.Job + "/" + protocol.CancelAction
+		path = protocol.PathJobs + "/" + string(e.Job) + "/" + protocol.CancelAction
 	}
 	go func() {
 		status, answer := v.fetch(method, "http://"+v.users[node]+path, timeout, body)
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
 )
 
 // TestSlowControllers plays days of controllers that take time for what they do,
@@ -31,7 +32,7 @@
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
 					job := fmt.Sprintf("run-%06d", 900_000+i)
-					c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: job} }, func(status int, _ []byte) {
+					c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
@@ -62,4 +63,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() uint64 { return w.state.keys[bookkeeping.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.state.keys[bookkeeping.LeaderKey].Revision }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -26,7 +26,7 @@
 // submit lets a user come after a while. A user gives up polls after 2 s and
 // submissions after 5 s.
 func (w *World) submit(after time.Duration, spec *protocol.Job, run float64, cancel time.Duration, mistaken bool) *user {
-	j := &simJob{spec: spec, run: run, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[uint64]*gang{}, mistaken: mistaken}
+	j := &simJob{spec: spec, run: run, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}, mistaken: mistaken}
 	u := &user{w: w, j: j, cancelAt: cancel}
 	w.users = append(w.users, u)
 	j.last = func() {
@@ -220,7 +220,7 @@
 	all, done := map[string]int{}, map[string]int{}
 	for _, u := range counted {
 		s := u.j.spec
-		groups := []string{"class " + s.Class, "team " + s.Team}
+		groups := []string{"class " + s.Class, "team " + string(s.Team)}
 		if s.Tasks == largest[s.Class] {
 			groups = append(groups, "the largest of "+s.Class)
 			if late := cmp.Or(u.j.began, w.Now).Sub(u.since); late > within {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,9 +14,9 @@
 type worker struct {
 	w        *World
 	h        *host
-	session  uint64
-	seq      uint64
-	token    uint64
+	session  protocol.Incarnation
+	seq      protocol.Sequence
+	token    protocol.Term
 	answered time.Time // when the last answered report was sent, or the session began
 	tasks    map[string]*workerTask
 	images   map[string]bool
@@ -104,7 +104,7 @@
 func (k *worker) report() *protocol.Report {
 	k.seq++
 	r := &protocol.Report{Machine: k.h.ID, Address: k.h.Address, Type: k.h.Type, Zone: k.h.Zone, Spot: k.h.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.notice}
+		Incarnation: k.session, Sequence: k.seq, Token: k.token, NoticeS: k.notice}
 	for _, t := range k.list() {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.kept})
 	}
@@ -122,7 +122,7 @@
 	if w.copies > 0 && w.rng.IntN(4) == 0 {
 		w.after(w.between(time.Second, w.copies), func() { w.copyReport(w.nodes[w.rng.IntN(len(w.nodes))], body) })
 	}
-	w.reach(k.h.ID, k.node, 4*time.Second, func(id uint64) coordination.Event {
+	w.reach(string(k.h.ID), k.node, 4*time.Second, func(id uint64) coordination.Event {
 		r, err := protocol.ParseReport(body)
 		if err != nil {
 			panic(err)
@@ -132,7 +132,7 @@
 }
 
 // reportAnswered takes the answer to a report.
-func (k *worker) reportAnswered(status int, body []byte, sent time.Time, session uint64) {
+func (k *worker) reportAnswered(status int, body []byte, sent time.Time, session protocol.Incarnation) {
 	if k.dead {
 		return
 	}
@@ -161,7 +161,7 @@
 	var r protocol.Redirect
 	decode(body, &r)
 	for i, o := range k.w.nodes {
-		if o.name == r.ReportTo && i != k.node {
+		if o.name == string(r.ReportTo) && i != k.node {
 			k.node = i
 			k.w.after(k.w.between(0, 500*time.Millisecond), func() { k.inFlight, k.changed = false, true })
 			return
@@ -186,7 +186,7 @@
 	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(int, []byte) {})
 }
 
-func (k *worker) accept(token uint64) bool {
+func (k *worker) accept(token protocol.Term) bool {
 	if token < k.token {
 		k.w.rules.lowerTokens++
 		return false
@@ -216,7 +216,7 @@
 	}
 	var o protocol.Orders
 	decode(body, &o)
-	if o.Session != k.session || !k.accept(o.Token) {
+	if o.Incarnation != k.session || !k.accept(o.Token) {
 		answer(409, encode(k.report()))
 		return
 	}
@@ -251,9 +251,11 @@
 	}
 }
 
-func attemptName(task string, attempt uint64) string { return fmt.Sprintf("%s#%d", task, attempt) }
+func attemptName(task string, attempt protocol.AttemptNumber) string {
+	return fmt.Sprintf("%s#%d", task, attempt)
+}
 
-func (k *worker) start(key, id string, index int, c protocol.Command) {
+func (k *worker) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	j := k.w.rules.jobs[id]
 	t := &workerTask{k: k, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
 	k.changed = true
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -43,7 +43,7 @@
 
 // Shape is a deployment's size: zones, machines, teams and budgets.
 type Shape struct {
-	Zones     []string
+	Zones     []protocol.ZoneName
 	Machines  int // up at the start, shared among the zones
 	Capacity  int // machines that the cloud has, those included
 	Type      protocol.MachineType
@@ -62,7 +62,7 @@
 
 // Small is the shape of most tests.
 func Small() Shape {
-	zones := []string{"east", "west"}
+	zones := []protocol.ZoneName{"east", "west"}
 	return Shape{
 		Zones: zones, Machines: 4, Capacity: 12,
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
@@ -87,12 +87,12 @@
 	seq   int
 	log   *slog.Logger
 
-	zoneOf     map[string]string
+	zoneOf     map[string]protocol.ZoneName
 	cuts       []*cut
 	nodes      []*controller
 	state      *stateService
 	cloud      *cloudService
-	workers    map[string]*worker
+	workers    map[protocol.MachineID]*worker
 	users      []*user
 	rules      *rules
 	steps      int           // of all controllers
@@ -129,8 +129,8 @@
 		Audit:   newAudit(),
 		Now:     time.Unix(1_800_000_000, 0),
 		rng:     rand.New(rand.NewPCG(seed, 7)),
-		zoneOf:  map[string]string{},
-		workers: map[string]*worker{},
+		zoneOf:  map[string]protocol.ZoneName{},
+		workers: map[protocol.MachineID]*worker{},
 		release: map[string]release{},
 	}
 	if logs != nil {
@@ -159,11 +159,11 @@
 }
 
 func (w *World) config(name string) *config.Config {
-	c := &config.Config{Name: name, Zone: w.zoneOf[name], Operator: tuning.Defaults()}
+	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
 	c.Operator.RecoveryPhase = w.shape.Recovery
 	for _, n := range w.nodes {
 		if n.name != name {
-			c.Peers = append(c.Peers, config.Peer{Name: n.name, Zone: w.zoneOf[n.name]})
+			c.Peers = append(c.Peers, config.Peer{Name: protocol.NodeName(n.name), Zone: w.zoneOf[n.name]})
 		}
 	}
 	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Workers: w.shape.Workers,
