--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -109,6 +109,7 @@
 // TestColdRestartKeepsWork: all controllers are lost and back within the workers' lease,
 // at once or seconds apart, in this version or mixed with 0.3: everything goes on.
 func TestColdRestartKeepsWork(t *testing.T) {
+	t.Parallel()
 	for name, play := range map[string]struct {
 		away, apart time.Duration
 		earlier     []release
@@ -141,6 +142,7 @@
 // TestColdRestartNewSessions: the controllers are away for longer than the workers' lease.
 // Every task is started once again, and nothing is stopped.
 func TestColdRestartNewSessions(t *testing.T) {
+	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
 	c.loseAll(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
 	c.Run(secs(c.shape.Workers.LeaseS) + 9*time.Second)
@@ -157,6 +159,7 @@
 // TestColdRestartHalfReported: half of a gang's machines report much later than the
 // others. It is not taken for broken.
 func TestColdRestartHalfReported(t *testing.T) {
+	t.Parallel()
 	c := newColdWorld(t, 43, recovering())
 	c.loseAll(time.Second, 0)
 	late := c.rules.onAt["run-000001/0"].k
@@ -170,6 +173,7 @@
 // TestColdRestartEndOfTask: an end that only the dead leader was told, or that was in a
 // transaction of its, is recorded once; the task is not started again.
 func TestColdRestartEndOfTask(t *testing.T) {
+	t.Parallel()
 	for _, lost := range []bool{true, false} {
 		c := newColdWorld(t, 44, recovering())
 		short := c.submit(0, array("run-000003", 2), 6, 0, false)
@@ -192,6 +196,7 @@
 // TestColdRestartCancelled: a cancellation that was confirmed the moment before the loss
 // takes effect in time, and nothing of the job starts again.
 func TestColdRestartCancelled(t *testing.T) {
+	t.Parallel()
 	c := newColdWorld(t, 45, recovering())
 	c.array.cancel()
 	c.waitFor(t, 5*time.Second, "confirmed", func() bool { return c.array.over })
@@ -207,6 +212,7 @@
 // workers do: they show tasks that have ended since, and lack those that run. They stop
 // nothing and prove nothing.
 func TestColdRestartLateCopies(t *testing.T) {
+	t.Parallel()
 	w := NewShaped(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
@@ -239,6 +245,7 @@
 // had. It is stopped, once, and takes room and place from nothing that is recorded. An
 // attempt that is on no record of a known job comes with a restored state service alone.
 func TestColdRestartNeverRecorded(t *testing.T) {
+	t.Parallel()
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = &simJob{spec: ghost, run: 500, progress: []float64{0}, done: []bool{false}, gangs: map[uint64]*gang{}}
@@ -262,6 +269,7 @@
 // TestColdRestartSecondLoss: the new leader, or the state service, is lost at every stage
 // of the recovery. Nothing is started or stopped.
 func TestColdRestartSecondLoss(t *testing.T) {
+	t.Parallel()
 	for i := range 12 {
 		for _, state := range []bool{false, true} {
 			t.Run(fmt.Sprint("after ", i*400, " ms, state service ", state), func(t *testing.T) {
@@ -288,6 +296,7 @@
 // elsewhere, the recovery ends when its workers' leases have lapsed, and what ran there
 // starts again after that.
 func TestColdRestartDarkZone(t *testing.T) {
+	t.Parallel()
 	shape := recovering()
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
@@ -311,6 +320,7 @@
 // for what is on no record, which is stopped once; else the workers are returned and the
 // work starts on others. Nothing runs twice, and it is logged by name.
 func TestRestoredStore(t *testing.T) {
+	t.Parallel()
 	for name, play := range map[string]struct {
 		lacks uint64 // revisions beyond those of the last seconds
 		hangs bool   // a worker with attempts that are on no record
@@ -415,6 +425,7 @@
 // damaged machine record leave what they name alone: it runs on, the rest goes its way, a
 // new job starts and the recovery ends.
 func TestColdRestartBadRecords(t *testing.T) {
+	t.Parallel()
 	for name, value := range map[string]string{"damaged": `{"w":"x","spec":7}`, "later version": `{"w":"x","v":9}`, "empty": `null`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -14,6 +14,7 @@
 // leader's workers must be without those tasks in time all the same: its authority
 // counts from when it last knew all cancellations, not from its renewal.
 func TestUnseenCancellationThenOutage(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		for _, blindFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
 			w := New(600+seed, logs())
@@ -45,6 +46,7 @@
 // TestLeaderToldOfCancellation: a leader that the state service refuses stops a job's
 // tasks as soon as a peer that has confirmed the cancellation tells it.
 func TestLeaderToldOfCancellation(t *testing.T) {
+	t.Parallel()
 	w := New(610, logs())
 	w.Run(6 * time.Second)
 	u := w.submit(0, array("run-000001", 4), 500, 0, false)
@@ -68,6 +70,7 @@
 // authority. All controllers are there and confirm for one another, so nothing that
 // runs is lost, and what was cancelled a moment before is gone in time.
 func TestLongOutage(t *testing.T) {
+	t.Parallel()
 	for _, refused := range []bool{false, true} {
 		w := New(620, logs())
 		w.Run(6 * time.Second)
@@ -102,6 +105,7 @@
 // earlier life: the leader gives up within its authority, and the cancelled tasks
 // are gone in time.
 func TestConfirmationOfRestartedPeer(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(4) {
 		w := New(630+seed, logs())
 		w.Run(6 * time.Second)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -141,6 +141,7 @@
 // served again soon after one is up; no worker's lease lapses; tokens only rise; and
 // nothing that runs stops, no replica and no gang.
 func TestNoDowntime(t *testing.T) {
+	t.Parallel()
 	for name, order := range replacements {
 		for from, label := range map[release]string{release02: "0.2", release03: "0.3", current: "itself"} {
 			t.Run(name+" from "+label, func(t *testing.T) {
@@ -221,6 +222,7 @@
 // cancelled at every node, whichever version each of them has. (Nothing new is asked of
 // a node of version 0.2, which does not know services.)
 func TestRequestsInMixedVersions(t *testing.T) {
+	t.Parallel()
 	for mixture := range 8 {
 		w := NewShaped(uint64(520+mixture), logs(), lowered(Small(), 15, 4))
 		for i, c := range w.nodes {
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -274,6 +274,7 @@
 // rules are checked at every step, and once the faults are over that no job is
 // forgotten, none waits beside room for it and all end.
 func TestFaultCombinations(t *testing.T) {
+	t.Parallel()
 	seeds := uint64(6)
 	if testing.Short() {
 		seeds = 2
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -34,6 +34,7 @@
 // order reaches, keeps neither a gang nor a cancellation waiting. Its lease
 // runs out again and again; it is noticed, takes no work and is returned.
 func TestMachineNotReceiving(t *testing.T) {
+	t.Parallel()
 	for _, busy := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
 			shape := Small()
@@ -67,6 +68,7 @@
 // TestMachineNotReceivingIsNotUsed: work on a not receiving machine is given back by its own
 // newer session or its deletion, and a job that waits is started elsewhere.
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
+	t.Parallel()
 	w := New(22, logs())
 	w.Run(6 * time.Second)
 	s := gangJob("run-000001", 4)
@@ -87,6 +89,7 @@
 // TestLateCopies: copies of reports, late by up to four leases, reach every
 // controller while leaders change and machines are lost and returned.
 func TestLateCopies(t *testing.T) {
+	t.Parallel()
 	w := New(23, logs())
 	w.copies = 4 * secs(w.shape.Workers.LeaseS)
 	w.load(24, 120*time.Second)
@@ -112,6 +115,7 @@
 // under an earlier leader is no sign of life to a later one: it gets no order
 // that means anything, no record, no work, and does not keep the name alive.
 func TestCopyOfDeletedMachine(t *testing.T) {
+	t.Parallel()
 	w := New(24, logs())
 	w.Run(6 * time.Second)
 	u := w.submit(0, array("run-000001", 4), 10, 0, false)
@@ -164,6 +168,7 @@
 // TestCopyOfDeadMachine: a machine dies with its leader, and the next leader's
 // first sign of it is a late duplicate of an old report. It gets no work.
 func TestCopyOfDeadMachine(t *testing.T) {
+	t.Parallel()
 	w := New(26, logs())
 	w.Run(6 * time.Second)
 	u := w.submit(0, array("run-000001", 4), 10, 0, false)
@@ -187,6 +192,7 @@
 // controllers, but with its workers, stops answering them within its bound and
 // sends them away; users who ask it are told at once to come back elsewhere.
 func TestIsolatedLeader(t *testing.T) {
+	t.Parallel()
 	for _, hold := range []bool{true, false} {
 		w := New(25, logs())
 		w.Run(6 * time.Second)
@@ -228,6 +234,7 @@
 // TestBackAtOnce: processes that are back within a fraction of a second, in the
 // middle of an election, of a transaction, and several at once.
 func TestBackAtOnce(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(6) {
 		w := New(30+seed, logs())
 		w.copies = 5 * time.Second // reports of their former lives come late
@@ -260,6 +267,7 @@
 // TestMassLoss: a third of a thousand machines dies at once while a burst of
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestMassLoss(t *testing.T) {
+	t.Parallel()
 	w := NewShaped(3, logs(), grown())
 	w.crowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -55,6 +55,7 @@
 // budgets: everything is served, and the work that is done and asked of the
 // state service keeps within bounds, counted, not timed.
 func TestSizes(t *testing.T) {
+	t.Parallel()
 	for name, day := range map[string]struct {
 		shape Shape
 		jobs  int
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -8,6 +8,7 @@
 // TestIdle: controllers that nothing happens to are woken a few times a second at
 // most, whatever their share of a core, and ask the state service for little.
 func TestIdle(t *testing.T) {
+	t.Parallel()
 	shape := Small()
 	shape.Machines = 0
 	for _, cores := range []float64{0.018, 0.24} {
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -194,6 +194,7 @@
 // TestReplicaLossByStage measures where the time goes for which replicas of a lost
 // machine are away, and keeps each part within its bound.
 func TestReplicaLossByStage(t *testing.T) {
+	t.Parallel()
 	shape := grown()
 	shape.Machines, shape.Capacity = 12, 60
 	shape.Resources = config.Resources{}
@@ -212,6 +213,7 @@
 // TestServiceStartByStage measures where the time goes from a service's submission until
 // its replicas run, on machines that are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
+	t.Parallel()
 	shape := grown()
 	shape.Machines, shape.Capacity = 30, 60
 	shape.Resources = config.Resources{}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -63,6 +63,7 @@
 // TestServices: what a service's replicas lose under each fault is no more than
 // the time that proof of their end and another start take; only its user ends it.
 func TestServices(t *testing.T) {
+	t.Parallel()
 	for _, c := range serviceFaults {
 		t.Run(c.name, c.run)
 	}
@@ -94,6 +95,7 @@
 // a service whose replicas end at once makes no storm of starts, also when it
 // fails on every machine, and takes no machine from others.
 func TestReplicaEnds(t *testing.T) {
+	t.Parallel()
 	w := New(71, logs())
 	w.Run(6 * time.Second)
 	u := w.submit(0, service("run-000001", 4), 0, 0, false)
@@ -125,6 +127,7 @@
 
 // TestServiceLimit: a service needs room for all its tasks within its team's limit.
 func TestServiceLimit(t *testing.T) {
+	t.Parallel()
 	w := New(72, logs())
 	w.Run(6 * time.Second)
 	for replicas, want := range map[int]int{2: 201, 3: 422} {
@@ -142,6 +145,7 @@
 // TestReplicasLeaveGPUs: replicas are spread over machines, and take no processors
 // or memory that work on GPUs needs while there are others.
 func TestReplicasLeaveGPUs(t *testing.T) {
+	t.Parallel()
 	shape := Small()
 	shape.Machines, shape.Capacity = 8, 8
 	w := NewShaped(73, logs(), shape)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -64,6 +64,7 @@
 // TestCrashedLeader: a crashed leader is replaced soon after its leader lease lapses,
 // and what runs goes on running.
 func TestCrashedLeader(t *testing.T) {
+	t.Parallel()
 	w := New(1, logs())
 	w.Run(5 * time.Second)
 	u := w.submit(0, gangJob("run-000001", 3), 60, 0, false)
@@ -84,6 +85,7 @@
 // TestReturnsAtOnce: a process that is back within a fraction of a second
 // replaces its predecessor's leader lease without waiting for it to lapse.
 func TestReturnsAtOnce(t *testing.T) {
+	t.Parallel()
 	w := New(2, logs())
 	w.Run(5 * time.Second)
 	c := w.leader()
@@ -101,6 +103,7 @@
 // TestLateDirectStart: a direct start that is held in the network for a minute
 // must not start its task again after it is done and forgotten.
 func TestLateDirectStart(t *testing.T) {
+	t.Parallel()
 	w := New(3, logs())
 	w.Run(6 * time.Second)
 	c := w.leader()
@@ -118,6 +121,7 @@
 // TestStateOutage: an outage shorter than the leader's grace costs no task,
 // takes no node out of the load balancer and changes no leader.
 func TestStateOutage(t *testing.T) {
+	t.Parallel()
 	w := New(4, logs())
 	w.Run(5 * time.Second)
 	u := w.submit(0, gangJob("run-000001", 3), 60, 0, false)
@@ -142,6 +146,7 @@
 // TestAloneRefused: a node that alone is refused by the state service says it
 // is not ready.
 func TestAloneRefused(t *testing.T) {
+	t.Parallel()
 	w := New(5, logs())
 	w.Run(5 * time.Second)
 	var c *controller
@@ -177,6 +182,7 @@
 // TestLostAnswers: the state service carries out what the leader sends, but
 // its answers are lost for a while. Nothing is applied twice or forgotten.
 func TestLostAnswers(t *testing.T) {
+	t.Parallel()
 	w := New(6, logs())
 	w.Run(5 * time.Second)
 	c := w.leader()
@@ -201,6 +207,7 @@
 // TestCloudOutageAtStart: nodes that start while the cloud does not answer know
 // the machine types from the records and take submissions.
 func TestCloudOutageAtStart(t *testing.T) {
+	t.Parallel()
 	w := New(12, logs())
 	w.Run(5 * time.Second)
 	w.cloud.down = true
@@ -221,6 +228,7 @@
 // TestManyPolls: far more polls than the state service's budget allows neither
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
 func TestManyPolls(t *testing.T) {
+	t.Parallel()
 	w := New(13, logs())
 	w.Run(5 * time.Second)
 	u := w.submit(0, array("run-000001", 2), 60, 0, false)
@@ -253,6 +261,7 @@
 // TestCancelWhileCutOff: a leader cut off from everything but some workers does
 // not know of a cancellation; its grace ends before the cancellation must hold.
 func TestCancelWhileCutOff(t *testing.T) {
+	t.Parallel()
 	w := New(7, logs())
 	w.Run(5 * time.Second)
 	u := w.submit(0, array("run-000001", 8), 500, 0, false)
@@ -279,6 +288,7 @@
 // TestRelay: across a cut between two zones, reports of the far zone's workers
 // reach the leader through the controllers, and nothing is lost.
 func TestRelay(t *testing.T) {
+	t.Parallel()
 	w := New(8, logs())
 	w.Run(5 * time.Second)
 	u := w.submit(0, array("run-000001", 12), 120, 0, false)
@@ -305,6 +315,7 @@
 // TestLargeArray: a job whose tasks fill many records keeps the state
 // service's limits and survives a change of leader.
 func TestLargeArray(t *testing.T) {
+	t.Parallel()
 	w := New(9, logs())
 	w.Run(5 * time.Second)
 	s := array("run-000001", 700)
@@ -325,6 +336,7 @@
 // TestLargestJob: a job of the largest size is taken, keeps every limit of the
 // state service, survives a change of leader and is cancelled in time.
 func TestLargestJob(t *testing.T) {
+	t.Parallel()
 	w := New(14, logs())
 	w.Run(5 * time.Second)
 	s := array("run-000001", 100_000)
@@ -347,6 +359,7 @@
 // TestSpareRepair: a gang that loses a machine runs again at once on a machine
 // that is there, keeping its checkpoint.
 func TestSpareRepair(t *testing.T) {
+	t.Parallel()
 	w := New(10, logs())
 	w.Run(6 * time.Second)
 	s := gangJob("run-000001", 2)
@@ -373,6 +386,7 @@
 // controllers costs nothing that runs: the reports of the far zone reach the
 // leader by way of the state service, and so do its answers.
 func TestZoneCutOff(t *testing.T) {
+	t.Parallel()
 	for _, hold := range []bool{true, false} {
 		w := New(11, logs())
 		w.Run(5 * time.Second)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -191,6 +191,7 @@
 // rule at every step, and that all jobs are over once the faults are. On every
 // second day most reports go to the leader by way of the other controllers.
 func TestRulesHold(t *testing.T) {
+	t.Parallel()
 	days := 24
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil {
 		days = n
@@ -243,6 +244,7 @@
 // TestSameSeedSameRun guards the determinism that makes a failing seed worth
 // having: the state machine must not depend on the order of maps.
 func TestSameSeedSameRun(t *testing.T) {
+	t.Parallel()
 	run := func() (uint64, int) {
 		w := New(5, nil)
 		w.load(16, 60*time.Second)
@@ -263,6 +265,7 @@
 
 // TestNobodySubmitted asks for a job that was never submitted.
 func TestNobodySubmitted(t *testing.T) {
+	t.Parallel()
 	w := New(1, nil)
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -15,6 +15,7 @@
 // one controller and then of all. Every rule holds, everybody is served, and a
 // leader loses its leader lease to nothing but its own end.
 func TestSlowControllers(t *testing.T) {
+	t.Parallel()
 	shape := weakest()
 	shape.Slow = true
 	shape.Capacity = 328
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -35,6 +35,7 @@
 // lowered, and every rule holds; nothing is lost and all is served. The leader may
 // be any of both versions at any time.
 func TestUpgrade(t *testing.T) {
+	t.Parallel()
 	days := 36
 	if testing.Short() {
 		days = 9
@@ -93,6 +94,7 @@
 // while a new leader has yet to hear from its peers; a thousand machines' room
 // records are as well, and no machine is forgotten on the way.
 func TestLoweredLimits(t *testing.T) {
+	t.Parallel()
 	shape := lowered(grown(), 21, 8)
 	shape.State.TxnOps = 24
 	w := NewShaped(77, logs(), shape)
@@ -153,6 +155,7 @@
 // TestOversizedUnderLoweredLimits: the limits are lowered before anything was
 // split, and a new leader that knows nothing of its peers finds the records.
 func TestOversizedUnderLoweredLimits(t *testing.T) {
+	t.Parallel()
 	shape := lowered(Small(), 15, 4)
 	shape.Capacity = 40
 	w := NewShaped(78, logs(), shape)
@@ -243,6 +246,7 @@
 // upgrade, in a takeover, or while the state service is slow or absent. Every rule
 // holds, nothing is refused twice, and all that is there runs to its end.
 func TestLimitsLoweredFar(t *testing.T) {
+	t.Parallel()
 	for _, c := range lowerings {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(c.name, " seed ", seed), func(t *testing.T) {
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -58,6 +58,7 @@
 // the rules allow elsewhere run again in the other zones on machines that are up, also
 // when nothing but services has run for a long while.
 func TestZoneLossWithoutBoot(t *testing.T) {
+	t.Parallel()
 	three := grown()
 	three.Machines, three.Capacity, three.Resources = 9, 60, config.Resources{}
 	two := Small()
