--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -5,17 +5,18 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // jobWrite is a job's part of a transaction.
 type jobWrite struct {
-	j       *job
+	j       *cluster.Job
 	records []int
 	final   *bookkeeping.Final
-	placed  []*taskAttempt // by this transaction
-	staging bool           // the records are parts that the job's own record does not name yet
+	placed  []*cluster.Attempt // by this transaction
+	staging bool               // the records are parts that the job's own record does not name yet
 }
 
 // batch builds a transaction within the state service's limits.
@@ -24,7 +25,7 @@
 	txn        protocol.Txn
 	bytes      int
 	tx         *commit
-	guarded    map[*machineRecord]bool
+	guarded    map[*cluster.MachineRecord]bool
 	maxChanges int // changes that it may have
 }
 
@@ -54,22 +55,22 @@
 
 // addJob adds as much of a job as fits. A job's own record goes last, so that
 // a gang's new epoch shows only when every task's place is written.
-func (b *batch) addJob(j *job) {
-	if phase := j.finalPhase(); phase != "" {
-		f := &bookkeeping.Final{Writer: b.tx.writer, Phase: phase, Done: j.done}
+func (b *batch) addJob(j *cluster.Job) {
+	if phase := j.FinalPhase(); phase != "" {
+		f := &bookkeeping.Final{Writer: b.tx.writer, Phase: phase, Done: j.DoneTasks}
 		if !b.fits(2, 2, 400) {
 			return
 		}
-		b.guard(bookkeeping.JobKey(j.id), j.revisions[0])
-		b.guard(bookkeeping.FinalKey(j.id), 0)
-		b.set(bookkeeping.FinalKey(j.id), bookkeeping.Encode(f))
-		b.remove(bookkeeping.JobKey(j.id))
-		clear(j.dirty)
-		j.writing = true
+		b.guard(bookkeeping.JobKey(j.ID), j.Records.Revisions[0])
+		b.guard(bookkeeping.FinalKey(j.ID), 0)
+		b.set(bookkeeping.FinalKey(j.ID), bookkeeping.Encode(f))
+		b.remove(bookkeeping.JobKey(j.ID))
+		clear(j.Write.Dirty)
+		j.Write.InFlight = true
 		b.tx.jobs = append(b.tx.jobs, &jobWrite{j: j, final: f})
 		return
 	}
-	if j.unwritable {
+	if j.Records.Quarantined {
 		return
 	}
 	w := &jobWrite{j: j}
@@ -80,9 +81,9 @@
 	}
 	if len(w.records) > 0 {
 		if w.records[len(w.records)-1] != 0 {
-			j.dirty[0] = true
+			j.Write.Dirty[0] = true
 		}
-		j.writing = true
+		j.Write.InFlight = true
 		b.tx.jobs = append(b.tx.jobs, w)
 	}
 }
@@ -91,32 +92,32 @@
 type recordWrite struct {
 	record         int
 	value          json.RawMessage
-	placed         []*taskAttempt // that it places
-	machineRecords map[*machineRecord]bool
+	placed         []*cluster.Attempt // that it places
+	machineRecords map[*cluster.MachineRecord]bool
 }
 
 // recordWrite makes one. An array's places in more machine records than a transaction has
 // conditions for are given up, and planned again.
-func (b *batch) recordWrite(j *job, r int) recordWrite {
-	tasks, placed := j.record(r)
-	p := recordWrite{record: r, placed: placed, machineRecords: map[*machineRecord]bool{}}
+func (b *batch) recordWrite(j *cluster.Job, r int) recordWrite {
+	tasks, placed := recordContent(j, r)
+	p := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
 	most, dropped := bookkeeping.GangRecordTasks(b.l.limits().TxnOps), false
 	for _, c := range placed {
-		if c.m.record == nil || p.machineRecords[c.m.record] {
+		if c.Machine.Record == nil || p.machineRecords[c.Machine.Record] {
 			continue
 		}
-		if len(p.machineRecords) >= most && !j.spec.Gang() {
+		if len(p.machineRecords) >= most && !j.Spec.Gang() {
 			b.l.dropAttempt(c)
 			dropped = true
 			continue
 		}
-		p.machineRecords[c.m.record] = true
+		p.machineRecords[c.Machine.Record] = true
 	}
 	if dropped {
-		tasks, p.placed = j.record(r)
+		tasks, p.placed = recordContent(j, r)
 	}
 	if r == 0 {
-		p.value = bookkeeping.Encode(j.header(b.tx.writer, tasks))
+		p.value = bookkeeping.Encode(jobRecord(j, b.tx.writer, tasks))
 	} else {
 		p.value = bookkeeping.Encode(bookkeeping.TaskRecord{Writer: b.tx.writer, Tasks: tasks})
 	}
@@ -125,7 +126,7 @@
 
 // conditions is how many conditions the pieces add.
 func (b *batch) conditions(pieces []recordWrite) int {
-	records := map[*machineRecord]bool{}
+	records := map[*cluster.MachineRecord]bool{}
 	for _, p := range pieces {
 		for r := range p.machineRecords {
 			records[r] = records[r] || !b.guarded[r]
@@ -155,20 +156,20 @@
 	}
 	j := w.j
 	for _, p := range pieces {
-		key := bookkeeping.JobKey(j.id)
+		key := bookkeeping.JobKey(j.ID)
 		if p.record > 0 {
-			key = bookkeeping.TaskRecordKey(j.id, p.record)
+			key = bookkeeping.TaskRecordKey(j.ID, p.record)
 		}
-		b.guard(key, j.revisions[p.record])
+		b.guard(key, j.Records.Revisions[p.record])
 		b.set(key, p.value)
 		for _, c := range p.placed {
-			if c.m.record != nil {
-				b.guardMachineRecord(c.m.record)
+			if c.Machine.Record != nil {
+				b.guardMachineRecord(c.Machine.Record)
 			}
 		}
 		w.records = append(w.records, p.record)
 		w.placed = append(w.placed, p.placed...)
-		delete(j.dirty, p.record)
+		delete(j.Write.Dirty, p.record)
 	}
 	return true
 }
@@ -177,7 +178,7 @@
 func (b *batch) addRecords(w *jobWrite) {
 	j := w.j
 	var records []int
-	for r := range j.dirty {
+	for r := range j.Write.Dirty {
 		records = append(records, r)
 	}
 	slices.Sort(records)
@@ -206,7 +207,7 @@
 		return
 	}
 	for _, r := range records {
-		j.dirty[r] = true
+		j.Write.Dirty[r] = true
 	}
 	switch {
 	case b.fitsOneTransaction(writes):
@@ -235,43 +236,31 @@
 // passes over the parts. So nothing is placed meanwhile.
 func (b *batch) stage(w *jobWrite, records []int) {
 	j := w.j
-	j.splitting = true
+	j.Records.Splitting = true
 	b.l.dropUncommitted(j)
 	for _, r := range records {
-		if _, isPart := j.newParts[r]; !isPart {
+		if _, isPart := j.Records.UnnamedParts[r]; !isPart {
 			continue
 		}
 		if !b.addRecordWrites(w, b.recordWrite(j, r)) {
 			break
 		}
-		delete(j.staged, r)
+		delete(j.Records.Staged, r)
 	}
 	w.staging = len(w.records) > 0
 }
 
-// finalPhase is the phase in which the job has ended, or "".
-func (j *job) finalPhase() protocol.Phase {
-	switch {
-	case j.cancelled && len(j.attempts) == 0:
-		return protocol.PhaseCancelled
-	case !j.cancelled && j.isComplete():
-		return protocol.PhaseDone
-	}
-	return ""
-}
-
-// record lists the tasks of one of the job's records and the attempts that it
-// places.
-func (j *job) record(r int) (tasks []bookkeeping.Task, placed []*taskAttempt) {
-	for _, i := range j.tasksOf(r) {
-		t := &j.tasks[i]
-		if t.lastAttempt == 0 && !t.done {
+// recordContent lists the tasks of one of a job's records and the attempts that it places.
+func recordContent(j *cluster.Job, r int) (tasks []bookkeeping.Task, placed []*cluster.Attempt) {
+	for _, i := range j.TasksOf(r) {
+		t := &j.Tasks[i]
+		if t.LastAttempt == 0 && !t.Done {
 			continue
 		}
-		rec := bookkeeping.Task{Index: i, Attempt: t.lastAttempt, Done: t.done}
-		if c := t.active; c != nil && !t.done {
-			rec.Machine, rec.Incarnation = c.m.id, c.incarnation
-			if !c.committed {
+		rec := bookkeeping.Task{Index: i, Attempt: t.LastAttempt, Done: t.Done}
+		if c := t.Active; c != nil && !t.Done {
+			rec.Machine, rec.Incarnation = c.Machine.ID, c.Incarnation
+			if !c.Committed {
 				placed = append(placed, c)
 			}
 		}
@@ -280,17 +269,18 @@
 	return tasks, placed
 }
 
-func (j *job) header(writer string, tasks []bookkeeping.Task) bookkeeping.Job {
+// jobRecord is the content of a job's own record.
+func jobRecord(j *cluster.Job, writer string, tasks []bookkeeping.Task) bookkeeping.Job {
 	placed := 0
-	for i := range j.tasks {
-		if j.tasks[i].active != nil && !j.tasks[i].done {
+	for i := range j.Tasks {
+		if j.Tasks[i].Active != nil && !j.Tasks[i].Done {
 			placed++
 		}
 	}
 	parts := 0
-	if len(j.extraParts) > 0 {
-		parts = len(j.revisions)
+	if len(j.Records.ExtraParts) > 0 {
+		parts = len(j.Records.Revisions)
 	}
-	return bookkeeping.Job{Writer: writer, Spec: j.spec, AtMs: j.at.UnixMilli(), Seq: j.seq, Attempt: j.epoch,
-		Cancelled: j.cancelled, Done: j.done, Placed: placed, RecordTasks: j.chunk, Parts: parts, Tasks: tasks}
+	return bookkeeping.Job{Writer: writer, Spec: j.Spec, AtMs: j.SubmittedAt.UnixMilli(), Seq: j.ArrivalOrder, Attempt: j.Epoch,
+		Cancelled: j.Cancelled, Done: j.DoneTasks, Placed: placed, RecordTasks: j.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -27,8 +28,8 @@
 	for range 40 {
 		j := l.testJob(s)
 		l.placeArray(j, false)
-		for _, c := range j.attempts {
-			c.committed, c.sent, c.state = true, true, protocol.TaskRunning
+		for _, c := range j.Attempts {
+			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 		}
 	}
 	for i := range waiting {
@@ -43,18 +44,18 @@
 // decoding included.
 func BenchmarkReport(b *testing.B) {
 	l := fullFleet(600)
-	bodies := make([]*machine, 0, len(l.roster))
-	bodies = append(bodies, l.roster...)
+	bodies := make([]*cluster.Machine, 0, len(l.cluster.OrderedMachines))
+	bodies = append(bodies, l.cluster.OrderedMachines...)
 	b.ReportAllocs()
 	for i := range b.N {
 		m := bodies[i%len(bodies)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
-			m.id, m.zone, m.sequence+1, l.n.lease.term)
-		for k, c := range sortedAttempts(m) {
+			m.ID, m.Zone, m.Agent.Sequence+1, l.n.lease.term)
+		for k, c := range cluster.SortedAttemptsOn(m) {
 			if k > 0 {
 				body = append(body, ',')
 			}
-			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, c.j.id, c.key.index, c.key.attempt)
+			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, c.Job.ID, c.Key.Index, c.Key.Number)
 		}
 		body = append(body, "]}"...)
 		r, err := protocol.ParseReport(body)
@@ -74,8 +75,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		l.n.now = l.n.now.Add(tuning.PlanEvery)
-		for _, m := range l.roster {
-			m.lastReport = l.n.now
+		for _, m := range l.cluster.OrderedMachines {
+			m.Agent.LastHeartbeat = l.n.now
 		}
 		l.schedule()
 	}
@@ -97,7 +98,7 @@
 	full := heap()
 	large := fullFleet(4000)
 	waiting := heap()
-	machines := float64(full-empty) / float64(len(small.roster))
+	machines := float64(full-empty) / float64(len(small.cluster.OrderedMachines))
 	jobs := (float64(waiting-full) - float64(full-empty)) / 4000
 	t.Logf("%.0f bytes a machine with two tasks, %.0f a job that waits", machines, jobs)
 	if machines > 6<<10 {
--- /dev/null
+++ b/internal/coordination/cluster/machine.go
@@ -0,0 +1,129 @@
+package cluster
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/buddy"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// OnlyLowestPriority says whether all that a machine carries is of the lowest priority.
+func (m *Machine) OnlyLowestPriority() bool {
+	for _, c := range m.Attempts {
+		if c.Job.Priority > protocol.PriorityIdle {
+			return false
+		}
+	}
+	return true
+}
+
+// Machine is a rented machine and its agent.
+type Machine struct {
+	ID        protocol.MachineID
+	Address   string
+	TypeName  protocol.MachineTypeName
+	Zone      protocol.ZoneName
+	Spot      bool
+	Phase     protocol.MachinePhase // in the cloud's list
+	CreatedAt time.Time
+
+	Type  *protocol.MachineType // nil until it is known, and the slots with it
+	Slots buddy.Map
+	Used  Resources
+
+	Attempts  map[AttemptID]*Attempt
+	IdleSince time.Time
+	Images    []CachedImage // the most recently used last
+
+	Recovered   bool // known from a predecessor's record
+	Cordoned    bool // takes no further tasks, says the machine record
+	Deleting    bool
+	SpotNotice  bool                    // the cloud takes the machine away soon
+	Quarantined bool                    // too many jobs failed here
+	FailedJobs  map[protocol.JobID]bool // jobs that failed here, none succeeding between
+
+	// ReservedFor is the job that the free capacity is reserved for.
+	ReservedFor   *Job
+	ReservedUntil time.Time
+
+	Record          *MachineRecord // shared with other machines of the zone
+	RecordEntrySize int            // of its entry there, at most
+	Recorded        bool           // the stored record has it
+
+	Agent    AgentSession
+	Delivery CommandDelivery
+}
+
+// CachedImage is an image that a machine holds.
+type CachedImage struct {
+	Name   string
+	SizeGB float64
+}
+
+// ReserveFor holds a machine's room for a job.
+func (m *Machine) ReserveFor(j *Job, till time.Time) {
+	if m.ReservedFor != j {
+		m.ReleaseReservation()
+		m.ReservedFor = j
+		j.Reserved = append(j.Reserved, m)
+	}
+	m.ReservedUntil = till
+}
+
+// ReleaseReservation ends the hold.
+func (m *Machine) ReleaseReservation() {
+	if j := m.ReservedFor; j != nil {
+		m.ReservedFor = nil
+		j.Reserved = slices.DeleteFunc(j.Reserved, func(o *Machine) bool { return o == m })
+	}
+}
+
+// SortedAttemptsOn lists the attempts on a machine in a fixed order.
+func SortedAttemptsOn(m *Machine) []*Attempt {
+	list := make([]*Attempt, 0, len(m.Attempts))
+	for _, c := range m.Attempts {
+		list = append(list, c)
+	}
+	slices.SortFunc(list, func(a, b *Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.ArrivalOrder, b.Job.ArrivalOrder), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Key.Index, b.Key.Index), cmp.Compare(a.Key.Number, b.Key.Number))
+	})
+	return list
+}
+
+// account accounts for a job's tasks on the machine; n is negative to give back.
+func (m *Machine) account(s *protocol.Job, n int) {
+	m.Used.CPUs += s.CPUs * float64(n)
+	m.Used.GPUs += s.GPUs * float64(n)
+	m.Used.MemoryGB += s.MemoryGB * float64(n)
+	if len(m.Attempts) == 0 {
+		m.Used.CPUs, m.Used.GPUs, m.Used.MemoryGB = 0, 0, 0 // no rounding is left behind
+	}
+}
+
+// UseImage notes that the machine has an image; it keeps those last used.
+func (m *Machine) UseImage(s *protocol.Job, t *protocol.MachineType) {
+	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == s.Image })
+	m.Images = append(m.Images, CachedImage{s.Image, s.ImageGB})
+	if t == nil {
+		return
+	}
+	total := 0.0
+	for i := len(m.Images) - 1; i >= 0; i-- {
+		total += m.Images[i].SizeGB
+		if total > t.CacheGB && i < len(m.Images)-1 {
+			m.Images = slices.Delete(m.Images, 0, i+1)
+			return
+		}
+	}
+}
+
+func (m *Machine) HasImage(name string) bool {
+	return slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.Name == name })
+}
+
+// HasFree says whether a machine has anything left to give.
+func (m *Machine) HasFree(t *protocol.MachineType) bool {
+	return m.Used.CPUs < t.CPUs && m.Used.MemoryGB < t.MemoryGB && (t.GPUs == 0 || m.Used.GPUs < t.GPUs)
+}
--- /dev/null
+++ b/internal/coordination/cluster/records.go
@@ -0,0 +1,87 @@
+package cluster
+
+import (
+	"slices"
+
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// RecordLayout says which of a job's stored records holds which tasks. Every record has a
+// fixed number of tasks; one that has outgrown the store's limits is split, as a node of
+// a B-tree is: what it gives away is in a further record, a part, which names its tasks.
+type RecordLayout struct {
+	TasksPerRecord int
+	Revisions      []protocol.Revision // of every record, the first is the job's own
+	Moved          map[int]int         // tasks that are not in the record that their index says
+	ExtraParts     [][]int             // the tasks of the parts
+	// UnnamedParts are parts that the job's own record does not name yet, and the records
+	// that they were split from; Staged are those of them that are written as they
+	// should be.
+	UnnamedParts map[int]int
+	Staged       map[int]bool
+	// Abandoned are parts that a predecessor staged and never named, with their revisions.
+	Abandoned   map[int]protocol.Revision
+	Splitting   bool // the split takes several transactions: nothing is placed meanwhile
+	Quarantined bool // a record cannot be read, or cannot be brought under the limits
+	SpecSize    int  // of the specification in the first record
+}
+
+// BaseRecords is the number of records that the chunk says.
+func (j *Job) BaseRecords() int { return len(j.Records.Revisions) - len(j.Records.ExtraParts) }
+
+// RecordOf is the record that a task is in.
+func (j *Job) RecordOf(index int) int {
+	if r, ok := j.Records.Moved[index]; ok {
+		return r
+	}
+	return index / j.Records.TasksPerRecord
+}
+
+// TasksOf lists a record's tasks in order.
+func (j *Job) TasksOf(r int) []int {
+	if r >= j.BaseRecords() {
+		return j.Records.ExtraParts[r-j.BaseRecords()]
+	}
+	list := make([]int, 0, j.Records.TasksPerRecord)
+	for i := r * j.Records.TasksPerRecord; i < min((r+1)*j.Records.TasksPerRecord, len(j.Tasks)); i++ {
+		if len(j.Records.Moved) > 0 && j.RecordOf(i) != r {
+			continue
+		}
+		list = append(list, i)
+	}
+	return list
+}
+
+// MoveTask puts a task into a further record.
+func (j *Job) MoveTask(index, r int) {
+	if old, ok := j.Records.Moved[index]; ok {
+		if old == r {
+			return
+		}
+		list := &j.Records.ExtraParts[old-j.BaseRecords()]
+		*list = slices.DeleteFunc(*list, func(i int) bool { return i == index })
+	}
+	if j.Records.Moved == nil {
+		j.Records.Moved = map[int]int{}
+	}
+	j.Records.Moved[index] = r
+	list := &j.Records.ExtraParts[r-j.BaseRecords()]
+	at, _ := slices.BinarySearch(*list, index)
+	*list = slices.Insert(*list, at, index)
+}
+
+// SplitRecord gives half of a record's tasks to a new one.
+func (j *Job) SplitRecord(r int) (part int) {
+	list := slices.Clone(j.TasksOf(r))
+	part = len(j.Records.Revisions)
+	j.Records.Revisions = append(j.Records.Revisions, j.Records.Abandoned[part])
+	j.Records.ExtraParts = append(j.Records.ExtraParts, nil)
+	for _, i := range list[(len(list)+1)/2:] {
+		j.MoveTask(i, part)
+	}
+	if j.Records.UnnamedParts == nil {
+		j.Records.UnnamedParts = map[int]int{}
+	}
+	j.Records.UnnamedParts[part] = r
+	return part
+}
--- /dev/null
+++ b/internal/coordination/cluster/resources.go
@@ -0,0 +1,70 @@
+package cluster
+
+import (
+	"math"
+
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// MachineSlots is the number of slots on a machine: one a GPU or, without
+// GPUs, one a fixed share of processors.
+func MachineSlots(t *protocol.MachineType) int {
+	if t.GPUs >= 1 {
+		return int(t.GPUs)
+	}
+	return max(1, int(t.CPUs/tuning.SlotCPUs))
+}
+
+// TaskSlots is the number of slots that a task takes.
+func TaskSlots(s *protocol.Job) int {
+	if s.GPUs > 0 {
+		return int(math.Ceil(s.GPUs))
+	}
+	return max(1, int(math.Ceil(s.CPUs/tuning.SlotCPUs)))
+}
+
+// Resources is an amount of what tasks take of machines.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
+
+// Add adds another amount.
+func (r *Resources) Add(o Resources) {
+	r.CPUs += o.CPUs
+	r.GPUs += o.GPUs
+	r.MemoryGB += o.MemoryGB
+}
+
+// AddTasks adds what n tasks of a job take; n may be negative.
+func (r *Resources) AddTasks(s *protocol.Job, n int) {
+	r.CPUs += s.CPUs * float64(n)
+	r.GPUs += s.GPUs * float64(n)
+	r.MemoryGB += s.MemoryGB * float64(n)
+}
+
+// Fit is how many tasks of the job fit, at most limit.
+func (r Resources) Fit(s *protocol.Job, limit int) int {
+	n := float64(limit)
+	for _, p := range [][2]float64{{r.CPUs, s.CPUs}, {r.GPUs, s.GPUs}, {r.MemoryGB, s.MemoryGB}} {
+		if p[1] > 0 {
+			n = min(n, math.Floor((p[0]+AmountTolerance)/p[1]))
+		}
+	}
+	return max(0, int(n))
+}
+
+// CapacityOf is what a machine of a type has.
+func CapacityOf(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
+
+// TrueFirst compares two Booleans for a sort that puts true first.
+func TrueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
+
+// AmountTolerance absorbs rounding in sums of decimal amounts.
+const AmountTolerance = 1e-6
--- /dev/null
+++ b/internal/coordination/cluster/state.go
@@ -0,0 +1,191 @@
+// Package cluster is the model of the cluster that a leader decides on: jobs, tasks and
+// their attempts, machines and their agents, quotas and reservations, with the arithmetic
+// and the accounts that keep them consistent.
+//
+// It knows nothing of the network, the store or the cloud: it sends nothing, writes
+// nothing and logs nothing, and has no clock of its own.
+package cluster
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/buddy"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// State is the leader's model of the cluster: jobs, machines and quotas, and the accounts
+// that connect them. It is rebuilt from the stored records at every failover.
+type State struct {
+	Config       *config.Config
+	Types        map[protocol.MachineTypeName]*protocol.MachineType // shared with the node
+	Now          func() time.Time                                   // the time of the step under way
+	LeadingSince time.Time
+
+	Jobs     map[protocol.JobID]*Job
+	Machines map[protocol.MachineID]*Machine
+	// OrderedMachines are the machines by name, the order of their creation. The slice
+	// is never changed in place.
+	OrderedMachines []*Machine
+	Quotas          map[protocol.TeamName]*Quota
+}
+
+// NewState makes the model of a cluster of which nothing is known yet.
+func NewState(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, now func() time.Time) *State {
+	s := &State{Config: cfg, Types: types, Now: now, LeadingSince: now(),
+		Jobs: map[protocol.JobID]*Job{}, Machines: map[protocol.MachineID]*Machine{}, Quotas: map[protocol.TeamName]*Quota{}}
+	for _, t := range cfg.Cluster.Teams {
+		s.Quotas[t.Name] = &Quota{GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs, LimitCPUs: t.MaxCPUs, LimitGPUs: t.MaxGPUs}
+	}
+	return s
+}
+
+// AddAttempt enters an attempt into every account.
+func (st *State) AddAttempt(j *Job, index int, attempt protocol.AttemptNumber, m *Machine, incarnation protocol.Incarnation) *Attempt {
+	c := &Attempt{Job: j, Key: AttemptKey{index, attempt, m.ID}, Machine: m, Incarnation: incarnation}
+	c.Slots = m.Slots.Carve(TaskSlots(j.Spec))
+	j.Attempts[c.Key] = c
+	j.Tasks[index].LiveAttempts++
+	m.Attempts[AttemptID{j.ID, index, attempt}] = c
+	m.account(j.Spec, 1)
+	if t := st.Quotas[j.Spec.Team]; t != nil {
+		t.UsedCPUs += j.Spec.CPUs
+		t.UsedGPUs += j.Spec.GPUs
+	}
+	return c
+}
+
+// StartDeadlines lists the moments by which an array must start to meet its own
+// deadline and the aims that the settings give for its class, the next first.
+func (st *State) StartDeadlines(j *Job) []time.Time {
+	s := j.Spec
+	if s.Gang() {
+		return nil // gangs go in order of arrival
+	}
+	var list []time.Time
+	add := func(after float64) { list = append(list, j.SubmittedAt.Add(config.Seconds(after))) }
+	deadline := false
+	for _, o := range st.Config.Cluster.Objectives {
+		if o.Class != s.Class {
+			continue
+		}
+		switch {
+		case o.Kind == config.ObjectiveWait, o.Kind == config.ObjectiveUp:
+			add(o.WithinS)
+		case s.Service(): // it has no end
+		case o.Kind == config.ObjectiveFinished:
+			add(o.WithinS - s.EstimateS)
+		case o.Kind == config.ObjectiveDeadline && s.DeadlineS > 0:
+			add(s.DeadlineS*max(1, o.Times) - s.EstimateS)
+			deadline = true
+		}
+	}
+	if s.DeadlineS > 0 && !deadline && !s.Service() {
+		add(s.DeadlineS - s.EstimateS)
+	}
+	slices.SortFunc(list, time.Time.Compare)
+	return slices.Compact(list)
+}
+
+// EnsureMachine finds a machine or enters a new one.
+func (st *State) EnsureMachine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *Machine {
+	m := st.Machines[id]
+	if m == nil {
+		m = &Machine{ID: id, Attempts: map[AttemptID]*Attempt{}, Delivery: CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}}, FailedJobs: map[protocol.JobID]bool{},
+			IdleSince: st.Now(), CreatedAt: st.Now(), Slots: buddy.New(0)}
+		st.Machines[id] = m
+		st.enroll(m)
+	}
+	if typeName != "" {
+		m.Address, m.TypeName, m.Zone, m.Spot = cmp.Or(address, m.Address), typeName, zone, spot
+	}
+	return m
+}
+
+// enroll adds a machine to the roster, which is never changed in place. Machines are
+// named in the order of their creation, so that most come last.
+func (st *State) enroll(m *Machine) {
+	at, _ := slices.BinarySearchFunc(st.OrderedMachines, m, compareMachineIDs)
+	if at == len(st.OrderedMachines) {
+		st.OrderedMachines = append(st.OrderedMachines, m)
+		return
+	}
+	st.OrderedMachines = slices.Insert(slices.Clone(st.OrderedMachines), at, m)
+}
+
+func compareMachineIDs(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) }
+
+// TypeOf is the machine's type, nil while it is unknown.
+func (st *State) TypeOf(m *Machine) *protocol.MachineType {
+	if m.Type == nil || m.Type.Name != m.TypeName {
+		if m.Type = st.Types[m.TypeName]; m.Type == nil {
+			return nil
+		}
+		m.Slots = buddy.New(MachineSlots(m.Type))
+		for _, c := range SortedAttemptsOn(m) {
+			c.Slots = m.Slots.Carve(TaskSlots(c.Job.Spec))
+		}
+	}
+	return m.Type
+}
+
+// ImageFetchSeconds is how long a job's image takes to fetch on the slowest type.
+func (st *State) ImageFetchSeconds(s *protocol.Job) float64 {
+	fetch := 0.0
+	for _, t := range st.Types {
+		if t.Fits(s) && t.FetchGBPerS > 0 {
+			fetch = max(fetch, s.ImageGB/t.FetchGBPerS)
+		}
+	}
+	return fetch
+}
+
+// FreeResources is the machine's free room.
+func (st *State) FreeResources(m *Machine) Resources {
+	t := st.TypeOf(m)
+	if t == nil {
+		return Resources{}
+	}
+	return Resources{t.CPUs - m.Used.CPUs, t.GPUs - m.Used.GPUs, t.MemoryGB - m.Used.MemoryGB}
+}
+
+// PriceOf is a machine's price per hour.
+func (st *State) PriceOf(m *Machine) float64 {
+	t := st.TypeOf(m)
+	switch {
+	case t == nil:
+		return 0
+	case m.Spot:
+		return t.SpotPrice
+	default:
+		return t.Price
+	}
+}
+
+// RemoveAttempt takes an attempt out of every account; false if it is out already.
+func (st *State) RemoveAttempt(attempt *Attempt) bool {
+	job, machine := attempt.Job, attempt.Machine
+	if job.Attempts[attempt.Key] != attempt {
+		return false
+	}
+	delete(job.Attempts, attempt.Key)
+	delete(machine.Attempts, attempt.ID())
+	machine.Slots.Release(attempt.Slots)
+	machine.account(job.Spec, -1)
+	if len(machine.Attempts) == 0 {
+		machine.IdleSince = st.Now()
+	}
+	if quota := st.Quotas[job.Spec.Team]; quota != nil {
+		quota.UsedCPUs -= job.Spec.CPUs
+		quota.UsedGPUs -= job.Spec.GPUs
+	}
+	task := &job.Tasks[attempt.Key.Index]
+	task.LiveAttempts--
+	if task.Active == attempt {
+		task.Active = nil
+		job.Queue.WaitingSince = st.Now()
+	}
+	return true
+}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -38,25 +39,27 @@
 		return
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
-	b := &batch{l: l, tx: tx, guarded: map[*machineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
+	b := &batch{l: l, tx: tx, guarded: map[*cluster.MachineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
 	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.lease.term))
-	b.addMachineRecords(func(r *machineRecord) bool { return r.queued })
-	var later []*job
+	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
+	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
 	reserve := burst * tuning.GangReserve
 	for i, j := range list {
-		j.queued = false
+		j.Write.Queued = false
 		if i < urgent || i < ready && float64(len(b.txn.Then)+2) <= tokens-reserve {
 			b.addJob(j)
 		}
-		if len(j.dirty) > 0 {
-			j.queued = true
+		if len(j.Write.Dirty) > 0 {
+			j.Write.Queued = true
 			later = append(later, j)
 		}
 	}
 	l.dirty = later
 	if tokens >= burst/2 {
-		b.addMachineRecords(func(r *machineRecord) bool { return !r.stale.IsZero() && l.n.now.Sub(r.stale) > tuning.StaleWait })
+		b.addMachineRecords(func(r *cluster.MachineRecord) bool {
+			return !r.StaleSince.IsZero() && l.n.now.Sub(r.StaleSince) > tuning.StaleWait
+		})
 		for len(l.cleanup) > 0 && b.fits(1, 0, 200) {
 			b.remove(l.cleanup[0])
 			tx.deletes = append(tx.deletes, l.cleanup[0])
@@ -79,24 +82,24 @@
 // the budget is kept for them. So is what has waited long. Marks are not ready
 // at once: the tasks of an array end one after the other, and mostly their
 // record is written with the next place anyway.
-func (l *leader) byUrgency() (list []*job, urgent, ready int) {
+func (l *leader) byUrgency() (list []*cluster.Job, urgent, ready int) {
 	type entry struct {
-		j     *job
+		j     *cluster.Job
 		class int
 	}
 	var entries []entry
 	for _, j := range l.dirty {
-		if j.gone || len(j.dirty) == 0 {
-			j.queued = false
+		if j.Finished || len(j.Write.Dirty) == 0 {
+			j.Write.Queued = false
 			continue
 		}
 		e := entry{j, 3}
-		switch age := l.n.now.Sub(j.dirtySince); {
-		case j.splitting || (j.spec.Gang() || j.spec.Service()) && j.hasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (j.hasUncommitted() || j.finalPhase() != ""):
+		switch age := l.n.now.Sub(j.Write.DirtySince); {
+		case j.Records.Splitting || (j.Spec.Gang() || j.Spec.Service()) && j.HasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (j.HasUncommitted() || j.FinalPhase() != ""):
 			e.class = 0
 			urgent++
 			ready++
-		case j.hasUncommitted() || j.finalPhase() != "":
+		case j.HasUncommitted() || j.FinalPhase() != "":
 			e.class = 1
 			ready++
 		case age > tuning.MarkWait:
@@ -108,9 +111,9 @@
 	slices.SortStableFunc(entries, func(a, b entry) int {
 		byRank := 0
 		if a.class == 0 {
-			byRank = cmp.Compare(b.j.rank, a.j.rank)
+			byRank = cmp.Compare(b.j.Priority, a.j.Priority)
 		}
-		return cmp.Or(cmp.Compare(a.class, b.class), byRank, a.j.dirtySince.Compare(b.j.dirtySince))
+		return cmp.Or(cmp.Compare(a.class, b.class), byRank, a.j.Write.DirtySince.Compare(b.j.Write.DirtySince))
 	})
 	for _, e := range entries {
 		list = append(list, e.j)
@@ -197,29 +200,29 @@
 	}
 	for _, w := range tx.jobs {
 		j := w.j
-		j.writing = false
+		j.Write.InFlight = false
 		if w.final != nil {
 			l.finish(j, *w.final)
 			continue
 		}
 		for _, r := range w.records {
-			j.revisions[r] = max(j.revisions[r], revision)
+			j.Records.Revisions[r] = max(j.Records.Revisions[r], revision)
 		}
-		j.recordsWritten(w)
+		recordsWritten(j, w)
 		for _, c := range w.placed {
-			if j.attempts[c.key] != c {
+			if j.Attempts[c.Key] != c {
 				continue
 			}
-			c.committed = true
-			l.sendSoon(c.m)
+			c.Committed = true
+			l.sendSoon(c.Machine)
 		}
 		for _, c := range w.placed {
-			if c.stop && !c.sent {
+			if c.Stopping && !c.StartSent {
 				l.dropAttempt(c) // stopped before its start could leave
 			}
 		}
-		for _, c := range j.sortedAttempts() {
-			l.sendSoon(c.m) // a gang's starts wait for all of its records
+		for _, c := range j.SortedAttempts() {
+			l.sendSoon(c.Machine) // a gang's starts wait for all of its records
 		}
 		l.checkEnded(j)
 	}
@@ -228,19 +231,19 @@
 }
 
 // finish forgets a job whose final record is committed.
-func (l *leader) finish(j *job, f bookkeeping.Final) {
-	j.gone = true
-	clear(j.dirty)
-	delete(l.jobs, j.id)
-	l.n.cacheFinal(j.id, f)
-	for r := 1; r < len(j.revisions); r++ {
-		if j.revisions[r] != 0 {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.id, r))
+func (l *leader) finish(j *cluster.Job, f bookkeeping.Final) {
+	j.Finished = true
+	clear(j.Write.Dirty)
+	delete(l.cluster.Jobs, j.ID)
+	l.n.cacheFinal(j.ID, f)
+	for r := 1; r < len(j.Records.Revisions); r++ {
+		if j.Records.Revisions[r] != 0 {
+			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.ID, r))
 		}
 	}
-	for _, r := range slices.Sorted(maps.Keys(j.leftovers)) {
-		if r >= len(j.revisions) {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.id, r))
+	for _, r := range slices.Sorted(maps.Keys(j.Records.Abandoned)) {
+		if r >= len(j.Records.Revisions) {
+			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.ID, r))
 		}
 	}
 	l.plan = true
@@ -258,9 +261,9 @@
 	}
 	l.cleanup = append(l.cleanup, tx.deletes...)
 	for _, w := range tx.machineRecords {
-		w.record.queued = true
+		w.record.Queued = true
 		if len(failed) == 0 {
-			l.rereadRevision(w.record.key) // which key was in the way is not known
+			l.rereadRevision(w.record.Key) // which key was in the way is not known
 		}
 	}
 	for _, k := range failed {
@@ -270,7 +273,7 @@
 	}
 	for _, w := range tx.jobs {
 		j := w.j
-		j.writing = false
+		j.Write.InFlight = false
 		if w.final != nil {
 			w.records = []int{0}
 		}
@@ -278,14 +281,14 @@
 			l.touch(j, r)
 		}
 		for _, c := range w.placed {
-			if j.attempts[c.key] == c && !c.committed {
+			if j.Attempts[c.Key] == c && !c.Committed {
 				l.dropAttempt(c)
 			}
 		}
-		l.rereadRevision(bookkeeping.JobKey(j.id))
+		l.rereadRevision(bookkeeping.JobKey(j.ID))
 		for _, r := range w.records {
 			if r > 0 {
-				l.rereadRevision(bookkeeping.TaskRecordKey(j.id, r))
+				l.rereadRevision(bookkeeping.TaskRecordKey(j.ID, r))
 			}
 		}
 	}
@@ -307,22 +310,22 @@
 			}
 		}
 		if id, n, ok := bookkeeping.ParseTaskRecordKey(key); ok {
-			if j := l.jobs[id]; j != nil && n < len(j.revisions) {
-				j.revisions[n] = e.Revision
+			if j := l.cluster.Jobs[id]; j != nil && n < len(j.Records.Revisions) {
+				j.Records.Revisions[n] = e.Revision
 			}
 			return
 		}
 		if strings.HasPrefix(key, bookkeeping.MachinePrefix) {
 			for _, r := range l.machineRecords {
-				if r.key == key {
-					r.revision = e.Revision
-					r.queued = r.queued || r.revision == 0
+				if r.Key == key {
+					r.Revision = e.Revision
+					r.Queued = r.Queued || r.Revision == 0
 				}
 			}
 			return
 		}
 		id, _ := bookkeeping.ParseJobKey(key)
-		j := l.jobs[id]
+		j := l.cluster.Jobs[id]
 		if j == nil {
 			return
 		}
@@ -341,9 +344,9 @@
 }
 
 // lookUpFinal finishes a job whose record has turned out to be gone.
-func (n *Node) lookUpFinal(l *leader, j *job) {
-	n.state("GET", protocol.KeyPath(bookkeeping.FinalKey(j.id)), nil, func(status int, body []byte) {
-		if n.lead != l || status != 200 || j.gone {
+func (n *Node) lookUpFinal(l *leader, j *cluster.Job) {
+	n.state("GET", protocol.KeyPath(bookkeeping.FinalKey(j.ID)), nil, func(status int, body []byte) {
+		if n.lead != l || status != 200 || j.Finished {
 			return
 		}
 		e, ok := parse[protocol.Entry](body)
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -1,20 +1,21 @@
 package coordination
 
 import (
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // drain empties a machine that is to go: everything that can save its work
 // stops now, what cannot may finish if it can.
-func (l *leader) drain(m *machine) {
+func (l *leader) drain(m *cluster.Machine) {
 	l.plan = true
-	if !m.cordoned {
-		m.cordoned = true
+	if !m.Cordoned {
+		m.Cordoned = true
 		l.queueMachineRecord(m) // no leader places anything there any more
 	}
-	for _, c := range sortedAttempts(m) {
-		if c.stop || c.j.spec.Service() || c.j.spec.CheckpointS == 0 && !m.distrust {
+	for _, c := range cluster.SortedAttemptsOn(m) {
+		if c.Stopping || c.Job.Spec.Service() || c.Job.Spec.CheckpointS == 0 && !m.Quarantined {
 			continue // replicas move one by one
 		}
 		l.preempt(c)
@@ -22,12 +23,12 @@
 }
 
 // preempt stops an attempt in good order; a gang stops as a whole.
-func (l *leader) preempt(c *taskAttempt) { l.endAttempt(c, c.j.spec.SaveS+tuning.StopGrace) }
+func (l *leader) preempt(c *cluster.Attempt) { l.endAttempt(c, c.Job.Spec.SaveS+tuning.StopGrace) }
 
 // yieldAttempt stops an attempt for a job that waits: in good order if saving is worth
 // that job's wait.
-func (l *leader) yieldAttempt(c *taskAttempt) {
-	if savingPays(c.j.spec) {
+func (l *leader) yieldAttempt(c *cluster.Attempt) {
+	if savingPays(c.Job.Spec) {
 		l.preempt(c)
 	} else {
 		l.endAttempt(c, 0)
@@ -41,13 +42,13 @@
 	return s.CheckpointS > 0 && (s.Gang() || s.CheckpointS/2 > tuning.SavePays*s.SaveS)
 }
 
-func (l *leader) endAttempt(c *taskAttempt, grace float64) {
-	if c.j.attempts[c.key] != c {
+func (l *leader) endAttempt(c *cluster.Attempt, grace float64) {
+	if c.Job.Attempts[c.Key] != c {
 		return // went with another task of its gang
 	}
-	if c.j.spec.Gang() {
-		if !c.j.stopping {
-			l.endGang(c.j, grace)
+	if c.Job.Spec.Gang() {
+		if !c.Job.Stopping {
+			l.endGang(c.Job, grace)
 		}
 		return
 	}
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -34,7 +35,7 @@
 // time in which a cancellation must take effect.
 func (n *Node) grace() time.Duration {
 	w := n.cfg.Cluster.Workers
-	g := seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - n.takeoverTime()
+	g := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - n.takeoverTime()
 	return min(max(g, 0), tuning.MaxGrace)
 }
 
@@ -52,7 +53,7 @@
 // the moment after it last knew must have taken effect by then.
 func (n *Node) authority() time.Duration {
 	w := n.cfg.Cluster.Workers
-	bound := seconds(w.CancelS) - withDrift(seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
 	return min(n.leaseTTL()+n.grace(), max(bound, 0))
 }
 
@@ -64,8 +65,6 @@
 	return n.lease.renewedAt
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // withDrift stretches a span by the largest disagreement of two clocks.
 func withDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*tuning.ClockDrift)
--- a/internal/coordination/eviction.go
+++ b/internal/coordination/eviction.go
@@ -4,53 +4,54 @@
 	"cmp"
 	"slices"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // mayStop says whether an attempt may be stopped to make room for the job.
-func (l *leader) mayStop(c *taskAttempt, j *job) bool {
-	if c.stop || c.j == j || c.j.gone || c.j.isComplete() {
+func (l *leader) mayStop(c *cluster.Attempt, j *cluster.Job) bool {
+	if c.Stopping || c.Job == j || c.Job.Finished || c.Job.Complete() {
 		return false
 	}
-	if c.j.rank < j.rank {
+	if c.Job.Priority < j.Priority {
 		return true
 	}
 	// What fits into its own team's guarantee never yields to another's, and
 	// what has a higher priority never yields to a lower one, though it might:
 	// the queue would give the machines back, and so in turn for ever.
-	t := l.teams[c.j.spec.Team]
-	return j.mayReclaim && c.j.spec.Team != j.spec.Team && t != nil && t.exceedsGuarantee() && !c.j.guaranteed && c.j.rank <= j.rank
+	t := l.cluster.Quotas[c.Job.Spec.Team]
+	return j.Queue.MayReclaim && c.Job.Spec.Team != j.Spec.Team && t != nil && t.ExceedsGuarantee() && !c.Job.Queue.WithinGuarantee && c.Job.Priority <= j.Priority
 }
 
 // eviction is what must stop on one machine so that count tasks fit.
 type eviction struct {
-	m       *machine
+	m       *cluster.Machine
 	count   int
-	victims []*taskAttempt
-	rank    protocol.Rank // the highest of the victims'
+	victims []*cluster.Attempt
+	rank    protocol.Priority // the highest of the victims'
 	cost    float64
 }
 
 // makeRoom stops work that must yield to a waiting job, where that frees
 // enough room for it, and holds the room for it. A search that found nothing
 // is not repeated at once: it looks at every machine.
-func (l *leader) makeRoom(j *job, n int) {
-	if l.evicting(j) || l.n.now.Before(j.searchAt) || l.currentPass().isExhausted() || l.isRoomAwaited(j, n) || l.cannotMakeRoom(j, n) {
+func (l *leader) makeRoom(j *cluster.Job, n int) {
+	if l.evicting(j) || l.n.now.Before(j.Queue.PreemptionNotBefore) || l.currentPass().isExhausted() || l.isRoomAwaited(j, n) || l.cannotMakeRoom(j, n) {
 		return
 	}
 	list := l.evictions(j, n, false)
 	if len(list) == 0 {
-		j.searchAt = l.n.now.Add(tuning.SearchPause)
+		j.Queue.PreemptionNotBefore = l.n.now.Add(tuning.SearchPause)
 	}
 	l.stopVictims(j, list)
 }
 
 // evicting says whether room is being made for a job already.
-func (l *leader) evicting(j *job) bool {
-	for _, m := range j.held {
-		for _, c := range m.attempts {
-			if c.stop {
+func (l *leader) evicting(j *cluster.Job) bool {
+	for _, m := range j.Reserved {
+		for _, c := range m.Attempts {
+			if c.Stopping {
 				return true
 			}
 		}
@@ -59,9 +60,9 @@
 }
 
 // stopVictims carries evictions out.
-func (l *leader) stopVictims(j *job, list []eviction) {
+func (l *leader) stopVictims(j *cluster.Job, list []eviction) {
 	for _, e := range list {
-		e.m.keep(j, l.n.now.Add(tuning.HoldFor))
+		e.m.ReserveFor(j, l.n.now.Add(tuning.HoldFor))
 		for _, c := range e.victims {
 			l.n.metrics.Preemptions++
 			l.yieldAttempt(c)
@@ -72,13 +73,13 @@
 // waitsForCachedImage says whether a gang that could start on machines without its image
 // had better wait a moment for machines that have it, which work of lower
 // priority can leave sooner than the image would arrive.
-func (l *leader) waitsForCachedImage(j *job) bool {
+func (l *leader) waitsForCachedImage(j *cluster.Job) bool {
 	if l.evicting(j) {
 		return true
 	}
-	fetch := l.fetchSeconds(j.spec)
-	if fetch < tuning.WarmFetch || len(j.held) > 0 || l.n.now.Before(j.warmAt) || l.teamQuota(j) < len(j.tasks) ||
-		l.currentPass().isExhausted() || l.cannotMakeRoom(j, len(j.tasks)) {
+	fetch := l.cluster.ImageFetchSeconds(j.Spec)
+	if fetch < tuning.WarmFetch || len(j.Reserved) > 0 || l.n.now.Before(j.Queue.ImageLocalNotBefore) || l.cluster.TasksWithinLimit(j) < len(j.Tasks) ||
+		l.currentPass().isExhausted() || l.cannotMakeRoom(j, len(j.Tasks)) {
 		return false
 	}
 	warm := 0
@@ -87,21 +88,21 @@
 			warm += s.count
 		}
 	}
-	if warm >= len(j.tasks) {
+	if warm >= len(j.Tasks) {
 		return false // the placement finds them
 	}
-	j.warmAt = l.n.now.Add(tuning.SearchPause)
-	list := l.evictions(j, len(j.tasks), true)
+	j.Queue.ImageLocalNotBefore = l.n.now.Add(tuning.SearchPause)
+	list := l.evictions(j, len(j.Tasks), true)
 	cost := 0.0
 	for _, e := range list {
 		cost += e.cost
 		for _, c := range e.victims {
-			if savingPays(c.j.spec) && c.j.spec.SaveS > fetch*tuning.WarmSave {
+			if savingPays(c.Job.Spec) && c.Job.Spec.SaveS > fetch*tuning.WarmSave {
 				return false
 			}
 		}
 	}
-	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, j.spec.GPUs)*float64(len(j.tasks)) {
+	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, j.Spec.GPUs)*float64(len(j.Tasks)) {
 		return false
 	}
 	l.stopVictims(j, list)
@@ -110,8 +111,8 @@
 
 // evictions finds what to stop, and where, so that n tasks of a job fit; for a
 // gang all of them or nothing. warm: only on machines that have its image.
-func (l *leader) evictions(j *job, n int, warm bool) []eviction {
-	limit, only := l.zoneLimits(j)
+func (l *leader) evictions(j *cluster.Job, n int, warm bool) []eviction {
+	limit, only := l.cluster.ZoneLimits(j)
 	var best []eviction
 	bestCost := 0.0
 	consider := func(list []eviction, need int) {
@@ -122,17 +123,17 @@
 		cost := 0.0
 		per := map[protocol.ZoneName]int{}
 		for _, e := range list {
-			c := min(e.count, need, limit[e.m.zone]-per[e.m.zone])
+			c := min(e.count, need, limit[e.m.Zone]-per[e.m.Zone])
 			if c <= 0 {
 				continue
 			}
 			e = l.evict(j, e.m, c)
-			per[e.m.zone] += c
+			per[e.m.Zone] += c
 			need -= e.count
 			cost += e.cost
 			taken = append(taken, e)
 		}
-		if need > 0 && j.spec.Gang() || len(taken) == 0 {
+		if need > 0 && j.Spec.Gang() || len(taken) == 0 {
 			return
 		}
 		if best == nil || cost < bestCost {
@@ -143,7 +144,7 @@
 	collect := func(zone protocol.ZoneName) (list []eviction) {
 		p.looks += len(p.open)
 		for _, m := range p.open {
-			if zone != "" && m.zone != zone || only != "" && m.zone != only || !l.suits(j, m) || warm && !m.hasImage(j.spec.Image) {
+			if zone != "" && m.Zone != zone || only != "" && m.Zone != only || !l.cluster.Suits(j, m) || warm && !m.HasImage(j.Spec.Image) {
 				continue
 			}
 			if e := l.evict(j, m, n); e.count > 0 {
@@ -152,7 +153,7 @@
 		}
 		return list
 	}
-	if !j.spec.OneZone {
+	if !j.Spec.OneZone {
 		consider(collect(""), n)
 		return best
 	}
@@ -164,9 +165,9 @@
 
 // hasYielding says whether anything on a machine may be stopped for a job or is on
 // its way out.
-func (l *leader) hasYielding(m *machine, j *job) bool {
-	for _, c := range m.attempts {
-		if c.stop || l.mayStop(c, j) {
+func (l *leader) hasYielding(m *cluster.Machine, j *cluster.Job) bool {
+	for _, c := range m.Attempts {
+		if c.Stopping || l.mayStop(c, j) {
 			return true
 		}
 	}
@@ -175,64 +176,64 @@
 
 // evict works out what to stop on a machine so that up to count tasks fit:
 // the lowest priority first, then what loses least.
-func (l *leader) evict(j *job, m *machine, count int) eviction {
-	left := l.freeResources(m)
-	if left.fit(j.spec, 1) == 0 && !l.hasYielding(m, j) {
+func (l *leader) evict(j *cluster.Job, m *cluster.Machine, count int) eviction {
+	left := l.cluster.FreeResources(m)
+	if left.Fit(j.Spec, 1) == 0 && !l.hasYielding(m, j) {
 		return eviction{m: m} // most machines: nothing is sorted for them
 	}
-	var can []*taskAttempt
-	for _, c := range sortedAttempts(m) {
-		if c.stop {
-			left.addTasks(c.j.spec, 1) // on its way out already
+	var can []*cluster.Attempt
+	for _, c := range cluster.SortedAttemptsOn(m) {
+		if c.Stopping {
+			left.AddTasks(c.Job.Spec, 1) // on its way out already
 		} else if l.mayStop(c, j) {
 			can = append(can, c)
 		}
 	}
-	slices.SortStableFunc(can, func(a, b *taskAttempt) int {
-		return cmp.Or(cmp.Compare(a.j.rank, b.j.rank), cmp.Compare(l.workLost(a), l.workLost(b)))
+	slices.SortStableFunc(can, func(a, b *cluster.Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.Priority, b.Job.Priority), cmp.Compare(l.workLost(a), l.workLost(b)))
 	})
-	e := eviction{m: m, count: left.fit(j.spec, count)}
+	e := eviction{m: m, count: left.Fit(j.Spec, count)}
 	for _, c := range can {
 		if e.count >= count {
 			break
 		}
-		left.addTasks(c.j.spec, 1)
+		left.AddTasks(c.Job.Spec, 1)
 		e.victims = append(e.victims, c)
-		e.count = left.fit(j.spec, count)
+		e.count = left.Fit(j.Spec, count)
 	}
 	// A victim that is not needed after all stays.
 	for i := len(e.victims) - 1; i >= 0; i-- {
-		left.addTasks(e.victims[i].j.spec, -1)
-		if left.fit(j.spec, count) < e.count {
-			left.addTasks(e.victims[i].j.spec, 1)
+		left.AddTasks(e.victims[i].Job.Spec, -1)
+		if left.Fit(j.Spec, count) < e.count {
+			left.AddTasks(e.victims[i].Job.Spec, 1)
 			continue
 		}
 		e.victims = slices.Delete(e.victims, i, i+1)
 	}
 	for _, c := range e.victims {
 		e.cost += 1 + l.workLost(c)
-		e.rank = max(e.rank, c.j.rank)
+		e.rank = max(e.rank, c.Job.Priority)
 	}
-	if t := l.kind(m); t != nil && t.FetchGBPerS > 0 && !m.hasImage(j.spec.Image) {
-		e.cost += float64(e.count) * max(1, j.spec.GPUs) * j.spec.ImageGB / t.FetchGBPerS
+	if t := l.cluster.TypeOf(m); t != nil && t.FetchGBPerS > 0 && !m.HasImage(j.Spec.Image) {
+		e.cost += float64(e.count) * max(1, j.Spec.GPUs) * j.Spec.ImageGB / t.FetchGBPerS
 	}
 	return e
 }
 
 // workLost is about how much work is lost when an attempt is stopped, in GPU seconds.
 // With one task of a gang all stop, save, and gather again.
-func (l *leader) workLost(c *taskAttempt) float64 {
-	s := c.j.spec
+func (l *leader) workLost(c *cluster.Attempt) float64 {
+	s := c.Job.Spec
 	gpus := max(1, s.GPUs)
 	switch {
 	case s.Gang() && s.CheckpointS > 0:
 		return (s.SaveS + tuning.GangRestart) * gpus * float64(s.Tasks)
-	case c.running.IsZero():
+	case c.RunningSince.IsZero():
 		return 0
 	case s.Gang():
-		return l.n.now.Sub(c.running).Seconds() * gpus * float64(s.Tasks)
+		return l.n.now.Sub(c.RunningSince).Seconds() * gpus * float64(s.Tasks)
 	case s.CheckpointS > 0:
 		return min(s.SaveS, s.CheckpointS/2) * gpus
 	}
-	return l.n.now.Sub(c.running).Seconds() * gpus
+	return l.n.now.Sub(c.RunningSince).Seconds() * gpus
 }
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -8,15 +8,17 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(m *machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
-	cmds, _ := l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Spot: m.spot,
-		Incarnation: 1, Sequence: m.sequence + 1, Token: token, Tasks: tasks}, true)
+func (l *leader) testReport(m *cluster.Machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
+	cmds, _ := l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: token, Tasks: tasks}, true)
 	return cmds
 }
 
@@ -40,12 +42,12 @@
 }
 
 // recorded is a job whose task a predecessor's record places on a machine.
-func (l *leader) recorded(m *machine) (*job, *taskAttempt) {
+func (l *leader) recorded(m *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
 	j := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1}}}, 9)
-	return j, j.sortedAttempts()[0]
+		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1}}}, 9)
+	return j, j.SortedAttempts()[0]
 }
 
 // TestAbsenceNeedsToken: until the worker has shown this leader's token its
@@ -55,11 +57,11 @@
 	m := l.testMachine("i-1", "big", "a", false)
 	j, _ := l.recorded(m)
 	l.testReport(m, l.n.lease.term-1)
-	if len(j.attempts) != 1 {
+	if len(j.Attempts) != 1 {
 		t.Fatal("gone by a report that has not seen the token")
 	}
 	l.testReport(m, l.n.lease.term)
-	if len(j.attempts) != 0 {
+	if len(j.Attempts) != 0 {
 		t.Error("still there after a report that has")
 	}
 }
@@ -85,26 +87,26 @@
 	m := l.testMachine("i-1", "big", "a", false)
 	j := l.testJob(gangOf(1, 1))
 	l.placeGang(j)
-	clear(j.dirty)
-	c := j.sortedAttempts()[0]
-	c.committed = true
+	clear(j.Write.Dirty)
+	c := j.SortedAttempts()[0]
+	c.Committed = true
 	l.direct(m, l.orders(m, false))
 	r := l.n.lastRequest(t, ToWorker)
 	l.n.handle(Response{ID: r.ID})
 	l.testReport(m, l.n.lease.term)
 	l.testReport(m, l.n.lease.term)
-	if len(j.attempts) != 1 {
+	if len(j.Attempts) != 1 {
 		t.Fatal("gone while its start may be on its way")
 	}
 	l.stop(c, 0)
 	if got := ops(l.testReport(m, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: protocol.TaskName(j.id, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskReport{Task: protocol.TaskName(j.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := ops(l.testReport(m, l.n.lease.term, exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
-	if len(j.attempts) != 0 {
+	if len(j.Attempts) != 0 {
 		t.Error("still there after its exit")
 	}
 }
@@ -114,20 +116,20 @@
 func TestLapseCountsGrace(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	l := testLeader(start)
-	m := l.machine("i-1", "h:1", "big", "a", false)
+	m := l.cluster.EnsureMachine("i-1", "h:1", "big", "a", false)
 	j, _ := l.recorded(m)
-	lease := seconds(l.n.cfg.Cluster.Workers.LeaseS)
+	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	at := func(d time.Duration) {
 		l.n.now = start.Add(d)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
 		l.tickMachines()
 	}
 	at(lease + l.n.grace() - time.Second)
-	if len(j.attempts) != 1 {
+	if len(j.Attempts) != 1 {
 		t.Fatal("presumed gone within the predecessor's grace")
 	}
 	at(lease + l.n.grace() + 3*time.Second)
-	if len(j.attempts) != 0 {
+	if len(j.Attempts) != 0 {
 		t.Error("not gone after grace and lease")
 	}
 }
@@ -137,17 +139,17 @@
 func TestCommitFirst(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) { commitFirst(t, protocol.ShapeGang, (*leader).placeGang) })
 	t.Run(string(protocol.ShapeArray), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeArray, func(l *leader, j *job) bool { return l.placeArray(j, false) == 0 })
+		commitFirst(t, protocol.ShapeArray, func(l *leader, j *cluster.Job) bool { return l.placeArray(j, false) == 0 })
 	})
 }
 
-func commitFirst(t *testing.T, shape protocol.Shape, place func(*leader, *job) bool) {
+func commitFirst(t *testing.T, shape protocol.Shape, place func(*leader, *cluster.Job) bool) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
 	s := gangOf(2, 1)
 	s.Shape = shape
 	j := l.testJob(s)
-	stamp := j.revisions[0]
+	stamp := j.Records.Revisions[0]
 	if !place(l, j) {
 		t.Fatal("not placed")
 	}
@@ -161,7 +163,7 @@
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(j.id): stamp, m.record.key: m.record.revision} {
+	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(j.ID): stamp, m.Record.Key: m.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
@@ -191,15 +193,15 @@
 	l.placeGang(j)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(j.id)}})})
-	if len(j.attempts) != 0 || l.machines["i-1"].gpus != 0 {
-		t.Fatalf("%d copies of the plan are left", len(j.attempts))
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(j.ID)}})})
+	if len(j.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
+		t.Fatalf("%d copies of the plan are left", len(j.Attempts))
 	}
 	read := l.n.lastRequest(t, ToState)
-	rec := bookkeeping.Job{Writer: "another", Spec: j.spec, RecordTasks: 60, Seq: j.seq, Cancelled: true}
-	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(j.id), Value: bookkeeping.Encode(rec), Revision: 50})})
-	if !j.cancelled || j.revisions[0] != 50 || j.finalPhase() != protocol.PhaseCancelled {
-		t.Errorf("cancelled %v at revision %d", j.cancelled, j.revisions[0])
+	rec := bookkeeping.Job{Writer: "another", Spec: j.Spec, RecordTasks: 60, Seq: j.ArrivalOrder, Cancelled: true}
+	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(j.ID), Value: bookkeeping.Encode(rec), Revision: 50})})
+	if !j.Cancelled || j.Records.Revisions[0] != 50 || j.FinalPhase() != protocol.PhaseCancelled {
+		t.Errorf("cancelled %v at revision %d", j.Cancelled, j.Records.Revisions[0])
 	}
 }
 
@@ -248,11 +250,11 @@
 	}
 	last := txn.Then[len(txn.Then)-1]
 	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
-	if c := j.sortedAttempts()[0]; !c.committed || j.revisions[0] != 44 || l.inFlight != nil {
-		t.Fatalf("committed %v at revision %d", c.committed, j.revisions[0])
+	if c := j.SortedAttempts()[0]; !c.Committed || j.Records.Revisions[0] != 44 || l.inFlight != nil {
+		t.Fatalf("committed %v at revision %d", c.Committed, j.Records.Revisions[0])
 	}
 	l.n.handle(Response{ID: sent.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
-	if len(j.attempts) != 1 {
+	if len(j.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
 }
@@ -262,11 +264,11 @@
 func TestStrayMachineRecord(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
-	r := m.record
-	l.forget(m.id)
+	r := m.Record
+	l.forget(m.ID)
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
-	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{m.entry()}})
-	l.changed(&protocol.WatchEvent{Set: r.key, Value: value, Revision: 60})
+	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(m)}})
+	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
 	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
 	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
 	l.commitNext()
@@ -274,7 +276,7 @@
 	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	if len(txn.Then) != 1 || txn.Then[0].Delete != r.key || txn.If[1] != (protocol.Condition{Key: r.key, Revision: 60}) {
+	if len(txn.Then) != 1 || txn.Then[0].Delete != r.Key || txn.If[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
 		t.Errorf("%+v", txn)
 	}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -5,6 +5,8 @@
 	"strings"
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
@@ -23,17 +25,17 @@
 	pages   int // of the machine list under way, or of the last one
 	rentAt  time.Time
 	// idle machines that the replicas of a zone would need if it were lost
-	reserve   map[*machine]bool
-	reserveAt time.Time
-	lostIn    map[protocol.ZoneName]time.Time // when a machine of a zone was last given up as silent
-	packAt    time.Time
-	deleting  bool
-	deleteAt  time.Time
+	reserve       map[*cluster.Machine]bool
+	reserveAt     time.Time
+	LostMachineAt map[protocol.ZoneName]time.Time // when a machine of a zone was last given up as silent
+	packAt        time.Time
+	deleting      bool
+	deleteAt      time.Time
 }
 
 func newFleet(rps float64) fleet {
 	return fleet{calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps))),
-		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, lostIn: map[protocol.ZoneName]time.Time{}}
+		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, LostMachineAt: map[protocol.ZoneName]time.Time{}}
 }
 
 func (l *leader) tickFleet() {
@@ -41,7 +43,7 @@
 	now := l.n.now
 	l.moveReplicas()
 	spares := l.spares()
-	for _, m := range l.roster {
+	for _, m := range l.cluster.OrderedMachines {
 		l.considerReturn(m, spares)
 	}
 	if !f.deleting && !now.Before(f.deleteAt) {
@@ -55,28 +57,28 @@
 		f.packAt = now.Add(tuning.PackEvery)
 		l.pack()
 	}
-	if !now.Before(f.rentAt) && now.Sub(l.since) > tuning.RentAfterTakeover && len(l.n.types) > 0 {
+	if !now.Before(f.rentAt) && now.Sub(l.cluster.LeadingSince) > tuning.RentAfterTakeover && len(l.n.types) > 0 {
 		f.rentAt = now.Add(tuning.RentEvery)
 		l.rent()
 	}
 }
 
 // considerReturn decides whether a machine is to go.
-func (l *leader) considerReturn(m *machine, spares map[protocol.ZoneName]int) {
-	if m.deleting {
+func (l *leader) considerReturn(m *cluster.Machine, spares map[protocol.ZoneName]int) {
+	if m.Deleting {
 		return
 	}
 	now := l.n.now
-	t := l.kind(m)
+	t := l.cluster.TypeOf(m)
 	switch {
-	case m.phase == protocol.MachineFailed:
+	case m.Phase == protocol.MachineFailed:
 		l.delete(m, "failed")
-	case !m.reported && m.incarnation == 0 && t != nil && now.Sub(m.born) > seconds(t.BootS*tuning.BootPatience)+tuning.BootSlack:
+	case !m.Agent.Heard && m.Agent.Incarnation == 0 && t != nil && now.Sub(m.CreatedAt) > config.Seconds(t.BootS*tuning.BootPatience)+tuning.BootSlack:
 		l.delete(m, "never came up")
-	case len(m.attempts) > 0 || !m.reported || m.lapsed:
-	case m.cordoned:
+	case len(m.Attempts) > 0 || !m.Agent.Heard || m.Agent.LeaseExpired:
+	case m.Cordoned:
 		l.delete(m, "emptied")
-	case m.hold == nil && now.Sub(m.idleSince) > l.n.cfg.Operator.IdleReturn && !l.spareWanted(m, spares) && !l.fleet.reserve[m]:
+	case m.ReservedFor == nil && now.Sub(m.IdleSince) > l.n.cfg.Operator.IdleReturn && !l.spareWanted(m, spares) && !l.fleet.reserve[m]:
 		l.delete(m, "idle")
 	}
 }
@@ -90,57 +92,47 @@
 	if l.n.now.Sub(l.lastJob) > tuning.SpareMemory {
 		return count
 	}
-	for _, m := range l.roster {
+	for _, m := range l.cluster.OrderedMachines {
 		if l.mayBeSpare(m) {
-			count[m.zone]++
+			count[m.Zone]++
 		}
 	}
 	return count
 }
 
-func (l *leader) mayBeSpare(m *machine) bool {
+func (l *leader) mayBeSpare(m *cluster.Machine) bool {
 	ordinary := l.n.now.Sub(l.lastOrdinary) <= tuning.SpareMemory
-	return l.takesTasks(m) && !(ordinary && m.spot) && m.onlyLowestPriority()
+	return l.cluster.Schedulable(m) && !(ordinary && m.Spot) && m.OnlyLowestPriority()
 }
 
 // spareWanted says whether an idle machine is one of its zone's spares. One
 // that is not no longer counts as such.
-func (l *leader) spareWanted(m *machine, spares map[protocol.ZoneName]int) bool {
-	if spares[m.zone] == 0 || !l.mayBeSpare(m) {
+func (l *leader) spareWanted(m *cluster.Machine, spares map[protocol.ZoneName]int) bool {
+	if spares[m.Zone] == 0 || !l.mayBeSpare(m) {
 		return false
 	}
-	if spares[m.zone] <= l.n.cfg.Operator.SparesPerZone {
+	if spares[m.Zone] <= l.n.cfg.Operator.SparesPerZone {
 		return true
 	}
-	spares[m.zone]--
+	spares[m.Zone]--
 	return false
 }
 
-// onlyLowestPriority says whether all that a machine carries is of the lowest priority.
-func (m *machine) onlyLowestPriority() bool {
-	for _, c := range m.attempts {
-		if c.j.rank > protocol.RankIdle {
-			return false
-		}
-	}
-	return true
-}
-
 // delete marks a machine to be returned.
-func (l *leader) delete(m *machine, why string) {
-	if m.deleting {
+func (l *leader) delete(m *cluster.Machine, why string) {
+	if m.Deleting {
 		return
 	}
-	m.deleting = true
-	l.n.log.Info("returning machine", "machine", m.id, "why", why)
+	m.Deleting = true
+	l.n.log.Info("returning machine", "machine", m.ID, "why", why)
 }
 
 func (l *leader) sendDeletes() {
 	f := &l.fleet
 	var names []protocol.MachineID
-	for _, m := range l.roster {
-		if m.deleting && len(names) < tuning.DeleteCount {
-			names = append(names, m.id)
+	for _, m := range l.cluster.OrderedMachines {
+		if m.Deleting && len(names) < tuning.DeleteCount {
+			names = append(names, m.ID)
 		}
 	}
 	if len(names) == 0 || !f.calls.AllowN(l.n.now, 1) {
@@ -163,27 +155,27 @@
 // forget takes machines out that are gone for certain.
 func (l *leader) forget(names ...protocol.MachineID) {
 	for _, id := range names {
-		m := l.machines[id]
+		m := l.cluster.Machines[id]
 		if m == nil {
 			continue
 		}
 		l.fleet.deleted[id] = l.n.now
-		for _, c := range sortedAttempts(m) {
+		for _, c := range cluster.SortedAttemptsOn(m) {
 			l.dropAttempt(c)
 		}
-		m.release()
-		delete(l.machines, id)
+		m.ReleaseReservation()
+		delete(l.cluster.Machines, id)
 		l.leaveMachineRecord(m)
 		l.recovery.Known(id)
 		l.plan = true
 	}
-	l.roster = slices.DeleteFunc(slices.Clone(l.roster), func(m *machine) bool { return l.machines[m.id] != m })
+	l.cluster.OrderedMachines = slices.DeleteFunc(slices.Clone(l.cluster.OrderedMachines), func(m *cluster.Machine) bool { return l.cluster.Machines[m.ID] != m })
 }
 
 // listEvery is the interval between two machine lists. The pages of a large fleet's
 // list take no more than their part of the calls.
 func (l *leader) listEvery() time.Duration {
-	perPage := seconds(1 / (float64(l.fleet.calls.Limit()) * tuning.ListShare))
+	perPage := config.Seconds(1 / (float64(l.fleet.calls.Limit()) * tuning.ListShare))
 	return max(tuning.ListEvery, time.Duration(l.fleet.pages)*perPage)
 }
 
@@ -236,17 +228,17 @@
 	if _, gone := l.fleet.deleted[e.ID]; gone {
 		return
 	}
-	m := l.machines[e.ID]
+	m := l.cluster.Machines[e.ID]
 	if m == nil {
-		m = l.machine(e.ID, e.Address, e.Type, e.Zone, e.Spot)
-		m.born = l.n.now.Add(-seconds(min(max(e.AgeS, 0), 1e6)))
+		m = l.cluster.EnsureMachine(e.ID, e.Address, e.Type, e.Zone, e.Spot)
+		m.CreatedAt = l.n.now.Add(-config.Seconds(min(max(e.AgeS, 0), 1e6)))
 		if e.Phase == protocol.MachineRunning {
 			// It is up but has yet to report to this leader: it gets its time.
-			m.born = l.n.now
+			m.CreatedAt = l.n.now
 		}
 	}
-	if m.address == "" {
-		m.address = e.Address
+	if m.Address == "" {
+		m.Address = e.Address
 	}
-	m.phase = e.Phase
+	m.Phase = e.Phase
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -33,8 +35,8 @@
 	n := l.n
 	n.cfg.Cluster.Resources = bigResources
 	l.calls = n.workerCalls()
-	for _, m := range l.roster {
-		m.reported, m.tokenConfirmed, m.lastReport = false, false, time.Time{}
+	for _, m := range l.cluster.OrderedMachines {
+		m.Agent.Heard, m.Agent.TokenConfirmed, m.Agent.LastHeartbeat = false, false, time.Time{}
 	}
 	start := n.now
 	calls, renewals := 0, 0
@@ -78,16 +80,16 @@
 	l := fullFleet(0)
 	l.n.cfg.Cluster.Resources = bigResources
 	l.calls = l.n.workerCalls()
-	l.since = l.n.now.Add(-time.Minute)
-	for _, m := range l.roster[1:] {
-		m.lastReport = l.n.now.Add(-time.Minute)
+	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
+	for _, m := range l.cluster.OrderedMachines[1:] {
+		m.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.tickMachines()
 	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
 	if sockets := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
-	for _, c := range sortedAttempts(l.roster[0]) {
+	for _, c := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.stop(c, 0)
 	}
 	l.sendDirect()
@@ -148,8 +150,8 @@
 	n := l.n
 	m := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
-		m.sequence++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.id, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: m.sequence + 10, Token: n.lease.term}}
+		m.Agent.Sequence++
+		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: m.Agent.Sequence + 10, Token: n.lease.term}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -176,8 +178,8 @@
 			t.Errorf("it writes %s", r.Body)
 		}
 	}
-	if len(j.attempts) > 0 {
-		t.Errorf("%d tasks placed", len(j.attempts))
+	if len(j.Attempts) > 0 {
+		t.Errorf("%d tasks placed", len(j.Attempts))
 	}
 	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(n.lease.leaseID))
 	if renewals != 1 {
@@ -310,7 +312,7 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Cluster.Resources.Cores = cores
 		w := l.n.cfg.Cluster.Workers
-		if got, most := l.n.leaseTTL()+l.n.grace()+seconds(w.LeaseS), seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
+		if got, most := l.n.leaseTTL()+l.n.grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
 		if ttl := l.n.leaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.TakeoverMost {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
@@ -16,13 +17,8 @@
 // leader is everything that only the leading controller knows. It is rebuilt
 // from the records at every takeover and dropped when the node steps down.
 type leader struct {
-	n     *Node
-	since time.Time
-
-	jobs     map[protocol.JobID]*job
-	machines map[protocol.MachineID]*machine
-	roster   []*machine // the machines by name, the order of their creation; never changed in place
-	teams    map[protocol.TeamName]*team
+	n       *Node
+	cluster *cluster.State
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
@@ -32,54 +28,47 @@
 	restored   restoredStore
 	waiting    int
 
-	dirty          []*job           // jobs with unwritten changes, in the order they came
-	machineRecords []*machineRecord // the machines' machine records
-	cleanup        []string         // keys to delete when there is time
+	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
+	machineRecords []*cluster.MachineRecord // the machines' machine records
+	cleanup        []string                 // keys to delete when there is time
 	inFlight       *commit
 	commitAt       time.Time
-	directQueue    []*machine    // have orders that should not wait for a report
-	calls          *rate.Limiter // calls to workers: direct orders and probes
-	calling        int           // calls to workers under way
-	proxying       bool          // the peers answer a part of the workers
-	plan           bool          // something changed that placement may depend on
+	directQueue    []*cluster.Machine // have orders that should not wait for a report
+	calls          *rate.Limiter      // calls to workers: direct orders and probes
+	calling        int                // calls to workers under way
+	proxying       bool               // the peers answer a part of the workers
+	plan           bool               // something changed that placement may depend on
 	planAt         time.Time
 	pass           *pass     // the pass over the queue under way, nil between two
 	looks          int       // machines looked at in the last pass
 	watchAt        time.Time // when the machines are looked over again
 	fleet          fleet
-	splitSearched  bool      // all records that had outgrown the limits were found
-	perGPU         resources // what work on GPUs needs beside each of them
+	splitSearched  bool              // all records that had outgrown the limits were found
+	perGPU         cluster.Resources // what work on GPUs needs beside each of them
 	// when a job last came, and one that may not use spot machines
 	lastJob, lastOrdinary time.Time
 }
 
-// team is a team's use of the machines.
-type team struct {
-	guaranteeCPUs, guaranteeGPUs float64
-	maxCPUs, maxGPUs             float64
-	cpus, gpus                   float64 // of every task that may be on a machine
-}
-
 // ordered lists the jobs in order of priority and arrival; in a recovery the largest
 // gangs of a priority come first.
-func (l *leader) ordered() []*job {
+func (l *leader) ordered() []*cluster.Job {
 	type entry struct {
-		j    *job
+		j    *cluster.Job
 		turn time.Time
 	}
 	largestFirst := l.recovering()
-	entries := make([]entry, 0, len(l.jobs))
-	for _, j := range l.jobs {
-		entries = append(entries, entry{j, j.queueTime(l.n.now)})
+	entries := make([]entry, 0, len(l.cluster.Jobs))
+	for _, j := range l.cluster.Jobs {
+		entries = append(entries, entry{j, j.QueueTime(l.n.now)})
 	}
 	slices.SortFunc(entries, func(a, b entry) int {
 		bySize := 0
 		if largestFirst {
-			bySize = cmp.Compare(b.j.gangSize(), a.j.gangSize())
+			bySize = cmp.Compare(b.j.GangSize(), a.j.GangSize())
 		}
-		return cmp.Or(cmp.Compare(b.j.rank, a.j.rank), bySize, a.turn.Compare(b.turn), cmp.Compare(a.j.seq, b.j.seq), cmp.Compare(a.j.id, b.j.id))
+		return cmp.Or(cmp.Compare(b.j.Priority, a.j.Priority), bySize, a.turn.Compare(b.turn), cmp.Compare(a.j.ArrivalOrder, b.j.ArrivalOrder), cmp.Compare(a.j.ID, b.j.ID))
 	})
-	list := make([]*job, len(entries))
+	list := make([]*cluster.Job, len(entries))
 	for i, e := range entries {
 		list[i] = e.j
 	}
@@ -87,13 +76,13 @@
 }
 
 // touch marks one of a job's records as to be written.
-func (l *leader) touch(j *job, record int) {
-	if j.gone {
+func (l *leader) touch(j *cluster.Job, record int) {
+	if j.Finished {
 		return
 	}
-	j.dirty[record] = true
-	if !j.queued {
-		j.queued, j.dirtySince = true, l.n.now
+	j.Write.Dirty[record] = true
+	if !j.Write.Queued {
+		j.Write.Queued, j.Write.DirtySince = true, l.n.now
 		l.dirty = append(l.dirty, j)
 	}
 }
@@ -113,8 +102,8 @@
 	if !ok {
 		return
 	}
-	j := l.jobs[id]
-	if j != nil && ev.Revision <= j.revisions[0] {
+	j := l.cluster.Jobs[id]
+	if j != nil && ev.Revision <= j.Records.Revisions[0] {
 		return
 	}
 	if j != nil && l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
@@ -127,7 +116,7 @@
 	}
 	if j == nil {
 		l.addJob(rec, ev.Revision)
-		l.checkEnded(l.jobs[id])
+		l.checkEnded(l.cluster.Jobs[id])
 		l.plan = true
 		return
 	}
@@ -135,8 +124,8 @@
 }
 
 // merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(j *job, rec *bookkeeping.Job, revision protocol.Revision) {
-	j.revisions[0] = max(j.revisions[0], revision)
+func (l *leader) merge(j *cluster.Job, rec *bookkeeping.Job, revision protocol.Revision) {
+	j.Records.Revisions[0] = max(j.Records.Revisions[0], revision)
 	if rec.Cancelled {
 		l.cancelJob(j)
 	}
@@ -146,14 +135,14 @@
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
 func (l *leader) cancelFromPeer(id protocol.JobID) {
-	if j := l.jobs[id]; j != nil {
+	if j := l.cluster.Jobs[id]; j != nil {
 		l.cancelJob(j)
 	}
 }
 
-func (l *leader) cancelJob(j *job) {
-	if !j.cancelled {
-		j.cancelled = true
+func (l *leader) cancelJob(j *cluster.Job) {
+	if !j.Cancelled {
+		j.Cancelled = true
 		l.plan = true
 		l.checkEnded(j)
 	}
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -3,110 +3,82 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// reportedLately says whether a report of the worker came lately.
-func (l *leader) reportedLately(m *machine) bool {
-	return m.reported && !m.lapsed && l.n.now.Sub(m.lastReport) < l.silence()
-}
-
-// isConfirmedAlive says whether the worker is surely there: it has shown this leader's
-// token lately. What has not may be a late duplicate of an old report.
-func (l *leader) isConfirmedAlive(m *machine) bool { return m.tokenConfirmed && l.reportedLately(m) }
-
 // isBooting says whether a machine that never reported is still expected to. One
 // that a predecessor recorded may have been returned since; unless the machine
 // list shows it, it is not waited for.
-func (l *leader) isBooting(m *machine) bool {
-	if m.reported || m.incarnation > 0 {
+func (l *leader) isBooting(m *cluster.Machine) bool {
+	if m.Agent.Heard || m.Agent.Incarnation > 0 {
 		return false
 	}
-	if !m.loaded || m.phase == protocol.MachineBooting {
+	if !m.Recovered || m.Phase == protocol.MachineBooting {
 		return true
 	}
-	lag := 2*seconds(l.n.cfg.Cluster.Cloud.ListLagS) + l.listEvery()
-	return l.n.now.Sub(l.since) < l.silence()+lag
-}
-
-// notReceiving says whether reports of a worker come, but answers and orders do not
-// reach it: what an answer told it does not show in its next report, or its
-// lease ran out though it was answered. Its lease runs out again and again, so
-// it takes no work; if it does not answer a call either, it is returned.
-func (l *leader) notReceiving(m *machine) bool { return m.unseenAnswers >= tuning.MissedAnswers }
-
-// notReporting says whether a worker answers calls while no report of it comes, so that
-// its lease is about to run out, or does so again and again: it takes no work.
-func (l *leader) notReporting(m *machine) bool {
-	from := l.since
-	if m.answered.After(from) {
-		from = m.answered
-	}
-	return l.n.now.Sub(from) > seconds(l.n.cfg.Cluster.Workers.LeaseS/2)
-}
-
-// silence is how long a worker may be silent before it is probed.
-func (l *leader) silence() time.Duration {
-	return max(seconds(l.n.cfg.Cluster.Workers.ReportS*tuning.SilentReports), tuning.SilentLeast)
+	lag := 2*config.Seconds(l.n.cfg.Cluster.Cloud.ListLagS) + l.listEvery()
+	return l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()+lag
 }
 
 // lapseAt is when a worker's lease has surely run out. One that this leader
 // never answered may have been answered by its predecessor for the whole of
 // the predecessor's grace.
-func (l *leader) lapseAt(m *machine) time.Time {
-	from := l.since.Add(l.n.grace())
-	if m.answered.After(from) {
-		from = m.answered
+func (l *leader) lapseAt(m *cluster.Machine) time.Time {
+	from := l.cluster.LeadingSince.Add(l.n.grace())
+	if m.Agent.AnsweredAt.After(from) {
+		from = m.Agent.AnsweredAt
 	}
-	return from.Add(withDrift(seconds(l.n.cfg.Cluster.Workers.LeaseS)) + withDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
+	return from.Add(withDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + withDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
 }
 
 // tickMachines looks for workers that are silent, lapsed or dead.
 func (l *leader) tickMachines() {
 	now := l.n.now
-	suspected, _ := l.suspectedZones(l.silence())
+	suspected, _ := l.cluster.SuspectedZones(l.cluster.SilenceTimeout())
 	var early, heard map[protocol.ZoneName]bool // the same as soon as a host may be missing
-	for _, m := range l.roster {
+	for _, m := range l.cluster.OrderedMachines {
 		if l.n.lead != l {
 			return
 		}
 		l.presentToken(m)
-		missing := l.hasReplicas(m) && m.reported && now.Sub(m.lastReport) > l.replicaSilence()
-		if l.isBooting(m) || l.reportedLately(m) && !l.notReceiving(m) && !missing || now.Sub(l.since) < l.silence() {
+		missing := l.cluster.HasReplicas(m) && m.Agent.Heard && now.Sub(m.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout()
+		if l.isBooting(m) || l.cluster.HeardRecently(m) && !l.cluster.NotReceiving(m) && !missing || now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout() {
 			continue
 		}
-		if !m.lapsed && !l.reportedLately(m) && now.After(l.lapseAt(m)) {
-			m.lapsed, m.lapsedAt = true, now
-			l.n.log.Info("lease lapsed", "machine", m.id)
-			l.recovery.Known(m.id)
-			for _, c := range sortedAttempts(m) {
+		if !m.Agent.LeaseExpired && !l.cluster.HeardRecently(m) && now.After(l.lapseAt(m)) {
+			m.Agent.LeaseExpired, m.Agent.LeaseExpiredAt = true, now
+			l.n.log.Info("lease lapsed", "machine", m.ID)
+			l.recovery.Known(m.ID)
+			for _, c := range cluster.SortedAttemptsOn(m) {
 				l.dropAttempt(c)
 			}
 		}
-		if !m.probing && !now.Before(m.probeAt) && m.address != "" && !m.deleting && l.mayCall(true) {
+		if !m.Agent.Probing && !now.Before(m.Agent.ProbeNotBefore) && m.Address != "" && !m.Deleting && l.mayCall(true) {
 			l.probe(m)
 		}
-		if m.lapsed && m.address == "" && !m.deleting {
+		if m.Agent.LeaseExpired && m.Address == "" && !m.Deleting {
 			l.delete(m, "lapsed and of no known address")
 		}
 		// With a peer out of reach the worker may be behind the same cut and
 		// on its way to a controller that carries its reports.
 		// Nor is one not receiving then because it does not answer this node's calls.
 		patience, whole := l.patience(missing), len(l.n.reachablePeers()) == len(l.n.cfg.Peers)
-		if m.deleting || m.probes < tuning.ProbesToDelete || !(whole && l.notReceiving(m) || now.Sub(m.lastReport) > patience) {
+		if m.Deleting || m.Agent.FailedProbes < tuning.ProbesToDelete || !(whole && l.cluster.NotReceiving(m) || now.Sub(m.Agent.LastHeartbeat) > patience) {
 			continue
 		}
 		if !missing {
-			if !suspected[m.zone] || l.isOutwaited(m) {
+			if !suspected[m.Zone] || l.cluster.Outwaited(m) {
 				l.deleteSilent(m, "silent")
 			}
 			continue
 		}
 		if early == nil {
-			early, heard = l.suspectedZones(l.replicaSilence())
+			early, heard = l.cluster.SuspectedZones(l.cluster.ReplicaSilenceTimeout())
 		}
-		if !early[m.zone] || l.isOutwaited(m) || l.isReplaceable(m, heard) {
+		if !early[m.Zone] || l.cluster.Outwaited(m) || l.isReplaceable(m, heard) {
 			l.deleteSilent(m, "silent, with replicas")
 		}
 	}
@@ -119,70 +91,32 @@
 	whole := len(l.n.reachablePeers()) == len(l.n.cfg.Peers)
 	switch {
 	case whole && hasReplicas:
-		return l.replicaSilence()
+		return l.cluster.ReplicaSilenceTimeout()
 	case whole:
-		return l.silence()
+		return l.cluster.SilenceTimeout()
 	case hasReplicas:
-		interval := seconds(l.n.cfg.Cluster.Workers.ReportS * tuning.LongestReports)
-		return max(l.replicaSilence(), interval+tuning.RerouteTime)
+		interval := config.Seconds(l.n.cfg.Cluster.Workers.ReportS * tuning.LongestReports)
+		return max(l.cluster.ReplicaSilenceTimeout(), interval+tuning.RerouteTime)
 	}
-	return l.silence() + tuning.CutPatience
+	return l.cluster.SilenceTimeout() + tuning.CutPatience
 }
 
 // deleteSilent returns a machine that does not answer.
-func (l *leader) deleteSilent(m *machine, why string) {
-	l.fleet.lostIn[m.zone] = l.n.now
+func (l *leader) deleteSilent(m *cluster.Machine, why string) {
+	l.fleet.LostMachineAt[m.Zone] = l.n.now
 	l.delete(m, why)
 }
 
-// suspectedZones are those in which the network is suspected, not the machines:
-// half of a zone's machines are silent at once, or a third of all. Machines
-// behind a cut are back when it ends, with their images; what is rented in
-// their place boots, perhaps behind the same cut. heard are the zones most of whose
-// machines report as ever.
-func (l *leader) suspectedZones(silence time.Duration) (suspected, heard map[protocol.ZoneName]bool) {
-	type count struct{ silent, total int }
-	zones := map[protocol.ZoneName]count{}
-	var all count
-	for _, m := range l.roster {
-		if !m.reported && m.incarnation == 0 {
-			continue
-		}
-		z := zones[m.zone]
-		z.total++
-		all.total++
-		if l.notReceiving(m) || (m.lapsed || !m.reported || l.n.now.Sub(m.lastReport) > silence) && l.n.now.Sub(l.since) > l.silence() {
-			z.silent++
-			all.silent++
-		}
-		zones[m.zone] = z
-	}
-	many := func(c count, share float64) bool { return c.silent > 2 && float64(c.silent) > share*float64(c.total) }
-	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
-	for name, z := range zones {
-		suspected[name] = many(z, tuning.ZoneSilentShare) || many(all, tuning.SilentShare)
-		heard[name] = z.total > 0 && float64(z.silent) < tuning.HeardSilentShare*float64(z.total)
-	}
-	return suspected, heard
-}
-
-// isOutwaited says whether a machine behind a suspected cut has been gone for so
-// long after its lease that another would have booted.
-func (l *leader) isOutwaited(m *machine) bool {
-	t := l.kind(m)
-	return m.lapsed && (t == nil || l.n.now.Sub(m.lapsedAt) > seconds(t.BootS))
-}
-
 // probe asks a silent worker for its report.
-func (l *leader) probe(m *machine) {
-	m.probing = true
+func (l *leader) probe(m *cluster.Machine) {
+	m.Agent.Probing = true
 	l.call(m, "GET", protocol.PathInspect, nil, func(status int, body []byte) {
-		m.probing, m.probeAt = false, l.n.now.Add(tuning.ProbeTimeout)
-		if l.hasReplicas(m) {
-			m.probeAt = l.n.now
+		m.Agent.Probing, m.Agent.ProbeNotBefore = false, l.n.now.Add(tuning.ProbeTimeout)
+		if l.cluster.HasReplicas(m) {
+			m.Agent.ProbeNotBefore = l.n.now
 		}
 		if status != 200 {
-			m.probes++
+			m.Agent.FailedProbes++
 			return
 		}
 		l.takeAnswer(m, body)
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -5,89 +5,68 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// machineRecord is the machine record that several machines of a zone share: a mass rental
-// or a mass return costs a change or two, not one for every machine.
-type machineRecord struct {
-	key      string
-	zone     protocol.ZoneName
-	revision protocol.Revision // revision, 0 while it was never written
-	members  []*machine
-	bytes    int  // of the record, at most
-	queued   bool // is to be written soon: machines were added or closed
-	// since when it names machines that are gone, to be written when there is time
-	stale time.Time
-	// machines that it names and that moved to other machine records: it is not written before
-	// those are, for a machine that no record names would count as gone
-	movedOut []*machine
-}
-
 // machineRecordWrite is a machine record's part of a transaction.
 type machineRecordWrite struct {
-	record  *machineRecord
-	members []*machine
+	record  *cluster.MachineRecord
+	members []*cluster.Machine
 }
 
-// entry is a machine's entry in its machine record.
-func (m *machine) entry() bookkeeping.MachineEntry {
-	return bookkeeping.MachineEntry{ID: m.id, Address: m.address, Type: m.typeName, Zone: m.zone, Spot: m.spot, Cordoned: m.cordoned}
+// machineEntry is a machine's entry in its machine record.
+func machineEntry(m *cluster.Machine) bookkeeping.MachineEntry {
+	return bookkeeping.MachineEntry{ID: m.ID, Address: m.Address, Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Cordoned: m.Cordoned}
 }
 
 // queueMachineRecord has the machine's entry recorded anew.
-func (l *leader) queueMachineRecord(m *machine) {
-	if m.record == nil {
+func (l *leader) queueMachineRecord(m *cluster.Machine) {
+	if m.Record == nil {
 		l.assignMachineRecord(m)
 	}
-	m.record.queued = true
+	m.Record.Queued = true
 }
 
 // assignMachineRecord gives a machine its place in a record of its zone.
-func (l *leader) assignMachineRecord(m *machine) {
-	entry := m.entry()
+func (l *leader) assignMachineRecord(m *cluster.Machine) {
+	entry := machineEntry(m)
 	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
-	at := slices.IndexFunc(l.machineRecords, func(r *machineRecord) bool { return r.zone == m.zone && r.bytes+entry.Size() <= limit })
+	at := slices.IndexFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r.Zone == m.Zone && r.Bytes+entry.Size() <= limit })
 	if at < 0 {
 		at = len(l.machineRecords)
-		l.machineRecords = append(l.machineRecords, &machineRecord{key: bookkeeping.MachineRecordKey(l.n.unique()), zone: m.zone})
+		l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: bookkeeping.MachineRecordKey(l.n.unique()), Zone: m.Zone})
 	}
-	l.machineRecords[at].add(m, entry)
-}
-
-func (r *machineRecord) add(m *machine, entry bookkeeping.MachineEntry) {
-	m.record, m.entrySize = r, entry.Size()
-	r.members = append(r.members, m)
-	r.bytes += m.entrySize
+	l.machineRecords[at].Add(m, entry.Size())
 }
 
 // leaveMachineRecord takes a machine that is gone out of its record.
-func (l *leader) leaveMachineRecord(m *machine) {
-	r := m.record
+func (l *leader) leaveMachineRecord(m *cluster.Machine) {
+	r := m.Record
 	if r == nil {
 		return
 	}
-	m.record, m.recorded = nil, false
-	r.members = slices.DeleteFunc(r.members, func(o *machine) bool { return o == m })
-	r.bytes -= m.entrySize
-	if r.stale.IsZero() {
-		r.stale = l.n.now
+	m.Record, m.Recorded = nil, false
+	r.Members = slices.DeleteFunc(r.Members, func(o *cluster.Machine) bool { return o == m })
+	r.Bytes -= m.RecordEntrySize
+	if r.StaleSince.IsZero() {
+		r.StaleSince = l.n.now
 	}
 }
 
 // loadMachineRecord takes a machine record at a takeover.
 func (l *leader) loadMachineRecord(key string, revision protocol.Revision, rec *bookkeeping.MachineRecord) {
-	r := &machineRecord{key: key, revision: revision}
+	r := &cluster.MachineRecord{Key: key, Revision: revision}
 	for _, entry := range rec.Machines {
-		m := l.machine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
-		if m.record != nil {
-			r.stale = l.n.now // recorded twice: the first will do
-			m.cordoned = m.cordoned || entry.Cordoned
+		m := l.cluster.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
+		if m.Record != nil {
+			r.StaleSince = l.n.now // recorded twice: the first will do
+			m.Cordoned = m.Cordoned || entry.Cordoned
 			continue
 		}
-		r.zone = entry.Zone
-		m.cordoned, m.recorded, m.loaded = m.cordoned || entry.Cordoned, true, true
-		r.add(m, entry)
+		r.Zone = entry.Zone
+		m.Cordoned, m.Recorded, m.Recovered = m.Cordoned || entry.Cordoned, true, true
+		r.Add(m, entry.Size())
 	}
 	l.machineRecords = append(l.machineRecords, r)
 }
@@ -97,24 +76,24 @@
 func (l *leader) splitMachineRecords() {
 	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
 	for _, r := range slices.Clone(l.machineRecords) {
-		for r.bytes > limit && len(r.members) > 1 {
-			m := r.members[len(r.members)-1]
-			r.members = r.members[:len(r.members)-1]
-			r.bytes -= m.entrySize
-			r.movedOut = append(r.movedOut, m)
-			r.stale = l.n.now
-			m.recorded = false
+		for r.Bytes > limit && len(r.Members) > 1 {
+			m := r.Members[len(r.Members)-1]
+			r.Members = r.Members[:len(r.Members)-1]
+			r.Bytes -= m.RecordEntrySize
+			r.MovedOut = append(r.MovedOut, m)
+			r.StaleSince = l.n.now
+			m.Recorded = false
 			l.assignMachineRecord(m)
-			m.record.queued = true
+			m.Record.Queued = true
 		}
 	}
 }
 
 // movesRecorded says whether all machines that have moved out of a machine record are recorded in
 // another, or gone.
-func (l *leader) movesRecorded(r *machineRecord) bool {
-	r.movedOut = slices.DeleteFunc(r.movedOut, func(m *machine) bool { return m.recorded || l.machines[m.id] != m })
-	return len(r.movedOut) == 0
+func (l *leader) movesRecorded(r *cluster.MachineRecord) bool {
+	r.MovedOut = slices.DeleteFunc(r.MovedOut, func(m *cluster.Machine) bool { return m.Recorded || l.cluster.Machines[m.ID] != m })
+	return len(r.MovedOut) == 0
 }
 
 // deleteStrayRecord has a machine record deleted that this leader does not have: its creation
@@ -124,48 +103,48 @@
 		return
 	}
 	l.n.log.Info("machine record of nobody", "key", ev.Set)
-	l.machineRecords = append(l.machineRecords, &machineRecord{key: ev.Set, revision: ev.Revision, stale: l.n.now})
+	l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: ev.Set, Revision: ev.Revision, StaleSince: l.n.now})
 }
 
 func (l *leader) hasMachineRecord(key string) bool {
-	return slices.ContainsFunc(l.machineRecords, func(r *machineRecord) bool { return r.key == key })
+	return slices.ContainsFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r.Key == key })
 }
 
 // addMachineRecords adds the machine records that are to be written to a transaction.
-func (b *batch) addMachineRecords(wanted func(r *machineRecord) bool) {
+func (b *batch) addMachineRecords(wanted func(r *cluster.MachineRecord) bool) {
 	for _, r := range b.l.machineRecords {
 		if !wanted(r) || !b.l.movesRecorded(r) {
 			continue
 		}
-		if len(r.members) == 0 {
-			if r.revision != 0 && b.fits(1, 1, 200) {
+		if len(r.Members) == 0 {
+			if r.Revision != 0 && b.fits(1, 1, 200) {
 				b.guardMachineRecord(r)
-				b.remove(r.key)
+				b.remove(r.Key)
 				b.tx.machineRecords = append(b.tx.machineRecords, machineRecordWrite{record: r})
-				r.queued, r.stale = false, time.Time{}
+				r.Queued, r.StaleSince = false, time.Time{}
 			}
 			continue
 		}
 		rec := bookkeeping.MachineRecord{Writer: b.tx.writer}
-		for _, m := range r.members {
-			rec.Machines = append(rec.Machines, m.entry())
+		for _, m := range r.Members {
+			rec.Machines = append(rec.Machines, machineEntry(m))
 		}
 		value := bookkeeping.Encode(rec)
 		if !b.fits(1, 1, len(value)+200) {
 			continue
 		}
 		b.guardMachineRecord(r)
-		b.set(r.key, value)
-		b.tx.machineRecords = append(b.tx.machineRecords, machineRecordWrite{r, slices.Clone(r.members)})
-		r.queued, r.stale = false, time.Time{}
+		b.set(r.Key, value)
+		b.tx.machineRecords = append(b.tx.machineRecords, machineRecordWrite{r, slices.Clone(r.Members)})
+		r.Queued, r.StaleSince = false, time.Time{}
 	}
 }
 
 // guardMachineRecord demands once in a transaction that a machine record is unchanged.
-func (b *batch) guardMachineRecord(r *machineRecord) {
+func (b *batch) guardMachineRecord(r *cluster.MachineRecord) {
 	if !b.guarded[r] {
 		b.guarded[r] = true
-		b.guard(r.key, r.revision)
+		b.guard(r.Key, r.Revision)
 	}
 }
 
@@ -174,16 +153,16 @@
 	if len(w.members) == 0 {
 		// The key is gone. Machines that came meanwhile are written under another:
 		// a late creation of the old one must find no guard that it meets.
-		w.record.key, w.record.revision = bookkeeping.MachineRecordKey(l.n.unique()), 0
-		if len(w.record.members) == 0 {
-			l.machineRecords = slices.DeleteFunc(l.machineRecords, func(r *machineRecord) bool { return r == w.record })
+		w.record.Key, w.record.Revision = bookkeeping.MachineRecordKey(l.n.unique()), 0
+		if len(w.record.Members) == 0 {
+			l.machineRecords = slices.DeleteFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r == w.record })
 		}
 		return
 	}
-	w.record.revision = max(w.record.revision, revision)
+	w.record.Revision = max(w.record.Revision, revision)
 	for _, m := range w.members {
-		if m.record == w.record {
-			m.recorded = true
+		if m.Record == w.record {
+			m.Recorded = true
 		}
 	}
 }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -38,7 +38,7 @@
 		next.loadMachineRecord(c.Set, 99, &rec)
 	}
 	for _, id := range names {
-		if m := next.machines[id]; m == nil || !m.recorded || !l.machines[id].recorded {
+		if m := next.cluster.Machines[id]; m == nil || !m.Recorded || !l.cluster.Machines[id].Recorded {
 			t.Fatalf("%s is not recorded", id)
 		}
 	}
@@ -78,7 +78,7 @@
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
 		n.takeOver()
-		if got := len(n.lead.jobs[s.ID].attempts); (got == 1) != recorded {
+		if got := len(n.lead.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
 			t.Errorf("recorded %v: %d copies", recorded, got)
 		}
 	}
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -1,62 +1,63 @@
 package coordination
 
 import (
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // sendSoon marks a machine as having orders that should not wait for a report.
-func (l *leader) sendSoon(m *machine) {
-	if !m.queuedDirect {
-		m.queuedDirect = true
+func (l *leader) sendSoon(m *cluster.Machine) {
+	if !m.Delivery.Queued {
+		m.Delivery.Queued = true
 		l.directQueue = append(l.directQueue, m)
 	}
 }
 
 // orders lists what a worker should do: forget first, for a task may come back
 // to a machine that still holds its old attempt, then stop, then start.
-func (l *leader) orders(m *machine, inReply bool) []protocol.Command {
+func (l *leader) orders(m *cluster.Machine, inReply bool) []protocol.Command {
 	var cmds []protocol.Command
-	if m.tokenConfirmed {
-		for _, t := range m.exited {
+	if m.Agent.TokenConfirmed {
+		for _, t := range m.Agent.Exited {
 			if l.reapable(m, t) && l.mayForget(m, t) {
 				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt})
 			}
 		}
 	}
-	for _, k := range m.strays {
-		cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(k.job, k.index), Attempt: k.attempt})
+	for _, k := range m.Delivery.Orphans {
+		cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(k.Job, k.Index), Attempt: k.Number})
 	}
-	m.strays = m.strays[:0]
-	list := sortedAttempts(m)
+	m.Delivery.Orphans = m.Delivery.Orphans[:0]
+	list := cluster.SortedAttemptsOn(m)
 	for _, c := range list {
-		if !c.stop || !c.sent || c.loaded && c.state == "" {
+		if !c.Stopping || !c.StartSent || c.Recovered && c.ReportedState == "" {
 			continue // what a predecessor placed is stopped once a report shows it
 		}
-		if c.state == "" && (c.pinned || c.direct > 0) {
+		if c.ReportedState == "" && (c.StartUnanswered || c.StartsInFlight > 0) {
 			// The lost start may yet arrive. Once the worker holds the attempt,
 			// a late copy of it does nothing: so start it and end it at once.
 			cmds = append(cmds, l.startOrder(c, inReply))
 		}
-		if inReply || l.n.now.Sub(c.stopSent) > tuning.StopResend {
-			c.stopSent = l.n.now
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(c.j.id, c.key.index), Attempt: c.key.attempt, GraceS: c.grace})
+		if inReply || l.n.now.Sub(c.StopSentAt) > tuning.StopResend {
+			c.StopSentAt = l.n.now
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(c.Job.ID, c.Key.Index), Attempt: c.Key.Number, GraceS: c.GraceS})
 		}
 	}
 	for _, c := range list {
-		if c.stop || !c.committed || c.state != "" || c.loaded {
+		if c.Stopping || !c.Committed || c.ReportedState != "" || c.Recovered {
 			continue
 		}
-		if c.j.spec.Gang() && (len(c.j.dirty) > 0 || c.j.writing) {
+		if c.Job.Spec.Gang() && (len(c.Job.Write.Dirty) > 0 || c.Job.Write.InFlight) {
 			continue // not every task's place is written yet
 		}
-		if !inReply && (c.direct > 0 || c.inReply || !l.n.cfg.Operator.DirectStarts) {
+		if !inReply && (c.StartsInFlight > 0 || c.StartInResponse || !l.n.cfg.Operator.DirectStarts) {
 			continue
 		}
-		if inReply && c.direct > 0 && l.n.now.Sub(c.directAt) < tuning.OrderOnWay {
+		if inReply && c.StartsInFlight > 0 && l.n.now.Sub(c.StartSentAt) < tuning.OrderOnWay {
 			continue // the report was sent before the order came
 		}
-		if m.cordoned || m.deleting {
+		if m.Cordoned || m.Deleting {
 			l.stop(c, 0)
 			continue
 		}
@@ -71,49 +72,49 @@
 	return cmds
 }
 
-func (l *leader) startOrder(c *taskAttempt, inReply bool) protocol.Command {
-	l.n.log.Debug("start", "job", c.j.id, "task", c.key.index, "attempt", c.key.attempt, "machine", c.m.id, "direct", !inReply)
-	if !c.sent {
+func (l *leader) startOrder(c *cluster.Attempt, inReply bool) protocol.Command {
+	l.n.log.Debug("start", "job", c.Job.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", c.Machine.ID, "direct", !inReply)
+	if !c.StartSent {
 		l.n.metrics.Starts++
-		l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(c.j.at).Seconds())
+		l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(c.Job.SubmittedAt).Seconds())
 	}
-	c.sent = true
+	c.StartSent = true
 	if inReply {
-		c.inReply = true
+		c.StartInResponse = true
 	}
-	c.m.useImage(c.j.spec, l.kind(c.m))
-	return protocol.Command{Op: protocol.OpStart, Task: protocol.TaskName(c.j.id, c.key.index), Attempt: c.key.attempt}
+	c.Machine.UseImage(c.Job.Spec, l.cluster.TypeOf(c.Machine))
+	return protocol.Command{Op: protocol.OpStart, Task: protocol.TaskName(c.Job.ID, c.Key.Index), Attempt: c.Key.Number}
 }
 
 // reapable says whether an exited attempt may be forgotten: what it achieved
 // is stored, and no late start of it can arrive.
-func (l *leader) reapable(m *machine, t protocol.TaskReport) bool {
+func (l *leader) reapable(m *cluster.Machine, t protocol.TaskReport) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
-	key := taskKey{id, index, t.Attempt}
-	if m.pins[key] || m.attempts[key] != nil || l.unreadable[id] {
+	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
+	if m.Delivery.Pinned[key] || m.Attempts[key] != nil || l.unreadable[id] {
 		return false
 	}
-	j := l.jobs[id]
-	if j == nil || index >= len(j.tasks) {
+	j := l.cluster.Jobs[id]
+	if j == nil || index >= len(j.Tasks) {
 		return true
 	}
-	return t.Cause != protocol.CauseDone || !j.writing && !j.dirty[j.recordOf(index)]
+	return t.Cause != protocol.CauseDone || !j.Write.InFlight && !j.Write.Dirty[j.RecordOf(index)]
 }
 
 // mayForget says whether a worker is to be told to forget an exited attempt: not again
 // while it may have yet to report that it has, unless the task is to start there anew.
-func (l *leader) mayForget(m *machine, t protocol.TaskReport) bool {
+func (l *leader) mayForget(m *cluster.Machine, t protocol.TaskReport) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
-	key := taskKey{id, index, t.Attempt}
-	for other := range m.attempts {
-		if other.job == id && other.index == index {
+	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
+	for other := range m.Attempts {
+		if other.Job == id && other.Index == index {
 			return true
 		}
 	}
-	if l.n.now.Sub(m.forgetSent[key]) < tuning.StopResend {
+	if l.n.now.Sub(m.Delivery.ForgetSentAt[key]) < tuning.StopResend {
 		return false
 	}
-	m.forgetSent[key] = l.n.now
+	m.Delivery.ForgetSentAt[key] = l.n.now
 	return true
 }
 
@@ -126,11 +127,11 @@
 	list := l.directQueue
 	l.directQueue = nil
 	for _, m := range list {
-		m.queuedDirect = false
-		if m.deleting || l.machines[m.id] != m || !m.reported {
+		m.Delivery.Queued = false
+		if m.Deleting || l.cluster.Machines[m.ID] != m || !m.Agent.Heard {
 			continue
 		}
-		if m.orderInFlight || m.address == "" || now.Before(m.directAt) || !l.reportedLately(m) || !l.mayCall(false) {
+		if m.Delivery.InFlight || m.Address == "" || now.Before(m.Delivery.NotBefore) || !l.cluster.HeardRecently(m) || !l.mayCall(false) {
 			l.sendSoon(m)
 			continue
 		}
@@ -142,61 +143,61 @@
 
 // presentToken shows the token to a worker with tasks that has not reported to
 // this leader, if there is time: most of them report by themselves.
-func (l *leader) presentToken(m *machine) {
-	if !m.reported && m.incarnation > 0 && !m.orderInFlight && !m.deleting && m.address != "" && !l.n.now.Before(m.directAt) && l.mayCall(true) {
+func (l *leader) presentToken(m *cluster.Machine) {
+	if !m.Agent.Heard && m.Agent.Incarnation > 0 && !m.Delivery.InFlight && !m.Deleting && m.Address != "" && !l.n.now.Before(m.Delivery.NotBefore) && l.mayCall(true) {
 		l.direct(m, nil)
 	}
 }
 
-func (l *leader) direct(m *machine, cmds []protocol.Command) {
-	var starts []*taskAttempt
+func (l *leader) direct(m *cluster.Machine, cmds []protocol.Command) {
+	var starts []*cluster.Attempt
 	for _, cmd := range cmds {
 		if cmd.Op != protocol.OpStart {
 			continue
 		}
 		id, index, _ := protocol.SplitTask(cmd.Task)
-		if c := m.attempts[taskKey{id, index, cmd.Attempt}]; c != nil {
-			c.direct++
-			c.directAt = l.n.now
+		if c := m.Attempts[cluster.AttemptID{Job: id, Index: index, Number: cmd.Attempt}]; c != nil {
+			c.StartsInFlight++
+			c.StartSentAt = l.n.now
 			starts = append(starts, c)
 		}
 	}
-	m.orderInFlight = true
-	body := protocol.Orders{Token: l.n.lease.term, Incarnation: m.incarnation, Commands: cmds}
+	m.Delivery.InFlight = true
+	body := protocol.Orders{Token: l.n.lease.term, Incarnation: m.Agent.Incarnation, Commands: cmds}
 	l.call(m, "POST", protocol.PathOrders, body, func(status int, body []byte) {
-		m.orderInFlight = false
+		m.Delivery.InFlight = false
 		for _, c := range starts {
-			c.direct--
+			c.StartsInFlight--
 			if status != 200 && status != 409 {
 				// It may arrive at any later time while session and token match.
-				c.pinned = true
-				m.pins[c.taskKey()] = true
+				c.StartUnanswered = true
+				m.Delivery.Pinned[c.ID()] = true
 			}
 		}
 		if status != 200 && status != 409 {
-			m.unseenAnswers = max(m.unseenAnswers, 1)
-			m.directAt = l.n.now.Add(tuning.StopResend)
+			m.Agent.UnseenAnswers = max(m.Agent.UnseenAnswers, 1)
+			m.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
 			switch {
-			case !m.reported:
-				m.directAt = l.n.now.Add(l.silence()) // others have their turn
-			case len(m.attempts) > 0:
+			case !m.Agent.Heard:
+				m.Delivery.NotBefore = l.n.now.Add(l.cluster.SilenceTimeout()) // others have their turn
+			case len(m.Attempts) > 0:
 				l.sendSoon(m)
 			}
 			return
 		}
 		l.takeAnswer(m, body)
 		if status == 409 {
-			m.directAt = l.n.now.Add(tuning.StopResend)
+			m.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
 			l.sendSoon(m)
 		}
 	})
 }
 
 // takeAnswer takes the report that a worker gave as an answer.
-func (l *leader) takeAnswer(m *machine, body []byte) {
+func (l *leader) takeAnswer(m *cluster.Machine, body []byte) {
 	r, err := protocol.ParseReport(body)
-	if err != nil || r.Machine != m.id {
-		l.n.log.Error("a worker's answer is no report of its own", "machine", m.id, "error", err)
+	if err != nil || r.Machine != m.ID {
+		l.n.log.Error("a worker's answer is no report of its own", "machine", m.ID, "error", err)
 		return
 	}
 	if r.Token > l.n.lease.term {
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -17,31 +18,31 @@
 		return
 	}
 	type choice struct {
-		m     *machine
+		m     *cluster.Machine
 		waste float64
 	}
 	var list []choice
-	p := packing{left: map[*machine]resources{}, emptied: map[*machine]bool{}}
-	for _, m := range l.roster {
-		t := l.kind(m)
-		if !l.takesTasks(m) || m.hold != nil || len(m.attempts) == 0 || t.GPUs == 0 {
+	p := packing{left: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
+	for _, m := range l.cluster.OrderedMachines {
+		t := l.cluster.TypeOf(m)
+		if !l.cluster.Schedulable(m) || m.ReservedFor != nil || len(m.Attempts) == 0 || t.GPUs == 0 {
 			continue
 		}
 		p.targets = append(p.targets, m)
-		if m.gpus <= t.GPUs*tuning.PackBelow {
-			list = append(list, choice{m, l.price(m) * (t.GPUs - m.gpus)})
+		if m.Used.GPUs <= t.GPUs*tuning.PackBelow {
+			list = append(list, choice{m, l.cluster.PriceOf(m) * (t.GPUs - m.Used.GPUs)})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b choice) int { return cmp.Compare(b.waste, a.waste) })
-	slices.SortStableFunc(p.targets, func(a, b *machine) int { return cmp.Compare(b.gpus, a.gpus) })
-	most := max(1, len(l.roster)/tuning.PackFleet)
+	slices.SortStableFunc(p.targets, func(a, b *cluster.Machine) int { return cmp.Compare(b.Used.GPUs, a.Used.GPUs) })
+	most := max(1, len(l.cluster.OrderedMachines)/tuning.PackFleet)
 	for _, c := range list[:min(len(list), tuning.PackTries*most)] {
 		if len(p.emptied) == most {
 			return
 		}
 		if _, taken := p.left[c.m]; !taken && c.waste > 0 && l.movable(c.m, &p) {
 			p.emptied[c.m] = true
-			l.n.log.Info("packing", "machine", c.m.id, "tasks", len(c.m.attempts))
+			l.n.log.Info("packing", "machine", c.m.ID, "tasks", len(c.m.Attempts))
 			l.drain(c.m)
 		}
 	}
@@ -50,34 +51,34 @@
 // packing is one round of moves: machines that take tasks, the fullest first,
 // what they have left after the moves so far, and those that are emptied.
 type packing struct {
-	targets []*machine
-	left    map[*machine]resources
-	emptied map[*machine]bool
+	targets []*cluster.Machine
+	left    map[*cluster.Machine]cluster.Resources
+	emptied map[*cluster.Machine]bool
 }
 
 // movable says whether all that a machine carries is worth moving and fits on
 // other machines that are not dearer; if so the room is taken there.
-func (l *leader) movable(m *machine, p *packing) bool {
-	taken := map[*machine]resources{}
-	for _, c := range sortedAttempts(m) {
-		s := c.j.spec
-		rest := s.EstimateS - l.n.now.Sub(c.running).Seconds()
-		if c.stop || c.running.IsZero() || s.Gang() || s.CheckpointS == 0 || rest < tuning.PackWorth {
+func (l *leader) movable(m *cluster.Machine, p *packing) bool {
+	taken := map[*cluster.Machine]cluster.Resources{}
+	for _, c := range cluster.SortedAttemptsOn(m) {
+		s := c.Job.Spec
+		rest := s.EstimateS - l.n.now.Sub(c.RunningSince).Seconds()
+		if c.Stopping || c.RunningSince.IsZero() || s.Gang() || s.CheckpointS == 0 || rest < tuning.PackWorth {
 			return false
 		}
 		found := false
 		for _, o := range p.targets {
-			if o == m || p.emptied[o] || l.price(o) > l.price(m) || !l.usable(c.j, o) {
+			if o == m || p.emptied[o] || l.cluster.PriceOf(o) > l.cluster.PriceOf(m) || !l.cluster.Usable(c.Job, o) {
 				continue
 			}
 			r, ok := taken[o]
 			if !ok {
 				if r, ok = p.left[o]; !ok {
-					r = l.freeResources(o)
+					r = l.cluster.FreeResources(o)
 				}
 			}
-			if r.fit(s, 1) == 1 {
-				r.addTasks(s, -1)
+			if r.Fit(s, 1) == 1 {
+				r.AddTasks(s, -1)
 				taken[o], found = r, true
 				break
 			}
--- a/internal/coordination/pass.go
+++ b/internal/coordination/pass.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -10,34 +11,34 @@
 // pass is one pass over the queue. What every job would have to look up in the
 // whole fleet is looked up once; what no look can find is not looked for.
 type pass struct {
-	open   []*machine // machines that take tasks
-	vacant []*machine // those of them that have room for a task that takes GPUs, if they have any
-	looks  int        // machines looked at so far
-	most   int        // looks after which no more room is made in this pass
+	open   []*cluster.Machine // machines that take tasks
+	vacant []*cluster.Machine // those of them that have room for a task that takes GPUs, if they have any
+	looks  int                // machines looked at so far
+	most   int                // looks after which no more room is made in this pass
 	supply map[protocol.ZoneName]*supply
 	// free room of every zone's machines that have yet to report in a recovery
-	awaited map[protocol.ZoneName]resources
+	awaited map[protocol.ZoneName]cluster.Resources
 }
 
 // supply is the most that a zone could give to a job: what is free or on its
 // way out, and what runs there, by its priority.
 type supply struct {
-	free resources
-	work [protocol.RankCritical + 1]resources
+	free cluster.Resources
+	work [protocol.PriorityCritical + 1]cluster.Resources
 }
 
 // newPass looks every machine over.
 func (l *leader) newPass() *pass {
-	p := &pass{looks: len(l.roster), most: len(l.roster) + tuning.LooksLeast}
+	p := &pass{looks: len(l.cluster.OrderedMachines), most: len(l.cluster.OrderedMachines) + tuning.LooksLeast}
 	if cores := l.n.cfg.Cluster.Resources.Cores; cores > 0 {
 		p.most = max(p.most, int(cores*float64(tuning.PassLength/tuning.LookCost)))
 	}
-	for _, m := range l.roster {
-		if !l.takesTasks(m) {
+	for _, m := range l.cluster.OrderedMachines {
+		if !l.cluster.Schedulable(m) {
 			continue
 		}
 		p.open = append(p.open, m)
-		if m.hasFree(l.kind(m)) {
+		if m.HasFree(l.cluster.TypeOf(m)) {
 			p.vacant = append(p.vacant, m)
 		}
 	}
@@ -64,17 +65,17 @@
 	p.supply = map[protocol.ZoneName]*supply{}
 	p.looks += len(p.open)
 	for _, m := range p.open {
-		s := p.supply[m.zone]
+		s := p.supply[m.Zone]
 		if s == nil {
 			s = &supply{}
-			p.supply[m.zone] = s
+			p.supply[m.Zone] = s
 		}
-		s.free.add(l.freeResources(m))
-		for _, c := range m.attempts {
-			if c.stop {
-				s.free.addTasks(c.j.spec, 1)
+		s.free.Add(l.cluster.FreeResources(m))
+		for _, c := range m.Attempts {
+			if c.Stopping {
+				s.free.AddTasks(c.Job.Spec, 1)
 			} else {
-				s.work[c.j.rank].addTasks(c.j.spec, 1)
+				s.work[c.Job.Priority].AddTasks(c.Job.Spec, 1)
 			}
 		}
 	}
@@ -84,35 +85,35 @@
 // isRoomAwaited says whether, in a recovery, machines that have yet to report to this leader
 // may have room for n tasks of a job. Nothing is stopped for it until they have reported,
 // or could have: else work would be stopped beside room that is free.
-func (l *leader) isRoomAwaited(j *job, n int) bool {
-	if !l.recovering() || l.n.now.Sub(l.since) > l.silence() {
+func (l *leader) isRoomAwaited(j *cluster.Job, n int) bool {
+	if !l.recovering() || l.n.now.Sub(l.cluster.LeadingSince) > l.cluster.SilenceTimeout() {
 		return false
 	}
-	var all resources
+	var all cluster.Resources
 	for zone, room := range l.awaitedRoom(l.currentPass()) {
-		if j.spec.Zone != "" && zone != j.spec.Zone {
+		if j.Spec.Zone != "" && zone != j.Spec.Zone {
 			continue
 		}
-		if room.fit(j.spec, n) == n {
+		if room.Fit(j.Spec, n) == n {
 			return true
 		}
-		all.add(room)
+		all.Add(room)
 	}
-	return !j.spec.OneZone && all.fit(j.spec, n) == n
+	return !j.Spec.OneZone && all.Fit(j.Spec, n) == n
 }
 
 // awaitedRoom adds up what machines have free that have yet to report.
-func (l *leader) awaitedRoom(p *pass) map[protocol.ZoneName]resources {
+func (l *leader) awaitedRoom(p *pass) map[protocol.ZoneName]cluster.Resources {
 	if p.awaited != nil {
 		return p.awaited
 	}
-	p.awaited = map[protocol.ZoneName]resources{}
-	p.looks += len(l.roster)
-	for _, m := range l.roster {
-		if m.loaded && !m.tokenConfirmed && !m.deleting && !m.cordoned && !m.lapsed {
-			room := p.awaited[m.zone]
-			room.add(l.freeResources(m))
-			p.awaited[m.zone] = room
+	p.awaited = map[protocol.ZoneName]cluster.Resources{}
+	p.looks += len(l.cluster.OrderedMachines)
+	for _, m := range l.cluster.OrderedMachines {
+		if m.Recovered && !m.Agent.TokenConfirmed && !m.Deleting && !m.Cordoned && !m.Agent.LeaseExpired {
+			room := p.awaited[m.Zone]
+			room.Add(l.cluster.FreeResources(m))
+			p.awaited[m.Zone] = room
 		}
 	}
 	return p.awaited
@@ -122,32 +123,32 @@
 // may be stopped for it, whoever runs it, and all that is free are not enough.
 // With the machines full of work that does not yield, which is when most jobs
 // wait, this spares a look at every machine for each of them.
-func (l *leader) cannotMakeRoom(j *job, n int) bool {
-	if !j.spec.Gang() {
+func (l *leader) cannotMakeRoom(j *cluster.Job, n int) bool {
+	if !j.Spec.Gang() {
 		n = 1
 	}
-	yielding := j.rank // work below this priority may be stopped
-	if j.mayReclaim {
+	yielding := j.Priority // work below this priority may be stopped
+	if j.Queue.MayReclaim {
 		yielding++
 	}
-	if yielding == protocol.RankIdle && !j.spec.Gang() {
+	if yielding == protocol.PriorityIdle && !j.Spec.Gang() {
 		return true
 	}
-	var all resources
+	var all cluster.Resources
 	for zone, s := range l.zoneSupplies(l.currentPass()) {
-		if j.spec.Zone != "" && zone != j.spec.Zone {
+		if j.Spec.Zone != "" && zone != j.Spec.Zone {
 			continue
 		}
 		r := s.free
-		for rank := protocol.RankIdle; rank < yielding && int(rank) < len(s.work); rank++ {
-			r.add(s.work[rank])
+		for rank := protocol.PriorityIdle; rank < yielding && int(rank) < len(s.work); rank++ {
+			r.Add(s.work[rank])
 		}
-		if r.fit(j.spec, n) == n {
+		if r.Fit(j.Spec, n) == n {
 			return false
 		}
-		all.add(r)
+		all.Add(r)
 	}
-	return j.spec.OneZone || all.fit(j.spec, n) < n
+	return j.Spec.OneZone || all.Fit(j.Spec, n) < n
 }
 
 // planPause is the pause after a pass over the queue: longer the more machines
--- a/internal/coordination/pass_test.go
+++ b/internal/coordination/pass_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -17,12 +18,12 @@
 	for _, high := range []bool{true, false} {
 		l := fullFleet(0)
 		if high {
-			for _, j := range l.jobs {
-				j.rank = protocol.RankCritical // nothing yields
+			for _, j := range l.cluster.Jobs {
+				j.Priority = protocol.PriorityCritical // nothing yields
 			}
 		}
 		l.n.cfg.Cluster.Resources.Cores = 0.2
-		var waiting []*job
+		var waiting []*cluster.Job
 		for i := range 600 {
 			s := gangOf(64, 4)
 			s.OneZone, s.Spot, s.Image = true, true, fmt.Sprint("img-", i%7)
@@ -30,21 +31,21 @@
 		}
 		for range 60 {
 			l.n.now = l.n.now.Add(tuning.PlanEvery)
-			for _, m := range l.roster {
-				m.lastReport = l.n.now
+			for _, m := range l.cluster.OrderedMachines {
+				m.Agent.LastHeartbeat = l.n.now
 			}
 			l.schedule()
-			limit := 4 * len(l.roster) // what is open, vacant and could yield
+			limit := 4 * len(l.cluster.OrderedMachines) // what is open, vacant and could yield
 			if !high {
-				limit += int(0.2*float64(tuning.PassLength/tuning.LookCost)) + len(l.roster)*len(l.n.cfg.Cluster.Zones)
+				limit += int(0.2*float64(tuning.PassLength/tuning.LookCost)) + len(l.cluster.OrderedMachines)*len(l.n.cfg.Cluster.Zones)
 			}
 			if l.looks > limit {
-				t.Fatalf("nothing yields %v: %d looks at %d machines in one pass", high, l.looks, len(l.roster))
+				t.Fatalf("nothing yields %v: %d looks at %d machines in one pass", high, l.looks, len(l.cluster.OrderedMachines))
 			}
 		}
 		searched := 0
 		for _, j := range waiting {
-			if !j.searchAt.IsZero() || len(j.held) > 0 {
+			if !j.Queue.PreemptionNotBefore.IsZero() || len(j.Reserved) > 0 {
 				searched++
 			}
 		}
@@ -69,10 +70,10 @@
 		s.Zone = "a"
 		j := l.testJob(s)
 		l.schedule()
-		if placed := len(j.attempts) == 1; placed != (gpus == 0) {
+		if placed := len(j.Attempts) == 1; placed != (gpus == 0) {
 			t.Errorf("%v GPUs: placed %v", gpus, placed)
 		}
-		if len(j.attempts) == 0 {
+		if len(j.Attempts) == 0 {
 			l.fleet.demand = []demand{{j, 1}}
 		}
 		l.rent()
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -42,7 +43,7 @@
 // expireConfirmedCancels drops the cancellations that have taken effect.
 func (n *Node) expireConfirmedCancels() {
 	for job, at := range n.confirmedCancels {
-		if n.now.Sub(at) > withDrift(seconds(n.cfg.Cluster.Workers.CancelS)) {
+		if n.now.Sub(at) > withDrift(config.Seconds(n.cfg.Cluster.Workers.CancelS)) {
 			delete(n.confirmedCancels, job)
 		}
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/buddy"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -13,20 +14,20 @@
 // with the least residual room among equals. See docs/design.md.
 
 // placeGang finds a place for every task of a gang, or for none.
-func (l *leader) placeGang(j *job) bool {
-	g := len(j.tasks)
-	if l.teamQuota(j) < g || l.splitFirst(j) {
+func (l *leader) placeGang(j *cluster.Job) bool {
+	g := len(j.Tasks)
+	if l.cluster.TasksWithinLimit(j) < g || l.splitFirst(j) {
 		return false
 	}
-	limit, only := l.zoneLimits(j)
+	limit, only := l.cluster.ZoneLimits(j)
 	var best []site
 	// The machine level: the whole gang on one machine.
-	if !j.spec.Spread || g == 1 {
-		k := buddy.Order(g * taskSlots(j.spec))
+	if !j.Spec.Spread || g == 1 {
+		k := buddy.Order(g * cluster.TaskSlots(j.Spec))
 		for _, aligned := range []bool{true, false} {
 			var fit []site
 			for _, s := range l.sites(j, only) {
-				if s.count >= g && (!aligned || s.m.slots.Aligned(k) > 0) {
+				if s.count >= g && (!aligned || s.m.Slots.Aligned(k) > 0) {
 					fit = append(fit, s)
 				}
 			}
@@ -38,21 +39,21 @@
 		}
 	}
 	// The zone level.
-	if best == nil && (!j.spec.Spread || g == 1) {
+	if best == nil && (!j.Spec.Spread || g == 1) {
 		best = l.zonePlace(j, g, only)
 	}
 	// The region.
-	if best == nil && !j.spec.OneZone && j.spec.Zone == "" {
+	if best == nil && !j.Spec.OneZone && j.Spec.Zone == "" {
 		best = l.regionPlace(j, g, limit)
 	}
 	if best == nil {
 		return false
 	}
-	j.epoch = l.nextAttempt(j)
+	j.Epoch = l.nextAttempt(j)
 	index := 0
 	for _, s := range best {
 		for range s.count {
-			l.assign(j, index, j.epoch, s.m)
+			l.assign(j, index, j.Epoch, s.m)
 			index++
 		}
 	}
@@ -62,7 +63,7 @@
 // zonePlace finds the zone with a free block of the gang's order and the least
 // residual room; without one, the zone that holds the gang as a union of
 // smaller blocks.
-func (l *leader) zonePlace(j *job, g int, only protocol.ZoneName) []site {
+func (l *leader) zonePlace(j *cluster.Job, g int, only protocol.ZoneName) []site {
 	type choice struct {
 		sites     []site
 		aligned   bool
@@ -95,7 +96,7 @@
 			}
 			c.price += s.price
 		}
-		if best == nil || cmp.Or(cmp.Compare(best.survivors, c.survivors), trueFirst(c.aligned, best.aligned), cmp.Compare(c.residual, best.residual),
+		if best == nil || cmp.Or(cmp.Compare(best.survivors, c.survivors), cluster.TrueFirst(c.aligned, best.aligned), cmp.Compare(c.residual, best.residual),
 			cmp.Compare(best.cached, c.cached), cmp.Compare(c.price, best.price)) < 0 {
 			best = c
 		}
@@ -107,7 +108,7 @@
 }
 
 // regionPlace spreads a gang over the fewest zones that its limits allow.
-func (l *leader) regionPlace(j *job, g int, limit map[protocol.ZoneName]int) []site {
+func (l *leader) regionPlace(j *cluster.Job, g int, limit map[protocol.ZoneName]int) []site {
 	type zoneSites struct {
 		list []site
 		fits int
@@ -136,18 +137,18 @@
 
 // placeArray gives each waiting task the first free room; it returns how many
 // still wait. warm: only on machines that have its image.
-func (l *leader) placeArray(j *job, warm bool) (waiting int) {
-	quota := l.teamQuota(j)
-	if j.isOverdue(l.n.now) {
+func (l *leader) placeArray(j *cluster.Job, warm bool) (waiting int) {
+	quota := l.cluster.TasksWithinLimit(j)
+	if j.Overdue(l.n.now) {
 		quota = min(quota, 1)
 	}
 	var list []site
 	var limit map[protocol.ZoneName]int
 	var only protocol.ZoneName
 	next := 0 // sites before this one are full or not allowed
-	for i := range j.tasks {
-		t := &j.tasks[i]
-		if t.done || t.liveAttempts > 0 {
+	for i := range j.Tasks {
+		t := &j.Tasks[i]
+		if t.Done || t.LiveAttempts > 0 {
 			continue
 		}
 		if waiting > 0 || quota == 0 {
@@ -155,7 +156,7 @@
 			continue
 		}
 		if list == nil {
-			limit, only = l.zoneLimits(j)
+			limit, only = l.cluster.ZoneLimits(j)
 			list = l.sites(j, only)
 			if warm {
 				list = slices.DeleteFunc(list, func(s site) bool { return !s.cached })
@@ -164,7 +165,7 @@
 		}
 		// A site that was taken stays the best until it is full: it has the
 		// image then, and less room left.
-		for next < len(list) && (list[next].count == 0 || limit[list[next].m.zone] == 0 || only != "" && list[next].m.zone != only) {
+		for next < len(list) && (list[next].count == 0 || limit[list[next].m.Zone] == 0 || only != "" && list[next].m.Zone != only) {
 			next++
 		}
 		if next == len(list) {
@@ -172,37 +173,37 @@
 			continue
 		}
 		s := &list[next]
-		l.assign(j, i, t.lastAttempt+1, s.m)
+		l.assign(j, i, t.LastAttempt+1, s.m)
 		quota--
-		limit[s.m.zone]--
-		if j.spec.OneZone {
-			only = s.m.zone
+		limit[s.m.Zone]--
+		if j.Spec.OneZone {
+			only = s.m.Zone
 		}
-		s.count = l.freeResources(s.m).fit(j.spec, len(j.tasks))
+		s.count = l.cluster.FreeResources(s.m).Fit(j.Spec, len(j.Tasks))
 	}
 	return waiting
 }
 
 // nextAttempt is the gang's next epoch: above every attempt of every task.
-func (l *leader) nextAttempt(j *job) protocol.AttemptNumber {
-	next := j.epoch
-	for i := range j.tasks {
-		next = max(next, j.tasks[i].lastAttempt)
+func (l *leader) nextAttempt(j *cluster.Job) protocol.AttemptNumber {
+	next := j.Epoch
+	for i := range j.Tasks {
+		next = max(next, j.Tasks[i].LastAttempt)
 	}
 	return next + 1
 }
 
 // assign plans a task onto a machine. Its start leaves once that is committed.
-func (l *leader) assign(j *job, index int, attempt protocol.AttemptNumber, m *machine) {
-	t := &j.tasks[index]
-	c := l.addAttempt(j, index, attempt, m, m.incarnation)
-	t.lastAttempt, t.active, j.everPlaced = attempt, c, true
-	l.n.log.Debug("task placed", "job", j.id, "task", index, "attempt", attempt, "machine", m.id)
-	if m.hold == j {
-		m.release()
+func (l *leader) assign(j *cluster.Job, index int, attempt protocol.AttemptNumber, m *cluster.Machine) {
+	t := &j.Tasks[index]
+	c := l.cluster.AddAttempt(j, index, attempt, m, m.Agent.Incarnation)
+	t.LastAttempt, t.Active, j.EverPlaced = attempt, c, true
+	l.n.log.Debug("task placed", "job", j.ID, "task", index, "attempt", attempt, "machine", m.ID)
+	if m.ReservedFor == j {
+		m.ReleaseReservation()
 	}
 	if attempt > 1 {
 		l.n.metrics.Repairs++
 	}
-	l.touch(j, j.recordOf(index))
+	l.touch(j, j.RecordOf(index))
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -30,21 +31,21 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *machine {
-	m := l.machine(id, "h:1", typeName, zone, spot)
+func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *cluster.Machine {
+	m := l.cluster.EnsureMachine(id, "h:1", typeName, zone, spot)
 	l.assignMachineRecord(m)
-	m.record.revision = 1
-	m.recorded, m.reported, m.tokenConfirmed, m.incarnation, m.lastReport, m.answered = true, true, true, 1, l.n.now, l.n.now
-	l.kind(m)
+	m.Record.Revision = 1
+	m.Recorded, m.Agent.Heard, m.Agent.TokenConfirmed, m.Agent.Incarnation, m.Agent.LastHeartbeat, m.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
+	l.cluster.TypeOf(m)
 	return m
 }
 
-func (l *leader) testJob(s protocol.Job) *job {
-	s.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(l.jobs)+1))
+func (l *leader) testJob(s protocol.Job) *cluster.Job {
+	s.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(l.cluster.Jobs)+1))
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.jobs)+10))
+	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
@@ -77,10 +78,10 @@
 				s.Types = []protocol.MachineTypeName{"small"}
 			}
 			j := l.testJob(s)
-			if !j.spec.Gang() {
+			if !j.Spec.Gang() {
 				waiting := l.placeArray(j, false)
-				if waiting+len(j.attempts) != s.Tasks {
-					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(j.attempts), s.Tasks)
+				if waiting+len(j.Attempts) != s.Tasks {
+					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(j.Attempts), s.Tasks)
 				}
 				l.checkPlacement(t, j)
 				continue
@@ -94,12 +95,12 @@
 				continue
 			}
 			placed++
-			if len(j.attempts) != s.Tasks {
-				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.attempts))
+			if len(j.Attempts) != s.Tasks {
+				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.Attempts))
 			}
 			machines, zones := map[protocol.MachineID]bool{}, map[protocol.ZoneName]bool{}
-			for _, c := range j.attempts {
-				machines[c.m.id], zones[c.m.zone] = true, true
+			for _, c := range j.Attempts {
+				machines[c.Machine.ID], zones[c.Machine.Zone] = true, true
 			}
 			if machine && len(machines) > 1 || zone && len(zones) > 1 {
 				t.Fatalf("round %d: %+v is spread over %v in %v though it need not be", round, s, machines, zones)
@@ -113,18 +114,18 @@
 }
 
 // couldHold works out by counting which domains could hold a gang.
-func (l *leader) couldHold(j *job) (machine, zone, region bool) {
-	if l.teamQuota(j) < len(j.tasks) {
+func (l *leader) couldHold(j *cluster.Job) (machine, zone, region bool) {
+	if l.cluster.TasksWithinLimit(j) < len(j.Tasks) {
 		return false, false, false
 	}
-	s, g := j.spec, len(j.tasks)
+	s, g := j.Spec, len(j.Tasks)
 	perZone := map[protocol.ZoneName]int{}
-	for _, m := range l.machines {
-		if !l.usable(j, m) {
+	for _, m := range l.cluster.Machines {
+		if !l.cluster.Usable(j, m) {
 			continue
 		}
-		n := l.freeResources(m).fit(s, g)
-		perZone[m.zone] += n
+		n := l.cluster.FreeResources(m).Fit(s, g)
+		perZone[m.Zone] += n
 		machine = machine || n >= g
 	}
 	total := 0
@@ -141,37 +142,37 @@
 	return machine, zone, zone || machine || !s.OneZone && s.Zone == "" && total >= g
 }
 
-func (l *leader) checkPlacement(t *testing.T, j *job) {
+func (l *leader) checkPlacement(t *testing.T, j *cluster.Job) {
 	t.Helper()
 	zones := map[protocol.ZoneName]int{}
-	for _, c := range j.attempts {
-		m := c.m
-		zones[m.zone]++
-		if !allows(j.spec, m.typeName, m.zone, m.spot) {
-			t.Fatalf("%+v on %s in %s, spot %v", j.spec, m.typeName, m.zone, m.spot)
+	for _, c := range j.Attempts {
+		m := c.Machine
+		zones[m.Zone]++
+		if !cluster.Allows(j.Spec, m.TypeName, m.Zone, m.Spot) {
+			t.Fatalf("%+v on %s in %s, spot %v", j.Spec, m.TypeName, m.Zone, m.Spot)
 		}
 	}
-	if j.spec.OneZone && len(zones) > 1 {
-		t.Fatalf("%+v in %v", j.spec, zones)
+	if j.Spec.OneZone && len(zones) > 1 {
+		t.Fatalf("%+v in %v", j.Spec, zones)
 	}
 	for _, n := range zones {
-		if j.spec.Spread && n > (len(j.tasks)+1)/2 {
-			t.Fatalf("%+v in %v", j.spec, zones)
+		if j.Spec.Spread && n > (len(j.Tasks)+1)/2 {
+			t.Fatalf("%+v in %v", j.Spec, zones)
 		}
 	}
-	used := map[*machine]resources{}
+	used := map[*cluster.Machine]cluster.Resources{}
 	gpus := map[string]float64{}
-	for _, o := range l.jobs {
-		for _, c := range o.attempts {
-			r := used[c.m]
-			r.addTasks(o.spec, 1)
-			used[c.m] = r
-			gpus[string(o.spec.Team)] += o.spec.GPUs
+	for _, o := range l.cluster.Jobs {
+		for _, c := range o.Attempts {
+			r := used[c.Machine]
+			r.AddTasks(o.Spec, 1)
+			used[c.Machine] = r
+			gpus[string(o.Spec.Team)] += o.Spec.GPUs
 		}
 	}
 	for m, r := range used {
-		if k := l.kind(m); r.cpus > k.CPUs || r.gpus > k.GPUs || r.memory > k.MemoryGB {
-			t.Fatalf("%s is over-full: %+v", m.id, r)
+		if k := l.cluster.TypeOf(m); r.CPUs > k.CPUs || r.GPUs > k.GPUs || r.MemoryGB > k.MemoryGB {
+			t.Fatalf("%s is over-full: %+v", m.ID, r)
 		}
 	}
 	if gpus["tight"] > 6 {
@@ -189,25 +190,25 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	empty, half := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "b", false)
 	other := l.testJob(gangOf(1, 2))
-	l.addAttempt(other, 0, 1, half, 1)
+	l.cluster.AddAttempt(other, 0, 1, half, 1)
 	j := l.testJob(gangOf(2, 1))
-	if !l.placeGang(j) || j.sortedAttempts()[0].m != half {
+	if !l.placeGang(j) || j.SortedAttempts()[0].Machine != half {
 		t.Errorf("not on the fuller machine")
 	}
 	l.testMachine("i-3", "big", "c", true)
 	warm := l.testMachine("i-4", "big", "c", false)
-	warm.useImage(&protocol.Job{Image: "x", ImageGB: 1}, &bigType)
+	warm.UseImage(&protocol.Job{Image: "x", ImageGB: 1}, &bigType)
 	s := gangOf(1, 4)
 	s.Spot = true
 	j = l.testJob(s)
-	if !l.placeGang(j) || j.sortedAttempts()[0].m != warm {
+	if !l.placeGang(j) || j.SortedAttempts()[0].Machine != warm {
 		t.Errorf("not on the machine with the image")
 	}
 	j = l.testJob(s)
-	if !l.placeGang(j) || j.sortedAttempts()[0].m.id != "i-3" {
+	if !l.placeGang(j) || j.SortedAttempts()[0].Machine.ID != "i-3" {
 		t.Errorf("not on the cheaper machine")
 	}
-	if len(empty.attempts) != 0 {
+	if len(empty.Attempts) != 0 {
 		t.Errorf("the dear machine is used")
 	}
 }
@@ -219,8 +220,8 @@
 	a, b := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "b", false)
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", OneZone: true}
 	j := l.testJob(s)
-	l.addAttempt(j, 0, 1, a, 1)
-	old := l.addAttempt(j, 1, 1, b, 1)
+	l.cluster.AddAttempt(j, 0, 1, a, 1)
+	old := l.cluster.AddAttempt(j, 1, 1, b, 1)
 	if w := l.placeArray(j, false); w != 2 {
 		t.Errorf("%d wait", w)
 	}
@@ -241,29 +242,29 @@
 	s.OneZone, s.Priority = true, "normal"
 	j := l.testJob(s)
 	l.schedule()
-	for _, c := range j.attempts {
-		c.committed, c.sent, c.state = true, true, protocol.TaskRunning
+	for _, c := range j.Attempts {
+		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 	}
-	epoch := j.epoch
+	epoch := j.Epoch
 	l.testMachine("i-3", "big", "a", false)
 	l.testMachine("i-4", "big", "a", false)
 	spare := l.testMachine("i-5", "big", "b", false)
-	l.forget(dead.id)
+	l.forget(dead.ID)
 	l.schedule()
-	if len(j.attempts) != 1 || !j.stopping {
-		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(j.attempts), j.stopping)
+	if len(j.Attempts) != 1 || !j.Stopping {
+		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(j.Attempts), j.Stopping)
 	}
-	if survivor.hold != j {
+	if survivor.ReservedFor != j {
 		t.Error("the survivor's room is not held")
 	}
-	l.dropAttempt(j.sortedAttempts()[0])
+	l.dropAttempt(j.SortedAttempts()[0])
 	l.schedule()
-	on := map[*machine]bool{}
-	for _, c := range j.attempts {
-		on[c.m] = true
+	on := map[*cluster.Machine]bool{}
+	for _, c := range j.Attempts {
+		on[c.Machine] = true
 	}
-	if !on[survivor] || !on[spare] || j.epoch != epoch+1 {
-		t.Errorf("repaired on %v at epoch %d", j.sortedAttempts(), j.epoch)
+	if !on[survivor] || !on[spare] || j.Epoch != epoch+1 {
+		t.Errorf("repaired on %v at epoch %d", j.SortedAttempts(), j.Epoch)
 	}
 }
 
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -17,8 +18,8 @@
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
 	low := l.testJob(s)
 	l.placeArray(low, false)
-	for _, c := range low.attempts {
-		c.committed, c.sent, c.state = true, true, protocol.TaskRunning
+	for _, c := range low.Attempts {
+		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 	}
 	same := gangOf(1, 2)
 	same.Priority = "idle"
@@ -38,7 +39,7 @@
 	if n := stopping(low); n != 2 {
 		t.Errorf("%d tasks yield after a second pass", n)
 	}
-	if m.hold == nil {
+	if m.ReservedFor == nil {
 		t.Error("the room is not held")
 	}
 }
@@ -50,15 +51,15 @@
 	m := l.testMachine("i-1", "big", "a", false)
 	for range tuning.MachineErrors {
 		j := l.testJob(gangOf(1, 1))
-		c := l.addAttempt(j, 0, 1, m, 1)
+		c := l.cluster.AddAttempt(j, 0, 1, m, 1)
 		l.exited(m, c, protocol.TaskReport{Cause: protocol.CauseError})
 		l.dropAttempt(c)
 	}
-	if l.takesTasks(m) || !m.record.queued || !m.entry().Cordoned {
-		t.Errorf("open %v, record to be written %v", l.takesTasks(m), m.record.queued)
+	if l.cluster.Schedulable(m) || !m.Record.Queued || !machineEntry(m).Cordoned {
+		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(m), m.Record.Queued)
 	}
 	l.considerReturn(m, l.spares())
-	if !m.deleting {
+	if !m.Deleting {
 		t.Error("not returned once it is empty")
 	}
 }
@@ -76,12 +77,12 @@
 	j := l.testJob(high)
 	for i := range tuning.JobErrors {
 		m := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
-		c := l.addAttempt(j, 0, protocol.AttemptNumber(i+1), m, 1)
+		c := l.cluster.AddAttempt(j, 0, protocol.AttemptNumber(i+1), m, 1)
 		l.exited(m, c, protocol.TaskReport{Cause: protocol.CauseError})
 		l.dropAttempt(c)
-		m.cordoned = true
-		if m.distrust {
-			t.Errorf("%s is distrusted for a job that fails everywhere", m.id)
+		m.Cordoned = true
+		if m.Quarantined {
+			t.Errorf("%s is distrusted for a job that fails everywhere", m.ID)
 		}
 	}
 	l.n.now = l.n.now.Add(tuning.ErrorPause)
@@ -91,9 +92,9 @@
 	}
 }
 
-func stopping(j *job) (n int) {
-	for _, c := range j.attempts {
-		if c.stop {
+func stopping(j *cluster.Job) (n int) {
+	for _, c := range j.Attempts {
+		if c.Stopping {
 			n++
 		}
 	}
@@ -112,12 +113,12 @@
 		l.testMachine("i-1", "big", "a", false)
 		s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: c.priority}
 		if c.guaranteed {
-			l.teams["free"].guaranteeGPUs = 4
+			l.cluster.Quotas["free"].GuaranteedGPUs = 4
 		}
 		other := l.testJob(s)
 		l.placeArray(other, false)
-		for _, o := range other.attempts {
-			o.committed, o.sent = true, true
+		for _, o := range other.Attempts {
+			o.Committed, o.StartSent = true, true
 		}
 		s.Team, s.Tasks, s.Priority = "tight", 2, "normal"
 		l.testJob(s)
@@ -138,8 +139,8 @@
 	s.Shape = protocol.ShapeArray
 	other := l.testJob(s)
 	l.placeArray(other, false)
-	for _, o := range other.attempts {
-		o.committed, o.sent = true, true
+	for _, o := range other.Attempts {
+		o.Committed, o.StartSent = true, true
 	}
 	s.Team, s.Tasks, s.Zone = "tight", 2, "b"
 	first := l.testJob(s) // takes the whole guarantee, waits for another zone
@@ -148,8 +149,8 @@
 	s.Tasks = 3
 	l.testJob(s)
 	l.schedule()
-	first.gone = true
-	delete(l.jobs, first.id)
+	first.Finished = true
+	delete(l.cluster.Jobs, first.ID)
 	l.schedule()
 	if n := stopping(other); n != 0 {
 		t.Errorf("%d tasks yield", n)
@@ -167,17 +168,17 @@
 	j := l.testJob(big)
 	l.schedule()
 	l.n.now = now.Add(l.n.cfg.Operator.ReserveAfter + time.Second)
-	for _, m := range l.machines {
-		m.lastReport = l.n.now
+	for _, m := range l.cluster.Machines {
+		m.Agent.LastHeartbeat = l.n.now
 	}
 	small := l.testJob(gangOf(1, 1))
 	l.schedule()
-	if len(small.attempts) != 0 || len(j.attempts) != 0 {
+	if len(small.Attempts) != 0 || len(j.Attempts) != 0 {
 		t.Errorf("the smaller job passes")
 	}
 	l.testMachine("i-2", "big", "a", false)
 	l.schedule()
-	if len(j.attempts) != 2 {
+	if len(j.Attempts) != 2 {
 		t.Errorf("the gang is not placed when it could be")
 	}
 }
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -4,30 +4,32 @@
 	"cmp"
 	"slices"
 
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // demand is a job that waits, and for how many tasks.
 type demand struct {
-	j     *job
+	j     *cluster.Job
 	tasks int
 }
 
 // wants is how many tasks of a job wait for a place.
-func (l *leader) wants(j *job) int {
-	if j.cancelled || j.gone || j.isComplete() || j.stopping || j.splitting || j.unwritable || l.n.now.Before(j.retryAt) || l.isHeld(j) {
+func (l *leader) wants(j *cluster.Job) int {
+	if j.Cancelled || j.Finished || j.Complete() || j.Stopping || j.Records.Splitting || j.Records.Quarantined || l.n.now.Before(j.RetryAt) || l.isHeld(j) {
 		return 0
 	}
-	if j.spec.Gang() {
-		if len(j.attempts) > 0 {
+	if j.Spec.Gang() {
+		if len(j.Attempts) > 0 {
 			return 0
 		}
-		return len(j.tasks)
+		return len(j.Tasks)
 	}
 	n := 0
-	for i := range j.tasks {
-		if t := &j.tasks[i]; !t.done && t.liveAttempts == 0 && !l.n.now.Before(t.retryAt) {
+	for i := range j.Tasks {
+		if t := &j.Tasks[i]; !t.Done && t.LiveAttempts == 0 && !l.n.now.Before(t.RetryAt) {
 			n++
 		}
 	}
@@ -38,9 +40,9 @@
 // within the teams' limits.
 func (l *leader) schedule() {
 	now := l.n.now
-	for _, m := range l.roster {
-		if m.hold != nil && (now.After(m.holdTill) || m.hold.gone || m.hold.cancelled || !m.hold.stopping && l.wants(m.hold) == 0) {
-			m.release()
+	for _, m := range l.cluster.OrderedMachines {
+		if m.ReservedFor != nil && (now.After(m.ReservedUntil) || m.ReservedFor.Finished || m.ReservedFor.Cancelled || !m.ReservedFor.Stopping && l.wants(m.ReservedFor) == 0) {
+			m.ReleaseReservation()
 		}
 	}
 	l.pass = l.newPass()
@@ -51,15 +53,15 @@
 	l.markReclaimers(queue)
 	var waiting []demand
 	for i, j := range queue {
-		if !j.spec.Gang() && (i == 0 || queue[i-1].spec.Gang() || queue[i-1].rank != j.rank) {
+		if !j.Spec.Gang() && (i == 0 || queue[i-1].Spec.Gang() || queue[i-1].Priority != j.Priority) {
 			l.placeWarm(queue[i:])
 		}
 		n := l.wants(j)
 		if n == 0 {
 			continue
 		}
-		if j.spec.Gang() {
-			if j.blamedCount == 0 && l.waitsForCachedImage(j) {
+		if j.Spec.Gang() {
+			if j.Failures.Attributed == 0 && l.waitsForCachedImage(j) {
 				continue
 			}
 			if l.placeGang(j) {
@@ -68,15 +70,15 @@
 		} else if n = l.placeTasks(j, false); n == 0 {
 			continue
 		}
-		if n = min(n, l.teamQuota(j)); n == 0 || j.spec.Gang() && n < len(j.tasks) {
+		if n = min(n, l.cluster.TasksWithinLimit(j)); n == 0 || j.Spec.Gang() && n < len(j.Tasks) {
 			continue // its team's limit is in the way, not the machines
 		}
-		if j.blamedCount > 0 {
+		if j.Failures.Attributed > 0 {
 			continue // no machine is emptied or rented for it
 		}
 		waiting = append(waiting, demand{j, n})
 		l.makeRoom(j, n)
-		if j.spec.Gang() && now.Sub(j.waitingSince) > l.n.cfg.Operator.ReserveAfter {
+		if j.Spec.Gang() && now.Sub(j.Queue.WaitingSince) > l.n.cfg.Operator.ReserveAfter {
 			l.reserveMachines(j)
 		}
 	}
@@ -88,9 +90,9 @@
 // with no gang between, have the machines that hold their image, in their turn:
 // an array that would fetch its image there leaves them to one behind it that
 // need not. One whose time runs out takes what there is.
-func (l *leader) placeWarm(queue []*job) {
+func (l *leader) placeWarm(queue []*cluster.Job) {
 	for _, j := range queue {
-		if j.spec.Gang() || j.rank != queue[0].rank {
+		if j.Spec.Gang() || j.Priority != queue[0].Priority {
 			return
 		}
 		if l.wants(j) > 0 {
@@ -100,33 +102,22 @@
 }
 
 // canWaitForImage says whether an array can wait for machines that have its image.
-func (l *leader) canWaitForImage(j *job) bool {
-	if j.spec.Service() {
+func (l *leader) canWaitForImage(j *cluster.Job) bool {
+	if j.Spec.Service() {
 		return false
 	}
-	fetch := seconds(l.fetchSeconds(j.spec) * tuning.WarmPatience)
-	for _, at := range j.startBy {
+	fetch := config.Seconds(l.cluster.ImageFetchSeconds(j.Spec) * tuning.WarmPatience)
+	for _, at := range j.StartDeadlines {
 		if !l.n.now.After(at) {
 			return l.n.now.Before(at.Add(-fetch))
 		}
 	}
-	return len(j.startBy) > 0 || l.n.now.Sub(j.at) < fetch
-}
-
-// fetchSeconds is how long a job's image takes to fetch on the slowest type.
-func (l *leader) fetchSeconds(s *protocol.Job) float64 {
-	fetch := 0.0
-	for _, t := range l.n.types {
-		if t.Fits(s) && t.FetchGBPerS > 0 {
-			fetch = max(fetch, s.ImageGB/t.FetchGBPerS)
-		}
-	}
-	return fetch
+	return len(j.StartDeadlines) > 0 || l.n.now.Sub(j.SubmittedAt) < fetch
 }
 
 // reserveMachines keeps the free machines of the zone where the gang lacks least from
 // jobs behind it in the queue, no more of them than it needs.
-func (l *leader) reserveMachines(j *job) {
+func (l *leader) reserveMachines(j *cluster.Job) {
 	var best []site
 	count := 0
 	for _, zone := range l.n.cfg.Cluster.Zones {
@@ -139,33 +130,35 @@
 			best, count = list, n
 		}
 	}
-	for _, s := range fill(best, len(j.tasks)) {
-		if s.m.hold == nil {
-			s.m.keep(j, l.n.now.Add(2*tuning.PlanIdle))
+	for _, s := range fill(best, len(j.Tasks)) {
+		if s.m.ReservedFor == nil {
+			s.m.ReserveFor(j, l.n.now.Add(2*tuning.PlanIdle))
 		}
 	}
 }
 
 // markGuaranteed tells the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
-func (l *leader) markGuaranteed(queue []*job) {
+func (l *leader) markGuaranteed(queue []*cluster.Job) {
 	byArrival := slices.Clone(queue)
-	slices.SortFunc(byArrival, func(a, b *job) int { return cmp.Or(cmp.Compare(a.seq, b.seq), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(byArrival, func(a, b *cluster.Job) int {
+		return cmp.Or(cmp.Compare(a.ArrivalOrder, b.ArrivalOrder), cmp.Compare(a.ID, b.ID))
+	})
 	type sum struct{ cpus, gpus float64 }
 	used := map[protocol.TeamName]sum{}
 	for _, j := range byArrival {
-		t := l.teams[j.spec.Team]
-		if t == nil || j.cancelled {
+		t := l.cluster.Quotas[j.Spec.Team]
+		if t == nil || j.Cancelled {
 			continue
 		}
-		n := float64(len(j.tasks) - j.done)
-		u := used[j.spec.Team]
-		u.cpus += j.spec.CPUs * n
-		u.gpus += j.spec.GPUs * n
-		used[j.spec.Team] = u
-		some := t.guaranteeCPUs > 0 || t.guaranteeGPUs > 0
-		j.guaranteed = some && (t.guaranteeCPUs == 0 || u.cpus <= t.guaranteeCPUs+amountSlack) &&
-			(t.guaranteeGPUs == 0 || u.gpus <= t.guaranteeGPUs+amountSlack)
+		n := float64(len(j.Tasks) - j.DoneTasks)
+		u := used[j.Spec.Team]
+		u.cpus += j.Spec.CPUs * n
+		u.gpus += j.Spec.GPUs * n
+		used[j.Spec.Team] = u
+		some := t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0
+		j.Queue.WithinGuarantee = some && (t.GuaranteedCPUs == 0 || u.cpus <= t.GuaranteedCPUs+cluster.AmountTolerance) &&
+			(t.GuaranteedGPUs == 0 || u.gpus <= t.GuaranteedGPUs+cluster.AmountTolerance)
 	}
 }
 
@@ -174,23 +167,18 @@
 // backlog is. A job that only comes within it while others of its team wait
 // behind takes its turn: else the teams of an overloaded deployment would
 // take the same machines from each other again and again.
-func (l *leader) markReclaimers(queue []*job) {
+func (l *leader) markReclaimers(queue []*cluster.Job) {
 	over := map[protocol.TeamName]bool{}
 	for _, j := range queue {
-		if !j.cancelled && !j.guaranteed {
-			over[j.spec.Team] = true
+		if !j.Cancelled && !j.Queue.WithinGuarantee {
+			over[j.Spec.Team] = true
 		}
 	}
 	for _, j := range queue {
-		if !j.reclaimChecked {
-			j.reclaimChecked = true
-			j.mayReclaim = j.guaranteed
+		if !j.Queue.ReclaimDecided {
+			j.Queue.ReclaimDecided = true
+			j.Queue.MayReclaim = j.Queue.WithinGuarantee
 		}
-		j.mayReclaim = j.mayReclaim || j.guaranteed && !over[j.spec.Team]
+		j.Queue.MayReclaim = j.Queue.MayReclaim || j.Queue.WithinGuarantee && !over[j.Spec.Team]
 	}
 }
-
-// exceedsGuarantee says whether a team uses more than its guarantee.
-func (t *team) exceedsGuarantee() bool {
-	return t.gpus > t.guaranteeGPUs+amountSlack || t.guaranteeGPUs == 0 && t.cpus > t.guaranteeCPUs+amountSlack
-}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -19,17 +20,17 @@
 		m := l.testMachine("i-1", "big", "a", false)
 		j := l.testJob(gangOf(1, 1))
 		l.placeGang(j)
-		clear(j.dirty)
-		j.sortedAttempts()[0].committed = true
+		clear(j.Write.Dirty)
+		j.SortedAttempts()[0].Committed = true
 		for range tuning.MissedAnswers + 1 {
 			l.testReport(m, l.n.lease.term)
 		}
-		if l.takesTasks(m) {
+		if l.cluster.Schedulable(m) {
 			t.Fatal("takes new work")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.WatchMachines)
-			l.n.lease.renewedAt, l.n.syncedAt, m.lastReport, m.answered = l.n.now, l.n.now, l.n.now, l.n.now
+			l.n.lease.renewedAt, l.n.syncedAt, m.Agent.LastHeartbeat, m.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
 			l.n.out = nil
 			l.tickMachines()
 			for _, a := range l.n.out {
@@ -38,18 +39,18 @@
 					continue
 				}
 				if answers {
-					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName,
-						Zone: m.zone, Incarnation: 1, Sequence: m.sequence + 1, Token: l.n.lease.term})})
+					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName,
+						Zone: m.Zone, Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: l.n.lease.term})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
 			}
 		}
-		if m.deleting == answers || l.takesTasks(m) != answers {
-			t.Errorf("answers calls %v: returned %v, takes work %v", answers, m.deleting, l.takesTasks(m))
+		if m.Deleting == answers || l.cluster.Schedulable(m) != answers {
+			t.Errorf("answers calls %v: returned %v, takes work %v", answers, m.Deleting, l.cluster.Schedulable(m))
 		}
-		if l.forget(m.id); len(j.attempts) != 0 {
-			t.Errorf("%d copies are left once it is gone", len(j.attempts))
+		if l.forget(m.ID); len(j.Attempts) != 0 {
+			t.Errorf("%d copies are left once it is gone", len(j.Attempts))
 		}
 	}
 }
@@ -63,12 +64,12 @@
 		l.n.now = l.n.now.Add(4 * time.Second)
 		l.testReport(m, l.n.lease.term)
 	}
-	if !l.takesTasks(m) {
+	if !l.cluster.Schedulable(m) {
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
-	if l.takesTasks(m) {
+	l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
+	if l.cluster.Schedulable(m) {
 		t.Error("takes new work")
 	}
 }
@@ -83,13 +84,13 @@
 		for i := range 24 {
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i/8], false)
 		}
-		lease := seconds(l.n.cfg.Cluster.Workers.LeaseS)
+		lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 		returned := func(till time.Duration) (n int) {
 			for ; l.n.now.Sub(start) < till; l.n.now = l.n.now.Add(tuning.WatchMachines) {
 				l.n.lease.renewedAt, l.n.syncedAt, l.n.out = l.n.now, l.n.now, nil
-				for i, m := range l.roster {
+				for i, m := range l.cluster.OrderedMachines {
 					if i >= c.silent {
-						m.lastReport, m.answered = l.n.now, l.n.now
+						m.Agent.LastHeartbeat, m.Agent.AnsweredAt = l.n.now, l.n.now
 					}
 				}
 				l.tickMachines()
@@ -99,8 +100,8 @@
 					}
 				}
 			}
-			for _, m := range l.roster {
-				if m.deleting {
+			for _, m := range l.cluster.OrderedMachines {
+				if m.Deleting {
 					n++
 				}
 			}
@@ -109,7 +110,7 @@
 		if n := returned(lease); n != c.returned {
 			t.Errorf("%d silent: %d returned within the lease", c.silent, n)
 		}
-		if n := returned(3*lease + seconds(bigType.BootS)); n != c.silent {
+		if n := returned(3*lease + config.Seconds(bigType.BootS)); n != c.silent {
 			t.Errorf("%d silent: %d returned in the end", c.silent, n)
 		}
 	}
@@ -120,17 +121,17 @@
 func TestNotReporting(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
-	lease := seconds(l.n.cfg.Cluster.Workers.LeaseS)
+	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.report(&protocol.Report{Machine: m.id, Address: "h:1", Type: m.typeName, Zone: m.zone, Incarnation: 1, Sequence: m.sequence + 1, Token: l.n.lease.term}, false)
+		l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: l.n.lease.term}, false)
 	}
-	if !l.isConfirmedAlive(m) || l.takesTasks(m) {
-		t.Errorf("alive %v, takes work %v", l.isConfirmedAlive(m), l.takesTasks(m))
+	if !l.cluster.ConfirmedAlive(m) || l.cluster.Schedulable(m) {
+		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(m), l.cluster.Schedulable(m))
 	}
 	l.testReport(m, l.n.lease.term)
-	if !l.takesTasks(m) {
+	if !l.cluster.Schedulable(m) {
 		t.Error("takes no work though it reports again")
 	}
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -2,9 +2,10 @@
 
 import (
 	"maps"
-	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
@@ -21,46 +22,47 @@
 
 // Job implements recovery.Records.
 func (s *storedState) Job(id protocol.JobID) (recovery.Job, bool) {
-	j := s.l.jobs[id]
+	j := s.l.cluster.Jobs[id]
 	if j == nil {
 		return recovery.Job{Unreadable: s.l.unreadable[id]}, false
 	}
-	return recovery.Job{Tasks: len(j.tasks), Gang: j.spec.Gang(), Service: j.spec.Service(), Epoch: j.epoch, Unreadable: s.l.unreadable[id]}, true
+	return recovery.Job{Tasks: len(j.Tasks), Gang: j.Spec.Gang(), Service: j.Spec.Service(), Epoch: j.Epoch, Unreadable: s.l.unreadable[id]}, true
 }
 
 // Task implements recovery.Records.
 func (s *storedState) Task(id recovery.TaskID) recovery.Task {
-	t := &s.l.jobs[id.Job].tasks[id.Index]
-	task := recovery.Task{LastAttempt: t.lastAttempt, Done: t.done}
-	if t.active != nil {
-		task.Machine = t.active.m.id
+	t := &s.l.cluster.Jobs[id.Job].Tasks[id.Index]
+	task := recovery.Task{LastAttempt: t.LastAttempt, Done: t.Done}
+	if t.Active != nil {
+		task.Machine = t.Active.Machine.ID
 	}
 	return task
 }
 
 // Attempts implements recovery.Records.
 func (s *storedState) Attempts(name protocol.MachineID, list []recovery.Attempt) []recovery.Attempt {
-	m := s.l.machines[name]
+	m := s.l.cluster.Machines[name]
 	if m == nil {
 		return list
 	}
-	for _, c := range sortedAttempts(m) {
-		list = append(list, recovery.Attempt{ID: c.attemptID(), Incarnation: c.incarnation, Undelivered: s.undelivered(c), Fenced: c.stray})
+	for _, c := range cluster.SortedAttemptsOn(m) {
+		list = append(list, recovery.Attempt{ID: attemptID(c), Incarnation: c.Incarnation, Undelivered: s.undelivered(c), Fenced: c.Orphaned})
 	}
 	return list
 }
 
 // undelivered says whether a start of an attempt may be on its way, or will be ordered
 // again. One that a predecessor recorded is never started by this leader.
-func (s *storedState) undelivered(c *taskAttempt) bool {
-	if !c.sent || c.direct > 0 || c.pinned || c.inReply && !s.answered {
+func (s *storedState) undelivered(c *cluster.Attempt) bool {
+	if !c.StartSent || c.StartsInFlight > 0 || c.StartUnanswered || c.StartInResponse && !s.answered {
 		return true
 	}
-	return c.state == "" && !c.stop && !c.loaded
+	return c.ReportedState == "" && !c.Stopping && !c.Recovered
 }
 
-func (c *taskAttempt) attemptID() recovery.AttemptID {
-	return recovery.AttemptID{TaskID: recovery.TaskID{Job: c.j.id, Index: c.key.index}, Attempt: c.key.attempt}
+// attemptID is how package recovery names an attempt.
+func attemptID(c *cluster.Attempt) recovery.AttemptID {
+	return recovery.AttemptID{TaskID: recovery.TaskID{Job: c.Job.ID, Index: c.Key.Index}, Attempt: c.Key.Number}
 }
 
 // compare squares a report with what is stored.
@@ -70,14 +72,14 @@
 }
 
 // resolve does what each difference between a report and the records asks for.
-func (l *leader) resolve(m *machine, r *protocol.Report, differences []recovery.Difference) {
-	m.exited = m.exited[:0]
+func (l *leader) resolve(m *cluster.Machine, r *protocol.Report, differences []recovery.Difference) {
+	m.Agent.Exited = m.Agent.Exited[:0]
 	unnamed, unproven := false, false
 	for _, d := range differences {
 		l.recovery.Observe(d)
-		key := taskKey{d.ID.Job, d.ID.Index, d.ID.Attempt}
+		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
 		if d.Entry >= 0 && d.Class != recovery.Unreadable && r.Tasks[d.Entry].State == protocol.TaskExited {
-			m.exited = append(m.exited, r.Tasks[d.Entry])
+			m.Agent.Exited = append(m.Agent.Exited, r.Tasks[d.Entry])
 		}
 		switch d.Class.Resolution() {
 		case recovery.Keep:
@@ -85,13 +87,13 @@
 				unnamed = !l.noteUnreadable(m, &r.Tasks[d.Entry]) || unnamed
 				continue
 			}
-			if c := m.attempts[key]; c != nil && r.Tasks[d.Entry].State != protocol.TaskExited {
+			if c := m.Attempts[key]; c != nil && r.Tasks[d.Entry].State != protocol.TaskExited {
 				l.shows(c, r.Tasks[d.Entry].State)
 			}
 		case recovery.Await:
 			unproven = unproven || d.Current
 		case recovery.Release:
-			if c := m.attempts[key]; c != nil {
+			if c := m.Attempts[key]; c != nil {
 				l.dropAttempt(c)
 			}
 		case recovery.Stop:
@@ -100,26 +102,20 @@
 			l.recordEnd(m, key, &r.Tasks[d.Entry])
 		}
 	}
-	maps.DeleteFunc(m.forgetSent, func(key taskKey, _ time.Time) bool { return !m.showsExited(key) })
+	maps.DeleteFunc(m.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !m.ShowsExited(key) })
 	l.limitUnreadable(m, unnamed, unproven)
 }
 
-// showsExited says whether the last report had an attempt that has exited.
-func (m *machine) showsExited(key taskKey) bool {
-	name := protocol.TaskName(key.job, key.index)
-	return slices.ContainsFunc(m.exited, func(t protocol.TaskReport) bool { return t.Attempt == key.attempt && t.Task == name })
-}
-
 // shows notes the state of an attempt that a worker has.
-func (l *leader) shows(c *taskAttempt, state protocol.TaskState) {
+func (l *leader) shows(c *cluster.Attempt, state protocol.TaskState) {
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
-	c.state = state
-	c.sent = true
-	if state == protocol.TaskRunning && c.running.IsZero() {
-		c.running = l.n.now
-		l.n.log.Debug("task runs", "job", c.j.id, "task", c.key.index, "attempt", c.key.attempt, "machine", c.m.id)
+	c.ReportedState = state
+	c.StartSent = true
+	if state == protocol.TaskRunning && c.RunningSince.IsZero() {
+		c.RunningSince = l.n.now
+		l.n.log.Debug("task runs", "job", c.Job.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", c.Machine.ID)
 	}
 }
 
@@ -129,24 +125,24 @@
 // fence has an attempt that no record asks for stopped. It takes room until it is gone,
 // and must be gone before its task starts anywhere else. What a report shows that may be
 // a late copy is counted as there and not yet stopped: the worker may have ended it.
-func (l *leader) fence(m *machine, key taskKey, entry *protocol.TaskReport, d recovery.Difference) {
-	j := l.jobs[key.job]
-	if j == nil || key.index >= len(j.tasks) {
+func (l *leader) fence(m *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d recovery.Difference) {
+	j := l.cluster.Jobs[key.Job]
+	if j == nil || key.Index >= len(j.Tasks) {
 		if d.Current {
-			m.strays = append(m.strays, key)
+			m.Delivery.Orphans = append(m.Delivery.Orphans, key)
 		}
 		return
 	}
-	c := m.attempts[key]
+	c := m.Attempts[key]
 	if c == nil {
-		c = l.addAttempt(j, key.index, key.attempt, m, m.incarnation)
-		c.committed, c.sent, c.loaded, c.stray = true, true, true, true
+		c = l.cluster.AddAttempt(j, key.Index, key.Number, m, m.Agent.Incarnation)
+		c.Committed, c.StartSent, c.Recovered, c.Orphaned = true, true, true, true
 	}
 	l.shows(c, entry.State)
 	l.skipAttempts(j, key)
-	if d.Current || j.cancelled {
-		if !c.stop {
-			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", j.id, "task", key.index, "attempt", key.attempt, "machine", m.id)
+	if d.Current || j.Cancelled {
+		if !c.Stopping {
+			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", j.ID, "task", key.Index, "attempt", key.Number, "machine", m.ID)
 		}
 		l.stop(c, 0)
 	}
@@ -154,51 +150,51 @@
 
 // skipAttempts has the next attempt of a task numbered above one that the records never
 // had: a start of the same attempt would do nothing where the old one is.
-func (l *leader) skipAttempts(j *job, key taskKey) {
-	if t := &j.tasks[key.index]; key.attempt > t.lastAttempt && key.attempt < tuning.AttemptsMost {
-		t.lastAttempt = key.attempt
+func (l *leader) skipAttempts(j *cluster.Job, key cluster.AttemptID) {
+	if t := &j.Tasks[key.Index]; key.Number > t.LastAttempt && key.Number < tuning.AttemptsMost {
+		t.LastAttempt = key.Number
 	}
 }
 
 // recordEnd takes the end of an attempt, and of its task if it is done.
-func (l *leader) recordEnd(m *machine, key taskKey, entry *protocol.TaskReport) {
-	if j := l.jobs[key.job]; entry.Cause == protocol.CauseDone && j != nil {
-		l.setDone(j, key.index)
-		clear(m.failed)
+func (l *leader) recordEnd(m *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport) {
+	if j := l.cluster.Jobs[key.Job]; entry.Cause == protocol.CauseDone && j != nil {
+		l.setDone(j, key.Index)
+		clear(m.FailedJobs)
 	}
-	c := m.attempts[key]
+	c := m.Attempts[key]
 	if c == nil {
 		return
 	}
-	if c.pinned || c.direct > 0 {
-		m.pins[key] = true
+	if c.StartUnanswered || c.StartsInFlight > 0 {
+		m.Delivery.Pinned[key] = true
 	}
-	c.state = protocol.TaskExited
+	c.ReportedState = protocol.TaskExited
 	l.exited(m, c, *entry)
 	l.dropAttempt(c)
 }
 
 // noteUnreadable takes an entry that makes no sense, which is logged once for each machine
 // and name; named is false if it does not even name a task.
-func (l *leader) noteUnreadable(m *machine, entry *protocol.TaskReport) (named bool) {
+func (l *leader) noteUnreadable(m *cluster.Machine, entry *protocol.TaskReport) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && l.unreadable[id] {
-		m.idleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
+		m.IdleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
-	l.logOnce("entry of a report makes no sense", string(m.id)+" "+entry.Task, "machine", m.id, "task", entry.Task, "state", string(entry.State))
+	l.logOnce("entry of a report makes no sense", string(m.ID)+" "+entry.Task, "machine", m.ID, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
 // limitUnreadable returns a machine whose reports have had entries that name no task for
 // a lease, if they keep it from proving something gone: its deletion does.
-func (l *leader) limitUnreadable(m *machine, unnamed, unproven bool) {
+func (l *leader) limitUnreadable(m *cluster.Machine, unnamed, unproven bool) {
 	switch {
 	case !unnamed:
-		m.unreadableSince = time.Time{}
-	case m.unreadableSince.IsZero():
-		m.unreadableSince = l.n.now
-	case unproven && l.n.now.Sub(m.unreadableSince) > seconds(l.n.cfg.Cluster.Workers.LeaseS):
+		m.Agent.UnreadableSince = time.Time{}
+	case m.Agent.UnreadableSince.IsZero():
+		m.Agent.UnreadableSince = l.n.now
+	case unproven && l.n.now.Sub(m.Agent.UnreadableSince) > config.Seconds(l.n.cfg.Cluster.Workers.LeaseS):
 		l.delete(m, "its reports cannot be read")
 	}
 }
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -6,12 +6,14 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // placed is a job's record with tasks placed as given.
-func (l *leader) placed(tasks ...bookkeeping.Task) *job {
+func (l *leader) placed(tasks ...bookkeeping.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
 	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
@@ -23,9 +25,9 @@
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1}
-	j := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.id, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: m.id, Incarnation: 1})
-	if n := j.tasks[0].liveAttempts; n != 2 || j.tasks[0].active.m != m {
+	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1}
+	j := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: m.ID, Incarnation: 1})
+	if n := j.Tasks[0].LiveAttempts; n != 2 || j.Tasks[0].Active.Machine != m {
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskReport{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
@@ -34,7 +36,7 @@
 	}
 	l.testReport(m, l.n.lease.term)
 	l.testReport(other, l.n.lease.term)
-	if n := j.tasks[0].liveAttempts; n != 0 || len(j.attempts) != 0 {
+	if n := j.Tasks[0].LiveAttempts; n != 0 || len(j.Attempts) != 0 {
 		t.Errorf("%d attempts after the proofs", n)
 	}
 }
@@ -44,17 +46,17 @@
 func TestUnreadableReport(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
-	j := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.id, Incarnation: 1})
+	j := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1})
 	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.testReport(m, l.n.lease.term, nonsense)
-		if len(j.attempts) != 1 || m.deleting || len(l.logged) != 1 {
-			t.Fatalf("%d attempts, deleting %v, %d logged", len(j.attempts), m.deleting, len(l.logged))
+		if len(j.Attempts) != 1 || m.Deleting || len(l.logged) != 1 {
+			t.Fatalf("%d attempts, deleting %v, %d logged", len(j.Attempts), m.Deleting, len(l.logged))
 		}
-		l.n.now = l.n.now.Add(seconds(l.n.cfg.Cluster.Workers.LeaseS / 4.9))
+		l.n.now = l.n.now.Add(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS / 4.9))
 	}
 	l.testReport(m, l.n.lease.term, nonsense)
-	if !m.deleting {
+	if !m.Deleting {
 		t.Error("the machine is kept though nothing is ever proven of it")
 	}
 }
@@ -68,8 +70,8 @@
 		m := l.testMachine("i-1", "big", "a", false)
 		j := l.placed()
 		running := protocol.TaskReport{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
-		if got := ops(l.testReport(m, l.n.lease.term-1, running)); got != "" || j.tasks[1].liveAttempts != 1 {
-			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, j.tasks[1].liveAttempts)
+		if got := ops(l.testReport(m, l.n.lease.term-1, running)); got != "" || j.Tasks[1].LiveAttempts != 1 {
+			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, j.Tasks[1].LiveAttempts)
 		}
 		if got := ops(l.testReport(m, l.n.lease.term, running)); got != "halt " {
 			t.Errorf("ordered %q", got)
@@ -80,7 +82,7 @@
 		if attempt > tuning.AttemptsMost {
 			want = 1
 		}
-		if c := j.tasks[1].active; c == nil || c.key.attempt != want {
+		if c := j.Tasks[1].Active; c == nil || c.Key.Number != want {
 			t.Errorf("placed again as %+v, want attempt %d", c, want)
 		}
 	}
@@ -94,28 +96,28 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.RecoveryPhase = enabled
 		full, silent := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-		silent.loaded, silent.reported, silent.tokenConfirmed, silent.incarnation = true, false, false, 0
+		silent.Recovered, silent.Agent.Heard, silent.Agent.TokenConfirmed, silent.Agent.Incarnation = true, false, false, 0
 		l.beginRecovery()
 		low := l.testJob(func() protocol.Job { s := gangOf(8, 1); s.Shape, s.Priority = protocol.ShapeArray, "idle"; return s }())
 		l.placeArray(low, false)
-		for _, c := range low.attempts {
-			c.committed, c.sent, c.state = true, true, protocol.TaskRunning
+		for _, c := range low.Attempts {
+			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 		}
 		s := gangOf(2, 1)
 		s.Priority = "high"
 		l.testJob(s)
 		stopping := func() bool {
 			l.schedule()
-			return slices.ContainsFunc(low.sortedAttempts(), func(c *taskAttempt) bool { return c.stop })
+			return slices.ContainsFunc(low.SortedAttempts(), func(c *cluster.Attempt) bool { return c.Stopping })
 		}
-		if free := l.freeResources(full).gpus; free > 0 {
+		if free := l.cluster.FreeResources(full).GPUs; free > 0 {
 			t.Fatalf("%v GPUs are free", free)
 		}
 		if got := stopping(); got == enabled {
 			t.Errorf("enabled %v: stopped at once %v", enabled, got)
 		}
-		l.n.now = l.n.now.Add(l.silence() + time.Second)
-		full.lastReport = l.n.now
+		l.n.now = l.n.now.Add(l.cluster.SilenceTimeout() + time.Second)
+		full.Agent.LastHeartbeat = l.n.now
 		if !stopping() {
 			t.Errorf("enabled %v: nothing is stopped though the other machine is silent", enabled)
 		}
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -6,6 +6,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -16,66 +17,6 @@
 // further record, whose tasks are named in it; both and the job's own record, which
 // has the number of all, are written by one guarded transaction.
 
-// baseRecords is the number of records that the chunk says.
-func (j *job) baseRecords() int { return len(j.revisions) - len(j.extraParts) }
-
-// recordOf is the record that a task is in.
-func (j *job) recordOf(index int) int {
-	if r, ok := j.moved[index]; ok {
-		return r
-	}
-	return index / j.chunk
-}
-
-// tasksOf lists a record's tasks in order.
-func (j *job) tasksOf(r int) []int {
-	if r >= j.baseRecords() {
-		return j.extraParts[r-j.baseRecords()]
-	}
-	list := make([]int, 0, j.chunk)
-	for i := r * j.chunk; i < min((r+1)*j.chunk, len(j.tasks)); i++ {
-		if len(j.moved) > 0 && j.recordOf(i) != r {
-			continue
-		}
-		list = append(list, i)
-	}
-	return list
-}
-
-// move puts a task into a further record.
-func (j *job) move(index, r int) {
-	if old, ok := j.moved[index]; ok {
-		if old == r {
-			return
-		}
-		list := &j.extraParts[old-j.baseRecords()]
-		*list = slices.DeleteFunc(*list, func(i int) bool { return i == index })
-	}
-	if j.moved == nil {
-		j.moved = map[int]int{}
-	}
-	j.moved[index] = r
-	list := &j.extraParts[r-j.baseRecords()]
-	at, _ := slices.BinarySearch(*list, index)
-	*list = slices.Insert(*list, at, index)
-}
-
-// split gives half of a record's tasks to a new one.
-func (j *job) split(r int) (part int) {
-	list := slices.Clone(j.tasksOf(r))
-	part = len(j.revisions)
-	j.revisions = append(j.revisions, j.leftovers[part])
-	j.extraParts = append(j.extraParts, nil)
-	for _, i := range list[(len(list)+1)/2:] {
-		j.move(i, part)
-	}
-	if j.newParts == nil {
-		j.newParts = map[int]int{}
-	}
-	j.newParts[part] = r
-	return part
-}
-
 // maySplit says whether records may be written that version 0.2 does not read whole:
 // it takes the parts for leftovers and deletes them.
 func (l *leader) maySplit() bool { return l.peersKnow(protocol.PeerKnowsCancelled) }
@@ -106,35 +47,35 @@
 }
 
 // outgrown says whether a record must be split before it is written.
-func (l *leader) outgrown(j *job, r int, limits config.State) bool {
-	list := j.tasksOf(r)
+func (l *leader) outgrown(j *cluster.Job, r int, limits config.State) bool {
+	list := j.TasksOf(r)
 	if len(list) < 2 {
 		return false
 	}
-	if j.spec.Gang() && len(list) > bookkeeping.GangRecordTasks(limits.TxnOps) {
+	if j.Spec.Gang() && len(list) > bookkeeping.GangRecordTasks(limits.TxnOps) {
 		return true
 	}
 	room := int(limits.ValueKB * 1024)
 	if r == 0 {
-		if j.specSize == 0 {
-			j.specSize = len(bookkeeping.Encode(j.spec))
+		if j.Records.SpecSize == 0 {
+			j.Records.SpecSize = len(bookkeeping.Encode(j.Spec))
 		}
-		room -= j.specSize
+		room -= j.Records.SpecSize
 	}
 	if len(list)*tuning.TaskBytes+tuning.HeaderBytes <= room {
 		return false // with entries of any size
 	}
-	tasks, _ := j.record(r)
+	tasks, _ := recordContent(j, r)
 	return len(bookkeeping.Encode(tasks))+tuning.HeaderBytes > room
 }
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
 // the limits.
-func (l *leader) splitDirty(j *job, limits config.State) {
-	if len(j.newParts) > 0 || !l.maySplit() {
+func (l *leader) splitDirty(j *cluster.Job, limits config.State) {
+	if len(j.Records.UnnamedParts) > 0 || !l.maySplit() {
 		return
 	}
-	for _, r := range slices.Sorted(maps.Keys(j.dirty)) {
+	for _, r := range slices.Sorted(maps.Keys(j.Write.Dirty)) {
 		if l.outgrown(j, r, limits) {
 			l.splitUp(j, r, limits)
 			return
@@ -145,10 +86,10 @@
 // splitRecords lists the records that must be written in the transaction that
 // completes a split, the job's own last; nil if no record is being split. Parts that
 // are staged need not be written again.
-func (l *leader) splitRecords(j *job) []int {
+func (l *leader) splitRecords(j *cluster.Job) []int {
 	limits := l.limits()
 	l.splitDirty(j, limits)
-	if len(j.newParts) == 0 {
+	if len(j.Records.UnnamedParts) == 0 {
 		return nil
 	}
 	// The job's own record, which is always written, may have outgrown them too.
@@ -156,11 +97,11 @@
 		l.splitUp(j, 0, limits)
 	}
 	var list []int
-	for part, source := range j.newParts {
-		if !j.staged[part] || j.dirty[part] {
+	for part, source := range j.Records.UnnamedParts {
+		if !j.Records.Staged[part] || j.Write.Dirty[part] {
 			list = append(list, part)
 		}
-		if _, isNew := j.newParts[source]; !isNew {
+		if _, isNew := j.Records.UnnamedParts[source]; !isNew {
 			list = append(list, source)
 		}
 	}
@@ -172,30 +113,30 @@
 // splitUp splits a record until every part keeps within the limits. Unless parts may
 // be staged it stops at what one transaction can write; of a gang's parts the rest
 // may then be split in the next.
-func (l *leader) splitUp(j *job, r int, limits config.State) {
+func (l *leader) splitUp(j *cluster.Job, r int, limits config.State) {
 	most := limits.TxnOps - 2
 	if l.mayStage() {
-		most = len(j.tasks)
+		most = len(j.Tasks)
 	}
 	open := []int{r}
-	for len(open) > 0 && len(j.newParts) < most {
+	for len(open) > 0 && len(j.Records.UnnamedParts) < most {
 		r := open[0]
 		open = open[1:]
 		if l.outgrown(j, r, limits) {
-			open = append(open, r, j.split(r))
+			open = append(open, r, j.SplitRecord(r))
 		}
 	}
-	l.n.log.Info("record split", "job", j.id, "record", r, "records", len(j.revisions))
+	l.n.log.Info("record split", "job", j.ID, "record", r, "records", len(j.Records.Revisions))
 }
 
 // splitFirst says whether a gang has a record that must be split before its places
 // are written, and sees to it.
-func (l *leader) splitFirst(j *job) bool {
-	if !l.maySplit() || j.chunk <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
+func (l *leader) splitFirst(j *cluster.Job) bool {
+	if !l.maySplit() || j.Records.TasksPerRecord <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
 		return false
 	}
-	first := len(j.newParts) > 0
-	for r := range j.revisions {
+	first := len(j.Records.UnnamedParts) > 0
+	for r := range j.Records.Revisions {
 		if l.outgrown(j, r, l.n.cfg.Cluster.State) {
 			l.touch(j, r)
 			first = true
@@ -213,7 +154,7 @@
 	}
 	l.splitSearched = true
 	for _, j := range l.ordered() {
-		for r := range j.revisions {
+		for r := range j.Records.Revisions {
 			if l.outgrown(j, r, l.n.cfg.Cluster.State) {
 				l.touch(j, r)
 			}
@@ -223,24 +164,24 @@
 
 // recordsWritten notes that a job's records are committed. The job's own record
 // names all parts, so that a write of it completes a split.
-func (j *job) recordsWritten(w *jobWrite) {
+func recordsWritten(j *cluster.Job, w *jobWrite) {
 	if !w.staging {
-		j.newParts, j.staged, j.splitting = nil, nil, false
+		j.Records.UnnamedParts, j.Records.Staged, j.Records.Splitting = nil, nil, false
 		return
 	}
-	if j.staged == nil {
-		j.staged = map[int]bool{}
+	if j.Records.Staged == nil {
+		j.Records.Staged = map[int]bool{}
 	}
 	for _, r := range w.records {
-		j.staged[r] = true // until it changes again
+		j.Records.Staged[r] = true // until it changes again
 	}
 }
 
 // dropUncommitted gives up the places of a job that are not written yet; they are
 // planned again.
-func (l *leader) dropUncommitted(j *job) {
-	for _, c := range j.sortedAttempts() {
-		if !c.committed {
+func (l *leader) dropUncommitted(j *cluster.Job) {
+	for _, c := range j.SortedAttempts() {
+		if !c.Committed {
 			l.dropAttempt(c)
 		}
 	}
@@ -256,10 +197,10 @@
 // it waits until it may be split. One that cannot be split further, because of its
 // description, is never written again. What is stored stays readable, and the job can
 // still end.
-func (l *leader) postpone(j *job, record int) {
+func (l *leader) postpone(j *cluster.Job, record int) {
 	l.dropUncommitted(j)
-	if len(j.tasksOf(record)) < 2 && !j.unwritable {
-		j.unwritable = true
-		l.n.log.Error("record cannot be brought under the limits of the state service", "job", j.id, "record", record)
+	if len(j.TasksOf(record)) < 2 && !j.Records.Quarantined {
+		j.Records.Quarantined = true
+		l.n.log.Error("record cannot be brought under the limits of the state service", "job", j.ID, "record", record)
 	}
 }
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -14,7 +15,7 @@
 // lowering is a leader whose state service will lower its limits, with a peer
 // that has yet to say what it knows, and a job of an earlier version whose record
 // has outgrown the new limits.
-func lowering(t *testing.T) (*leader, *job) {
+func lowering(t *testing.T) (*leader, *cluster.Job) {
 	t.Helper()
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -69,7 +70,7 @@
 	l.splitOutgrown()
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r = l.sentTxn(t)
-	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(j.id) {
+	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(j.ID) {
 		t.Fatalf("%d changes", len(txn.Then))
 	}
 	next := testLeader(l.n.now)
@@ -89,19 +90,19 @@
 			t.Fatal(err)
 		}
 		_, num, _ := bookkeeping.ParseTaskRecordKey(c.Set)
-		if num >= len(again.revisions) {
-			t.Fatalf("%s is not among the %d records", c.Set, len(again.revisions))
+		if num >= len(again.Records.Revisions) {
+			t.Fatalf("%s is not among the %d records", c.Set, len(again.Records.Revisions))
 		}
 		next.addTasks(again, num, chunk.Tasks)
 	}
-	for i := range j.tasks {
-		a, b := &j.tasks[i], &again.tasks[i]
-		if a.lastAttempt != b.lastAttempt || a.done != b.done || (a.active == nil) != (b.active == nil) || j.recordOf(i) != again.recordOf(i) {
-			t.Fatalf("task %d: %+v in %d, %+v in %d", i, a, j.recordOf(i), b, again.recordOf(i))
+	for i := range j.Tasks {
+		a, b := &j.Tasks[i], &again.Tasks[i]
+		if a.LastAttempt != b.LastAttempt || a.Done != b.Done || (a.Active == nil) != (b.Active == nil) || j.RecordOf(i) != again.RecordOf(i) {
+			t.Fatalf("task %d: %+v in %d, %+v in %d", i, a, j.RecordOf(i), b, again.RecordOf(i))
 		}
 	}
 	// Refused by a race, it is sent again with all its parts.
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(j.id)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(j.ID)}})})
 	l.commitLater(tuning.MarkLate + time.Second)
 	if second, _ := l.sentTxn(t); len(second.Then) != len(txn.Then) {
 		t.Errorf("%d changes, then %d", len(txn.Then), len(second.Then))
@@ -146,7 +147,7 @@
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
 	old := l.machineRecords[0]
-	l.queueMachineRecord(old.members[0]) // it is to be written at once
+	l.queueMachineRecord(old.Members[0]) // it is to be written at once
 	named := map[protocol.MachineID]string{}
 	for _, m := range rec.Machines {
 		named[m.ID] = "g/m/old"
@@ -181,7 +182,7 @@
 		}
 		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
-	if len(old.movedOut) > 0 && !l.movesRecorded(old) {
+	if len(old.MovedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
 	}
 }
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -87,13 +88,13 @@
 // sameTasks compares the tasks that a leader has read with those of a record.
 func sameTasks(t *testing.T, l *leader, rec *bookkeeping.Job) {
 	t.Helper()
-	j := l.jobs[rec.Spec.ID]
+	j := l.cluster.Jobs[rec.Spec.ID]
 	if j == nil {
 		t.Fatal("the job is unknown")
 	}
 	for _, want := range rec.Tasks {
-		got := &j.tasks[want.Index]
-		if got.lastAttempt != want.Attempt || got.done != want.Done || (got.active != nil) != (want.Machine != "") {
+		got := &j.Tasks[want.Index]
+		if got.LastAttempt != want.Attempt || got.Done != want.Done || (got.Active != nil) != (want.Machine != "") {
 			t.Fatalf("task %d: %+v, want %+v", want.Index, got, want)
 		}
 	}
@@ -191,23 +192,23 @@
 		rec := wideJob(protocol.ShapeArray)
 		s := stored(rec)
 		l := s.leader(protocol.PeerLevel)
-		j := l.jobs[rec.Spec.ID]
+		j := l.cluster.Jobs[rec.Spec.ID]
 		answer := func() {
 			txn, r := l.nextTxn(t)
 			s.answer(t, l, txn, r)
 		}
-		if txn, _ := l.nextTxn(t); txn == nil || len(j.newParts) < 8 {
-			t.Fatalf("%d parts", len(j.newParts))
+		if txn, _ := l.nextTxn(t); txn == nil || len(j.Records.UnnamedParts) < 8 {
+			t.Fatalf("%d parts", len(j.Records.UnnamedParts))
 		}
-		first := j.tasksOf(1) // the first part is in the first step
+		first := j.TasksOf(1) // the first part is in the first step
 		if late {
 			answer()
-			if !j.staged[1] || !j.splitting {
+			if !j.Records.Staged[1] || !j.Records.Splitting {
 				t.Fatal("not staged")
 			}
 		}
 		ended, lost := first[len(first)-1], first[len(first)-2]
-		c, d := j.tasks[ended].active, j.tasks[lost].active
+		c, d := j.Tasks[ended].Active, j.Tasks[lost].Active
 		if c == nil || d == nil {
 			t.Fatal("the tasks do not run")
 		}
@@ -219,17 +220,17 @@
 		}
 		rec.Tasks[ended] = bookkeeping.Task{Index: ended, Attempt: 2, Done: true}
 		for range 10 {
-			if !j.splitting {
+			if !j.Records.Splitting {
 				break
 			}
 			answer()
 		}
 		// No later: what the parts say holds from the moment at which they are named.
-		if j.splitting {
+		if j.Records.Splitting {
 			t.Fatal("never split")
 		}
 		next := s.leader(protocol.PeerLevel)
-		if !next.jobs[rec.Spec.ID].tasks[ended].done {
+		if !next.cluster.Jobs[rec.Spec.ID].Tasks[ended].Done {
 			t.Errorf("late %v: the end is lost", late)
 		}
 		if l.wants(j) == 0 {
@@ -283,7 +284,7 @@
 		s.answer(t, l, txn, r) // refused if the leftover's revision was not taken
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
-	l.finish(l.jobs[rec.Spec.ID], bookkeeping.Final{Phase: protocol.PhaseDone})
+	l.finish(l.cluster.Jobs[rec.Spec.ID], bookkeeping.Final{Phase: protocol.PhaseDone})
 	var txn protocol.Txn
 	for range 5 {
 		next, r := l.nextTxn(t)
@@ -322,8 +323,8 @@
 		}
 		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
 	}
-	if j := l.jobs[rec.Spec.ID]; !j.unwritable || l.wants(j) != 0 {
-		t.Errorf("unwritable %v, wants %d", j.unwritable, l.wants(j))
+	if j := l.cluster.Jobs[rec.Spec.ID]; !j.Records.Quarantined || l.wants(j) != 0 {
+		t.Errorf("unwritable %v, wants %d", j.Records.Quarantined, l.wants(j))
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
 }
@@ -354,7 +355,7 @@
 }
 
 // writeForTest has a machine's record written.
-func (l *leader) writeForTest(m *machine) {
+func (l *leader) writeForTest(m *cluster.Machine) {
 	l.queueMachineRecord(m)
 	l.commitLater(time.Second)
 }
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
@@ -40,14 +41,14 @@
 		l.recovery = noRecoveryPhase{}
 		return
 	}
-	stored := make(map[protocol.MachineID][]recovery.Attempt, len(l.roster))
-	for _, m := range l.roster {
-		stored[m.id] = l.stored.Attempts(m.id, nil)
+	stored := make(map[protocol.MachineID][]recovery.Attempt, len(l.cluster.OrderedMachines))
+	for _, m := range l.cluster.OrderedMachines {
+		stored[m.ID] = l.stored.Attempts(m.ID, nil)
 	}
-	lapse := l.lapseAt(&machine{}).Add(tuning.WatchMachines)
+	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
 	l.recovery = recovery.Begin(l.n.now, lapse, stored)
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.jobs), "until", lapse.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -212,7 +212,7 @@
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
-	m := l.roster[0]
+	m := l.cluster.OrderedMachines[0]
 	order := func(path string) (action Action, ended *int) {
 		n.out = nil
 		ended = new(int)
--- a/internal/coordination/rental.go
+++ b/internal/coordination/rental.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -27,15 +29,15 @@
 
 // demandSlot is a machine, there or on its way, in the reckoning of demand.
 type demandSlot struct {
-	m     *machine // nil while it is only asked for
+	m     *cluster.Machine // nil while it is only asked for
 	offer offer
-	left  resources
+	left  cluster.Resources
 }
 
 // serves says whether a job could use the room. Room that the job avoids must
 // not count, or it would wait for it instead of for a machine to rent.
-func (l *leader) serves(r *demandSlot, j *job) bool {
-	return allows(j.spec, r.offer.typeName, r.offer.zone, r.offer.spot) && (r.m == nil || !l.avoids(j, r.m))
+func (l *leader) serves(r *demandSlot, j *cluster.Job) bool {
+	return cluster.Allows(j.Spec, r.offer.typeName, r.offer.zone, r.offer.spot) && (r.m == nil || !l.cluster.Avoids(j, r.m))
 }
 
 // rent asks for the machines that waiting jobs lack, beyond those that are
@@ -44,10 +46,10 @@
 	f := &l.fleet
 	k := l.newRentalPlan()
 	for _, d := range f.demand {
-		if d.j.gone || d.j.cancelled {
+		if d.j.Finished || d.j.Cancelled {
 			continue
 		}
-		if d.j.spec.Gang() && d.j.spec.OneZone {
+		if d.j.Spec.Gang() && d.j.Spec.OneZone {
 			k.gang(d)
 		} else {
 			k.tasks(d)
@@ -67,29 +69,29 @@
 	f := &l.fleet
 	f.load = map[protocol.ZoneName]int{}
 	k := &rentalPlan{l: l, slots: map[protocol.ZoneName][]*demandSlot{}, want: map[offer]int{},
-		plain: slices.ContainsFunc(f.demand, func(d demand) bool { return d.j.spec.GPUs == 0 })}
-	for _, m := range l.roster {
-		f.load[m.zone]++
-		t := l.kind(m)
-		if t == nil || m.deleting || m.cordoned {
+		plain: slices.ContainsFunc(f.demand, func(d demand) bool { return d.j.Spec.GPUs == 0 })}
+	for _, m := range l.cluster.OrderedMachines {
+		f.load[m.Zone]++
+		t := l.cluster.TypeOf(m)
+		if t == nil || m.Deleting || m.Cordoned {
 			continue
 		}
 		// What is booting, or has yet to report to a new leader, is not rented again.
-		booting := l.isBooting(m) || !m.reported && l.n.now.Sub(l.since) < l.silence()
-		if !booting && (!l.reportedLately(m) || l.notReceiving(m) || l.notReporting(m) || !m.tokenConfirmed && !m.recorded) {
+		booting := l.isBooting(m) || !m.Agent.Heard && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
+		if !booting && (!l.cluster.HeardRecently(m) || l.cluster.NotReceiving(m) || l.cluster.NotReporting(m) || !m.Agent.TokenConfirmed && !m.Recorded) {
 			continue
 		}
-		left := l.freeResources(m)
-		for _, c := range m.attempts {
-			if c.stop || l.endsWithin(c, seconds(t.BootS)) {
-				left.addTasks(c.j.spec, 1) // free before a rented machine would be up
+		left := l.cluster.FreeResources(m)
+		for _, c := range m.Attempts {
+			if c.Stopping || l.endsWithin(c, config.Seconds(t.BootS)) {
+				left.AddTasks(c.Job.Spec, 1) // free before a rented machine would be up
 			}
 		}
-		k.add(&demandSlot{m, offer{m.typeName, m.zone, m.spot}, left})
+		k.add(&demandSlot{m, offer{m.TypeName, m.Zone, m.Spot}, left})
 	}
 	for _, r := range f.rentals {
 		for range r.count {
-			k.add(&demandSlot{nil, r.offer, capacityOf(l.n.types[r.offer.typeName])})
+			k.add(&demandSlot{nil, r.offer, cluster.CapacityOf(l.n.types[r.offer.typeName])})
 		}
 	}
 	return k
@@ -99,7 +101,7 @@
 func (l *leader) sendRentals(want map[offer]int) {
 	f := &l.fleet
 	offers := slices.SortedFunc(maps.Keys(want), func(a, b offer) int {
-		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.typeName, b.typeName), trueFirst(a.spot, b.spot))
+		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.typeName, b.typeName), cluster.TrueFirst(a.spot, b.spot))
 	})
 	for _, o := range offers {
 		if !f.calls.AllowN(l.n.now, 1) {
@@ -115,56 +117,56 @@
 
 // endsWithin says whether an attempt is likely to end within a span, by its
 // owner's estimate; one that has outrun its estimate may take as long again.
-func (l *leader) endsWithin(c *taskAttempt, d time.Duration) bool {
-	if c.running.IsZero() || c.j.spec.Service() {
+func (l *leader) endsWithin(c *cluster.Attempt, d time.Duration) bool {
+	if c.RunningSince.IsZero() || c.Job.Spec.Service() {
 		return false
 	}
-	estimate := seconds(c.j.spec.EstimateS * tuning.EstimateSlack)
-	left := estimate - l.n.now.Sub(c.running)
+	estimate := config.Seconds(c.Job.Spec.EstimateS * tuning.EstimateSlack)
+	left := estimate - l.n.now.Sub(c.RunningSince)
 	return left > 0 && left <= d
 }
 
 // hasSlack says whether a job's deadline leaves time to wait for machines that
 // others free: renting later would still do.
-func (l *leader) hasSlack(j *job) bool {
-	if j.spec.DeadlineS <= 0 || j.spec.Gang() || j.spec.Service() {
+func (l *leader) hasSlack(j *cluster.Job) bool {
+	if j.Spec.DeadlineS <= 0 || j.Spec.Gang() || j.Spec.Service() {
 		return false
 	}
 	boot := 0.0
 	for _, t := range l.n.types {
-		if t.Fits(j.spec) {
+		if t.Fits(j.Spec) {
 			boot = max(boot, t.BootS)
 		}
 	}
-	need := seconds(j.spec.EstimateS*tuning.EstimateSlack + l.fetchSeconds(j.spec) + boot*tuning.BootSlackShare)
-	return l.n.now.Add(need).Before(j.at.Add(seconds(j.spec.DeadlineS)))
+	need := config.Seconds(j.Spec.EstimateS*tuning.EstimateSlack + l.cluster.ImageFetchSeconds(j.Spec) + boot*tuning.BootSlackShare)
+	return l.n.now.Add(need).Before(j.SubmittedAt.Add(config.Seconds(j.Spec.DeadlineS)))
 }
 
 // offers lists what could be rented for a job, the cheapest first.
-func (l *leader) offers(j *job, zone protocol.ZoneName) []offer {
+func (l *leader) offers(j *cluster.Job, zone protocol.ZoneName) []offer {
 	type priced struct {
 		offer
 		price float64
 	}
 	var list []priced
 	for _, t := range l.n.types {
-		if !t.Fits(j.spec) {
+		if !t.Fits(j.Spec) {
 			continue
 		}
 		for _, z := range t.Zones {
-			if zone != "" && z != zone || j.spec.Zone != "" && z != j.spec.Zone {
+			if zone != "" && z != zone || j.Spec.Zone != "" && z != j.Spec.Zone {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
 				o := offer{t.Name, z, spot}
-				if spot && !j.spec.Spot || l.n.now.Before(l.fleet.refused[o]) {
+				if spot && !j.Spec.Spot || l.n.now.Before(l.fleet.refused[o]) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				list = append(list, priced{o, price / float64(max(1, capacityOf(t).fit(j.spec, len(j.tasks))))})
+				list = append(list, priced{o, price / float64(max(1, cluster.CapacityOf(t).Fit(j.Spec, len(j.Tasks))))})
 			}
 		}
 	}
@@ -194,9 +196,9 @@
 		case status == 200 && ok:
 			for _, id := range names.Machines {
 				if _, gone := f.deleted[id]; !gone && id != "" {
-					m := l.machine(id, "", r.offer.typeName, r.offer.zone, r.offer.spot)
-					m.born = l.n.now
-					if m.record == nil {
+					m := l.cluster.EnsureMachine(id, "", r.offer.typeName, r.offer.zone, r.offer.spot)
+					m.CreatedAt = l.n.now
+					if m.Record == nil {
 						l.queueMachineRecord(m) // all at once, and before they are up
 					}
 				}
--- a/internal/coordination/rental_plan.go
+++ b/internal/coordination/rental_plan.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -27,32 +28,32 @@
 // usedUp says whether nothing that waits can have any of the room.
 func (k *rentalPlan) usedUp(r *demandSlot) bool {
 	t := k.l.n.types[r.offer.typeName]
-	return r.left.cpus < amountSlack || r.left.memory < amountSlack || !k.plain && t.GPUs > 0 && r.left.gpus < amountSlack
+	return r.left.CPUs < cluster.AmountTolerance || r.left.MemoryGB < cluster.AmountTolerance || !k.plain && t.GPUs > 0 && r.left.GPUs < cluster.AmountTolerance
 }
 
 // lack is how many of n tasks find no room in a zone.
-func (k *rentalPlan) lack(j *job, zone protocol.ZoneName, n int) int {
+func (k *rentalPlan) lack(j *cluster.Job, zone protocol.ZoneName, n int) int {
 	for _, r := range k.slots[zone] {
 		if n == 0 {
 			break
 		}
 		if k.l.serves(r, j) {
-			n -= r.left.fit(j.spec, n)
+			n -= r.left.Fit(j.Spec, n)
 		}
 	}
 	return n
 }
 
 // take gives up to n tasks room in a zone and returns how many have it.
-func (k *rentalPlan) take(j *job, zone protocol.ZoneName, n int) (taken int) {
+func (k *rentalPlan) take(j *cluster.Job, zone protocol.ZoneName, n int) (taken int) {
 	used := false
 	for _, r := range k.slots[zone] {
 		if taken == n {
 			break
 		}
 		if k.l.serves(r, j) {
-			fits := r.left.fit(j.spec, n-taken)
-			r.left.addTasks(j.spec, -fits)
+			fits := r.left.Fit(j.Spec, n-taken)
+			r.left.AddTasks(j.Spec, -fits)
 			taken += fits
 			used = used || fits > 0 && k.usedUp(r)
 		}
@@ -64,11 +65,11 @@
 }
 
 // rent wants machines for n tasks.
-func (k *rentalPlan) rent(j *job, o offer, n int) {
+func (k *rentalPlan) rent(j *cluster.Job, o offer, n int) {
 	for n > 0 {
-		r := &demandSlot{nil, o, capacityOf(k.l.n.types[o.typeName])}
-		fits := r.left.fit(j.spec, n)
-		r.left.addTasks(j.spec, -fits)
+		r := &demandSlot{nil, o, cluster.CapacityOf(k.l.n.types[o.typeName])}
+		fits := r.left.Fit(j.Spec, n)
+		r.left.AddTasks(j.Spec, -fits)
 		n -= fits
 		k.want[o]++
 		k.add(r)
@@ -106,7 +107,7 @@
 // of each zone.
 func (k *rentalPlan) tasks(d demand) {
 	j, need := d.j, d.tasks
-	limit, only := k.l.zoneLimits(j)
+	limit, only := k.l.cluster.ZoneLimits(j)
 	for _, z := range k.l.n.cfg.Cluster.Zones {
 		if only == "" || only == z {
 			n := k.take(j, z, min(need, limit[z]))
