--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -17,37 +17,37 @@
 // replicaEnded notes that a replica ended by itself. It starts again elsewhere at
 // once; one that ends again and again does so ever more rarely. One that ran for a
 // while is stable: neither it nor its machine is to blame.
-func (l *leader) replicaEnded(c *taskAttempt) (stable bool) {
-	t := &c.j.tasks[c.key.index]
-	if !c.running.IsZero() && l.n.now.Sub(c.running) >= tuning.ReplicaStable {
-		t.earlyEnds = 0
+func (l *leader) replicaEnded(c *cluster.Attempt) (stable bool) {
+	t := &c.Job.Tasks[c.Key.Index]
+	if !c.RunningSince.IsZero() && l.n.now.Sub(c.RunningSince) >= tuning.ReplicaStable {
+		t.EarlyExits = 0
 		return true
 	}
-	if t.earlyEnds > 0 {
-		t.retryAt = l.n.now.Add(tuning.ReplicaPause << min(t.earlyEnds-1, tuning.ReplicaDoublings))
+	if t.EarlyExits > 0 {
+		t.RetryAt = l.n.now.Add(tuning.ReplicaPause << min(t.EarlyExits-1, tuning.ReplicaDoublings))
 	}
-	t.earlyEnds++
+	t.EarlyExits++
 	return false
 }
 
 // placeTasks gives waiting tasks of an array or a service the first free room; it
 // returns how many still wait.
-func (l *leader) placeTasks(j *job, warm bool) (waiting int) {
-	if j.spec.Service() {
+func (l *leader) placeTasks(j *cluster.Job, warm bool) (waiting int) {
+	if j.Spec.Service() {
 		return l.placeService(j)
 	}
 	return l.placeArray(j, warm)
 }
 
 // placeService finds each waiting replica the best place.
-func (l *leader) placeService(j *job) (waiting int) {
-	quota := l.teamQuota(j)
+func (l *leader) placeService(j *cluster.Job) (waiting int) {
+	quota := l.cluster.TasksWithinLimit(j)
 	var list []site
 	var limit map[protocol.ZoneName]int
 	var only protocol.ZoneName
-	for i := range j.tasks {
-		t := &j.tasks[i]
-		if t.liveAttempts > 0 || l.n.now.Before(t.retryAt) {
+	for i := range j.Tasks {
+		t := &j.Tasks[i]
+		if t.LiveAttempts > 0 || l.n.now.Before(t.RetryAt) {
 			continue
 		}
 		if waiting > 0 || quota == 0 {
@@ -55,10 +55,10 @@
 			continue
 		}
 		if list == nil {
-			limit, only = l.zoneLimits(j)
+			limit, only = l.cluster.ZoneLimits(j)
 			list = l.replicaSites(j, only)
 		}
-		list = slices.DeleteFunc(list, func(s site) bool { return s.count == 0 || limit[s.m.zone] == 0 || only != "" && s.m.zone != only })
+		list = slices.DeleteFunc(list, func(s site) bool { return s.count == 0 || limit[s.m.Zone] == 0 || only != "" && s.m.Zone != only })
 		if len(list) == 0 {
 			waiting++
 			continue
@@ -69,14 +69,14 @@
 				s = &list[k]
 			}
 		}
-		l.assign(j, i, t.lastAttempt+1, s.m)
+		l.assign(j, i, t.LastAttempt+1, s.m)
 		quota--
-		limit[s.m.zone]--
-		if j.spec.OneZone {
-			only = s.m.zone
+		limit[s.m.Zone]--
+		if j.Spec.OneZone {
+			only = s.m.Zone
 		}
-		s.count, s.siblingReplicas, s.cached = l.freeResources(s.m).fit(j.spec, 1), s.siblingReplicas+1, true
-		s.starvesGPUs = l.starvesGPUs(j.spec, s.m)
+		s.count, s.siblingReplicas, s.cached = l.cluster.FreeResources(s.m).Fit(j.Spec, 1), s.siblingReplicas+1, true
+		s.starvesGPUs = l.starvesGPUs(j.Spec, s.m)
 	}
 	return waiting
 }
@@ -84,16 +84,16 @@
 // replicaSites lists the machines that can take a replica. One whose report is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
-func (l *leader) replicaSites(j *job, zone protocol.ZoneName) []site {
+func (l *leader) replicaSites(j *cluster.Job, zone protocol.ZoneName) []site {
 	list := slices.DeleteFunc(l.sites(j, zone), func(s site) bool {
-		return l.n.now.Sub(s.m.lastReport) > l.replicaSilence()
+		return l.n.now.Sub(s.m.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout()
 	})
 	for i := range list {
 		s := &list[i]
-		s.starvesGPUs = l.starvesGPUs(j.spec, s.m)
-		s.suspect = s.suspect || l.lostMachineLately(s.m.zone)
-		for _, c := range s.m.attempts {
-			if c.j == j {
+		s.starvesGPUs = l.starvesGPUs(j.Spec, s.m)
+		s.suspect = s.suspect || l.lostMachineLately(s.m.Zone)
+		for _, c := range s.m.Attempts {
+			if c.Job == j {
 				s.siblingReplicas++
 			}
 		}
@@ -104,7 +104,7 @@
 // lostMachineLately says whether a machine of a zone was given up as silent a moment
 // ago: the rest of the zone may be lost too and only not missed yet.
 func (l *leader) lostMachineLately(zone protocol.ZoneName) bool {
-	at, ok := l.fleet.lostIn[zone]
+	at, ok := l.fleet.LostMachineAt[zone]
 	return ok && l.n.now.Sub(at) < tuning.ZoneDistrust
 }
 
@@ -112,39 +112,39 @@
 // another replica of the service, none whose GPUs would lack processors or memory;
 // then the image, the price, and the least room left.
 func byReplica(a, b site) int {
-	return cmp.Or(trueFirst(b.suspect, a.suspect), cmp.Compare(a.siblingReplicas, b.siblingReplicas), trueFirst(b.starvesGPUs, a.starvesGPUs),
-		trueFirst(a.cached, b.cached), cmp.Compare(a.price, b.price), cmp.Compare(a.residual, b.residual), cmp.Compare(a.m.id, b.m.id))
+	return cmp.Or(cluster.TrueFirst(b.suspect, a.suspect), cmp.Compare(a.siblingReplicas, b.siblingReplicas), cluster.TrueFirst(b.starvesGPUs, a.starvesGPUs),
+		cluster.TrueFirst(a.cached, b.cached), cmp.Compare(a.price, b.price), cmp.Compare(a.residual, b.residual), cmp.Compare(a.m.ID, b.m.ID))
 }
 
 // measureGPUNeeds finds what the work that takes GPUs needs beside each of them.
 func (l *leader) measureGPUNeeds() {
-	var need resources
-	for _, j := range l.jobs {
-		if s := j.spec; s.GPUs > 0 {
-			need.cpus = max(need.cpus, s.CPUs/s.GPUs)
-			need.memory = max(need.memory, s.MemoryGB/s.GPUs)
+	var need cluster.Resources
+	for _, j := range l.cluster.Jobs {
+		if s := j.Spec; s.GPUs > 0 {
+			need.CPUs = max(need.CPUs, s.CPUs/s.GPUs)
+			need.MemoryGB = max(need.MemoryGB, s.MemoryGB/s.GPUs)
 		}
 	}
-	if need.cpus > 0 || need.memory > 0 {
+	if need.CPUs > 0 || need.MemoryGB > 0 {
 		l.perGPU = need // else as it was: more such work may come
 	}
 }
 
 // starvesGPUs says whether one more task without GPUs would leave a machine's GPUs
 // without the processors or memory that work on them needs.
-func (l *leader) starvesGPUs(s *protocol.Job, m *machine) bool {
-	t := l.kind(m)
+func (l *leader) starvesGPUs(s *protocol.Job, m *cluster.Machine) bool {
+	t := l.cluster.TypeOf(m)
 	if t == nil || t.GPUs == 0 || s.GPUs > 0 {
 		return false
 	}
-	rest := capacityOf(t)
-	rest.addTasks(s, -1)
-	for _, c := range m.attempts {
-		if c.j.spec.GPUs == 0 {
-			rest.addTasks(c.j.spec, -1)
+	rest := cluster.CapacityOf(t)
+	rest.AddTasks(s, -1)
+	for _, c := range m.Attempts {
+		if c.Job.Spec.GPUs == 0 {
+			rest.AddTasks(c.Job.Spec, -1)
 		}
 	}
-	return rest.cpus+amountSlack < l.perGPU.cpus*t.GPUs || rest.memory+amountSlack < l.perGPU.memory*t.GPUs
+	return rest.CPUs+cluster.AmountTolerance < l.perGPU.CPUs*t.GPUs || rest.MemoryGB+cluster.AmountTolerance < l.perGPU.MemoryGB*t.GPUs
 }
 
 // moveReplicas moves replicas away from machines that are to go, or whose lease is
@@ -152,48 +152,39 @@
 // is a place for its successor, on a machine that has its image if there is one.
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (l *leader) moveReplicas() {
-	for _, m := range l.roster {
-		if !m.cordoned && !l.notReporting(m) || m.deleting || !l.isConfirmedAlive(m) {
+	for _, m := range l.cluster.OrderedMachines {
+		if !m.Cordoned && !l.cluster.NotReporting(m) || m.Deleting || !l.cluster.ConfirmedAlive(m) {
 			continue
 		}
-		for _, c := range sortedAttempts(m) {
-			j := c.j
-			if !j.spec.Service() || c.stop || !c.committed || j.cancelled || c.stray || !m.spotNotice && !j.isFullyPlaced() {
+		for _, c := range cluster.SortedAttemptsOn(m) {
+			j := c.Job
+			if !j.Spec.Service() || c.Stopping || !c.Committed || j.Cancelled || c.Orphaned || !m.SpotNotice && !j.FullyPlaced() {
 				continue
 			}
 			if target := l.successor(c); target != nil {
-				l.n.log.Info("replica moves", "job", j.id, "task", c.key.index, "from", m.id, "to", target.id)
-				target.keep(j, l.n.now.Add(tuning.HoldFor))
+				l.n.log.Info("replica moves", "job", j.ID, "task", c.Key.Index, "from", m.ID, "to", target.ID)
+				target.ReserveFor(j, l.n.now.Add(tuning.HoldFor))
 				l.stop(c, 0)
 			}
 		}
 	}
 }
 
-// isFullyPlaced says whether every task of a job has a place and none is on its way out.
-func (j *job) isFullyPlaced() bool {
-	for i := range j.tasks {
-		c := j.tasks[i].active
-		if c == nil || c.stop {
-			return false
-		}
-	}
-	return true
-}
-
 // successor is the machine that a replica would best move to, nil if there is none.
-func (l *leader) successor(c *taskAttempt) *machine { return l.successorMachine(c, 1) }
+func (l *leader) successor(c *cluster.Attempt) *cluster.Machine { return l.successorMachine(c, 1) }
 
 // successorInOtherZone is the same in other zones alone.
-func (l *leader) successorInOtherZone(c *taskAttempt) *machine { return l.successorMachine(c, 0) }
+func (l *leader) successorInOtherZone(c *cluster.Attempt) *cluster.Machine {
+	return l.successorMachine(c, 0)
+}
 
 // successorMachine finds a machine for a replica whose own place is given up; here is how
 // many of its zone's places it may take in turn.
-func (l *leader) successorMachine(c *taskAttempt, here int) *machine {
-	j := c.j
-	limit, only := l.zoneLimits(j)
-	limit[c.m.zone] = here * (limit[c.m.zone] + 1)
-	if j.spec.OneZone && len(j.attempts) == 1 {
+func (l *leader) successorMachine(c *cluster.Attempt, here int) *cluster.Machine {
+	j := c.Job
+	limit, only := l.cluster.ZoneLimits(j)
+	limit[c.Machine.Zone] = here * (limit[c.Machine.Zone] + 1)
+	if j.Spec.OneZone && len(j.Attempts) == 1 {
 		only = ""
 		for z := range limit {
 			limit[z] = 1
@@ -202,7 +193,7 @@
 	var best *site
 	list := l.replicaSites(j, only)
 	for i := range list {
-		if s := &list[i]; s.m != c.m && limit[s.m.zone] > 0 && (best == nil || byReplica(*s, *best) < 0) {
+		if s := &list[i]; s.m != c.Machine && limit[s.m.Zone] > 0 && (best == nil || byReplica(*s, *best) < 0) {
 			best = s
 		}
 	}
@@ -212,33 +203,18 @@
 	return best.m
 }
 
-// hasReplicas says whether a machine has replicas of services.
-func (l *leader) hasReplicas(m *machine) bool {
-	for _, c := range m.attempts {
-		if c.j.spec.Service() && !c.stop {
-			return true
-		}
-	}
-	return false
-}
-
-// replicaSilence is how long such a machine may be silent before it is probed.
-func (l *leader) replicaSilence() time.Duration {
-	return min(seconds(l.n.cfg.Cluster.Workers.ReportS*tuning.ReplicaReports), l.silence())
-}
-
 // isReplaceable says whether a machine behind a suspected cut is better given up for
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
 // back only with the cut's end, and then where a machine is rented for them.
-func (l *leader) isReplaceable(m *machine, heard map[protocol.ZoneName]bool) bool {
-	if !slices.ContainsFunc(l.n.cfg.Cluster.Zones, func(z protocol.ZoneName) bool { return z != m.zone && heard[z] }) {
+func (l *leader) isReplaceable(m *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
+	if !slices.ContainsFunc(l.n.cfg.Cluster.Zones, func(z protocol.ZoneName) bool { return z != m.Zone && heard[z] }) {
 		return false
 	}
 	gain := 0
-	for _, c := range m.attempts {
+	for _, c := range m.Attempts {
 		switch {
-		case !c.j.spec.Service() || c.stop:
+		case !c.Job.Spec.Service() || c.Stopping:
 		case l.hasPlaceInOtherZone(c):
 			gain++
 		default:
@@ -250,23 +226,23 @@
 
 // hasPlaceInOtherZone says whether a replica could start in another zone at once, on
 // room that is free or that work of lower priority leaves.
-func (l *leader) hasPlaceInOtherZone(c *taskAttempt) bool {
+func (l *leader) hasPlaceInOtherZone(c *cluster.Attempt) bool {
 	if l.successorInOtherZone(c) != nil {
 		return true
 	}
-	j := c.j
-	limit, _ := l.zoneLimits(j)
+	j := c.Job
+	limit, _ := l.cluster.ZoneLimits(j)
 	for _, m := range l.currentPass().open {
-		if m.zone == c.m.zone || limit[m.zone] == 0 || !l.suits(j, m) || l.n.now.Sub(m.lastReport) > l.replicaSilence() {
+		if m.Zone == c.Machine.Zone || limit[m.Zone] == 0 || !l.cluster.Suits(j, m) || l.n.now.Sub(m.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout() {
 			continue
 		}
-		room := l.freeResources(m)
-		for _, o := range m.attempts {
-			if l.mayStop(o, j) && !o.j.spec.Gang() {
-				room.addTasks(o.j.spec, 1)
+		room := l.cluster.FreeResources(m)
+		for _, o := range m.Attempts {
+			if l.mayStop(o, j) && !o.Job.Spec.Gang() {
+				room.AddTasks(o.Job.Spec, 1)
 			}
 		}
-		if room.fit(j.spec, 1) > 0 {
+		if room.Fit(j.Spec, 1) > 0 {
 			return true
 		}
 	}
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -34,14 +34,14 @@
 // controllers' links, many in one read.
 func (l *leader) directShare() uint64 {
 	r := l.n.cfg.Cluster.Resources
-	if r.Cores <= 0 || len(l.roster) == 0 || len(l.n.cfg.Peers) == 0 {
+	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
 		return tuning.DirectAll
 	}
 	most := r.Cores * tuning.ReportShare / tuning.ReportCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
 	if r.FDLimit > 0 {
 		most = min(most, float64(r.FDLimit)*tuning.WorkerKeepSockets)
 	}
-	fleet := float64(len(l.roster))
+	fleet := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
 	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyUntil
 	if !l.proxying {
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -12,30 +14,30 @@
 	if _, gone := l.fleet.deleted[r.Machine]; gone {
 		return nil, false // what is deleted can only have sent this before
 	}
-	m := l.machine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
-	if !r.Newer(m.incarnation, m.sequence) {
+	m := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
+	if !r.Newer(m.Agent.Incarnation, m.Agent.Sequence) {
 		return nil, false
 	}
 	differences := l.compare(r, answered)
 	l.reportedIncarnation(m, r)
 	l.reportedLiveness(m, r, answered)
 	l.checkedTokens(m)
-	if m.record == nil && m.tokenConfirmed {
+	if m.Record == nil && m.Agent.TokenConfirmed {
 		// One that has not shown this leader's token may be gone: a late duplicate
 		// of an old report can come at any time.
 		l.queueMachineRecord(m)
 	}
-	if r.NoticeS != nil && !m.spotNotice {
-		m.spotNotice = true
+	if r.NoticeS != nil && !m.SpotNotice {
+		m.SpotNotice = true
 		l.plan = true
 		l.drain(m)
 	}
 	l.resolve(m, r, differences)
-	if m.tokenConfirmed {
-		l.recovery.Known(m.id)
+	if m.Agent.TokenConfirmed {
+		l.recovery.Known(m.ID)
 	}
 	if answered {
-		m.countUnseenAnswers(r)
+		m.CountUnseenAnswers(r)
 		commands = l.orders(m, true)
 	}
 	return commands, true
@@ -43,97 +45,78 @@
 
 // reportedIncarnation takes the incarnation and sequence number of a report. A newer one
 // has forgotten every attempt of an older one.
-func (l *leader) reportedIncarnation(m *machine, r *protocol.Report) {
-	if r.Incarnation > m.incarnation {
-		m.pins = map[taskKey]bool{}
-		if m.tokenConfirmed && l.n.now.Sub(m.answered) < seconds(l.n.cfg.Cluster.Workers.LeaseS) {
+func (l *leader) reportedIncarnation(m *cluster.Machine, r *protocol.Report) {
+	if r.Incarnation > m.Agent.Incarnation {
+		m.Delivery.Pinned = map[cluster.AttemptID]bool{}
+		if m.Agent.TokenConfirmed && l.n.now.Sub(m.Agent.AnsweredAt) < config.Seconds(l.n.cfg.Cluster.Workers.LeaseS) {
 			// Its lease ran out although its reports were answered all the time.
-			m.unseenAnswers = tuning.MissedAnswers
+			m.Agent.UnseenAnswers = tuning.MissedAnswers
 		}
 	}
-	m.incarnation, m.sequence = r.Incarnation, r.Sequence
+	m.Agent.Incarnation, m.Agent.Sequence = r.Incarnation, r.Sequence
 }
 
 // reportedLiveness notes the sign of life that a report is.
-func (l *leader) reportedLiveness(m *machine, r *protocol.Report, answered bool) {
-	if !m.reported || m.lapsed {
-		m.reported, m.lapsed = true, false
-		m.idleSince = l.n.now
+func (l *leader) reportedLiveness(m *cluster.Machine, r *protocol.Report, answered bool) {
+	if !m.Agent.Heard || m.Agent.LeaseExpired {
+		m.Agent.Heard, m.Agent.LeaseExpired = true, false
+		m.IdleSince = l.n.now
 		l.sendSoon(m) // what was to be ordered waited for a sign of life
 	}
-	if confirmed := r.Token == l.n.lease.term; confirmed != m.tokenConfirmed {
-		m.tokenConfirmed = confirmed
+	if confirmed := r.Token == l.n.lease.term; confirmed != m.Agent.TokenConfirmed {
+		m.Agent.TokenConfirmed = confirmed
 		l.plan = true
 	}
-	m.lastReport = l.n.now
+	m.Agent.LastHeartbeat = l.n.now
 	if answered {
-		m.answered = l.n.now
+		m.Agent.AnsweredAt = l.n.now
 	} else {
-		m.unseenAnswers = 0 // it has answered a call
+		m.Agent.UnseenAnswers = 0 // it has answered a call
 	}
-	if !l.notReceiving(m) {
-		m.probes = 0
+	if !l.cluster.NotReceiving(m) {
+		m.Agent.FailedProbes = 0
 	}
 }
 
-// countUnseenAnswers looks whether the last answer has shown an effect: the token, or
-// the starts that were in it.
-func (m *machine) countUnseenAnswers(r *protocol.Report) {
-	lost, shown := m.lastAnswered && !m.tokenConfirmed, false
-	for _, c := range m.attempts {
-		if c.inReply {
-			there := r.Shows(protocol.TaskName(c.j.id, c.key.index), c.key.attempt)
-			lost, shown = lost || !there, shown || there
-			c.inReply = false
-		}
-	}
-	if lost {
-		m.unseenAnswers++
-	} else if shown {
-		m.unseenAnswers = 0
-	}
-	m.lastAnswered = true
-}
-
 // exited decides what follows from the end of an attempt.
-func (l *leader) exited(m *machine, c *taskAttempt, t protocol.TaskReport) {
-	j := c.j
-	l.n.log.Debug("task exited", "job", j.id, "task", c.key.index, "attempt", c.key.attempt, "machine", m.id, "cause", t.Cause, "saved", t.Saved)
-	if j.spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(c) {
+func (l *leader) exited(m *cluster.Machine, c *cluster.Attempt, t protocol.TaskReport) {
+	j := c.Job
+	l.n.log.Debug("task exited", "job", j.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
+	if j.Spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(c) {
 		return
 	}
 	switch t.Cause {
 	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
 	case protocol.CauseError:
-		j.failures[m.id] = true
-		j.avoid[m.id] = l.n.now.Add(tuning.AvoidFailed)
-		if len(j.failures) >= tuning.JobErrors {
+		j.Failures.Machines[m.ID] = true
+		j.Failures.AvoidUntil[m.ID] = l.n.now.Add(tuning.AvoidFailed)
+		if len(j.Failures.Machines) >= tuning.JobErrors {
 			// It fails everywhere: the job is to blame, not the machines.
 			// It goes on trying, ever more rarely, on what is free: it must not
 			// keep sound work of lower priority from its machines for ever.
 			// The replicas of a service have pauses of their own.
-			if j.spec.Service() {
-				clear(j.failures)
+			if j.Spec.Service() {
+				clear(j.Failures.Machines)
 			} else {
-				j.retryAt = l.n.now.Add(tuning.ErrorPause << min(j.blamedCount, tuning.ErrorDoublings))
-				j.blamedCount++
+				j.RetryAt = l.n.now.Add(tuning.ErrorPause << min(j.Failures.Attributed, tuning.ErrorDoublings))
+				j.Failures.Attributed++
 			}
-			for _, other := range l.machines {
-				delete(other.failed, j.id)
+			for _, other := range l.cluster.Machines {
+				delete(other.FailedJobs, j.ID)
 			}
-			clear(j.avoid)
+			clear(j.Failures.AvoidUntil)
 			return
 		}
-		m.failed[j.id] = true
-		if len(m.failed) >= tuning.MachineErrors && !m.distrust {
-			m.distrust = true
-			l.n.log.Info("machine distrusted", "machine", m.id)
+		m.FailedJobs[j.ID] = true
+		if len(m.FailedJobs) >= tuning.MachineErrors && !m.Quarantined {
+			m.Quarantined = true
+			l.n.log.Info("machine distrusted", "machine", m.ID)
 			l.drain(m)
 		}
 	case protocol.CauseNoRoom, protocol.CauseBusy:
-		j.avoid[m.id] = l.n.now.Add(tuning.AvoidFor)
+		j.Failures.AvoidUntil[m.ID] = l.n.now.Add(tuning.AvoidFor)
 	default:
 		// no_such, or a cause of a later version: try again, but not at once.
-		j.retryAt = l.n.now.Add(tuning.RetryPause * 8)
+		j.RetryAt = l.n.now.Add(tuning.RetryPause * 8)
 	}
 }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -77,11 +78,11 @@
 
 // holdsHigherToken keeps note of a worker that no order reaches.
 func (l *leader) holdsHigherToken(r *protocol.Report) {
-	m := l.machine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
-	if m.heldToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", m.id, "token", r.Token)
+	m := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
+	if m.Agent.HigherToken == 0 {
+		l.n.log.Info("worker holds a higher token", "machine", m.ID, "token", r.Token)
 	}
-	m.heldToken = r.Token
+	m.Agent.HigherToken = r.Token
 }
 
 // reachableToken is the highest token of a worker above which the revision can be raised
@@ -89,9 +90,9 @@
 // costs no more than its own worker.
 func (l *leader) reachableToken() (token protocol.Term) {
 	changes := l.n.cfg.Cluster.State.WriteRPS * l.n.cfg.Cluster.Workers.LeaseS / 2
-	for _, m := range l.roster {
-		if m.heldToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
-			token = max(token, m.heldToken)
+	for _, m := range l.cluster.OrderedMachines {
+		if m.Agent.HigherToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
+			token = max(token, m.Agent.HigherToken)
 		}
 	}
 	return token
@@ -124,8 +125,8 @@
 // lapsed. Once all are gone the state service's history is the only one again.
 func (l *leader) returnUnreachable() {
 	left := false
-	for _, m := range l.roster {
-		if m.heldToken <= l.n.lease.term {
+	for _, m := range l.cluster.OrderedMachines {
+		if m.Agent.HigherToken <= l.n.lease.term {
 			continue
 		}
 		left = true
@@ -183,8 +184,8 @@
 
 // checkedTokens notes that a recorded worker has taken this leader's token: it held none
 // of another history.
-func (l *leader) checkedTokens(m *machine) {
-	if m.loaded && m.tokenConfirmed && !l.restored.tokensChecked {
+func (l *leader) checkedTokens(m *cluster.Machine) {
+	if m.Recovered && m.Agent.TokenConfirmed && !l.restored.tokensChecked {
 		l.restored.tokensChecked, l.plan = true, true
 	}
 }
@@ -192,9 +193,9 @@
 // isHeld says whether a job must not start anything yet: attempts that no record has may
 // run on workers that have yet to report. Until one of them has shown its token, nobody
 // knows.
-func (l *leader) isHeld(j *job) bool {
-	if !j.loaded || !l.recovering() || len(l.machineRecords) == 0 {
+func (l *leader) isHeld(j *cluster.Job) bool {
+	if !j.Recovered || !l.recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
-	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.since) < l.silence()
+	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
 }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -26,9 +28,9 @@
 	l.calls.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
 	l.calls.SetLimit(1)
 	l.committed(&commit{jobs: []*jobWrite{{j: j, records: []int{0}}}}, 20)
-	var want []*machine
-	for _, c := range j.sortedAttempts() {
-		want = append(want, c.m)
+	var want []*cluster.Machine
+	for _, c := range j.SortedAttempts() {
+		want = append(want, c.Machine)
 	}
 	if !slices.Equal(l.directQueue, want) {
 		t.Error("the starts leave in another order than the tasks have")
@@ -84,7 +86,7 @@
 	if m.Complete || len(m.Cancels) > 0 {
 		t.Errorf("beyond a frame: complete %v, %d named", m.Complete, len(m.Cancels))
 	}
-	l.n.now = l.n.now.Add(2 * seconds(l.n.cfg.Cluster.Workers.CancelS))
+	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Workers.CancelS))
 	if m := tell(60_000, 60_001); !m.Complete || len(m.Cancels) != 1 {
 		t.Errorf("old ones stay: complete %v, %d named", m.Complete, len(m.Cancels))
 	}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -7,20 +7,18 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, since: n.now, jobs: map[protocol.JobID]*job{}, machines: map[protocol.MachineID]*machine{}, teams: map[protocol.TeamName]*team{}, unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
 		calls: n.workerCalls(), fleet: newFleet(n.cfg.Cluster.Cloud.RPS)}
 	l.stored.l = l
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
 	n.typesAt = n.now // today's prices, and a record of the types if there is none
-	for _, t := range n.cfg.Cluster.Teams {
-		l.teams[t.Name] = &team{guaranteeCPUs: t.CPUs, guaranteeGPUs: t.GPUs, maxCPUs: t.MaxCPUs, maxGPUs: t.MaxGPUs}
-	}
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
@@ -35,7 +33,7 @@
 	for _, j := range l.ordered() {
 		l.checkEnded(j)
 	}
-	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.jobs), "machines", len(l.machines))
+	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
 
 // loadMachineRecords takes the machines; false if some record cannot be read.
@@ -62,7 +60,7 @@
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(names)
 	for _, id := range names { // in the roster's order, which costs nothing but the machine
-		l.machine(id, "", "", "", false)
+		l.cluster.EnsureMachine(id, "", "", "", false)
 	}
 	for _, e := range entries {
 		l.loadMachineRecord(e.Key, e.Revision, &e.record)
@@ -79,7 +77,7 @@
 			l.leaveAlone(id, err)
 			return
 		}
-		l.addJob(rec, e.Revision).loaded = true
+		l.addJob(rec, e.Revision).Recovered = true
 	})
 }
 
@@ -90,16 +88,16 @@
 		if ok && l.unreadable[id] {
 			return
 		}
-		j := l.jobs[id]
+		j := l.cluster.Jobs[id]
 		if !ok || j == nil {
 			l.cleanup = append(l.cleanup, e.Key) // left by a finished job
 			return
 		}
-		if num >= len(j.revisions) {
+		if num >= len(j.Records.Revisions) {
 			// Staged by a predecessor that did not complete the split. The key is
 			// used by the next split, or deleted with the job: a deletion now might
 			// be carried out late, after that split.
-			j.leftovers[num] = e.Revision
+			j.Records.Abandoned[num] = e.Revision
 			return
 		}
 		var rec bookkeeping.TaskRecord
@@ -107,7 +105,7 @@
 			l.leaveAlone(id, err)
 			return
 		}
-		j.revisions[num] = e.Revision
+		j.Records.Revisions[num] = e.Revision
 		l.addTasks(j, num, rec.Tasks)
 	})
 	slices.Sort(l.cleanup)
@@ -118,34 +116,36 @@
 // only after its deletion was answered: a predecessor has proven it gone.
 func (l *leader) forgetUnrecorded() {
 	var names []protocol.MachineID
-	for _, m := range l.roster {
-		if m.record == nil {
-			names = append(names, m.id)
+	for _, m := range l.cluster.OrderedMachines {
+		if m.Record == nil {
+			names = append(names, m.ID)
 		}
 	}
 	l.forget(names...)
 }
 
 // addJob takes a job from its own record.
-func (l *leader) addJob(rec *bookkeeping.Job, revision protocol.Revision) *job {
+func (l *leader) addJob(rec *bookkeeping.Job, revision protocol.Revision) *cluster.Job {
 	s := rec.Spec
-	j := &job{
-		id: s.ID, spec: s, rank: s.Rank(), seq: rec.Seq, at: time.UnixMilli(rec.AtMs),
-		epoch: rec.Attempt, cancelled: rec.Cancelled, chunk: rec.RecordTasks,
-		tasks:     make([]task, s.Tasks),
-		revisions: make([]protocol.Revision, max(rec.BaseRecords(), rec.Parts)),
-		attempts:  map[attemptKey]*taskAttempt{}, dirty: map[int]bool{}, leftovers: map[int]protocol.Revision{},
-		failures: map[protocol.MachineID]bool{}, avoid: map[protocol.MachineID]time.Time{},
-		waitingSince: l.n.now,
+	j := &cluster.Job{
+		ID: s.ID, Spec: s, Priority: s.PriorityLevel(), ArrivalOrder: rec.Seq, SubmittedAt: time.UnixMilli(rec.AtMs),
+		Epoch: rec.Attempt, Cancelled: rec.Cancelled,
+		Tasks:    make([]cluster.Task, s.Tasks),
+		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
+		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
+		Queue:    cluster.QueueState{WaitingSince: l.n.now},
+		Records: cluster.RecordLayout{TasksPerRecord: rec.RecordTasks, Revisions: make([]protocol.Revision, max(rec.BaseRecords(), rec.Parts)),
+			Abandoned: map[int]protocol.Revision{}},
+		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
-	if j.seq == 0 {
-		j.seq = revision // never written since its submission
+	if j.ArrivalOrder == 0 {
+		j.ArrivalOrder = revision // never written since its submission
 	}
-	j.revisions[0] = revision
-	j.extraParts = make([][]int, len(j.revisions)-rec.BaseRecords())
-	j.startBy = l.startTimes(j)
-	l.n.log.Debug("job", "job", j.id, "class", s.Class, "shape", s.Shape, "tasks", s.Tasks, "gpus", s.GPUs, "team", s.Team, "estimate", s.EstimateS, "deadline", s.DeadlineS, "age", l.n.now.Sub(j.at).Seconds())
-	l.jobs[j.id] = j
+	j.Records.Revisions[0] = revision
+	j.Records.ExtraParts = make([][]int, len(j.Records.Revisions)-rec.BaseRecords())
+	j.StartDeadlines = l.cluster.StartDeadlines(j)
+	l.n.log.Debug("job", "job", j.ID, "class", s.Class, "shape", s.Shape, "tasks", s.Tasks, "gpus", s.GPUs, "team", s.Team, "estimate", s.EstimateS, "deadline", s.DeadlineS, "age", l.n.now.Sub(j.SubmittedAt).Seconds())
+	l.cluster.Jobs[j.ID] = j
 	l.lastJob = l.n.now
 	if !s.Spot {
 		l.lastOrdinary = l.n.now
@@ -163,55 +163,55 @@
 	}
 	l.unreadable[id] = true
 	l.n.log.Error("record cannot be read, job is left alone", "job", id, "error", err)
-	if j := l.jobs[id]; j != nil {
-		j.unwritable = true
+	if j := l.cluster.Jobs[id]; j != nil {
+		j.Records.Quarantined = true
 		l.dropUncommitted(j)
 	}
 }
 
 // addTasks takes the tasks of one of a job's records.
-func (l *leader) addTasks(j *job, record int, tasks []bookkeeping.Task) {
+func (l *leader) addTasks(j *cluster.Job, record int, tasks []bookkeeping.Task) {
 	for _, t := range tasks {
-		if t.Index < 0 || t.Index >= len(j.tasks) {
-			l.logOnce("record names a task that its job does not have", string(j.id), "job", j.id, "task", t.Index)
+		if t.Index < 0 || t.Index >= len(j.Tasks) {
+			l.logOnce("record names a task that its job does not have", string(j.ID), "job", j.ID, "task", t.Index)
 			continue
 		}
-		if record >= j.baseRecords() {
-			j.move(t.Index, record)
+		if record >= j.BaseRecords() {
+			j.MoveTask(t.Index, record)
 		}
-		jt := &j.tasks[t.Index]
-		jt.lastAttempt = max(jt.lastAttempt, t.Attempt)
-		j.everPlaced = true
-		if t.Done && !jt.done {
-			jt.done = true
-			j.done++
+		jt := &j.Tasks[t.Index]
+		jt.LastAttempt = max(jt.LastAttempt, t.Attempt)
+		j.EverPlaced = true
+		if t.Done && !jt.Done {
+			jt.Done = true
+			j.DoneTasks++
 		}
 		if t.Machine == "" || t.Done {
 			continue
 		}
-		m := l.machine(t.Machine, "", "", "", false)
-		if m.attempts[taskKey{j.id, t.Index, t.Attempt}] != nil {
-			l.logOnce("record places an attempt twice", string(j.id), "job", j.id, "task", t.Index)
+		m := l.cluster.EnsureMachine(t.Machine, "", "", "", false)
+		if m.Attempts[cluster.AttemptID{Job: j.ID, Index: t.Index, Number: t.Attempt}] != nil {
+			l.logOnce("record places an attempt twice", string(j.ID), "job", j.ID, "task", t.Index)
 			continue
 		}
-		c := l.addAttempt(j, t.Index, t.Attempt, m, t.Incarnation)
-		c.committed, c.sent, c.loaded = true, true, true
+		c := l.cluster.AddAttempt(j, t.Index, t.Attempt, m, t.Incarnation)
+		c.Committed, c.StartSent, c.Recovered = true, true, true
 		l.activate(j, jt, c)
-		m.useImage(j.spec, nil)
-		m.incarnation = max(m.incarnation, t.Incarnation)
+		m.UseImage(j.Spec, nil)
+		m.Agent.Incarnation = max(m.Agent.Incarnation, t.Incarnation)
 	}
 }
 
 // activate makes an attempt its task's own. Of two in damaged records it is the later one:
 // the other counts as there until it is gone, and is stopped when a worker shows it.
-func (l *leader) activate(j *job, t *task, c *taskAttempt) {
-	older := t.active
-	if older != nil && older.key.attempt > c.key.attempt {
+func (l *leader) activate(j *cluster.Job, t *cluster.Task, c *cluster.Attempt) {
+	older := t.Active
+	if older != nil && older.Key.Number > c.Key.Number {
 		older, c = c, older
 	}
-	t.active = c
+	t.Active = c
 	if older != nil {
-		older.stray = true
-		l.logOnce("record places a task twice", string(j.id), "job", j.id, "task", c.key.index)
+		older.Orphaned = true
+		l.logOnce("record places a task twice", string(j.ID), "job", j.ID, "task", c.Key.Index)
 	}
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -35,12 +35,12 @@
 			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
 		l := s.leader(protocol.PeerLevel)
-		m := l.machines[hostName]
+		m := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskReport
 		for i := range rec.Spec.Tasks {
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
 		}
-		m.typeName, m.zone = "big", "a"
+		m.TypeName, m.Zone = "big", "a"
 		for range 20 {
 			if cmds := l.testReport(m, l.n.lease.term, tasks...); len(cmds) > 0 {
 				t.Fatalf("%s: orders %v", name, cmds)
@@ -55,10 +55,10 @@
 				}
 			}
 		}
-		if m.deleting {
+		if m.Deleting {
 			t.Errorf("%s: its machine is returned", name)
 		}
-		j := l.jobs[rec.Spec.ID]
+		j := l.cluster.Jobs[rec.Spec.ID]
 		if (j != nil) != (name == "damaged part") {
 			t.Fatalf("%s: known %v", name, j != nil)
 		}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -24,7 +25,7 @@
 		if j.Gang() || j.Service() { // all its tasks run at the same time
 			count = float64(j.Tasks)
 		}
-		if t.MaxGPUs > 0 && j.GPUs*count > t.MaxGPUs+amountSlack || t.MaxCPUs > 0 && j.CPUs*count > t.MaxCPUs+amountSlack {
+		if t.MaxGPUs > 0 && j.GPUs*count > t.MaxGPUs+cluster.AmountTolerance || t.MaxCPUs > 0 && j.CPUs*count > t.MaxCPUs+cluster.AmountTolerance {
 			return "more than the team's limit"
 		}
 		zones := map[protocol.ZoneName]bool{}
@@ -47,9 +48,6 @@
 	return "unknown team"
 }
 
-// amountSlack absorbs rounding in sums of decimal amounts.
-const amountSlack = 1e-6
-
 // submit takes a user's submission.
 func (n *Node) submit(id uint64, j *protocol.Job) {
 	if f, ok := n.finals[j.ID]; ok {
--- a/internal/coordination/zone_reserve.go
+++ b/internal/coordination/zone_reserve.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -18,26 +19,26 @@
 type zoneReserve struct {
 	l     *leader
 	slots []*reserveSlot
-	idle  map[*machine]bool // idle machines that are needed
-	want  map[offer]int     // machines that are missing
+	idle  map[*cluster.Machine]bool // idle machines that are needed
+	want  map[offer]int             // machines that are missing
 }
 
 // reserveSlot is a machine, there or on its way, as a place for replicas.
 type reserveSlot struct {
 	demandSlot
-	yielding []yieldingRoom // what work on it leaves when it yields
-	rest     resources      // what is left of the room while the loss of one zone is looked at
+	yielding []yieldingRoom    // what work on it leaves when it yields
+	rest     cluster.Resources // what is left of the room while the loss of one zone is looked at
 }
 
 // yieldingRoom is the room of a task that yields to higher priorities.
 type yieldingRoom struct {
 	rank int
-	room resources
+	room cluster.Resources
 }
 
 // planReserve finds which idle machines the reserve needs, and what must be rented.
 func (l *leader) planReserve(want map[offer]int) {
-	if l.someZoneSilent() {
+	if l.cluster.SomeZoneSilent() {
 		return // what is kept is needed now, and what is silent may be back
 	}
 	services := l.servicesByZone()
@@ -45,7 +46,7 @@
 	if len(services) == 0 || !l.n.cfg.Operator.ZoneReserve {
 		return
 	}
-	z := &zoneReserve{l: l, idle: map[*machine]bool{}, want: want}
+	z := &zoneReserve{l: l, idle: map[*cluster.Machine]bool{}, want: want}
 	z.addSlots()
 	for _, zone := range l.n.cfg.Cluster.Zones {
 		z.provide(zone, services[zone])
@@ -55,7 +56,7 @@
 
 // zoneReplicas is how many replicas of a service a zone has.
 type zoneReplicas struct {
-	j     *job
+	j     *cluster.Job
 	count int
 }
 
@@ -63,69 +64,51 @@
 // replicas first.
 func (l *leader) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
 	zones := map[protocol.ZoneName][]zoneReplicas{}
-	for _, j := range l.jobs {
-		if !j.spec.Service() || j.cancelled || j.blamedCount > 0 {
+	for _, j := range l.cluster.Jobs {
+		if !j.Spec.Service() || j.Cancelled || j.Failures.Attributed > 0 {
 			continue
 		}
 		per := map[protocol.ZoneName]int{}
-		for i := range j.tasks {
-			if c := j.tasks[i].active; c != nil && !c.stop {
-				per[c.m.zone]++
+		for i := range j.Tasks {
+			if c := j.Tasks[i].Active; c != nil && !c.Stopping {
+				per[c.Machine.Zone]++
 			}
 		}
 		for zone, n := range per {
-			if n = min(n, j.movableFrom(zone, per, l.n.cfg.Cluster.Zones)); n > 0 {
+			if n = min(n, j.MovableFrom(zone, per, l.n.cfg.Cluster.Zones)); n > 0 {
 				zones[zone] = append(zones[zone], zoneReplicas{j, n})
 			}
 		}
 	}
 	for _, list := range zones {
 		slices.SortFunc(list, func(a, b zoneReplicas) int {
-			return cmp.Or(cmp.Compare(b.j.spec.CPUs, a.j.spec.CPUs), cmp.Compare(b.j.spec.MemoryGB, a.j.spec.MemoryGB), cmp.Compare(a.j.id, b.j.id))
+			return cmp.Or(cmp.Compare(b.j.Spec.CPUs, a.j.Spec.CPUs), cmp.Compare(b.j.Spec.MemoryGB, a.j.Spec.MemoryGB), cmp.Compare(a.j.ID, b.j.ID))
 		})
 	}
 	return zones
 }
 
-// movableFrom is how many replicas the rules allow in other zones when one is lost,
-// beyond those that are there.
-func (j *job) movableFrom(lost protocol.ZoneName, per map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
-	if j.spec.Zone != "" {
-		return 0
-	}
-	if !j.spec.Spread {
-		return len(j.tasks)
-	}
-	n := 0
-	for _, zone := range zones {
-		if zone != lost {
-			n += max(0, (len(j.tasks)+1)/2-per[zone])
-		}
-	}
-	return n
-}
-
 // addSlots lists what there is and what is on its way: machines with work first, then
 // idle ones, so that no more of these are kept than are needed.
 func (z *zoneReserve) addSlots() {
 	l := z.l
-	for _, m := range l.roster {
-		t := l.kind(m)
-		if t == nil || m.deleting || m.cordoned || !l.takesTasks(m) && !l.isBooting(m) {
+	for _, m := range l.cluster.OrderedMachines {
+		t := l.cluster.TypeOf(m)
+		if t == nil || m.Deleting || m.Cordoned || !l.cluster.Schedulable(m) && !l.isBooting(m) {
 			continue
 		}
-		s := &reserveSlot{demandSlot: demandSlot{m, offer{m.typeName, m.zone, m.spot}, l.freeResources(m)}}
-		for _, c := range m.attempts {
-			if !c.j.spec.Gang() {
-				room := resources{}
-				room.addTasks(c.j.spec, 1)
-				s.yielding = append(s.yielding, yieldingRoom{int(c.j.rank), room})
+		s := &reserveSlot{demandSlot: demandSlot{m, offer{m.TypeName, m.Zone, m.Spot}, l.cluster.FreeResources(m)}}
+		for _, c := range m.Attempts {
+			if !c.Job.Spec.Gang() {
+				room := cluster.Resources{}
+				room.AddTasks(c.Job.Spec, 1)
+				s.yielding = append(s.yielding, yieldingRoom{int(c.Job.Priority), room})
 			}
 		}
 		z.slots = append(z.slots, s)
 	}
 	slices.SortStableFunc(z.slots, func(a, b *reserveSlot) int {
-		return trueFirst(len(a.m.attempts) > 0, len(b.m.attempts) > 0)
+		return cluster.TrueFirst(len(a.m.Attempts) > 0, len(b.m.Attempts) > 0)
 	})
 	for _, r := range l.fleet.rentals {
 		for range r.count {
@@ -136,17 +119,17 @@
 
 // addRented adds a machine that is only asked for.
 func (z *zoneReserve) addRented(o offer) *reserveSlot {
-	s := &reserveSlot{demandSlot: demandSlot{nil, o, capacityOf(z.l.n.types[o.typeName])}}
+	s := &reserveSlot{demandSlot: demandSlot{nil, o, cluster.CapacityOf(z.l.n.types[o.typeName])}}
 	z.slots = append(z.slots, s)
 	return s
 }
 
 // roomFor is what a slot gives to work of a priority.
-func (s *reserveSlot) roomFor(rank int) resources {
+func (s *reserveSlot) roomFor(rank int) cluster.Resources {
 	room := s.left
 	for _, y := range s.yielding {
 		if y.rank < rank {
-			room.add(y.room)
+			room.Add(y.room)
 		}
 	}
 	return room
@@ -158,7 +141,7 @@
 		return
 	}
 	for _, s := range z.slots {
-		s.rest = s.roomFor(int(services[0].j.rank))
+		s.rest = s.roomFor(int(services[0].j.Priority))
 	}
 	next := 0 // slots before this one have no room left for anything
 	for _, r := range services {
@@ -169,7 +152,7 @@
 				continue
 			}
 			need -= z.take(s, r.j, need)
-			if i == next && s.rest.cpus < amountSlack {
+			if i == next && s.rest.CPUs < cluster.AmountTolerance {
 				next++
 			}
 		}
@@ -178,10 +161,10 @@
 }
 
 // take gives replicas a slot's room and returns how many have it.
-func (z *zoneReserve) take(s *reserveSlot, j *job, need int) int {
-	n := s.rest.fit(j.spec, need)
-	s.rest.addTasks(j.spec, -n)
-	if n > 0 && s.m != nil && len(s.m.attempts) == 0 {
+func (z *zoneReserve) take(s *reserveSlot, j *cluster.Job, need int) int {
+	n := s.rest.Fit(j.Spec, need)
+	s.rest.AddTasks(j.Spec, -n)
+	if n > 0 && s.m != nil && len(s.m.Attempts) == 0 {
 		z.idle[s.m] = true
 	}
 	return n
@@ -189,7 +172,7 @@
 
 // rent wants machines for replicas that have no place outside a zone: in the zone of
 // the others that has the fewest machines, of the cheapest kind.
-func (z *zoneReserve) rent(lost protocol.ZoneName, j *job, need int) {
+func (z *zoneReserve) rent(lost protocol.ZoneName, j *cluster.Job, need int) {
 	for need > 0 && len(z.slots) < tuning.ReserveSlots {
 		var best *offer
 		for _, zone := range z.l.n.cfg.Cluster.Zones {
@@ -215,14 +198,3 @@
 		z.l.fleet.load[best.zone]++
 	}
 }
-
-// someZoneSilent says whether machines of some zone are missed at the same time.
-func (l *leader) someZoneSilent() bool {
-	suspected, _ := l.suspectedZones(l.replicaSilence())
-	for _, silent := range suspected {
-		if silent {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -20,8 +21,8 @@
 	for _, c := range []struct {
 		name   string
 		job    func(s *protocol.Job)
-		other  func(l *leader, m *machine) // what the machine in the other zone carries
-		idle   bool                        // there is such a machine at all
+		other  func(l *leader, m *cluster.Machine) // what the machine in the other zone carries
+		idle   bool                                // there is such a machine at all
 		off    bool
 		rented int
 		kept   bool
@@ -30,9 +31,9 @@
 		{name: "an idle machine", idle: true, kept: true},
 		{name: "bound to its zone", job: func(s *protocol.Job) { s.Zone = "a" }},
 		{name: "spread over the zones, half may go there", job: func(s *protocol.Job) { s.Spread = true }, rented: 1},
-		{name: "a machine full of work that yields", idle: true, other: func(l *leader, m *machine) { l.fillWith(m, "idle", protocol.ShapeArray) }},
-		{name: "a machine full of work of the same priority", idle: true, other: func(l *leader, m *machine) { l.fillWith(m, "critical", protocol.ShapeArray) }, rented: 1},
-		{name: "a machine full of a gang", idle: true, other: func(l *leader, m *machine) { l.fillWith(m, "idle", protocol.ShapeGang) }, rented: 1},
+		{name: "a machine full of work that yields", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "idle", protocol.ShapeArray) }},
+		{name: "a machine full of work of the same priority", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "critical", protocol.ShapeArray) }, rented: 1},
+		{name: "a machine full of a gang", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "idle", protocol.ShapeGang) }, rented: 1},
 		{name: "turned off", off: true},
 	} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
@@ -44,10 +45,10 @@
 			c.job(&s)
 		}
 		j := l.testJob(s)
-		for i := range j.tasks {
+		for i := range j.Tasks {
 			l.assign(j, i, 1, m)
 		}
-		var other *machine
+		var other *cluster.Machine
 		if c.idle {
 			other = l.testMachine("i-2", "big", "b", false)
 			if c.other != nil {
@@ -69,9 +70,9 @@
 		}
 		if c.kept {
 			l.n.now = l.n.now.Add(l.n.cfg.Operator.IdleReturn + time.Second)
-			other.lastReport = l.n.now
+			other.Agent.LastHeartbeat = l.n.now
 			l.considerReturn(other, map[protocol.ZoneName]int{})
-			if other.deleting {
+			if other.Deleting {
 				t.Errorf("%s: the machine is returned", c.name)
 			}
 		}
@@ -79,9 +80,9 @@
 }
 
 // fillWith puts tasks that take all of a machine's processors onto it.
-func (l *leader) fillWith(m *machine, priority string, shape protocol.Shape) {
+func (l *leader) fillWith(m *cluster.Machine, priority string, shape protocol.Shape) {
 	j := l.testJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8, CPUs: 4, MemoryGB: 4, Image: "other", ImageGB: 1})
-	for i := range j.tasks {
+	for i := range j.Tasks {
 		l.assign(j, i, 1, m)
 	}
 }
@@ -92,20 +93,20 @@
 func TestReplicasLeaveLostZone(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	late, same, far := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false), l.testMachine("i-3", "big", "b", false)
-	l.n.now = l.n.now.Add(l.replicaSilence() + time.Second)
-	same.lastReport, far.lastReport = l.n.now, l.n.now
-	same.answered, far.answered, late.answered = l.n.now, l.n.now, l.n.now
+	l.n.now = l.n.now.Add(l.cluster.ReplicaSilenceTimeout() + time.Second)
+	same.Agent.LastHeartbeat, far.Agent.LastHeartbeat = l.n.now, l.n.now
+	same.Agent.AnsweredAt, far.Agent.AnsweredAt, late.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now
 	j := l.testJob(serviceOf(1, 4))
 	if list := l.replicaSites(j, ""); len(list) != 2 {
 		t.Errorf("%d sites", len(list))
 	}
 	l.deleteSilent(late, "silent")
-	if l.placeService(j) != 0 || j.tasks[0].active.m != far {
-		t.Errorf("placed on %v", j.tasks[0].active)
+	if l.placeService(j) != 0 || j.Tasks[0].Active.Machine != far {
+		t.Errorf("placed on %v", j.Tasks[0].Active)
 	}
-	l.dropAttempt(j.tasks[0].active)
-	far.cordoned = true
-	if l.placeService(j) != 0 || j.tasks[0].active.m != same {
+	l.dropAttempt(j.Tasks[0].Active)
+	far.Cordoned = true
+	if l.placeService(j) != 0 || j.Tasks[0].Active.Machine != same {
 		t.Error("no place though there is one")
 	}
 }
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -40,24 +40,24 @@
 	PhaseCancelled Phase = "withdrawn"
 )
 
-// Rank is a job's priority; a larger one goes first.
-type Rank int
+// Priority is a job's priority; a larger one goes first.
+type Priority int
 
 // The four priorities.
 const (
-	RankIdle Rank = iota
-	RankNormal
-	RankHigh
-	RankCritical
+	PriorityIdle Priority = iota
+	PriorityNormal
+	PriorityHigh
+	PriorityCritical
 )
 
 var rankNames = []string{"idle", "normal", "high", "critical"}
 
 // ParseRank reads a priority's wire name.
-func ParseRank(s string) (Rank, bool) {
+func ParseRank(s string) (Priority, bool) {
 	for i, name := range rankNames {
 		if s == name {
-			return Rank(i), true
+			return Priority(i), true
 		}
 	}
 	return 0, false
@@ -93,8 +93,8 @@
 // Service says whether the tasks run until the job is cancelled.
 func (j *Job) Service() bool { return j.Shape == ShapeService }
 
-// Rank is the job's priority as a number.
-func (j *Job) Rank() Rank {
+// PriorityLevel is the job's priority as a number.
+func (j *Job) PriorityLevel() Priority {
 	r, _ := ParseRank(j.Priority)
 	return r
 }
