--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -43,7 +43,7 @@
 	switch {
 	case j.Cancelled:
 		for _, c := range j.SortedAttempts() {
-			l.stop(c, 0)
+			l.Stop(c, 0)
 		}
 		if len(j.Attempts) == 0 {
 			l.touch(j, 0)
@@ -79,7 +79,7 @@
 	j.Stopping = true
 	l.n.log.Debug("gang stops", "job", j.ID, "attempt", j.Epoch, "grace", grace)
 	for _, c := range j.SortedAttempts() {
-		l.stop(c, grace)
+		l.Stop(c, grace)
 	}
 }
 
@@ -95,9 +95,9 @@
 	}
 }
 
-// stop asks an attempt to end. One whose start never left is gone at once,
+// Stop asks an attempt to end. One whose start never left is gone at once,
 // unless the transaction that places it is still under way.
-func (l *leader) stop(c *cluster.Attempt, grace float64) {
+func (l *leader) Stop(c *cluster.Attempt, grace float64) {
 	if !c.Stopping || grace < c.GraceS {
 		c.Stopping, c.GraceS, c.StopSentAt = true, grace, time.Time{}
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -27,7 +27,7 @@
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
 	for range 40 {
 		j := l.testJob(s)
-		l.placeArray(j, false)
+		l.scheduler.PlaceArray(j, false)
 		for _, c := range j.Attempts {
 			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 		}
@@ -78,9 +78,9 @@
 		for _, m := range l.cluster.OrderedMachines {
 			m.Agent.LastHeartbeat = l.n.now
 		}
-		l.schedule()
+		l.runSchedulingCycle()
 	}
-	b.ReportMetric(float64(l.looks), "looks/op")
+	b.ReportMetric(float64(l.scheduler.Examined), "looks/op")
 }
 
 // TestBytesKept bounds what a leader keeps for each machine with its task and for
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/gappond/gappond/internal/coordination/cluster"
-	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -18,30 +18,24 @@
 		if c.Stopping || c.Job.Spec.Service() || c.Job.Spec.CheckpointS == 0 && !m.Quarantined {
 			continue // replicas move one by one
 		}
-		l.preempt(c)
+		l.stopInOrder(c)
 	}
 }
 
-// preempt stops an attempt in good order; a gang stops as a whole.
-func (l *leader) preempt(c *cluster.Attempt) { l.endAttempt(c, c.Job.Spec.SaveS+tuning.StopGrace) }
+// stopInOrder stops an attempt in good order; a gang stops as a whole.
+func (l *leader) stopInOrder(c *cluster.Attempt) { l.endAttempt(c, c.Job.Spec.SaveS+tuning.StopGrace) }
 
-// yieldAttempt stops an attempt for a job that waits: in good order if saving is worth
+// Preempt stops an attempt for a job that waits: in good order if saving is worth
 // that job's wait.
-func (l *leader) yieldAttempt(c *cluster.Attempt) {
-	if savingPays(c.Job.Spec) {
-		l.preempt(c)
+func (l *leader) Preempt(c *cluster.Attempt) {
+	l.n.metrics.Preemptions++
+	if scheduler.CheckpointPays(c.Job.Spec) {
+		l.stopInOrder(c)
 	} else {
 		l.endAttempt(c, 0)
 	}
 }
 
-// savingPays says whether a task that yields should save first. Saving takes
-// its machine's time and the waiting job's; without it half of the interval
-// between two checkpoints is lost, about.
-func savingPays(s *protocol.Job) bool {
-	return s.CheckpointS > 0 && (s.Gang() || s.CheckpointS/2 > tuning.SavePays*s.SaveS)
-}
-
 func (l *leader) endAttempt(c *cluster.Attempt, grace float64) {
 	if c.Job.Attempts[c.Key] != c {
 		return // went with another task of its gang
@@ -52,5 +46,5 @@
 		}
 		return
 	}
-	l.stop(c, grace)
+	l.Stop(c, grace)
 }
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -86,7 +86,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
 	j := l.testJob(gangOf(1, 1))
-	l.placeGang(j)
+	l.scheduler.PlaceGang(j)
 	clear(j.Write.Dirty)
 	c := j.SortedAttempts()[0]
 	c.Committed = true
@@ -98,7 +98,7 @@
 	if len(j.Attempts) != 1 {
 		t.Fatal("gone while its start may be on its way")
 	}
-	l.stop(c, 0)
+	l.Stop(c, 0)
 	if got := ops(l.testReport(m, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
@@ -137,9 +137,11 @@
 // TestCommitFirst: a placement is guarded on the leader lease, the job and the room it
 // takes, and no start leaves before it is committed.
 func TestCommitFirst(t *testing.T) {
-	t.Run(string(protocol.ShapeGang), func(t *testing.T) { commitFirst(t, protocol.ShapeGang, (*leader).placeGang) })
+	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
+		commitFirst(t, protocol.ShapeGang, func(l *leader, j *cluster.Job) bool { return l.scheduler.PlaceGang(j) })
+	})
 	t.Run(string(protocol.ShapeArray), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeArray, func(l *leader, j *cluster.Job) bool { return l.placeArray(j, false) == 0 })
+		commitFirst(t, protocol.ShapeArray, func(l *leader, j *cluster.Job) bool { return l.scheduler.PlaceArray(j, false) == 0 })
 	})
 }
 
@@ -190,7 +192,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
 	j := l.testJob(gangOf(2, 1))
-	l.placeGang(j)
+	l.scheduler.PlaceGang(j)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
 	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(j.ID)}})})
@@ -241,7 +243,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
 	j := l.testJob(gangOf(1, 1))
-	l.placeGang(j)
+	l.scheduler.PlaceGang(j)
 	l.commitNext()
 	sent := l.n.lastRequest(t, ToState)
 	var txn protocol.Txn
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
@@ -15,7 +16,7 @@
 // fleet is the leader's dealings with the cloud.
 type fleet struct {
 	calls   *rate.Limiter
-	demand  []demand
+	demand  []scheduler.Demand
 	load    map[protocol.ZoneName]int        // machines in every zone, at the last reckoning
 	deleted map[protocol.MachineID]time.Time // names that are gone for certain
 	rentals []*rental
@@ -25,23 +26,22 @@
 	pages   int // of the machine list under way, or of the last one
 	rentAt  time.Time
 	// idle machines that the replicas of a zone would need if it were lost
-	reserve       map[*cluster.Machine]bool
-	reserveAt     time.Time
-	LostMachineAt map[protocol.ZoneName]time.Time // when a machine of a zone was last given up as silent
-	packAt        time.Time
-	deleting      bool
-	deleteAt      time.Time
+	reserve   map[*cluster.Machine]bool
+	reserveAt time.Time
+	packAt    time.Time
+	deleting  bool
+	deleteAt  time.Time
 }
 
 func newFleet(rps float64) fleet {
 	return fleet{calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps))),
-		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}, LostMachineAt: map[protocol.ZoneName]time.Time{}}
+		deleted: map[protocol.MachineID]time.Time{}, refused: map[offer]time.Time{}}
 }
 
 func (l *leader) tickFleet() {
 	f := &l.fleet
 	now := l.n.now
-	l.moveReplicas()
+	l.scheduler.MoveReplicas()
 	spares := l.spares()
 	for _, m := range l.cluster.OrderedMachines {
 		l.considerReturn(m, spares)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -90,7 +90,7 @@
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, c := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
-		l.stop(c, 0)
+		l.Stop(c, 0)
 	}
 	l.sendDirect()
 	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathOrders); orders != 1 {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -1,13 +1,12 @@
 package coordination
 
 import (
-	"cmp"
-	"slices"
 	"strings"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
@@ -17,8 +16,9 @@
 // leader is everything that only the leading controller knows. It is rebuilt
 // from the records at every takeover and dropped when the node steps down.
 type leader struct {
-	n       *Node
-	cluster *cluster.State
+	n         *Node
+	cluster   *cluster.State
+	scheduler *scheduler.Scheduler
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
@@ -26,7 +26,6 @@
 	reconciler recovery.Reconciler
 	recovery   recoveryPhase
 	restored   restoredStore
-	waiting    int
 
 	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
 	machineRecords []*cluster.MachineRecord // the machines' machine records
@@ -39,40 +38,23 @@
 	proxying       bool               // the peers answer a part of the workers
 	plan           bool               // something changed that placement may depend on
 	planAt         time.Time
-	pass           *pass     // the pass over the queue under way, nil between two
-	looks          int       // machines looked at in the last pass
 	watchAt        time.Time // when the machines are looked over again
 	fleet          fleet
-	splitSearched  bool              // all records that had outgrown the limits were found
-	perGPU         cluster.Resources // what work on GPUs needs beside each of them
+	splitSearched  bool // all records that had outgrown the limits were found
 	// when a job last came, and one that may not use spot machines
 	lastJob, lastOrdinary time.Time
 }
 
-// ordered lists the jobs in order of priority and arrival; in a recovery the largest
-// gangs of a priority come first.
-func (l *leader) ordered() []*cluster.Job {
-	type entry struct {
-		j    *cluster.Job
-		turn time.Time
-	}
-	largestFirst := l.recovering()
-	entries := make([]entry, 0, len(l.cluster.Jobs))
-	for _, j := range l.cluster.Jobs {
-		entries = append(entries, entry{j, j.QueueTime(l.n.now)})
-	}
-	slices.SortFunc(entries, func(a, b entry) int {
-		bySize := 0
-		if largestFirst {
-			bySize = cmp.Compare(b.j.GangSize(), a.j.GangSize())
-		}
-		return cmp.Or(cmp.Compare(b.j.Priority, a.j.Priority), bySize, a.turn.Compare(b.turn), cmp.Compare(a.j.ArrivalOrder, b.j.ArrivalOrder), cmp.Compare(a.j.ID, b.j.ID))
-	})
-	list := make([]*cluster.Job, len(entries))
-	for i, e := range entries {
-		list[i] = e.j
+// runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
+// for machines.
+func (l *leader) runSchedulingCycle() { l.fleet.demand = l.scheduler.RunCycle() }
+
+// TaskPlaced implements scheduler.Environment.
+func (l *leader) TaskPlaced(attempt *cluster.Attempt) {
+	if attempt.Key.Number > 1 {
+		l.n.metrics.Repairs++
 	}
-	return list
+	l.touch(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
 }
 
 // touch marks one of a job's records as to be written.
@@ -164,8 +146,8 @@
 	}
 	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.PlanIdle {
 		l.plan = false
-		l.schedule()
-		l.planAt = l.n.now.Add(l.planPause())
+		l.runSchedulingCycle()
+		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
 	}
 	l.splitOutgrown()
 	l.commitNext()
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -78,7 +78,7 @@
 		if early == nil {
 			early, heard = l.cluster.SuspectedZones(l.cluster.ReplicaSilenceTimeout())
 		}
-		if !early[m.Zone] || l.cluster.Outwaited(m) || l.isReplaceable(m, heard) {
+		if !early[m.Zone] || l.cluster.Outwaited(m) || l.scheduler.ReplicasHavePlacesElsewhere(m, heard) {
 			l.deleteSilent(m, "silent, with replicas")
 		}
 	}
@@ -103,7 +103,7 @@
 
 // deleteSilent returns a machine that does not answer.
 func (l *leader) deleteSilent(m *cluster.Machine, why string) {
-	l.fleet.LostMachineAt[m.Zone] = l.n.now
+	l.scheduler.LostMachineAt[m.Zone] = l.n.now
 	l.delete(m, why)
 }
 
--- a/internal/coordination/machine.go
+++ /dev/null
@@ -1,1 +0,0 @@
-package coordination
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -58,7 +58,7 @@
 			continue // the report was sent before the order came
 		}
 		if m.Cordoned || m.Deleting {
-			l.stop(c, 0)
+			l.Stop(c, 0)
 			continue
 		}
 		cmds = append(cmds, l.startOrder(c, inReply))
--- a/internal/coordination/packing.go
+++ b/internal/coordination/packing.go
@@ -14,7 +14,7 @@
 // sake of returning machines instead of making larger blocks. The larger the
 // fleet, the more machines at once.
 func (l *leader) pack() {
-	if l.waiting > 0 {
+	if l.scheduler.Waiting > 0 {
 		return
 	}
 	type choice struct {
--- a/internal/coordination/pass_test.go
+++ b/internal/coordination/pass_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -34,13 +35,13 @@
 			for _, m := range l.cluster.OrderedMachines {
 				m.Agent.LastHeartbeat = l.n.now
 			}
-			l.schedule()
+			l.runSchedulingCycle()
 			limit := 4 * len(l.cluster.OrderedMachines) // what is open, vacant and could yield
 			if !high {
 				limit += int(0.2*float64(tuning.PassLength/tuning.LookCost)) + len(l.cluster.OrderedMachines)*len(l.n.cfg.Cluster.Zones)
 			}
-			if l.looks > limit {
-				t.Fatalf("nothing yields %v: %d looks at %d machines in one pass", high, l.looks, len(l.cluster.OrderedMachines))
+			if l.scheduler.Examined > limit {
+				t.Fatalf("nothing yields %v: %d looks at %d machines in one pass", high, l.scheduler.Examined, len(l.cluster.OrderedMachines))
 			}
 		}
 		searched := 0
@@ -63,18 +64,18 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.testMachine("i-1", "big", "a", false)
 		full := gangOf(1, bigType.GPUs)
-		if !l.placeGang(l.testJob(full)) {
+		if !l.scheduler.PlaceGang(l.testJob(full)) {
 			t.Fatal("the machine does not hold the first gang")
 		}
 		s := gangOf(1, gpus)
 		s.Zone = "a"
 		j := l.testJob(s)
-		l.schedule()
+		l.runSchedulingCycle()
 		if placed := len(j.Attempts) == 1; placed != (gpus == 0) {
 			t.Errorf("%v GPUs: placed %v", gpus, placed)
 		}
 		if len(j.Attempts) == 0 {
-			l.fleet.demand = []demand{{j, 1}}
+			l.fleet.demand = []scheduler.Demand{{Job: j, Tasks: 1}}
 		}
 		l.rent()
 		if len(l.fleet.rentals) != rentals {
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -79,7 +79,7 @@
 			}
 			j := l.testJob(s)
 			if !j.Spec.Gang() {
-				waiting := l.placeArray(j, false)
+				waiting := l.scheduler.PlaceArray(j, false)
 				if waiting+len(j.Attempts) != s.Tasks {
 					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(j.Attempts), s.Tasks)
 				}
@@ -87,7 +87,7 @@
 				continue
 			}
 			machine, zone, region := l.couldHold(j)
-			if !l.placeGang(j) {
+			if !l.scheduler.PlaceGang(j) {
 				refused++
 				if region {
 					t.Fatalf("round %d: %+v is turned away though it fits", round, s)
@@ -192,7 +192,7 @@
 	other := l.testJob(gangOf(1, 2))
 	l.cluster.AddAttempt(other, 0, 1, half, 1)
 	j := l.testJob(gangOf(2, 1))
-	if !l.placeGang(j) || j.SortedAttempts()[0].Machine != half {
+	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine != half {
 		t.Errorf("not on the fuller machine")
 	}
 	l.testMachine("i-3", "big", "c", true)
@@ -201,11 +201,11 @@
 	s := gangOf(1, 4)
 	s.Spot = true
 	j = l.testJob(s)
-	if !l.placeGang(j) || j.SortedAttempts()[0].Machine != warm {
+	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine != warm {
 		t.Errorf("not on the machine with the image")
 	}
 	j = l.testJob(s)
-	if !l.placeGang(j) || j.SortedAttempts()[0].Machine.ID != "i-3" {
+	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine.ID != "i-3" {
 		t.Errorf("not on the cheaper machine")
 	}
 	if len(empty.Attempts) != 0 {
@@ -222,11 +222,11 @@
 	j := l.testJob(s)
 	l.cluster.AddAttempt(j, 0, 1, a, 1)
 	old := l.cluster.AddAttempt(j, 1, 1, b, 1)
-	if w := l.placeArray(j, false); w != 2 {
+	if w := l.scheduler.PlaceArray(j, false); w != 2 {
 		t.Errorf("%d wait", w)
 	}
 	l.dropAttempt(old)
-	if w := l.placeArray(j, false); w != 0 {
+	if w := l.scheduler.PlaceArray(j, false); w != 0 {
 		t.Errorf("%d wait once the other zone's copy is gone", w)
 	}
 	l.checkPlacement(t, j)
@@ -241,7 +241,7 @@
 	s := gangOf(2, 4)
 	s.OneZone, s.Priority = true, "normal"
 	j := l.testJob(s)
-	l.schedule()
+	l.runSchedulingCycle()
 	for _, c := range j.Attempts {
 		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 	}
@@ -250,7 +250,7 @@
 	l.testMachine("i-4", "big", "a", false)
 	spare := l.testMachine("i-5", "big", "b", false)
 	l.forget(dead.ID)
-	l.schedule()
+	l.runSchedulingCycle()
 	if len(j.Attempts) != 1 || !j.Stopping {
 		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(j.Attempts), j.Stopping)
 	}
@@ -258,7 +258,7 @@
 		t.Error("the survivor's room is not held")
 	}
 	l.dropAttempt(j.SortedAttempts()[0])
-	l.schedule()
+	l.runSchedulingCycle()
 	on := map[*cluster.Machine]bool{}
 	for _, c := range j.Attempts {
 		on[c.Machine] = true
@@ -280,7 +280,7 @@
 		l.n.out = nil
 		s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", EstimateS: 30, DeadlineS: c.deadline}
 		l.testJob(s)
-		l.schedule()
+		l.runSchedulingCycle()
 		l.rent()
 		if got := len(l.fleet.rentals); got != map[bool]int{true: 0, false: 1}[c.spot] {
 			t.Errorf("deadline %v: %d ordinary rentals", c.deadline, got)
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -17,25 +17,25 @@
 	m := l.testMachine("i-1", "big", "a", false)
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
 	low := l.testJob(s)
-	l.placeArray(low, false)
+	l.scheduler.PlaceArray(low, false)
 	for _, c := range low.Attempts {
 		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 	}
 	same := gangOf(1, 2)
 	same.Priority = "idle"
 	l.testJob(same)
-	l.schedule()
+	l.runSchedulingCycle()
 	if n := stopping(low); n != 0 {
 		t.Errorf("%d tasks yield to equal priority", n)
 	}
 	high := gangOf(1, 2)
 	high.Priority = "high"
 	l.testJob(high)
-	l.schedule()
+	l.runSchedulingCycle()
 	if n := stopping(low); n != 2 {
 		t.Errorf("%d tasks yield where 2 do", n)
 	}
-	l.schedule()
+	l.runSchedulingCycle()
 	if n := stopping(low); n != 2 {
 		t.Errorf("%d tasks yield after a second pass", n)
 	}
@@ -71,7 +71,7 @@
 	l.testMachine("i-1", "big", "a", false)
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
 	low := l.testJob(s)
-	l.placeArray(low, false)
+	l.scheduler.PlaceArray(low, false)
 	high := gangOf(1, 2)
 	high.Priority = "high"
 	j := l.testJob(high)
@@ -86,7 +86,7 @@
 		}
 	}
 	l.n.now = l.n.now.Add(tuning.ErrorPause)
-	l.schedule()
+	l.runSchedulingCycle()
 	if n := stopping(low); n != 0 || len(l.fleet.demand) != 0 {
 		t.Errorf("%d tasks yield, %d jobs want machines", n, len(l.fleet.demand))
 	}
@@ -116,13 +116,13 @@
 			l.cluster.Quotas["free"].GuaranteedGPUs = 4
 		}
 		other := l.testJob(s)
-		l.placeArray(other, false)
+		l.scheduler.PlaceArray(other, false)
 		for _, o := range other.Attempts {
 			o.Committed, o.StartSent = true, true
 		}
 		s.Team, s.Tasks, s.Priority = "tight", 2, "normal"
 		l.testJob(s)
-		l.schedule()
+		l.runSchedulingCycle()
 		if n := stopping(other); n != c.want {
 			t.Errorf("%+v: %d tasks yield", c, n)
 		}
@@ -138,7 +138,7 @@
 	s := gangOf(4, 1)
 	s.Shape = protocol.ShapeArray
 	other := l.testJob(s)
-	l.placeArray(other, false)
+	l.scheduler.PlaceArray(other, false)
 	for _, o := range other.Attempts {
 		o.Committed, o.StartSent = true, true
 	}
@@ -148,10 +148,10 @@
 	l.testJob(s)
 	s.Tasks = 3
 	l.testJob(s)
-	l.schedule()
+	l.runSchedulingCycle()
 	first.Finished = true
 	delete(l.cluster.Jobs, first.ID)
-	l.schedule()
+	l.runSchedulingCycle()
 	if n := stopping(other); n != 0 {
 		t.Errorf("%d tasks yield", n)
 	}
@@ -166,18 +166,18 @@
 	big := gangOf(2, 4)
 	big.OneZone = true
 	j := l.testJob(big)
-	l.schedule()
+	l.runSchedulingCycle()
 	l.n.now = now.Add(l.n.cfg.Operator.ReserveAfter + time.Second)
 	for _, m := range l.cluster.Machines {
 		m.Agent.LastHeartbeat = l.n.now
 	}
 	small := l.testJob(gangOf(1, 1))
-	l.schedule()
+	l.runSchedulingCycle()
 	if len(small.Attempts) != 0 || len(j.Attempts) != 0 {
 		t.Errorf("the smaller job passes")
 	}
 	l.testMachine("i-2", "big", "a", false)
-	l.schedule()
+	l.runSchedulingCycle()
 	if len(j.Attempts) != 2 {
 		t.Errorf("the gang is not placed when it could be")
 	}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -19,7 +19,7 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		m := l.testMachine("i-1", "big", "a", false)
 		j := l.testJob(gangOf(1, 1))
-		l.placeGang(j)
+		l.scheduler.PlaceGang(j)
 		clear(j.Write.Dirty)
 		j.SortedAttempts()[0].Committed = true
 		for range tuning.MissedAnswers + 1 {
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -144,7 +144,7 @@
 		if !c.Stopping {
 			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", j.ID, "task", key.Index, "attempt", key.Number, "machine", m.ID)
 		}
-		l.stop(c, 0)
+		l.Stop(c, 0)
 	}
 }
 
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -77,7 +77,7 @@
 			t.Errorf("ordered %q", got)
 		}
 		l.testReport(m, l.n.lease.term)
-		l.schedule()
+		l.runSchedulingCycle()
 		want := attempt + 1
 		if attempt > tuning.AttemptsMost {
 			want = 1
@@ -99,7 +99,7 @@
 		silent.Recovered, silent.Agent.Heard, silent.Agent.TokenConfirmed, silent.Agent.Incarnation = true, false, false, 0
 		l.beginRecovery()
 		low := l.testJob(func() protocol.Job { s := gangOf(8, 1); s.Shape, s.Priority = protocol.ShapeArray, "idle"; return s }())
-		l.placeArray(low, false)
+		l.scheduler.PlaceArray(low, false)
 		for _, c := range low.Attempts {
 			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
 		}
@@ -107,7 +107,7 @@
 		s.Priority = "high"
 		l.testJob(s)
 		stopping := func() bool {
-			l.schedule()
+			l.runSchedulingCycle()
 			return slices.ContainsFunc(low.SortedAttempts(), func(c *cluster.Attempt) bool { return c.Stopping })
 		}
 		if free := l.cluster.FreeResources(full).GPUs; free > 0 {
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -129,9 +129,9 @@
 	l.n.log.Info("record split", "job", j.ID, "record", r, "records", len(j.Records.Revisions))
 }
 
-// splitFirst says whether a gang has a record that must be split before its places
+// AwaitsRecordSplit says whether a gang has a record that must be split before its places
 // are written, and sees to it.
-func (l *leader) splitFirst(j *cluster.Job) bool {
+func (l *leader) AwaitsRecordSplit(j *cluster.Job) bool {
 	if !l.maySplit() || j.Records.TasksPerRecord <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
 		return false
 	}
@@ -153,7 +153,7 @@
 		return
 	}
 	l.splitSearched = true
-	for _, j := range l.ordered() {
+	for _, j := range l.scheduler.Queue() {
 		for r := range j.Records.Revisions {
 			if l.outgrown(j, r, l.n.cfg.Cluster.State) {
 				l.touch(j, r)
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -215,7 +215,7 @@
 		l.setDone(j, ended)
 		l.dropAttempt(c)
 		l.dropAttempt(d)
-		if l.wants(j) != 0 {
+		if l.scheduler.WaitingTasks(j) != 0 {
 			t.Error("tasks are wanted while the record is split")
 		}
 		rec.Tasks[ended] = bookkeeping.Task{Index: ended, Attempt: 2, Done: true}
@@ -233,7 +233,7 @@
 		if !next.cluster.Jobs[rec.Spec.ID].Tasks[ended].Done {
 			t.Errorf("late %v: the end is lost", late)
 		}
-		if l.wants(j) == 0 {
+		if l.scheduler.WaitingTasks(j) == 0 {
 			t.Error("the lost task is not wanted")
 		}
 	}
@@ -323,8 +323,8 @@
 		}
 		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
 	}
-	if j := l.cluster.Jobs[rec.Spec.ID]; !j.Records.Quarantined || l.wants(j) != 0 {
-		t.Errorf("unwritable %v, wants %d", j.Records.Quarantined, l.wants(j))
+	if j := l.cluster.Jobs[rec.Spec.ID]; !j.Records.Quarantined || l.scheduler.WaitingTasks(j) != 0 {
+		t.Errorf("unwritable %v, wants %d", j.Records.Quarantined, l.scheduler.WaitingTasks(j))
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
 }
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -66,8 +66,8 @@
 	l.n.log.Info("recovery ends", attributes...)
 }
 
-// recovering says whether the phase lasts.
-func (l *leader) recovering() bool {
+// Recovering says whether the phase lasts.
+func (l *leader) Recovering() bool {
 	s := l.recovery.Summary()
 	return s.Active()
 }
--- a/internal/coordination/rental.go
+++ b/internal/coordination/rental.go
@@ -8,6 +8,7 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -46,10 +47,10 @@
 	f := &l.fleet
 	k := l.newRentalPlan()
 	for _, d := range f.demand {
-		if d.j.Finished || d.j.Cancelled {
+		if d.Job.Finished || d.Job.Cancelled {
 			continue
 		}
-		if d.j.Spec.Gang() && d.j.Spec.OneZone {
+		if d.Job.Spec.Gang() && d.Job.Spec.OneZone {
 			k.gang(d)
 		} else {
 			k.tasks(d)
@@ -69,7 +70,7 @@
 	f := &l.fleet
 	f.load = map[protocol.ZoneName]int{}
 	k := &rentalPlan{l: l, slots: map[protocol.ZoneName][]*demandSlot{}, want: map[offer]int{},
-		plain: slices.ContainsFunc(f.demand, func(d demand) bool { return d.j.Spec.GPUs == 0 })}
+		plain: slices.ContainsFunc(f.demand, func(d scheduler.Demand) bool { return d.Job.Spec.GPUs == 0 })}
 	for _, m := range l.cluster.OrderedMachines {
 		f.load[m.Zone]++
 		t := l.cluster.TypeOf(m)
--- a/internal/coordination/rental_plan.go
+++ b/internal/coordination/rental_plan.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -78,13 +79,13 @@
 
 // gang finds the zone where a gang lacks least and takes what it needs there,
 // room that is there first.
-func (k *rentalPlan) gang(d demand) {
+func (k *rentalPlan) gang(d scheduler.Demand) {
 	bestZone, bestLack, bestOffers := protocol.ZoneName(""), math.MaxInt, []offer(nil)
 	for _, z := range k.l.n.cfg.Cluster.Zones {
-		lack := k.lack(d.j, z, d.tasks)
+		lack := k.lack(d.Job, z, d.Tasks)
 		var offers []offer
 		if lack > 0 {
-			if offers = k.l.offers(d.j, z); len(offers) == 0 {
+			if offers = k.l.offers(d.Job, z); len(offers) == 0 {
 				continue
 			}
 		}
@@ -98,15 +99,15 @@
 	if bestZone == "" {
 		return
 	}
-	if need := d.tasks - k.take(d.j, bestZone, d.tasks); need > 0 {
-		k.rent(d.j, bestOffers[0], need)
+	if need := d.Tasks - k.take(d.Job, bestZone, d.Tasks); need > 0 {
+		k.rent(d.Job, bestOffers[0], need)
 	}
 }
 
 // tasks takes room for tasks that may be anywhere, within what the job allows
 // of each zone.
-func (k *rentalPlan) tasks(d demand) {
-	j, need := d.j, d.tasks
+func (k *rentalPlan) tasks(d scheduler.Demand) {
+	j, need := d.Job, d.Tasks
 	limit, only := k.l.cluster.ZoneLimits(j)
 	for _, z := range k.l.n.cfg.Cluster.Zones {
 		if only == "" || only == z {
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -104,7 +104,7 @@
 	s := &l.restored
 	switch {
 	case !s.proven:
-		if s.marked && !l.recovering() {
+		if s.marked && !l.Recovering() {
 			l.removeRestoredMarker()
 		}
 	case !s.marked:
@@ -190,11 +190,11 @@
 	}
 }
 
-// isHeld says whether a job must not start anything yet: attempts that no record has may
+// Held says whether a job must not start anything yet: attempts that no record has may
 // run on workers that have yet to report. Until one of them has shown its token, nobody
 // knows.
-func (l *leader) isHeld(j *cluster.Job) bool {
-	if !j.Recovered || !l.recovering() || len(l.machineRecords) == 0 {
+func (l *leader) Held(j *cluster.Job) bool {
+	if !j.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
 	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -22,7 +22,7 @@
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", "a", false)
 	}
 	j := l.testJob(gangOf(24, 4))
-	if !l.placeGang(j) {
+	if !l.scheduler.PlaceGang(j) {
 		t.Fatal("no place")
 	}
 	l.calls.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
--- /dev/null
+++ b/internal/coordination/scheduler/scheduler.go
@@ -0,0 +1,66 @@
+// Package scheduler decides where tasks run. Every cycle goes over the queue by priority
+// and order of arrival: gangs are placed whole by the buddy system's deepest fit, tasks
+// of arrays and replicas of services where there is free capacity; where there is none,
+// work that must yield is preempted and capacity reserved.
+//
+// It works on the cluster model alone and is deterministic. It stores nothing, sends
+// nothing and rents nothing: what follows from its decisions is up to its Environment.
+package scheduler
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// Environment is what the scheduler needs of the leader.
+type Environment interface {
+	// Recovering says whether a recovery after a failover lasts, in which agents that the
+	// stored records name have yet to report.
+	Recovering() bool
+	// Held says whether a job must not start anything yet.
+	Held(job *cluster.Job) bool
+	// AwaitsRecordSplit says whether a gang has a record that must be split before its
+	// places are written, and sees to it.
+	AwaitsRecordSplit(job *cluster.Job) bool
+	// TaskPlaced has a new place of a task written.
+	TaskPlaced(attempt *cluster.Attempt)
+	// Preempt stops an attempt for a job that waits.
+	Preempt(victim *cluster.Attempt)
+	// Stop asks an attempt to end.
+	Stop(attempt *cluster.Attempt, graceS float64)
+}
+
+// Scheduler places the tasks of jobs on machines.
+type Scheduler struct {
+	state *cluster.State
+	env   Environment
+	log   *slog.Logger
+
+	cycle    *cycle            // the cycle under way, nil between two
+	gpuNeeds cluster.Resources // what work on GPUs needs beside each of them
+
+	Examined int // machines examined in the last cycle
+	Waiting  int // jobs that waited for machines after the last cycle
+	// LostMachineAt is when a machine of a zone was last given up as silent.
+	LostMachineAt map[protocol.ZoneName]time.Time
+}
+
+// New makes a scheduler.
+func New(state *cluster.State, env Environment, log *slog.Logger) *Scheduler {
+	return &Scheduler{state: state, env: env, log: log, LostMachineAt: map[protocol.ZoneName]time.Time{}}
+}
+
+// Assign plans a task onto a machine. Its start leaves once that is committed.
+func (sc *Scheduler) Assign(j *cluster.Job, index int, attempt protocol.AttemptNumber, m *cluster.Machine) {
+	t := &j.Tasks[index]
+	c := sc.state.AddAttempt(j, index, attempt, m, m.Agent.Incarnation)
+	t.LastAttempt, t.Active, j.EverPlaced = attempt, c, true
+	sc.log.Debug("task placed", "job", j.ID, "task", index, "attempt", attempt, "machine", m.ID)
+	if m.ReservedFor == j {
+		m.ReleaseReservation()
+	}
+	sc.env.TaskPlaced(c)
+}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -8,6 +8,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -15,6 +16,7 @@
 func (n *Node) takeOver() {
 	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
 		calls: n.workerCalls(), fleet: newFleet(n.cfg.Cluster.Cloud.RPS)}
+	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.stored.l = l
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
@@ -30,7 +32,7 @@
 	l.beginRecovery()
 	// Jobs and machines come out of the mirror in no order; what follows must
 	// not depend on that.
-	for _, j := range l.ordered() {
+	for _, j := range l.scheduler.Queue() {
 		l.checkEnded(j)
 	}
 	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -45,7 +45,7 @@
 			if cmds := l.testReport(m, l.n.lease.term, tasks...); len(cmds) > 0 {
 				t.Fatalf("%s: orders %v", name, cmds)
 			}
-			l.schedule()
+			l.runSchedulingCycle()
 			l.tickFleet()
 			if txn, _ := l.nextTxn(t); txn != nil {
 				for _, c := range txn.Then {
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -46,7 +46,7 @@
 		}
 		j := l.testJob(s)
 		for i := range j.Tasks {
-			l.assign(j, i, 1, m)
+			l.scheduler.Assign(j, i, 1, m)
 		}
 		var other *cluster.Machine
 		if c.idle {
@@ -83,7 +83,7 @@
 func (l *leader) fillWith(m *cluster.Machine, priority string, shape protocol.Shape) {
 	j := l.testJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8, CPUs: 4, MemoryGB: 4, Image: "other", ImageGB: 1})
 	for i := range j.Tasks {
-		l.assign(j, i, 1, m)
+		l.scheduler.Assign(j, i, 1, m)
 	}
 }
 
@@ -97,16 +97,16 @@
 	same.Agent.LastHeartbeat, far.Agent.LastHeartbeat = l.n.now, l.n.now
 	same.Agent.AnsweredAt, far.Agent.AnsweredAt, late.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now
 	j := l.testJob(serviceOf(1, 4))
-	if list := l.replicaSites(j, ""); len(list) != 2 {
+	if list := l.scheduler.ReplicaCandidates(j, ""); len(list) != 2 {
 		t.Errorf("%d sites", len(list))
 	}
 	l.deleteSilent(late, "silent")
-	if l.placeService(j) != 0 || j.Tasks[0].Active.Machine != far {
+	if l.scheduler.PlaceService(j) != 0 || j.Tasks[0].Active.Machine != far {
 		t.Errorf("placed on %v", j.Tasks[0].Active)
 	}
 	l.dropAttempt(j.Tasks[0].Active)
 	far.Cordoned = true
-	if l.placeService(j) != 0 || j.Tasks[0].Active.Machine != same {
+	if l.scheduler.PlaceService(j) != 0 || j.Tasks[0].Active.Machine != same {
 		t.Error("no place though there is one")
 	}
 }
