--- /dev/null
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -0,0 +1,125 @@
+// Package autoscaler rents machines for jobs that wait and returns those that are no longer
+// needed: scale out and in, spares, the reserve for the loss of a zone, consolidation of
+// half-empty machines. It keeps the cloud's list of machines in the cluster model.
+//
+// It decides on the cluster model and calls the cloud; it places nothing, writes no
+// records and sends agents nothing.
+package autoscaler
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+	"golang.org/x/time/rate"
+)
+
+// Environment is what the autoscaler needs of the leader.
+type Environment interface {
+	// RequestScheduling has the next scheduling cycle run soon.
+	RequestScheduling()
+	// RecordMachine has a machine's entry in its machine record written.
+	RecordMachine(machine *cluster.Machine)
+	// MachinesDeleted takes machines out of all accounts that are gone for certain.
+	MachinesDeleted(machines ...protocol.MachineID)
+	// Drain empties a machine that is to go.
+	Drain(machine *cluster.Machine)
+	// UniqueName makes a name that no other request has.
+	UniqueName() string
+	// After does something once the time has passed, if this leader still leads.
+	After(pause time.Duration, do func())
+}
+
+// Autoscaler fits the number of machines to the work.
+type Autoscaler struct {
+	state     *cluster.State
+	scheduler *scheduler.Scheduler
+	cloud     Cloud
+	env       Environment
+	log       *slog.Logger
+	calls     *rate.Limiter // calls to the cloud
+
+	// Demand is what waited for machines after the last scheduling cycle.
+	Demand []scheduler.Demand
+	// when a job was last submitted, and one that may not use spot machines
+	lastSubmission, lastNonSpotSubmission time.Time
+
+	machinesIn  map[protocol.ZoneName]int        // at the last scale-out
+	deleted     map[protocol.MachineID]time.Time // machines that are gone for certain
+	rentals     []*rental
+	unavailable map[Offer]time.Time // offers that the cloud had no capacity for, and until when they rest
+	// zoneReserve are the idle machines that the replicas of a zone would need if it were lost.
+	zoneReserve map[*cluster.Machine]bool
+
+	listing   bool
+	listPages int // of the machine list under way, or of the last one
+	deleting  bool
+
+	listNotBefore        time.Time
+	scaleOutNotBefore    time.Time
+	reserveNotBefore     time.Time
+	consolidateNotBefore time.Time
+	deleteNotBefore      time.Time
+}
+
+// New makes an autoscaler.
+func New(state *cluster.State, sched *scheduler.Scheduler, cloud Cloud, env Environment, log *slog.Logger) *Autoscaler {
+	callsPerSecond := state.Config.Cluster.Cloud.RPS
+	return &Autoscaler{
+		state: state, scheduler: sched, cloud: cloud, env: env, log: log,
+		calls:       rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudShare), max(1, int(callsPerSecond))),
+		machinesIn:  map[protocol.ZoneName]int{},
+		deleted:     map[protocol.MachineID]time.Time{},
+		unavailable: map[Offer]time.Time{},
+	}
+}
+
+// JobSubmitted notes that a job came.
+func (as *Autoscaler) JobSubmitted(spec *protocol.Job) {
+	as.lastSubmission = as.state.Now()
+	if !spec.Spot {
+		as.lastNonSpotSubmission = as.state.Now()
+	}
+}
+
+// Deleted says whether a machine is gone for certain.
+func (as *Autoscaler) Deleted(machine protocol.MachineID) bool {
+	_, deleted := as.deleted[machine]
+	return deleted
+}
+
+// PendingRentals is how many requests for machines are under way.
+func (as *Autoscaler) PendingRentals() int { return len(as.rentals) }
+
+// KeptForZoneLoss says whether an idle machine is kept for the replicas of a zone that may be lost.
+func (as *Autoscaler) KeptForZoneLoss(machine *cluster.Machine) bool { return as.zoneReserve[machine] }
+
+// NoteDeleted notes that a machine is gone for certain.
+func (as *Autoscaler) NoteDeleted(machine protocol.MachineID) { as.deleted[machine] = as.state.Now() }
+
+func (as *Autoscaler) Tick() {
+	now := as.state.Now()
+	as.scheduler.MoveReplicas()
+	spares := as.Spares()
+	for _, m := range as.state.OrderedMachines {
+		as.EvaluateScaleIn(m, spares)
+	}
+	if !as.deleting && !now.Before(as.deleteNotBefore) {
+		as.sendDeletes()
+	}
+	if !as.listing && !now.Before(as.listNotBefore) && as.calls.AllowN(now, 1) {
+		as.listing, as.listPages = true, 0
+		as.listPage("")
+	}
+	if !now.Before(as.consolidateNotBefore) {
+		as.consolidateNotBefore = now.Add(tuning.PackEvery)
+		as.consolidate()
+	}
+	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.RentAfterTakeover && len(as.state.Types) > 0 {
+		as.scaleOutNotBefore = now.Add(tuning.RentEvery)
+		as.ScaleOut()
+	}
+}
--- a/internal/coordination/packing.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -1,4 +1,4 @@
-package coordination
+package autoscaler
 
 import (
 	"cmp"
@@ -9,12 +9,12 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// pack empties machines that waste most money, if nothing waits and what they
+// consolidate empties machines that waste most money, if nothing waits and what they
 // carry can be saved and fits elsewhere: the paper's defragmentation, for the
 // sake of returning machines instead of making larger blocks. The larger the
 // fleet, the more machines at once.
-func (l *leader) pack() {
-	if l.scheduler.Waiting > 0 {
+func (as *Autoscaler) consolidate() {
+	if as.scheduler.Waiting > 0 {
 		return
 	}
 	type choice struct {
@@ -22,59 +22,59 @@
 		waste float64
 	}
 	var list []choice
-	p := packing{left: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
-	for _, m := range l.cluster.OrderedMachines {
-		t := l.cluster.TypeOf(m)
-		if !l.cluster.Schedulable(m) || m.ReservedFor != nil || len(m.Attempts) == 0 || t.GPUs == 0 {
+	p := consolidation{left: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
+	for _, m := range as.state.OrderedMachines {
+		t := as.state.TypeOf(m)
+		if !as.state.Schedulable(m) || m.ReservedFor != nil || len(m.Attempts) == 0 || t.GPUs == 0 {
 			continue
 		}
 		p.targets = append(p.targets, m)
 		if m.Used.GPUs <= t.GPUs*tuning.PackBelow {
-			list = append(list, choice{m, l.cluster.PriceOf(m) * (t.GPUs - m.Used.GPUs)})
+			list = append(list, choice{m, as.state.PriceOf(m) * (t.GPUs - m.Used.GPUs)})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b choice) int { return cmp.Compare(b.waste, a.waste) })
 	slices.SortStableFunc(p.targets, func(a, b *cluster.Machine) int { return cmp.Compare(b.Used.GPUs, a.Used.GPUs) })
-	most := max(1, len(l.cluster.OrderedMachines)/tuning.PackFleet)
+	most := max(1, len(as.state.OrderedMachines)/tuning.PackFleet)
 	for _, c := range list[:min(len(list), tuning.PackTries*most)] {
 		if len(p.emptied) == most {
 			return
 		}
-		if _, taken := p.left[c.m]; !taken && c.waste > 0 && l.movable(c.m, &p) {
+		if _, taken := p.left[c.m]; !taken && c.waste > 0 && as.canBeEmptied(c.m, &p) {
 			p.emptied[c.m] = true
-			l.n.log.Info("packing", "machine", c.m.ID, "tasks", len(c.m.Attempts))
-			l.drain(c.m)
+			as.log.Info("packing", "machine", c.m.ID, "tasks", len(c.m.Attempts))
+			as.env.Drain(c.m)
 		}
 	}
 }
 
-// packing is one round of moves: machines that take tasks, the fullest first,
+// consolidation is one round of moves: machines that take tasks, the fullest first,
 // what they have left after the moves so far, and those that are emptied.
-type packing struct {
+type consolidation struct {
 	targets []*cluster.Machine
 	left    map[*cluster.Machine]cluster.Resources
 	emptied map[*cluster.Machine]bool
 }
 
-// movable says whether all that a machine carries is worth moving and fits on
+// canBeEmptied says whether all that a machine carries is worth moving and fits on
 // other machines that are not dearer; if so the room is taken there.
-func (l *leader) movable(m *cluster.Machine, p *packing) bool {
+func (as *Autoscaler) canBeEmptied(m *cluster.Machine, p *consolidation) bool {
 	taken := map[*cluster.Machine]cluster.Resources{}
 	for _, c := range cluster.SortedAttemptsOn(m) {
 		s := c.Job.Spec
-		rest := s.EstimateS - l.n.now.Sub(c.RunningSince).Seconds()
+		rest := s.EstimateS - as.state.Now().Sub(c.RunningSince).Seconds()
 		if c.Stopping || c.RunningSince.IsZero() || s.Gang() || s.CheckpointS == 0 || rest < tuning.PackWorth {
 			return false
 		}
 		found := false
 		for _, o := range p.targets {
-			if o == m || p.emptied[o] || l.cluster.PriceOf(o) > l.cluster.PriceOf(m) || !l.cluster.Usable(c.Job, o) {
+			if o == m || p.emptied[o] || as.state.PriceOf(o) > as.state.PriceOf(m) || !as.state.Usable(c.Job, o) {
 				continue
 			}
 			r, ok := taken[o]
 			if !ok {
 				if r, ok = p.left[o]; !ok {
-					r = l.cluster.FreeResources(o)
+					r = as.state.FreeResources(o)
 				}
 			}
 			if r.Fit(s, 1) == 1 {
--- /dev/null
+++ b/internal/coordination/cloud_client.go
@@ -0,0 +1,75 @@
+package coordination
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/autoscaler"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// cloudClient makes the autoscaler's calls to the cloud. What is answered after the leader
+// that asked has stepped down is dropped.
+type cloudClient struct{ l *leader }
+
+// RentMachines implements autoscaler.Cloud.
+func (c cloudClient) RentMachines(request protocol.Rental, done func(autoscaler.RentResult)) {
+	c.call(http.MethodPost, protocol.PathMachines, request, func(status int, body []byte) {
+		names, isNames := parse[protocol.MachineNames](body)
+		refusal, _ := parse[protocol.ErrorBody](body)
+		result := autoscaler.RentResult{Detail: fmt.Sprintf("status %d: %s", status, body)}
+		switch {
+		case status == http.StatusOK && isNames:
+			result.Outcome, result.Machines = autoscaler.Rented, names.Machines
+		case status == http.StatusServiceUnavailable && refusal.Error == protocol.NoCapacity:
+			result.Outcome = autoscaler.NoCapacity
+		case status == http.StatusBadRequest:
+			result.Outcome = autoscaler.RentRejected
+		}
+		done(result)
+	})
+}
+
+// DeleteMachines implements autoscaler.Cloud.
+func (c cloudClient) DeleteMachines(machines []protocol.MachineID, done func(deleted bool)) {
+	c.call(http.MethodPost, protocol.PathDeleteMachines, protocol.MachineNames{Machines: machines}, func(status int, _ []byte) {
+		done(status == http.StatusOK)
+	})
+}
+
+// ListMachines implements autoscaler.Cloud.
+func (c cloudClient) ListMachines(after protocol.MachineID, done func(page *protocol.MachineList)) {
+	c.call(http.MethodGet, protocol.MachinesPath(after, tuning.ListPage), nil, func(status int, body []byte) {
+		page, ok := parse[protocol.MachineList](body)
+		if status != http.StatusOK || !ok {
+			done(nil)
+			return
+		}
+		done(&page)
+	})
+}
+
+func (c cloudClient) call(method, path string, body any, done func(status int, body []byte)) {
+	c.l.n.request(ToCloud, "", method, path, body, tuning.CloudTimeout, func(status int, body []byte) {
+		if c.l.n.lead == c.l {
+			done(status, body)
+		}
+	})
+}
+
+// RequestScheduling implements autoscaler.Environment.
+func (l *leader) RequestScheduling() { l.plan = true }
+
+// UniqueName implements autoscaler.Environment.
+func (l *leader) UniqueName() string { return l.n.unique() }
+
+// After implements autoscaler.Environment.
+func (l *leader) After(pause time.Duration, do func()) {
+	l.n.after(pause, func() {
+		if l.n.lead == l {
+			do()
+		}
+	})
+}
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -6,13 +6,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// drain empties a machine that is to go: everything that can save its work
+// Drain empties a machine that is to go: everything that can save its work
 // stops now, what cannot may finish if it can.
-func (l *leader) drain(m *cluster.Machine) {
+func (l *leader) Drain(m *cluster.Machine) {
 	l.plan = true
 	if !m.Cordoned {
 		m.Cordoned = true
-		l.queueMachineRecord(m) // no leader places anything there any more
+		l.RecordMachine(m) // no leader places anything there any more
 	}
 	for _, c := range cluster.SortedAttemptsOn(m) {
 		if c.Stopping || c.Job.Spec.Service() || c.Job.Spec.CheckpointS == 0 && !m.Quarantined {
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -267,7 +267,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	m := l.testMachine("i-1", "big", "a", false)
 	r := m.Record
-	l.forget(m.ID)
+	l.MachinesDeleted(m.ID)
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
 	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(m)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -39,15 +40,13 @@
 	plan           bool               // something changed that placement may depend on
 	planAt         time.Time
 	watchAt        time.Time // when the machines are looked over again
-	fleet          fleet
+	autoscaler     *autoscaler.Autoscaler
 	splitSearched  bool // all records that had outgrown the limits were found
-	// when a job last came, and one that may not use spot machines
-	lastJob, lastOrdinary time.Time
 }
 
 // runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
 // for machines.
-func (l *leader) runSchedulingCycle() { l.fleet.demand = l.scheduler.RunCycle() }
+func (l *leader) runSchedulingCycle() { l.autoscaler.Demand = l.scheduler.RunCycle() }
 
 // TaskPlaced implements scheduler.Environment.
 func (l *leader) TaskPlaced(attempt *cluster.Attempt) {
@@ -137,7 +136,7 @@
 		if l.n.lead != l {
 			return
 		}
-		l.tickFleet()
+		l.autoscaler.Tick()
 		l.tickRecovery()
 		l.tickRestored()
 		if l.n.lead != l {
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -9,20 +9,6 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// isBooting says whether a machine that never reported is still expected to. One
-// that a predecessor recorded may have been returned since; unless the machine
-// list shows it, it is not waited for.
-func (l *leader) isBooting(m *cluster.Machine) bool {
-	if m.Agent.Heard || m.Agent.Incarnation > 0 {
-		return false
-	}
-	if !m.Recovered || m.Phase == protocol.MachineBooting {
-		return true
-	}
-	lag := 2*config.Seconds(l.n.cfg.Cluster.Cloud.ListLagS) + l.listEvery()
-	return l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()+lag
-}
-
 // lapseAt is when a worker's lease has surely run out. One that this leader
 // never answered may have been answered by its predecessor for the whole of
 // the predecessor's grace.
@@ -45,7 +31,7 @@
 		}
 		l.presentToken(m)
 		missing := l.cluster.HasReplicas(m) && m.Agent.Heard && now.Sub(m.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout()
-		if l.isBooting(m) || l.cluster.HeardRecently(m) && !l.cluster.NotReceiving(m) && !missing || now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout() {
+		if l.autoscaler.Booting(m) || l.cluster.HeardRecently(m) && !l.cluster.NotReceiving(m) && !missing || now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout() {
 			continue
 		}
 		if !m.Agent.LeaseExpired && !l.cluster.HeardRecently(m) && now.After(l.lapseAt(m)) {
@@ -60,7 +46,7 @@
 			l.probe(m)
 		}
 		if m.Agent.LeaseExpired && m.Address == "" && !m.Deleting {
-			l.delete(m, "lapsed and of no known address")
+			l.autoscaler.ReturnMachine(m, "lapsed and of no known address")
 		}
 		// With a peer out of reach the worker may be behind the same cut and
 		// on its way to a controller that carries its reports.
@@ -104,7 +90,7 @@
 // deleteSilent returns a machine that does not answer.
 func (l *leader) deleteSilent(m *cluster.Machine, why string) {
 	l.scheduler.LostMachineAt[m.Zone] = l.n.now
-	l.delete(m, why)
+	l.autoscaler.ReturnMachine(m, why)
 }
 
 // probe asks a silent worker for its report.
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -20,8 +20,8 @@
 	return bookkeeping.MachineEntry{ID: m.ID, Address: m.Address, Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Cordoned: m.Cordoned}
 }
 
-// queueMachineRecord has the machine's entry recorded anew.
-func (l *leader) queueMachineRecord(m *cluster.Machine) {
+// RecordMachine has the machine's entry recorded anew.
+func (l *leader) RecordMachine(m *cluster.Machine) {
 	if m.Record == nil {
 		l.assignMachineRecord(m)
 	}
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -14,8 +15,7 @@
 // are gone leave the records in time.
 func TestRacks(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.fleet.rentals = append(l.fleet.rentals, &rental{})
-	l.sendRental(&rental{offer: offer{"big", "a", true}, count: 100})
+	l.autoscaler.Rent(autoscaler.Offer{TypeName: "big", Zone: "a", Spot: true}, 100)
 	var names []protocol.MachineID
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
@@ -44,7 +44,7 @@
 	}
 
 	for _, id := range names {
-		next.forget(id)
+		next.MachinesDeleted(id)
 	}
 	next.n.now = next.n.now.Add(time.Minute)
 	next.commitNext()
--- a/internal/coordination/pass_test.go
+++ b/internal/coordination/pass_test.go
@@ -75,11 +75,11 @@
 			t.Errorf("%v GPUs: placed %v", gpus, placed)
 		}
 		if len(j.Attempts) == 0 {
-			l.fleet.demand = []scheduler.Demand{{Job: j, Tasks: 1}}
+			l.autoscaler.Demand = []scheduler.Demand{{Job: j, Tasks: 1}}
 		}
-		l.rent()
-		if len(l.fleet.rentals) != rentals {
-			t.Errorf("%v GPUs: %d rentals", gpus, len(l.fleet.rentals))
+		l.autoscaler.ScaleOut()
+		if l.autoscaler.PendingRentals() != rentals {
+			t.Errorf("%v GPUs: %d rentals", gpus, l.autoscaler.PendingRentals())
 		}
 	}
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -249,7 +249,7 @@
 	l.testMachine("i-3", "big", "a", false)
 	l.testMachine("i-4", "big", "a", false)
 	spare := l.testMachine("i-5", "big", "b", false)
-	l.forget(dead.ID)
+	l.MachinesDeleted(dead.ID)
 	l.runSchedulingCycle()
 	if len(j.Attempts) != 1 || !j.Stopping {
 		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(j.Attempts), j.Stopping)
@@ -276,13 +276,13 @@
 		spot     bool
 	}{{1000, true}, {60, false}} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
-		l.tickFleet()
+		l.autoscaler.Tick()
 		l.n.out = nil
 		s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", EstimateS: 30, DeadlineS: c.deadline}
 		l.testJob(s)
 		l.runSchedulingCycle()
-		l.rent()
-		if got := len(l.fleet.rentals); got != map[bool]int{true: 0, false: 1}[c.spot] {
+		l.autoscaler.ScaleOut()
+		if got := l.autoscaler.PendingRentals(); got != map[bool]int{true: 0, false: 1}[c.spot] {
 			t.Errorf("deadline %v: %d ordinary rentals", c.deadline, got)
 		}
 	}
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -58,7 +58,7 @@
 	if l.cluster.Schedulable(m) || !m.Record.Queued || !machineEntry(m).Cordoned {
 		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(m), m.Record.Queued)
 	}
-	l.considerReturn(m, l.spares())
+	l.autoscaler.EvaluateScaleIn(m, l.autoscaler.Spares())
 	if !m.Deleting {
 		t.Error("not returned once it is empty")
 	}
@@ -87,8 +87,8 @@
 	}
 	l.n.now = l.n.now.Add(tuning.ErrorPause)
 	l.runSchedulingCycle()
-	if n := stopping(low); n != 0 || len(l.fleet.demand) != 0 {
-		t.Errorf("%d tasks yield, %d jobs want machines", n, len(l.fleet.demand))
+	if n := stopping(low); n != 0 || len(l.autoscaler.Demand) != 0 {
+		t.Errorf("%d tasks yield, %d jobs want machines", n, len(l.autoscaler.Demand))
 	}
 }
 
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -49,7 +49,7 @@
 		if m.Deleting == answers || l.cluster.Schedulable(m) != answers {
 			t.Errorf("answers calls %v: returned %v, takes work %v", answers, m.Deleting, l.cluster.Schedulable(m))
 		}
-		if l.forget(m.ID); len(j.Attempts) != 0 {
+		if l.MachinesDeleted(m.ID); len(j.Attempts) != 0 {
 			t.Errorf("%d copies are left once it is gone", len(j.Attempts))
 		}
 	}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -195,7 +195,7 @@
 	case m.Agent.UnreadableSince.IsZero():
 		m.Agent.UnreadableSince = l.n.now
 	case unproven && l.n.now.Sub(m.Agent.UnreadableSince) > config.Seconds(l.n.cfg.Cluster.Workers.LeaseS):
-		l.delete(m, "its reports cannot be read")
+		l.autoscaler.ReturnMachine(m, "its reports cannot be read")
 	}
 }
 
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -147,7 +147,7 @@
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
 	old := l.machineRecords[0]
-	l.queueMachineRecord(old.Members[0]) // it is to be written at once
+	l.RecordMachine(old.Members[0]) // it is to be written at once
 	named := map[protocol.MachineID]string{}
 	for _, m := range rec.Machines {
 		named[m.ID] = "g/m/old"
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -356,6 +356,6 @@
 
 // writeForTest has a machine's record written.
 func (l *leader) writeForTest(m *cluster.Machine) {
-	l.queueMachineRecord(m)
+	l.RecordMachine(m)
 	l.commitLater(time.Second)
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,7 +11,7 @@
 // will be answered with 200, which renews the worker's lease. ok is false if
 // the message is older than what is known.
 func (l *leader) report(r *protocol.Report, answered bool) (commands []protocol.Command, ok bool) {
-	if _, gone := l.fleet.deleted[r.Machine]; gone {
+	if l.autoscaler.Deleted(r.Machine) {
 		return nil, false // what is deleted can only have sent this before
 	}
 	m := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
@@ -25,12 +25,12 @@
 	if m.Record == nil && m.Agent.TokenConfirmed {
 		// One that has not shown this leader's token may be gone: a late duplicate
 		// of an old report can come at any time.
-		l.queueMachineRecord(m)
+		l.RecordMachine(m)
 	}
 	if r.NoticeS != nil && !m.SpotNotice {
 		m.SpotNotice = true
 		l.plan = true
-		l.drain(m)
+		l.Drain(m)
 	}
 	l.resolve(m, r, differences)
 	if m.Agent.TokenConfirmed {
@@ -111,7 +111,7 @@
 		if len(m.FailedJobs) >= tuning.MachineErrors && !m.Quarantined {
 			m.Quarantined = true
 			l.n.log.Info("machine distrusted", "machine", m.ID)
-			l.drain(m)
+			l.Drain(m)
 		}
 	case protocol.CauseNoRoom, protocol.CauseBusy:
 		j.Failures.AvoidUntil[m.ID] = l.n.now.Add(tuning.AvoidFor)
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -131,7 +131,7 @@
 		}
 		left = true
 		if l.n.now.After(l.lapseAt(m)) {
-			l.delete(m, "holds a higher token than any leader")
+			l.autoscaler.ReturnMachine(m, "holds a higher token than any leader")
 		}
 	}
 	if !left {
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -10,6 +10,7 @@
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
 )
 
 // These tests hold the bounds that a fleet of some thousand machines once met.
@@ -41,13 +42,13 @@
 // budget of calls and leave most of it to rentals, whatever the number of pages.
 func TestListOfLargeFleet(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	rps := float64(l.fleet.calls.Limit())
+	rps := l.n.cfg.Cluster.Cloud.RPS * tuning.CloudShare
 	pages, seconds := 0, 60
 	served := 0 // of the requests in l.n.out
 	for range seconds * 10 {
 		l.n.now = l.n.now.Add(100 * time.Millisecond)
 		l.n.tickTimers()
-		l.tickFleet()
+		l.autoscaler.Tick()
 		for ; served < len(l.n.out); served++ {
 			r, ok := l.n.out[served].(Request)
 			if !ok || r.To != ToCloud || r.Method != "GET" || r.Path == protocol.PathMachineTypes {
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -15,8 +16,9 @@
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
 	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
-		calls: n.workerCalls(), fleet: newFleet(n.cfg.Cluster.Cloud.RPS)}
+		calls: n.workerCalls()}
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
+	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
 	l.stored.l = l
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
@@ -123,7 +125,7 @@
 			names = append(names, m.ID)
 		}
 	}
-	l.forget(names...)
+	l.MachinesDeleted(names...)
 }
 
 // addJob takes a job from its own record.
@@ -148,10 +150,7 @@
 	j.StartDeadlines = l.cluster.StartDeadlines(j)
 	l.n.log.Debug("job", "job", j.ID, "class", s.Class, "shape", s.Shape, "tasks", s.Tasks, "gpus", s.GPUs, "team", s.Team, "estimate", s.EstimateS, "deadline", s.DeadlineS, "age", l.n.now.Sub(j.SubmittedAt).Seconds())
 	l.cluster.Jobs[j.ID] = j
-	l.lastJob = l.n.now
-	if !s.Spot {
-		l.lastOrdinary = l.n.now
-	}
+	l.autoscaler.JobSubmitted(s)
 	l.addTasks(j, 0, rec.Tasks)
 	return j
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -46,7 +46,7 @@
 				t.Fatalf("%s: orders %v", name, cmds)
 			}
 			l.runSchedulingCycle()
-			l.tickFleet()
+			l.autoscaler.Tick()
 			if txn, _ := l.nextTxn(t); txn != nil {
 				for _, c := range txn.Then {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 )
@@ -55,23 +56,22 @@
 				c.other(l, other)
 			}
 		}
-		l.fleet.load = map[protocol.ZoneName]int{}
-		want := map[offer]int{}
-		l.planReserve(want)
+		want := map[autoscaler.Offer]int{}
+		l.autoscaler.PlanReserve(want)
 		rented := 0
 		for o, n := range want {
 			rented += n
-			if o.zone != "b" {
-				t.Errorf("%s: rented in %s", c.name, o.zone)
+			if o.Zone != "b" {
+				t.Errorf("%s: rented in %s", c.name, o.Zone)
 			}
 		}
-		if rented != c.rented || other != nil && l.fleet.reserve[other] != c.kept {
-			t.Errorf("%s: %d rented, kept %v", c.name, rented, l.fleet.reserve[other])
+		if rented != c.rented || other != nil && l.autoscaler.KeptForZoneLoss(other) != c.kept {
+			t.Errorf("%s: %d rented, kept %v", c.name, rented, l.autoscaler.KeptForZoneLoss(other))
 		}
 		if c.kept {
 			l.n.now = l.n.now.Add(l.n.cfg.Operator.IdleReturn + time.Second)
 			other.Agent.LastHeartbeat = l.n.now
-			l.considerReturn(other, map[protocol.ZoneName]int{})
+			l.autoscaler.EvaluateScaleIn(other, map[protocol.ZoneName]int{})
 			if other.Deleting {
 				t.Errorf("%s: the machine is returned", c.name)
 			}
