--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -10,58 +10,58 @@
 )
 
 // dropAttempt takes an attempt that is proven gone out of every account.
-func (l *leader) dropAttempt(c *cluster.Attempt) {
-	j, m := c.Job, c.Machine
-	if !l.cluster.RemoveAttempt(c) {
+func (l *leader) dropAttempt(attempt *cluster.Attempt) {
+	job, machine := attempt.Job, attempt.Machine
+	if !l.cluster.RemoveAttempt(attempt) {
 		return
 	}
-	l.n.log.Debug("task gone", "job", j.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", m.ID, "state", c.ReportedState)
+	l.n.log.Debug("task gone", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "state", attempt.ReportedState)
 	l.plan = true
-	if j.Spec.Gang() && !c.Orphaned && !j.Complete() && !j.Stopping && len(j.Attempts) > 0 {
-		l.pinSurvivors(j)
-		l.endIncomplete(j)
+	if job.Spec.Gang() && !attempt.Orphaned && !job.Complete() && !job.Stopping && len(job.Attempts) > 0 {
+		l.pinSurvivors(job)
+		l.endIncomplete(job)
 	}
-	l.checkEnded(j)
+	l.checkEnded(job)
 }
 
 // endIncomplete ends an attempt of a gang of which some task is proven gone.
-func (l *leader) endIncomplete(j *cluster.Job) {
+func (l *leader) endIncomplete(job *cluster.Job) {
 	l.recovery.Observe(recovery.Difference{Class: recovery.GangIncomplete, Entry: -1,
-		ID: recovery.AttemptID{TaskID: recovery.TaskID{Job: j.ID}, Attempt: j.Epoch}})
-	l.endGang(j, 0)
+		ID: recovery.AttemptID{TaskID: recovery.TaskID{Job: job.ID}, Attempt: job.Epoch}})
+	l.endGang(job, 0)
 }
 
 // checkEnded looks whether a job's attempt, or the whole job, is over.
-func (l *leader) checkEnded(j *cluster.Job) {
-	if j.Finished || l.unreadable[j.ID] && !j.Cancelled {
+func (l *leader) checkEnded(job *cluster.Job) {
+	if job.Finished || l.unreadable[job.ID] && !job.Cancelled {
 		return
 	}
-	if j.Stopping && len(j.Attempts) == 0 {
-		j.Stopping = false
+	if job.Stopping && len(job.Attempts) == 0 {
+		job.Stopping = false
 		l.plan = true
 	}
 	switch {
-	case j.Cancelled:
-		for _, c := range j.SortedAttempts() {
-			l.Stop(c, 0)
+	case job.Cancelled:
+		for _, attempt := range job.SortedAttempts() {
+			l.Stop(attempt, 0)
 		}
-		if len(j.Attempts) == 0 {
-			l.touch(j, 0)
+		if len(job.Attempts) == 0 {
+			l.touch(job, 0)
 		}
-	case j.Complete():
-		l.touch(j, 0)
-	case j.Spec.Gang() && len(j.Attempts) > 0 && !j.Stopping && l.isBroken(j):
-		l.endIncomplete(j)
+	case job.Complete():
+		l.touch(job, 0)
+	case job.Spec.Gang() && len(job.Attempts) > 0 && !job.Stopping && l.isBroken(job):
+		l.endIncomplete(job)
 	}
 }
 
 // isBroken says whether a gang's attempt can no longer become whole.
-func (l *leader) isBroken(j *cluster.Job) bool {
-	g := recovery.GangAttempt{Tasks: len(j.Tasks)}
-	for _, c := range j.Attempts {
+func (l *leader) isBroken(job *cluster.Job) bool {
+	g := recovery.GangAttempt{Tasks: len(job.Tasks)}
+	for _, attempt := range job.Attempts {
 		switch {
-		case c.Orphaned: // an older attempt that is being ended
-		case c.Key.Number == j.Epoch:
+		case attempt.Orphaned: // an older attempt that is being ended
+		case attempt.Key.Number == job.Epoch:
 			g.Present++
 		default:
 			g.Older++
@@ -72,57 +72,57 @@
 
 // endGang ends a gang's attempt: every task is told to stop at once, so that
 // an orderly stop reaches all of them within the gang's patience.
-func (l *leader) endGang(j *cluster.Job, grace float64) {
-	if len(j.Attempts) == 0 {
+func (l *leader) endGang(job *cluster.Job, grace float64) {
+	if len(job.Attempts) == 0 {
 		return // nothing would ever end the stop
 	}
-	j.Stopping = true
-	l.n.log.Debug("gang stops", "job", j.ID, "attempt", j.Epoch, "grace", grace)
-	for _, c := range j.SortedAttempts() {
-		l.Stop(c, grace)
+	job.Stopping = true
+	l.n.log.Debug("gang stops", "job", job.ID, "attempt", job.Epoch, "grace", grace)
+	for _, attempt := range job.SortedAttempts() {
+		l.Stop(attempt, grace)
 	}
 }
 
 // pinSurvivors keeps the machines of a broken gang's other tasks for its next
 // attempt: the repair then only has to find room for what was lost.
-func (l *leader) pinSurvivors(j *cluster.Job) {
-	j.Survivors = map[protocol.MachineID]bool{}
-	for _, c := range j.SortedAttempts() {
-		j.Survivors[c.Machine.ID] = true
-		if c.Machine.ReservedFor == nil {
-			c.Machine.ReserveFor(j, l.n.now.Add(tuning.HoldFor))
+func (l *leader) pinSurvivors(job *cluster.Job) {
+	job.Survivors = map[protocol.MachineID]bool{}
+	for _, attempt := range job.SortedAttempts() {
+		job.Survivors[attempt.Machine.ID] = true
+		if attempt.Machine.ReservedFor == nil {
+			attempt.Machine.ReserveFor(job, l.n.now.Add(tuning.HoldFor))
 		}
 	}
 }
 
 // Stop asks an attempt to end. One whose start never left is gone at once,
 // unless the transaction that places it is still under way.
-func (l *leader) Stop(c *cluster.Attempt, grace float64) {
-	if !c.Stopping || grace < c.GraceS {
-		c.Stopping, c.GraceS, c.StopSentAt = true, grace, time.Time{}
+func (l *leader) Stop(attempt *cluster.Attempt, grace float64) {
+	if !attempt.Stopping || grace < attempt.GraceS {
+		attempt.Stopping, attempt.GraceS, attempt.StopSentAt = true, grace, time.Time{}
 	}
-	if !c.StartSent && !(c.Job.Write.InFlight && !c.Committed) {
-		l.dropAttempt(c)
+	if !attempt.StartSent && !(attempt.Job.Write.InFlight && !attempt.Committed) {
+		l.dropAttempt(attempt)
 		return
 	}
-	l.sendSoon(c.Machine)
+	l.sendSoon(attempt.Machine)
 }
 
 // setDone notes that a task has completed. The tasks of a gang complete
 // together: if one is done, every one is.
-func (l *leader) setDone(j *cluster.Job, index int) {
-	if j.Finished || j.Tasks[index].Done || j.Spec.Service() {
+func (l *leader) setDone(job *cluster.Job, index int) {
+	if job.Finished || job.Tasks[index].Done || job.Spec.Service() {
 		return // a replica is never done, whatever it says
 	}
 	mark := func(i int) {
-		if !j.Tasks[i].Done {
-			j.Tasks[i].Done = true
-			j.DoneTasks++
-			l.touch(j, j.RecordOf(i))
+		if !job.Tasks[i].Done {
+			job.Tasks[i].Done = true
+			job.DoneTasks++
+			l.touch(job, job.RecordOf(i))
 		}
 	}
-	if j.Spec.Gang() {
-		for i := range j.Tasks {
+	if job.Spec.Gang() {
+		for i := range job.Tasks {
 			mark(i)
 		}
 	} else {
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -86,8 +86,8 @@
 }
 
 // Deleted says whether a machine is gone for certain.
-func (as *Autoscaler) Deleted(machine protocol.MachineID) bool {
-	_, deleted := as.deleted[machine]
+func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool {
+	_, deleted := as.deleted[machineID]
 	return deleted
 }
 
@@ -98,14 +98,14 @@
 func (as *Autoscaler) KeptForZoneLoss(machine *cluster.Machine) bool { return as.zoneReserve[machine] }
 
 // NoteDeleted notes that a machine is gone for certain.
-func (as *Autoscaler) NoteDeleted(machine protocol.MachineID) { as.deleted[machine] = as.state.Now() }
+func (as *Autoscaler) NoteDeleted(machineID protocol.MachineID) { as.deleted[machineID] = as.state.Now() }
 
 func (as *Autoscaler) Tick() {
 	now := as.state.Now()
 	as.scheduler.MoveReplicas()
 	spares := as.Spares()
-	for _, m := range as.state.OrderedMachines {
-		as.EvaluateScaleIn(m, spares)
+	for _, machine := range as.state.OrderedMachines {
+		as.EvaluateScaleIn(machine, spares)
 	}
 	if !as.deleting && !now.Before(as.deleteNotBefore) {
 		as.sendDeletes()
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -23,14 +23,14 @@
 	}
 	var list []choice
 	p := consolidation{left: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
-	for _, m := range as.state.OrderedMachines {
-		t := as.state.TypeOf(m)
-		if !as.state.Schedulable(m) || m.ReservedFor != nil || len(m.Attempts) == 0 || t.GPUs == 0 {
+	for _, machine := range as.state.OrderedMachines {
+		machineType := as.state.TypeOf(machine)
+		if !as.state.Schedulable(machine) || machine.ReservedFor != nil || len(machine.Attempts) == 0 || machineType.GPUs == 0 {
 			continue
 		}
-		p.targets = append(p.targets, m)
-		if m.Used.GPUs <= t.GPUs*tuning.PackBelow {
-			list = append(list, choice{m, as.state.PriceOf(m) * (t.GPUs - m.Used.GPUs)})
+		p.targets = append(p.targets, machine)
+		if machine.Used.GPUs <= machineType.GPUs*tuning.PackBelow {
+			list = append(list, choice{machine, as.state.PriceOf(machine) * (machineType.GPUs - machine.Used.GPUs)})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b choice) int { return cmp.Compare(b.waste, a.waste) })
@@ -58,17 +58,17 @@
 
 // canBeEmptied says whether all that a machine carries is worth moving and fits on
 // other machines that are not dearer; if so the room is taken there.
-func (as *Autoscaler) canBeEmptied(m *cluster.Machine, p *consolidation) bool {
+func (as *Autoscaler) canBeEmptied(machine *cluster.Machine, p *consolidation) bool {
 	taken := map[*cluster.Machine]cluster.Resources{}
-	for _, c := range cluster.SortedAttemptsOn(m) {
-		s := c.Job.Spec
-		rest := s.EstimateS - as.state.Now().Sub(c.RunningSince).Seconds()
-		if c.Stopping || c.RunningSince.IsZero() || s.Gang() || s.CheckpointS == 0 || rest < tuning.PackWorth {
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		spec := attempt.Job.Spec
+		rest := spec.EstimateS - as.state.Now().Sub(attempt.RunningSince).Seconds()
+		if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 || rest < tuning.PackWorth {
 			return false
 		}
 		found := false
 		for _, o := range p.targets {
-			if o == m || p.emptied[o] || as.state.PriceOf(o) > as.state.PriceOf(m) || !as.state.Usable(c.Job, o) {
+			if o == machine || p.emptied[o] || as.state.PriceOf(o) > as.state.PriceOf(machine) || !as.state.Usable(attempt.Job, o) {
 				continue
 			}
 			r, ok := taken[o]
@@ -77,8 +77,8 @@
 					r = as.state.FreeResources(o)
 				}
 			}
-			if r.Fit(s, 1) == 1 {
-				r.AddTasks(s, -1)
+			if r.Fit(spec, 1) == 1 {
+				r.AddTasks(spec, -1)
 				taken[o], found = r, true
 				break
 			}
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -57,29 +57,29 @@
 	if _, gone := as.deleted[e.ID]; gone {
 		return
 	}
-	m := as.state.Machines[e.ID]
-	if m == nil {
-		m = as.state.EnsureMachine(e.ID, e.Address, e.Type, e.Zone, e.Spot)
-		m.CreatedAt = as.state.Now().Add(-config.Seconds(min(max(e.AgeS, 0), 1e6)))
+	machine := as.state.Machines[e.ID]
+	if machine == nil {
+		machine = as.state.EnsureMachine(e.ID, e.Address, e.Type, e.Zone, e.Spot)
+		machine.CreatedAt = as.state.Now().Add(-config.Seconds(min(max(e.AgeS, 0), 1e6)))
 		if e.Phase == protocol.MachineRunning {
 			// It is up but has yet to report to this leader: it gets its time.
-			m.CreatedAt = as.state.Now()
+			machine.CreatedAt = as.state.Now()
 		}
 	}
-	if m.Address == "" {
-		m.Address = e.Address
+	if machine.Address == "" {
+		machine.Address = e.Address
 	}
-	m.Phase = e.Phase
+	machine.Phase = e.Phase
 }
 
 // Booting says whether a machine that never reported is still expected to. One
 // that a predecessor recorded may have been returned since; unless the machine
 // list shows it, it is not waited for.
-func (as *Autoscaler) Booting(m *cluster.Machine) bool {
-	if m.Agent.Heard || m.Agent.Incarnation > 0 {
+func (as *Autoscaler) Booting(machine *cluster.Machine) bool {
+	if machine.Agent.Heard || machine.Agent.Incarnation > 0 {
 		return false
 	}
-	if !m.Recovered || m.Phase == protocol.MachineBooting {
+	if !machine.Recovered || machine.Phase == protocol.MachineBooting {
 		return true
 	}
 	lag := 2*config.Seconds(as.state.Config.Cluster.Cloud.ListLagS) + as.ListInterval()
--- a/internal/coordination/autoscaler/offer.go
+++ b/internal/coordination/autoscaler/offer.go
@@ -16,30 +16,30 @@
 }
 
 // offers lists what could be rented for a job, the cheapest first.
-func (as *Autoscaler) offers(j *cluster.Job, zone protocol.ZoneName) []Offer {
+func (as *Autoscaler) offers(job *cluster.Job, zone protocol.ZoneName) []Offer {
 	type priced struct {
 		Offer
 		price float64
 	}
 	var list []priced
-	for _, t := range as.state.Types {
-		if !t.Fits(j.Spec) {
+	for _, machineType := range as.state.Types {
+		if !machineType.Fits(job.Spec) {
 			continue
 		}
-		for _, z := range t.Zones {
-			if zone != "" && z != zone || j.Spec.Zone != "" && z != j.Spec.Zone {
+		for _, z := range machineType.Zones {
+			if zone != "" && z != zone || job.Spec.Zone != "" && z != job.Spec.Zone {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				o := Offer{t.Name, z, spot}
-				if spot && !j.Spec.Spot || as.state.Now().Before(as.unavailable[o]) {
+				o := Offer{machineType.Name, z, spot}
+				if spot && !job.Spec.Spot || as.state.Now().Before(as.unavailable[o]) {
 					continue
 				}
-				price := t.Price
+				price := machineType.Price
 				if spot {
-					price = t.SpotPrice
+					price = machineType.SpotPrice
 				}
-				list = append(list, priced{o, price / float64(max(1, cluster.CapacityOf(t).Fit(j.Spec, len(j.Tasks))))})
+				list = append(list, priced{o, price / float64(max(1, cluster.CapacityOf(machineType).Fit(job.Spec, len(job.Tasks))))})
 			}
 		}
 	}
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -10,22 +10,22 @@
 )
 
 // EvaluateScaleIn decides whether a machine is to go.
-func (as *Autoscaler) EvaluateScaleIn(m *cluster.Machine, spares map[protocol.ZoneName]int) {
-	if m.Deleting {
+func (as *Autoscaler) EvaluateScaleIn(machine *cluster.Machine, spares map[protocol.ZoneName]int) {
+	if machine.Deleting {
 		return
 	}
 	now := as.state.Now()
-	t := as.state.TypeOf(m)
+	machineType := as.state.TypeOf(machine)
 	switch {
-	case m.Phase == protocol.MachineFailed:
-		as.ReturnMachine(m, "failed")
-	case !m.Agent.Heard && m.Agent.Incarnation == 0 && t != nil && now.Sub(m.CreatedAt) > config.Seconds(t.BootS*tuning.BootPatience)+tuning.BootSlack:
-		as.ReturnMachine(m, "never came up")
-	case len(m.Attempts) > 0 || !m.Agent.Heard || m.Agent.LeaseExpired:
-	case m.Cordoned:
-		as.ReturnMachine(m, "emptied")
-	case m.ReservedFor == nil && now.Sub(m.IdleSince) > as.state.Config.Operator.IdleReturn && !as.isWantedSpare(m, spares) && !as.zoneReserve[m]:
-		as.ReturnMachine(m, "idle")
+	case machine.Phase == protocol.MachineFailed:
+		as.ReturnMachine(machine, "failed")
+	case !machine.Agent.Heard && machine.Agent.Incarnation == 0 && machineType != nil && now.Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootPatience)+tuning.BootSlack:
+		as.ReturnMachine(machine, "never came up")
+	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
+	case machine.Cordoned:
+		as.ReturnMachine(machine, "emptied")
+	case machine.ReservedFor == nil && now.Sub(machine.IdleSince) > as.state.Config.Operator.IdleReturn && !as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
+		as.ReturnMachine(machine, "idle")
 	}
 }
 
@@ -38,46 +38,46 @@
 	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareMemory {
 		return count
 	}
-	for _, m := range as.state.OrderedMachines {
-		if as.mayBeSpare(m) {
-			count[m.Zone]++
+	for _, machine := range as.state.OrderedMachines {
+		if as.mayBeSpare(machine) {
+			count[machine.Zone]++
 		}
 	}
 	return count
 }
 
-func (as *Autoscaler) mayBeSpare(m *cluster.Machine) bool {
+func (as *Autoscaler) mayBeSpare(machine *cluster.Machine) bool {
 	ordinary := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareMemory
-	return as.state.Schedulable(m) && !(ordinary && m.Spot) && m.OnlyLowestPriority()
+	return as.state.Schedulable(machine) && !(ordinary && machine.Spot) && machine.OnlyLowestPriority()
 }
 
 // isWantedSpare says whether an idle machine is one of its zone's spares. One
 // that is not no longer counts as such.
-func (as *Autoscaler) isWantedSpare(m *cluster.Machine, spares map[protocol.ZoneName]int) bool {
-	if spares[m.Zone] == 0 || !as.mayBeSpare(m) {
+func (as *Autoscaler) isWantedSpare(machine *cluster.Machine, spares map[protocol.ZoneName]int) bool {
+	if spares[machine.Zone] == 0 || !as.mayBeSpare(machine) {
 		return false
 	}
-	if spares[m.Zone] <= as.state.Config.Operator.SparesPerZone {
+	if spares[machine.Zone] <= as.state.Config.Operator.SparesPerZone {
 		return true
 	}
-	spares[m.Zone]--
+	spares[machine.Zone]--
 	return false
 }
 
 // ReturnMachine marks a machine to be returned.
-func (as *Autoscaler) ReturnMachine(m *cluster.Machine, why string) {
-	if m.Deleting {
+func (as *Autoscaler) ReturnMachine(machine *cluster.Machine, why string) {
+	if machine.Deleting {
 		return
 	}
-	m.Deleting = true
-	as.log.Info("returning machine", "machine", m.ID, "why", why)
+	machine.Deleting = true
+	as.log.Info("returning machine", "machine", machine.ID, "why", why)
 }
 
 func (as *Autoscaler) sendDeletes() {
 	var names []protocol.MachineID
-	for _, m := range as.state.OrderedMachines {
-		if m.Deleting && len(names) < tuning.DeleteCount {
-			names = append(names, m.ID)
+	for _, machine := range as.state.OrderedMachines {
+		if machine.Deleting && len(names) < tuning.DeleteCount {
+			names = append(names, machine.ID)
 		}
 	}
 	if len(names) == 0 || !as.calls.AllowN(as.state.Now(), 1) {
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -20,8 +20,8 @@
 
 // serves says whether a job could use the room. Room that the job avoids must
 // not count, or it would wait for it instead of for a machine to rent.
-func (as *Autoscaler) serves(r *capacitySlot, j *cluster.Job) bool {
-	return cluster.Allows(j.Spec, r.offer.TypeName, r.offer.Zone, r.offer.Spot) && (r.machine == nil || !as.state.Avoids(j, r.machine))
+func (as *Autoscaler) serves(r *capacitySlot, job *cluster.Job) bool {
+	return cluster.Allows(job.Spec, r.offer.TypeName, r.offer.Zone, r.offer.Spot) && (r.machine == nil || !as.state.Avoids(job, r.machine))
 }
 
 // ScaleOut asks for the machines that waiting jobs lack, beyond those that are
@@ -52,24 +52,24 @@
 	as.machinesIn = map[protocol.ZoneName]int{}
 	k := &scaleOutPlan{autoscaler: as, slots: map[protocol.ZoneName][]*capacitySlot{}, want: map[Offer]int{},
 		anyWithoutGPUs: slices.ContainsFunc(as.Demand, func(d scheduler.Demand) bool { return d.Job.Spec.GPUs == 0 })}
-	for _, m := range as.state.OrderedMachines {
-		as.machinesIn[m.Zone]++
-		t := as.state.TypeOf(m)
-		if t == nil || m.Deleting || m.Cordoned {
+	for _, machine := range as.state.OrderedMachines {
+		as.machinesIn[machine.Zone]++
+		machineType := as.state.TypeOf(machine)
+		if machineType == nil || machine.Deleting || machine.Cordoned {
 			continue
 		}
 		// What is booting, or has yet to report to a new leader, is not rented again.
-		booting := as.Booting(m) || !m.Agent.Heard && as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout()
-		if !booting && (!as.state.HeardRecently(m) || as.state.NotReceiving(m) || as.state.NotReporting(m) || !m.Agent.TokenConfirmed && !m.Recorded) {
+		booting := as.Booting(machine) || !machine.Agent.Heard && as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout()
+		if !booting && (!as.state.HeardRecently(machine) || as.state.NotReceiving(machine) || as.state.NotReporting(machine) || !machine.Agent.TokenConfirmed && !machine.Recorded) {
 			continue
 		}
-		left := as.state.FreeResources(m)
-		for _, c := range m.Attempts {
-			if c.Stopping || as.endsWithin(c, config.Seconds(t.BootS)) {
-				left.AddTasks(c.Job.Spec, 1) // free before a rented machine would be up
+		left := as.state.FreeResources(machine)
+		for _, attempt := range machine.Attempts {
+			if attempt.Stopping || as.endsWithin(attempt, config.Seconds(machineType.BootS)) {
+				left.AddTasks(attempt.Job.Spec, 1) // free before a rented machine would be up
 			}
 		}
-		k.add(&capacitySlot{m, Offer{m.TypeName, m.Zone, m.Spot}, left})
+		k.add(&capacitySlot{machine, Offer{machine.TypeName, machine.Zone, machine.Spot}, left})
 	}
 	for _, r := range as.rentals {
 		for range r.count {
@@ -81,27 +81,27 @@
 
 // endsWithin says whether an attempt is likely to end within a span, by its
 // owner's estimate; one that has outrun its estimate may take as long again.
-func (as *Autoscaler) endsWithin(c *cluster.Attempt, d time.Duration) bool {
-	if c.RunningSince.IsZero() || c.Job.Spec.Service() {
+func (as *Autoscaler) endsWithin(attempt *cluster.Attempt, d time.Duration) bool {
+	if attempt.RunningSince.IsZero() || attempt.Job.Spec.Service() {
 		return false
 	}
-	estimate := config.Seconds(c.Job.Spec.EstimateS * tuning.EstimateSlack)
-	left := estimate - as.state.Now().Sub(c.RunningSince)
+	estimate := config.Seconds(attempt.Job.Spec.EstimateS * tuning.EstimateSlack)
+	left := estimate - as.state.Now().Sub(attempt.RunningSince)
 	return left > 0 && left <= d
 }
 
 // hasSlack says whether a job's deadline leaves time to wait for machines that
 // others free: renting later would still do.
-func (as *Autoscaler) hasSlack(j *cluster.Job) bool {
-	if j.Spec.DeadlineS <= 0 || j.Spec.Gang() || j.Spec.Service() {
+func (as *Autoscaler) hasSlack(job *cluster.Job) bool {
+	if job.Spec.DeadlineS <= 0 || job.Spec.Gang() || job.Spec.Service() {
 		return false
 	}
 	boot := 0.0
-	for _, t := range as.state.Types {
-		if t.Fits(j.Spec) {
-			boot = max(boot, t.BootS)
+	for _, machineType := range as.state.Types {
+		if machineType.Fits(job.Spec) {
+			boot = max(boot, machineType.BootS)
 		}
 	}
-	need := config.Seconds(j.Spec.EstimateS*tuning.EstimateSlack + as.state.ImageFetchSeconds(j.Spec) + boot*tuning.BootSlackShare)
-	return as.state.Now().Add(need).Before(j.SubmittedAt.Add(config.Seconds(j.Spec.DeadlineS)))
+	need := config.Seconds(job.Spec.EstimateS*tuning.EstimateSlack + as.state.ImageFetchSeconds(job.Spec) + boot*tuning.BootSlackShare)
+	return as.state.Now().Add(need).Before(job.SubmittedAt.Add(config.Seconds(job.Spec.DeadlineS)))
 }
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -28,33 +28,33 @@
 
 // exhausted says whether nothing that waits can have any of the room.
 func (k *scaleOutPlan) exhausted(r *capacitySlot) bool {
-	t := k.autoscaler.state.Types[r.offer.TypeName]
-	return r.free.CPUs < cluster.AmountTolerance || r.free.MemoryGB < cluster.AmountTolerance || !k.anyWithoutGPUs && t.GPUs > 0 && r.free.GPUs < cluster.AmountTolerance
+	machineType := k.autoscaler.state.Types[r.offer.TypeName]
+	return r.free.CPUs < cluster.AmountTolerance || r.free.MemoryGB < cluster.AmountTolerance || !k.anyWithoutGPUs && machineType.GPUs > 0 && r.free.GPUs < cluster.AmountTolerance
 }
 
 // shortage is how many of n tasks find no room in a zone.
-func (k *scaleOutPlan) shortage(j *cluster.Job, zone protocol.ZoneName, n int) int {
+func (k *scaleOutPlan) shortage(job *cluster.Job, zone protocol.ZoneName, n int) int {
 	for _, r := range k.slots[zone] {
 		if n == 0 {
 			break
 		}
-		if k.autoscaler.serves(r, j) {
-			n -= r.free.Fit(j.Spec, n)
+		if k.autoscaler.serves(r, job) {
+			n -= r.free.Fit(job.Spec, n)
 		}
 	}
 	return n
 }
 
 // take gives up to n tasks room in a zone and returns how many have it.
-func (k *scaleOutPlan) take(j *cluster.Job, zone protocol.ZoneName, n int) (taken int) {
+func (k *scaleOutPlan) take(job *cluster.Job, zone protocol.ZoneName, n int) (taken int) {
 	used := false
 	for _, r := range k.slots[zone] {
 		if taken == n {
 			break
 		}
-		if k.autoscaler.serves(r, j) {
-			fits := r.free.Fit(j.Spec, n-taken)
-			r.free.AddTasks(j.Spec, -fits)
+		if k.autoscaler.serves(r, job) {
+			fits := r.free.Fit(job.Spec, n-taken)
+			r.free.AddTasks(job.Spec, -fits)
 			taken += fits
 			used = used || fits > 0 && k.exhausted(r)
 		}
@@ -66,11 +66,11 @@
 }
 
 // rent wants machines for n tasks.
-func (k *scaleOutPlan) rent(j *cluster.Job, o Offer, n int) {
+func (k *scaleOutPlan) rent(job *cluster.Job, o Offer, n int) {
 	for n > 0 {
 		r := &capacitySlot{nil, o, cluster.CapacityOf(k.autoscaler.state.Types[o.TypeName])}
-		fits := r.free.Fit(j.Spec, n)
-		r.free.AddTasks(j.Spec, -fits)
+		fits := r.free.Fit(job.Spec, n)
+		r.free.AddTasks(job.Spec, -fits)
 		n -= fits
 		k.want[o]++
 		k.add(r)
@@ -107,11 +107,11 @@
 // planTasks takes room for tasks that may be anywhere, within what the job allows
 // of each zone.
 func (k *scaleOutPlan) planTasks(d scheduler.Demand) {
-	j, need := d.Job, d.Tasks
-	limit, only := k.autoscaler.state.ZoneLimits(j)
+	job, need := d.Job, d.Tasks
+	limit, only := k.autoscaler.state.ZoneLimits(job)
 	for _, z := range k.autoscaler.state.Config.Cluster.Zones {
 		if only == "" || only == z {
-			n := k.take(j, z, min(need, limit[z]))
+			n := k.take(job, z, min(need, limit[z]))
 			need -= n
 			limit[z] -= n
 		}
@@ -119,13 +119,13 @@
 	if need == 0 {
 		return
 	}
-	wait := k.autoscaler.hasSlack(j)
-	for _, o := range k.autoscaler.offers(j, only) {
+	wait := k.autoscaler.hasSlack(job)
+	for _, o := range k.autoscaler.offers(job, only) {
 		if wait && !o.Spot {
 			continue // an ordinary machine is for when time runs out
 		}
 		n := min(need, limit[o.Zone])
-		k.rent(j, o, n)
+		k.rent(job, o, n)
 		need -= n
 		limit[o.Zone] -= n
 	}
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -64,19 +64,19 @@
 // replicas first.
 func (as *Autoscaler) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
 	zones := map[protocol.ZoneName][]zoneReplicas{}
-	for _, j := range as.state.Jobs {
-		if !j.Spec.Service() || j.Cancelled || j.Failures.Attributed > 0 {
+	for _, job := range as.state.Jobs {
+		if !job.Spec.Service() || job.Cancelled || job.Failures.Attributed > 0 {
 			continue
 		}
 		per := map[protocol.ZoneName]int{}
-		for i := range j.Tasks {
-			if c := j.Tasks[i].Active; c != nil && !c.Stopping {
-				per[c.Machine.Zone]++
+		for i := range job.Tasks {
+			if attempt := job.Tasks[i].Active; attempt != nil && !attempt.Stopping {
+				per[attempt.Machine.Zone]++
 			}
 		}
 		for zone, n := range per {
-			if n = min(n, j.MovableFrom(zone, per, as.state.Config.Cluster.Zones)); n > 0 {
-				zones[zone] = append(zones[zone], zoneReplicas{j, n})
+			if n = min(n, job.MovableFrom(zone, per, as.state.Config.Cluster.Zones)); n > 0 {
+				zones[zone] = append(zones[zone], zoneReplicas{job, n})
 			}
 		}
 	}
@@ -92,17 +92,17 @@
 // idle ones, so that no more of these are kept than are needed.
 func (z *zoneReservePlan) addSlots() {
 	as := z.autoscaler
-	for _, m := range as.state.OrderedMachines {
-		t := as.state.TypeOf(m)
-		if t == nil || m.Deleting || m.Cordoned || !as.state.Schedulable(m) && !as.Booting(m) {
+	for _, machine := range as.state.OrderedMachines {
+		machineType := as.state.TypeOf(machine)
+		if machineType == nil || machine.Deleting || machine.Cordoned || !as.state.Schedulable(machine) && !as.Booting(machine) {
 			continue
 		}
-		s := &reserveSlot{capacitySlot: capacitySlot{m, Offer{m.TypeName, m.Zone, m.Spot}, as.state.FreeResources(m)}}
-		for _, c := range m.Attempts {
-			if !c.Job.Spec.Gang() {
+		s := &reserveSlot{capacitySlot: capacitySlot{machine, Offer{machine.TypeName, machine.Zone, machine.Spot}, as.state.FreeResources(machine)}}
+		for _, attempt := range machine.Attempts {
+			if !attempt.Job.Spec.Gang() {
 				room := cluster.Resources{}
-				room.AddTasks(c.Job.Spec, 1)
-				s.preemptible = append(s.preemptible, preemptibleTask{int(c.Job.Priority), room})
+				room.AddTasks(attempt.Job.Spec, 1)
+				s.preemptible = append(s.preemptible, preemptibleTask{int(attempt.Job.Priority), room})
 			}
 		}
 		z.slots = append(z.slots, s)
@@ -161,9 +161,9 @@
 }
 
 // take gives replicas a slot's room and returns how many have it.
-func (z *zoneReservePlan) take(s *reserveSlot, j *cluster.Job, need int) int {
-	n := s.rest.Fit(j.Spec, need)
-	s.rest.AddTasks(j.Spec, -n)
+func (z *zoneReservePlan) take(s *reserveSlot, job *cluster.Job, need int) int {
+	n := s.rest.Fit(job.Spec, need)
+	s.rest.AddTasks(job.Spec, -n)
 	if n > 0 && s.machine != nil && len(s.machine.Attempts) == 0 {
 		z.idle[s.machine] = true
 	}
@@ -172,14 +172,14 @@
 
 // rent wants machines for replicas that have no place outside a zone: in the zone of
 // the others that has the fewest machines, of the cheapest kind.
-func (z *zoneReservePlan) rent(lost protocol.ZoneName, j *cluster.Job, need int) {
+func (z *zoneReservePlan) rent(lost protocol.ZoneName, job *cluster.Job, need int) {
 	for need > 0 && len(z.slots) < tuning.ReserveSlots {
 		var best *Offer
 		for _, zone := range z.autoscaler.state.Config.Cluster.Zones {
 			if zone == lost {
 				continue
 			}
-			list := z.autoscaler.offers(j, zone)
+			list := z.autoscaler.offers(job, zone)
 			if len(list) > 0 && (best == nil || z.autoscaler.machinesIn[zone] < z.autoscaler.machinesIn[best.Zone]) {
 				best = &list[0]
 			}
@@ -189,7 +189,7 @@
 		}
 		s := z.addRented(*best)
 		s.rest = s.free
-		n := z.take(s, j, need)
+		n := z.take(s, job, need)
 		if n == 0 {
 			return
 		}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -55,35 +55,35 @@
 
 // addJob adds as much of a job as fits. A job's own record goes last, so that
 // a gang's new epoch shows only when every task's place is written.
-func (b *batch) addJob(j *cluster.Job) {
-	if phase := j.FinalPhase(); phase != "" {
-		f := &bookkeeping.Final{Writer: b.tx.writer, Phase: phase, Done: j.DoneTasks}
+func (b *batch) addJob(job *cluster.Job) {
+	if phase := job.FinalPhase(); phase != "" {
+		f := &bookkeeping.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 		if !b.fits(2, 2, 400) {
 			return
 		}
-		b.guard(bookkeeping.JobKey(j.ID), j.Records.Revisions[0])
-		b.guard(bookkeeping.FinalKey(j.ID), 0)
-		b.set(bookkeeping.FinalKey(j.ID), bookkeeping.Encode(f))
-		b.remove(bookkeeping.JobKey(j.ID))
-		clear(j.Write.Dirty)
-		j.Write.InFlight = true
-		b.tx.jobs = append(b.tx.jobs, &jobWrite{j: j, final: f})
+		b.guard(bookkeeping.JobKey(job.ID), job.Records.Revisions[0])
+		b.guard(bookkeeping.FinalKey(job.ID), 0)
+		b.set(bookkeeping.FinalKey(job.ID), bookkeeping.Encode(f))
+		b.remove(bookkeeping.JobKey(job.ID))
+		clear(job.Write.Dirty)
+		job.Write.InFlight = true
+		b.tx.jobs = append(b.tx.jobs, &jobWrite{j: job, final: f})
 		return
 	}
-	if j.Records.Quarantined {
+	if job.Records.Quarantined {
 		return
 	}
-	w := &jobWrite{j: j}
-	if parts := b.l.splitRecords(j); parts != nil {
+	w := &jobWrite{j: job}
+	if parts := b.l.splitRecords(job); parts != nil {
 		b.addParts(w, parts)
 	} else {
 		b.addRecords(w)
 	}
 	if len(w.records) > 0 {
 		if w.records[len(w.records)-1] != 0 {
-			j.Write.Dirty[0] = true
+			job.Write.Dirty[0] = true
 		}
-		j.Write.InFlight = true
+		job.Write.InFlight = true
 		b.tx.jobs = append(b.tx.jobs, w)
 	}
 }
@@ -98,26 +98,26 @@
 
 // recordWrite makes one. An array's places in more machine records than a transaction has
 // conditions for are given up, and planned again.
-func (b *batch) recordWrite(j *cluster.Job, r int) recordWrite {
-	tasks, placed := recordContent(j, r)
+func (b *batch) recordWrite(job *cluster.Job, r int) recordWrite {
+	tasks, placed := recordContent(job, r)
 	p := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
 	most, dropped := bookkeeping.GangRecordTasks(b.l.limits().TxnOps), false
-	for _, c := range placed {
-		if c.Machine.Record == nil || p.machineRecords[c.Machine.Record] {
+	for _, attempt := range placed {
+		if attempt.Machine.Record == nil || p.machineRecords[attempt.Machine.Record] {
 			continue
 		}
-		if len(p.machineRecords) >= most && !j.Spec.Gang() {
-			b.l.dropAttempt(c)
+		if len(p.machineRecords) >= most && !job.Spec.Gang() {
+			b.l.dropAttempt(attempt)
 			dropped = true
 			continue
 		}
-		p.machineRecords[c.Machine.Record] = true
+		p.machineRecords[attempt.Machine.Record] = true
 	}
 	if dropped {
-		tasks, p.placed = recordContent(j, r)
+		tasks, p.placed = recordContent(job, r)
 	}
 	if r == 0 {
-		p.value = bookkeeping.Encode(jobRecord(j, b.tx.writer, tasks))
+		p.value = bookkeeping.Encode(jobRecord(job, b.tx.writer, tasks))
 	} else {
 		p.value = bookkeeping.Encode(bookkeeping.TaskRecord{Writer: b.tx.writer, Tasks: tasks})
 	}
@@ -154,31 +154,31 @@
 	if !b.fits(len(pieces), conditions, bytes+conditions*tuning.ConditionBytes) {
 		return false
 	}
-	j := w.j
+	job := w.j
 	for _, p := range pieces {
-		key := bookkeeping.JobKey(j.ID)
+		key := bookkeeping.JobKey(job.ID)
 		if p.record > 0 {
-			key = bookkeeping.TaskRecordKey(j.ID, p.record)
+			key = bookkeeping.TaskRecordKey(job.ID, p.record)
 		}
-		b.guard(key, j.Records.Revisions[p.record])
+		b.guard(key, job.Records.Revisions[p.record])
 		b.set(key, p.value)
-		for _, c := range p.placed {
-			if c.Machine.Record != nil {
-				b.guardMachineRecord(c.Machine.Record)
+		for _, attempt := range p.placed {
+			if attempt.Machine.Record != nil {
+				b.guardMachineRecord(attempt.Machine.Record)
 			}
 		}
 		w.records = append(w.records, p.record)
 		w.placed = append(w.placed, p.placed...)
-		delete(j.Write.Dirty, p.record)
+		delete(job.Write.Dirty, p.record)
 	}
 	return true
 }
 
 // addRecords adds as many of a job's changed records as fit.
 func (b *batch) addRecords(w *jobWrite) {
-	j := w.j
+	job := w.j
 	var records []int
-	for r := range j.Write.Dirty {
+	for r := range job.Write.Dirty {
 		records = append(records, r)
 	}
 	slices.Sort(records)
@@ -187,37 +187,37 @@
 		records = records[1:]
 	}
 	for _, r := range records {
-		if !b.addRecordWrites(w, b.recordWrite(j, r)) {
+		if !b.addRecordWrites(w, b.recordWrite(job, r)) {
 			return // further records first
 		}
 	}
-	b.addRecordWrites(w, b.recordWrite(j, 0))
+	b.addRecordWrites(w, b.recordWrite(job, 0))
 }
 
 // addParts adds the records that complete a split, or as many of the new parts as
 // fit if one transaction cannot hold all of them.
 func (b *batch) addParts(w *jobWrite, records []int) {
-	j := w.j
+	job := w.j
 	alone := len(b.txn.Then) == 0
 	var writes []recordWrite
 	for _, r := range records {
-		writes = append(writes, b.recordWrite(j, r))
+		writes = append(writes, b.recordWrite(job, r))
 	}
 	if b.addRecordWrites(w, writes...) {
 		return
 	}
 	for _, r := range records {
-		j.Write.Dirty[r] = true
+		job.Write.Dirty[r] = true
 	}
 	switch {
 	case b.fitsOneTransaction(writes):
 		if alone && b.remainingChanges() >= len(writes) {
-			b.l.dropUncommitted(j) // too many conditions: its places wait until it is split
+			b.l.dropUncommitted(job) // too many conditions: its places wait until it is split
 		}
 	case b.l.mayStage():
 		b.stage(w, records)
 	case alone:
-		b.l.dropUncommitted(j)
+		b.l.dropUncommitted(job)
 	}
 }
 
@@ -235,33 +235,33 @@
 // record is written, last, what the old records say holds, and whoever reads them
 // passes over the parts. So nothing is placed meanwhile.
 func (b *batch) stage(w *jobWrite, records []int) {
-	j := w.j
-	j.Records.Splitting = true
-	b.l.dropUncommitted(j)
+	job := w.j
+	job.Records.Splitting = true
+	b.l.dropUncommitted(job)
 	for _, r := range records {
-		if _, isPart := j.Records.UnnamedParts[r]; !isPart {
+		if _, isPart := job.Records.UnnamedParts[r]; !isPart {
 			continue
 		}
-		if !b.addRecordWrites(w, b.recordWrite(j, r)) {
+		if !b.addRecordWrites(w, b.recordWrite(job, r)) {
 			break
 		}
-		delete(j.Records.Staged, r)
+		delete(job.Records.Staged, r)
 	}
 	w.staging = len(w.records) > 0
 }
 
 // recordContent lists the tasks of one of a job's records and the attempts that it places.
-func recordContent(j *cluster.Job, r int) (tasks []bookkeeping.Task, placed []*cluster.Attempt) {
-	for _, i := range j.TasksOf(r) {
-		t := &j.Tasks[i]
-		if t.LastAttempt == 0 && !t.Done {
+func recordContent(job *cluster.Job, r int) (tasks []bookkeeping.Task, placed []*cluster.Attempt) {
+	for _, i := range job.TasksOf(r) {
+		task := &job.Tasks[i]
+		if task.LastAttempt == 0 && !task.Done {
 			continue
 		}
-		rec := bookkeeping.Task{Index: i, Attempt: t.LastAttempt, Done: t.Done}
-		if c := t.Active; c != nil && !t.Done {
-			rec.Machine, rec.Incarnation = c.Machine.ID, c.Incarnation
-			if !c.Committed {
-				placed = append(placed, c)
+		rec := bookkeeping.Task{Index: i, Attempt: task.LastAttempt, Done: task.Done}
+		if attempt := task.Active; attempt != nil && !task.Done {
+			rec.Machine, rec.Incarnation = attempt.Machine.ID, attempt.Incarnation
+			if !attempt.Committed {
+				placed = append(placed, attempt)
 			}
 		}
 		tasks = append(tasks, rec)
@@ -270,17 +270,17 @@
 }
 
 // jobRecord is the content of a job's own record.
-func jobRecord(j *cluster.Job, writer string, tasks []bookkeeping.Task) bookkeeping.Job {
+func jobRecord(job *cluster.Job, writer string, tasks []bookkeeping.Task) bookkeeping.Job {
 	placed := 0
-	for i := range j.Tasks {
-		if j.Tasks[i].Active != nil && !j.Tasks[i].Done {
+	for i := range job.Tasks {
+		if job.Tasks[i].Active != nil && !job.Tasks[i].Done {
 			placed++
 		}
 	}
 	parts := 0
-	if len(j.Records.ExtraParts) > 0 {
-		parts = len(j.Records.Revisions)
+	if len(job.Records.ExtraParts) > 0 {
+		parts = len(job.Records.Revisions)
 	}
-	return bookkeeping.Job{Writer: writer, Spec: j.Spec, AtMs: j.SubmittedAt.UnixMilli(), Seq: j.ArrivalOrder, Attempt: j.Epoch,
-		Cancelled: j.Cancelled, Done: j.DoneTasks, Placed: placed, RecordTasks: j.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
+	return bookkeeping.Job{Writer: writer, Spec: job.Spec, AtMs: job.SubmittedAt.UnixMilli(), Seq: job.ArrivalOrder, Attempt: job.Epoch,
+		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, RecordTasks: job.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -26,10 +26,10 @@
 	s := gangOf(100, 2)
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
 	for range 40 {
-		j := l.testJob(s)
-		l.scheduler.PlaceArray(j, false)
-		for _, c := range j.Attempts {
-			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
+		job := l.testJob(s)
+		l.scheduler.PlaceArray(job, false)
+		for _, attempt := range job.Attempts {
+			attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 		}
 	}
 	for i := range waiting {
@@ -48,14 +48,14 @@
 	bodies = append(bodies, l.cluster.OrderedMachines...)
 	b.ReportAllocs()
 	for i := range b.N {
-		m := bodies[i%len(bodies)]
+		machine := bodies[i%len(bodies)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
-			m.ID, m.Zone, m.Agent.Sequence+1, l.n.lease.term)
-		for k, c := range cluster.SortedAttemptsOn(m) {
+			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.lease.term)
+		for k, attempt := range cluster.SortedAttemptsOn(machine) {
 			if k > 0 {
 				body = append(body, ',')
 			}
-			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, c.Job.ID, c.Key.Index, c.Key.Number)
+			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, attempt.Job.ID, attempt.Key.Index, attempt.Key.Number)
 		}
 		body = append(body, "]}"...)
 		r, err := protocol.ParseReport(body)
@@ -75,8 +75,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		l.n.now = l.n.now.Add(tuning.PlanEvery)
-		for _, m := range l.cluster.OrderedMachines {
-			m.Agent.LastHeartbeat = l.n.now
+		for _, machine := range l.cluster.OrderedMachines {
+			machine.Agent.LastHeartbeat = l.n.now
 		}
 		l.runSchedulingCycle()
 	}
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -10,9 +10,9 @@
 
 // cancel marks a job as cancelled by a guarded transaction. Whoever leads
 // learns it from its watch.
-func (n *Node) cancel(id uint64, job protocol.JobID) {
-	if f, ok := n.finals[job]; ok {
-		n.reply(id, 200, protocol.Accepted{ID: job, Phase: f.Phase})
+func (n *Node) cancel(id uint64, jobID protocol.JobID) {
+	if f, ok := n.finals[jobID]; ok {
+		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: f.Phase})
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready()) {
@@ -23,20 +23,20 @@
 		return
 	}
 	deadline := n.now.Add(tuning.UserDeadline)
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(job)); ok {
-		n.cancelRecord(id, job, &e, deadline)
+	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+		n.cancelRecord(id, jobID, &e, deadline)
 		return
 	}
-	n.cancelFresh(id, job, deadline)
+	n.cancelFresh(id, jobID, deadline)
 }
 
-func (n *Node) cancelFresh(id uint64, job protocol.JobID, deadline time.Time) {
-	n.read(id, bookkeeping.JobKey(job), deadline, func(e *protocol.Entry) {
+func (n *Node) cancelFresh(id uint64, jobID protocol.JobID, deadline time.Time) {
+	n.read(id, bookkeeping.JobKey(jobID), deadline, func(e *protocol.Entry) {
 		if e != nil {
-			n.cancelRecord(id, job, e, deadline)
+			n.cancelRecord(id, jobID, e, deadline)
 			return
 		}
-		n.lookUp(id, job, deadline, func(s *protocol.Status) {
+		n.lookUp(id, jobID, deadline, func(s *protocol.Status) {
 			if s == nil {
 				n.reply(id, 404, protocol.ErrorBody{Error: "no such job"})
 				return
@@ -45,20 +45,20 @@
 				n.refuse(id, "try again")
 				return
 			}
-			n.reply(id, 200, protocol.Accepted{ID: job, Phase: s.Phase})
+			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
 		})
 	})
 }
 
-func (n *Node) cancelRecord(id uint64, job protocol.JobID, e *protocol.Entry, deadline time.Time) {
+func (n *Node) cancelRecord(id uint64, jobID protocol.JobID, e *protocol.Entry, deadline time.Time) {
 	rec, err := bookkeeping.DecodeJob(e.Value)
 	if err != nil {
 		n.refuse(id, "record does not parse")
 		return
 	}
 	if rec.Cancelled {
-		n.announceCancel(job) // by a transaction whose answer was lost, perhaps
-		n.reply(id, 200, protocol.Accepted{ID: job, Phase: protocol.PhaseCancelled})
+		n.announceCancel(jobID) // by a transaction whose answer was lost, perhaps
+		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
 		return
 	}
 	rec.Cancelled, rec.Writer = true, n.unique()
@@ -72,10 +72,10 @@
 	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
 		switch {
 		case status == 200:
-			n.announceCancel(job)
-			n.reply(id, 200, protocol.Accepted{ID: job, Phase: protocol.PhaseCancelled})
+			n.announceCancel(jobID)
+			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
 		case (status == 409 || status == 0) && n.now.Before(deadline):
-			n.cancelFresh(id, job, deadline)
+			n.cancelFresh(id, jobID, deadline)
 		default:
 			n.refuse(id, "state service does not answer")
 		}
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -52,11 +52,11 @@
 // the starts that were in it.
 func (m *Machine) CountUnseenAnswers(r *protocol.Report) {
 	lost, shown := m.Agent.LastAnswered && !m.Agent.TokenConfirmed, false
-	for _, c := range m.Attempts {
-		if c.StartInResponse {
-			there := r.Shows(protocol.TaskName(c.Job.ID, c.Key.Index), c.Key.Number)
+	for _, attempt := range m.Attempts {
+		if attempt.StartInResponse {
+			there := r.Shows(protocol.TaskName(attempt.Job.ID, attempt.Key.Index), attempt.Key.Number)
 			lost, shown = lost || !there, shown || there
-			c.StartInResponse = false
+			attempt.StartInResponse = false
 		}
 	}
 	if lost {
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -128,8 +128,8 @@
 // SortedAttempts is the job's attempts in a fixed order.
 func (j *Job) SortedAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(j.Attempts))
-	for _, c := range j.Attempts {
-		list = append(list, c)
+	for _, attempt := range j.Attempts {
+		list = append(list, attempt)
 	}
 	slices.SortFunc(list, func(a, b *Attempt) int {
 		return cmp.Or(cmp.Compare(a.Key.Index, b.Key.Index), cmp.Compare(a.Key.Number, b.Key.Number), cmp.Compare(a.Key.Machine, b.Key.Machine))
@@ -139,8 +139,8 @@
 
 // HasUncommitted says whether a job has places that are not written yet.
 func (j *Job) HasUncommitted() bool {
-	for _, c := range j.Attempts {
-		if !c.Committed {
+	for _, attempt := range j.Attempts {
+		if !attempt.Committed {
 			return true
 		}
 	}
@@ -150,8 +150,8 @@
 // FullyPlaced says whether every task of a job has a place and none is on its way out.
 func (j *Job) FullyPlaced() bool {
 	for i := range j.Tasks {
-		c := j.Tasks[i].Active
-		if c == nil || c.Stopping {
+		attempt := j.Tasks[i].Active
+		if attempt == nil || attempt.Stopping {
 			return false
 		}
 	}
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -9,28 +9,28 @@
 )
 
 // HeardRecently says whether a report of the worker came lately.
-func (st *State) HeardRecently(m *Machine) bool {
-	return m.Agent.Heard && !m.Agent.LeaseExpired && st.Now().Sub(m.Agent.LastHeartbeat) < st.SilenceTimeout()
+func (st *State) HeardRecently(machine *Machine) bool {
+	return machine.Agent.Heard && !machine.Agent.LeaseExpired && st.Now().Sub(machine.Agent.LastHeartbeat) < st.SilenceTimeout()
 }
 
 // ConfirmedAlive says whether the worker is surely there: it has shown this leader's
 // token lately. What has not may be a late duplicate of an old report.
-func (st *State) ConfirmedAlive(m *Machine) bool {
-	return m.Agent.TokenConfirmed && st.HeardRecently(m)
+func (st *State) ConfirmedAlive(machine *Machine) bool {
+	return machine.Agent.TokenConfirmed && st.HeardRecently(machine)
 }
 
 // NotReceiving says whether reports of a worker come, but answers and orders do not
 // reach it: what an answer told it does not show in its next report, or its
 // lease ran out though it was answered. Its lease runs out again and again, so
 // it takes no work; if it does not answer a call either, it is returned.
-func (st *State) NotReceiving(m *Machine) bool { return m.Agent.UnseenAnswers >= tuning.MissedAnswers }
+func (st *State) NotReceiving(machine *Machine) bool { return machine.Agent.UnseenAnswers >= tuning.MissedAnswers }
 
 // NotReporting says whether a worker answers calls while no report of it comes, so that
 // its lease is about to run out, or does so again and again: it takes no work.
-func (st *State) NotReporting(m *Machine) bool {
+func (st *State) NotReporting(machine *Machine) bool {
 	from := st.LeadingSince
-	if m.Agent.AnsweredAt.After(from) {
-		from = m.Agent.AnsweredAt
+	if machine.Agent.AnsweredAt.After(from) {
+		from = machine.Agent.AnsweredAt
 	}
 	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Workers.LeaseS/2)
 }
@@ -49,18 +49,18 @@
 	type count struct{ silent, total int }
 	zones := map[protocol.ZoneName]count{}
 	var all count
-	for _, m := range st.OrderedMachines {
-		if !m.Agent.Heard && m.Agent.Incarnation == 0 {
+	for _, machine := range st.OrderedMachines {
+		if !machine.Agent.Heard && machine.Agent.Incarnation == 0 {
 			continue
 		}
-		z := zones[m.Zone]
+		z := zones[machine.Zone]
 		z.total++
 		all.total++
-		if st.NotReceiving(m) || (m.Agent.LeaseExpired || !m.Agent.Heard || st.Now().Sub(m.Agent.LastHeartbeat) > silence) && st.Now().Sub(st.LeadingSince) > st.SilenceTimeout() {
+		if st.NotReceiving(machine) || (machine.Agent.LeaseExpired || !machine.Agent.Heard || st.Now().Sub(machine.Agent.LastHeartbeat) > silence) && st.Now().Sub(st.LeadingSince) > st.SilenceTimeout() {
 			z.silent++
 			all.silent++
 		}
-		zones[m.Zone] = z
+		zones[machine.Zone] = z
 	}
 	many := func(c count, share float64) bool { return c.silent > 2 && float64(c.silent) > share*float64(c.total) }
 	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
@@ -73,15 +73,15 @@
 
 // Outwaited says whether a machine behind a suspected cut has been gone for so
 // long after its lease that another would have booted.
-func (st *State) Outwaited(m *Machine) bool {
-	t := st.TypeOf(m)
-	return m.Agent.LeaseExpired && (t == nil || st.Now().Sub(m.Agent.LeaseExpiredAt) > config.Seconds(t.BootS))
+func (st *State) Outwaited(machine *Machine) bool {
+	machineType := st.TypeOf(machine)
+	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
 }
 
 // HasReplicas says whether a machine has replicas of services.
-func (st *State) HasReplicas(m *Machine) bool {
-	for _, c := range m.Attempts {
-		if c.Job.Spec.Service() && !c.Stopping {
+func (st *State) HasReplicas(machine *Machine) bool {
+	for _, attempt := range machine.Attempts {
+		if attempt.Job.Spec.Service() && !attempt.Stopping {
 			return true
 		}
 	}
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -11,8 +11,8 @@
 
 // OnlyLowestPriority says whether all that a machine carries is of the lowest priority.
 func (m *Machine) OnlyLowestPriority() bool {
-	for _, c := range m.Attempts {
-		if c.Job.Priority > protocol.PriorityIdle {
+	for _, attempt := range m.Attempts {
+		if attempt.Job.Priority > protocol.PriorityIdle {
 			return false
 		}
 	}
@@ -63,28 +63,28 @@
 }
 
 // ReserveFor holds a machine's room for a job.
-func (m *Machine) ReserveFor(j *Job, till time.Time) {
-	if m.ReservedFor != j {
+func (m *Machine) ReserveFor(job *Job, till time.Time) {
+	if m.ReservedFor != job {
 		m.ReleaseReservation()
-		m.ReservedFor = j
-		j.Reserved = append(j.Reserved, m)
+		m.ReservedFor = job
+		job.Reserved = append(job.Reserved, m)
 	}
 	m.ReservedUntil = till
 }
 
 // ReleaseReservation ends the hold.
 func (m *Machine) ReleaseReservation() {
-	if j := m.ReservedFor; j != nil {
+	if job := m.ReservedFor; job != nil {
 		m.ReservedFor = nil
-		j.Reserved = slices.DeleteFunc(j.Reserved, func(o *Machine) bool { return o == m })
+		job.Reserved = slices.DeleteFunc(job.Reserved, func(o *Machine) bool { return o == m })
 	}
 }
 
 // SortedAttemptsOn lists the attempts on a machine in a fixed order.
-func SortedAttemptsOn(m *Machine) []*Attempt {
-	list := make([]*Attempt, 0, len(m.Attempts))
-	for _, c := range m.Attempts {
-		list = append(list, c)
+func SortedAttemptsOn(machine *Machine) []*Attempt {
+	list := make([]*Attempt, 0, len(machine.Attempts))
+	for _, attempt := range machine.Attempts {
+		list = append(list, attempt)
 	}
 	slices.SortFunc(list, func(a, b *Attempt) int {
 		return cmp.Or(cmp.Compare(a.Job.ArrivalOrder, b.Job.ArrivalOrder), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Key.Index, b.Key.Index), cmp.Compare(a.Key.Number, b.Key.Number))
@@ -93,26 +93,26 @@
 }
 
 // account accounts for a job's tasks on the machine; n is negative to give back.
-func (m *Machine) account(s *protocol.Job, n int) {
-	m.Used.CPUs += s.CPUs * float64(n)
-	m.Used.GPUs += s.GPUs * float64(n)
-	m.Used.MemoryGB += s.MemoryGB * float64(n)
+func (m *Machine) account(spec *protocol.Job, n int) {
+	m.Used.CPUs += spec.CPUs * float64(n)
+	m.Used.GPUs += spec.GPUs * float64(n)
+	m.Used.MemoryGB += spec.MemoryGB * float64(n)
 	if len(m.Attempts) == 0 {
 		m.Used.CPUs, m.Used.GPUs, m.Used.MemoryGB = 0, 0, 0 // no rounding is left behind
 	}
 }
 
 // UseImage notes that the machine has an image; it keeps those last used.
-func (m *Machine) UseImage(s *protocol.Job, t *protocol.MachineType) {
-	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == s.Image })
-	m.Images = append(m.Images, CachedImage{s.Image, s.ImageGB})
-	if t == nil {
+func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
+	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == spec.Image })
+	m.Images = append(m.Images, CachedImage{spec.Image, spec.ImageGB})
+	if machineType == nil {
 		return
 	}
 	total := 0.0
 	for i := len(m.Images) - 1; i >= 0; i-- {
 		total += m.Images[i].SizeGB
-		if total > t.CacheGB && i < len(m.Images)-1 {
+		if total > machineType.CacheGB && i < len(m.Images)-1 {
 			m.Images = slices.Delete(m.Images, 0, i+1)
 			return
 		}
@@ -124,6 +124,6 @@
 }
 
 // HasFree says whether a machine has anything left to give.
-func (m *Machine) HasFree(t *protocol.MachineType) bool {
-	return m.Used.CPUs < t.CPUs && m.Used.MemoryGB < t.MemoryGB && (t.GPUs == 0 || m.Used.GPUs < t.GPUs)
+func (m *Machine) HasFree(machineType *protocol.MachineType) bool {
+	return m.Used.CPUs < machineType.CPUs && m.Used.MemoryGB < machineType.MemoryGB && (machineType.GPUs == 0 || m.Used.GPUs < machineType.GPUs)
 }
--- a/internal/coordination/cluster/quota.go
+++ b/internal/coordination/cluster/quota.go
@@ -11,17 +11,17 @@
 }
 
 // TasksWithinLimit is how many more tasks of the job its team's limit allows.
-func (st *State) TasksWithinLimit(j *Job) int {
-	t := st.Quotas[j.Spec.Team]
-	if t == nil {
+func (st *State) TasksWithinLimit(job *Job) int {
+	quota := st.Quotas[job.Spec.Team]
+	if quota == nil {
 		return 0
 	}
-	n := len(j.Tasks)
-	if t.LimitGPUs > 0 && j.Spec.GPUs > 0 {
-		n = min(n, int(math.Floor((t.LimitGPUs-t.UsedGPUs+AmountTolerance)/j.Spec.GPUs)))
+	n := len(job.Tasks)
+	if quota.LimitGPUs > 0 && job.Spec.GPUs > 0 {
+		n = min(n, int(math.Floor((quota.LimitGPUs-quota.UsedGPUs+AmountTolerance)/job.Spec.GPUs)))
 	}
-	if t.LimitCPUs > 0 && j.Spec.CPUs > 0 {
-		n = min(n, int(math.Floor((t.LimitCPUs-t.UsedCPUs+AmountTolerance)/j.Spec.CPUs)))
+	if quota.LimitCPUs > 0 && job.Spec.CPUs > 0 {
+		n = min(n, int(math.Floor((quota.LimitCPUs-quota.UsedCPUs+AmountTolerance)/job.Spec.CPUs)))
 	}
 	return max(0, n)
 }
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -9,19 +9,19 @@
 
 // MachineSlots is the number of slots on a machine: one a GPU or, without
 // GPUs, one a fixed share of processors.
-func MachineSlots(t *protocol.MachineType) int {
-	if t.GPUs >= 1 {
-		return int(t.GPUs)
+func MachineSlots(machineType *protocol.MachineType) int {
+	if machineType.GPUs >= 1 {
+		return int(machineType.GPUs)
 	}
-	return max(1, int(t.CPUs/tuning.SlotCPUs))
+	return max(1, int(machineType.CPUs/tuning.SlotCPUs))
 }
 
 // TaskSlots is the number of slots that a task takes.
-func TaskSlots(s *protocol.Job) int {
-	if s.GPUs > 0 {
-		return int(math.Ceil(s.GPUs))
+func TaskSlots(spec *protocol.Job) int {
+	if spec.GPUs > 0 {
+		return int(math.Ceil(spec.GPUs))
 	}
-	return max(1, int(math.Ceil(s.CPUs/tuning.SlotCPUs)))
+	return max(1, int(math.Ceil(spec.CPUs/tuning.SlotCPUs)))
 }
 
 // Resources is an amount of what tasks take of machines.
@@ -35,16 +35,16 @@
 }
 
 // AddTasks adds what n tasks of a job take; n may be negative.
-func (r *Resources) AddTasks(s *protocol.Job, n int) {
-	r.CPUs += s.CPUs * float64(n)
-	r.GPUs += s.GPUs * float64(n)
-	r.MemoryGB += s.MemoryGB * float64(n)
+func (r *Resources) AddTasks(spec *protocol.Job, n int) {
+	r.CPUs += spec.CPUs * float64(n)
+	r.GPUs += spec.GPUs * float64(n)
+	r.MemoryGB += spec.MemoryGB * float64(n)
 }
 
 // Fit is how many tasks of the job fit, at most limit.
-func (r Resources) Fit(s *protocol.Job, limit int) int {
+func (r Resources) Fit(spec *protocol.Job, limit int) int {
 	n := float64(limit)
-	for _, p := range [][2]float64{{r.CPUs, s.CPUs}, {r.GPUs, s.GPUs}, {r.MemoryGB, s.MemoryGB}} {
+	for _, p := range [][2]float64{{r.CPUs, spec.CPUs}, {r.GPUs, spec.GPUs}, {r.MemoryGB, spec.MemoryGB}} {
 		if p[1] > 0 {
 			n = min(n, math.Floor((p[0]+AmountTolerance)/p[1]))
 		}
@@ -53,7 +53,7 @@
 }
 
 // CapacityOf is what a machine of a type has.
-func CapacityOf(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
+func CapacityOf(machineType *protocol.MachineType) Resources { return Resources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB} }
 
 // TrueFirst compares two Booleans for a sort that puts true first.
 func TrueFirst(a, b bool) int {
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -43,47 +43,47 @@
 }
 
 // AddAttempt enters an attempt into every account.
-func (st *State) AddAttempt(j *Job, index int, attempt protocol.AttemptNumber, m *Machine, incarnation protocol.Incarnation) *Attempt {
-	c := &Attempt{Job: j, Key: AttemptKey{index, attempt, m.ID}, Machine: m, Incarnation: incarnation}
-	c.Slots = m.Slots.Carve(TaskSlots(j.Spec))
-	j.Attempts[c.Key] = c
-	j.Tasks[index].LiveAttempts++
-	m.Attempts[AttemptID{j.ID, index, attempt}] = c
-	m.account(j.Spec, 1)
-	if t := st.Quotas[j.Spec.Team]; t != nil {
-		t.UsedCPUs += j.Spec.CPUs
-		t.UsedGPUs += j.Spec.GPUs
+func (st *State) AddAttempt(job *Job, index int, attempt protocol.AttemptNumber, machine *Machine, incarnation protocol.Incarnation) *Attempt {
+	c := &Attempt{Job: job, Key: AttemptKey{index, attempt, machine.ID}, Machine: machine, Incarnation: incarnation}
+	c.Slots = machine.Slots.Carve(TaskSlots(job.Spec))
+	job.Attempts[c.Key] = c
+	job.Tasks[index].LiveAttempts++
+	machine.Attempts[AttemptID{job.ID, index, attempt}] = c
+	machine.account(job.Spec, 1)
+	if quota := st.Quotas[job.Spec.Team]; quota != nil {
+		quota.UsedCPUs += job.Spec.CPUs
+		quota.UsedGPUs += job.Spec.GPUs
 	}
 	return c
 }
 
 // StartDeadlines lists the moments by which an array must start to meet its own
 // deadline and the aims that the settings give for its class, the next first.
-func (st *State) StartDeadlines(j *Job) []time.Time {
-	s := j.Spec
-	if s.Gang() {
+func (st *State) StartDeadlines(job *Job) []time.Time {
+	spec := job.Spec
+	if spec.Gang() {
 		return nil // gangs go in order of arrival
 	}
 	var list []time.Time
-	add := func(after float64) { list = append(list, j.SubmittedAt.Add(config.Seconds(after))) }
+	add := func(after float64) { list = append(list, job.SubmittedAt.Add(config.Seconds(after))) }
 	deadline := false
 	for _, o := range st.Config.Cluster.Objectives {
-		if o.Class != s.Class {
+		if o.Class != spec.Class {
 			continue
 		}
 		switch {
 		case o.Kind == config.ObjectiveWait, o.Kind == config.ObjectiveUp:
 			add(o.WithinS)
-		case s.Service(): // it has no end
+		case spec.Service(): // it has no end
 		case o.Kind == config.ObjectiveFinished:
-			add(o.WithinS - s.EstimateS)
-		case o.Kind == config.ObjectiveDeadline && s.DeadlineS > 0:
-			add(s.DeadlineS*max(1, o.Times) - s.EstimateS)
+			add(o.WithinS - spec.EstimateS)
+		case o.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0:
+			add(spec.DeadlineS*max(1, o.Times) - spec.EstimateS)
 			deadline = true
 		}
 	}
-	if s.DeadlineS > 0 && !deadline && !s.Service() {
-		add(s.DeadlineS - s.EstimateS)
+	if spec.DeadlineS > 0 && !deadline && !spec.Service() {
+		add(spec.DeadlineS - spec.EstimateS)
 	}
 	slices.SortFunc(list, time.Time.Compare)
 	return slices.Compact(list)
@@ -91,76 +91,76 @@
 
 // EnsureMachine finds a machine or enters a new one.
 func (st *State) EnsureMachine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *Machine {
-	m := st.Machines[id]
-	if m == nil {
-		m = &Machine{ID: id, Attempts: map[AttemptID]*Attempt{}, Delivery: CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}}, FailedJobs: map[protocol.JobID]bool{},
+	machine := st.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Attempts: map[AttemptID]*Attempt{}, Delivery: CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}}, FailedJobs: map[protocol.JobID]bool{},
 			IdleSince: st.Now(), CreatedAt: st.Now(), Slots: buddy.New(0)}
-		st.Machines[id] = m
-		st.enroll(m)
+		st.Machines[id] = machine
+		st.enroll(machine)
 	}
 	if typeName != "" {
-		m.Address, m.TypeName, m.Zone, m.Spot = cmp.Or(address, m.Address), typeName, zone, spot
+		machine.Address, machine.TypeName, machine.Zone, machine.Spot = cmp.Or(address, machine.Address), typeName, zone, spot
 	}
-	return m
+	return machine
 }
 
 // enroll adds a machine to the roster, which is never changed in place. Machines are
 // named in the order of their creation, so that most come last.
-func (st *State) enroll(m *Machine) {
-	at, _ := slices.BinarySearchFunc(st.OrderedMachines, m, compareMachineIDs)
+func (st *State) enroll(machine *Machine) {
+	at, _ := slices.BinarySearchFunc(st.OrderedMachines, machine, compareMachineIDs)
 	if at == len(st.OrderedMachines) {
-		st.OrderedMachines = append(st.OrderedMachines, m)
+		st.OrderedMachines = append(st.OrderedMachines, machine)
 		return
 	}
-	st.OrderedMachines = slices.Insert(slices.Clone(st.OrderedMachines), at, m)
+	st.OrderedMachines = slices.Insert(slices.Clone(st.OrderedMachines), at, machine)
 }
 
 func compareMachineIDs(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) }
 
 // TypeOf is the machine's type, nil while it is unknown.
-func (st *State) TypeOf(m *Machine) *protocol.MachineType {
-	if m.Type == nil || m.Type.Name != m.TypeName {
-		if m.Type = st.Types[m.TypeName]; m.Type == nil {
+func (st *State) TypeOf(machine *Machine) *protocol.MachineType {
+	if machine.Type == nil || machine.Type.Name != machine.TypeName {
+		if machine.Type = st.Types[machine.TypeName]; machine.Type == nil {
 			return nil
 		}
-		m.Slots = buddy.New(MachineSlots(m.Type))
-		for _, c := range SortedAttemptsOn(m) {
-			c.Slots = m.Slots.Carve(TaskSlots(c.Job.Spec))
+		machine.Slots = buddy.New(MachineSlots(machine.Type))
+		for _, attempt := range SortedAttemptsOn(machine) {
+			attempt.Slots = machine.Slots.Carve(TaskSlots(attempt.Job.Spec))
 		}
 	}
-	return m.Type
+	return machine.Type
 }
 
 // ImageFetchSeconds is how long a job's image takes to fetch on the slowest type.
-func (st *State) ImageFetchSeconds(s *protocol.Job) float64 {
+func (st *State) ImageFetchSeconds(spec *protocol.Job) float64 {
 	fetch := 0.0
-	for _, t := range st.Types {
-		if t.Fits(s) && t.FetchGBPerS > 0 {
-			fetch = max(fetch, s.ImageGB/t.FetchGBPerS)
+	for _, machineType := range st.Types {
+		if machineType.Fits(spec) && machineType.FetchGBPerS > 0 {
+			fetch = max(fetch, spec.ImageGB/machineType.FetchGBPerS)
 		}
 	}
 	return fetch
 }
 
 // FreeResources is the machine's free room.
-func (st *State) FreeResources(m *Machine) Resources {
-	t := st.TypeOf(m)
-	if t == nil {
+func (st *State) FreeResources(machine *Machine) Resources {
+	machineType := st.TypeOf(machine)
+	if machineType == nil {
 		return Resources{}
 	}
-	return Resources{t.CPUs - m.Used.CPUs, t.GPUs - m.Used.GPUs, t.MemoryGB - m.Used.MemoryGB}
+	return Resources{machineType.CPUs - machine.Used.CPUs, machineType.GPUs - machine.Used.GPUs, machineType.MemoryGB - machine.Used.MemoryGB}
 }
 
 // PriceOf is a machine's price per hour.
-func (st *State) PriceOf(m *Machine) float64 {
-	t := st.TypeOf(m)
+func (st *State) PriceOf(machine *Machine) float64 {
+	machineType := st.TypeOf(machine)
 	switch {
-	case t == nil:
+	case machineType == nil:
 		return 0
-	case m.Spot:
-		return t.SpotPrice
+	case machine.Spot:
+		return machineType.SpotPrice
 	default:
-		return t.Price
+		return machineType.Price
 	}
 }
 
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -45,14 +45,14 @@
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
 	reserve := burst * tuning.GangReserve
-	for i, j := range list {
-		j.Write.Queued = false
+	for i, job := range list {
+		job.Write.Queued = false
 		if i < urgent || i < ready && float64(len(b.txn.Then)+2) <= tokens-reserve {
-			b.addJob(j)
+			b.addJob(job)
 		}
-		if len(j.Write.Dirty) > 0 {
-			j.Write.Queued = true
-			later = append(later, j)
+		if len(job.Write.Dirty) > 0 {
+			job.Write.Queued = true
+			later = append(later, job)
 		}
 	}
 	l.dirty = later
@@ -88,18 +88,18 @@
 		class int
 	}
 	var entries []entry
-	for _, j := range l.dirty {
-		if j.Finished || len(j.Write.Dirty) == 0 {
-			j.Write.Queued = false
+	for _, job := range l.dirty {
+		if job.Finished || len(job.Write.Dirty) == 0 {
+			job.Write.Queued = false
 			continue
 		}
-		e := entry{j, 3}
-		switch age := l.n.now.Sub(j.Write.DirtySince); {
-		case j.Records.Splitting || (j.Spec.Gang() || j.Spec.Service()) && j.HasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (j.HasUncommitted() || j.FinalPhase() != ""):
+		e := entry{job, 3}
+		switch age := l.n.now.Sub(job.Write.DirtySince); {
+		case job.Records.Splitting || (job.Spec.Gang() || job.Spec.Service()) && job.HasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (job.HasUncommitted() || job.FinalPhase() != ""):
 			e.class = 0
 			urgent++
 			ready++
-		case j.HasUncommitted() || j.FinalPhase() != "":
+		case job.HasUncommitted() || job.FinalPhase() != "":
 			e.class = 1
 			ready++
 		case age > tuning.MarkWait:
@@ -199,51 +199,51 @@
 		l.plan = true
 	}
 	for _, w := range tx.jobs {
-		j := w.j
-		j.Write.InFlight = false
+		job := w.j
+		job.Write.InFlight = false
 		if w.final != nil {
-			l.finish(j, *w.final)
+			l.finish(job, *w.final)
 			continue
 		}
 		for _, r := range w.records {
-			j.Records.Revisions[r] = max(j.Records.Revisions[r], revision)
+			job.Records.Revisions[r] = max(job.Records.Revisions[r], revision)
 		}
-		recordsWritten(j, w)
-		for _, c := range w.placed {
-			if j.Attempts[c.Key] != c {
+		recordsWritten(job, w)
+		for _, attempt := range w.placed {
+			if job.Attempts[attempt.Key] != attempt {
 				continue
 			}
-			c.Committed = true
-			l.sendSoon(c.Machine)
+			attempt.Committed = true
+			l.sendSoon(attempt.Machine)
 		}
-		for _, c := range w.placed {
-			if c.Stopping && !c.StartSent {
-				l.dropAttempt(c) // stopped before its start could leave
+		for _, attempt := range w.placed {
+			if attempt.Stopping && !attempt.StartSent {
+				l.dropAttempt(attempt) // stopped before its start could leave
 			}
 		}
-		for _, c := range j.SortedAttempts() {
-			l.sendSoon(c.Machine) // a gang's starts wait for all of its records
+		for _, attempt := range job.SortedAttempts() {
+			l.sendSoon(attempt.Machine) // a gang's starts wait for all of its records
 		}
-		l.checkEnded(j)
+		l.checkEnded(job)
 	}
 	l.sendDirect()
 	l.commitNext()
 }
 
 // finish forgets a job whose final record is committed.
-func (l *leader) finish(j *cluster.Job, f bookkeeping.Final) {
-	j.Finished = true
-	clear(j.Write.Dirty)
-	delete(l.cluster.Jobs, j.ID)
-	l.n.cacheFinal(j.ID, f)
-	for r := 1; r < len(j.Records.Revisions); r++ {
-		if j.Records.Revisions[r] != 0 {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.ID, r))
+func (l *leader) finish(job *cluster.Job, f bookkeeping.Final) {
+	job.Finished = true
+	clear(job.Write.Dirty)
+	delete(l.cluster.Jobs, job.ID)
+	l.n.cacheFinal(job.ID, f)
+	for r := 1; r < len(job.Records.Revisions); r++ {
+		if job.Records.Revisions[r] != 0 {
+			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
 		}
 	}
-	for _, r := range slices.Sorted(maps.Keys(j.Records.Abandoned)) {
-		if r >= len(j.Records.Revisions) {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(j.ID, r))
+	for _, r := range slices.Sorted(maps.Keys(job.Records.Abandoned)) {
+		if r >= len(job.Records.Revisions) {
+			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
 		}
 	}
 	l.plan = true
@@ -272,23 +272,23 @@
 		}
 	}
 	for _, w := range tx.jobs {
-		j := w.j
-		j.Write.InFlight = false
+		job := w.j
+		job.Write.InFlight = false
 		if w.final != nil {
 			w.records = []int{0}
 		}
 		for _, r := range w.records {
-			l.touch(j, r)
+			l.touch(job, r)
 		}
-		for _, c := range w.placed {
-			if j.Attempts[c.Key] == c && !c.Committed {
-				l.dropAttempt(c)
+		for _, attempt := range w.placed {
+			if job.Attempts[attempt.Key] == attempt && !attempt.Committed {
+				l.dropAttempt(attempt)
 			}
 		}
-		l.rereadRevision(bookkeeping.JobKey(j.ID))
+		l.rereadRevision(bookkeeping.JobKey(job.ID))
 		for _, r := range w.records {
 			if r > 0 {
-				l.rereadRevision(bookkeeping.TaskRecordKey(j.ID, r))
+				l.rereadRevision(bookkeeping.TaskRecordKey(job.ID, r))
 			}
 		}
 	}
@@ -310,8 +310,8 @@
 			}
 		}
 		if id, n, ok := bookkeeping.ParseTaskRecordKey(key); ok {
-			if j := l.cluster.Jobs[id]; j != nil && n < len(j.Records.Revisions) {
-				j.Records.Revisions[n] = e.Revision
+			if job := l.cluster.Jobs[id]; job != nil && n < len(job.Records.Revisions) {
+				job.Records.Revisions[n] = e.Revision
 			}
 			return
 		}
@@ -325,13 +325,13 @@
 			return
 		}
 		id, _ := bookkeeping.ParseJobKey(key)
-		j := l.cluster.Jobs[id]
-		if j == nil {
+		job := l.cluster.Jobs[id]
+		if job == nil {
 			return
 		}
 		if status == 404 {
 			// Its final record was written by a transaction thought lost.
-			l.n.lookUpFinal(l, j)
+			l.n.lookUpFinal(l, job)
 			return
 		}
 		rec, err := bookkeeping.DecodeJob(e.Value)
@@ -339,20 +339,20 @@
 			l.leaveAlone(id, err)
 			return
 		}
-		l.merge(j, rec, e.Revision)
+		l.merge(job, rec, e.Revision)
 	})
 }
 
 // lookUpFinal finishes a job whose record has turned out to be gone.
-func (n *Node) lookUpFinal(l *leader, j *cluster.Job) {
-	n.state("GET", protocol.KeyPath(bookkeeping.FinalKey(j.ID)), nil, func(status int, body []byte) {
-		if n.lead != l || status != 200 || j.Finished {
+func (n *Node) lookUpFinal(l *leader, job *cluster.Job) {
+	n.state("GET", protocol.KeyPath(bookkeeping.FinalKey(job.ID)), nil, func(status int, body []byte) {
+		if n.lead != l || status != 200 || job.Finished {
 			return
 		}
 		e, ok := parse[protocol.Entry](body)
 		f, sound := parse[bookkeeping.Final](e.Value)
 		if ok && sound && f.Phase != "" {
-			l.finish(j, f)
+			l.finish(job, f)
 		}
 	})
 }
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -8,43 +8,43 @@
 
 // Drain empties a machine that is to go: everything that can save its work
 // stops now, what cannot may finish if it can.
-func (l *leader) Drain(m *cluster.Machine) {
+func (l *leader) Drain(machine *cluster.Machine) {
 	l.plan = true
-	if !m.Cordoned {
-		m.Cordoned = true
-		l.RecordMachine(m) // no leader places anything there any more
+	if !machine.Cordoned {
+		machine.Cordoned = true
+		l.RecordMachine(machine) // no leader places anything there any more
 	}
-	for _, c := range cluster.SortedAttemptsOn(m) {
-		if c.Stopping || c.Job.Spec.Service() || c.Job.Spec.CheckpointS == 0 && !m.Quarantined {
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointS == 0 && !machine.Quarantined {
 			continue // replicas move one by one
 		}
-		l.stopInOrder(c)
+		l.stopInOrder(attempt)
 	}
 }
 
 // stopInOrder stops an attempt in good order; a gang stops as a whole.
-func (l *leader) stopInOrder(c *cluster.Attempt) { l.endAttempt(c, c.Job.Spec.SaveS+tuning.StopGrace) }
+func (l *leader) stopInOrder(attempt *cluster.Attempt) { l.endAttempt(attempt, attempt.Job.Spec.SaveS+tuning.StopGrace) }
 
 // Preempt stops an attempt for a job that waits: in good order if saving is worth
 // that job's wait.
-func (l *leader) Preempt(c *cluster.Attempt) {
+func (l *leader) Preempt(attempt *cluster.Attempt) {
 	l.n.metrics.Preemptions++
-	if scheduler.CheckpointPays(c.Job.Spec) {
-		l.stopInOrder(c)
+	if scheduler.CheckpointPays(attempt.Job.Spec) {
+		l.stopInOrder(attempt)
 	} else {
-		l.endAttempt(c, 0)
+		l.endAttempt(attempt, 0)
 	}
 }
 
-func (l *leader) endAttempt(c *cluster.Attempt, grace float64) {
-	if c.Job.Attempts[c.Key] != c {
+func (l *leader) endAttempt(attempt *cluster.Attempt, grace float64) {
+	if attempt.Job.Attempts[attempt.Key] != attempt {
 		return // went with another task of its gang
 	}
-	if c.Job.Spec.Gang() {
-		if !c.Job.Stopping {
-			l.endGang(c.Job, grace)
+	if attempt.Job.Spec.Gang() {
+		if !attempt.Job.Stopping {
+			l.endGang(attempt.Job, grace)
 		}
 		return
 	}
-	l.Stop(c, grace)
+	l.Stop(attempt, grace)
 }
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -16,9 +16,9 @@
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(m *cluster.Machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
-	cmds, _ := l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Spot: m.Spot,
-		Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: token, Tasks: tasks}, true)
+func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
+	cmds, _ := l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: token, Tasks: tasks}, true)
 	return cmds
 }
 
@@ -42,26 +42,26 @@
 }
 
 // recorded is a job whose task a predecessor's record places on a machine.
-func (l *leader) recorded(m *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
+func (l *leader) recorded(machine *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
-	j := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1}}}, 9)
-	return j, j.SortedAttempts()[0]
+	job := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
+		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
+	return job, job.SortedAttempts()[0]
 }
 
 // TestAbsenceNeedsToken: until the worker has shown this leader's token its
 // report may be older than a predecessor's start.
 func TestAbsenceNeedsToken(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
-	j, _ := l.recorded(m)
-	l.testReport(m, l.n.lease.term-1)
-	if len(j.Attempts) != 1 {
+	machine := l.testMachine("i-1", "big", "a", false)
+	job, _ := l.recorded(machine)
+	l.testReport(machine, l.n.lease.term-1)
+	if len(job.Attempts) != 1 {
 		t.Fatal("gone by a report that has not seen the token")
 	}
-	l.testReport(m, l.n.lease.term)
-	if len(j.Attempts) != 0 {
+	l.testReport(machine, l.n.lease.term)
+	if len(job.Attempts) != 0 {
 		t.Error("still there after a report that has")
 	}
 }
@@ -70,12 +70,12 @@
 // room and quota been given to others, so it is never started again as it is.
 func TestRecordsStartNothing(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
-	l.recorded(m)
-	if got := ops(l.testReport(m, l.n.lease.term-1)); got != "" {
+	machine := l.testMachine("i-1", "big", "a", false)
+	l.recorded(machine)
+	if got := ops(l.testReport(machine, l.n.lease.term-1)); got != "" {
 		t.Errorf("orders %s", got)
 	}
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Errorf("orders %s", got)
 	}
 }
@@ -84,29 +84,29 @@
 // any later time. Its attempt is kept, made to exist, and never forgotten.
 func TestUnansweredStartPins(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
-	j := l.testJob(gangOf(1, 1))
-	l.scheduler.PlaceGang(j)
-	clear(j.Write.Dirty)
-	c := j.SortedAttempts()[0]
-	c.Committed = true
-	l.direct(m, l.orders(m, false))
+	machine := l.testMachine("i-1", "big", "a", false)
+	job := l.testJob(gangOf(1, 1))
+	l.scheduler.PlaceGang(job)
+	clear(job.Write.Dirty)
+	attempt := job.SortedAttempts()[0]
+	attempt.Committed = true
+	l.direct(machine, l.orders(machine, false))
 	r := l.n.lastRequest(t, ToWorker)
 	l.n.handle(Response{ID: r.ID})
-	l.testReport(m, l.n.lease.term)
-	l.testReport(m, l.n.lease.term)
-	if len(j.Attempts) != 1 {
+	l.testReport(machine, l.n.lease.term)
+	l.testReport(machine, l.n.lease.term)
+	if len(job.Attempts) != 1 {
 		t.Fatal("gone while its start may be on its way")
 	}
-	l.Stop(c, 0)
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "start halt " {
+	l.Stop(attempt, 0)
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: protocol.TaskName(j.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
-	if got := ops(l.testReport(m, l.n.lease.term, exited)); got != "" {
+	exited := protocol.TaskReport{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	if got := ops(l.testReport(machine, l.n.lease.term, exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
-	if len(j.Attempts) != 0 {
+	if len(job.Attempts) != 0 {
 		t.Error("still there after its exit")
 	}
 }
@@ -116,8 +116,8 @@
 func TestLapseCountsGrace(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	l := testLeader(start)
-	m := l.cluster.EnsureMachine("i-1", "h:1", "big", "a", false)
-	j, _ := l.recorded(m)
+	machine := l.cluster.EnsureMachine("i-1", "h:1", "big", "a", false)
+	job, _ := l.recorded(machine)
 	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	at := func(d time.Duration) {
 		l.n.now = start.Add(d)
@@ -125,11 +125,11 @@
 		l.tickMachines()
 	}
 	at(lease + l.n.grace() - time.Second)
-	if len(j.Attempts) != 1 {
+	if len(job.Attempts) != 1 {
 		t.Fatal("presumed gone within the predecessor's grace")
 	}
 	at(lease + l.n.grace() + 3*time.Second)
-	if len(j.Attempts) != 0 {
+	if len(job.Attempts) != 0 {
 		t.Error("not gone after grace and lease")
 	}
 }
@@ -138,24 +138,24 @@
 // takes, and no start leaves before it is committed.
 func TestCommitFirst(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeGang, func(l *leader, j *cluster.Job) bool { return l.scheduler.PlaceGang(j) })
+		commitFirst(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.scheduler.PlaceGang(job) })
 	})
 	t.Run(string(protocol.ShapeArray), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeArray, func(l *leader, j *cluster.Job) bool { return l.scheduler.PlaceArray(j, false) == 0 })
+		commitFirst(t, protocol.ShapeArray, func(l *leader, job *cluster.Job) bool { return l.scheduler.PlaceArray(job, false) == 0 })
 	})
 }
 
 func commitFirst(t *testing.T, shape protocol.Shape, place func(*leader, *cluster.Job) bool) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	s := gangOf(2, 1)
 	s.Shape = shape
-	j := l.testJob(s)
-	stamp := j.Records.Revisions[0]
-	if !place(l, j) {
+	job := l.testJob(s)
+	stamp := job.Records.Revisions[0]
+	if !place(l, job) {
 		t.Fatal("not placed")
 	}
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.commitNext()
@@ -165,23 +165,23 @@
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(j.ID): stamp, m.Record.Key: m.Record.Revision} {
+	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
 	}
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToWorker); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
 	l.n.now = l.n.now.Add(tuning.OrderOnWay)
-	if got := ops(l.testReport(m, l.n.lease.term)); got != "start start " {
+	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
 }
@@ -191,19 +191,19 @@
 func TestLoserPlansAgain(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
-	j := l.testJob(gangOf(2, 1))
-	l.scheduler.PlaceGang(j)
+	job := l.testJob(gangOf(2, 1))
+	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(j.ID)}})})
-	if len(j.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
-		t.Fatalf("%d copies of the plan are left", len(j.Attempts))
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(job.ID)}})})
+	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
+		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
 	}
 	read := l.n.lastRequest(t, ToState)
-	rec := bookkeeping.Job{Writer: "another", Spec: j.Spec, RecordTasks: 60, Seq: j.ArrivalOrder, Cancelled: true}
-	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(j.ID), Value: bookkeeping.Encode(rec), Revision: 50})})
-	if !j.Cancelled || j.Records.Revisions[0] != 50 || j.FinalPhase() != protocol.PhaseCancelled {
-		t.Errorf("cancelled %v at revision %d", j.Cancelled, j.Records.Revisions[0])
+	rec := bookkeeping.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
+	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(job.ID), Value: bookkeeping.Encode(rec), Revision: 50})})
+	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
+		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
 	}
 }
 
@@ -242,8 +242,8 @@
 func TestOwnWriteSeen(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
-	j := l.testJob(gangOf(1, 1))
-	l.scheduler.PlaceGang(j)
+	job := l.testJob(gangOf(1, 1))
+	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	sent := l.n.lastRequest(t, ToState)
 	var txn protocol.Txn
@@ -252,11 +252,11 @@
 	}
 	last := txn.Then[len(txn.Then)-1]
 	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
-	if c := j.SortedAttempts()[0]; !c.Committed || j.Records.Revisions[0] != 44 || l.inFlight != nil {
-		t.Fatalf("committed %v at revision %d", c.Committed, j.Records.Revisions[0])
+	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.inFlight != nil {
+		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
 	l.n.handle(Response{ID: sent.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
-	if len(j.Attempts) != 1 {
+	if len(job.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
 }
@@ -265,11 +265,11 @@
 // the record was deleted: the machines that it names must not come back with it.
 func TestStrayMachineRecord(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
-	r := m.Record
-	l.MachinesDeleted(m.ID)
+	machine := l.testMachine("i-1", "big", "a", false)
+	r := machine.Record
+	l.MachinesDeleted(machine.ID)
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
-	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(m)}})
+	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
 	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
 	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -10,19 +10,19 @@
 // MachinesDeleted takes machines out that are gone for certain.
 func (l *leader) MachinesDeleted(names ...protocol.MachineID) {
 	for _, id := range names {
-		m := l.cluster.Machines[id]
-		if m == nil {
+		machine := l.cluster.Machines[id]
+		if machine == nil {
 			continue
 		}
 		l.autoscaler.NoteDeleted(id)
-		for _, c := range cluster.SortedAttemptsOn(m) {
-			l.dropAttempt(c)
+		for _, attempt := range cluster.SortedAttemptsOn(machine) {
+			l.dropAttempt(attempt)
 		}
-		m.ReleaseReservation()
+		machine.ReleaseReservation()
 		delete(l.cluster.Machines, id)
-		l.leaveMachineRecord(m)
+		l.leaveMachineRecord(machine)
 		l.recovery.Known(id)
 		l.plan = true
 	}
-	l.cluster.OrderedMachines = slices.DeleteFunc(slices.Clone(l.cluster.OrderedMachines), func(m *cluster.Machine) bool { return l.cluster.Machines[m.ID] != m })
+	l.cluster.OrderedMachines = slices.DeleteFunc(slices.Clone(l.cluster.OrderedMachines), func(machine *cluster.Machine) bool { return l.cluster.Machines[machine.ID] != machine })
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -35,8 +35,8 @@
 	n := l.n
 	n.cfg.Cluster.Resources = bigResources
 	l.calls = n.workerCalls()
-	for _, m := range l.cluster.OrderedMachines {
-		m.Agent.Heard, m.Agent.TokenConfirmed, m.Agent.LastHeartbeat = false, false, time.Time{}
+	for _, machine := range l.cluster.OrderedMachines {
+		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
 	start := n.now
 	calls, renewals := 0, 0
@@ -81,16 +81,16 @@
 	l.n.cfg.Cluster.Resources = bigResources
 	l.calls = l.n.workerCalls()
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
-	for _, m := range l.cluster.OrderedMachines[1:] {
-		m.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
+	for _, machine := range l.cluster.OrderedMachines[1:] {
+		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.tickMachines()
 	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
 	if sockets := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
-	for _, c := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
-		l.Stop(c, 0)
+	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
+		l.Stop(attempt, 0)
 	}
 	l.sendDirect()
 	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathOrders); orders != 1 {
@@ -108,8 +108,8 @@
 	n := l.n
 	n.cfg.Cluster.State.WriteRPS = 2
 	n.setBudgets()
-	j := l.testJob(gangOf(1, 1))
-	l.setDone(j, 0)
+	job := l.testJob(gangOf(1, 1))
+	l.setDone(job, 0)
 	for range 30 {
 		n.now = n.now.Add(tuning.Tick)
 		l.commitNext()
@@ -148,10 +148,10 @@
 func TestProcessPause(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
-		m.Agent.Sequence++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: m.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: m.Agent.Sequence + 10, Token: n.lease.term}}
+		machine.Agent.Sequence++
+		return WorkerReport{ID: id, Report: &protocol.Report{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, Token: n.lease.term}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -162,7 +162,7 @@
 		return 0
 	}
 	n.Step(n.now.Add(tuning.Tick), nil)
-	j := l.testJob(gangOf(1, 1))
+	job := l.testJob(gangOf(1, 1))
 	l.plan = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{report(1)})
 	if got := status(out, 1); got != 503 {
@@ -178,8 +178,8 @@
 			t.Errorf("it writes %s", r.Body)
 		}
 	}
-	if len(j.Attempts) > 0 {
-		t.Errorf("%d tasks placed", len(j.Attempts))
+	if len(job.Attempts) > 0 {
+		t.Errorf("%d tasks placed", len(job.Attempts))
 	}
 	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(n.lease.leaseID))
 	if renewals != 1 {
--- a/internal/coordination/forwarding.go
+++ b/internal/coordination/forwarding.go
@@ -60,12 +60,12 @@
 	n.received[id] = receivedRequest{m.Origin, m.ID}
 	switch m.Verb {
 	case verbSubmit:
-		j, err := protocol.ParseJob(m.Body)
+		spec, err := protocol.ParseJob(m.Body)
 		if err != nil {
 			n.reply(id, 400, protocol.ErrorBody{Error: err.Error()})
 			return
 		}
-		n.submit(id, j)
+		n.submit(id, spec)
 	case verbQuery:
 		n.query(id, m.Job)
 	case verbCancel:
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -57,14 +57,14 @@
 }
 
 // touch marks one of a job's records as to be written.
-func (l *leader) touch(j *cluster.Job, record int) {
-	if j.Finished {
+func (l *leader) touch(job *cluster.Job, record int) {
+	if job.Finished {
 		return
 	}
-	j.Write.Dirty[record] = true
-	if !j.Write.Queued {
-		j.Write.Queued, j.Write.DirtySince = true, l.n.now
-		l.dirty = append(l.dirty, j)
+	job.Write.Dirty[record] = true
+	if !job.Write.Queued {
+		job.Write.Queued, job.Write.DirtySince = true, l.n.now
+		l.dirty = append(l.dirty, job)
 	}
 }
 
@@ -83,11 +83,11 @@
 	if !ok {
 		return
 	}
-	j := l.cluster.Jobs[id]
-	if j != nil && ev.Revision <= j.Records.Revisions[0] {
+	job := l.cluster.Jobs[id]
+	if job != nil && ev.Revision <= job.Records.Revisions[0] {
 		return
 	}
-	if j != nil && l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
+	if job != nil && l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
 		return // our own write, whose answer is on its way
 	}
 	rec, err := bookkeeping.DecodeJob(ev.Value)
@@ -95,20 +95,20 @@
 		l.leaveAlone(id, err)
 		return
 	}
-	if j == nil {
+	if job == nil {
 		l.addJob(rec, ev.Revision)
 		l.checkEnded(l.cluster.Jobs[id])
 		l.plan = true
 		return
 	}
-	l.merge(j, rec, ev.Revision)
+	l.merge(job, rec, ev.Revision)
 }
 
 // merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(j *cluster.Job, rec *bookkeeping.Job, revision protocol.Revision) {
-	j.Records.Revisions[0] = max(j.Records.Revisions[0], revision)
+func (l *leader) merge(job *cluster.Job, rec *bookkeeping.Job, revision protocol.Revision) {
+	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
 	if rec.Cancelled {
-		l.cancelJob(j)
+		l.cancelJob(job)
 	}
 }
 
@@ -116,16 +116,16 @@
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
 func (l *leader) cancelFromPeer(id protocol.JobID) {
-	if j := l.cluster.Jobs[id]; j != nil {
-		l.cancelJob(j)
+	if job := l.cluster.Jobs[id]; job != nil {
+		l.cancelJob(job)
 	}
 }
 
-func (l *leader) cancelJob(j *cluster.Job) {
-	if !j.Cancelled {
-		j.Cancelled = true
+func (l *leader) cancelJob(job *cluster.Job) {
+	if !job.Cancelled {
+		job.Cancelled = true
 		l.plan = true
-		l.checkEnded(j)
+		l.checkEnded(job)
 	}
 }
 
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -12,10 +12,10 @@
 // lapseAt is when a worker's lease has surely run out. One that this leader
 // never answered may have been answered by its predecessor for the whole of
 // the predecessor's grace.
-func (l *leader) lapseAt(m *cluster.Machine) time.Time {
+func (l *leader) lapseAt(machine *cluster.Machine) time.Time {
 	from := l.cluster.LeadingSince.Add(l.n.grace())
-	if m.Agent.AnsweredAt.After(from) {
-		from = m.Agent.AnsweredAt
+	if machine.Agent.AnsweredAt.After(from) {
+		from = machine.Agent.AnsweredAt
 	}
 	return from.Add(withDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + withDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
 }
@@ -25,47 +25,47 @@
 	now := l.n.now
 	suspected, _ := l.cluster.SuspectedZones(l.cluster.SilenceTimeout())
 	var early, heard map[protocol.ZoneName]bool // the same as soon as a host may be missing
-	for _, m := range l.cluster.OrderedMachines {
+	for _, machine := range l.cluster.OrderedMachines {
 		if l.n.lead != l {
 			return
 		}
-		l.presentToken(m)
-		missing := l.cluster.HasReplicas(m) && m.Agent.Heard && now.Sub(m.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout()
-		if l.autoscaler.Booting(m) || l.cluster.HeardRecently(m) && !l.cluster.NotReceiving(m) && !missing || now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout() {
+		l.presentToken(machine)
+		missing := l.cluster.HasReplicas(machine) && machine.Agent.Heard && now.Sub(machine.Agent.LastHeartbeat) > l.cluster.ReplicaSilenceTimeout()
+		if l.autoscaler.Booting(machine) || l.cluster.HeardRecently(machine) && !l.cluster.NotReceiving(machine) && !missing || now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout() {
 			continue
 		}
-		if !m.Agent.LeaseExpired && !l.cluster.HeardRecently(m) && now.After(l.lapseAt(m)) {
-			m.Agent.LeaseExpired, m.Agent.LeaseExpiredAt = true, now
-			l.n.log.Info("lease lapsed", "machine", m.ID)
-			l.recovery.Known(m.ID)
-			for _, c := range cluster.SortedAttemptsOn(m) {
-				l.dropAttempt(c)
+		if !machine.Agent.LeaseExpired && !l.cluster.HeardRecently(machine) && now.After(l.lapseAt(machine)) {
+			machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
+			l.n.log.Info("lease lapsed", "machine", machine.ID)
+			l.recovery.Known(machine.ID)
+			for _, attempt := range cluster.SortedAttemptsOn(machine) {
+				l.dropAttempt(attempt)
 			}
 		}
-		if !m.Agent.Probing && !now.Before(m.Agent.ProbeNotBefore) && m.Address != "" && !m.Deleting && l.mayCall(true) {
-			l.probe(m)
+		if !machine.Agent.Probing && !now.Before(machine.Agent.ProbeNotBefore) && machine.Address != "" && !machine.Deleting && l.mayCall(true) {
+			l.probe(machine)
 		}
-		if m.Agent.LeaseExpired && m.Address == "" && !m.Deleting {
-			l.autoscaler.ReturnMachine(m, "lapsed and of no known address")
+		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
+			l.autoscaler.ReturnMachine(machine, "lapsed and of no known address")
 		}
 		// With a peer out of reach the worker may be behind the same cut and
 		// on its way to a controller that carries its reports.
 		// Nor is one not receiving then because it does not answer this node's calls.
 		patience, whole := l.patience(missing), len(l.n.reachablePeers()) == len(l.n.cfg.Peers)
-		if m.Deleting || m.Agent.FailedProbes < tuning.ProbesToDelete || !(whole && l.cluster.NotReceiving(m) || now.Sub(m.Agent.LastHeartbeat) > patience) {
+		if machine.Deleting || machine.Agent.FailedProbes < tuning.ProbesToDelete || !(whole && l.cluster.NotReceiving(machine) || now.Sub(machine.Agent.LastHeartbeat) > patience) {
 			continue
 		}
 		if !missing {
-			if !suspected[m.Zone] || l.cluster.Outwaited(m) {
-				l.deleteSilent(m, "silent")
+			if !suspected[machine.Zone] || l.cluster.Outwaited(machine) {
+				l.deleteSilent(machine, "silent")
 			}
 			continue
 		}
 		if early == nil {
 			early, heard = l.cluster.SuspectedZones(l.cluster.ReplicaSilenceTimeout())
 		}
-		if !early[m.Zone] || l.cluster.Outwaited(m) || l.scheduler.ReplicasHavePlacesElsewhere(m, heard) {
-			l.deleteSilent(m, "silent, with replicas")
+		if !early[machine.Zone] || l.cluster.Outwaited(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, heard) {
+			l.deleteSilent(machine, "silent, with replicas")
 		}
 	}
 }
@@ -88,23 +88,23 @@
 }
 
 // deleteSilent returns a machine that does not answer.
-func (l *leader) deleteSilent(m *cluster.Machine, why string) {
-	l.scheduler.LostMachineAt[m.Zone] = l.n.now
-	l.autoscaler.ReturnMachine(m, why)
+func (l *leader) deleteSilent(machine *cluster.Machine, why string) {
+	l.scheduler.LostMachineAt[machine.Zone] = l.n.now
+	l.autoscaler.ReturnMachine(machine, why)
 }
 
 // probe asks a silent worker for its report.
-func (l *leader) probe(m *cluster.Machine) {
-	m.Agent.Probing = true
-	l.call(m, "GET", protocol.PathInspect, nil, func(status int, body []byte) {
-		m.Agent.Probing, m.Agent.ProbeNotBefore = false, l.n.now.Add(tuning.ProbeTimeout)
-		if l.cluster.HasReplicas(m) {
-			m.Agent.ProbeNotBefore = l.n.now
+func (l *leader) probe(machine *cluster.Machine) {
+	machine.Agent.Probing = true
+	l.call(machine, "GET", protocol.PathInspect, nil, func(status int, body []byte) {
+		machine.Agent.Probing, machine.Agent.ProbeNotBefore = false, l.n.now.Add(tuning.ProbeTimeout)
+		if l.cluster.HasReplicas(machine) {
+			machine.Agent.ProbeNotBefore = l.n.now
 		}
 		if status != 200 {
-			m.Agent.FailedProbes++
+			machine.Agent.FailedProbes++
 			return
 		}
-		l.takeAnswer(m, body)
+		l.takeAnswer(machine, body)
 	})
 }
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -16,39 +16,39 @@
 }
 
 // machineEntry is a machine's entry in its machine record.
-func machineEntry(m *cluster.Machine) bookkeeping.MachineEntry {
-	return bookkeeping.MachineEntry{ID: m.ID, Address: m.Address, Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Cordoned: m.Cordoned}
+func machineEntry(machine *cluster.Machine) bookkeeping.MachineEntry {
+	return bookkeeping.MachineEntry{ID: machine.ID, Address: machine.Address, Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Cordoned: machine.Cordoned}
 }
 
 // RecordMachine has the machine's entry recorded anew.
-func (l *leader) RecordMachine(m *cluster.Machine) {
-	if m.Record == nil {
-		l.assignMachineRecord(m)
+func (l *leader) RecordMachine(machine *cluster.Machine) {
+	if machine.Record == nil {
+		l.assignMachineRecord(machine)
 	}
-	m.Record.Queued = true
+	machine.Record.Queued = true
 }
 
 // assignMachineRecord gives a machine its place in a record of its zone.
-func (l *leader) assignMachineRecord(m *cluster.Machine) {
-	entry := machineEntry(m)
+func (l *leader) assignMachineRecord(machine *cluster.Machine) {
+	entry := machineEntry(machine)
 	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
-	at := slices.IndexFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r.Zone == m.Zone && r.Bytes+entry.Size() <= limit })
+	at := slices.IndexFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r.Zone == machine.Zone && r.Bytes+entry.Size() <= limit })
 	if at < 0 {
 		at = len(l.machineRecords)
-		l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: bookkeeping.MachineRecordKey(l.n.unique()), Zone: m.Zone})
+		l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: bookkeeping.MachineRecordKey(l.n.unique()), Zone: machine.Zone})
 	}
-	l.machineRecords[at].Add(m, entry.Size())
+	l.machineRecords[at].Add(machine, entry.Size())
 }
 
 // leaveMachineRecord takes a machine that is gone out of its record.
-func (l *leader) leaveMachineRecord(m *cluster.Machine) {
-	r := m.Record
+func (l *leader) leaveMachineRecord(machine *cluster.Machine) {
+	r := machine.Record
 	if r == nil {
 		return
 	}
-	m.Record, m.Recorded = nil, false
-	r.Members = slices.DeleteFunc(r.Members, func(o *cluster.Machine) bool { return o == m })
-	r.Bytes -= m.RecordEntrySize
+	machine.Record, machine.Recorded = nil, false
+	r.Members = slices.DeleteFunc(r.Members, func(o *cluster.Machine) bool { return o == machine })
+	r.Bytes -= machine.RecordEntrySize
 	if r.StaleSince.IsZero() {
 		r.StaleSince = l.n.now
 	}
@@ -58,15 +58,15 @@
 func (l *leader) loadMachineRecord(key string, revision protocol.Revision, rec *bookkeeping.MachineRecord) {
 	r := &cluster.MachineRecord{Key: key, Revision: revision}
 	for _, entry := range rec.Machines {
-		m := l.cluster.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
-		if m.Record != nil {
+		machine := l.cluster.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
+		if machine.Record != nil {
 			r.StaleSince = l.n.now // recorded twice: the first will do
-			m.Cordoned = m.Cordoned || entry.Cordoned
+			machine.Cordoned = machine.Cordoned || entry.Cordoned
 			continue
 		}
 		r.Zone = entry.Zone
-		m.Cordoned, m.Recorded, m.Recovered = m.Cordoned || entry.Cordoned, true, true
-		r.Add(m, entry.Size())
+		machine.Cordoned, machine.Recorded, machine.Recovered = machine.Cordoned || entry.Cordoned, true, true
+		r.Add(machine, entry.Size())
 	}
 	l.machineRecords = append(l.machineRecords, r)
 }
@@ -77,14 +77,14 @@
 	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
 	for _, r := range slices.Clone(l.machineRecords) {
 		for r.Bytes > limit && len(r.Members) > 1 {
-			m := r.Members[len(r.Members)-1]
+			machine := r.Members[len(r.Members)-1]
 			r.Members = r.Members[:len(r.Members)-1]
-			r.Bytes -= m.RecordEntrySize
-			r.MovedOut = append(r.MovedOut, m)
+			r.Bytes -= machine.RecordEntrySize
+			r.MovedOut = append(r.MovedOut, machine)
 			r.StaleSince = l.n.now
-			m.Recorded = false
-			l.assignMachineRecord(m)
-			m.Record.Queued = true
+			machine.Recorded = false
+			l.assignMachineRecord(machine)
+			machine.Record.Queued = true
 		}
 	}
 }
@@ -92,7 +92,7 @@
 // movesRecorded says whether all machines that have moved out of a machine record are recorded in
 // another, or gone.
 func (l *leader) movesRecorded(r *cluster.MachineRecord) bool {
-	r.MovedOut = slices.DeleteFunc(r.MovedOut, func(m *cluster.Machine) bool { return m.Recorded || l.cluster.Machines[m.ID] != m })
+	r.MovedOut = slices.DeleteFunc(r.MovedOut, func(machine *cluster.Machine) bool { return machine.Recorded || l.cluster.Machines[machine.ID] != machine })
 	return len(r.MovedOut) == 0
 }
 
@@ -126,8 +126,8 @@
 			continue
 		}
 		rec := bookkeeping.MachineRecord{Writer: b.tx.writer}
-		for _, m := range r.Members {
-			rec.Machines = append(rec.Machines, machineEntry(m))
+		for _, machine := range r.Members {
+			rec.Machines = append(rec.Machines, machineEntry(machine))
 		}
 		value := bookkeeping.Encode(rec)
 		if !b.fits(1, 1, len(value)+200) {
@@ -160,9 +160,9 @@
 		return
 	}
 	w.record.Revision = max(w.record.Revision, revision)
-	for _, m := range w.members {
-		if m.Record == w.record {
-			m.Recorded = true
+	for _, machine := range w.members {
+		if machine.Record == w.record {
+			machine.Recorded = true
 		}
 	}
 }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -38,7 +38,7 @@
 		next.loadMachineRecord(c.Set, 99, &rec)
 	}
 	for _, id := range names {
-		if m := next.cluster.Machines[id]; m == nil || !m.Recorded || !l.cluster.Machines[id].Recorded {
+		if machine := next.cluster.Machines[id]; machine == nil || !machine.Recorded || !l.cluster.Machines[id].Recorded {
 			t.Fatalf("%s is not recorded", id)
 		}
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -35,11 +35,11 @@
 
 func (n *Node) takeTypes(list *protocol.MachineTypes) {
 	for i := range list.Types {
-		t := &list.Types[i]
-		if old := n.types[t.Name]; old != nil {
-			*old = *t // machines point to their type
+		machineType := &list.Types[i]
+		if old := n.types[machineType.Name]; old != nil {
+			*old = *machineType // machines point to their type
 		} else {
-			n.types[t.Name] = t
+			n.types[machineType.Name] = machineType
 		}
 	}
 }
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -7,61 +7,61 @@
 )
 
 // sendSoon marks a machine as having orders that should not wait for a report.
-func (l *leader) sendSoon(m *cluster.Machine) {
-	if !m.Delivery.Queued {
-		m.Delivery.Queued = true
-		l.directQueue = append(l.directQueue, m)
+func (l *leader) sendSoon(machine *cluster.Machine) {
+	if !machine.Delivery.Queued {
+		machine.Delivery.Queued = true
+		l.directQueue = append(l.directQueue, machine)
 	}
 }
 
 // orders lists what a worker should do: forget first, for a task may come back
 // to a machine that still holds its old attempt, then stop, then start.
-func (l *leader) orders(m *cluster.Machine, inReply bool) []protocol.Command {
+func (l *leader) orders(machine *cluster.Machine, inReply bool) []protocol.Command {
 	var cmds []protocol.Command
-	if m.Agent.TokenConfirmed {
-		for _, t := range m.Agent.Exited {
-			if l.reapable(m, t) && l.mayForget(m, t) {
+	if machine.Agent.TokenConfirmed {
+		for _, t := range machine.Agent.Exited {
+			if l.reapable(machine, t) && l.mayForget(machine, t) {
 				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt})
 			}
 		}
 	}
-	for _, k := range m.Delivery.Orphans {
+	for _, k := range machine.Delivery.Orphans {
 		cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(k.Job, k.Index), Attempt: k.Number})
 	}
-	m.Delivery.Orphans = m.Delivery.Orphans[:0]
-	list := cluster.SortedAttemptsOn(m)
-	for _, c := range list {
-		if !c.Stopping || !c.StartSent || c.Recovered && c.ReportedState == "" {
+	machine.Delivery.Orphans = machine.Delivery.Orphans[:0]
+	list := cluster.SortedAttemptsOn(machine)
+	for _, attempt := range list {
+		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
 			continue // what a predecessor placed is stopped once a report shows it
 		}
-		if c.ReportedState == "" && (c.StartUnanswered || c.StartsInFlight > 0) {
+		if attempt.ReportedState == "" && (attempt.StartUnanswered || attempt.StartsInFlight > 0) {
 			// The lost start may yet arrive. Once the worker holds the attempt,
 			// a late copy of it does nothing: so start it and end it at once.
-			cmds = append(cmds, l.startOrder(c, inReply))
+			cmds = append(cmds, l.startOrder(attempt, inReply))
 		}
-		if inReply || l.n.now.Sub(c.StopSentAt) > tuning.StopResend {
-			c.StopSentAt = l.n.now
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(c.Job.ID, c.Key.Index), Attempt: c.Key.Number, GraceS: c.GraceS})
+		if inReply || l.n.now.Sub(attempt.StopSentAt) > tuning.StopResend {
+			attempt.StopSentAt = l.n.now
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
 	}
-	for _, c := range list {
-		if c.Stopping || !c.Committed || c.ReportedState != "" || c.Recovered {
+	for _, attempt := range list {
+		if attempt.Stopping || !attempt.Committed || attempt.ReportedState != "" || attempt.Recovered {
 			continue
 		}
-		if c.Job.Spec.Gang() && (len(c.Job.Write.Dirty) > 0 || c.Job.Write.InFlight) {
+		if attempt.Job.Spec.Gang() && (len(attempt.Job.Write.Dirty) > 0 || attempt.Job.Write.InFlight) {
 			continue // not every task's place is written yet
 		}
-		if !inReply && (c.StartsInFlight > 0 || c.StartInResponse || !l.n.cfg.Operator.DirectStarts) {
+		if !inReply && (attempt.StartsInFlight > 0 || attempt.StartInResponse || !l.n.cfg.Operator.DirectStarts) {
 			continue
 		}
-		if inReply && c.StartsInFlight > 0 && l.n.now.Sub(c.StartSentAt) < tuning.OrderOnWay {
+		if inReply && attempt.StartsInFlight > 0 && l.n.now.Sub(attempt.StartSentAt) < tuning.OrderOnWay {
 			continue // the report was sent before the order came
 		}
-		if m.Cordoned || m.Deleting {
-			l.Stop(c, 0)
+		if machine.Cordoned || machine.Deleting {
+			l.Stop(attempt, 0)
 			continue
 		}
-		cmds = append(cmds, l.startOrder(c, inReply))
+		cmds = append(cmds, l.startOrder(attempt, inReply))
 	}
 	if len(cmds) > tuning.OrdersAtOnce {
 		cmds = cmds[:tuning.OrdersAtOnce]
@@ -72,49 +72,49 @@
 	return cmds
 }
 
-func (l *leader) startOrder(c *cluster.Attempt, inReply bool) protocol.Command {
-	l.n.log.Debug("start", "job", c.Job.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", c.Machine.ID, "direct", !inReply)
-	if !c.StartSent {
+func (l *leader) startOrder(attempt *cluster.Attempt, inReply bool) protocol.Command {
+	l.n.log.Debug("start", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID, "direct", !inReply)
+	if !attempt.StartSent {
 		l.n.metrics.Starts++
-		l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(c.Job.SubmittedAt).Seconds())
+		l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
 	}
-	c.StartSent = true
+	attempt.StartSent = true
 	if inReply {
-		c.StartInResponse = true
+		attempt.StartInResponse = true
 	}
-	c.Machine.UseImage(c.Job.Spec, l.cluster.TypeOf(c.Machine))
-	return protocol.Command{Op: protocol.OpStart, Task: protocol.TaskName(c.Job.ID, c.Key.Index), Attempt: c.Key.Number}
+	attempt.Machine.UseImage(attempt.Job.Spec, l.cluster.TypeOf(attempt.Machine))
+	return protocol.Command{Op: protocol.OpStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
 }
 
 // reapable says whether an exited attempt may be forgotten: what it achieved
 // is stored, and no late start of it can arrive.
-func (l *leader) reapable(m *cluster.Machine, t protocol.TaskReport) bool {
+func (l *leader) reapable(machine *cluster.Machine, t protocol.TaskReport) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
-	if m.Delivery.Pinned[key] || m.Attempts[key] != nil || l.unreadable[id] {
+	if machine.Delivery.Pinned[key] || machine.Attempts[key] != nil || l.unreadable[id] {
 		return false
 	}
-	j := l.cluster.Jobs[id]
-	if j == nil || index >= len(j.Tasks) {
+	job := l.cluster.Jobs[id]
+	if job == nil || index >= len(job.Tasks) {
 		return true
 	}
-	return t.Cause != protocol.CauseDone || !j.Write.InFlight && !j.Write.Dirty[j.RecordOf(index)]
+	return t.Cause != protocol.CauseDone || !job.Write.InFlight && !job.Write.Dirty[job.RecordOf(index)]
 }
 
 // mayForget says whether a worker is to be told to forget an exited attempt: not again
 // while it may have yet to report that it has, unless the task is to start there anew.
-func (l *leader) mayForget(m *cluster.Machine, t protocol.TaskReport) bool {
+func (l *leader) mayForget(machine *cluster.Machine, t protocol.TaskReport) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
-	for other := range m.Attempts {
+	for other := range machine.Attempts {
 		if other.Job == id && other.Index == index {
 			return true
 		}
 	}
-	if l.n.now.Sub(m.Delivery.ForgetSentAt[key]) < tuning.StopResend {
+	if l.n.now.Sub(machine.Delivery.ForgetSentAt[key]) < tuning.StopResend {
 		return false
 	}
-	m.Delivery.ForgetSentAt[key] = l.n.now
+	machine.Delivery.ForgetSentAt[key] = l.n.now
 	return true
 }
 
@@ -126,78 +126,78 @@
 	now := l.n.now
 	list := l.directQueue
 	l.directQueue = nil
-	for _, m := range list {
-		m.Delivery.Queued = false
-		if m.Deleting || l.cluster.Machines[m.ID] != m || !m.Agent.Heard {
+	for _, machine := range list {
+		machine.Delivery.Queued = false
+		if machine.Deleting || l.cluster.Machines[machine.ID] != machine || !machine.Agent.Heard {
 			continue
 		}
-		if m.Delivery.InFlight || m.Address == "" || now.Before(m.Delivery.NotBefore) || !l.cluster.HeardRecently(m) || !l.mayCall(false) {
-			l.sendSoon(m)
+		if machine.Delivery.InFlight || machine.Address == "" || now.Before(machine.Delivery.NotBefore) || !l.cluster.HeardRecently(machine) || !l.mayCall(false) {
+			l.sendSoon(machine)
 			continue
 		}
-		if cmds := l.orders(m, false); len(cmds) > 0 {
-			l.direct(m, cmds)
+		if cmds := l.orders(machine, false); len(cmds) > 0 {
+			l.direct(machine, cmds)
 		}
 	}
 }
 
 // presentToken shows the token to a worker with tasks that has not reported to
 // this leader, if there is time: most of them report by themselves.
-func (l *leader) presentToken(m *cluster.Machine) {
-	if !m.Agent.Heard && m.Agent.Incarnation > 0 && !m.Delivery.InFlight && !m.Deleting && m.Address != "" && !l.n.now.Before(m.Delivery.NotBefore) && l.mayCall(true) {
-		l.direct(m, nil)
+func (l *leader) presentToken(machine *cluster.Machine) {
+	if !machine.Agent.Heard && machine.Agent.Incarnation > 0 && !machine.Delivery.InFlight && !machine.Deleting && machine.Address != "" && !l.n.now.Before(machine.Delivery.NotBefore) && l.mayCall(true) {
+		l.direct(machine, nil)
 	}
 }
 
-func (l *leader) direct(m *cluster.Machine, cmds []protocol.Command) {
+func (l *leader) direct(machine *cluster.Machine, cmds []protocol.Command) {
 	var starts []*cluster.Attempt
 	for _, cmd := range cmds {
 		if cmd.Op != protocol.OpStart {
 			continue
 		}
 		id, index, _ := protocol.SplitTask(cmd.Task)
-		if c := m.Attempts[cluster.AttemptID{Job: id, Index: index, Number: cmd.Attempt}]; c != nil {
-			c.StartsInFlight++
-			c.StartSentAt = l.n.now
-			starts = append(starts, c)
-		}
-	}
-	m.Delivery.InFlight = true
-	body := protocol.Orders{Token: l.n.lease.term, Incarnation: m.Agent.Incarnation, Commands: cmds}
-	l.call(m, "POST", protocol.PathOrders, body, func(status int, body []byte) {
-		m.Delivery.InFlight = false
-		for _, c := range starts {
-			c.StartsInFlight--
+		if attempt := machine.Attempts[cluster.AttemptID{Job: id, Index: index, Number: cmd.Attempt}]; attempt != nil {
+			attempt.StartsInFlight++
+			attempt.StartSentAt = l.n.now
+			starts = append(starts, attempt)
+		}
+	}
+	machine.Delivery.InFlight = true
+	body := protocol.Orders{Token: l.n.lease.term, Incarnation: machine.Agent.Incarnation, Commands: cmds}
+	l.call(machine, "POST", protocol.PathOrders, body, func(status int, body []byte) {
+		machine.Delivery.InFlight = false
+		for _, attempt := range starts {
+			attempt.StartsInFlight--
 			if status != 200 && status != 409 {
 				// It may arrive at any later time while session and token match.
-				c.StartUnanswered = true
-				m.Delivery.Pinned[c.ID()] = true
+				attempt.StartUnanswered = true
+				machine.Delivery.Pinned[attempt.ID()] = true
 			}
 		}
 		if status != 200 && status != 409 {
-			m.Agent.UnseenAnswers = max(m.Agent.UnseenAnswers, 1)
-			m.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
+			machine.Agent.UnseenAnswers = max(machine.Agent.UnseenAnswers, 1)
+			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
 			switch {
-			case !m.Agent.Heard:
-				m.Delivery.NotBefore = l.n.now.Add(l.cluster.SilenceTimeout()) // others have their turn
-			case len(m.Attempts) > 0:
-				l.sendSoon(m)
+			case !machine.Agent.Heard:
+				machine.Delivery.NotBefore = l.n.now.Add(l.cluster.SilenceTimeout()) // others have their turn
+			case len(machine.Attempts) > 0:
+				l.sendSoon(machine)
 			}
 			return
 		}
-		l.takeAnswer(m, body)
+		l.takeAnswer(machine, body)
 		if status == 409 {
-			m.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
-			l.sendSoon(m)
+			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
+			l.sendSoon(machine)
 		}
 	})
 }
 
 // takeAnswer takes the report that a worker gave as an answer.
-func (l *leader) takeAnswer(m *cluster.Machine, body []byte) {
+func (l *leader) takeAnswer(machine *cluster.Machine, body []byte) {
 	r, err := protocol.ParseReport(body)
-	if err != nil || r.Machine != m.ID {
-		l.n.log.Error("a worker's answer is no report of its own", "machine", m.ID, "error", err)
+	if err != nil || r.Machine != machine.ID {
+		l.n.log.Error("a worker's answer is no report of its own", "machine", machine.ID, "error", err)
 		return
 	}
 	if r.Token > l.n.lease.term {
--- a/internal/coordination/pass_test.go
+++ b/internal/coordination/pass_test.go
@@ -19,8 +19,8 @@
 	for _, high := range []bool{true, false} {
 		l := fullFleet(0)
 		if high {
-			for _, j := range l.cluster.Jobs {
-				j.Priority = protocol.PriorityCritical // nothing yields
+			for _, job := range l.cluster.Jobs {
+				job.Priority = protocol.PriorityCritical // nothing yields
 			}
 		}
 		l.n.cfg.Cluster.Resources.Cores = 0.2
@@ -32,8 +32,8 @@
 		}
 		for range 60 {
 			l.n.now = l.n.now.Add(tuning.PlanEvery)
-			for _, m := range l.cluster.OrderedMachines {
-				m.Agent.LastHeartbeat = l.n.now
+			for _, machine := range l.cluster.OrderedMachines {
+				machine.Agent.LastHeartbeat = l.n.now
 			}
 			l.runSchedulingCycle()
 			limit := 4 * len(l.cluster.OrderedMachines) // what is open, vacant and could yield
@@ -45,8 +45,8 @@
 			}
 		}
 		searched := 0
-		for _, j := range waiting {
-			if !j.Queue.PreemptionNotBefore.IsZero() || len(j.Reserved) > 0 {
+		for _, job := range waiting {
+			if !job.Queue.PreemptionNotBefore.IsZero() || len(job.Reserved) > 0 {
 				searched++
 			}
 		}
@@ -69,13 +69,13 @@
 		}
 		s := gangOf(1, gpus)
 		s.Zone = "a"
-		j := l.testJob(s)
+		job := l.testJob(s)
 		l.runSchedulingCycle()
-		if placed := len(j.Attempts) == 1; placed != (gpus == 0) {
+		if placed := len(job.Attempts) == 1; placed != (gpus == 0) {
 			t.Errorf("%v GPUs: placed %v", gpus, placed)
 		}
-		if len(j.Attempts) == 0 {
-			l.autoscaler.Demand = []scheduler.Demand{{Job: j, Tasks: 1}}
+		if len(job.Attempts) == 0 {
+			l.autoscaler.Demand = []scheduler.Demand{{Job: job, Tasks: 1}}
 		}
 		l.autoscaler.ScaleOut()
 		if l.autoscaler.PendingRentals() != rentals {
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -26,25 +26,25 @@
 }
 
 // noteCancel keeps note of a cancellation that a user is being told of.
-func (n *Node) noteCancel(job protocol.JobID) {
+func (n *Node) noteCancel(jobID protocol.JobID) {
 	if n.lead != nil {
-		n.lead.cancelFromPeer(job) // it may have read that while its watch hangs
+		n.lead.cancelFromPeer(jobID) // it may have read that while its watch hangs
 	}
-	if _, known := n.confirmedCancels[job]; known {
+	if _, known := n.confirmedCancels[jobID]; known {
 		return
 	}
 	if len(n.confirmedCancels) >= n.expireCancelsAt {
 		n.expireConfirmedCancels()
 		n.expireCancelsAt = max(tuning.CancelsKept, 2*len(n.confirmedCancels))
 	}
-	n.confirmedCancels[job] = n.now
+	n.confirmedCancels[jobID] = n.now
 }
 
 // expireConfirmedCancels drops the cancellations that have taken effect.
 func (n *Node) expireConfirmedCancels() {
-	for job, at := range n.confirmedCancels {
+	for jobID, at := range n.confirmedCancels {
 		if n.now.Sub(at) > withDrift(config.Seconds(n.cfg.Cluster.Workers.CancelS)) {
-			delete(n.confirmedCancels, job)
+			delete(n.confirmedCancels, jobID)
 		}
 	}
 }
@@ -82,8 +82,8 @@
 func (n *Node) confirm(from protocol.NodeName, ask protocol.PeerConfirmRequest) {
 	m := protocol.PeerConfirm{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds())}
 	n.expireConfirmedCancels()
-	for job := range n.confirmedCancels {
-		m.Cancels = append(m.Cancels, job)
+	for jobID := range n.confirmedCancels {
+		m.Cancels = append(m.Cancels, jobID)
 	}
 	slices.Sort(m.Cancels)
 	if m.Complete = m.FitsFrame(); !m.Complete {
@@ -102,8 +102,8 @@
 		n.stepDown("a peer leads")
 		return
 	}
-	for _, job := range m.Cancels {
-		n.lead.cancelFromPeer(job)
+	for _, jobID := range m.Cancels {
+		n.lead.cancelFromPeer(jobID)
 	}
 	// What an earlier life of it told users since this node last knew is not named.
 	up := time.Duration(m.UpMs) * time.Millisecond
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -158,14 +158,14 @@
 
 // announceCancel tells the leader of a cancellation that is in the records, so that
 // it need not wait for its watch, or for the state service to serve it again.
-func (n *Node) announceCancel(job protocol.JobID) {
+func (n *Node) announceCancel(jobID protocol.JobID) {
 	if n.lead != nil {
-		n.lead.cancelFromPeer(job)
+		n.lead.cancelFromPeer(jobID)
 		return
 	}
 	to := n.lease.holder
 	if p := n.peers[to]; p != nil && p.level >= protocol.PeerKnowsCancelled && n.isReachable(to) {
-		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancelled{Job: job}})
+		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancelled{Job: jobID}})
 	}
 }
 
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -32,12 +32,12 @@
 }
 
 func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *cluster.Machine {
-	m := l.cluster.EnsureMachine(id, "h:1", typeName, zone, spot)
-	l.assignMachineRecord(m)
-	m.Record.Revision = 1
-	m.Recorded, m.Agent.Heard, m.Agent.TokenConfirmed, m.Agent.Incarnation, m.Agent.LastHeartbeat, m.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
-	l.cluster.TypeOf(m)
-	return m
+	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, spot)
+	l.assignMachineRecord(machine)
+	machine.Record.Revision = 1
+	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
+	l.cluster.TypeOf(machine)
+	return machine
 }
 
 func (l *leader) testJob(s protocol.Job) *cluster.Job {
@@ -77,17 +77,17 @@
 			if rng.IntN(5) == 0 {
 				s.Types = []protocol.MachineTypeName{"small"}
 			}
-			j := l.testJob(s)
-			if !j.Spec.Gang() {
-				waiting := l.scheduler.PlaceArray(j, false)
-				if waiting+len(j.Attempts) != s.Tasks {
-					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(j.Attempts), s.Tasks)
+			job := l.testJob(s)
+			if !job.Spec.Gang() {
+				waiting := l.scheduler.PlaceArray(job, false)
+				if waiting+len(job.Attempts) != s.Tasks {
+					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(job.Attempts), s.Tasks)
 				}
-				l.checkPlacement(t, j)
+				l.checkPlacement(t, job)
 				continue
 			}
-			machine, zone, region := l.couldHold(j)
-			if !l.scheduler.PlaceGang(j) {
+			machine, zone, region := l.couldHold(job)
+			if !l.scheduler.PlaceGang(job) {
 				refused++
 				if region {
 					t.Fatalf("round %d: %+v is turned away though it fits", round, s)
@@ -95,17 +95,17 @@
 				continue
 			}
 			placed++
-			if len(j.Attempts) != s.Tasks {
-				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(j.Attempts))
+			if len(job.Attempts) != s.Tasks {
+				t.Fatalf("round %d: a gang of %d has %d places", round, s.Tasks, len(job.Attempts))
 			}
 			machines, zones := map[protocol.MachineID]bool{}, map[protocol.ZoneName]bool{}
-			for _, c := range j.Attempts {
-				machines[c.Machine.ID], zones[c.Machine.Zone] = true, true
+			for _, attempt := range job.Attempts {
+				machines[attempt.Machine.ID], zones[attempt.Machine.Zone] = true, true
 			}
 			if machine && len(machines) > 1 || zone && len(zones) > 1 {
 				t.Fatalf("round %d: %+v is spread over %v in %v though it need not be", round, s, machines, zones)
 			}
-			l.checkPlacement(t, j)
+			l.checkPlacement(t, job)
 		}
 	}
 	if placed < 500 || refused < 200 {
@@ -114,65 +114,65 @@
 }
 
 // couldHold works out by counting which domains could hold a gang.
-func (l *leader) couldHold(j *cluster.Job) (machine, zone, region bool) {
-	if l.cluster.TasksWithinLimit(j) < len(j.Tasks) {
+func (l *leader) couldHold(job *cluster.Job) (machine, zone, region bool) {
+	if l.cluster.TasksWithinLimit(job) < len(job.Tasks) {
 		return false, false, false
 	}
-	s, g := j.Spec, len(j.Tasks)
+	spec, g := job.Spec, len(job.Tasks)
 	perZone := map[protocol.ZoneName]int{}
 	for _, m := range l.cluster.Machines {
-		if !l.cluster.Usable(j, m) {
+		if !l.cluster.Usable(job, m) {
 			continue
 		}
-		n := l.cluster.FreeResources(m).Fit(s, g)
+		n := l.cluster.FreeResources(m).Fit(spec, g)
 		perZone[m.Zone] += n
 		machine = machine || n >= g
 	}
 	total := 0
 	for _, n := range perZone {
 		zone = zone || n >= g
-		if s.Spread {
+		if spec.Spread {
 			n = min(n, (g+1)/2)
 		}
 		total += n
 	}
-	if s.Spread && g > 1 {
+	if spec.Spread && g > 1 {
 		machine, zone = false, false
 	}
-	return machine, zone, zone || machine || !s.OneZone && s.Zone == "" && total >= g
+	return machine, zone, zone || machine || !spec.OneZone && spec.Zone == "" && total >= g
 }
 
-func (l *leader) checkPlacement(t *testing.T, j *cluster.Job) {
+func (l *leader) checkPlacement(t *testing.T, job *cluster.Job) {
 	t.Helper()
 	zones := map[protocol.ZoneName]int{}
-	for _, c := range j.Attempts {
-		m := c.Machine
-		zones[m.Zone]++
-		if !cluster.Allows(j.Spec, m.TypeName, m.Zone, m.Spot) {
-			t.Fatalf("%+v on %s in %s, spot %v", j.Spec, m.TypeName, m.Zone, m.Spot)
+	for _, attempt := range job.Attempts {
+		machine := attempt.Machine
+		zones[machine.Zone]++
+		if !cluster.Allows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
+			t.Fatalf("%+v on %s in %s, spot %v", job.Spec, machine.TypeName, machine.Zone, machine.Spot)
 		}
 	}
-	if j.Spec.OneZone && len(zones) > 1 {
-		t.Fatalf("%+v in %v", j.Spec, zones)
+	if job.Spec.OneZone && len(zones) > 1 {
+		t.Fatalf("%+v in %v", job.Spec, zones)
 	}
 	for _, n := range zones {
-		if j.Spec.Spread && n > (len(j.Tasks)+1)/2 {
-			t.Fatalf("%+v in %v", j.Spec, zones)
+		if job.Spec.Spread && n > (len(job.Tasks)+1)/2 {
+			t.Fatalf("%+v in %v", job.Spec, zones)
 		}
 	}
 	used := map[*cluster.Machine]cluster.Resources{}
 	gpus := map[string]float64{}
 	for _, o := range l.cluster.Jobs {
-		for _, c := range o.Attempts {
-			r := used[c.Machine]
+		for _, attempt := range o.Attempts {
+			r := used[attempt.Machine]
 			r.AddTasks(o.Spec, 1)
-			used[c.Machine] = r
+			used[attempt.Machine] = r
 			gpus[string(o.Spec.Team)] += o.Spec.GPUs
 		}
 	}
-	for m, r := range used {
-		if k := l.cluster.TypeOf(m); r.CPUs > k.CPUs || r.GPUs > k.GPUs || r.MemoryGB > k.MemoryGB {
-			t.Fatalf("%s is over-full: %+v", m.ID, r)
+	for machine, r := range used {
+		if k := l.cluster.TypeOf(machine); r.CPUs > k.CPUs || r.GPUs > k.GPUs || r.MemoryGB > k.MemoryGB {
+			t.Fatalf("%s is over-full: %+v", machine.ID, r)
 		}
 	}
 	if gpus["tight"] > 6 {
@@ -191,8 +191,8 @@
 	empty, half := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "b", false)
 	other := l.testJob(gangOf(1, 2))
 	l.cluster.AddAttempt(other, 0, 1, half, 1)
-	j := l.testJob(gangOf(2, 1))
-	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine != half {
+	job := l.testJob(gangOf(2, 1))
+	if !l.scheduler.PlaceGang(job) || job.SortedAttempts()[0].Machine != half {
 		t.Errorf("not on the fuller machine")
 	}
 	l.testMachine("i-3", "big", "c", true)
@@ -200,12 +200,12 @@
 	warm.UseImage(&protocol.Job{Image: "x", ImageGB: 1}, &bigType)
 	s := gangOf(1, 4)
 	s.Spot = true
-	j = l.testJob(s)
-	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine != warm {
+	job = l.testJob(s)
+	if !l.scheduler.PlaceGang(job) || job.SortedAttempts()[0].Machine != warm {
 		t.Errorf("not on the machine with the image")
 	}
-	j = l.testJob(s)
-	if !l.scheduler.PlaceGang(j) || j.SortedAttempts()[0].Machine.ID != "i-3" {
+	job = l.testJob(s)
+	if !l.scheduler.PlaceGang(job) || job.SortedAttempts()[0].Machine.ID != "i-3" {
 		t.Errorf("not on the cheaper machine")
 	}
 	if len(empty.Attempts) != 0 {
@@ -219,17 +219,17 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	a, b := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "b", false)
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", OneZone: true}
-	j := l.testJob(s)
-	l.cluster.AddAttempt(j, 0, 1, a, 1)
-	old := l.cluster.AddAttempt(j, 1, 1, b, 1)
-	if w := l.scheduler.PlaceArray(j, false); w != 2 {
+	job := l.testJob(s)
+	l.cluster.AddAttempt(job, 0, 1, a, 1)
+	old := l.cluster.AddAttempt(job, 1, 1, b, 1)
+	if w := l.scheduler.PlaceArray(job, false); w != 2 {
 		t.Errorf("%d wait", w)
 	}
 	l.dropAttempt(old)
-	if w := l.scheduler.PlaceArray(j, false); w != 0 {
+	if w := l.scheduler.PlaceArray(job, false); w != 0 {
 		t.Errorf("%d wait once the other zone's copy is gone", w)
 	}
-	l.checkPlacement(t, j)
+	l.checkPlacement(t, job)
 }
 
 // TestRepairPinsSurvivors: a gang that lost a machine goes back to the machines
@@ -240,31 +240,31 @@
 	dead, survivor := l.testMachine("i-1", "big", "b", false), l.testMachine("i-2", "big", "b", false)
 	s := gangOf(2, 4)
 	s.OneZone, s.Priority = true, "normal"
-	j := l.testJob(s)
+	job := l.testJob(s)
 	l.runSchedulingCycle()
-	for _, c := range j.Attempts {
-		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
+	for _, attempt := range job.Attempts {
+		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 	}
-	epoch := j.Epoch
+	epoch := job.Epoch
 	l.testMachine("i-3", "big", "a", false)
 	l.testMachine("i-4", "big", "a", false)
 	spare := l.testMachine("i-5", "big", "b", false)
 	l.MachinesDeleted(dead.ID)
 	l.runSchedulingCycle()
-	if len(j.Attempts) != 1 || !j.Stopping {
-		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(j.Attempts), j.Stopping)
+	if len(job.Attempts) != 1 || !job.Stopping {
+		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(job.Attempts), job.Stopping)
 	}
-	if survivor.ReservedFor != j {
+	if survivor.ReservedFor != job {
 		t.Error("the survivor's room is not held")
 	}
-	l.dropAttempt(j.SortedAttempts()[0])
+	l.dropAttempt(job.SortedAttempts()[0])
 	l.runSchedulingCycle()
 	on := map[*cluster.Machine]bool{}
-	for _, c := range j.Attempts {
-		on[c.Machine] = true
+	for _, attempt := range job.Attempts {
+		on[attempt.Machine] = true
 	}
-	if !on[survivor] || !on[spare] || j.Epoch != epoch+1 {
-		t.Errorf("repaired on %v at epoch %d", j.SortedAttempts(), j.Epoch)
+	if !on[survivor] || !on[spare] || job.Epoch != epoch+1 {
+		t.Errorf("repaired on %v at epoch %d", job.SortedAttempts(), job.Epoch)
 	}
 }
 
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -14,12 +14,12 @@
 // equal priority, and work within its team's guarantee, stays.
 func TestPreemption(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
 	low := l.testJob(s)
 	l.scheduler.PlaceArray(low, false)
-	for _, c := range low.Attempts {
-		c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
+	for _, attempt := range low.Attempts {
+		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 	}
 	same := gangOf(1, 2)
 	same.Priority = "idle"
@@ -39,7 +39,7 @@
 	if n := stopping(low); n != 2 {
 		t.Errorf("%d tasks yield after a second pass", n)
 	}
-	if m.ReservedFor == nil {
+	if machine.ReservedFor == nil {
 		t.Error("the room is not held")
 	}
 }
@@ -48,18 +48,18 @@
 // machine record says so to every later leader.
 func TestDistrust(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	for range tuning.MachineErrors {
-		j := l.testJob(gangOf(1, 1))
-		c := l.cluster.AddAttempt(j, 0, 1, m, 1)
-		l.exited(m, c, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(c)
+		job := l.testJob(gangOf(1, 1))
+		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
+		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
+		l.dropAttempt(attempt)
 	}
-	if l.cluster.Schedulable(m) || !m.Record.Queued || !machineEntry(m).Cordoned {
-		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(m), m.Record.Queued)
+	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
+		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
 	}
-	l.autoscaler.EvaluateScaleIn(m, l.autoscaler.Spares())
-	if !m.Deleting {
+	l.autoscaler.EvaluateScaleIn(machine, l.autoscaler.Spares())
+	if !machine.Deleting {
 		t.Error("not returned once it is empty")
 	}
 }
@@ -74,15 +74,15 @@
 	l.scheduler.PlaceArray(low, false)
 	high := gangOf(1, 2)
 	high.Priority = "high"
-	j := l.testJob(high)
+	job := l.testJob(high)
 	for i := range tuning.JobErrors {
-		m := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
-		c := l.cluster.AddAttempt(j, 0, protocol.AttemptNumber(i+1), m, 1)
-		l.exited(m, c, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(c)
-		m.Cordoned = true
-		if m.Quarantined {
-			t.Errorf("%s is distrusted for a job that fails everywhere", m.ID)
+		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
+		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
+		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
+		l.dropAttempt(attempt)
+		machine.Cordoned = true
+		if machine.Quarantined {
+			t.Errorf("%s is distrusted for a job that fails everywhere", machine.ID)
 		}
 	}
 	l.n.now = l.n.now.Add(tuning.ErrorPause)
@@ -92,9 +92,9 @@
 	}
 }
 
-func stopping(j *cluster.Job) (n int) {
-	for _, c := range j.Attempts {
-		if c.Stopping {
+func stopping(job *cluster.Job) (n int) {
+	for _, attempt := range job.Attempts {
+		if attempt.Stopping {
 			n++
 		}
 	}
@@ -165,20 +165,20 @@
 	l.testMachine("i-1", "big", "a", false)
 	big := gangOf(2, 4)
 	big.OneZone = true
-	j := l.testJob(big)
+	job := l.testJob(big)
 	l.runSchedulingCycle()
 	l.n.now = now.Add(l.n.cfg.Operator.ReserveAfter + time.Second)
-	for _, m := range l.cluster.Machines {
-		m.Agent.LastHeartbeat = l.n.now
+	for _, machine := range l.cluster.Machines {
+		machine.Agent.LastHeartbeat = l.n.now
 	}
 	small := l.testJob(gangOf(1, 1))
 	l.runSchedulingCycle()
-	if len(small.Attempts) != 0 || len(j.Attempts) != 0 {
+	if len(small.Attempts) != 0 || len(job.Attempts) != 0 {
 		t.Errorf("the smaller job passes")
 	}
 	l.testMachine("i-2", "big", "a", false)
 	l.runSchedulingCycle()
-	if len(j.Attempts) != 2 {
+	if len(job.Attempts) != 2 {
 		t.Errorf("the gang is not placed when it could be")
 	}
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -17,20 +17,20 @@
 func TestNotReceiving(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
-		m := l.testMachine("i-1", "big", "a", false)
-		j := l.testJob(gangOf(1, 1))
-		l.scheduler.PlaceGang(j)
-		clear(j.Write.Dirty)
-		j.SortedAttempts()[0].Committed = true
+		machine := l.testMachine("i-1", "big", "a", false)
+		job := l.testJob(gangOf(1, 1))
+		l.scheduler.PlaceGang(job)
+		clear(job.Write.Dirty)
+		job.SortedAttempts()[0].Committed = true
 		for range tuning.MissedAnswers + 1 {
-			l.testReport(m, l.n.lease.term)
+			l.testReport(machine, l.n.lease.term)
 		}
-		if l.cluster.Schedulable(m) {
+		if l.cluster.Schedulable(machine) {
 			t.Fatal("takes new work")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.WatchMachines)
-			l.n.lease.renewedAt, l.n.syncedAt, m.Agent.LastHeartbeat, m.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
+			l.n.lease.renewedAt, l.n.syncedAt, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
 			l.n.out = nil
 			l.tickMachines()
 			for _, a := range l.n.out {
@@ -39,18 +39,18 @@
 					continue
 				}
 				if answers {
-					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName,
-						Zone: m.Zone, Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: l.n.lease.term})})
+					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
+						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.lease.term})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
 			}
 		}
-		if m.Deleting == answers || l.cluster.Schedulable(m) != answers {
-			t.Errorf("answers calls %v: returned %v, takes work %v", answers, m.Deleting, l.cluster.Schedulable(m))
+		if machine.Deleting == answers || l.cluster.Schedulable(machine) != answers {
+			t.Errorf("answers calls %v: returned %v, takes work %v", answers, machine.Deleting, l.cluster.Schedulable(machine))
 		}
-		if l.MachinesDeleted(m.ID); len(j.Attempts) != 0 {
-			t.Errorf("%d copies are left once it is gone", len(j.Attempts))
+		if l.MachinesDeleted(machine.ID); len(job.Attempts) != 0 {
+			t.Errorf("%d copies are left once it is gone", len(job.Attempts))
 		}
 	}
 }
@@ -59,17 +59,17 @@
 // all the time shows that the answers do not reach it.
 func TestLeaseRanOutThoughAnswered(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	for range 6 {
 		l.n.now = l.n.now.Add(4 * time.Second)
-		l.testReport(m, l.n.lease.term)
+		l.testReport(machine, l.n.lease.term)
 	}
-	if !l.cluster.Schedulable(m) {
+	if !l.cluster.Schedulable(machine) {
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
-	if l.cluster.Schedulable(m) {
+	l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
+	if l.cluster.Schedulable(machine) {
 		t.Error("takes new work")
 	}
 }
@@ -88,9 +88,9 @@
 		returned := func(till time.Duration) (n int) {
 			for ; l.n.now.Sub(start) < till; l.n.now = l.n.now.Add(tuning.WatchMachines) {
 				l.n.lease.renewedAt, l.n.syncedAt, l.n.out = l.n.now, l.n.now, nil
-				for i, m := range l.cluster.OrderedMachines {
+				for i, machine := range l.cluster.OrderedMachines {
 					if i >= c.silent {
-						m.Agent.LastHeartbeat, m.Agent.AnsweredAt = l.n.now, l.n.now
+						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 					}
 				}
 				l.tickMachines()
@@ -100,8 +100,8 @@
 					}
 				}
 			}
-			for _, m := range l.cluster.OrderedMachines {
-				if m.Deleting {
+			for _, machine := range l.cluster.OrderedMachines {
+				if machine.Deleting {
 					n++
 				}
 			}
@@ -120,18 +120,18 @@
 // its tasks with its lease, so it gets none; it is asked for none of its room.
 func TestNotReporting(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a", false)
 	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.report(&protocol.Report{Machine: m.ID, Address: "h:1", Type: m.TypeName, Zone: m.Zone, Incarnation: 1, Sequence: m.Agent.Sequence + 1, Token: l.n.lease.term}, false)
+		l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.lease.term}, false)
 	}
-	if !l.cluster.ConfirmedAlive(m) || l.cluster.Schedulable(m) {
-		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(m), l.cluster.Schedulable(m))
+	if !l.cluster.ConfirmedAlive(machine) || l.cluster.Schedulable(machine) {
+		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(machine), l.cluster.Schedulable(machine))
 	}
-	l.testReport(m, l.n.lease.term)
-	if !l.cluster.Schedulable(m) {
+	l.testReport(machine, l.n.lease.term)
+	if !l.cluster.Schedulable(machine) {
 		t.Error("takes no work though it reports again")
 	}
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -22,11 +22,11 @@
 
 // Job implements recovery.Records.
 func (s *storedState) Job(id protocol.JobID) (recovery.Job, bool) {
-	j := s.l.cluster.Jobs[id]
-	if j == nil {
+	job := s.l.cluster.Jobs[id]
+	if job == nil {
 		return recovery.Job{Unreadable: s.l.unreadable[id]}, false
 	}
-	return recovery.Job{Tasks: len(j.Tasks), Gang: j.Spec.Gang(), Service: j.Spec.Service(), Epoch: j.Epoch, Unreadable: s.l.unreadable[id]}, true
+	return recovery.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.l.unreadable[id]}, true
 }
 
 // Task implements recovery.Records.
@@ -41,28 +41,28 @@
 
 // Attempts implements recovery.Records.
 func (s *storedState) Attempts(name protocol.MachineID, list []recovery.Attempt) []recovery.Attempt {
-	m := s.l.cluster.Machines[name]
-	if m == nil {
+	machine := s.l.cluster.Machines[name]
+	if machine == nil {
 		return list
 	}
-	for _, c := range cluster.SortedAttemptsOn(m) {
-		list = append(list, recovery.Attempt{ID: attemptID(c), Incarnation: c.Incarnation, Undelivered: s.undelivered(c), Fenced: c.Orphaned})
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		list = append(list, recovery.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
 	}
 	return list
 }
 
 // undelivered says whether a start of an attempt may be on its way, or will be ordered
 // again. One that a predecessor recorded is never started by this leader.
-func (s *storedState) undelivered(c *cluster.Attempt) bool {
-	if !c.StartSent || c.StartsInFlight > 0 || c.StartUnanswered || c.StartInResponse && !s.answered {
+func (s *storedState) undelivered(attempt *cluster.Attempt) bool {
+	if !attempt.StartSent || attempt.StartsInFlight > 0 || attempt.StartUnanswered || attempt.StartInResponse && !s.answered {
 		return true
 	}
-	return c.ReportedState == "" && !c.Stopping && !c.Recovered
+	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
 }
 
 // attemptID is how package recovery names an attempt.
-func attemptID(c *cluster.Attempt) recovery.AttemptID {
-	return recovery.AttemptID{TaskID: recovery.TaskID{Job: c.Job.ID, Index: c.Key.Index}, Attempt: c.Key.Number}
+func attemptID(attempt *cluster.Attempt) recovery.AttemptID {
+	return recovery.AttemptID{TaskID: recovery.TaskID{Job: attempt.Job.ID, Index: attempt.Key.Index}, Attempt: attempt.Key.Number}
 }
 
 // compare squares a report with what is stored.
@@ -72,50 +72,50 @@
 }
 
 // resolve does what each difference between a report and the records asks for.
-func (l *leader) resolve(m *cluster.Machine, r *protocol.Report, differences []recovery.Difference) {
-	m.Agent.Exited = m.Agent.Exited[:0]
+func (l *leader) resolve(machine *cluster.Machine, r *protocol.Report, differences []recovery.Difference) {
+	machine.Agent.Exited = machine.Agent.Exited[:0]
 	unnamed, unproven := false, false
 	for _, d := range differences {
 		l.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
 		if d.Entry >= 0 && d.Class != recovery.Unreadable && r.Tasks[d.Entry].State == protocol.TaskExited {
-			m.Agent.Exited = append(m.Agent.Exited, r.Tasks[d.Entry])
+			machine.Agent.Exited = append(machine.Agent.Exited, r.Tasks[d.Entry])
 		}
 		switch d.Class.Resolution() {
 		case recovery.Keep:
 			if d.Class == recovery.Unreadable {
-				unnamed = !l.noteUnreadable(m, &r.Tasks[d.Entry]) || unnamed
+				unnamed = !l.noteUnreadable(machine, &r.Tasks[d.Entry]) || unnamed
 				continue
 			}
-			if c := m.Attempts[key]; c != nil && r.Tasks[d.Entry].State != protocol.TaskExited {
-				l.shows(c, r.Tasks[d.Entry].State)
+			if attempt := machine.Attempts[key]; attempt != nil && r.Tasks[d.Entry].State != protocol.TaskExited {
+				l.shows(attempt, r.Tasks[d.Entry].State)
 			}
 		case recovery.Await:
 			unproven = unproven || d.Current
 		case recovery.Release:
-			if c := m.Attempts[key]; c != nil {
-				l.dropAttempt(c)
+			if attempt := machine.Attempts[key]; attempt != nil {
+				l.dropAttempt(attempt)
 			}
 		case recovery.Stop:
-			l.fence(m, key, &r.Tasks[d.Entry], d)
+			l.fence(machine, key, &r.Tasks[d.Entry], d)
 		case recovery.RecordEnd:
-			l.recordEnd(m, key, &r.Tasks[d.Entry])
+			l.recordEnd(machine, key, &r.Tasks[d.Entry])
 		}
 	}
-	maps.DeleteFunc(m.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !m.ShowsExited(key) })
-	l.limitUnreadable(m, unnamed, unproven)
+	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
+	l.limitUnreadable(machine, unnamed, unproven)
 }
 
 // shows notes the state of an attempt that a worker has.
-func (l *leader) shows(c *cluster.Attempt, state protocol.TaskState) {
+func (l *leader) shows(attempt *cluster.Attempt, state protocol.TaskState) {
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
-	c.ReportedState = state
-	c.StartSent = true
-	if state == protocol.TaskRunning && c.RunningSince.IsZero() {
-		c.RunningSince = l.n.now
-		l.n.log.Debug("task runs", "job", c.Job.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", c.Machine.ID)
+	attempt.ReportedState = state
+	attempt.StartSent = true
+	if state == protocol.TaskRunning && attempt.RunningSince.IsZero() {
+		attempt.RunningSince = l.n.now
+		l.n.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
 	}
 }
 
@@ -125,77 +125,77 @@
 // fence has an attempt that no record asks for stopped. It takes room until it is gone,
 // and must be gone before its task starts anywhere else. What a report shows that may be
 // a late copy is counted as there and not yet stopped: the worker may have ended it.
-func (l *leader) fence(m *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d recovery.Difference) {
-	j := l.cluster.Jobs[key.Job]
-	if j == nil || key.Index >= len(j.Tasks) {
+func (l *leader) fence(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d recovery.Difference) {
+	job := l.cluster.Jobs[key.Job]
+	if job == nil || key.Index >= len(job.Tasks) {
 		if d.Current {
-			m.Delivery.Orphans = append(m.Delivery.Orphans, key)
+			machine.Delivery.Orphans = append(machine.Delivery.Orphans, key)
 		}
 		return
 	}
-	c := m.Attempts[key]
-	if c == nil {
-		c = l.cluster.AddAttempt(j, key.Index, key.Number, m, m.Agent.Incarnation)
-		c.Committed, c.StartSent, c.Recovered, c.Orphaned = true, true, true, true
+	attempt := machine.Attempts[key]
+	if attempt == nil {
+		attempt = l.cluster.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
+		attempt.Committed, attempt.StartSent, attempt.Recovered, attempt.Orphaned = true, true, true, true
 	}
-	l.shows(c, entry.State)
-	l.skipAttempts(j, key)
-	if d.Current || j.Cancelled {
-		if !c.Stopping {
-			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", j.ID, "task", key.Index, "attempt", key.Number, "machine", m.ID)
+	l.shows(attempt, entry.State)
+	l.skipAttempts(job, key)
+	if d.Current || job.Cancelled {
+		if !attempt.Stopping {
+			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
-		l.Stop(c, 0)
+		l.Stop(attempt, 0)
 	}
 }
 
 // skipAttempts has the next attempt of a task numbered above one that the records never
 // had: a start of the same attempt would do nothing where the old one is.
-func (l *leader) skipAttempts(j *cluster.Job, key cluster.AttemptID) {
-	if t := &j.Tasks[key.Index]; key.Number > t.LastAttempt && key.Number < tuning.AttemptsMost {
-		t.LastAttempt = key.Number
+func (l *leader) skipAttempts(job *cluster.Job, key cluster.AttemptID) {
+	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.AttemptsMost {
+		task.LastAttempt = key.Number
 	}
 }
 
 // recordEnd takes the end of an attempt, and of its task if it is done.
-func (l *leader) recordEnd(m *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport) {
-	if j := l.cluster.Jobs[key.Job]; entry.Cause == protocol.CauseDone && j != nil {
-		l.setDone(j, key.Index)
-		clear(m.FailedJobs)
+func (l *leader) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport) {
+	if job := l.cluster.Jobs[key.Job]; entry.Cause == protocol.CauseDone && job != nil {
+		l.setDone(job, key.Index)
+		clear(machine.FailedJobs)
 	}
-	c := m.Attempts[key]
-	if c == nil {
+	attempt := machine.Attempts[key]
+	if attempt == nil {
 		return
 	}
-	if c.StartUnanswered || c.StartsInFlight > 0 {
-		m.Delivery.Pinned[key] = true
+	if attempt.StartUnanswered || attempt.StartsInFlight > 0 {
+		machine.Delivery.Pinned[key] = true
 	}
-	c.ReportedState = protocol.TaskExited
-	l.exited(m, c, *entry)
-	l.dropAttempt(c)
+	attempt.ReportedState = protocol.TaskExited
+	l.exited(machine, attempt, *entry)
+	l.dropAttempt(attempt)
 }
 
 // noteUnreadable takes an entry that makes no sense, which is logged once for each machine
 // and name; named is false if it does not even name a task.
-func (l *leader) noteUnreadable(m *cluster.Machine, entry *protocol.TaskReport) (named bool) {
+func (l *leader) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskReport) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && l.unreadable[id] {
-		m.IdleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
+		machine.IdleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
-	l.logOnce("entry of a report makes no sense", string(m.ID)+" "+entry.Task, "machine", m.ID, "task", entry.Task, "state", string(entry.State))
+	l.logOnce("entry of a report makes no sense", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
 // limitUnreadable returns a machine whose reports have had entries that name no task for
 // a lease, if they keep it from proving something gone: its deletion does.
-func (l *leader) limitUnreadable(m *cluster.Machine, unnamed, unproven bool) {
+func (l *leader) limitUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
 	switch {
 	case !unnamed:
-		m.Agent.UnreadableSince = time.Time{}
-	case m.Agent.UnreadableSince.IsZero():
-		m.Agent.UnreadableSince = l.n.now
-	case unproven && l.n.now.Sub(m.Agent.UnreadableSince) > config.Seconds(l.n.cfg.Cluster.Workers.LeaseS):
-		l.autoscaler.ReturnMachine(m, "its reports cannot be read")
+		machine.Agent.UnreadableSince = time.Time{}
+	case machine.Agent.UnreadableSince.IsZero():
+		machine.Agent.UnreadableSince = l.n.now
+	case unproven && l.n.now.Sub(machine.Agent.UnreadableSince) > config.Seconds(l.n.cfg.Cluster.Workers.LeaseS):
+		l.autoscaler.ReturnMachine(machine, "its reports cannot be read")
 	}
 }
 
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -24,19 +24,19 @@
 // task is placed again. An attempt that counted twice once held its task for ever.
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1}
-	j := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: m.ID, Incarnation: 1})
-	if n := j.Tasks[0].LiveAttempts; n != 2 || j.Tasks[0].Active.Machine != m {
+	machine, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
+	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
+	job := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
+	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskReport{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
 	if got := ops(l.testReport(other, l.n.lease.term, running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
-	l.testReport(m, l.n.lease.term)
+	l.testReport(machine, l.n.lease.term)
 	l.testReport(other, l.n.lease.term)
-	if n := j.Tasks[0].LiveAttempts; n != 0 || len(j.Attempts) != 0 {
+	if n := job.Tasks[0].LiveAttempts; n != 0 || len(job.Attempts) != 0 {
 		t.Errorf("%d attempts after the proofs", n)
 	}
 }
@@ -45,18 +45,18 @@
 // logged once, and after a lease the machine that sends them is returned, which proves it.
 func TestUnreadableReport(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	m := l.testMachine("i-1", "big", "a", false)
-	j := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: m.ID, Incarnation: 1})
+	machine := l.testMachine("i-1", "big", "a", false)
+	job := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
 	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
-		l.testReport(m, l.n.lease.term, nonsense)
-		if len(j.Attempts) != 1 || m.Deleting || len(l.logged) != 1 {
-			t.Fatalf("%d attempts, deleting %v, %d logged", len(j.Attempts), m.Deleting, len(l.logged))
+		l.testReport(machine, l.n.lease.term, nonsense)
+		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
+			t.Fatalf("%d attempts, deleting %v, %d logged", len(job.Attempts), machine.Deleting, len(l.logged))
 		}
 		l.n.now = l.n.now.Add(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS / 4.9))
 	}
-	l.testReport(m, l.n.lease.term, nonsense)
-	if !m.Deleting {
+	l.testReport(machine, l.n.lease.term, nonsense)
+	if !machine.Deleting {
 		t.Error("the machine is kept though nothing is ever proven of it")
 	}
 }
@@ -67,22 +67,22 @@
 func TestUnrecordedAttempt(t *testing.T) {
 	for _, attempt := range []protocol.AttemptNumber{9, tuning.AttemptsMost + 1} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
-		m := l.testMachine("i-1", "big", "a", false)
-		j := l.placed()
+		machine := l.testMachine("i-1", "big", "a", false)
+		job := l.placed()
 		running := protocol.TaskReport{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
-		if got := ops(l.testReport(m, l.n.lease.term-1, running)); got != "" || j.Tasks[1].LiveAttempts != 1 {
-			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, j.Tasks[1].LiveAttempts)
+		if got := ops(l.testReport(machine, l.n.lease.term-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
+			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, job.Tasks[1].LiveAttempts)
 		}
-		if got := ops(l.testReport(m, l.n.lease.term, running)); got != "halt " {
+		if got := ops(l.testReport(machine, l.n.lease.term, running)); got != "halt " {
 			t.Errorf("ordered %q", got)
 		}
-		l.testReport(m, l.n.lease.term)
+		l.testReport(machine, l.n.lease.term)
 		l.runSchedulingCycle()
 		want := attempt + 1
 		if attempt > tuning.AttemptsMost {
 			want = 1
 		}
-		if c := j.Tasks[1].Active; c == nil || c.Key.Number != want {
+		if c := job.Tasks[1].Active; c == nil || c.Key.Number != want {
 			t.Errorf("placed again as %+v, want attempt %d", c, want)
 		}
 	}
@@ -100,15 +100,15 @@
 		l.beginRecovery()
 		low := l.testJob(func() protocol.Job { s := gangOf(8, 1); s.Shape, s.Priority = protocol.ShapeArray, "idle"; return s }())
 		l.scheduler.PlaceArray(low, false)
-		for _, c := range low.Attempts {
-			c.Committed, c.StartSent, c.ReportedState = true, true, protocol.TaskRunning
+		for _, attempt := range low.Attempts {
+			attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 		}
 		s := gangOf(2, 1)
 		s.Priority = "high"
 		l.testJob(s)
 		stopping := func() bool {
 			l.runSchedulingCycle()
-			return slices.ContainsFunc(low.SortedAttempts(), func(c *cluster.Attempt) bool { return c.Stopping })
+			return slices.ContainsFunc(low.SortedAttempts(), func(attempt *cluster.Attempt) bool { return attempt.Stopping })
 		}
 		if free := l.cluster.FreeResources(full).GPUs; free > 0 {
 			t.Fatalf("%v GPUs are free", free)
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -47,37 +47,37 @@
 }
 
 // outgrown says whether a record must be split before it is written.
-func (l *leader) outgrown(j *cluster.Job, r int, limits config.State) bool {
-	list := j.TasksOf(r)
+func (l *leader) outgrown(job *cluster.Job, r int, limits config.State) bool {
+	list := job.TasksOf(r)
 	if len(list) < 2 {
 		return false
 	}
-	if j.Spec.Gang() && len(list) > bookkeeping.GangRecordTasks(limits.TxnOps) {
+	if job.Spec.Gang() && len(list) > bookkeeping.GangRecordTasks(limits.TxnOps) {
 		return true
 	}
 	room := int(limits.ValueKB * 1024)
 	if r == 0 {
-		if j.Records.SpecSize == 0 {
-			j.Records.SpecSize = len(bookkeeping.Encode(j.Spec))
+		if job.Records.SpecSize == 0 {
+			job.Records.SpecSize = len(bookkeeping.Encode(job.Spec))
 		}
-		room -= j.Records.SpecSize
+		room -= job.Records.SpecSize
 	}
 	if len(list)*tuning.TaskBytes+tuning.HeaderBytes <= room {
 		return false // with entries of any size
 	}
-	tasks, _ := recordContent(j, r)
+	tasks, _ := recordContent(job, r)
 	return len(bookkeeping.Encode(tasks))+tuning.HeaderBytes > room
 }
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
 // the limits.
-func (l *leader) splitDirty(j *cluster.Job, limits config.State) {
-	if len(j.Records.UnnamedParts) > 0 || !l.maySplit() {
+func (l *leader) splitDirty(job *cluster.Job, limits config.State) {
+	if len(job.Records.UnnamedParts) > 0 || !l.maySplit() {
 		return
 	}
-	for _, r := range slices.Sorted(maps.Keys(j.Write.Dirty)) {
-		if l.outgrown(j, r, limits) {
-			l.splitUp(j, r, limits)
+	for _, r := range slices.Sorted(maps.Keys(job.Write.Dirty)) {
+		if l.outgrown(job, r, limits) {
+			l.splitUp(job, r, limits)
 			return
 		}
 	}
@@ -86,22 +86,22 @@
 // splitRecords lists the records that must be written in the transaction that
 // completes a split, the job's own last; nil if no record is being split. Parts that
 // are staged need not be written again.
-func (l *leader) splitRecords(j *cluster.Job) []int {
+func (l *leader) splitRecords(job *cluster.Job) []int {
 	limits := l.limits()
-	l.splitDirty(j, limits)
-	if len(j.Records.UnnamedParts) == 0 {
+	l.splitDirty(job, limits)
+	if len(job.Records.UnnamedParts) == 0 {
 		return nil
 	}
 	// The job's own record, which is always written, may have outgrown them too.
-	if l.outgrown(j, 0, limits) {
-		l.splitUp(j, 0, limits)
+	if l.outgrown(job, 0, limits) {
+		l.splitUp(job, 0, limits)
 	}
 	var list []int
-	for part, source := range j.Records.UnnamedParts {
-		if !j.Records.Staged[part] || j.Write.Dirty[part] {
+	for part, source := range job.Records.UnnamedParts {
+		if !job.Records.Staged[part] || job.Write.Dirty[part] {
 			list = append(list, part)
 		}
-		if _, isNew := j.Records.UnnamedParts[source]; !isNew {
+		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
 			list = append(list, source)
 		}
 	}
@@ -113,32 +113,32 @@
 // splitUp splits a record until every part keeps within the limits. Unless parts may
 // be staged it stops at what one transaction can write; of a gang's parts the rest
 // may then be split in the next.
-func (l *leader) splitUp(j *cluster.Job, r int, limits config.State) {
+func (l *leader) splitUp(job *cluster.Job, r int, limits config.State) {
 	most := limits.TxnOps - 2
 	if l.mayStage() {
-		most = len(j.Tasks)
+		most = len(job.Tasks)
 	}
 	open := []int{r}
-	for len(open) > 0 && len(j.Records.UnnamedParts) < most {
+	for len(open) > 0 && len(job.Records.UnnamedParts) < most {
 		r := open[0]
 		open = open[1:]
-		if l.outgrown(j, r, limits) {
-			open = append(open, r, j.SplitRecord(r))
+		if l.outgrown(job, r, limits) {
+			open = append(open, r, job.SplitRecord(r))
 		}
 	}
-	l.n.log.Info("record split", "job", j.ID, "record", r, "records", len(j.Records.Revisions))
+	l.n.log.Info("record split", "job", job.ID, "record", r, "records", len(job.Records.Revisions))
 }
 
 // AwaitsRecordSplit says whether a gang has a record that must be split before its places
 // are written, and sees to it.
-func (l *leader) AwaitsRecordSplit(j *cluster.Job) bool {
-	if !l.maySplit() || j.Records.TasksPerRecord <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
+func (l *leader) AwaitsRecordSplit(job *cluster.Job) bool {
+	if !l.maySplit() || job.Records.TasksPerRecord <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
 		return false
 	}
-	first := len(j.Records.UnnamedParts) > 0
-	for r := range j.Records.Revisions {
-		if l.outgrown(j, r, l.n.cfg.Cluster.State) {
-			l.touch(j, r)
+	first := len(job.Records.UnnamedParts) > 0
+	for r := range job.Records.Revisions {
+		if l.outgrown(job, r, l.n.cfg.Cluster.State) {
+			l.touch(job, r)
 			first = true
 		}
 	}
@@ -153,10 +153,10 @@
 		return
 	}
 	l.splitSearched = true
-	for _, j := range l.scheduler.Queue() {
-		for r := range j.Records.Revisions {
-			if l.outgrown(j, r, l.n.cfg.Cluster.State) {
-				l.touch(j, r)
+	for _, job := range l.scheduler.Queue() {
+		for r := range job.Records.Revisions {
+			if l.outgrown(job, r, l.n.cfg.Cluster.State) {
+				l.touch(job, r)
 			}
 		}
 	}
@@ -164,25 +164,25 @@
 
 // recordsWritten notes that a job's records are committed. The job's own record
 // names all parts, so that a write of it completes a split.
-func recordsWritten(j *cluster.Job, w *jobWrite) {
+func recordsWritten(job *cluster.Job, w *jobWrite) {
 	if !w.staging {
-		j.Records.UnnamedParts, j.Records.Staged, j.Records.Splitting = nil, nil, false
+		job.Records.UnnamedParts, job.Records.Staged, job.Records.Splitting = nil, nil, false
 		return
 	}
-	if j.Records.Staged == nil {
-		j.Records.Staged = map[int]bool{}
+	if job.Records.Staged == nil {
+		job.Records.Staged = map[int]bool{}
 	}
 	for _, r := range w.records {
-		j.Records.Staged[r] = true // until it changes again
+		job.Records.Staged[r] = true // until it changes again
 	}
 }
 
 // dropUncommitted gives up the places of a job that are not written yet; they are
 // planned again.
-func (l *leader) dropUncommitted(j *cluster.Job) {
-	for _, c := range j.SortedAttempts() {
-		if !c.Committed {
-			l.dropAttempt(c)
+func (l *leader) dropUncommitted(job *cluster.Job) {
+	for _, attempt := range job.SortedAttempts() {
+		if !attempt.Committed {
+			l.dropAttempt(attempt)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 // it waits until it may be split. One that cannot be split further, because of its
 // description, is never written again. What is stored stays readable, and the job can
 // still end.
-func (l *leader) postpone(j *cluster.Job, record int) {
-	l.dropUncommitted(j)
-	if len(j.TasksOf(record)) < 2 && !j.Records.Quarantined {
-		j.Records.Quarantined = true
-		l.n.log.Error("record cannot be brought under the limits of the state service", "job", j.ID, "record", record)
+func (l *leader) postpone(job *cluster.Job, record int) {
+	l.dropUncommitted(job)
+	if len(job.TasksOf(record)) < 2 && !job.Records.Quarantined {
+		job.Records.Quarantined = true
+		l.n.log.Error("record cannot be brought under the limits of the state service", "job", job.ID, "record", record)
 	}
 }
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -58,8 +58,8 @@
 // the lowered limits and in one transaction, and what another leader reads is the
 // same.
 func TestSplitRecord(t *testing.T) {
-	l, j := lowering(t)
-	l.touch(j, 0)
+	l, job := lowering(t)
+	l.touch(job, 0)
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r := l.sentTxn(t)
 	if len(txn.Then) != 1 || len(txn.Then[0].Value) <= 2048 {
@@ -70,7 +70,7 @@
 	l.splitOutgrown()
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r = l.sentTxn(t)
-	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(j.ID) {
+	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(job.ID) {
 		t.Fatalf("%d changes", len(txn.Then))
 	}
 	next := testLeader(l.n.now)
@@ -95,14 +95,14 @@
 		}
 		next.addTasks(again, num, chunk.Tasks)
 	}
-	for i := range j.Tasks {
-		a, b := &j.Tasks[i], &again.Tasks[i]
-		if a.LastAttempt != b.LastAttempt || a.Done != b.Done || (a.Active == nil) != (b.Active == nil) || j.RecordOf(i) != again.RecordOf(i) {
-			t.Fatalf("task %d: %+v in %d, %+v in %d", i, a, j.RecordOf(i), b, again.RecordOf(i))
+	for i := range job.Tasks {
+		a, b := &job.Tasks[i], &again.Tasks[i]
+		if a.LastAttempt != b.LastAttempt || a.Done != b.Done || (a.Active == nil) != (b.Active == nil) || job.RecordOf(i) != again.RecordOf(i) {
+			t.Fatalf("task %d: %+v in %d, %+v in %d", i, a, job.RecordOf(i), b, again.RecordOf(i))
 		}
 	}
 	// Refused by a race, it is sent again with all its parts.
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(j.ID)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(job.ID)}})})
 	l.commitLater(tuning.MarkLate + time.Second)
 	if second, _ := l.sentTxn(t); len(second.Then) != len(txn.Then) {
 		t.Errorf("%d changes, then %d", len(txn.Then), len(second.Then))
@@ -116,9 +116,9 @@
 // waits, and is not sent again either.
 func TestRefusedForSize(t *testing.T) {
 	for _, up := range []bool{false, true} {
-		l, j := lowering(t)
+		l, job := lowering(t)
 		l.n.peers["s"].up = up
-		l.touch(j, 0)
+		l.touch(job, 0)
 		l.commitLater(tuning.MarkLate + time.Second)
 		_, r := l.sentTxn(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -64,10 +64,10 @@
 
 // wideJob is a job whose description leaves room for few tasks in its first record.
 func wideJob(shape protocol.Shape) *bookkeeping.Job {
-	s := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
+	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	rec := &bookkeeping.Job{Writer: "w-1", Spec: s, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
-	for i := range s.Tasks {
+	rec := &bookkeeping.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	for i := range spec.Tasks {
 		task := bookkeeping.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
 			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
@@ -88,12 +88,12 @@
 // sameTasks compares the tasks that a leader has read with those of a record.
 func sameTasks(t *testing.T, l *leader, rec *bookkeeping.Job) {
 	t.Helper()
-	j := l.cluster.Jobs[rec.Spec.ID]
-	if j == nil {
+	job := l.cluster.Jobs[rec.Spec.ID]
+	if job == nil {
 		t.Fatal("the job is unknown")
 	}
 	for _, want := range rec.Tasks {
-		got := &j.Tasks[want.Index]
+		got := &job.Tasks[want.Index]
 		if got.LastAttempt != want.Attempt || got.Done != want.Done || (got.Active != nil) != (want.Machine != "") {
 			t.Fatalf("task %d: %+v, want %+v", want.Index, got, want)
 		}
@@ -192,48 +192,48 @@
 		rec := wideJob(protocol.ShapeArray)
 		s := stored(rec)
 		l := s.leader(protocol.PeerLevel)
-		j := l.cluster.Jobs[rec.Spec.ID]
+		job := l.cluster.Jobs[rec.Spec.ID]
 		answer := func() {
 			txn, r := l.nextTxn(t)
 			s.answer(t, l, txn, r)
 		}
-		if txn, _ := l.nextTxn(t); txn == nil || len(j.Records.UnnamedParts) < 8 {
-			t.Fatalf("%d parts", len(j.Records.UnnamedParts))
+		if txn, _ := l.nextTxn(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
+			t.Fatalf("%d parts", len(job.Records.UnnamedParts))
 		}
-		first := j.TasksOf(1) // the first part is in the first step
+		first := job.TasksOf(1) // the first part is in the first step
 		if late {
 			answer()
-			if !j.Records.Staged[1] || !j.Records.Splitting {
+			if !job.Records.Staged[1] || !job.Records.Splitting {
 				t.Fatal("not staged")
 			}
 		}
 		ended, lost := first[len(first)-1], first[len(first)-2]
-		c, d := j.Tasks[ended].Active, j.Tasks[lost].Active
-		if c == nil || d == nil {
+		attempt, d := job.Tasks[ended].Active, job.Tasks[lost].Active
+		if attempt == nil || d == nil {
 			t.Fatal("the tasks do not run")
 		}
-		l.setDone(j, ended)
-		l.dropAttempt(c)
+		l.setDone(job, ended)
+		l.dropAttempt(attempt)
 		l.dropAttempt(d)
-		if l.scheduler.WaitingTasks(j) != 0 {
+		if l.scheduler.WaitingTasks(job) != 0 {
 			t.Error("tasks are wanted while the record is split")
 		}
 		rec.Tasks[ended] = bookkeeping.Task{Index: ended, Attempt: 2, Done: true}
 		for range 10 {
-			if !j.Records.Splitting {
+			if !job.Records.Splitting {
 				break
 			}
 			answer()
 		}
 		// No later: what the parts say holds from the moment at which they are named.
-		if j.Records.Splitting {
+		if job.Records.Splitting {
 			t.Fatal("never split")
 		}
 		next := s.leader(protocol.PeerLevel)
 		if !next.cluster.Jobs[rec.Spec.ID].Tasks[ended].Done {
 			t.Errorf("late %v: the end is lost", late)
 		}
-		if l.scheduler.WaitingTasks(j) == 0 {
+		if l.scheduler.WaitingTasks(job) == 0 {
 			t.Error("the lost task is not wanted")
 		}
 	}
@@ -323,8 +323,8 @@
 		}
 		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
 	}
-	if j := l.cluster.Jobs[rec.Spec.ID]; !j.Records.Quarantined || l.scheduler.WaitingTasks(j) != 0 {
-		t.Errorf("unwritable %v, wants %d", j.Records.Quarantined, l.scheduler.WaitingTasks(j))
+	if job := l.cluster.Jobs[rec.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
+		t.Errorf("unwritable %v, wants %d", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
 }
@@ -334,8 +334,8 @@
 func TestThrottled(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.writes.SetLimit(1)
-	m := l.testMachine(hostName, "big", "a", false)
-	l.writeForTest(m)
+	machine := l.testMachine(hostName, "big", "a", false)
+	l.writeForTest(machine)
 	_, r := l.sentTxn(t)
 	l.n.handle(Response{ID: r.ID, Status: 429})
 	if tokens := l.n.writes.TokensAt(l.n.now); tokens >= 1 {
@@ -355,7 +355,7 @@
 }
 
 // writeForTest has a machine's record written.
-func (l *leader) writeForTest(m *cluster.Machine) {
-	l.RecordMachine(m)
+func (l *leader) writeForTest(machine *cluster.Machine) {
+	l.RecordMachine(machine)
 	l.commitLater(time.Second)
 }
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -42,8 +42,8 @@
 		return
 	}
 	stored := make(map[protocol.MachineID][]recovery.Attempt, len(l.cluster.OrderedMachines))
-	for _, m := range l.cluster.OrderedMachines {
-		stored[m.ID] = l.stored.Attempts(m.ID, nil)
+	for _, machine := range l.cluster.OrderedMachines {
+		stored[machine.ID] = l.stored.Attempts(machine.ID, nil)
 	}
 	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
 	l.recovery = recovery.Begin(l.n.now, lapse, stored)
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -36,11 +36,11 @@
 
 // reported tells what becomes of a machine's report at a node: where the worker
 // is sent, "carried", or the status.
-func reported(n *Node, machine protocol.MachineID) string {
+func reported(n *Node, machineID protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
 	n.out = nil
-	n.routeReport(id, &protocol.Report{Machine: machine, Incarnation: 1, Sequence: protocol.Sequence(id)})
+	n.routeReport(id, &protocol.Report{Machine: machineID, Incarnation: 1, Sequence: protocol.Sequence(id)})
 	for _, a := range n.out {
 		switch a := a.(type) {
 		case Reply:
@@ -212,12 +212,12 @@
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
-	m := l.cluster.OrderedMachines[0]
+	machine := l.cluster.OrderedMachines[0]
 	order := func(path string) (action Action, ended *int) {
 		n.out = nil
 		ended = new(int)
 		*ended = -1
-		l.call(m, "POST", path, protocol.Orders{Token: 7}, func(status int, _ []byte) { *ended = status })
+		l.call(machine, "POST", path, protocol.Orders{Token: 7}, func(status int, _ []byte) { *ended = status })
 		return n.out[len(n.out)-1], ended
 	}
 	a, ended := order(protocol.PathOrders)
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -13,15 +13,15 @@
 // replicaEnded notes that a replica ended by itself. It starts again elsewhere at
 // once; one that ends again and again does so ever more rarely. One that ran for a
 // while is stable: neither it nor its machine is to blame.
-func (l *leader) replicaEnded(c *cluster.Attempt) (stable bool) {
-	t := &c.Job.Tasks[c.Key.Index]
-	if !c.RunningSince.IsZero() && l.n.now.Sub(c.RunningSince) >= tuning.ReplicaStable {
-		t.EarlyExits = 0
+func (l *leader) replicaEnded(attempt *cluster.Attempt) (stable bool) {
+	task := &attempt.Job.Tasks[attempt.Key.Index]
+	if !attempt.RunningSince.IsZero() && l.n.now.Sub(attempt.RunningSince) >= tuning.ReplicaStable {
+		task.EarlyExits = 0
 		return true
 	}
-	if t.EarlyExits > 0 {
-		t.RetryAt = l.n.now.Add(tuning.ReplicaPause << min(t.EarlyExits-1, tuning.ReplicaDoublings))
+	if task.EarlyExits > 0 {
+		task.RetryAt = l.n.now.Add(tuning.ReplicaPause << min(task.EarlyExits-1, tuning.ReplicaDoublings))
 	}
-	t.EarlyExits++
+	task.EarlyExits++
 	return false
 }
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -58,9 +58,9 @@
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
 // nodes reckon the same.
-func (n *Node) proxyFor(machine protocol.MachineID, leader protocol.NodeName, keeps uint64) protocol.NodeName {
+func (n *Node) proxyFor(machineID protocol.MachineID, leader protocol.NodeName, keeps uint64) protocol.NodeName {
 	h := fnv.New32a()
-	h.Write([]byte(machine))
+	h.Write([]byte(machineID))
 	sum := uint64(h.Sum32())
 	if sum%tuning.DirectAll < keeps || len(n.names) < 2 {
 		return leader
@@ -114,9 +114,9 @@
 
 // redirectTarget is the node that a worker should rather report to, "" if this one
 // fetches the leader's answer for it.
-func (n *Node) redirectTarget(machine protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
-	c := n.contacts[machine]
-	if n.redirectedLately(machine) {
+func (n *Node) redirectTarget(machineID protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
+	c := n.contacts[machineID]
+	if n.redirectedLately(machineID) {
 		return ""
 	}
 	if !n.isReachable(leader) {
@@ -134,13 +134,13 @@
 	if s.Term != protocol.Term(n.lease.revision) || s.Leader != leader {
 		return "" // it has yet to say how many it keeps
 	}
-	to := n.proxyFor(machine, leader, s.DirectShare)
+	to := n.proxyFor(machineID, leader, s.DirectShare)
 	switch {
 	case s.DirectShare >= tuning.DirectAll:
 	case to == n.cfg.Name, !n.fullyConnected(), !n.mayRedirect():
 		// It stays here: the proxy may be what is missing, or others move first.
 		c.proxiedAt = n.now
-		n.contacts[machine] = c
+		n.contacts[machineID] = c
 		return ""
 	}
 	return to
@@ -162,8 +162,8 @@
 // redirectedLately says whether a worker was sent to another node lately and came back:
 // it cannot reach that one then. After a while it is sent again, for the cut may be
 // over, and answering it here costs more.
-func (n *Node) redirectedLately(machine protocol.MachineID) bool {
-	c := n.contacts[machine]
+func (n *Node) redirectedLately(machineID protocol.MachineID) bool {
+	c := n.contacts[machineID]
 	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
 }
 
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -14,109 +14,109 @@
 	if l.autoscaler.Deleted(r.Machine) {
 		return nil, false // what is deleted can only have sent this before
 	}
-	m := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
-	if !r.Newer(m.Agent.Incarnation, m.Agent.Sequence) {
+	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
+	if !r.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
 		return nil, false
 	}
 	differences := l.compare(r, answered)
-	l.reportedIncarnation(m, r)
-	l.reportedLiveness(m, r, answered)
-	l.checkedTokens(m)
-	if m.Record == nil && m.Agent.TokenConfirmed {
+	l.reportedIncarnation(machine, r)
+	l.reportedLiveness(machine, r, answered)
+	l.checkedTokens(machine)
+	if machine.Record == nil && machine.Agent.TokenConfirmed {
 		// One that has not shown this leader's token may be gone: a late duplicate
 		// of an old report can come at any time.
-		l.RecordMachine(m)
+		l.RecordMachine(machine)
 	}
-	if r.NoticeS != nil && !m.SpotNotice {
-		m.SpotNotice = true
+	if r.NoticeS != nil && !machine.SpotNotice {
+		machine.SpotNotice = true
 		l.plan = true
-		l.Drain(m)
+		l.Drain(machine)
 	}
-	l.resolve(m, r, differences)
-	if m.Agent.TokenConfirmed {
-		l.recovery.Known(m.ID)
+	l.resolve(machine, r, differences)
+	if machine.Agent.TokenConfirmed {
+		l.recovery.Known(machine.ID)
 	}
 	if answered {
-		m.CountUnseenAnswers(r)
-		commands = l.orders(m, true)
+		machine.CountUnseenAnswers(r)
+		commands = l.orders(machine, true)
 	}
 	return commands, true
 }
 
 // reportedIncarnation takes the incarnation and sequence number of a report. A newer one
 // has forgotten every attempt of an older one.
-func (l *leader) reportedIncarnation(m *cluster.Machine, r *protocol.Report) {
-	if r.Incarnation > m.Agent.Incarnation {
-		m.Delivery.Pinned = map[cluster.AttemptID]bool{}
-		if m.Agent.TokenConfirmed && l.n.now.Sub(m.Agent.AnsweredAt) < config.Seconds(l.n.cfg.Cluster.Workers.LeaseS) {
+func (l *leader) reportedIncarnation(machine *cluster.Machine, r *protocol.Report) {
+	if r.Incarnation > machine.Agent.Incarnation {
+		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
+		if machine.Agent.TokenConfirmed && l.n.now.Sub(machine.Agent.AnsweredAt) < config.Seconds(l.n.cfg.Cluster.Workers.LeaseS) {
 			// Its lease ran out although its reports were answered all the time.
-			m.Agent.UnseenAnswers = tuning.MissedAnswers
+			machine.Agent.UnseenAnswers = tuning.MissedAnswers
 		}
 	}
-	m.Agent.Incarnation, m.Agent.Sequence = r.Incarnation, r.Sequence
+	machine.Agent.Incarnation, machine.Agent.Sequence = r.Incarnation, r.Sequence
 }
 
 // reportedLiveness notes the sign of life that a report is.
-func (l *leader) reportedLiveness(m *cluster.Machine, r *protocol.Report, answered bool) {
-	if !m.Agent.Heard || m.Agent.LeaseExpired {
-		m.Agent.Heard, m.Agent.LeaseExpired = true, false
-		m.IdleSince = l.n.now
-		l.sendSoon(m) // what was to be ordered waited for a sign of life
+func (l *leader) reportedLiveness(machine *cluster.Machine, r *protocol.Report, answered bool) {
+	if !machine.Agent.Heard || machine.Agent.LeaseExpired {
+		machine.Agent.Heard, machine.Agent.LeaseExpired = true, false
+		machine.IdleSince = l.n.now
+		l.sendSoon(machine) // what was to be ordered waited for a sign of life
 	}
-	if confirmed := r.Token == l.n.lease.term; confirmed != m.Agent.TokenConfirmed {
-		m.Agent.TokenConfirmed = confirmed
+	if confirmed := r.Token == l.n.lease.term; confirmed != machine.Agent.TokenConfirmed {
+		machine.Agent.TokenConfirmed = confirmed
 		l.plan = true
 	}
-	m.Agent.LastHeartbeat = l.n.now
+	machine.Agent.LastHeartbeat = l.n.now
 	if answered {
-		m.Agent.AnsweredAt = l.n.now
+		machine.Agent.AnsweredAt = l.n.now
 	} else {
-		m.Agent.UnseenAnswers = 0 // it has answered a call
+		machine.Agent.UnseenAnswers = 0 // it has answered a call
 	}
-	if !l.cluster.NotReceiving(m) {
-		m.Agent.FailedProbes = 0
+	if !l.cluster.NotReceiving(machine) {
+		machine.Agent.FailedProbes = 0
 	}
 }
 
 // exited decides what follows from the end of an attempt.
-func (l *leader) exited(m *cluster.Machine, c *cluster.Attempt, t protocol.TaskReport) {
-	j := c.Job
-	l.n.log.Debug("task exited", "job", j.ID, "task", c.Key.Index, "attempt", c.Key.Number, "machine", m.ID, "cause", t.Cause, "saved", t.Saved)
-	if j.Spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(c) {
+func (l *leader) exited(machine *cluster.Machine, attempt *cluster.Attempt, t protocol.TaskReport) {
+	job := attempt.Job
+	l.n.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", t.Cause, "saved", t.Saved)
+	if job.Spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(attempt) {
 		return
 	}
 	switch t.Cause {
 	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
 	case protocol.CauseError:
-		j.Failures.Machines[m.ID] = true
-		j.Failures.AvoidUntil[m.ID] = l.n.now.Add(tuning.AvoidFailed)
-		if len(j.Failures.Machines) >= tuning.JobErrors {
+		job.Failures.Machines[machine.ID] = true
+		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFailed)
+		if len(job.Failures.Machines) >= tuning.JobErrors {
 			// It fails everywhere: the job is to blame, not the machines.
 			// It goes on trying, ever more rarely, on what is free: it must not
 			// keep sound work of lower priority from its machines for ever.
 			// The replicas of a service have pauses of their own.
-			if j.Spec.Service() {
-				clear(j.Failures.Machines)
+			if job.Spec.Service() {
+				clear(job.Failures.Machines)
 			} else {
-				j.RetryAt = l.n.now.Add(tuning.ErrorPause << min(j.Failures.Attributed, tuning.ErrorDoublings))
-				j.Failures.Attributed++
+				job.RetryAt = l.n.now.Add(tuning.ErrorPause << min(job.Failures.Attributed, tuning.ErrorDoublings))
+				job.Failures.Attributed++
 			}
 			for _, other := range l.cluster.Machines {
-				delete(other.FailedJobs, j.ID)
+				delete(other.FailedJobs, job.ID)
 			}
-			clear(j.Failures.AvoidUntil)
+			clear(job.Failures.AvoidUntil)
 			return
 		}
-		m.FailedJobs[j.ID] = true
-		if len(m.FailedJobs) >= tuning.MachineErrors && !m.Quarantined {
-			m.Quarantined = true
-			l.n.log.Info("machine distrusted", "machine", m.ID)
-			l.Drain(m)
+		machine.FailedJobs[job.ID] = true
+		if len(machine.FailedJobs) >= tuning.MachineErrors && !machine.Quarantined {
+			machine.Quarantined = true
+			l.n.log.Info("machine distrusted", "machine", machine.ID)
+			l.Drain(machine)
 		}
 	case protocol.CauseNoRoom, protocol.CauseBusy:
-		j.Failures.AvoidUntil[m.ID] = l.n.now.Add(tuning.AvoidFor)
+		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFor)
 	default:
 		// no_such, or a cause of a later version: try again, but not at once.
-		j.RetryAt = l.n.now.Add(tuning.RetryPause * 8)
+		job.RetryAt = l.n.now.Add(tuning.RetryPause * 8)
 	}
 }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -50,7 +50,7 @@
 }
 
 // askForTerm asks the state service whether this leader's term is the newest still.
-func (l *leader) askForTerm(machine protocol.MachineID) {
+func (l *leader) askForTerm(machineID protocol.MachineID) {
 	s := &l.restored
 	if s.asking {
 		return
@@ -68,7 +68,7 @@
 			l.n.stepDown("a worker has seen a higher token")
 		case status == 200 && sound && a.Revision != 0:
 			l.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
-				"machine", machine, "token", s.highest, "revision", a.Revision, "term", l.n.lease.term)
+				"machine", machineID, "token", s.highest, "revision", a.Revision, "term", l.n.lease.term)
 			s.proven, s.revision = true, a.Revision
 		default:
 			s.highest = l.n.lease.term // the next report asks again
@@ -78,11 +78,11 @@
 
 // holdsHigherToken keeps note of a worker that no order reaches.
 func (l *leader) holdsHigherToken(r *protocol.Report) {
-	m := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
-	if m.Agent.HigherToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", m.ID, "token", r.Token)
+	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
+	if machine.Agent.HigherToken == 0 {
+		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.Token)
 	}
-	m.Agent.HigherToken = r.Token
+	machine.Agent.HigherToken = r.Token
 }
 
 // reachableToken is the highest token of a worker above which the revision can be raised
@@ -90,9 +90,9 @@
 // costs no more than its own worker.
 func (l *leader) reachableToken() (token protocol.Term) {
 	changes := l.n.cfg.Cluster.State.WriteRPS * l.n.cfg.Cluster.Workers.LeaseS / 2
-	for _, m := range l.cluster.OrderedMachines {
-		if m.Agent.HigherToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
-			token = max(token, m.Agent.HigherToken)
+	for _, machine := range l.cluster.OrderedMachines {
+		if machine.Agent.HigherToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
+			token = max(token, machine.Agent.HigherToken)
 		}
 	}
 	return token
@@ -125,13 +125,13 @@
 // lapsed. Once all are gone the state service's history is the only one again.
 func (l *leader) returnUnreachable() {
 	left := false
-	for _, m := range l.cluster.OrderedMachines {
-		if m.Agent.HigherToken <= l.n.lease.term {
+	for _, machine := range l.cluster.OrderedMachines {
+		if machine.Agent.HigherToken <= l.n.lease.term {
 			continue
 		}
 		left = true
-		if l.n.now.After(l.lapseAt(m)) {
-			l.autoscaler.ReturnMachine(m, "holds a higher token than any leader")
+		if l.n.now.After(l.lapseAt(machine)) {
+			l.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
 		}
 	}
 	if !left {
@@ -184,8 +184,8 @@
 
 // checkedTokens notes that a recorded worker has taken this leader's token: it held none
 // of another history.
-func (l *leader) checkedTokens(m *cluster.Machine) {
-	if m.Recovered && m.Agent.TokenConfirmed && !l.restored.tokensChecked {
+func (l *leader) checkedTokens(machine *cluster.Machine) {
+	if machine.Recovered && machine.Agent.TokenConfirmed && !l.restored.tokensChecked {
 		l.restored.tokensChecked, l.plan = true, true
 	}
 }
@@ -193,8 +193,8 @@
 // Held says whether a job must not start anything yet: attempts that no record has may
 // run on workers that have yet to report. Until one of them has shown its token, nobody
 // knows.
-func (l *leader) Held(j *cluster.Job) bool {
-	if !j.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
+func (l *leader) Held(job *cluster.Job) bool {
+	if !job.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
 	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -22,16 +22,16 @@
 	for i := range 24 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", "a", false)
 	}
-	j := l.testJob(gangOf(24, 4))
-	if !l.scheduler.PlaceGang(j) {
+	job := l.testJob(gangOf(24, 4))
+	if !l.scheduler.PlaceGang(job) {
 		t.Fatal("no place")
 	}
 	l.calls.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
 	l.calls.SetLimit(1)
-	l.committed(&commit{jobs: []*jobWrite{{j: j, records: []int{0}}}}, 20)
+	l.committed(&commit{jobs: []*jobWrite{{j: job, records: []int{0}}}}, 20)
 	var want []*cluster.Machine
-	for _, c := range j.SortedAttempts() {
-		want = append(want, c.Machine)
+	for _, attempt := range job.SortedAttempts() {
+		want = append(want, attempt.Machine)
 	}
 	if !slices.Equal(l.directQueue, want) {
 		t.Error("the starts leave in another order than the tasks have")
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -11,18 +11,18 @@
 
 // PlaceArray gives each waiting task the first free room; it returns how many
 // still wait. warm: only on machines that have its image.
-func (sc *Scheduler) PlaceArray(j *cluster.Job, warm bool) (waiting int) {
-	quota := sc.state.TasksWithinLimit(j)
-	if j.Overdue(sc.state.Now()) {
+func (sc *Scheduler) PlaceArray(job *cluster.Job, warm bool) (waiting int) {
+	quota := sc.state.TasksWithinLimit(job)
+	if job.Overdue(sc.state.Now()) {
 		quota = min(quota, 1)
 	}
 	var list []Candidate
 	var limit map[protocol.ZoneName]int
 	var only protocol.ZoneName
 	next := 0 // sites before this one are full or not allowed
-	for i := range j.Tasks {
-		t := &j.Tasks[i]
-		if t.Done || t.LiveAttempts > 0 {
+	for i := range job.Tasks {
+		task := &job.Tasks[i]
+		if task.Done || task.LiveAttempts > 0 {
 			continue
 		}
 		if waiting > 0 || quota == 0 {
@@ -30,8 +30,8 @@
 			continue
 		}
 		if list == nil {
-			limit, only = sc.state.ZoneLimits(j)
-			list = sc.candidates(j, only)
+			limit, only = sc.state.ZoneLimits(job)
+			list = sc.candidates(job, only)
 			if warm {
 				list = slices.DeleteFunc(list, func(s Candidate) bool { return !s.imageLocal })
 			}
@@ -47,13 +47,13 @@
 			continue
 		}
 		s := &list[next]
-		sc.Assign(j, i, t.LastAttempt+1, s.machine)
+		sc.Assign(job, i, task.LastAttempt+1, s.machine)
 		quota--
 		limit[s.machine.Zone]--
-		if j.Spec.OneZone {
+		if job.Spec.OneZone {
 			only = s.machine.Zone
 		}
-		s.tasks = sc.state.FreeResources(s.machine).Fit(j.Spec, len(j.Tasks))
+		s.tasks = sc.state.FreeResources(s.machine).Fit(job.Spec, len(job.Tasks))
 	}
 	return waiting
 }
@@ -63,35 +63,35 @@
 // an array that would fetch its image there leaves them to one behind it that
 // need not. One whose time runs out takes what there is.
 func (sc *Scheduler) placeImageLocal(queue []*cluster.Job) {
-	for _, j := range queue {
-		if j.Spec.Gang() || j.Priority != queue[0].Priority {
+	for _, job := range queue {
+		if job.Spec.Gang() || job.Priority != queue[0].Priority {
 			return
 		}
-		if sc.WaitingTasks(j) > 0 {
-			sc.placeTasks(j, sc.canWaitForImage(j))
+		if sc.WaitingTasks(job) > 0 {
+			sc.placeTasks(job, sc.canWaitForImage(job))
 		}
 	}
 }
 
 // canWaitForImage says whether an array can wait for machines that have its image.
-func (sc *Scheduler) canWaitForImage(j *cluster.Job) bool {
-	if j.Spec.Service() {
+func (sc *Scheduler) canWaitForImage(job *cluster.Job) bool {
+	if job.Spec.Service() {
 		return false
 	}
-	fetch := config.Seconds(sc.state.ImageFetchSeconds(j.Spec) * tuning.WarmPatience)
-	for _, at := range j.StartDeadlines {
+	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.WarmPatience)
+	for _, at := range job.StartDeadlines {
 		if !sc.state.Now().After(at) {
 			return sc.state.Now().Before(at.Add(-fetch))
 		}
 	}
-	return len(j.StartDeadlines) > 0 || sc.state.Now().Sub(j.SubmittedAt) < fetch
+	return len(job.StartDeadlines) > 0 || sc.state.Now().Sub(job.SubmittedAt) < fetch
 }
 
 // placeTasks gives waiting tasks of an array or a service the first free room; it
 // returns how many still wait.
-func (sc *Scheduler) placeTasks(j *cluster.Job, warm bool) (waiting int) {
-	if j.Spec.Service() {
-		return sc.PlaceService(j)
+func (sc *Scheduler) placeTasks(job *cluster.Job, warm bool) (waiting int) {
+	if job.Spec.Service() {
+		return sc.PlaceService(job)
 	}
-	return sc.PlaceArray(j, warm)
+	return sc.PlaceArray(job, warm)
 }
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -22,20 +22,20 @@
 }
 
 // candidates lists the machines that can take tasks of a job, the best first.
-func (sc *Scheduler) candidates(j *cluster.Job, zone protocol.ZoneName) []Candidate {
+func (sc *Scheduler) candidates(job *cluster.Job, zone protocol.ZoneName) []Candidate {
 	var list []Candidate
 	p := sc.currentCycle()
 	machines := p.vacant
-	if j.Spec.GPUs == 0 {
+	if job.Spec.GPUs == 0 {
 		machines = p.schedulable // it may fit beside tasks that have all of a machine's GPUs
 	}
 	p.examined += len(machines)
-	for _, m := range machines {
-		if zone != "" && m.Zone != zone || !sc.state.Suits(j, m) {
+	for _, machine := range machines {
+		if zone != "" && machine.Zone != zone || !sc.state.Suits(job, machine) {
 			continue
 		}
-		if n := sc.state.FreeResources(m).Fit(j.Spec, len(j.Tasks)); n > 0 {
-			list = append(list, Candidate{machine: m, tasks: n, residualSlots: m.Slots.Free(), suspected: len(m.FailedJobs) > 0, survivor: j.Survivors[m.ID], imageLocal: m.HasImage(j.Spec.Image), price: sc.state.PriceOf(m)})
+		if n := sc.state.FreeResources(machine).Fit(job.Spec, len(job.Tasks)); n > 0 {
+			list = append(list, Candidate{machine: machine, tasks: n, residualSlots: machine.Slots.Free(), suspected: len(machine.FailedJobs) > 0, survivor: job.Survivors[machine.ID], imageLocal: machine.HasImage(job.Spec.Image), price: sc.state.PriceOf(machine)})
 		}
 	}
 	return list
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -33,13 +33,13 @@
 	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
 		p.examineLimit = max(p.examineLimit, int(cores*float64(tuning.PassLength/tuning.LookCost)))
 	}
-	for _, m := range sc.state.OrderedMachines {
-		if !sc.state.Schedulable(m) {
+	for _, machine := range sc.state.OrderedMachines {
+		if !sc.state.Schedulable(machine) {
 			continue
 		}
-		p.schedulable = append(p.schedulable, m)
-		if m.HasFree(sc.state.TypeOf(m)) {
-			p.vacant = append(p.vacant, m)
+		p.schedulable = append(p.schedulable, machine)
+		if machine.HasFree(sc.state.TypeOf(machine)) {
+			p.vacant = append(p.vacant, machine)
 		}
 	}
 	return p
@@ -64,18 +64,18 @@
 	}
 	p.supply = map[protocol.ZoneName]*zoneSupply{}
 	p.examined += len(p.schedulable)
-	for _, m := range p.schedulable {
-		s := p.supply[m.Zone]
+	for _, machine := range p.schedulable {
+		s := p.supply[machine.Zone]
 		if s == nil {
 			s = &zoneSupply{}
-			p.supply[m.Zone] = s
+			p.supply[machine.Zone] = s
 		}
-		s.free.Add(sc.state.FreeResources(m))
-		for _, c := range m.Attempts {
-			if c.Stopping {
-				s.free.AddTasks(c.Job.Spec, 1)
+		s.free.Add(sc.state.FreeResources(machine))
+		for _, attempt := range machine.Attempts {
+			if attempt.Stopping {
+				s.free.AddTasks(attempt.Job.Spec, 1)
 			} else {
-				s.preemptible[c.Job.Priority].AddTasks(c.Job.Spec, 1)
+				s.preemptible[attempt.Job.Priority].AddTasks(attempt.Job.Spec, 1)
 			}
 		}
 	}
@@ -85,21 +85,21 @@
 // awaitsUnreportedCapacity says whether, in a recovery, machines that have yet to report to this leader
 // may have room for n tasks of a job. Nothing is stopped for it until they have reported,
 // or could have: else work would be stopped beside room that is free.
-func (sc *Scheduler) awaitsUnreportedCapacity(j *cluster.Job, n int) bool {
+func (sc *Scheduler) awaitsUnreportedCapacity(job *cluster.Job, n int) bool {
 	if !sc.env.Recovering() || sc.state.Now().Sub(sc.state.LeadingSince) > sc.state.SilenceTimeout() {
 		return false
 	}
 	var all cluster.Resources
 	for zone, room := range sc.unreportedCapacity(sc.currentCycle()) {
-		if j.Spec.Zone != "" && zone != j.Spec.Zone {
+		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
-		if room.Fit(j.Spec, n) == n {
+		if room.Fit(job.Spec, n) == n {
 			return true
 		}
 		all.Add(room)
 	}
-	return !j.Spec.OneZone && all.Fit(j.Spec, n) == n
+	return !job.Spec.OneZone && all.Fit(job.Spec, n) == n
 }
 
 // unreportedCapacity adds up what machines have free that have yet to report.
@@ -109,11 +109,11 @@
 	}
 	p.awaited = map[protocol.ZoneName]cluster.Resources{}
 	p.examined += len(sc.state.OrderedMachines)
-	for _, m := range sc.state.OrderedMachines {
-		if m.Recovered && !m.Agent.TokenConfirmed && !m.Deleting && !m.Cordoned && !m.Agent.LeaseExpired {
-			room := p.awaited[m.Zone]
-			room.Add(sc.state.FreeResources(m))
-			p.awaited[m.Zone] = room
+	for _, machine := range sc.state.OrderedMachines {
+		if machine.Recovered && !machine.Agent.TokenConfirmed && !machine.Deleting && !machine.Cordoned && !machine.Agent.LeaseExpired {
+			room := p.awaited[machine.Zone]
+			room.Add(sc.state.FreeResources(machine))
+			p.awaited[machine.Zone] = room
 		}
 	}
 	return p.awaited
@@ -123,32 +123,32 @@
 // may be stopped for it, whoever runs it, and all that is free are not enough.
 // With the machines full of work that does not yield, which is when most jobs
 // wait, this spares a look at every machine for each of them.
-func (sc *Scheduler) preemptionIsHopeless(j *cluster.Job, n int) bool {
-	if !j.Spec.Gang() {
+func (sc *Scheduler) preemptionIsHopeless(job *cluster.Job, n int) bool {
+	if !job.Spec.Gang() {
 		n = 1
 	}
-	yielding := j.Priority // work below this priority may be stopped
-	if j.Queue.MayReclaim {
+	yielding := job.Priority // work below this priority may be stopped
+	if job.Queue.MayReclaim {
 		yielding++
 	}
-	if yielding == protocol.PriorityIdle && !j.Spec.Gang() {
+	if yielding == protocol.PriorityIdle && !job.Spec.Gang() {
 		return true
 	}
 	var all cluster.Resources
 	for zone, s := range sc.zoneSupplies(sc.currentCycle()) {
-		if j.Spec.Zone != "" && zone != j.Spec.Zone {
+		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
 		r := s.free
 		for rank := protocol.PriorityIdle; rank < yielding && int(rank) < len(s.preemptible); rank++ {
 			r.Add(s.preemptible[rank])
 		}
-		if r.Fit(j.Spec, n) == n {
+		if r.Fit(job.Spec, n) == n {
 			return false
 		}
 		all.Add(r)
 	}
-	return j.Spec.OneZone || all.Fit(j.Spec, n) < n
+	return job.Spec.OneZone || all.Fit(job.Spec, n) < n
 }
 
 // CyclePause is the pause after a pass over the queue: longer the more machines
