--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -17,19 +17,19 @@
 	})
 	type sum struct{ cpus, gpus float64 }
 	used := map[protocol.TeamName]sum{}
-	for _, j := range byArrival {
-		t := sc.state.Quotas[j.Spec.Team]
-		if t == nil || j.Cancelled {
+	for _, job := range byArrival {
+		quota := sc.state.Quotas[job.Spec.Team]
+		if quota == nil || job.Cancelled {
 			continue
 		}
-		n := float64(len(j.Tasks) - j.DoneTasks)
-		u := used[j.Spec.Team]
-		u.cpus += j.Spec.CPUs * n
-		u.gpus += j.Spec.GPUs * n
-		used[j.Spec.Team] = u
-		some := t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0
-		j.Queue.WithinGuarantee = some && (t.GuaranteedCPUs == 0 || u.cpus <= t.GuaranteedCPUs+cluster.AmountTolerance) &&
-			(t.GuaranteedGPUs == 0 || u.gpus <= t.GuaranteedGPUs+cluster.AmountTolerance)
+		n := float64(len(job.Tasks) - job.DoneTasks)
+		u := used[job.Spec.Team]
+		u.cpus += job.Spec.CPUs * n
+		u.gpus += job.Spec.GPUs * n
+		used[job.Spec.Team] = u
+		some := quota.GuaranteedCPUs > 0 || quota.GuaranteedGPUs > 0
+		job.Queue.WithinGuarantee = some && (quota.GuaranteedCPUs == 0 || u.cpus <= quota.GuaranteedCPUs+cluster.AmountTolerance) &&
+			(quota.GuaranteedGPUs == 0 || u.gpus <= quota.GuaranteedGPUs+cluster.AmountTolerance)
 	}
 }
 
@@ -40,16 +40,16 @@
 // take the same machines from each other again and again.
 func (sc *Scheduler) markReclaimers(queue []*cluster.Job) {
 	over := map[protocol.TeamName]bool{}
-	for _, j := range queue {
-		if !j.Cancelled && !j.Queue.WithinGuarantee {
-			over[j.Spec.Team] = true
+	for _, job := range queue {
+		if !job.Cancelled && !job.Queue.WithinGuarantee {
+			over[job.Spec.Team] = true
 		}
 	}
-	for _, j := range queue {
-		if !j.Queue.ReclaimDecided {
-			j.Queue.ReclaimDecided = true
-			j.Queue.MayReclaim = j.Queue.WithinGuarantee
+	for _, job := range queue {
+		if !job.Queue.ReclaimDecided {
+			job.Queue.ReclaimDecided = true
+			job.Queue.MayReclaim = job.Queue.WithinGuarantee
 		}
-		j.Queue.MayReclaim = j.Queue.MayReclaim || j.Queue.WithinGuarantee && !over[j.Spec.Team]
+		job.Queue.MayReclaim = job.Queue.MayReclaim || job.Queue.WithinGuarantee && !over[job.Spec.Team]
 	}
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -14,19 +14,19 @@
 // residual slots among equals. See docs/design.md.
 
 // PlaceGang finds a place for every task of a gang, or for none.
-func (sc *Scheduler) PlaceGang(j *cluster.Job) bool {
-	g := len(j.Tasks)
-	if sc.state.TasksWithinLimit(j) < g || sc.env.AwaitsRecordSplit(j) {
+func (sc *Scheduler) PlaceGang(job *cluster.Job) bool {
+	g := len(job.Tasks)
+	if sc.state.TasksWithinLimit(job) < g || sc.env.AwaitsRecordSplit(job) {
 		return false
 	}
-	limit, only := sc.state.ZoneLimits(j)
+	limit, only := sc.state.ZoneLimits(job)
 	var best []Candidate
 	// The machine level: the whole gang on one machine.
-	if !j.Spec.Spread || g == 1 {
-		k := buddy.Order(g * cluster.TaskSlots(j.Spec))
+	if !job.Spec.Spread || g == 1 {
+		k := buddy.Order(g * cluster.TaskSlots(job.Spec))
 		for _, aligned := range []bool{true, false} {
 			var fit []Candidate
-			for _, s := range sc.candidates(j, only) {
+			for _, s := range sc.candidates(job, only) {
 				if s.tasks >= g && (!aligned || s.machine.Slots.Aligned(k) > 0) {
 					fit = append(fit, s)
 				}
@@ -39,21 +39,21 @@
 		}
 	}
 	// The zone level.
-	if best == nil && (!j.Spec.Spread || g == 1) {
-		best = sc.placeInZone(j, g, only)
+	if best == nil && (!job.Spec.Spread || g == 1) {
+		best = sc.placeInZone(job, g, only)
 	}
 	// The region.
-	if best == nil && !j.Spec.OneZone && j.Spec.Zone == "" {
-		best = sc.placeInRegion(j, g, limit)
+	if best == nil && !job.Spec.OneZone && job.Spec.Zone == "" {
+		best = sc.placeInRegion(job, g, limit)
 	}
 	if best == nil {
 		return false
 	}
-	j.Epoch = sc.nextEpoch(j)
+	job.Epoch = sc.nextEpoch(job)
 	index := 0
 	for _, s := range best {
 		for range s.tasks {
-			sc.Assign(j, index, j.Epoch, s.machine)
+			sc.Assign(job, index, job.Epoch, s.machine)
 			index++
 		}
 	}
@@ -63,7 +63,7 @@
 // placeInZone finds the zone with a free block of the gang's order and the least
 // residual room; without one, the zone that holds the gang as a union of
 // smaller blocks.
-func (sc *Scheduler) placeInZone(j *cluster.Job, g int, only protocol.ZoneName) []Candidate {
+func (sc *Scheduler) placeInZone(job *cluster.Job, g int, only protocol.ZoneName) []Candidate {
 	type choice struct {
 		sites     []Candidate
 		aligned   bool
@@ -77,7 +77,7 @@
 		if only != "" && zone != only {
 			continue
 		}
-		list := sc.candidates(j, zone)
+		list := sc.candidates(job, zone)
 		fits := 0
 		for _, s := range list {
 			fits += s.tasks
@@ -108,14 +108,14 @@
 }
 
 // placeInRegion spreads a gang over the fewest zones that its limits allow.
-func (sc *Scheduler) placeInRegion(j *cluster.Job, g int, limit map[protocol.ZoneName]int) []Candidate {
+func (sc *Scheduler) placeInRegion(job *cluster.Job, g int, limit map[protocol.ZoneName]int) []Candidate {
 	type zoneSites struct {
 		list []Candidate
 		fits int
 	}
 	var zones []zoneSites
 	for _, zone := range sc.state.Config.Cluster.Zones {
-		z := zoneSites{list: sc.candidates(j, zone)}
+		z := zoneSites{list: sc.candidates(job, zone)}
 		for _, s := range z.list {
 			z.fits += s.tasks
 		}
@@ -136,10 +136,10 @@
 }
 
 // nextEpoch is the gang's next epoch: above every attempt of every task.
-func (sc *Scheduler) nextEpoch(j *cluster.Job) protocol.AttemptNumber {
-	next := j.Epoch
-	for i := range j.Tasks {
-		next = max(next, j.Tasks[i].LastAttempt)
+func (sc *Scheduler) nextEpoch(job *cluster.Job) protocol.AttemptNumber {
+	next := job.Epoch
+	for i := range job.Tasks {
+		next = max(next, job.Tasks[i].LastAttempt)
 	}
 	return next + 1
 }
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -8,38 +8,38 @@
 // waitsForImageLocalMachines says whether a gang that could start on machines without its image
 // had better wait a moment for machines that have it, which work of lower
 // priority can leave sooner than the image would arrive.
-func (sc *Scheduler) waitsForImageLocalMachines(j *cluster.Job) bool {
-	if sc.preempting(j) {
+func (sc *Scheduler) waitsForImageLocalMachines(job *cluster.Job) bool {
+	if sc.preempting(job) {
 		return true
 	}
-	fetch := sc.state.ImageFetchSeconds(j.Spec)
-	if fetch < tuning.WarmFetch || len(j.Reserved) > 0 || sc.state.Now().Before(j.Queue.ImageLocalNotBefore) || sc.state.TasksWithinLimit(j) < len(j.Tasks) ||
-		sc.currentCycle().exhausted() || sc.preemptionIsHopeless(j, len(j.Tasks)) {
+	fetch := sc.state.ImageFetchSeconds(job.Spec)
+	if fetch < tuning.WarmFetch || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) || sc.state.TasksWithinLimit(job) < len(job.Tasks) ||
+		sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
 	warm := 0
-	for _, s := range sc.candidates(j, "") {
+	for _, s := range sc.candidates(job, "") {
 		if s.imageLocal {
 			warm += s.tasks
 		}
 	}
-	if warm >= len(j.Tasks) {
+	if warm >= len(job.Tasks) {
 		return false // the placement finds them
 	}
-	j.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.SearchPause)
-	list := sc.findPreemptions(j, len(j.Tasks), true)
+	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.SearchPause)
+	list := sc.findPreemptions(job, len(job.Tasks), true)
 	cost := 0.0
 	for _, e := range list {
 		cost += e.cost
-		for _, c := range e.victims {
-			if CheckpointPays(c.Job.Spec) && c.Job.Spec.SaveS > fetch*tuning.WarmSave {
+		for _, attempt := range e.victims {
+			if CheckpointPays(attempt.Job.Spec) && attempt.Job.Spec.SaveS > fetch*tuning.WarmSave {
 				return false
 			}
 		}
 	}
-	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, j.Spec.GPUs)*float64(len(j.Tasks)) {
+	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, job.Spec.GPUs)*float64(len(job.Tasks)) {
 		return false
 	}
-	sc.stopVictims(j, list)
+	sc.stopVictims(job, list)
 	return true
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -17,8 +17,8 @@
 	}
 	largestFirst := sc.env.Recovering()
 	entries := make([]entry, 0, len(sc.state.Jobs))
-	for _, j := range sc.state.Jobs {
-		entries = append(entries, entry{j, j.QueueTime(sc.state.Now())})
+	for _, job := range sc.state.Jobs {
+		entries = append(entries, entry{job, job.QueueTime(sc.state.Now())})
 	}
 	slices.SortFunc(entries, func(a, b entry) int {
 		bySize := 0
@@ -41,19 +41,19 @@
 }
 
 // WaitingTasks is how many tasks of a job wait for a place.
-func (sc *Scheduler) WaitingTasks(j *cluster.Job) int {
-	if j.Cancelled || j.Finished || j.Complete() || j.Stopping || j.Records.Splitting || j.Records.Quarantined || sc.state.Now().Before(j.RetryAt) || sc.env.Held(j) {
+func (sc *Scheduler) WaitingTasks(job *cluster.Job) int {
+	if job.Cancelled || job.Finished || job.Complete() || job.Stopping || job.Records.Splitting || job.Records.Quarantined || sc.state.Now().Before(job.RetryAt) || sc.env.Held(job) {
 		return 0
 	}
-	if j.Spec.Gang() {
-		if len(j.Attempts) > 0 {
+	if job.Spec.Gang() {
+		if len(job.Attempts) > 0 {
 			return 0
 		}
-		return len(j.Tasks)
+		return len(job.Tasks)
 	}
 	n := 0
-	for i := range j.Tasks {
-		if t := &j.Tasks[i]; !t.Done && t.LiveAttempts == 0 && !sc.state.Now().Before(t.RetryAt) {
+	for i := range job.Tasks {
+		if task := &job.Tasks[i]; !task.Done && task.LiveAttempts == 0 && !sc.state.Now().Before(task.RetryAt) {
 			n++
 		}
 	}
@@ -64,9 +64,9 @@
 // within the teams' limits.
 func (sc *Scheduler) RunCycle() (demand []Demand) {
 	now := sc.state.Now()
-	for _, m := range sc.state.OrderedMachines {
-		if m.ReservedFor != nil && (now.After(m.ReservedUntil) || m.ReservedFor.Finished || m.ReservedFor.Cancelled || !m.ReservedFor.Stopping && sc.WaitingTasks(m.ReservedFor) == 0) {
-			m.ReleaseReservation()
+	for _, machine := range sc.state.OrderedMachines {
+		if machine.ReservedFor != nil && (now.After(machine.ReservedUntil) || machine.ReservedFor.Finished || machine.ReservedFor.Cancelled || !machine.ReservedFor.Stopping && sc.WaitingTasks(machine.ReservedFor) == 0) {
+			machine.ReleaseReservation()
 		}
 	}
 	sc.cycle = sc.newCycle()
@@ -76,34 +76,34 @@
 	sc.markWithinGuarantee(queue)
 	sc.markReclaimers(queue)
 	var waiting []Demand
-	for i, j := range queue {
-		if !j.Spec.Gang() && (i == 0 || queue[i-1].Spec.Gang() || queue[i-1].Priority != j.Priority) {
+	for i, job := range queue {
+		if !job.Spec.Gang() && (i == 0 || queue[i-1].Spec.Gang() || queue[i-1].Priority != job.Priority) {
 			sc.placeImageLocal(queue[i:])
 		}
-		n := sc.WaitingTasks(j)
+		n := sc.WaitingTasks(job)
 		if n == 0 {
 			continue
 		}
-		if j.Spec.Gang() {
-			if j.Failures.Attributed == 0 && sc.waitsForImageLocalMachines(j) {
+		if job.Spec.Gang() {
+			if job.Failures.Attributed == 0 && sc.waitsForImageLocalMachines(job) {
 				continue
 			}
-			if sc.PlaceGang(j) {
+			if sc.PlaceGang(job) {
 				continue
 			}
-		} else if n = sc.placeTasks(j, false); n == 0 {
+		} else if n = sc.placeTasks(job, false); n == 0 {
 			continue
 		}
-		if n = min(n, sc.state.TasksWithinLimit(j)); n == 0 || j.Spec.Gang() && n < len(j.Tasks) {
+		if n = min(n, sc.state.TasksWithinLimit(job)); n == 0 || job.Spec.Gang() && n < len(job.Tasks) {
 			continue // its team's limit is in the way, not the machines
 		}
-		if j.Failures.Attributed > 0 {
+		if job.Failures.Attributed > 0 {
 			continue // no machine is emptied or rented for it
 		}
-		waiting = append(waiting, Demand{Job: j, Tasks: n})
-		sc.PreemptFor(j, n)
-		if j.Spec.Gang() && now.Sub(j.Queue.WaitingSince) > sc.state.Config.Operator.ReserveAfter {
-			sc.reserveMachines(j)
+		waiting = append(waiting, Demand{Job: job, Tasks: n})
+		sc.PreemptFor(job, n)
+		if job.Spec.Gang() && now.Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.ReserveAfter {
+			sc.reserveMachines(job)
 		}
 	}
 	sc.Waiting = len(waiting)
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -13,48 +13,48 @@
 // is a place for its successor, on a machine that has its image if there is one.
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (sc *Scheduler) MoveReplicas() {
-	for _, m := range sc.state.OrderedMachines {
-		if !m.Cordoned && !sc.state.NotReporting(m) || m.Deleting || !sc.state.ConfirmedAlive(m) {
+	for _, machine := range sc.state.OrderedMachines {
+		if !machine.Cordoned && !sc.state.NotReporting(machine) || machine.Deleting || !sc.state.ConfirmedAlive(machine) {
 			continue
 		}
-		for _, c := range cluster.SortedAttemptsOn(m) {
-			j := c.Job
-			if !j.Spec.Service() || c.Stopping || !c.Committed || j.Cancelled || c.Orphaned || !m.SpotNotice && !j.FullyPlaced() {
+		for _, attempt := range cluster.SortedAttemptsOn(machine) {
+			job := attempt.Job
+			if !job.Spec.Service() || attempt.Stopping || !attempt.Committed || job.Cancelled || attempt.Orphaned || !machine.SpotNotice && !job.FullyPlaced() {
 				continue
 			}
-			if target := sc.successor(c); target != nil {
-				sc.log.Info("replica moves", "job", j.ID, "task", c.Key.Index, "from", m.ID, "to", target.ID)
-				target.ReserveFor(j, sc.state.Now().Add(tuning.HoldFor))
-				sc.env.Stop(c, 0)
+			if target := sc.successor(attempt); target != nil {
+				sc.log.Info("replica moves", "job", job.ID, "task", attempt.Key.Index, "from", machine.ID, "to", target.ID)
+				target.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
+				sc.env.Stop(attempt, 0)
 			}
 		}
 	}
 }
 
 // successor is the machine that a replica would best move to, nil if there is none.
-func (sc *Scheduler) successor(c *cluster.Attempt) *cluster.Machine { return sc.successorMachine(c, 1) }
+func (sc *Scheduler) successor(attempt *cluster.Attempt) *cluster.Machine { return sc.successorMachine(attempt, 1) }
 
 // successorInOtherZone is the same in other zones alone.
-func (sc *Scheduler) successorInOtherZone(c *cluster.Attempt) *cluster.Machine {
-	return sc.successorMachine(c, 0)
+func (sc *Scheduler) successorInOtherZone(attempt *cluster.Attempt) *cluster.Machine {
+	return sc.successorMachine(attempt, 0)
 }
 
 // successorMachine finds a machine for a replica whose own place is given up; here is how
 // many of its zone's places it may take in turn.
-func (sc *Scheduler) successorMachine(c *cluster.Attempt, here int) *cluster.Machine {
-	j := c.Job
-	limit, only := sc.state.ZoneLimits(j)
-	limit[c.Machine.Zone] = here * (limit[c.Machine.Zone] + 1)
-	if j.Spec.OneZone && len(j.Attempts) == 1 {
+func (sc *Scheduler) successorMachine(attempt *cluster.Attempt, here int) *cluster.Machine {
+	job := attempt.Job
+	limit, only := sc.state.ZoneLimits(job)
+	limit[attempt.Machine.Zone] = here * (limit[attempt.Machine.Zone] + 1)
+	if job.Spec.OneZone && len(job.Attempts) == 1 {
 		only = ""
 		for z := range limit {
 			limit[z] = 1
 		}
 	}
 	var best *Candidate
-	list := sc.ReplicaCandidates(j, only)
+	list := sc.ReplicaCandidates(job, only)
 	for i := range list {
-		if s := &list[i]; s.machine != c.Machine && limit[s.machine.Zone] > 0 && (best == nil || compareForReplica(*s, *best) < 0) {
+		if s := &list[i]; s.machine != attempt.Machine && limit[s.machine.Zone] > 0 && (best == nil || compareForReplica(*s, *best) < 0) {
 			best = s
 		}
 	}
@@ -68,15 +68,15 @@
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
 // back only with the cut's end, and then where a machine is rented for them.
-func (sc *Scheduler) ReplicasHavePlacesElsewhere(m *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
-	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, func(z protocol.ZoneName) bool { return z != m.Zone && heard[z] }) {
+func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
+	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, func(z protocol.ZoneName) bool { return z != machine.Zone && heard[z] }) {
 		return false
 	}
 	gain := 0
-	for _, c := range m.Attempts {
+	for _, attempt := range machine.Attempts {
 		switch {
-		case !c.Job.Spec.Service() || c.Stopping:
-		case sc.hasPlaceInOtherZone(c):
+		case !attempt.Job.Spec.Service() || attempt.Stopping:
+		case sc.hasPlaceInOtherZone(attempt):
 			gain++
 		default:
 			gain--
@@ -87,23 +87,23 @@
 
 // hasPlaceInOtherZone says whether a replica could start in another zone at once, on
 // room that is free or that work of lower priority leaves.
-func (sc *Scheduler) hasPlaceInOtherZone(c *cluster.Attempt) bool {
-	if sc.successorInOtherZone(c) != nil {
+func (sc *Scheduler) hasPlaceInOtherZone(attempt *cluster.Attempt) bool {
+	if sc.successorInOtherZone(attempt) != nil {
 		return true
 	}
-	j := c.Job
-	limit, _ := sc.state.ZoneLimits(j)
-	for _, m := range sc.currentCycle().schedulable {
-		if m.Zone == c.Machine.Zone || limit[m.Zone] == 0 || !sc.state.Suits(j, m) || sc.state.Now().Sub(m.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout() {
+	job := attempt.Job
+	limit, _ := sc.state.ZoneLimits(job)
+	for _, machine := range sc.currentCycle().schedulable {
+		if machine.Zone == attempt.Machine.Zone || limit[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.state.Now().Sub(machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout() {
 			continue
 		}
-		room := sc.state.FreeResources(m)
-		for _, o := range m.Attempts {
-			if sc.mayPreempt(o, j) && !o.Job.Spec.Gang() {
+		room := sc.state.FreeResources(machine)
+		for _, o := range machine.Attempts {
+			if sc.mayPreempt(o, job) && !o.Job.Spec.Gang() {
 				room.AddTasks(o.Job.Spec, 1)
 			}
 		}
-		if room.Fit(j.Spec, 1) > 0 {
+		if room.Fit(job.Spec, 1) > 0 {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -54,13 +54,13 @@
 }
 
 // Assign plans a task onto a machine. Its start leaves once that is committed.
-func (sc *Scheduler) Assign(j *cluster.Job, index int, attempt protocol.AttemptNumber, m *cluster.Machine) {
-	t := &j.Tasks[index]
-	c := sc.state.AddAttempt(j, index, attempt, m, m.Agent.Incarnation)
-	t.LastAttempt, t.Active, j.EverPlaced = attempt, c, true
-	sc.log.Debug("task placed", "job", j.ID, "task", index, "attempt", attempt, "machine", m.ID)
-	if m.ReservedFor == j {
-		m.ReleaseReservation()
+func (sc *Scheduler) Assign(job *cluster.Job, index int, attempt protocol.AttemptNumber, machine *cluster.Machine) {
+	task := &job.Tasks[index]
+	c := sc.state.AddAttempt(job, index, attempt, machine, machine.Agent.Incarnation)
+	task.LastAttempt, task.Active, job.EverPlaced = attempt, c, true
+	sc.log.Debug("task placed", "job", job.ID, "task", index, "attempt", attempt, "machine", machine.ID)
+	if machine.ReservedFor == job {
+		machine.ReleaseReservation()
 	}
 	sc.env.TaskPlaced(c)
 }
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -14,14 +14,14 @@
 // is a choice, and they leave GPUs the processors and memory that work on them needs.
 
 // PlaceService finds each waiting replica the best place.
-func (sc *Scheduler) PlaceService(j *cluster.Job) (waiting int) {
-	quota := sc.state.TasksWithinLimit(j)
+func (sc *Scheduler) PlaceService(job *cluster.Job) (waiting int) {
+	quota := sc.state.TasksWithinLimit(job)
 	var list []Candidate
 	var limit map[protocol.ZoneName]int
 	var only protocol.ZoneName
-	for i := range j.Tasks {
-		t := &j.Tasks[i]
-		if t.LiveAttempts > 0 || sc.state.Now().Before(t.RetryAt) {
+	for i := range job.Tasks {
+		task := &job.Tasks[i]
+		if task.LiveAttempts > 0 || sc.state.Now().Before(task.RetryAt) {
 			continue
 		}
 		if waiting > 0 || quota == 0 {
@@ -29,8 +29,8 @@
 			continue
 		}
 		if list == nil {
-			limit, only = sc.state.ZoneLimits(j)
-			list = sc.ReplicaCandidates(j, only)
+			limit, only = sc.state.ZoneLimits(job)
+			list = sc.ReplicaCandidates(job, only)
 		}
 		list = slices.DeleteFunc(list, func(s Candidate) bool {
 			return s.tasks == 0 || limit[s.machine.Zone] == 0 || only != "" && s.machine.Zone != only
@@ -45,14 +45,14 @@
 				s = &list[k]
 			}
 		}
-		sc.Assign(j, i, t.LastAttempt+1, s.machine)
+		sc.Assign(job, i, task.LastAttempt+1, s.machine)
 		quota--
 		limit[s.machine.Zone]--
-		if j.Spec.OneZone {
+		if job.Spec.OneZone {
 			only = s.machine.Zone
 		}
-		s.tasks, s.siblingReplicas, s.imageLocal = sc.state.FreeResources(s.machine).Fit(j.Spec, 1), s.siblingReplicas+1, true
-		s.starvesGPUs = sc.starvesGPUs(j.Spec, s.machine)
+		s.tasks, s.siblingReplicas, s.imageLocal = sc.state.FreeResources(s.machine).Fit(job.Spec, 1), s.siblingReplicas+1, true
+		s.starvesGPUs = sc.starvesGPUs(job.Spec, s.machine)
 	}
 	return waiting
 }
@@ -60,16 +60,16 @@
 // ReplicaCandidates lists the machines that can take a replica. One whose report is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
-func (sc *Scheduler) ReplicaCandidates(j *cluster.Job, zone protocol.ZoneName) []Candidate {
-	list := slices.DeleteFunc(sc.candidates(j, zone), func(s Candidate) bool {
+func (sc *Scheduler) ReplicaCandidates(job *cluster.Job, zone protocol.ZoneName) []Candidate {
+	list := slices.DeleteFunc(sc.candidates(job, zone), func(s Candidate) bool {
 		return sc.state.Now().Sub(s.machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout()
 	})
 	for i := range list {
 		s := &list[i]
-		s.starvesGPUs = sc.starvesGPUs(j.Spec, s.machine)
+		s.starvesGPUs = sc.starvesGPUs(job.Spec, s.machine)
 		s.suspected = s.suspected || sc.lostMachineRecently(s.machine.Zone)
-		for _, c := range s.machine.Attempts {
-			if c.Job == j {
+		for _, attempt := range s.machine.Attempts {
+			if attempt.Job == job {
 				s.siblingReplicas++
 			}
 		}
@@ -95,10 +95,10 @@
 // measureGPUNeeds finds what the work that takes GPUs needs beside each of them.
 func (sc *Scheduler) measureGPUNeeds() {
 	var need cluster.Resources
-	for _, j := range sc.state.Jobs {
-		if s := j.Spec; s.GPUs > 0 {
-			need.CPUs = max(need.CPUs, s.CPUs/s.GPUs)
-			need.MemoryGB = max(need.MemoryGB, s.MemoryGB/s.GPUs)
+	for _, job := range sc.state.Jobs {
+		if spec := job.Spec; spec.GPUs > 0 {
+			need.CPUs = max(need.CPUs, spec.CPUs/spec.GPUs)
+			need.MemoryGB = max(need.MemoryGB, spec.MemoryGB/spec.GPUs)
 		}
 	}
 	if need.CPUs > 0 || need.MemoryGB > 0 {
@@ -108,17 +108,17 @@
 
 // starvesGPUs says whether one more task without GPUs would leave a machine's GPUs
 // without the processors or memory that work on them needs.
-func (sc *Scheduler) starvesGPUs(s *protocol.Job, m *cluster.Machine) bool {
-	t := sc.state.TypeOf(m)
-	if t == nil || t.GPUs == 0 || s.GPUs > 0 {
+func (sc *Scheduler) starvesGPUs(spec *protocol.Job, machine *cluster.Machine) bool {
+	machineType := sc.state.TypeOf(machine)
+	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
 		return false
 	}
-	rest := cluster.CapacityOf(t)
-	rest.AddTasks(s, -1)
-	for _, c := range m.Attempts {
-		if c.Job.Spec.GPUs == 0 {
-			rest.AddTasks(c.Job.Spec, -1)
+	rest := cluster.CapacityOf(machineType)
+	rest.AddTasks(spec, -1)
+	for _, attempt := range machine.Attempts {
+		if attempt.Job.Spec.GPUs == 0 {
+			rest.AddTasks(attempt.Job.Spec, -1)
 		}
 	}
-	return rest.CPUs+cluster.AmountTolerance < sc.gpuNeeds.CPUs*t.GPUs || rest.MemoryGB+cluster.AmountTolerance < sc.gpuNeeds.MemoryGB*t.GPUs
+	return rest.CPUs+cluster.AmountTolerance < sc.gpuNeeds.CPUs*machineType.GPUs || rest.MemoryGB+cluster.AmountTolerance < sc.gpuNeeds.MemoryGB*machineType.GPUs
 }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -34,8 +34,8 @@
 	l.beginRecovery()
 	// Jobs and machines come out of the mirror in no order; what follows must
 	// not depend on that.
-	for _, j := range l.scheduler.Queue() {
-		l.checkEnded(j)
+	for _, job := range l.scheduler.Queue() {
+		l.checkEnded(job)
 	}
 	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
@@ -92,16 +92,16 @@
 		if ok && l.unreadable[id] {
 			return
 		}
-		j := l.cluster.Jobs[id]
-		if !ok || j == nil {
+		job := l.cluster.Jobs[id]
+		if !ok || job == nil {
 			l.cleanup = append(l.cleanup, e.Key) // left by a finished job
 			return
 		}
-		if num >= len(j.Records.Revisions) {
+		if num >= len(job.Records.Revisions) {
 			// Staged by a predecessor that did not complete the split. The key is
 			// used by the next split, or deleted with the job: a deletion now might
 			// be carried out late, after that split.
-			j.Records.Abandoned[num] = e.Revision
+			job.Records.Abandoned[num] = e.Revision
 			return
 		}
 		var rec bookkeeping.TaskRecord
@@ -109,8 +109,8 @@
 			l.leaveAlone(id, err)
 			return
 		}
-		j.Records.Revisions[num] = e.Revision
-		l.addTasks(j, num, rec.Tasks)
+		job.Records.Revisions[num] = e.Revision
+		l.addTasks(job, num, rec.Tasks)
 	})
 	slices.Sort(l.cleanup)
 }
@@ -120,9 +120,9 @@
 // only after its deletion was answered: a predecessor has proven it gone.
 func (l *leader) forgetUnrecorded() {
 	var names []protocol.MachineID
-	for _, m := range l.cluster.OrderedMachines {
-		if m.Record == nil {
-			names = append(names, m.ID)
+	for _, machine := range l.cluster.OrderedMachines {
+		if machine.Record == nil {
+			names = append(names, machine.ID)
 		}
 	}
 	l.MachinesDeleted(names...)
@@ -130,11 +130,11 @@
 
 // addJob takes a job from its own record.
 func (l *leader) addJob(rec *bookkeeping.Job, revision protocol.Revision) *cluster.Job {
-	s := rec.Spec
-	j := &cluster.Job{
-		ID: s.ID, Spec: s, Priority: s.PriorityLevel(), ArrivalOrder: rec.Seq, SubmittedAt: time.UnixMilli(rec.AtMs),
+	spec := rec.Spec
+	job := &cluster.Job{
+		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: rec.Seq, SubmittedAt: time.UnixMilli(rec.AtMs),
 		Epoch: rec.Attempt, Cancelled: rec.Cancelled,
-		Tasks:    make([]cluster.Task, s.Tasks),
+		Tasks:    make([]cluster.Task, spec.Tasks),
 		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: l.n.now},
@@ -142,17 +142,17 @@
 			Abandoned: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
-	if j.ArrivalOrder == 0 {
-		j.ArrivalOrder = revision // never written since its submission
+	if job.ArrivalOrder == 0 {
+		job.ArrivalOrder = revision // never written since its submission
 	}
-	j.Records.Revisions[0] = revision
-	j.Records.ExtraParts = make([][]int, len(j.Records.Revisions)-rec.BaseRecords())
-	j.StartDeadlines = l.cluster.StartDeadlines(j)
-	l.n.log.Debug("job", "job", j.ID, "class", s.Class, "shape", s.Shape, "tasks", s.Tasks, "gpus", s.GPUs, "team", s.Team, "estimate", s.EstimateS, "deadline", s.DeadlineS, "age", l.n.now.Sub(j.SubmittedAt).Seconds())
-	l.cluster.Jobs[j.ID] = j
-	l.autoscaler.JobSubmitted(s)
-	l.addTasks(j, 0, rec.Tasks)
-	return j
+	job.Records.Revisions[0] = revision
+	job.Records.ExtraParts = make([][]int, len(job.Records.Revisions)-rec.BaseRecords())
+	job.StartDeadlines = l.cluster.StartDeadlines(job)
+	l.n.log.Debug("job", "job", job.ID, "class", spec.Class, "shape", spec.Shape, "tasks", spec.Tasks, "gpus", spec.GPUs, "team", spec.Team, "estimate", spec.EstimateS, "deadline", spec.DeadlineS, "age", l.n.now.Sub(job.SubmittedAt).Seconds())
+	l.cluster.Jobs[job.ID] = job
+	l.autoscaler.JobSubmitted(spec)
+	l.addTasks(job, 0, rec.Tasks)
+	return job
 }
 
 // leaveAlone has a job kept as it is because a record of it cannot be read: one of a
@@ -164,55 +164,55 @@
 	}
 	l.unreadable[id] = true
 	l.n.log.Error("record cannot be read, job is left alone", "job", id, "error", err)
-	if j := l.cluster.Jobs[id]; j != nil {
-		j.Records.Quarantined = true
-		l.dropUncommitted(j)
+	if job := l.cluster.Jobs[id]; job != nil {
+		job.Records.Quarantined = true
+		l.dropUncommitted(job)
 	}
 }
 
 // addTasks takes the tasks of one of a job's records.
-func (l *leader) addTasks(j *cluster.Job, record int, tasks []bookkeeping.Task) {
+func (l *leader) addTasks(job *cluster.Job, record int, tasks []bookkeeping.Task) {
 	for _, t := range tasks {
-		if t.Index < 0 || t.Index >= len(j.Tasks) {
-			l.logOnce("record names a task that its job does not have", string(j.ID), "job", j.ID, "task", t.Index)
+		if t.Index < 0 || t.Index >= len(job.Tasks) {
+			l.logOnce("record names a task that its job does not have", string(job.ID), "job", job.ID, "task", t.Index)
 			continue
 		}
-		if record >= j.BaseRecords() {
-			j.MoveTask(t.Index, record)
+		if record >= job.BaseRecords() {
+			job.MoveTask(t.Index, record)
 		}
-		jt := &j.Tasks[t.Index]
+		jt := &job.Tasks[t.Index]
 		jt.LastAttempt = max(jt.LastAttempt, t.Attempt)
-		j.EverPlaced = true
+		job.EverPlaced = true
 		if t.Done && !jt.Done {
 			jt.Done = true
-			j.DoneTasks++
+			job.DoneTasks++
 		}
 		if t.Machine == "" || t.Done {
 			continue
 		}
-		m := l.cluster.EnsureMachine(t.Machine, "", "", "", false)
-		if m.Attempts[cluster.AttemptID{Job: j.ID, Index: t.Index, Number: t.Attempt}] != nil {
-			l.logOnce("record places an attempt twice", string(j.ID), "job", j.ID, "task", t.Index)
+		machine := l.cluster.EnsureMachine(t.Machine, "", "", "", false)
+		if machine.Attempts[cluster.AttemptID{Job: job.ID, Index: t.Index, Number: t.Attempt}] != nil {
+			l.logOnce("record places an attempt twice", string(job.ID), "job", job.ID, "task", t.Index)
 			continue
 		}
-		c := l.cluster.AddAttempt(j, t.Index, t.Attempt, m, t.Incarnation)
-		c.Committed, c.StartSent, c.Recovered = true, true, true
-		l.activate(j, jt, c)
-		m.UseImage(j.Spec, nil)
-		m.Agent.Incarnation = max(m.Agent.Incarnation, t.Incarnation)
+		attempt := l.cluster.AddAttempt(job, t.Index, t.Attempt, machine, t.Incarnation)
+		attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
+		l.activate(job, jt, attempt)
+		machine.UseImage(job.Spec, nil)
+		machine.Agent.Incarnation = max(machine.Agent.Incarnation, t.Incarnation)
 	}
 }
 
 // activate makes an attempt its task's own. Of two in damaged records it is the later one:
 // the other counts as there until it is gone, and is stopped when a worker shows it.
-func (l *leader) activate(j *cluster.Job, t *cluster.Task, c *cluster.Attempt) {
-	older := t.Active
-	if older != nil && older.Key.Number > c.Key.Number {
-		older, c = c, older
+func (l *leader) activate(job *cluster.Job, task *cluster.Task, attempt *cluster.Attempt) {
+	older := task.Active
+	if older != nil && older.Key.Number > attempt.Key.Number {
+		older, attempt = attempt, older
 	}
-	t.Active = c
+	task.Active = attempt
 	if older != nil {
 		older.Orphaned = true
-		l.logOnce("record places a task twice", string(j.ID), "job", j.ID, "task", c.Key.Index)
+		l.logOnce("record places a task twice", string(job.ID), "job", job.ID, "task", attempt.Key.Index)
 	}
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -35,14 +35,14 @@
 			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
 		l := s.leader(protocol.PeerLevel)
-		m := l.cluster.Machines[hostName]
+		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskReport
 		for i := range rec.Spec.Tasks {
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
 		}
-		m.TypeName, m.Zone = "big", "a"
+		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
-			if cmds := l.testReport(m, l.n.lease.term, tasks...); len(cmds) > 0 {
+			if cmds := l.testReport(machine, l.n.lease.term, tasks...); len(cmds) > 0 {
 				t.Fatalf("%s: orders %v", name, cmds)
 			}
 			l.runSchedulingCycle()
@@ -55,16 +55,16 @@
 				}
 			}
 		}
-		if m.Deleting {
+		if machine.Deleting {
 			t.Errorf("%s: its machine is returned", name)
 		}
-		j := l.cluster.Jobs[rec.Spec.ID]
-		if (j != nil) != (name == "damaged part") {
-			t.Fatalf("%s: known %v", name, j != nil)
+		job := l.cluster.Jobs[rec.Spec.ID]
+		if (job != nil) != (name == "damaged part") {
+			t.Fatalf("%s: known %v", name, job != nil)
 		}
-		if j != nil {
-			l.cancelJob(j)
-			if cmds := l.testReport(m, l.n.lease.term, tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
+		if job != nil {
+			l.cancelJob(job)
+			if cmds := l.testReport(machine, l.n.lease.term, tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
 		}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -12,27 +12,27 @@
 )
 
 // unrunnableReason says why a job can never run, or "".
-func (n *Node) unrunnableReason(j *protocol.Job) string {
-	if !bookkeeping.Storable(n.cfg.Cluster.State.ValueKB, j) {
+func (n *Node) unrunnableReason(spec *protocol.Job) string {
+	if !bookkeeping.Storable(n.cfg.Cluster.State.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
 	for i := range n.cfg.Cluster.Teams {
 		t := &n.cfg.Cluster.Teams[i]
-		if t.Name != j.Team {
+		if t.Name != spec.Team {
 			continue
 		}
 		count := 1.0
-		if j.Gang() || j.Service() { // all its tasks run at the same time
-			count = float64(j.Tasks)
+		if spec.Gang() || spec.Service() { // all its tasks run at the same time
+			count = float64(spec.Tasks)
 		}
-		if t.MaxGPUs > 0 && j.GPUs*count > t.MaxGPUs+cluster.AmountTolerance || t.MaxCPUs > 0 && j.CPUs*count > t.MaxCPUs+cluster.AmountTolerance {
+		if t.MaxGPUs > 0 && spec.GPUs*count > t.MaxGPUs+cluster.AmountTolerance || t.MaxCPUs > 0 && spec.CPUs*count > t.MaxCPUs+cluster.AmountTolerance {
 			return "more than the team's limit"
 		}
 		zones := map[protocol.ZoneName]bool{}
 		for _, m := range n.types {
-			if m.Fits(j) {
+			if m.Fits(spec) {
 				for _, z := range m.Zones {
-					zones[z] = zones[z] || j.Zone == "" || j.Zone == z
+					zones[z] = zones[z] || spec.Zone == "" || spec.Zone == z
 				}
 			}
 		}
@@ -40,7 +40,7 @@
 		switch {
 		case len(zones) == 0:
 			return "fits no allowed machine type"
-		case j.Gang() && j.Spread && j.Tasks > 1 && (j.OneZone || len(zones) < 2):
+		case spec.Gang() && spec.Spread && spec.Tasks > 1 && (spec.OneZone || len(zones) < 2):
 			return "its tasks may neither be in one zone nor in several"
 		}
 		return ""
@@ -49,37 +49,37 @@
 }
 
 // submit takes a user's submission.
-func (n *Node) submit(id uint64, j *protocol.Job) {
-	if f, ok := n.finals[j.ID]; ok {
-		n.reply(id, 200, protocol.Accepted{ID: j.ID, Phase: f.Phase})
+func (n *Node) submit(id uint64, spec *protocol.Job) {
+	if f, ok := n.finals[spec.ID]; ok {
+		n.reply(id, 200, protocol.Accepted{ID: spec.ID, Phase: f.Phase})
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready() && len(n.types) > 0) {
 		return
 	}
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(j.ID)); ok {
-		n.addPoll(poll{id: id, job: j.ID, revision: e.Revision, short: true})
+	if e, ok := n.mirror.Get(bookkeeping.JobKey(spec.ID)); ok {
+		n.addPoll(poll{id: id, job: spec.ID, revision: e.Revision, short: true})
 		return
 	}
-	if why := n.unrunnableReason(j); why != "" {
-		n.refuseUnrunnable(id, j.ID, why)
+	if why := n.unrunnableReason(spec); why != "" {
+		n.refuseUnrunnable(id, spec.ID, why)
 		return
 	}
 	if !n.takeWriteBudget() {
-		if !n.forwardToPeer(id, submission(j)) {
+		if !n.forwardToPeer(id, submission(spec)) {
 			n.shed(id)
 		}
 		return
 	}
-	n.storeSubmission(id, j.ID, n.submissionTxn(j), n.now.Add(tuning.UserDeadline))
+	n.storeSubmission(id, spec.ID, n.submissionTxn(spec), n.now.Add(tuning.UserDeadline))
 }
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
-func (n *Node) refuseUnrunnable(id uint64, job protocol.JobID, why string) {
-	n.lookUp(id, job, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
+func (n *Node) refuseUnrunnable(id uint64, jobID protocol.JobID, why string) {
+	n.lookUp(id, jobID, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
 		if s != nil {
-			n.reply(id, 200, protocol.Accepted{ID: job, Phase: s.Phase})
+			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
 			return
 		}
 		n.reply(id, 422, protocol.ErrorBody{Error: why})
@@ -88,27 +88,27 @@
 
 // submissionTxn is the transaction that makes a submission durable: the job must be
 // unknown, finished or not.
-func (n *Node) submissionTxn(j *protocol.Job) []byte {
+func (n *Node) submissionTxn(spec *protocol.Job) []byte {
 	state := n.cfg.Cluster.State
-	rec := bookkeeping.Job{Writer: n.unique(), Spec: j, AtMs: n.now.UnixMilli(),
-		RecordTasks: bookkeeping.TasksPerRecord(state.ValueKB, state.TxnOps, j)}
+	rec := bookkeeping.Job{Writer: n.unique(), Spec: spec, AtMs: n.now.UnixMilli(),
+		RecordTasks: bookkeeping.TasksPerRecord(state.ValueKB, state.TxnOps, spec)}
 	return bookkeeping.Encode(protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(j.ID)}, {Key: bookkeeping.FinalKey(j.ID)}},
-		Then: []protocol.Change{{Set: bookkeeping.JobKey(j.ID), Value: bookkeeping.Encode(rec)}},
+		If:   []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
+		Then: []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(rec)}},
 	})
 }
 
 // storeSubmission sends it, and again while its answer is lost: it may yet apply, and
 // the same one again finds out.
-func (n *Node) storeSubmission(id uint64, job protocol.JobID, txn []byte, deadline time.Time) {
+func (n *Node) storeSubmission(id uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
 	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
 		switch {
 		case status == 200:
-			n.reply(id, 201, protocol.Accepted{ID: job, Phase: protocol.PhasePending})
+			n.reply(id, 201, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
 		case status == 409:
-			n.answerRepeated(id, job, deadline)
+			n.answerRepeated(id, jobID, deadline)
 		case status == 0 && n.now.Before(deadline):
-			n.storeSubmission(id, job, txn, deadline)
+			n.storeSubmission(id, jobID, txn, deadline)
 		default:
 			n.refuse(id, "state service does not answer")
 		}
@@ -116,13 +116,13 @@
 }
 
 // answerRepeated answers the submission of a job that is known already.
-func (n *Node) answerRepeated(id uint64, job protocol.JobID, deadline time.Time) {
-	n.lookUp(id, job, deadline, func(s *protocol.Status) {
+func (n *Node) answerRepeated(id uint64, jobID protocol.JobID, deadline time.Time) {
+	n.lookUp(id, jobID, deadline, func(s *protocol.Status) {
 		if s == nil {
 			n.refuse(id, "try again")
 			return
 		}
-		n.reply(id, 200, protocol.Accepted{ID: job, Phase: s.Phase})
+		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
 	})
 }
 
@@ -141,28 +141,28 @@
 }
 
 // submission is a submission on its way to a peer.
-func submission(j *protocol.Job) protocol.PeerRequest {
-	return protocol.PeerRequest{Verb: verbSubmit, Job: j.ID, Body: bookkeeping.Encode(j)}
+func submission(spec *protocol.Job) protocol.PeerRequest {
+	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
 }
 
 // query answers a user's poll.
-func (n *Node) query(id uint64, job protocol.JobID) {
-	if f, ok := n.finals[job]; ok {
-		n.reply(id, 200, finalStatus(job, f))
+func (n *Node) query(id uint64, jobID protocol.JobID) {
+	if f, ok := n.finals[jobID]; ok {
+		n.reply(id, 200, finalStatus(jobID, f))
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready()) {
 		return
 	}
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(job)); ok {
-		n.addPoll(poll{id: id, job: job, revision: e.Revision})
+	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+		n.addPoll(poll{id: id, job: jobID, revision: e.Revision})
 		return
 	}
 	if !n.hasReadBudget() {
 		n.shed(id)
 		return
 	}
-	n.answerQuery(id, job, n.now.Add(tuning.UserDeadline))
+	n.answerQuery(id, jobID, n.now.Add(tuning.UserDeadline))
 }
 
 // stateUnreachable says whether requests to the state service hang: a user is better
@@ -177,8 +177,8 @@
 	n.refuse(id, "busy")
 }
 
-func (n *Node) answerQuery(id uint64, job protocol.JobID, deadline time.Time) {
-	n.lookUp(id, job, deadline, func(s *protocol.Status) {
+func (n *Node) answerQuery(id uint64, jobID protocol.JobID, deadline time.Time) {
+	n.lookUp(id, jobID, deadline, func(s *protocol.Status) {
 		if s == nil {
 			n.reply(id, 404, protocol.ErrorBody{Error: "no such job"})
 			return
@@ -187,16 +187,16 @@
 	})
 }
 
-func finalStatus(job protocol.JobID, f bookkeeping.Final) protocol.Status {
-	return protocol.Status{ID: job, Phase: f.Phase, Done: f.Done}
+func finalStatus(jobID protocol.JobID, f bookkeeping.Final) protocol.Status {
+	return protocol.Status{ID: jobID, Phase: f.Phase, Done: f.Done}
 }
 
 // cacheFinal remembers a final state; it never changes.
-func (n *Node) cacheFinal(job protocol.JobID, f bookkeeping.Final) {
+func (n *Node) cacheFinal(jobID protocol.JobID, f bookkeeping.Final) {
 	if len(n.finals) >= tuning.FinalCache {
 		clear(n.finals)
 	}
-	n.finals[job] = f
+	n.finals[jobID] = f
 }
 
 // read reads one key; found is called with nil if it does not exist, and not
@@ -220,8 +220,8 @@
 // lookUp reads a job's state from the state service itself. The unfinished
 // record is read first: a job moves from there to its final record and never
 // back, so one of the two reads finds it.
-func (n *Node) lookUp(id uint64, job protocol.JobID, deadline time.Time, found func(s *protocol.Status)) {
-	n.read(id, bookkeeping.JobKey(job), deadline, func(e *protocol.Entry) {
+func (n *Node) lookUp(id uint64, jobID protocol.JobID, deadline time.Time, found func(s *protocol.Status)) {
+	n.read(id, bookkeeping.JobKey(jobID), deadline, func(e *protocol.Entry) {
 		if e != nil {
 			rec, err := bookkeeping.DecodeJob(e.Value)
 			if err != nil {
@@ -232,7 +232,7 @@
 			found(&s)
 			return
 		}
-		n.read(id, bookkeeping.FinalKey(job), deadline, func(e *protocol.Entry) {
+		n.read(id, bookkeeping.FinalKey(jobID), deadline, func(e *protocol.Entry) {
 			if e == nil {
 				found(nil)
 				return
@@ -242,8 +242,8 @@
 				n.refuse(id, "record does not parse")
 				return
 			}
-			n.cacheFinal(job, f)
-			s := finalStatus(job, f)
+			n.cacheFinal(jobID, f)
+			s := finalStatus(jobID, f)
 			found(&s)
 		})
 	})
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -16,23 +16,23 @@
 	base := gangOf(2, 1)
 	base.ID, base.Priority = "run-000001", "normal"
 	for name, c := range map[string]struct {
-		change func(j *protocol.Job)
+		change func(spec *protocol.Job)
 		want   bool
 	}{
 		"sound":             {func(*protocol.Job) {}, true},
-		"team":              {func(j *protocol.Job) { j.Team = "nobody" }, false},
-		"processors":        {func(j *protocol.Job) { j.CPUs = 1000 }, false},
-		"GPUs":              {func(j *protocol.Job) { j.GPUs = 64 }, false},
-		"memory":            {func(j *protocol.Job) { j.MemoryGB = 1e6 }, false},
-		"type":              {func(j *protocol.Job) { j.Types = []protocol.MachineTypeName{"none"} }, false},
-		"zone":              {func(j *protocol.Job) { j.Zone = "nowhere" }, false},
-		"gang within limit": {func(j *protocol.Job) { j.Team, j.Tasks = "tight", 6 }, true},
-		"gang over limit":   {func(j *protocol.Job) { j.Team, j.Tasks = "tight", 7 }, false},
-		"array over limit":  {func(j *protocol.Job) { j.Team, j.Tasks, j.Shape = "tight", 7, protocol.ShapeArray }, true},
-		"service over":      {func(j *protocol.Job) { j.Team, j.Tasks, j.Shape = "tight", 7, protocol.ShapeService }, false},
-		"one zone, spread":  {func(j *protocol.Job) { j.OneZone, j.Spread = true, true }, false},
-		"a zone, spread":    {func(j *protocol.Job) { j.Zone, j.Spread = "a", true }, false},
-		"array, spread":     {func(j *protocol.Job) { j.OneZone, j.Spread, j.Shape = true, true, protocol.ShapeArray }, true},
+		"team":              {func(spec *protocol.Job) { spec.Team = "nobody" }, false},
+		"processors":        {func(spec *protocol.Job) { spec.CPUs = 1000 }, false},
+		"GPUs":              {func(spec *protocol.Job) { spec.GPUs = 64 }, false},
+		"memory":            {func(spec *protocol.Job) { spec.MemoryGB = 1e6 }, false},
+		"type":              {func(spec *protocol.Job) { spec.Types = []protocol.MachineTypeName{"none"} }, false},
+		"zone":              {func(spec *protocol.Job) { spec.Zone = "nowhere" }, false},
+		"gang within limit": {func(spec *protocol.Job) { spec.Team, spec.Tasks = "tight", 6 }, true},
+		"gang over limit":   {func(spec *protocol.Job) { spec.Team, spec.Tasks = "tight", 7 }, false},
+		"array over limit":  {func(spec *protocol.Job) { spec.Team, spec.Tasks, spec.Shape = "tight", 7, protocol.ShapeArray }, true},
+		"service over":      {func(spec *protocol.Job) { spec.Team, spec.Tasks, spec.Shape = "tight", 7, protocol.ShapeService }, false},
+		"one zone, spread":  {func(spec *protocol.Job) { spec.OneZone, spec.Spread = true, true }, false},
+		"a zone, spread":    {func(spec *protocol.Job) { spec.Zone, spec.Spread = "a", true }, false},
+		"array, spread":     {func(spec *protocol.Job) { spec.OneZone, spec.Spread, spec.Shape = true, true, protocol.ShapeArray }, true},
 	} {
 		j := base
 		c.change(&j)
--- a/internal/coordination/worker_calls.go
+++ b/internal/coordination/worker_calls.go
@@ -34,7 +34,7 @@
 }
 
 // call makes a call to a worker.
-func (l *leader) call(m *cluster.Machine, method, path string, body any, done func(status int, body []byte)) {
+func (l *leader) call(machine *cluster.Machine, method, path string, body any, done func(status int, body []byte)) {
 	l.calls.AllowN(l.n.now, 1)
 	l.calling++
 	ended := func(status int, body []byte) {
@@ -43,23 +43,23 @@
 			done(status, body)
 		}
 	}
-	if path == protocol.PathOrders && l.usesProxies() && l.n.delegate(m, bookkeeping.Encode(body), ended) {
+	if path == protocol.PathOrders && l.usesProxies() && l.n.delegate(machine, bookkeeping.Encode(body), ended) {
 		return
 	}
-	l.n.request(ToWorker, m.Address, method, path, body, tuning.ProbeTimeout, ended)
+	l.n.request(ToWorker, machine.Address, method, path, body, tuning.ProbeTimeout, ended)
 }
 
 // delegate has a peer send orders to a worker, if all links are there: a call
 // is a new connection mostly, which costs much of a small share of a core. What
 // the peer does not answer in time may still be executed, as any order that
 // was not answered. Probes are not delegated: they judge a machine.
-func (n *Node) delegate(m *cluster.Machine, body []byte, done func(status int, body []byte)) bool {
+func (n *Node) delegate(machine *cluster.Machine, body []byte, done func(status int, body []byte)) bool {
 	if !n.fullyConnected() {
 		return false
 	}
 	n.nextID++
 	n.delegated[n.nextID] = delegatedCall{done, n.now.Add(tuning.ProbeTimeout + tuning.DelegateSlack)}
-	n.sendTo(n.proxyFor(m.ID, n.cfg.Name, 0), protocol.PeerCall{ID: n.nextID, Origin: n.cfg.Name, Address: m.Address, Body: body})
+	n.sendTo(n.proxyFor(machine.ID, n.cfg.Name, 0), protocol.PeerCall{ID: n.nextID, Origin: n.cfg.Name, Address: machine.Address, Body: body})
 	return true
 }
 
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -21,8 +21,8 @@
 func TestZoneReserve(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		job    func(s *protocol.Job)
-		other  func(l *leader, m *cluster.Machine) // what the machine in the other zone carries
+		job    func(spec *protocol.Job)
+		other  func(l *leader, machine *cluster.Machine) // what the machine in the other zone carries
 		idle   bool                                // there is such a machine at all
 		off    bool
 		rented int
@@ -30,24 +30,24 @@
 	}{
 		{name: "nothing elsewhere", rented: 1},
 		{name: "an idle machine", idle: true, kept: true},
-		{name: "bound to its zone", job: func(s *protocol.Job) { s.Zone = "a" }},
-		{name: "spread over the zones, half may go there", job: func(s *protocol.Job) { s.Spread = true }, rented: 1},
-		{name: "a machine full of work that yields", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "idle", protocol.ShapeArray) }},
-		{name: "a machine full of work of the same priority", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "critical", protocol.ShapeArray) }, rented: 1},
-		{name: "a machine full of a gang", idle: true, other: func(l *leader, m *cluster.Machine) { l.fillWith(m, "idle", protocol.ShapeGang) }, rented: 1},
+		{name: "bound to its zone", job: func(spec *protocol.Job) { spec.Zone = "a" }},
+		{name: "spread over the zones, half may go there", job: func(spec *protocol.Job) { spec.Spread = true }, rented: 1},
+		{name: "a machine full of work that yields", idle: true, other: func(l *leader, machine *cluster.Machine) { l.fillWith(machine, "idle", protocol.ShapeArray) }},
+		{name: "a machine full of work of the same priority", idle: true, other: func(l *leader, machine *cluster.Machine) { l.fillWith(machine, "critical", protocol.ShapeArray) }, rented: 1},
+		{name: "a machine full of a gang", idle: true, other: func(l *leader, machine *cluster.Machine) { l.fillWith(machine, "idle", protocol.ShapeGang) }, rented: 1},
 		{name: "turned off", off: true},
 	} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.ZoneReserve = !c.off
 		l.n.cfg.Cluster.Zones = []protocol.ZoneName{"a", "b"}
-		m := l.testMachine("i-1", "big", "a", false)
+		machine := l.testMachine("i-1", "big", "a", false)
 		s := serviceOf(4, 4)
 		if c.job != nil {
 			c.job(&s)
 		}
 		j := l.testJob(s)
 		for i := range j.Tasks {
-			l.scheduler.Assign(j, i, 1, m)
+			l.scheduler.Assign(j, i, 1, machine)
 		}
 		var other *cluster.Machine
 		if c.idle {
@@ -80,10 +80,10 @@
 }
 
 // fillWith puts tasks that take all of a machine's processors onto it.
-func (l *leader) fillWith(m *cluster.Machine, priority string, shape protocol.Shape) {
-	j := l.testJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8, CPUs: 4, MemoryGB: 4, Image: "other", ImageGB: 1})
-	for i := range j.Tasks {
-		l.scheduler.Assign(j, i, 1, m)
+func (l *leader) fillWith(machine *cluster.Machine, priority string, shape protocol.Shape) {
+	job := l.testJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8, CPUs: 4, MemoryGB: 4, Image: "other", ImageGB: 1})
+	for i := range job.Tasks {
+		l.scheduler.Assign(job, i, 1, machine)
 	}
 }
 
@@ -96,17 +96,17 @@
 	l.n.now = l.n.now.Add(l.cluster.ReplicaSilenceTimeout() + time.Second)
 	same.Agent.LastHeartbeat, far.Agent.LastHeartbeat = l.n.now, l.n.now
 	same.Agent.AnsweredAt, far.Agent.AnsweredAt, late.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now
-	j := l.testJob(serviceOf(1, 4))
-	if list := l.scheduler.ReplicaCandidates(j, ""); len(list) != 2 {
+	job := l.testJob(serviceOf(1, 4))
+	if list := l.scheduler.ReplicaCandidates(job, ""); len(list) != 2 {
 		t.Errorf("%d sites", len(list))
 	}
 	l.deleteSilent(late, "silent")
-	if l.scheduler.PlaceService(j) != 0 || j.Tasks[0].Active.Machine != far {
-		t.Errorf("placed on %v", j.Tasks[0].Active)
+	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != far {
+		t.Errorf("placed on %v", job.Tasks[0].Active)
 	}
-	l.dropAttempt(j.Tasks[0].Active)
+	l.dropAttempt(job.Tasks[0].Active)
 	far.Cordoned = true
-	if l.scheduler.PlaceService(j) != 0 || j.Tasks[0].Active.Machine != same {
+	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != same {
 		t.Error("no place though there is one")
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -26,18 +26,18 @@
 
 // Fits says whether one task of the job fits an empty machine of this type,
 // the job's wishes for type and zone included.
-func (t *MachineType) Fits(j *Job) bool {
-	if j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
+func (t *MachineType) Fits(spec *Job) bool {
+	if spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.MemoryGB > t.MemoryGB {
 		return false
 	}
-	if !Allowed(j.Types, t.Name) {
+	if !Allowed(spec.Types, t.Name) {
 		return false
 	}
-	if j.Zone == "" {
+	if spec.Zone == "" {
 		return true
 	}
 	for _, z := range t.Zones {
-		if z == j.Zone {
+		if z == spec.Zone {
 			return true
 		}
 	}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -152,14 +152,14 @@
 		return nil, fmt.Errorf("not valid JSON for a job: %w", err)
 	}
 	c := &jobChecker{}
-	j := c.job(&w)
+	spec := c.job(&w)
 	if len(c.bad) > 0 {
 		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(c.bad, ", "))
 	}
-	if size, err := json.Marshal(j); err != nil || len(size) > MaxSpec {
+	if size, err := json.Marshal(spec); err != nil || len(size) > MaxSpec {
 		return nil, fmt.Errorf("the description takes more than %d bytes", MaxSpec)
 	}
-	return j, nil
+	return spec, nil
 }
 
 // jobChecker takes the fields of a submission and notes the wire names of those that
@@ -168,7 +168,7 @@
 
 // job takes all fields.
 func (c *jobChecker) job(w *jobWire) *Job {
-	j := &Job{
+	spec := &Job{
 		ID:          JobID(c.text("uid", w.ID)),
 		Class:       c.text("lane", w.Class),
 		Team:        TeamName(c.text("crew", w.Team)),
@@ -187,16 +187,16 @@
 		Spread:      c.flag("scatter", w.Spread),
 		Spot:        c.flag("loaners", w.Spot),
 	}
-	c.check("uid", ValidID(j.ID))
-	c.check("shape", slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, j.Shape))
-	_, known := ParseRank(j.Priority)
+	c.check("uid", ValidID(spec.ID))
+	c.check("shape", slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
+	_, known := ParseRank(spec.Priority)
 	c.check("rank", known)
-	j.Tasks = c.tasks(w.Tasks)
+	spec.Tasks = c.tasks(w.Tasks)
 	if w.Zone != nil {
-		j.Zone = ZoneName(c.text("yard", w.Zone))
+		spec.Zone = ZoneName(c.text("yard", w.Zone))
 	}
-	j.Types = c.types(w.Types)
-	return j
+	spec.Types = c.types(w.Types)
+	return spec
 }
 
 // check notes a field that is not sound.
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -88,8 +88,8 @@
 // FitsFrame says whether the cancellations fit into one frame.
 func (m PeerConfirm) FitsFrame() bool {
 	size := peerHeader + 5*binary.MaxVarintLen64
-	for _, job := range m.Cancels {
-		size += binary.MaxVarintLen16 + len(job)
+	for _, jobID := range m.Cancels {
+		size += binary.MaxVarintLen16 + len(jobID)
 	}
 	return size <= maxPeerFrame
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -99,8 +99,8 @@
 		t.Error(err)
 	}
 	// An empty list allows no type; it is not the same as null.
-	j, err := ParseJob(replace(t, "builds", "[]"))
-	if err != nil || Allowed(j.Types, "g8") {
+	spec, err := ParseJob(replace(t, "builds", "[]"))
+	if err != nil || Allowed(spec.Types, "g8") {
 		t.Errorf("an empty list allows g8 (%v)", err)
 	}
 }
@@ -121,8 +121,8 @@
 	}
 	m["builds"] = json.RawMessage("[" + strings.Repeat(long[:200]+`",`, 20) + `"x"]`)
 	b, _ := json.Marshal(m)
-	if j, err := ParseJob(b); err == nil {
-		t.Errorf("a description of %d bytes is taken", len(mustJSON(j)))
+	if spec, err := ParseJob(b); err == nil {
+		t.Errorf("a description of %d bytes is taken", len(mustJSON(spec)))
 	}
 }
 
@@ -249,12 +249,12 @@
 	f.Add([]byte(goodJob))
 	f.Add([]byte(`{"uid":"run-1"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		j, err := ParseJob(b)
+		spec, err := ParseJob(b)
 		if err != nil {
 			return
 		}
-		if j.Tasks < 1 || j.Tasks > MaxTasks || !ValidID(j.ID) || j.CPUs < 0 || len(mustJSON(j)) > MaxSpec {
-			t.Errorf("%+v is taken", j)
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxSpec {
+			t.Errorf("%+v is taken", spec)
 		}
 	})
 }
@@ -317,7 +317,7 @@
 	}
 	for name, values := range map[string][]string{"expect_s": {"0", "120"}, "due_s": {"null", "900"}, "snapshot_s": {"0", "30"}, "pieces": {"1", "100000"}} {
 		for _, v := range values {
-			if j, err := ParseJob(field(name, v)); err != nil || !j.Service() || j.Gang() {
+			if spec, err := ParseJob(field(name, v)); err != nil || !spec.Service() || spec.Gang() {
 				t.Errorf("%s %s: %v", name, v, err)
 			}
 		}
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -92,21 +92,21 @@
 }
 
 // SplitTask takes a task's name, such as run-000412/3, apart.
-func SplitTask(name string) (job JobID, index int, ok bool) {
+func SplitTask(name string) (jobID JobID, index int, ok bool) {
 	before, rest, ok := strings.Cut(name, "/")
-	job = JobID(before)
-	if !ok || !ValidID(job) {
+	jobID = JobID(before)
+	if !ok || !ValidID(jobID) {
 		return "", 0, false
 	}
 	index, err := strconv.Atoi(rest)
 	if err != nil || index < 0 || index >= MaxTasks {
 		return "", 0, false
 	}
-	return job, index, true
+	return jobID, index, true
 }
 
 // TaskName is the name of a job's task.
-func TaskName(job JobID, index int) string { return string(job) + "/" + strconv.Itoa(index) }
+func TaskName(jobID JobID, index int) string { return string(jobID) + "/" + strconv.Itoa(index) }
 
 // Command is one order to a worker.
 type Command struct {
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -54,11 +54,11 @@
 func Begin(now, lapse time.Time, stored map[protocol.MachineID][]Attempt) *Phase {
 	p := &Phase{lapse: lapse, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
 	p.summary.Began, p.summary.Workers = now, len(stored)
-	for machine, attempts := range stored {
-		p.silent[machine] = struct{}{}
+	for machineID, attempts := range stored {
+		p.silent[machineID] = struct{}{}
 		for _, a := range attempts {
 			p.summary.Stored++
-			p.count(Placement{a.ID, machine}, NotYetReported)
+			p.count(Placement{a.ID, machineID}, NotYetReported)
 		}
 	}
 	p.summary.Silent = len(p.silent)
@@ -96,8 +96,8 @@
 }
 
 // Known notes that a worker has shown the leader's token, or is proven gone.
-func (p *Phase) Known(machine protocol.MachineID) {
-	delete(p.silent, machine)
+func (p *Phase) Known(machineID protocol.MachineID) {
+	delete(p.silent, machineID)
 	p.summary.Silent = len(p.silent)
 }
 
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -114,8 +114,8 @@
 }
 
 func entryID(t *protocol.TaskReport) (AttemptID, bool) {
-	job, index, valid := protocol.SplitTask(t.Task)
-	return AttemptID{TaskID{job, index}, t.Attempt}, valid
+	jobID, index, valid := protocol.SplitTask(t.Task)
+	return AttemptID{TaskID{jobID, index}, t.Attempt}, valid
 }
 
 // releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
@@ -157,7 +157,7 @@
 }
 
 // classify tells the class of a reported attempt.
-func (c *Reconciler) classify(records Records, machine protocol.MachineID, id AttemptID, t *protocol.TaskReport, current bool) Class {
+func (c *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskReport, current bool) Class {
 	var stored *Attempt
 	if i, ok := c.places[id]; ok {
 		stored = &c.stored[i]
@@ -185,7 +185,7 @@
 		return StoredEnded
 	case id.Attempt > last:
 		return NeverStored
-	case id.Attempt == task.LastAttempt && task.Machine != "" && task.Machine != machine:
+	case id.Attempt == task.LastAttempt && task.Machine != "" && task.Machine != machineID:
 		return OnTwoMachines
 	}
 	return OlderEpoch
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -25,8 +25,8 @@
 
 func (s *store) Task(id TaskID) Task { return s.tasks[id] }
 
-func (s *store) Attempts(machine protocol.MachineID, list []Attempt) []Attempt {
-	return append(list, s.attempts[machine]...)
+func (s *store) Attempts(machineID protocol.MachineID, list []Attempt) []Attempt {
+	return append(list, s.attempts[machineID]...)
 }
 
 func (s *store) Machines() []Worker { return s.workers }
@@ -42,10 +42,10 @@
 }
 
 func (s *store) Placed(gang protocol.JobID) (list []Placement) {
-	for machine, attempts := range s.attempts {
+	for machineID, attempts := range s.attempts {
 		for _, a := range attempts {
 			if a.ID.Job == gang && !a.Fenced {
-				list = append(list, Placement{a.ID, machine})
+				list = append(list, Placement{a.ID, machineID})
 			}
 		}
 	}
@@ -158,11 +158,11 @@
 				return e.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && e.Attempt == d.ID.Attempt
 			})
 		case EndGang:
-			for machine, list := range s.attempts {
+			for machineID, list := range s.attempts {
 				for _, a := range slices.Clone(list) {
 					if a.ID.Job == d.ID.Job {
-						drop(Difference{ID: a.ID, Machine: machine})
-						real[machine] = slices.DeleteFunc(real[machine], func(e protocol.TaskReport) bool {
+						drop(Difference{ID: a.ID, Machine: machineID})
+						real[machineID] = slices.DeleteFunc(real[machineID], func(e protocol.TaskReport) bool {
 							id, index, _ := protocol.SplitTask(e.Task)
 							return id == a.ID.Job && index == a.ID.Index
 						})
@@ -262,10 +262,10 @@
 			at := Placement{d.ID, d.Machine}
 			judged[at] = append(judged[at], d.Class)
 		}
-		for machine, attempts := range s.attempts {
+		for machineID, attempts := range s.attempts {
 			for _, a := range attempts {
-				if n := len(judged[Placement{a.ID, machine}]); n != 1 {
-					t.Fatalf("%+v on %s is judged %d times", a.ID, machine, n)
+				if n := len(judged[Placement{a.ID, machineID}]); n != 1 {
+					t.Fatalf("%+v on %s is judged %d times", a.ID, machineID, n)
 				}
 			}
 		}
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -61,14 +61,14 @@
 }
 
 // submitted notes a job that its user has begun to submit.
-func (a *Audit) submitted(s *protocol.Job) {
-	if a.jobs[s.ID] != nil {
+func (a *Audit) submitted(spec *protocol.Job) {
+	if a.jobs[spec.ID] != nil {
 		return
 	}
-	j := &auditedJob{tasks: s.Tasks, gang: s.Gang(), done: map[string]bool{}}
-	a.jobs[s.ID] = j
-	for i := range s.Tasks {
-		a.need[needStart][protocol.TaskName(s.ID, i)]++
+	j := &auditedJob{tasks: spec.Tasks, gang: spec.Gang(), done: map[string]bool{}}
+	a.jobs[spec.ID] = j
+	for i := range spec.Tasks {
+		a.need[needStart][protocol.TaskName(spec.ID, i)]++
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 
 // ordered takes an order that a worker has executed.
-func (a *Audit) ordered(now time.Time, machine protocol.MachineID, c protocol.Command) {
+func (a *Audit) ordered(now time.Time, machineID protocol.MachineID, c protocol.Command) {
 	kind := slices.Index([]protocol.Verb{protocol.OpStart, protocol.OpStop, protocol.OpForget}, c.Op)
 	a.Orders[kind]++
 	if a.from.IsZero() {
@@ -146,11 +146,11 @@
 		}
 		a.Verdict.Last = now.Sub(a.from)
 		id, _, _ := protocol.SplitTask(c.Task)
-		if _, known := a.here[instance{machine, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
+		if _, known := a.here[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
 			a.Verdict.DuplicateStarts++
 		}
 	}
-	at := instance{machine: machine, task: c.Task}
+	at := instance{machine: machineID, task: c.Task}
 	switch {
 	case a.need[kind][c.Task] > 0:
 		a.need[kind][c.Task]--
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -165,20 +165,20 @@
 func (w *World) coldJobs(c ColdRestart) (users []*user) {
 	room := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
 	for i := 0; room > 0; i++ {
-		s := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
 			Tasks: 2 + w.rng.IntN(12), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", w.rng.IntN(6)), ImageGB: 1 + 2*w.rng.Float64(), EstimateS: 60}
 		if i%2 == 0 {
-			s.Class, s.Shape, s.Priority, s.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(5)
+			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(5)
 		}
 		if c.Equal {
-			s.Priority = "normal"
+			spec.Priority = "normal"
 		}
-		room -= s.Tasks
+		room -= spec.Tasks
 		run := 300.0
 		if i%5 == 1 { // about to end
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
 		}
-		users = append(users, w.submit(w.between(0, c.Before), s, run, 0, false))
+		users = append(users, w.submit(w.between(0, c.Before), spec, run, 0, false))
 	}
 	return users
 }
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -244,9 +244,9 @@
 			return status, phase
 		}
 		for i, c := range w.nodes {
-			s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 3)
-			w.rules.jobs[s.ID] = &simJob{spec: s, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[protocol.AttemptNumber]*gang{}}
-			submit := func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }
+			spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 3)
+			w.rules.jobs[spec.ID] = &simJob{spec: spec, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[protocol.AttemptNumber]*gang{}}
+			submit := func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }
 			tooLarge := service("run-000099", 3)
 			tooLarge.Team, tooLarge.GPUs = "red", 4
 			if status, _ := ask(c, func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: tooLarge} }); status != 422 {
@@ -262,13 +262,13 @@
 				}
 			}
 			at := w.nodes[(i+1)%3]
-			cancel := func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: s.ID} }
+			cancel := func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: spec.ID} }
 			if status, phase := ask(at, cancel); status != 200 || phase != protocol.PhaseCancelled {
 				t.Errorf("mixture %d: cancelled: %d %s", mixture, status, phase)
 			}
-			w.rules.jobs[s.ID].cancelled = w.Now
+			w.rules.jobs[spec.ID].cancelled = w.Now
 			for _, o := range w.nodes {
-				for _, event := range []func(id uint64) coordination.Event{submit, cancel, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: s.ID} }} {
+				for _, event := range []func(id uint64) coordination.Event{submit, cancel, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: spec.ID} }} {
 					if status, phase := ask(o, event); status != 200 || phase != protocol.PhaseCancelled {
 						t.Errorf("mixture %d: after its cancellation: %d %s", mixture, status, phase)
 					}
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -98,22 +98,22 @@
 					})
 				}
 			}
-			s := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
+			spec := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
 			switch w.rng.IntN(5) {
 			case 0:
-				s.CPUs = 1000
+				spec.CPUs = 1000
 			case 1:
-				s.Team = "nobody"
+				spec.Team = "nobody"
 			case 2:
-				s.Team, s.GPUs, s.Shape, s.Tasks = "red", 4, protocol.ShapeGang, 3
+				spec.Team, spec.GPUs, spec.Shape, spec.Tasks = "red", 4, protocol.ShapeGang, 3
 			case 3:
-				s.Zone = "nowhere"
+				spec.Zone = "nowhere"
 			case 4:
-				s.Shape, s.OneZone, s.Spread = protocol.ShapeGang, true, true
+				spec.Shape, spec.OneZone, spec.Spread = protocol.ShapeGang, true, true
 			}
-			c.ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }, func(status int, _ []byte) {
+			c.ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }, func(status int, _ []byte) {
 				if status == 200 || status == 201 {
-					w.rules.violated("accepted", "%+v can never run", *s)
+					w.rules.violated("accepted", "%+v can never run", *spec)
 				}
 			})
 		})
@@ -195,30 +195,30 @@
 // waitsBeside says whether an accepted job has a task nowhere while machines have
 // room for it, a gang for all, and its team is under its limit.
 func (w *World) waitsBeside(u *user) bool {
-	s := u.j.spec
+	spec := u.j.spec
 	if !u.accepted || u.asked || u.over || u.j.mistaken {
 		return false
 	}
 	want := 0
-	for i := range s.Tasks {
-		if w.rules.onAt[protocol.TaskName(s.ID, i)] == nil && !u.j.done[i] {
+	for i := range spec.Tasks {
+		if w.rules.onAt[protocol.TaskName(spec.ID, i)] == nil && !u.j.done[i] {
 			want++
 		}
 	}
-	if want == 0 || s.Gang() && want < s.Tasks {
+	if want == 0 || spec.Gang() && want < spec.Tasks {
 		return false
 	}
-	if !s.Gang() {
+	if !spec.Gang() {
 		want = 1
 	}
 	for _, team := range w.shape.Teams {
-		if team.Name == s.Team && team.MaxGPUs > 0 && w.rules.use[s.Team]+s.GPUs*float64(want) > team.MaxGPUs+1e-6 {
+		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.use[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
 			return false
 		}
 	}
 	room := map[protocol.ZoneName]int{}
 	for _, k := range w.workers {
-		if k.hung || k.notice != nil || s.Zone != "" && s.Zone != k.h.Zone || k.h.Spot && !s.Spot {
+		if k.hung || k.notice != nil || spec.Zone != "" && spec.Zone != k.h.Zone || k.h.Spot && !spec.Spot {
 			continue
 		}
 		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
@@ -227,12 +227,12 @@
 				cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 			}
 		}
-		for cpus >= s.CPUs && gpus >= s.GPUs && memory >= s.MemoryGB && room[k.h.Zone] < want {
+		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && room[k.h.Zone] < want {
 			room[k.h.Zone]++
-			cpus, gpus, memory = cpus-s.CPUs, gpus-s.GPUs, memory-s.MemoryGB
+			cpus, gpus, memory = cpus-spec.CPUs, gpus-spec.GPUs, memory-spec.MemoryGB
 		}
 	}
-	if s.Spread && s.Tasks > 1 {
+	if spec.Spread && spec.Tasks > 1 {
 		return false // what it may have of a zone depends on the others
 	}
 	for _, n := range room {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -43,17 +43,17 @@
 			w.Run(6 * time.Second)
 			id := w.cloud.hosts[0].ID
 			if busy {
-				s := array("run-000001", 2)
-				s.Zone = w.zoneOf[string(id)]
-				u := w.submit(0, s, 500, 0, false)
+				spec := array("run-000001", 2)
+				spec.Zone = w.zoneOf[string(id)]
+				u := w.submit(0, spec, 500, 0, false)
 				w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
 				w.after(time.Second+time.Millisecond, u.cancel)
 			}
 			w.blockInbound(string(id), 600*time.Second, hold)
 			w.Run(time.Second)
-			s := gangJob("run-000010", 4) // takes a whole machine of that zone
-			s.Zone = w.zoneOf[string(id)]
-			u := w.submit(0, s, 15, 0, false)
+			spec := gangJob("run-000010", 4) // takes a whole machine of that zone
+			spec.Zone = w.zoneOf[string(id)]
+			u := w.submit(0, spec, 15, 0, false)
 			took := w.waitFor(t, 100*time.Second, "the gang is done", func() bool { return u.over })
 			t.Logf("busy %v, hold %v: done after %v", busy, hold, took)
 			if w.workers[id] != nil {
@@ -71,9 +71,9 @@
 	t.Parallel()
 	w := New(22, logs())
 	w.Run(6 * time.Second)
-	s := gangJob("run-000001", 4)
-	s.CheckpointS, s.SaveS, s.OneZone = 10, 2, true
-	u := w.submit(0, s, 80, 0, false)
+	spec := gangJob("run-000001", 4)
+	spec.CheckpointS, spec.SaveS, spec.OneZone = 10, 2, true
+	u := w.submit(0, spec, 80, 0, false)
 	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
 	id := w.rules.onAt["run-000001/0"].k.h.ID
 	w.blockInbound(string(id), 400*time.Second, false)
@@ -280,9 +280,9 @@
 		}
 	}
 	for i := range 12 {
-		s := gangJob(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 32)
-		s.Class, s.Team, s.Priority, s.GPUs, s.CPUs, s.MemoryGB, s.OneZone = "gang", "team-0", "high", 2, 20, 110, true
-		w.submit(time.Duration(i)*time.Second, s, 60, 0, false)
+		spec := gangJob(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 32)
+		spec.Class, spec.Team, spec.Priority, spec.GPUs, spec.CPUs, spec.MemoryGB, spec.OneZone = "gang", "team-0", "high", 2, 20, 110, true
+		w.submit(time.Duration(i)*time.Second, spec, 60, 0, false)
 	}
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -218,9 +218,9 @@
 	u := w.submit(0, service("run-000001", 4), 0, 150*time.Second, false)
 	w.Run(10 * time.Second)
 	for i := range 3 {
-		s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 1+w.rng.IntN(6))
-		s.Spread, s.GPUs = i%2 == 0, float64(w.rng.IntN(2))
-		w.submit(w.between(0, 20*time.Second), s, 0, w.between(100*time.Second, 200*time.Second), false)
+		spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 1+w.rng.IntN(6))
+		spec.Spread, spec.GPUs = i%2 == 0, float64(w.rng.IntN(2))
+		w.submit(w.between(0, 20*time.Second), spec, 0, w.between(100*time.Second, 200*time.Second), false)
 	}
 	w.load(8, 60*time.Second)
 	w.Run(4 * time.Second)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -53,9 +53,9 @@
 	w := NewShaped(1, logs(), fleet4000())
 	w.crowd(300, 70*time.Second)
 	for i := range 8 {
-		s := array(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 1300)
-		s.Class, s.Team, s.Priority, s.Spot, s.EstimateS = "array", w.shape.Teams[i].Name, "idle", true, 40
-		w.submit(w.between(0, 20*time.Second), s, 30+20*w.rng.Float64(), 0, false)
+		spec := array(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 1300)
+		spec.Class, spec.Team, spec.Priority, spec.Spot, spec.EstimateS = "array", w.shape.Teams[i].Name, "idle", true, 40
+		w.submit(w.between(0, 20*time.Second), spec, 30+20*w.rng.Float64(), 0, false)
 	}
 	w.fallsTogether(t, 1400)
 }
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -29,16 +29,16 @@
 // crowd makes gangs and arrays of many sizes come for a while.
 func (w *World) crowd(jobs int, span time.Duration) {
 	for i := range jobs {
-		s := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
-		s.Class, s.Team, s.Priority, s.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
-		s.Image, s.ImageGB, s.EstimateS, s.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
-		s.MemoryGB = 54
+		spec := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
+		spec.Class, spec.Team, spec.Priority, spec.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
+		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
+		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
-			s.Class, s.Shape, s.Priority, s.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			s.GPUs, s.CPUs, s.MemoryGB, s.OneZone, s.Spot, s.DeadlineS = w.shape.Type.GPUs, 20, 110, true, false, 0
-			s.CheckpointS, s.SaveS, s.EstimateS = 45, 4, 120
+			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
+			spec.GPUs, spec.CPUs, spec.MemoryGB, spec.OneZone, spec.Spot, spec.DeadlineS = w.shape.Type.GPUs, 20, 110, true, false, 0
+			spec.CheckpointS, spec.SaveS, spec.EstimateS = 45, 4, 120
 		}
-		w.submit(w.between(0, span), s, s.EstimateS*(0.5+w.rng.Float64()), 0, false)
+		w.submit(w.between(0, span), spec, spec.EstimateS*(0.5+w.rng.Float64()), 0, false)
 	}
 }
 
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -114,9 +114,9 @@
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
-		j := service(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 6)
-		j.Team = shape.Teams[0].Name
-		users = append(users, w.submit(0, j, 0, 0, false))
+		spec := service(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 6)
+		spec.Team = shape.Teams[0].Name
+		users = append(users, w.submit(0, spec, 0, 0, false))
 	}
 	w.waitFor(t, 60*time.Second, "all run", func() bool {
 		return !slices.ContainsFunc(users, func(u *user) bool { return !w.running(u) })
@@ -223,12 +223,12 @@
 		w := NewShaped(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
-		j := service("run-000000", 6)
-		j.Team = shape.Teams[0].Name
+		spec := service("run-000000", 6)
+		spec.Team = shape.Teams[0].Name
 		at := w.Now
-		w.submit(0, j, 0, 0, false)
-		for i := range j.Tasks {
-			s.lost[protocol.TaskName(j.ID, i)] = ""
+		w.submit(0, spec, 0, 0, false)
+		for i := range spec.Tasks {
+			s.lost[protocol.TaskName(spec.ID, i)] = ""
 		}
 		for range 800 {
 			w.Run(10 * time.Millisecond)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -10,9 +10,9 @@
 )
 
 func service(id protocol.JobID, replicas int) *protocol.Job {
-	j := array(id, replicas)
-	j.Class, j.Shape, j.Priority, j.GPUs, j.CPUs, j.MemoryGB, j.EstimateS, j.Spread = "service", protocol.ShapeService, "critical", 0, 2, 10, 0, true
-	return j
+	spec := array(id, replicas)
+	spec.Class, spec.Shape, spec.Priority, spec.GPUs, spec.CPUs, spec.MemoryGB, spec.EstimateS, spec.Spread = "service", protocol.ShapeService, "critical", 0, 2, 10, 0, true
+	return spec
 }
 
 // share is the part of a service's replica time that was served.
@@ -131,10 +131,10 @@
 	w := New(72, logs())
 	w.Run(6 * time.Second)
 	for replicas, want := range map[int]int{2: 201, 3: 422} {
-		s := service(protocol.JobID(fmt.Sprintf("run-00000%d", replicas)), replicas)
-		s.Team, s.GPUs = "red", 4 // of 10
+		spec := service(protocol.JobID(fmt.Sprintf("run-00000%d", replicas)), replicas)
+		spec.Team, spec.GPUs = "red", 4 // of 10
 		got := 0
-		w.nodes[0].ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: s} }, func(status int, _ []byte) { got = status })
+		w.nodes[0].ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }, func(status int, _ []byte) { got = status })
 		w.Run(time.Second)
 		if got != want {
 			t.Errorf("%d replicas: %d", replicas, got)
@@ -155,16 +155,16 @@
 	big := w.submit(0, g, 20, 0, false)
 	w.waitFor(t, 20*time.Second, "the gang runs", func() bool { return w.running(big) })
 	for i := range 4 {
-		s := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 4)
-		s.Spread = i%2 == 0
-		u := w.submit(0, s, 0, 0, false)
+		spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 4)
+		spec.Spread = i%2 == 0
+		u := w.submit(0, spec, 0, 0, false)
 		w.waitFor(t, 10*time.Second, "it runs", func() bool { return w.running(u) })
 		on := map[protocol.MachineID]int{}
 		for k := range 4 {
-			on[w.rules.onAt[protocol.TaskName(s.ID, k)].k.h.ID]++
+			on[w.rules.onAt[protocol.TaskName(spec.ID, k)].k.h.ID]++
 		}
 		if len(on) != 4 {
-			t.Errorf("%s is on %v", s.ID, on)
+			t.Errorf("%s is on %v", spec.ID, on)
 		}
 	}
 	w.waitFor(t, 60*time.Second, "the gang is done", func() bool { return big.over })
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -47,41 +47,41 @@
 
 func (r *rules) starts(t *workerTask) {
 	r.started++
-	s := t.job
-	if j := r.jobs[s.ID]; j.starts == nil {
+	spec := t.job
+	if j := r.jobs[spec.ID]; j.starts == nil {
 		j.starts = map[int]int{t.index: 1}
 	} else {
 		j.starts[t.index]++
 	}
-	if !r.jobs[s.ID].cancelled.IsZero() {
+	if !r.jobs[spec.ID].cancelled.IsZero() {
 		r.late++
 	}
 	if o := r.onAt[t.name]; o != nil {
 		r.violated("ran_twice", "%s starts on %s while on %s", t.name, t.k.h.ID, o.k.h.ID)
 	}
 	r.onAt[t.name] = t
-	r.use[s.Team] += s.GPUs
+	r.use[spec.Team] += spec.GPUs
 	for _, team := range r.w.shape.Teams {
-		if team.Name == s.Team && team.MaxGPUs > 0 && r.use[s.Team] > team.MaxGPUs+1e-6 {
-			r.violated("quota", "%s uses %v GPUs", s.Team, r.use[s.Team])
+		if team.Name == spec.Team && team.MaxGPUs > 0 && r.use[spec.Team] > team.MaxGPUs+1e-6 {
+			r.violated("quota", "%s uses %v GPUs", spec.Team, r.use[spec.Team])
 		}
 	}
-	if s.Zone != "" && s.Zone != t.k.h.Zone || t.k.h.Spot && !s.Spot {
+	if spec.Zone != "" && spec.Zone != t.k.h.Zone || t.k.h.Spot && !spec.Spot {
 		r.violated("wrong_place", "%s on %s", t.name, t.k.h.ID)
 	}
 	zones := map[protocol.ZoneName]int{}
-	if s.OneZone || s.Spread {
-		for i := range s.Tasks {
-			if o := r.onAt[protocol.TaskName(s.ID, i)]; o != nil {
+	if spec.OneZone || spec.Spread {
+		for i := range spec.Tasks {
+			if o := r.onAt[protocol.TaskName(spec.ID, i)]; o != nil {
 				zones[o.k.h.Zone]++
 			}
 		}
 	}
-	if s.OneZone && len(zones) > 1 {
-		r.violated("wrong_place", "%s in more zones than one: %v", s.ID, zones)
+	if spec.OneZone && len(zones) > 1 {
+		r.violated("wrong_place", "%s in more zones than one: %v", spec.ID, zones)
 	}
-	if s.Spread && zones[t.k.h.Zone] > (s.Tasks+1)/2 {
-		r.violated("wrong_place", "%s has %v", s.ID, zones)
+	if spec.Spread && zones[t.k.h.Zone] > (spec.Tasks+1)/2 {
+		r.violated("wrong_place", "%s has %v", spec.ID, zones)
 	}
 	r.checkCancelled(t)
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -46,9 +46,9 @@
 }
 
 func gangJob(id protocol.JobID, tasks int) *protocol.Job {
-	j := array(id, tasks)
-	j.Shape = protocol.ShapeGang
-	return j
+	spec := array(id, tasks)
+	spec.Shape = protocol.ShapeGang
+	return spec
 }
 
 func (w *World) running(u *user) bool {
@@ -318,9 +318,9 @@
 	t.Parallel()
 	w := New(9, logs())
 	w.Run(5 * time.Second)
-	s := array("run-000001", 700)
-	s.CPUs, s.GPUs, s.MemoryGB = 0.2, 0, 0.5
-	u := w.submit(0, s, 10, 0, false)
+	spec := array("run-000001", 700)
+	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.2, 0, 0.5
+	u := w.submit(0, spec, 10, 0, false)
 	w.Run(20 * time.Second)
 	w.leader().crash(2 * time.Second)
 	w.waitFor(t, 240*time.Second, "it is done", func() bool { return u.over })
@@ -339,9 +339,9 @@
 	t.Parallel()
 	w := New(14, logs())
 	w.Run(5 * time.Second)
-	s := array("run-000001", 100_000)
-	s.CPUs, s.GPUs, s.MemoryGB = 0.2, 0, 0.5
-	u := w.submit(0, s, 10, 30*time.Second, false)
+	spec := array("run-000001", 100_000)
+	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.2, 0, 0.5
+	u := w.submit(0, spec, 10, 30*time.Second, false)
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
 		t.Error("nothing starts")
@@ -362,9 +362,9 @@
 	t.Parallel()
 	w := New(10, logs())
 	w.Run(6 * time.Second)
-	s := gangJob("run-000001", 2)
-	s.GPUs, s.OneZone, s.CheckpointS, s.SaveS = 2, true, 10, 2
-	u := w.submit(0, s, 60, 0, false)
+	spec := gangJob("run-000001", 2)
+	spec.GPUs, spec.OneZone, spec.CheckpointS, spec.SaveS = 2, true, 10, 2
+	u := w.submit(0, spec, 60, 0, false)
 	w.waitFor(t, 10*time.Second, "it runs", func() bool { return w.running(u) })
 	w.Run(25 * time.Second)
 	k := w.rules.onAt["run-000001/0"].k
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,31 +15,31 @@
 // load makes users with jobs of every shape.
 func (w *World) load(jobs int, span time.Duration) {
 	for range jobs {
-		s := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+len(w.users)*7)), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+len(w.users)*7)), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
 			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
 		if w.rng.IntN(2) == 0 {
-			s.Class, s.Shape, s.Tasks = "gang", protocol.ShapeGang, 1+w.rng.IntN(4)
-			s.GPUs = float64(1 + w.rng.IntN(2))
+			spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 1+w.rng.IntN(4)
+			spec.GPUs = float64(1 + w.rng.IntN(2))
 		}
 		switch w.rng.IntN(4) {
 		case 0:
-			s.OneZone = true
+			spec.OneZone = true
 		case 1:
-			s.Spread = true
+			spec.Spread = true
 		case 2:
-			s.Zone = w.shape.Zones[w.rng.IntN(2)]
+			spec.Zone = w.shape.Zones[w.rng.IntN(2)]
 		}
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
-			s.Class, s.Shape, s.Priority, s.GPUs, s.CPUs, s.MemoryGB = "service", protocol.ShapeService, "critical", 0, 1, 4
-			s.EstimateS, s.CheckpointS, s.SaveS = 0, 0, 0
+			spec.Class, spec.Shape, spec.Priority, spec.GPUs, spec.CPUs, spec.MemoryGB = "service", protocol.ShapeService, "critical", 0, 1, 4
+			spec.EstimateS, spec.CheckpointS, spec.SaveS = 0, 0, 0
 			cancel = w.between(150*time.Second, 320*time.Second)
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(w.between(0, span), s, 5+40*w.rng.Float64(), cancel, cancel > 0 && w.rng.IntN(3) == 0)
+		w.submit(w.between(0, span), spec, 5+40*w.rng.Float64(), cancel, cancel > 0 && w.rng.IntN(3) == 0)
 	}
 }
 
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -71,9 +71,9 @@
 func (w *World) playUpgrade(faults bool) {
 	w.load(12, 100*time.Second)
 	for i := range 4 {
-		s := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 60+w.rng.IntN(90))
-		s.GPUs, s.CPUs, s.MemoryGB, s.Spot = 0.25, 1, 5, true
-		w.submit(w.between(0, 50*time.Second), s, 20+60*w.rng.Float64(), 0, false)
+		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 60+w.rng.IntN(90))
+		spec.GPUs, spec.CPUs, spec.MemoryGB, spec.Spot = 0.25, 1, 5, true
+		w.submit(w.between(0, 50*time.Second), spec, 20+60*w.rng.Float64(), 0, false)
 		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 16+w.rng.IntN(8))
 		g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
 		w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
@@ -117,9 +117,9 @@
 	w.Run(5 * time.Second)
 	w.crowd(60, 30*time.Second)
 	for i := range 5 {
-		s := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 150)
-		s.Team, s.Class, s.Priority = "team-0", "array", "idle"
-		w.submit(0, s, 150, 0, false)
+		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 150)
+		spec.Team, spec.Class, spec.Priority = "team-0", "array", "idle"
+		w.submit(0, spec, 150, 0, false)
 		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 32)
 		g.Team, g.Class, g.Priority, g.GPUs, g.CPUs, g.MemoryGB, g.OneZone = "team-1", "gang", "high", 2, 20, 110, true
 		w.submit(0, g, 100, 0, false)
@@ -176,12 +176,12 @@
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	s := array("run-600000", 140)
-	s.GPUs, s.CPUs, s.MemoryGB = 0.5, 2, 10
-	u := w.submit(0, s, 60, 0, false)
+	spec := array("run-600000", 140)
+	spec.GPUs, spec.CPUs, spec.MemoryGB = 0.5, 2, 10
+	u := w.submit(0, spec, 60, 0, false)
 	g := gangJob("run-600001", 20)
 	v := w.submit(5*time.Second, g, 40, 0, false)
-	off := w.submit(5*time.Second, func() *protocol.Job { s := array("run-600002", 120); s.GPUs, s.CPUs = 0.25, 1; return s }(), 500, 55*time.Second, false)
+	off := w.submit(5*time.Second, func() *protocol.Job { spec := array("run-600002", 120); spec.GPUs, spec.CPUs = 0.25, 1; return spec }(), 500, 55*time.Second, false)
 	w.Run(40 * time.Second)
 	w.state.lower()
 	for _, c := range w.nodes {
@@ -194,9 +194,9 @@
 }
 
 // wide is a job whose description takes most of a record's lowered size.
-func wide(j *protocol.Job) *protocol.Job {
-	j.Types = []protocol.MachineTypeName{"four", protocol.MachineTypeName(strings.Repeat("x", 1400))}
-	return j
+func wide(spec *protocol.Job) *protocol.Job {
+	spec.Types = []protocol.MachineTypeName{"four", protocol.MachineTypeName(strings.Repeat("x", 1400))}
+	return spec
 }
 
 // lowering is a way in which the limits fall while a release is upgraded.
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -219,12 +219,12 @@
 	}
 	all, done := map[string]int{}, map[string]int{}
 	for _, u := range counted {
-		s := u.j.spec
-		groups := []string{"class " + s.Class, "team " + string(s.Team)}
-		if s.Tasks == largest[s.Class] {
-			groups = append(groups, "the largest of "+s.Class)
+		spec := u.j.spec
+		groups := []string{"class " + spec.Class, "team " + string(spec.Team)}
+		if spec.Tasks == largest[spec.Class] {
+			groups = append(groups, "the largest of "+spec.Class)
 			if late := cmp.Or(u.j.began, w.Now).Sub(u.since); late > within {
-				w.rules.violated("late", "%s of %d tasks began after %v", s.ID, s.Tasks, late)
+				w.rules.violated("late", "%s of %d tasks began after %v", spec.ID, spec.Tasks, late)
 			}
 		}
 		for _, g := range groups {
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -18,10 +18,10 @@
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range services {
-		j := service(protocol.JobID(fmt.Sprintf("run-0000%02d", i)), replicas)
-		j.Team, j.CPUs, j.MemoryGB = shape.Teams[0].Name, 4, 20
-		j.Spread = i%2 == 0
-		users = append(users, w.submit(w.between(0, 10*time.Second), j, 0, 0, false))
+		spec := service(protocol.JobID(fmt.Sprintf("run-0000%02d", i)), replicas)
+		spec.Team, spec.CPUs, spec.MemoryGB = shape.Teams[0].Name, 4, 20
+		spec.Spread = i%2 == 0
+		users = append(users, w.submit(w.between(0, 10*time.Second), spec, 0, 0, false))
 	}
 	running := func() (n int) {
 		for _, u := range users {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -106,24 +106,24 @@
 }
 
 // askJob asks the owner about the job that the path names.
-func (o *Owner) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, job protocol.JobID) coordination.Event) {
+func (o *Owner) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
 	o.conns.bound(o.conns.keepUsers, w)
-	job := protocol.JobID(r.PathValue("id"))
-	if !protocol.ValidID(job) {
+	jobID := protocol.JobID(r.PathValue("id"))
+	if !protocol.ValidID(jobID) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
 	respond(w, o.ask(r.Context(), o.users, tuning.AnswerLimit, func(id uint64) coordination.Event {
-		return event(id, job)
+		return event(id, jobID)
 	}))
 }
 
 func (o *Owner) handleQuery(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, job protocol.JobID) coordination.Event { return coordination.Query{ID: id, Job: job} })
+	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event { return coordination.Query{ID: id, Job: jobID} })
 }
 
 func (o *Owner) handleCancel(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, job protocol.JobID) coordination.Event { return coordination.Cancel{ID: id, Job: job} })
+	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event { return coordination.Cancel{ID: id, Job: jobID} })
 }
 
 func (o *Owner) handleReport(w http.ResponseWriter, r *http.Request) {
