--- /dev/null
+++ b/internal/architecture/imports_test.go
@@ -0,0 +1,217 @@
+package architecture
+
+import (
+	"fmt"
+	"go/parser"
+	"go/token"
+	"maps"
+	"path"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// dependencies are the packages of this module that a package may import.
+type dependencies struct {
+	imports []string // in all its files
+	tests   []string // in its test files only, beside those above
+
+	// pure packages do no input or output and start nothing concurrent: they import
+	// nothing of impureLibrary, except in tests.
+	pure bool
+}
+
+// allowedImports has a row for each package of the module, paths relative to its root.
+// It is exact: an import that is not listed fails the test, and so does a listed one
+// that no file needs any more, so that the table can be read as the state of things.
+var allowedImports = map[string]dependencies{
+	"cmd/gappond": {imports: []string{
+		"internal/config", "internal/coordination", "internal/transport", "internal/tuning"}},
+	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
+
+	"internal/transport": {imports: []string{
+		"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
+		"internal/recovery", "internal/tuning"}},
+
+	"internal/coordination": {pure: true, imports: []string{
+		"internal/bookkeeping", "internal/buddy", "internal/config", "internal/protocol",
+		"internal/recovery", "internal/tuning"}},
+
+	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
+	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
+	"internal/config":      {imports: []string{"internal/tuning"}},
+	"internal/protocol":    {},
+	"internal/buddy":       {pure: true},
+	"internal/tuning":      {pure: true},
+
+	"internal/simulation": {
+		imports: []string{
+			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
+			"internal/tuning"},
+		tests: []string{"internal/recovery", "internal/transport"}},
+	"internal/architecture": {},
+}
+
+// impureLibrary are the packages of the standard library that a pure package does without.
+var impureLibrary = []string{
+	"context", "crypto/rand", "net", "os", "os/exec", "os/signal", "sync", "sync/atomic", "syscall",
+}
+
+// TestImportDirections compares the imports of every package with allowedImports.
+func TestImportDirections(t *testing.T) {
+	for _, violation := range importViolations(readImports(t), allowedImports) {
+		t.Error(violation)
+	}
+}
+
+// TestImportViolations shows that importViolations finds each kind of violation.
+func TestImportViolations(t *testing.T) {
+	allowed := map[string]dependencies{
+		"internal/a": {pure: true, imports: []string{"internal/b"}, tests: []string{"internal/c"}},
+		"internal/b": {},
+	}
+	for name, c := range map[string]struct {
+		found map[string]packageImports
+		want  []string // a part of each violation
+	}{
+		"as allowed": {found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b", "net/http"}, tests: []string{"internal/b", "internal/c", "os"}},
+			"internal/b": {code: []string{"os"}},
+		}},
+		"unlisted package": {want: []string{"internal/new has no row"}, found: map[string]packageImports{
+			"internal/a":   {code: []string{"internal/b"}, tests: []string{"internal/c"}},
+			"internal/b":   {},
+			"internal/new": {code: []string{"internal/b"}},
+		}},
+		"package that is gone": {want: []string{"internal/b does not exist"}, found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
+		}},
+		"import not allowed": {want: []string{"internal/b imports internal/a"}, found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
+			"internal/b": {code: []string{"internal/a"}},
+		}},
+		"import of tests in code": {want: []string{"internal/a imports internal/c"}, found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b", "internal/c"}, tests: []string{"internal/c"}},
+			"internal/b": {},
+		}},
+		"import of tests not allowed": {want: []string{"tests of internal/b import internal/c"}, found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
+			"internal/b": {tests: []string{"internal/c"}},
+		}},
+		"impure": {want: []string{"internal/a imports os"}, found: map[string]packageImports{
+			"internal/a": {code: []string{"internal/b", "os"}, tests: []string{"internal/c"}},
+			"internal/b": {},
+		}},
+		"allowed but unused": {want: []string{"internal/a may import internal/b", "tests of internal/a may import internal/c"},
+			found: map[string]packageImports{"internal/a": {}, "internal/b": {}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			violations := importViolations(c.found, allowed)
+			if len(violations) != len(c.want) {
+				t.Fatalf("violations %q, want %q", violations, c.want)
+			}
+			for i, want := range c.want {
+				if !strings.Contains(violations[i], want) {
+					t.Errorf("violation %q, want %q", violations[i], want)
+				}
+			}
+		})
+	}
+}
+
+// packageImports are what the files of a package import: packages of this module by their
+// path from its root, others by their import path.
+type packageImports struct{ code, tests []string }
+
+// readImports reads the imports of every package of the module, for every platform.
+func readImports(t *testing.T) map[string]packageImports {
+	t.Helper()
+	found := map[string]packageImports{}
+	for _, file := range goFiles(t) {
+		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(moduleRoot, file), nil, parser.ImportsOnly)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := found[path.Dir(file)]
+		list := &p.code
+		if strings.HasSuffix(file, "_test.go") {
+			list = &p.tests
+		}
+		for _, spec := range parsed.Imports {
+			imported, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			*list = append(*list, strings.TrimPrefix(imported, modulePath+"/"))
+		}
+		found[path.Dir(file)] = p
+	}
+	return found
+}
+
+// importViolations are the differences between what packages import and what they may,
+// each with what to do about it, in a fixed order.
+func importViolations(found map[string]packageImports, allowed map[string]dependencies) []string {
+	var violations []string
+	add := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
+	for _, name := range slices.Sorted(maps.Keys(allowed)) {
+		if _, exists := found[name]; !exists {
+			add("%s does not exist: remove its row from allowedImports in imports_test.go", name)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(found)) {
+		row, listed := allowed[name]
+		if !listed {
+			add("%s has no row in allowedImports in imports_test.go: decide what it may import and add\n\t%q: {imports: %#v},\nand name it in docs/architecture.md",
+				name, name, ofModule(found[name].code))
+			continue
+		}
+		violations = append(violations, packageViolations(name, found[name], row)...)
+	}
+	return violations
+}
+
+// packageViolations are those of one package.
+func packageViolations(name string, found packageImports, row dependencies) []string {
+	var violations []string
+	add := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
+	for _, imported := range ofModule(found.code) {
+		if !slices.Contains(row.imports, imported) {
+			add("%s imports %s, which allowedImports does not allow: move the code to where the dependency may point, or change the row and say why in the commit", name, imported)
+		}
+	}
+	for _, imported := range ofModule(found.tests) {
+		if !slices.Contains(row.imports, imported) && !slices.Contains(row.tests, imported) {
+			add("tests of %s import %s, which allowedImports does not allow: add it to the row's tests, if it may be", name, imported)
+		}
+	}
+	for _, imported := range impureLibrary {
+		if row.pure && slices.Contains(found.code, imported) {
+			add("%s imports %s, though its row says that it is pure: leave input, output and concurrency to its callers", name, imported)
+		}
+	}
+	for _, imported := range row.imports {
+		if !slices.Contains(found.code, imported) {
+			add("%s may import %s and does not: remove that from its row in allowedImports", name, imported)
+		}
+	}
+	for _, imported := range row.tests {
+		if !slices.Contains(found.tests, imported) {
+			add("tests of %s may import %s and do not: remove that from its row in allowedImports", name, imported)
+		}
+	}
+	return violations
+}
+
+// ofModule selects the packages of this module, each once.
+func ofModule(imports []string) []string {
+	selected := map[string]bool{}
+	for _, imported := range imports {
+		if strings.HasPrefix(imported, "internal/") || strings.HasPrefix(imported, "cmd/") {
+			selected[imported] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(selected))
+}
--- /dev/null
+++ b/internal/architecture/module_test.go
@@ -0,0 +1,59 @@
+package architecture
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const (
+	modulePath = "github.com/gappond/gappond"
+	moduleRoot = "../.."
+)
+
+// sourceDirectories are where the module's Go files are.
+var sourceDirectories = []string{"cmd", "internal"}
+
+// goFiles lists the module's Go files, test files too, by path from the root.
+func goFiles(t *testing.T) []string {
+	t.Helper()
+	var files []string
+	root := os.DirFS(moduleRoot)
+	for _, directory := range sourceDirectories {
+		err := fs.WalkDir(root, directory, func(name string, entry fs.DirEntry, err error) error {
+			if err == nil && entry.IsDir() && entry.Name() == "testdata" {
+				return fs.SkipDir
+			}
+			if err == nil && !entry.IsDir() && strings.HasSuffix(name, ".go") {
+				files = append(files, name)
+			}
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
+
+// TestSourceDirectories shows that no Go file lies where the tests here do not look.
+func TestSourceDirectories(t *testing.T) {
+	entries, err := os.ReadDir(moduleRoot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		if !entry.IsDir() || strings.HasPrefix(entry.Name(), ".") || slices.Contains(sourceDirectories, entry.Name()) {
+			continue
+		}
+		if files, err := filepath.Glob(filepath.Join(moduleRoot, entry.Name(), "*.go")); err != nil || len(files) > 0 {
+			t.Errorf("%v, %v: add %s to sourceDirectories", files, err, entry.Name())
+		}
+	}
+	if files, err := filepath.Glob(filepath.Join(moduleRoot, "*.go")); err != nil || len(files) > 0 {
+		t.Errorf("%v, %v: no package is expected at the root", files, err)
+	}
+}
