--- /dev/null
+++ b/internal/architecture/declarations_test.go
@@ -0,0 +1,210 @@
+package architecture
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"path"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// declarations are what the module's packages declare, test files included.
+type declarations struct {
+	files    []string               // Go files, by path from the root
+	packages map[string]*scope      // by path from the root
+	outside  map[string]bool        // names of imported packages that are not of this module
+	embedded map[*scope]embeddedMap // for members that a type has from another of its package
+	metrics  map[string]bool        // names of metrics, as string literals outside tests
+}
+
+// scope is what one package declares: "Name" of a constant, variable, function or type,
+// and "Type.Member" of a field or method.
+type scope struct {
+	name      string
+	names     map[string]bool
+	functions map[string]bool // functions and methods by their own name
+}
+
+// embeddedMap lists by type the types that it embeds.
+type embeddedMap map[string][]string
+
+// readDeclarations reads all packages of the module.
+func readDeclarations(t *testing.T) *declarations {
+	t.Helper()
+	d := &declarations{
+		files: goFiles(t), packages: map[string]*scope{}, outside: map[string]bool{}, embedded: map[*scope]embeddedMap{},
+		metrics: map[string]bool{},
+	}
+	for _, file := range d.files {
+		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(moduleRoot, file), nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		directory := path.Dir(file)
+		s := d.packages[directory]
+		if s == nil {
+			s = &scope{name: path.Base(directory), names: map[string]bool{}, functions: map[string]bool{}}
+			d.packages[directory], d.embedded[s] = s, embeddedMap{}
+		}
+		for _, spec := range parsed.Imports {
+			if imported, err := strconv.Unquote(spec.Path.Value); err == nil && !strings.HasPrefix(imported, modulePath) {
+				d.outside[path.Base(imported)] = true
+			}
+		}
+		for _, declaration := range parsed.Decls {
+			d.add(s, declaration)
+		}
+		if !strings.HasSuffix(file, "_test.go") {
+			ast.Inspect(parsed, d.addMetric)
+		}
+	}
+	return d
+}
+
+// metricPrefix begins the name of every metric.
+const metricPrefix = "gappond_"
+
+// addMetric takes up a string literal that is the name of a metric.
+func (d *declarations) addMetric(node ast.Node) bool {
+	if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+		if name, err := strconv.Unquote(literal.Value); err == nil && strings.HasPrefix(name, metricPrefix) {
+			d.metrics[name] = true
+		}
+	}
+	return true
+}
+
+// add takes up one declaration of a file.
+func (d *declarations) add(s *scope, declaration ast.Decl) {
+	switch declared := declaration.(type) {
+	case *ast.FuncDecl:
+		name := declared.Name.Name
+		s.functions[name] = true
+		if declared.Recv != nil {
+			name = typeName(declared.Recv.List[0].Type) + "." + name
+		}
+		s.names[name] = true
+	case *ast.GenDecl:
+		for _, spec := range declared.Specs {
+			switch spec := spec.(type) {
+			case *ast.ValueSpec:
+				for _, name := range spec.Names {
+					s.names[name.Name] = true
+				}
+			case *ast.TypeSpec:
+				s.names[spec.Name.Name] = true
+				d.addMembers(s, spec)
+			}
+		}
+	}
+}
+
+// addMembers takes up a struct's fields or an interface's methods.
+func (d *declarations) addMembers(s *scope, spec *ast.TypeSpec) {
+	var fields *ast.FieldList
+	switch declared := spec.Type.(type) {
+	case *ast.StructType:
+		fields = declared.Fields
+	case *ast.InterfaceType:
+		fields = declared.Methods
+	default:
+		return
+	}
+	for _, field := range fields.List {
+		for _, name := range field.Names {
+			s.names[spec.Name.Name+"."+name.Name] = true
+		}
+		if len(field.Names) == 0 {
+			embedded := typeName(field.Type)
+			s.names[spec.Name.Name+"."+embedded] = true
+			d.embedded[s][spec.Name.Name] = append(d.embedded[s][spec.Name.Name], embedded)
+		}
+	}
+}
+
+// typeName is the name of a receiver's or an embedded field's type.
+func typeName(expression ast.Expr) string {
+	switch e := expression.(type) {
+	case *ast.Ident:
+		return e.Name
+	case *ast.StarExpr:
+		return typeName(e.X)
+	case *ast.IndexExpr:
+		return typeName(e.X)
+	case *ast.IndexListExpr:
+		return typeName(e.X)
+	case *ast.SelectorExpr:
+		return e.Sel.Name
+	}
+	return ""
+}
+
+// has reports whether a package declares "Name" or "Type.Member".
+func (d *declarations) has(s *scope, name string) bool {
+	if s.names[name] {
+		return true
+	}
+	owner, member, isMember := strings.Cut(name, ".")
+	if !isMember {
+		return false
+	}
+	for _, embedded := range d.embedded[s][owner] {
+		if embedded != owner && d.has(s, embedded+"."+member) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasPackage reports whether some package of the module is called so.
+func (d *declarations) hasPackage(name string) bool {
+	for _, s := range d.packages {
+		if s.name == name {
+			return true
+		}
+	}
+	return false
+}
+
+// inPackage reports whether a package that is called so declares the name.
+func (d *declarations) inPackage(packageName, name string) bool {
+	for _, s := range d.packages {
+		if s.name == packageName && d.has(s, name) {
+			return true
+		}
+	}
+	return false
+}
+
+// anywhere reports whether any package declares the name.
+func (d *declarations) anywhere(name string) bool {
+	for _, s := range d.packages {
+		if d.has(s, name) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasFile reports whether a Go file's path is the name or ends in it.
+func (d *declarations) hasFile(name string) bool {
+	for _, file := range d.files {
+		if file == name || strings.HasSuffix(file, "/"+name) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasFunction reports whether a function or a method is called so.
+func (d *declarations) hasFunction(name string) bool {
+	for _, s := range d.packages {
+		if s.functions[name] {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -51,7 +51,7 @@
 			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
 			"internal/tuning"},
 		tests: []string{"internal/recovery", "internal/transport"}},
-	"internal/architecture": {},
+	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
 // impureLibrary are the packages of the standard library that a pure package does without.
