--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,6 +68,17 @@
 	}
 }
 
+// TestExampleSettings shows that the files which README's commands name are sound.
+func TestExampleSettings(t *testing.T) {
+	c, err := Load("../../docs/settings.example.toml", "../../deploy/gappond.properties")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n0" || c.Cluster.Workers.CancelS != 51 || !c.Operator.RecoveryPhase {
+		t.Errorf("%+v", c)
+	}
+}
+
 func TestParseRefuses(t *testing.T) {
 	for _, c := range []struct{ from, to, says string }{
 		{`host_name = "n0"`, ``, "host_name"},
