--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -36,12 +36,20 @@
 		"internal/recovery", "internal/tuning"}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/buddy", "internal/config", "internal/protocol",
+		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
+		"internal/coordination/cluster", "internal/coordination/scheduler", "internal/protocol",
 		"internal/recovery", "internal/tuning"}},
+	"internal/coordination/autoscaler": {pure: true, imports: []string{
+		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
+		"internal/protocol", "internal/tuning"}},
+	"internal/coordination/scheduler": {pure: true, imports: []string{
+		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
+	"internal/coordination/cluster": {pure: true, imports: []string{
+		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
 
 	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
 	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/config":      {imports: []string{"internal/tuning"}},
+	"internal/config":      {imports: []string{"internal/protocol", "internal/tuning"}},
 	"internal/protocol":    {},
 	"internal/buddy":       {pure: true},
 	"internal/tuning":      {pure: true},
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -98,7 +98,9 @@
 func (as *Autoscaler) KeptForZoneLoss(machine *cluster.Machine) bool { return as.zoneReserve[machine] }
 
 // NoteDeleted notes that a machine is gone for certain.
-func (as *Autoscaler) NoteDeleted(machineID protocol.MachineID) { as.deleted[machineID] = as.state.Now() }
+func (as *Autoscaler) NoteDeleted(machineID protocol.MachineID) {
+	as.deleted[machineID] = as.state.Now()
+}
 
 func (as *Autoscaler) Tick() {
 	now := as.state.Now()
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -43,7 +43,9 @@
 }
 
 // Usable says whether a job may start on a machine now.
-func (st *State) Usable(job *Job, machine *Machine) bool { return st.Schedulable(machine) && st.Suits(job, machine) }
+func (st *State) Usable(job *Job, machine *Machine) bool {
+	return st.Schedulable(machine) && st.Suits(job, machine)
+}
 
 // Suits says the same of a machine that is known to be open.
 func (st *State) Suits(job *Job, machine *Machine) bool {
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -23,7 +23,9 @@
 // reach it: what an answer told it does not show in its next report, or its
 // lease ran out though it was answered. Its lease runs out again and again, so
 // it takes no work; if it does not answer a call either, it is returned.
-func (st *State) NotReceiving(machine *Machine) bool { return machine.Agent.UnseenAnswers >= tuning.MissedAnswers }
+func (st *State) NotReceiving(machine *Machine) bool {
+	return machine.Agent.UnseenAnswers >= tuning.MissedAnswers
+}
 
 // NotReporting says whether a worker answers calls while no report of it comes, so that
 // its lease is about to run out, or does so again and again: it takes no work.
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -53,7 +53,9 @@
 }
 
 // CapacityOf is what a machine of a type has.
-func CapacityOf(machineType *protocol.MachineType) Resources { return Resources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB} }
+func CapacityOf(machineType *protocol.MachineType) Resources {
+	return Resources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+}
 
 // TrueFirst compares two Booleans for a sort that puts true first.
 func TrueFirst(a, b bool) int {
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -23,7 +23,9 @@
 }
 
 // stopInOrder stops an attempt in good order; a gang stops as a whole.
-func (l *leader) stopInOrder(attempt *cluster.Attempt) { l.endAttempt(attempt, attempt.Job.Spec.SaveS+tuning.StopGrace) }
+func (l *leader) stopInOrder(attempt *cluster.Attempt) {
+	l.endAttempt(attempt, attempt.Job.Spec.SaveS+tuning.StopGrace)
+}
 
 // Preempt stops an attempt for a job that waits: in good order if saving is worth
 // that job's wait.
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -92,7 +92,9 @@
 // movesRecorded says whether all machines that have moved out of a machine record are recorded in
 // another, or gone.
 func (l *leader) movesRecorded(r *cluster.MachineRecord) bool {
-	r.MovedOut = slices.DeleteFunc(r.MovedOut, func(machine *cluster.Machine) bool { return machine.Recorded || l.cluster.Machines[machine.ID] != machine })
+	r.MovedOut = slices.DeleteFunc(r.MovedOut, func(machine *cluster.Machine) bool {
+		return machine.Recorded || l.cluster.Machines[machine.ID] != machine
+	})
 	return len(r.MovedOut) == 0
 }
 
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -32,7 +32,9 @@
 }
 
 // successor is the machine that a replica would best move to, nil if there is none.
-func (sc *Scheduler) successor(attempt *cluster.Attempt) *cluster.Machine { return sc.successorMachine(attempt, 1) }
+func (sc *Scheduler) successor(attempt *cluster.Attempt) *cluster.Machine {
+	return sc.successorMachine(attempt, 1)
+}
 
 // successorInOtherZone is the same in other zones alone.
 func (sc *Scheduler) successorInOtherZone(attempt *cluster.Attempt) *cluster.Machine {
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -23,7 +23,7 @@
 		name   string
 		job    func(spec *protocol.Job)
 		other  func(l *leader, machine *cluster.Machine) // what the machine in the other zone carries
-		idle   bool                                // there is such a machine at all
+		idle   bool                                      // there is such a machine at all
 		off    bool
 		rented int
 		kept   bool
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -119,11 +119,15 @@
 }
 
 func (o *Owner) handleQuery(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event { return coordination.Query{ID: id, Job: jobID} })
+	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+		return coordination.Query{ID: id, Job: jobID}
+	})
 }
 
 func (o *Owner) handleCancel(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event { return coordination.Cancel{ID: id, Job: jobID} })
+	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+		return coordination.Cancel{ID: id, Job: jobID}
+	})
 }
 
 func (o *Owner) handleReport(w http.ResponseWriter, r *http.Request) {
