--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -32,22 +32,22 @@
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
-		"internal/recovery", "internal/tuning"}},
+		"internal/bookkeeping", "internal/config", "internal/coordination",
+		"internal/coordination/reconcile", "internal/protocol", "internal/tuning"}},
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
-		"internal/coordination/cluster", "internal/coordination/scheduler", "internal/protocol",
-		"internal/recovery", "internal/tuning"}},
+		"internal/coordination/cluster", "internal/coordination/reconcile", "internal/coordination/scheduler",
+		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
+	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
 
-	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
 	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
 	"internal/config":      {imports: []string{"internal/protocol", "internal/tuning"}},
 	"internal/protocol":    {},
@@ -58,7 +58,7 @@
 		imports: []string{
 			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
 			"internal/tuning"},
-		tests: []string{"internal/recovery", "internal/transport"}},
+		tests: []string{"internal/coordination/reconcile", "internal/transport"}},
 	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -26,8 +26,8 @@
 
 // endIncomplete ends an attempt of a gang of which some task is proven gone.
 func (l *leader) endIncomplete(job *cluster.Job) {
-	l.recovery.Observe(recovery.Difference{Class: recovery.GangIncomplete, Entry: -1,
-		ID: recovery.AttemptID{TaskID: recovery.TaskID{Job: job.ID}, Attempt: job.Epoch}})
+	l.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, Entry: -1,
+		ID: reconcile.AttemptID{TaskID: reconcile.TaskID{Job: job.ID}, Attempt: job.Epoch}})
 	l.endGang(job, 0)
 }
 
@@ -57,7 +57,7 @@
 
 // isBroken says whether a gang's attempt can no longer become whole.
 func (l *leader) isBroken(job *cluster.Job) bool {
-	g := recovery.GangAttempt{Tasks: len(job.Tasks)}
+	g := reconcile.GangAttempt{Tasks: len(job.Tasks)}
 	for _, attempt := range job.Attempts {
 		switch {
 		case attempt.Orphaned: // an older attempt that is being ended
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -7,9 +7,9 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -23,9 +23,9 @@
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
-	stored     storedState     // all of this as package recovery sees it
-	reconciler recovery.Reconciler
-	recovery   recoveryPhase
+	stored     storedState     // all of this as package reconcile sees it
+	reconciler reconcile.Reconciler
+	recovery   *reconcile.Phase
 	restored   restoredStore
 
 	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 )
 
 // Metrics are the node's counters, read after a step.
@@ -14,7 +14,7 @@
 	Machines, Waiting                                             int
 	CommitSeconds, WaitSeconds                                    []float64 // since the last step
 	Now                                                           time.Time
-	Recovery                                                      recovery.Summary // of this leader's takeover
+	Recovery                                                      reconcile.Summary // of this leader's takeover
 }
 
 // TakeMetrics returns the counters and forgets the observations.
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -6,12 +6,12 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// storedState shows the leader's accounts to package recovery: what the records place,
+// storedState shows the leader's accounts to package reconcile: what the records place,
 // and what else is known to take room.
 type storedState struct {
 	l *leader
@@ -20,33 +20,33 @@
 	answered bool
 }
 
-// Job implements recovery.Records.
-func (s *storedState) Job(id protocol.JobID) (recovery.Job, bool) {
+// Job implements reconcile.Records.
+func (s *storedState) Job(id protocol.JobID) (reconcile.Job, bool) {
 	job := s.l.cluster.Jobs[id]
 	if job == nil {
-		return recovery.Job{Unreadable: s.l.unreadable[id]}, false
+		return reconcile.Job{Unreadable: s.l.unreadable[id]}, false
 	}
-	return recovery.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.l.unreadable[id]}, true
+	return reconcile.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.l.unreadable[id]}, true
 }
 
-// Task implements recovery.Records.
-func (s *storedState) Task(id recovery.TaskID) recovery.Task {
+// Task implements reconcile.Records.
+func (s *storedState) Task(id reconcile.TaskID) reconcile.Task {
 	t := &s.l.cluster.Jobs[id.Job].Tasks[id.Index]
-	task := recovery.Task{LastAttempt: t.LastAttempt, Done: t.Done}
+	task := reconcile.Task{LastAttempt: t.LastAttempt, Done: t.Done}
 	if t.Active != nil {
 		task.Machine = t.Active.Machine.ID
 	}
 	return task
 }
 
-// Attempts implements recovery.Records.
-func (s *storedState) Attempts(name protocol.MachineID, list []recovery.Attempt) []recovery.Attempt {
+// Attempts implements reconcile.Records.
+func (s *storedState) Attempts(name protocol.MachineID, list []reconcile.Attempt) []reconcile.Attempt {
 	machine := s.l.cluster.Machines[name]
 	if machine == nil {
 		return list
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		list = append(list, recovery.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
+		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
 	}
 	return list
 }
@@ -60,45 +60,45 @@
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
 }
 
-// attemptID is how package recovery names an attempt.
-func attemptID(attempt *cluster.Attempt) recovery.AttemptID {
-	return recovery.AttemptID{TaskID: recovery.TaskID{Job: attempt.Job.ID, Index: attempt.Key.Index}, Attempt: attempt.Key.Number}
+// attemptID is how package reconcile names an attempt.
+func attemptID(attempt *cluster.Attempt) reconcile.AttemptID {
+	return reconcile.AttemptID{TaskID: reconcile.TaskID{Job: attempt.Job.ID, Index: attempt.Key.Index}, Attempt: attempt.Key.Number}
 }
 
 // compare squares a report with what is stored.
-func (l *leader) compare(r *protocol.Report, answered bool) []recovery.Difference {
+func (l *leader) compare(r *protocol.Report, answered bool) []reconcile.Difference {
 	l.stored.answered = answered
 	return l.reconciler.Compare(&l.stored, l.n.lease.term, r)
 }
 
 // resolve does what each difference between a report and the records asks for.
-func (l *leader) resolve(machine *cluster.Machine, r *protocol.Report, differences []recovery.Difference) {
+func (l *leader) resolve(machine *cluster.Machine, r *protocol.Report, differences []reconcile.Difference) {
 	machine.Agent.Exited = machine.Agent.Exited[:0]
 	unnamed, unproven := false, false
 	for _, d := range differences {
 		l.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
-		if d.Entry >= 0 && d.Class != recovery.Unreadable && r.Tasks[d.Entry].State == protocol.TaskExited {
+		if d.Entry >= 0 && d.Class != reconcile.Unreadable && r.Tasks[d.Entry].State == protocol.TaskExited {
 			machine.Agent.Exited = append(machine.Agent.Exited, r.Tasks[d.Entry])
 		}
 		switch d.Class.Resolution() {
-		case recovery.Keep:
-			if d.Class == recovery.Unreadable {
+		case reconcile.Keep:
+			if d.Class == reconcile.Unreadable {
 				unnamed = !l.noteUnreadable(machine, &r.Tasks[d.Entry]) || unnamed
 				continue
 			}
 			if attempt := machine.Attempts[key]; attempt != nil && r.Tasks[d.Entry].State != protocol.TaskExited {
 				l.shows(attempt, r.Tasks[d.Entry].State)
 			}
-		case recovery.Await:
+		case reconcile.Await:
 			unproven = unproven || d.Current
-		case recovery.Release:
+		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
 				l.dropAttempt(attempt)
 			}
-		case recovery.Stop:
+		case reconcile.Stop:
 			l.fence(machine, key, &r.Tasks[d.Entry], d)
-		case recovery.RecordEnd:
+		case reconcile.RecordEnd:
 			l.recordEnd(machine, key, &r.Tasks[d.Entry])
 		}
 	}
@@ -125,7 +125,7 @@
 // fence has an attempt that no record asks for stopped. It takes room until it is gone,
 // and must be gone before its task starts anywhere else. What a report shows that may be
 // a late copy is counted as there and not yet stopped: the worker may have ended it.
-func (l *leader) fence(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d recovery.Difference) {
+func (l *leader) fence(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d reconcile.Difference) {
 	job := l.cluster.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
 		if d.Current {
--- a/internal/recovery/classes.go
+++ b/internal/coordination/reconcile/difference.go
@@ -1,8 +1,8 @@
-// Package recovery squares what the records say with what workers report, after a
+// Package reconcile compares what the records say with what workers report, after a
 // takeover and ever after. It is pure: records and reports go in, classified
 // differences come out; it has no clock, does no I/O and changes nothing. Each class of
 // difference has exactly one resolution, which docs/cold-restart.md explains.
-package recovery
+package reconcile
 
 import "github.com/gappond/gappond/internal/protocol"
 
--- a/internal/recovery/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -1,4 +1,4 @@
-package recovery
+package reconcile
 
 import (
 	"time"
@@ -48,11 +48,14 @@
 	gangs   map[protocol.JobID]struct{}     // found incomplete
 }
 
-// Begin begins a phase at a takeover. lapse is the moment from which the lease of any
+// NewPhase makes a phase that is over and counts nothing until it begins.
+func NewPhase() *Phase { return &Phase{summary: Summary{Reason: EndNothingStored}} }
+
+// Begin begins the phase at a failover. lapse is the moment from which the lease of any
 // worker that this leader has not answered has surely lapsed; stored lists the attempts
 // of every worker that the records name.
-func Begin(now, lapse time.Time, stored map[protocol.MachineID][]Attempt) *Phase {
-	p := &Phase{lapse: lapse, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
+func (p *Phase) Begin(now, lapse time.Time, stored map[protocol.MachineID][]Attempt) {
+	*p = Phase{lapse: lapse, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
 	p.summary.Began, p.summary.Workers = now, len(stored)
 	for machineID, attempts := range stored {
 		p.silent[machineID] = struct{}{}
@@ -65,7 +68,6 @@
 	if len(stored) == 0 {
 		p.end(now, EndNothingStored)
 	}
-	return p
 }
 
 // Observe counts a difference. An attempt counts once, in its latest class; one that a
--- a/internal/recovery/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -1,4 +1,4 @@
-package recovery
+package reconcile
 
 import (
 	"cmp"
@@ -43,7 +43,7 @@
 	Attempts(machine protocol.MachineID, list []Attempt) []Attempt
 }
 
-// Reconciler squares reports with records. It keeps buffers between calls, and no state.
+// Reconciler compares reports with records. It keeps buffers between calls, and no state.
 type Reconciler struct {
 	stored  []Attempt
 	places  map[AttemptID]int // in stored
@@ -54,7 +54,7 @@
 // contradicted marks an attempt that a report shows in two different ways.
 const contradicted = -2
 
-// Compare squares one worker's report with the records. The report must be newer than
+// Compare compares one worker's report with the records. The report must be newer than
 // what was known of its worker. token is the present leader's. The result is valid
 // until the next call.
 func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Report) []Difference {
@@ -244,7 +244,7 @@
 	Sequence    protocol.Sequence
 }
 
-// Reconcile squares a snapshot with all reports that came. Of each worker only the newest
+// Reconcile compares a snapshot with all reports that came. Of each worker only the newest
 // report counts, so that their order does not matter.
 func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Report) []Difference {
 	newest := map[protocol.MachineID]*protocol.Report{}
--- a/internal/recovery/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -1,4 +1,4 @@
-package recovery
+package reconcile
 
 import (
 	"fmt"
@@ -378,7 +378,8 @@
 	now := time.Unix(1_800_000_000, 0)
 	id := AttemptID{TaskID{job(1), 0}, 3}
 	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Incarnation: 1}}, "m1": nil}
-	p := Begin(now, now.Add(40*time.Second), stored)
+	p := NewPhase()
+	p.Begin(now, now.Add(40*time.Second), stored)
 	for _, class := range []Class{NotYetReported, OlderEpoch, Matching, OlderEpoch} {
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
 	}
@@ -396,13 +397,14 @@
 	if d := cmp.Diff(want, p.Summary()); d != "" {
 		t.Error(d)
 	}
-	p = Begin(now, now.Add(time.Minute), stored)
+	p.Begin(now, now.Add(time.Minute), stored)
 	p.Known("m0")
 	p.Known("m1")
 	if !p.Tick(now) || p.Summary().Reason != EndAllKnown {
 		t.Errorf("%+v", p.Summary())
 	}
-	if s := Begin(now, now, nil).Summary(); s.Active() {
+	p.Begin(now, now, nil)
+	if s := p.Summary(); s.Active() {
 		t.Errorf("nothing is stored: %+v", s)
 	}
 }
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -1,52 +1,24 @@
 package coordination
 
 import (
-	"time"
-
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// recoveryPhase is what a leader needs of package recovery to follow its recovery: what
-// is found and ordered from the takeover until every worker that the records name is
-// known or its lease has lapsed.
-type recoveryPhase interface {
-	Observe(d recovery.Difference)
-	Known(machine protocol.MachineID)
-	Ordered(op protocol.Verb)
-	Tick(now time.Time) (ended bool)
-	Summary() recovery.Summary
-}
-
-// noRecoveryPhase stands for the phase where the operators have it disabled.
-type noRecoveryPhase struct{}
-
-func (noRecoveryPhase) Observe(recovery.Difference) {}
-
-func (noRecoveryPhase) Known(protocol.MachineID) {}
-
-func (noRecoveryPhase) Ordered(protocol.Verb) {}
-
-func (noRecoveryPhase) Tick(time.Time) bool { return false }
-
-func (noRecoveryPhase) Summary() recovery.Summary {
-	return recovery.Summary{Reason: recovery.EndNothingStored}
-}
-
-// beginRecovery begins the phase, when all records are read.
+// beginRecovery begins to follow the recovery, when all records are read: what is found
+// and ordered until every agent that the records name is known or its lease has expired.
 func (l *leader) beginRecovery() {
 	if !l.n.cfg.Operator.RecoveryPhase && !l.restored.marked {
-		l.recovery = noRecoveryPhase{}
 		return
 	}
-	stored := make(map[protocol.MachineID][]recovery.Attempt, len(l.cluster.OrderedMachines))
+	stored := make(map[protocol.MachineID][]reconcile.Attempt, len(l.cluster.OrderedMachines))
 	for _, machine := range l.cluster.OrderedMachines {
 		stored[machine.ID] = l.stored.Attempts(machine.ID, nil)
 	}
 	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
-	l.recovery = recovery.Begin(l.n.now, lapse, stored)
+	l.recovery.Begin(l.n.now, lapse, stored)
 	s := l.recovery.Summary()
 	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
 }
@@ -61,7 +33,7 @@
 	attributes := []any{"term", l.n.lease.term, "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
 		"workers", s.Workers, "silent", s.Silent, "starts", s.Orders.Starts, "stops", s.Orders.Stops, "forgets", s.Orders.Forgets}
 	for class, n := range s.Classes {
-		attributes = append(attributes, recovery.Class(class).String(), n)
+		attributes = append(attributes, reconcile.Class(class).String(), n)
 	}
 	l.n.log.Info("recovery ends", attributes...)
 }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -9,13 +9,14 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: noRecoveryPhase{}, plan: true,
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true,
 		calls: n.workerCalls()}
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 )
 
 // These tests lose all controllers at once while workers go on, and bring them back:
@@ -80,17 +80,17 @@
 }
 
 // summary is what the leader's recovery has found.
-func (c *coldWorld) summary() recovery.Summary {
+func (c *coldWorld) summary() reconcile.Summary {
 	if n := c.leader(); n != nil {
 		return n.node.TakeMetrics().Recovery
 	}
-	return recovery.Summary{}
+	return reconcile.Summary{}
 }
 
 // recovered waits for the end of the leader's recovery.
-func (c *coldWorld) recovered(limit time.Duration) recovery.Summary {
+func (c *coldWorld) recovered(limit time.Duration) reconcile.Summary {
 	c.t.Helper()
-	var s recovery.Summary
+	var s reconcile.Summary
 	c.waitFor(c.t, limit, "the recovery ends", func() bool {
 		s = c.summary()
 		return !s.Began.IsZero() && !s.Active()
@@ -129,7 +129,7 @@
 			c.loseAll(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
-			if s.Reason != recovery.EndAllKnown || s.Classes[recovery.Matching] != 11 || s.Stored != 11 {
+			if s.Reason != reconcile.EndAllKnown || s.Classes[reconcile.Matching] != 11 || s.Stored != 11 {
 				t.Errorf("%+v", s)
 			}
 			c.Run(15 * time.Second)
@@ -439,7 +439,7 @@
 			c.Run(4 * time.Second)
 			u := c.submit(0, array("run-000006", 2), 10, 0, false)
 			c.waitFor(t, 30*time.Second, "a new job is done", func() bool { return u.over })
-			if s := c.recovered(60 * time.Second); s.Classes[recovery.Unreadable] != 6 || s.Orders.Stops > 0 {
+			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Orders.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
--- a/internal/transport/names_test.go
+++ b/internal/transport/names_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -21,7 +21,7 @@
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	now := time.Unix(1_800_000_000, 0)
-	m.recovery.take(recovery.Summary{Began: now}, now) // the only labels but a histogram's
+	m.recovery.take(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
 	answer := httptest.NewRecorder()
 	m.handler().ServeHTTP(answer, httptest.NewRequest("GET", protocol.PathMetrics, nil))
 	var list []string
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/prometheus/client_golang/prometheus"
 )
 
@@ -12,7 +12,7 @@
 type recoveryMetrics struct {
 	phase, seconds, silent prometheus.Gauge
 	differences, orders    *prometheus.GaugeVec
-	last                   recovery.Summary
+	last                   reconcile.Summary
 }
 
 func newRecoveryMetrics(registry *prometheus.Registry) *recoveryMetrics {
@@ -28,7 +28,7 @@
 }
 
 // take shows a recovery's summary; that of a node that does not lead is empty.
-func (m *recoveryMetrics) take(s recovery.Summary, now time.Time) {
+func (m *recoveryMetrics) take(s reconcile.Summary, now time.Time) {
 	if s.Began.IsZero() {
 		m.phase.Set(0)
 		return
@@ -48,7 +48,7 @@
 	}
 	m.silent.Set(float64(s.Silent))
 	for class, n := range s.Classes {
-		m.differences.WithLabelValues(recovery.Class(class).String()).Set(float64(n))
+		m.differences.WithLabelValues(reconcile.Class(class).String()).Set(float64(n))
 	}
 	m.orders.WithLabelValues("start").Set(float64(s.Orders.Starts))
 	m.orders.WithLabelValues("stop").Set(float64(s.Orders.Stops))
