--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -37,13 +37,16 @@
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
-		"internal/coordination/cluster", "internal/coordination/reconcile", "internal/coordination/scheduler",
-		"internal/protocol", "internal/tuning"}},
+		"internal/coordination/cluster", "internal/coordination/lifecycle", "internal/coordination/reconcile",
+		"internal/coordination/scheduler", "internal/protocol", "internal/tuning"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
+	"internal/coordination/lifecycle": {pure: true, imports: []string{
+		"internal/coordination/cluster", "internal/coordination/reconcile", "internal/coordination/scheduler",
+		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		if len(p.machineRecords) >= most && !job.Spec.Gang() {
-			b.l.dropAttempt(attempt)
+			b.l.lifecycle.RemoveGone(attempt)
 			dropped = true
 			continue
 		}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -214,17 +214,17 @@
 				continue
 			}
 			attempt.Committed = true
-			l.sendSoon(attempt.Machine)
+			l.CommandsPending(attempt.Machine)
 		}
 		for _, attempt := range w.placed {
 			if attempt.Stopping && !attempt.StartSent {
-				l.dropAttempt(attempt) // stopped before its start could leave
+				l.lifecycle.RemoveGone(attempt) // stopped before its start could leave
 			}
 		}
 		for _, attempt := range job.SortedAttempts() {
-			l.sendSoon(attempt.Machine) // a gang's starts wait for all of its records
+			l.CommandsPending(attempt.Machine) // a gang's starts wait for all of its records
 		}
-		l.checkEnded(job)
+		l.lifecycle.CheckEnded(job)
 	}
 	l.sendDirect()
 	l.commitNext()
@@ -278,11 +278,11 @@
 			w.records = []int{0}
 		}
 		for _, r := range w.records {
-			l.touch(job, r)
+			l.RecordChanged(job, r)
 		}
 		for _, attempt := range w.placed {
 			if job.Attempts[attempt.Key] == attempt && !attempt.Committed {
-				l.dropAttempt(attempt)
+				l.lifecycle.RemoveGone(attempt)
 			}
 		}
 		l.rereadRevision(bookkeeping.JobKey(job.ID))
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -98,7 +98,7 @@
 	if len(job.Attempts) != 1 {
 		t.Fatal("gone while its start may be on its way")
 	}
-	l.Stop(attempt, 0)
+	l.lifecycle.Stop(attempt, 0)
 	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -16,7 +16,7 @@
 		}
 		l.autoscaler.NoteDeleted(id)
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
-			l.dropAttempt(attempt)
+			l.lifecycle.RemoveGone(attempt)
 		}
 		machine.ReleaseReservation()
 		delete(l.cluster.Machines, id)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -90,7 +90,7 @@
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
-		l.Stop(attempt, 0)
+		l.lifecycle.Stop(attempt, 0)
 	}
 	l.sendDirect()
 	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathOrders); orders != 1 {
@@ -109,7 +109,7 @@
 	n.cfg.Cluster.State.WriteRPS = 2
 	n.setBudgets()
 	job := l.testJob(gangOf(1, 1))
-	l.setDone(job, 0)
+	l.lifecycle.MarkDone(job, 0)
 	for range 30 {
 		n.now = n.now.Add(tuning.Tick)
 		l.commitNext()
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -7,6 +7,7 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -26,6 +27,7 @@
 	stored     storedState     // all of this as package reconcile sees it
 	reconciler reconcile.Reconciler
 	recovery   *reconcile.Phase
+	lifecycle  *lifecycle.Manager
 	restored   restoredStore
 
 	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
@@ -53,11 +55,26 @@
 	if attempt.Key.Number > 1 {
 		l.n.metrics.Repairs++
 	}
-	l.touch(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
+	l.RecordChanged(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
 }
 
-// touch marks one of a job's records as to be written.
-func (l *leader) touch(job *cluster.Job, record int) {
+// Preempt implements scheduler.Environment.
+func (l *leader) Preempt(victim *cluster.Attempt) {
+	l.n.metrics.Preemptions++
+	l.lifecycle.Preempt(victim)
+}
+
+// Stop implements scheduler.Environment.
+func (l *leader) Stop(attempt *cluster.Attempt, graceS float64) { l.lifecycle.Stop(attempt, graceS) }
+
+// Drain implements autoscaler.Environment.
+func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
+
+// Unreadable implements lifecycle.Environment.
+func (l *leader) Unreadable(job protocol.JobID) bool { return l.unreadable[job] }
+
+// RecordChanged marks one of a job's records as to be written.
+func (l *leader) RecordChanged(job *cluster.Job, record int) {
 	if job.Finished {
 		return
 	}
@@ -97,7 +114,7 @@
 	}
 	if job == nil {
 		l.addJob(rec, ev.Revision)
-		l.checkEnded(l.cluster.Jobs[id])
+		l.lifecycle.CheckEnded(l.cluster.Jobs[id])
 		l.plan = true
 		return
 	}
@@ -125,7 +142,7 @@
 	if !job.Cancelled {
 		job.Cancelled = true
 		l.plan = true
-		l.checkEnded(job)
+		l.lifecycle.CheckEnded(job)
 	}
 }
 
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -39,7 +39,7 @@
 			l.n.log.Info("lease lapsed", "machine", machine.ID)
 			l.recovery.Known(machine.ID)
 			for _, attempt := range cluster.SortedAttemptsOn(machine) {
-				l.dropAttempt(attempt)
+				l.lifecycle.RemoveGone(attempt)
 			}
 		}
 		if !machine.Agent.Probing && !now.Before(machine.Agent.ProbeNotBefore) && machine.Address != "" && !machine.Deleting && l.mayCall(true) {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -6,8 +6,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// sendSoon marks a machine as having orders that should not wait for a report.
-func (l *leader) sendSoon(machine *cluster.Machine) {
+// CommandsPending marks a machine as having orders that should not wait for a report.
+func (l *leader) CommandsPending(machine *cluster.Machine) {
 	if !machine.Delivery.Queued {
 		machine.Delivery.Queued = true
 		l.directQueue = append(l.directQueue, machine)
@@ -58,7 +58,7 @@
 			continue // the report was sent before the order came
 		}
 		if machine.Cordoned || machine.Deleting {
-			l.Stop(attempt, 0)
+			l.lifecycle.Stop(attempt, 0)
 			continue
 		}
 		cmds = append(cmds, l.startOrder(attempt, inReply))
@@ -132,7 +132,7 @@
 			continue
 		}
 		if machine.Delivery.InFlight || machine.Address == "" || now.Before(machine.Delivery.NotBefore) || !l.cluster.HeardRecently(machine) || !l.mayCall(false) {
-			l.sendSoon(machine)
+			l.CommandsPending(machine)
 			continue
 		}
 		if cmds := l.orders(machine, false); len(cmds) > 0 {
@@ -181,14 +181,14 @@
 			case !machine.Agent.Heard:
 				machine.Delivery.NotBefore = l.n.now.Add(l.cluster.SilenceTimeout()) // others have their turn
 			case len(machine.Attempts) > 0:
-				l.sendSoon(machine)
+				l.CommandsPending(machine)
 			}
 			return
 		}
 		l.takeAnswer(machine, body)
 		if status == 409 {
 			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
-			l.sendSoon(machine)
+			l.CommandsPending(machine)
 		}
 	})
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -225,7 +225,7 @@
 	if w := l.scheduler.PlaceArray(job, false); w != 2 {
 		t.Errorf("%d wait", w)
 	}
-	l.dropAttempt(old)
+	l.lifecycle.RemoveGone(old)
 	if w := l.scheduler.PlaceArray(job, false); w != 0 {
 		t.Errorf("%d wait once the other zone's copy is gone", w)
 	}
@@ -257,7 +257,7 @@
 	if survivor.ReservedFor != job {
 		t.Error("the survivor's room is not held")
 	}
-	l.dropAttempt(job.SortedAttempts()[0])
+	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
 	l.runSchedulingCycle()
 	on := map[*cluster.Machine]bool{}
 	for _, attempt := range job.Attempts {
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -52,8 +52,8 @@
 	for range tuning.MachineErrors {
 		job := l.testJob(gangOf(1, 1))
 		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(attempt)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskReport{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
 	}
 	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
 		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
@@ -78,8 +78,8 @@
 	for i := range tuning.JobErrors {
 		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
 		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(attempt)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskReport{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
 		machine.Cordoned = true
 		if machine.Quarantined {
 			t.Errorf("%s is distrusted for a job that fails everywhere", machine.ID)
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -94,7 +94,7 @@
 			unproven = unproven || d.Current
 		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
-				l.dropAttempt(attempt)
+				l.lifecycle.RemoveGone(attempt)
 			}
 		case reconcile.Stop:
 			l.fence(machine, key, &r.Tasks[d.Entry], d)
@@ -144,7 +144,7 @@
 		if !attempt.Stopping {
 			l.n.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
-		l.Stop(attempt, 0)
+		l.lifecycle.Stop(attempt, 0)
 	}
 }
 
@@ -159,7 +159,7 @@
 // recordEnd takes the end of an attempt, and of its task if it is done.
 func (l *leader) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport) {
 	if job := l.cluster.Jobs[key.Job]; entry.Cause == protocol.CauseDone && job != nil {
-		l.setDone(job, key.Index)
+		l.lifecycle.MarkDone(job, key.Index)
 		clear(machine.FailedJobs)
 	}
 	attempt := machine.Attempts[key]
@@ -170,8 +170,8 @@
 		machine.Delivery.Pinned[key] = true
 	}
 	attempt.ReportedState = protocol.TaskExited
-	l.exited(machine, attempt, *entry)
-	l.dropAttempt(attempt)
+	l.lifecycle.HandleExit(attempt, entry)
+	l.lifecycle.RemoveGone(attempt)
 }
 
 // noteUnreadable takes an entry that makes no sense, which is logged once for each machine
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -138,7 +138,7 @@
 	first := len(job.Records.UnnamedParts) > 0
 	for r := range job.Records.Revisions {
 		if l.outgrown(job, r, l.n.cfg.Cluster.State) {
-			l.touch(job, r)
+			l.RecordChanged(job, r)
 			first = true
 		}
 	}
@@ -156,7 +156,7 @@
 	for _, job := range l.scheduler.Queue() {
 		for r := range job.Records.Revisions {
 			if l.outgrown(job, r, l.n.cfg.Cluster.State) {
-				l.touch(job, r)
+				l.RecordChanged(job, r)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 func (l *leader) dropUncommitted(job *cluster.Job) {
 	for _, attempt := range job.SortedAttempts() {
 		if !attempt.Committed {
-			l.dropAttempt(attempt)
+			l.lifecycle.RemoveGone(attempt)
 		}
 	}
 }
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -59,7 +59,7 @@
 // same.
 func TestSplitRecord(t *testing.T) {
 	l, job := lowering(t)
-	l.touch(job, 0)
+	l.RecordChanged(job, 0)
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r := l.sentTxn(t)
 	if len(txn.Then) != 1 || len(txn.Then[0].Value) <= 2048 {
@@ -118,7 +118,7 @@
 	for _, up := range []bool{false, true} {
 		l, job := lowering(t)
 		l.n.peers["s"].up = up
-		l.touch(job, 0)
+		l.RecordChanged(job, 0)
 		l.commitLater(tuning.MarkLate + time.Second)
 		_, r := l.sentTxn(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -212,9 +212,9 @@
 		if attempt == nil || d == nil {
 			t.Fatal("the tasks do not run")
 		}
-		l.setDone(job, ended)
-		l.dropAttempt(attempt)
-		l.dropAttempt(d)
+		l.lifecycle.MarkDone(job, ended)
+		l.lifecycle.RemoveGone(attempt)
+		l.lifecycle.RemoveGone(d)
 		if l.scheduler.WaitingTasks(job) != 0 {
 			t.Error("tasks are wanted while the record is split")
 		}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -30,7 +30,7 @@
 	if r.NoticeS != nil && !machine.SpotNotice {
 		machine.SpotNotice = true
 		l.plan = true
-		l.Drain(machine)
+		l.lifecycle.Drain(machine)
 	}
 	l.resolve(machine, r, differences)
 	if machine.Agent.TokenConfirmed {
@@ -61,7 +61,7 @@
 	if !machine.Agent.Heard || machine.Agent.LeaseExpired {
 		machine.Agent.Heard, machine.Agent.LeaseExpired = true, false
 		machine.IdleSince = l.n.now
-		l.sendSoon(machine) // what was to be ordered waited for a sign of life
+		l.CommandsPending(machine) // what was to be ordered waited for a sign of life
 	}
 	if confirmed := r.Token == l.n.lease.term; confirmed != machine.Agent.TokenConfirmed {
 		machine.Agent.TokenConfirmed = confirmed
@@ -77,46 +77,3 @@
 		machine.Agent.FailedProbes = 0
 	}
 }
-
-// exited decides what follows from the end of an attempt.
-func (l *leader) exited(machine *cluster.Machine, attempt *cluster.Attempt, t protocol.TaskReport) {
-	job := attempt.Job
-	l.n.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", t.Cause, "saved", t.Saved)
-	if job.Spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(attempt) {
-		return
-	}
-	switch t.Cause {
-	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
-	case protocol.CauseError:
-		job.Failures.Machines[machine.ID] = true
-		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFailed)
-		if len(job.Failures.Machines) >= tuning.JobErrors {
-			// It fails everywhere: the job is to blame, not the machines.
-			// It goes on trying, ever more rarely, on what is free: it must not
-			// keep sound work of lower priority from its machines for ever.
-			// The replicas of a service have pauses of their own.
-			if job.Spec.Service() {
-				clear(job.Failures.Machines)
-			} else {
-				job.RetryAt = l.n.now.Add(tuning.ErrorPause << min(job.Failures.Attributed, tuning.ErrorDoublings))
-				job.Failures.Attributed++
-			}
-			for _, other := range l.cluster.Machines {
-				delete(other.FailedJobs, job.ID)
-			}
-			clear(job.Failures.AvoidUntil)
-			return
-		}
-		machine.FailedJobs[job.ID] = true
-		if len(machine.FailedJobs) >= tuning.MachineErrors && !machine.Quarantined {
-			machine.Quarantined = true
-			l.n.log.Info("machine distrusted", "machine", machine.ID)
-			l.Drain(machine)
-		}
-	case protocol.CauseNoRoom, protocol.CauseBusy:
-		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFor)
-	default:
-		// no_such, or a cause of a later version: try again, but not at once.
-		job.RetryAt = l.n.now.Add(tuning.RetryPause * 8)
-	}
-}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -9,6 +9,7 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -18,6 +19,7 @@
 func (n *Node) takeOver() {
 	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true,
 		calls: n.workerCalls()}
+	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
 	l.stored.l = l
@@ -36,7 +38,7 @@
 	// Jobs and machines come out of the mirror in no order; what follows must
 	// not depend on that.
 	for _, job := range l.scheduler.Queue() {
-		l.checkEnded(job)
+		l.lifecycle.CheckEnded(job)
 	}
 	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -104,7 +104,7 @@
 	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != far {
 		t.Errorf("placed on %v", job.Tasks[0].Active)
 	}
-	l.dropAttempt(job.Tasks[0].Active)
+	l.lifecycle.RemoveGone(job.Tasks[0].Active)
 	far.Cordoned = true
 	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != same {
 		t.Error("no place though there is one")
