--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -37,8 +37,9 @@
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
-		"internal/coordination/cluster", "internal/coordination/scheduler", "internal/protocol",
-		"internal/recovery", "internal/tuning"}},
+		"internal/coordination/cluster", "internal/coordination/kv", "internal/coordination/scheduler",
+		"internal/protocol", "internal/recovery", "internal/tuning"}},
+	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -69,12 +70,12 @@
 		If:   []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
 		Then: []protocol.Change{{Set: e.Key, Value: bookkeeping.Encode(rec)}},
 	}
-	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
+	n.store.Transact(txn, func(result kv.TransactionResult) {
 		switch {
-		case status == 200:
+		case result.Outcome == kv.Done:
 			n.announceCancel(jobID)
 			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
-		case (status == 409 || status == 0) && n.now.Before(deadline):
+		case (result.Outcome == kv.ConditionFailed || result.Outcome == kv.Unknown) && n.now.Before(deadline):
 			n.cancelFresh(id, jobID, deadline)
 		default:
 			n.refuse(id, "state service does not answer")
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -9,6 +9,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -122,27 +123,26 @@
 }
 
 func (l *leader) send(tx *commit) {
-	l.n.state("POST", protocol.PathTxn, tx.body, func(status int, body []byte) {
+	l.n.store.TransactEncoded(tx.body, func(result kv.TransactionResult) {
 		if l.n.lead != l || l.inFlight != tx {
 			return // the watch has shown it meanwhile
 		}
-		a, sound := parse[protocol.TxnAnswer](body)
-		switch {
-		case status == 200 && sound:
-			l.committed(tx, a.Revision)
-		case status == 409 && sound && tx.lost && tx.probe != "":
+		switch outcome := result.Outcome; {
+		case outcome == kv.Done && !result.Malformed:
+			l.committed(tx, result.Revision)
+		case outcome == kv.ConditionFailed && !result.Malformed && tx.lost && tx.probe != "":
 			l.resolveLost(tx)
-		case status == 409 && sound:
-			l.conflict(tx, a.Failed)
-		case status == 0:
+		case outcome == kv.ConditionFailed && !result.Malformed:
+			l.conflict(tx, result.Failed)
+		case outcome == kv.Unknown:
 			// The transaction may have been applied, or may be yet. The same
 			// one again can be applied only once.
 			tx.lost = true
 			l.resend(tx, tuning.RetryPause)
-		case status == 429:
+		case outcome == kv.Throttled:
 			l.resend(tx, l.n.throttled(tx.changes))
-		case status == 400:
-			l.n.log.Error("transaction refused", "body", string(body))
+		case outcome == kv.Rejected:
+			l.n.log.Error("transaction rejected", "detail", result.Detail)
 			l.n.limitsLowered = l.n.limitsLowered || l.n.cfg.Cluster.Present != nil
 			l.conflict(tx, nil)
 			l.commitAt = l.n.now.Add(time.Second)
@@ -163,22 +163,21 @@
 
 // resolveLost reads back whether a transaction whose answer was lost was applied.
 func (l *leader) resolveLost(tx *commit) {
-	l.n.state("GET", protocol.KeyPath(tx.probe), nil, func(status int, body []byte) {
+	l.n.store.Get(tx.probe, func(result kv.GetResult) {
 		if l.n.lead != l || l.inFlight != tx {
 			return
 		}
-		switch status {
-		case 200:
-			e, sound := parse[protocol.Entry](body)
+		switch result.Outcome {
+		case kv.Done:
 			w, ok := parse[struct {
 				Writer string `json:"w"`
-			}](e.Value)
-			if sound && ok && w.Writer == tx.writer {
-				l.committed(tx, e.Revision)
+			}](result.Entry.Value)
+			if !result.Malformed && ok && w.Writer == tx.writer {
+				l.committed(tx, result.Entry.Revision)
 				return
 			}
 			l.conflict(tx, nil)
-		case 404:
+		case kv.NotFound:
 			l.conflict(tx, nil)
 		default:
 			l.n.after(tuning.RetryPause, func() {
@@ -298,17 +297,11 @@
 
 // rereadRevision looks up the present revision of a key whose guard may have failed.
 func (l *leader) rereadRevision(key string) {
-	l.n.state("GET", protocol.KeyPath(key), nil, func(status int, body []byte) {
-		if l.n.lead != l || status != 200 && status != 404 {
+	l.n.store.Get(key, func(result kv.GetResult) {
+		if l.n.lead != l || result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
 			return
 		}
-		var e protocol.Entry
-		if status == 200 {
-			var ok bool
-			if e, ok = parse[protocol.Entry](body); !ok {
-				return
-			}
-		}
+		e := result.Entry
 		if id, n, ok := bookkeeping.ParseTaskRecordKey(key); ok {
 			if job := l.cluster.Jobs[id]; job != nil && n < len(job.Records.Revisions) {
 				job.Records.Revisions[n] = e.Revision
@@ -329,7 +322,7 @@
 		if job == nil {
 			return
 		}
-		if status == 404 {
+		if result.Outcome == kv.NotFound {
 			// Its final record was written by a transaction thought lost.
 			l.n.lookUpFinal(l, job)
 			return
@@ -345,13 +338,12 @@
 
 // lookUpFinal finishes a job whose record has turned out to be gone.
 func (n *Node) lookUpFinal(l *leader, job *cluster.Job) {
-	n.state("GET", protocol.KeyPath(bookkeeping.FinalKey(job.ID)), nil, func(status int, body []byte) {
-		if n.lead != l || status != 200 || job.Finished {
+	n.store.Get(bookkeeping.FinalKey(job.ID), func(result kv.GetResult) {
+		if n.lead != l || result.Outcome != kv.Done || result.Malformed || job.Finished {
 			return
 		}
-		e, ok := parse[protocol.Entry](body)
-		f, sound := parse[bookkeeping.Final](e.Value)
-		if ok && sound && f.Phase != "" {
+		f, ok := parse[bookkeeping.Final](result.Entry.Value)
+		if ok && f.Phase != "" {
 			l.finish(job, f)
 		}
 	})
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -6,6 +6,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -114,28 +115,26 @@
 		c.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
 	}
 	sent := n.now
-	n.state("POST", protocol.PathLeases, protocol.LeaseRequest{TTLMs: n.leaseTTL().Milliseconds()}, func(status int, body []byte) {
-		var l protocol.LeaseAnswer
-		if status != 200 || json.Unmarshal(body, &l) != nil || l.Lease == 0 {
+	n.store.GrantLease(n.leaseTTL(), func(granted kv.LeaseResult) {
+		if granted.Outcome != kv.Done || granted.Lease == 0 {
 			fail()
 			return
 		}
 		txn := protocol.Txn{
 			If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expect}},
-			Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: l.Lease,
+			Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: granted.Lease,
 				Value: bookkeeping.Encode(bookkeeping.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
 		}
-		n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-			var a protocol.TxnAnswer
-			if status != 200 || json.Unmarshal(body, &a) != nil || a.Revision == 0 {
+		n.store.Transact(txn, func(result kv.TransactionResult) {
+			if result.Outcome != kv.Done || result.Malformed || result.Revision == 0 {
 				fail()
 				return
 			}
 			c.acquiring = false
-			if c.revision > a.Revision {
+			if c.revision > result.Revision {
 				return // somebody has taken it over already
 			}
-			c.term, c.leaseID, c.renewedAt, c.renewAt = protocol.Term(a.Revision), l.Lease, sent, n.now
+			c.term, c.leaseID, c.renewedAt, c.renewAt = protocol.Term(result.Revision), granted.Lease, sent, n.now
 			c.unconfirmed, c.resumedAt = true, n.now
 			n.log.Info("leader lease acquired", "term", c.term)
 		})
@@ -166,17 +165,17 @@
 		n.fetchRevision()
 	}
 	sent, term := n.now, c.term
-	n.stateVia(ToLeaderLease, "POST", protocol.RenewPath(c.leaseID), struct{}{}, func(status int, _ []byte) {
+	n.store.RenewLeaderLease(c.leaseID, func(outcome kv.Outcome) {
 		if c.term != term {
 			return
 		}
 		c.renewing = false
-		switch status {
-		case 200:
+		switch outcome {
+		case kv.Done:
 			c.renewedAt = sent
 			c.renewAt = sent.Add(tuning.LeaderLeaseRenew)
 			c.unconfirmed = c.unconfirmed && sent.Before(c.resumedAt)
-		case 404:
+		case kv.NotFound:
 			n.stepDown("leader lease has ended")
 		default:
 			c.renewAt = n.now.Add(tuning.RetryPause)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -9,6 +9,7 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -136,7 +137,7 @@
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
-	n.watched(n.now, 70, 200, bookkeeping.Encode(watch))
+	n.watched(n.now, 70, kv.WatchResult{Outcome: kv.Done, Changes: watch})
 	if got := before - free(); got != 2 {
 		t.Errorf("%d writes counted of two by others and one of its own", got)
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -58,10 +59,10 @@
 	if float64(len(value)) > n.cfg.Cluster.State.ValueKB*1024 {
 		return
 	}
-	n.state("POST", protocol.PathTxn, protocol.Txn{
+	n.store.Transact(protocol.Txn{
 		If:   []protocol.Condition{n.leads()},
 		Then: []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
-	}, func(int, []byte) {})
+	}, func(kv.TransactionResult) {})
 }
 
 // sameType compares what does not move with the market.
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -1,11 +1,10 @@
 package coordination
 
 import (
-	"encoding/json"
-	"net/http"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -27,10 +26,9 @@
 	}
 	n.watching = true
 	n.watchSent = n.now
-	path := protocol.WatchPath(bookkeeping.LivePrefix, n.mirror.Revision, tuning.WatchBlock.Milliseconds())
 	sent, after := n.now, n.mirror.Revision
-	n.request(ToState, "", "GET", path, nil, tuning.WatchBlock+tuning.WatchOverrun, func(status int, body []byte) {
-		n.watched(sent, after, status, body)
+	n.store.Watch(bookkeeping.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
+		n.watched(sent, after, result)
 	})
 }
 
@@ -63,9 +61,10 @@
 func (n *Node) fetchRevision() {
 	sent := n.now
 	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
-	n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-		if a, ok := parse[protocol.TxnAnswer](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
-			n.awaitRevision(observedRevision{a.Revision, sent})
+	n.store.Transact(txn, func(result kv.TransactionResult) {
+		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
+		if answered && !result.Malformed && result.Revision != 0 {
+			n.awaitRevision(observedRevision{result.Revision, sent})
 		}
 	})
 }
@@ -81,13 +80,12 @@
 }
 
 func (n *Node) loadPage(after string) {
-	n.state("GET", protocol.RangePath(bookkeeping.LivePrefix, after, tuning.RangePage), nil, func(status int, body []byte) {
-		var page protocol.Entries
-		if status != 200 || json.Unmarshal(body, &page) != nil {
+	n.store.Range(bookkeeping.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
+		if result.Outcome != kv.Done || result.Malformed {
 			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
 			return
 		}
-		if next := n.mirror.LoadPage(&page); next != "" {
+		if next := n.mirror.LoadPage(&result.Page); next != "" {
 			n.loadPage(next)
 			return
 		}
@@ -99,19 +97,19 @@
 }
 
 // watched takes the answer to a watch for what came after a revision.
-func (n *Node) watched(sent time.Time, after protocol.Revision, status int, body []byte) {
+func (n *Node) watched(sent time.Time, after protocol.Revision, result kv.WatchResult) {
 	if sent.Equal(n.watchSent) {
 		n.watching = false
 	}
-	var w protocol.WatchAnswer
+	w := &result.Changes
 	switch {
-	case status == http.StatusGone || status == http.StatusRequestEntityTooLarge:
+	case result.Outcome == kv.Compacted:
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
 		n.stepDown("watch too old")
 		n.mirror = bookkeeping.Mirror{}
 		return
-	case status != 200 || json.Unmarshal(body, &w) != nil:
+	case result.Outcome != kv.Done || result.Malformed:
 		n.watchAt = n.now.Add(tuning.RetryPause)
 		return
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,6 +13,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
@@ -43,6 +44,7 @@
 	types   map[protocol.MachineTypeName]*protocol.MachineType
 	typesAt time.Time
 
+	store     kv.Client
 	mirror    bookkeeping.Mirror
 	syncedAt  time.Time        // every change made before then is in the mirror
 	awaited   observedRevision // a revision that the mirror has yet to reach
@@ -97,6 +99,7 @@
 		contacts:         map[protocol.MachineID]contact{},
 		outboxes:         map[protocol.NodeName]*outbox{},
 	}
+	n.store = kv.New(n)
 	n.names = []protocol.NodeName{cfg.Name}
 	for _, s := range cfg.Peers {
 		n.peers[s.Name] = &peer{}
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -1,10 +1,10 @@
 package coordination
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -60,8 +60,8 @@
 		return
 	}
 	b := n.takePolls(limit)
-	n.state("POST", protocol.PathTxn, b.compare, func(code int, body []byte) {
-		if !b.checked(code, body) {
+	n.store.Transact(b.compare, func(result kv.TransactionResult) {
+		if !b.checked(result) {
 			for _, p := range b.polls {
 				n.refuse(p.id, "state service does not answer")
 			}
@@ -106,17 +106,16 @@
 }
 
 // checked takes the answer to the comparison; false if there is none.
-func (b *pollBatch) checked(code int, body []byte) bool {
-	switch code {
-	case 200:
+func (b *pollBatch) checked(result kv.TransactionResult) bool {
+	switch result.Outcome {
+	case kv.Done:
 		return true
-	case 409:
-		var a protocol.TxnAnswer
-		if json.Unmarshal(body, &a) != nil || len(a.Failed) == 0 {
+	case kv.ConditionFailed:
+		if result.Malformed || len(result.Failed) == 0 {
 			clear(b.status) // nothing is known to be fresh
 		}
-		for _, k := range a.Failed {
-			b.stale[k] = true
+		for _, key := range result.Failed {
+			b.stale[key] = true
 		}
 		return true
 	}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -2,9 +2,11 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -13,7 +15,7 @@
 // been asked lately, so that every node knows whether it is served.
 func (n *Node) tickState() {
 	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StateProbe {
-		n.state("GET", protocol.KeyPath(bookkeeping.LeaderKey), nil, func(int, []byte) {})
+		n.store.Get(bookkeeping.LeaderKey, func(kv.GetResult) {})
 	}
 }
 
@@ -31,18 +33,21 @@
 	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: raw, Timeout: timeout})
 }
 
-// state calls the state service and keeps note of whether it serves this node.
-func (n *Node) state(method, path string, body any, done func(status int, body []byte)) {
-	n.stateVia(ToState, method, path, body, done)
-}
-
-// stateVia is the same on a given connection.
-func (n *Node) stateVia(to Target, method, path string, body any, done func(status int, body []byte)) {
+// CallStore implements kv.Transport. It keeps note of whether the store serves this node.
+func (n *Node) CallStore(call kv.Call, done func(status int, body []byte)) {
+	if call.Connection == kv.Watching {
+		n.request(ToState, "", call.Method, call.Path, call.Body, tuning.WatchBlock+tuning.WatchOverrun, done)
+		return
+	}
+	to := ToState
+	if call.Connection == kv.LeaderLease {
+		to = ToLeaderLease
+	}
 	n.askedAt = n.now
 	n.stateCalls.AllowN(n.now, 1) // counted in any case; users' requests look first
-	n.request(to, "", method, path, body, tuning.StateTimeout, func(status int, body []byte) {
+	n.request(to, "", call.Method, call.Path, call.Body, tuning.StateTimeout, func(status int, body []byte) {
 		n.unanswered = status == 0
-		if status != 0 && status != 503 {
+		if status != 0 && status != http.StatusServiceUnavailable {
 			n.servedAt = n.now
 		}
 		done(status, body)
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -57,19 +58,18 @@
 	}
 	s.asking = true
 	term := protocol.Txn{If: []protocol.Condition{l.n.leads()}}
-	l.n.state("POST", protocol.PathTxn, term, func(status int, body []byte) {
+	l.n.store.Transact(term, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
 		}
 		s.asking = false
-		a, sound := parse[protocol.TxnAnswer](body)
 		switch {
-		case status == 409:
+		case result.Outcome == kv.ConditionFailed:
 			l.n.stepDown("a worker has seen a higher token")
-		case status == 200 && sound && a.Revision != 0:
+		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
 			l.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
-				"machine", machineID, "token", s.highest, "revision", a.Revision, "term", l.n.lease.term)
-			s.proven, s.revision = true, a.Revision
+				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.lease.term)
+			s.proven, s.revision = true, result.Revision
 		default:
 			s.highest = l.n.lease.term // the next report asks again
 		}
@@ -167,17 +167,16 @@
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
 	txn := protocol.Txn{If: []protocol.Condition{l.n.leads()}, Then: []protocol.Change{change}}
-	l.n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
+	l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
 		}
-		a, sound := parse[protocol.TxnAnswer](body)
-		if status != 200 || !sound {
+		if result.Outcome != kv.Done || result.Malformed {
 			l.n.after(tuning.RetryPause, func() { l.restored.writing = false })
 			return
 		}
 		l.restored.writing = false
-		l.restored.revision = max(l.restored.revision, a.Revision)
+		l.restored.revision = max(l.restored.revision, result.Revision)
 		done()
 	})
 }
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -50,7 +51,7 @@
 		n.countWrite()
 		box.frames, box.sending = nil, true
 		box.sendAt = n.now.Add(tuning.RelayEvery)
-		n.state("POST", protocol.PathTxn, txn, func(int, []byte) {
+		n.store.Transact(txn, func(kv.TransactionResult) {
 			box.sending = false // what was lost is sent again by whoever misses it
 		})
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -101,13 +102,13 @@
 // storeSubmission sends it, and again while its answer is lost: it may yet apply, and
 // the same one again finds out.
 func (n *Node) storeSubmission(id uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
-	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
+	n.store.TransactEncoded(txn, func(result kv.TransactionResult) {
 		switch {
-		case status == 200:
+		case result.Outcome == kv.Done:
 			n.reply(id, 201, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
-		case status == 409:
+		case result.Outcome == kv.ConditionFailed:
 			n.answerRepeated(id, jobID, deadline)
-		case status == 0 && n.now.Before(deadline):
+		case result.Outcome == kv.Unknown && n.now.Before(deadline):
 			n.storeSubmission(id, jobID, txn, deadline)
 		default:
 			n.refuse(id, "state service does not answer")
@@ -202,14 +203,13 @@
 // read reads one key; found is called with nil if it does not exist, and not
 // at all if the state service does not say.
 func (n *Node) read(id uint64, key string, deadline time.Time, found func(e *protocol.Entry)) {
-	n.state("GET", protocol.KeyPath(key), nil, func(status int, body []byte) {
-		var e protocol.Entry
+	n.store.Get(key, func(result kv.GetResult) {
 		switch {
-		case status == 200 && json.Unmarshal(body, &e) == nil:
-			found(&e)
-		case status == 404:
+		case result.Outcome == kv.Done && !result.Malformed:
+			found(&result.Entry)
+		case result.Outcome == kv.NotFound:
 			found(nil)
-		case status == 0 && n.now.Before(deadline):
+		case result.Outcome == kv.Unknown && n.now.Before(deadline):
 			n.read(id, key, deadline, found)
 		default:
 			n.refuse(id, "state service does not answer")
