--- /dev/null
+++ b/internal/architecture/events_test.go
@@ -0,0 +1,278 @@
+package architecture
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// runbookPages are the pages of which one at least must name each event that is logged above
+// the level debug.
+var runbookPages = []string{"docs/operations.md", "docs/recovery.md"}
+
+// logMethods are the methods of a logger by the index of their message's argument; true for
+// levels that are in the log by default.
+var logMethods = map[string]struct {
+	message    int
+	byDefault  bool
+	isDeclared bool
+}{
+	"Debug": {0, false, true}, "Info": {0, true, true}, "Warn": {0, true, true}, "Error": {0, true, true},
+	"DebugContext": {1, false, true}, "InfoContext": {1, true, true}, "WarnContext": {1, true, true}, "ErrorContext": {1, true, true},
+}
+
+// loggedEvents are the messages that the sources outside tests log.
+type loggedEvents struct {
+	all       map[string]bool // every message
+	byDefault map[string]bool // those logged above the level debug
+	literals  map[string]bool // every string literal: reasons and other values of attributes
+}
+
+// loggingFunction is a function that logs one of its parameters as the message.
+type loggingFunction struct {
+	parameter int
+	byDefault bool
+}
+
+// eventReader collects loggedEvents from parsed files.
+type eventReader struct {
+	files     []*ast.File
+	constants map[string]string          // string constants by name
+	functions map[string]loggingFunction // by the function's own name
+	events    loggedEvents
+}
+
+// readEvents reads the messages that are logged: a literal or a constant that is given to a
+// method of logMethods, or to a function that hands it on to one as its message.
+func readEvents(t *testing.T) loggedEvents {
+	t.Helper()
+	r := &eventReader{
+		constants: map[string]string{}, functions: map[string]loggingFunction{},
+		events: loggedEvents{all: map[string]bool{}, byDefault: map[string]bool{}, literals: map[string]bool{}},
+	}
+	for _, file := range goFiles(t) {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(moduleRoot, file), nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.files = append(r.files, parsed)
+	}
+	r.readAll()
+	return r.events
+}
+
+// readAll goes through the files three times: for constants and literals, for functions that
+// log a parameter, and for the messages themselves.
+func (r *eventReader) readAll() {
+	r.inspect(r.addConstants)
+	for _, file := range r.files {
+		for _, declaration := range file.Decls {
+			if function, ok := declaration.(*ast.FuncDecl); ok && function.Body != nil {
+				r.addLoggingFunction(function)
+			}
+		}
+	}
+	r.inspect(r.addEvent)
+}
+
+func (r *eventReader) inspect(visit func(ast.Node)) {
+	for _, file := range r.files {
+		ast.Inspect(file, func(node ast.Node) bool {
+			visit(node)
+			return true
+		})
+	}
+}
+
+// addConstants takes up string constants and all string literals.
+func (r *eventReader) addConstants(node ast.Node) {
+	switch node := node.(type) {
+	case *ast.BasicLit:
+		if text, ok := literalText(node); ok {
+			r.events.literals[text] = true
+		}
+	case *ast.ValueSpec:
+		for i, value := range node.Values {
+			if text, ok := literalText(value); ok && i < len(node.Names) {
+				r.constants[node.Names[i].Name] = text
+			}
+		}
+	}
+}
+
+// addLoggingFunction takes up a function that logs one of its parameters as the message.
+func (r *eventReader) addLoggingFunction(function *ast.FuncDecl) {
+	parameters := parameterNames(function)
+	ast.Inspect(function.Body, func(node ast.Node) bool {
+		if message, byDefault, ok := loggedMessage(node); ok {
+			if name, isName := message.(*ast.Ident); isName {
+				if i := slices.Index(parameters, name.Name); i >= 0 {
+					r.functions[function.Name.Name] = loggingFunction{i, byDefault}
+				}
+			}
+		}
+		return true
+	})
+}
+
+// addEvent takes up the message of a call that logs one.
+func (r *eventReader) addEvent(node ast.Node) {
+	message, byDefault, ok := loggedMessage(node)
+	if !ok {
+		message, byDefault, ok = r.handedOnMessage(node)
+	}
+	if !ok {
+		return
+	}
+	if text, known := r.text(message); known {
+		r.events.all[text] = true
+		if byDefault {
+			r.events.byDefault[text] = true
+		}
+	}
+}
+
+// loggedMessage is the message of a call of a logger's method.
+func loggedMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
+	call, isCall := node.(*ast.CallExpr)
+	if !isCall {
+		return nil, false, false
+	}
+	method, isMethod := call.Fun.(*ast.SelectorExpr)
+	if !isMethod || !isLogger(method.X) {
+		return nil, false, false
+	}
+	level := logMethods[method.Sel.Name]
+	if !level.isDeclared || len(call.Args) <= level.message {
+		return nil, false, false
+	}
+	return call.Args[level.message], level.byDefault, true
+}
+
+// isLogger reports whether an expression is, by its last name, a logger or package slog.
+func isLogger(expression ast.Expr) bool {
+	switch name := typeName(expression); name {
+	case "slog":
+		return true
+	default:
+		return strings.HasSuffix(strings.ToLower(name), "log") || strings.HasSuffix(strings.ToLower(name), "logger")
+	}
+}
+
+// handedOnMessage is the message of a call of a function that logs one of its parameters.
+func (r *eventReader) handedOnMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
+	call, isCall := node.(*ast.CallExpr)
+	if !isCall {
+		return nil, false, false
+	}
+	function, known := r.functions[typeName(call.Fun)]
+	if !known || len(call.Args) <= function.parameter {
+		return nil, false, false
+	}
+	return call.Args[function.parameter], function.byDefault, true
+}
+
+// text is the string that an expression stands for, if it is a literal or a constant.
+func (r *eventReader) text(expression ast.Expr) (string, bool) {
+	if text, ok := literalText(expression); ok {
+		return text, true
+	}
+	text, ok := r.constants[typeName(expression)]
+	return text, ok
+}
+
+// literalText is the value of a string literal.
+func literalText(expression ast.Expr) (string, bool) {
+	literal, ok := expression.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(literal.Value)
+	return text, err == nil
+}
+
+// parameterNames lists the names of a function's parameters in order.
+func parameterNames(function *ast.FuncDecl) []string {
+	var names []string
+	for _, field := range function.Type.Params.List {
+		for _, name := range field.Names {
+			names = append(names, name.Name)
+		}
+	}
+	return names
+}
+
+// pageEvent is an event on a page: `event: text`.
+var pageEvent = regexp.MustCompile("`event: ([^`\n]+)`")
+
+// TestRunbookNamesEveryEvent fails for an event, logged by default, that an on-call engineer
+// would find in no runbook. The other direction, that each event of a page is logged, is
+// TestPagesNameRealThings.
+func TestRunbookNamesEveryEvent(t *testing.T) {
+	named := map[string]bool{}
+	for _, page := range runbookPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range pageEvent.FindAllStringSubmatch(string(text), -1) {
+			named[match[1]] = true
+		}
+	}
+	events := readEvents(t)
+	if len(events.byDefault) == 0 {
+		t.Fatal("no logged event was found in the sources")
+	}
+	for event := range events.byDefault {
+		if !named[event] {
+			t.Errorf("%q is logged, and on none of %q as `event: %s`", event, runbookPages, event)
+		}
+	}
+}
+
+// TestLoggedMessages shows what counts as an event, by a source with each kind of call.
+func TestLoggedMessages(t *testing.T) {
+	const source = `package p
+const named = "by a constant"
+func (a *a) f() {
+	a.log.Info("by a literal", "key", "a value")
+	log.Debug("only for debugging")
+	slog.Error(named)
+	a.logger.InfoContext(ctx, "with a context")
+	a.once("handed on", 1)
+	a.errors.Error("of no logger")
+}
+func (a *a) once(text string, n int) { a.log.Warn(text) }
+`
+	file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &eventReader{
+		files: []*ast.File{file}, constants: map[string]string{}, functions: map[string]loggingFunction{},
+		events: loggedEvents{all: map[string]bool{}, byDefault: map[string]bool{}, literals: map[string]bool{}},
+	}
+	r.readAll()
+	for event, byDefault := range map[string]bool{
+		"by a constant": true, "by a literal": true, "with a context": true, "handed on": true, "only for debugging": false,
+	} {
+		if !r.events.all[event] || r.events.byDefault[event] != byDefault {
+			t.Errorf("%q: logged %v, by default %v", event, r.events.all[event], r.events.byDefault[event])
+		}
+	}
+	for _, text := range []string{"a value", "of no logger", "key"} {
+		if r.events.all[text] {
+			t.Errorf("%q counts as an event", text)
+		}
+	}
+}
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -29,6 +29,9 @@
 //   - in backticks, `Type.Member`: some package declares it;
 //   - in backticks, other words joined by dots: a key of the settings or of the operators'
 //     properties;
+//   - in backticks, `event: text`: the sources log exactly that message;
+//   - in backticks, `reason: text`: the sources have exactly that string, as a log attribute's
+//     value for example;
 //   - in backticks, `gappond_name` or `gappond_name{label}`: such a metric is in the sources;
 //   - in fenced blocks, package.Name and package.Type.Member of this module's packages, if
 //     Name is exported.
@@ -95,7 +98,7 @@
 		"`config.Config`", "`config.Config.Cluster`", "`architecture.pageChecker.problems`", "`pageChecker.problems`",
 		"`config.Peer.Name`", "`cluster.workers.cancel_s`", "`cluster.teams`", "`fleet.idle-return.seconds`",
 		"`http.Server`", "`gappond_leading`", "`gappond_recovery_differences{class}`",
-		"`service.toml`", "`GET /metrics`", "`LOG_LEVEL`", "`200`", "`127.0.0.1:8080`",
+		"`event: serving`", "`reason: leader lease taken over`", "`service.toml`", "`GET /metrics`", "`LOG_LEVEL`", "`200`", "`127.0.0.1:8080`",
 		"```mermaid\nconfig.Load --> internal/buddy\nhttp.Nothing --> config.toml\n```",
 	} {
 		if problems := checker.problems("docs/page.md", right); len(problems) > 0 {
@@ -107,6 +110,7 @@
 		"`internal/config.Nothing`", "`go test ./internal/nothing`", "[design](nothing.md)",
 		"`nothing.go`", "`config/buddy.go`", "`TestNothing`", "`BenchmarkNothing`", "`nothingAtAll()`", "`config.Nothing()`",
 		"`config.Nothing`", "`config.Config.Nothing`", "`architecture.pageChecker.nothing`", "`pageChecker.nothing`",
+		"`event: nothing at all`", "`reason: nothing at all`", "`event: leader lease taken over`",
 		"`nothing.Type`", "`gappond_nothing`", "`gappond_nothing{class}`", "`cluster.nothing`", "`cluster.workers.nothing`", "`fleet.nothing-at-all`",
 		"```\nconfig.Nothing\n```", "```\nconfig.Config.Nothing\n```", "```mermaid\nA --> internal/nothing\n```",
 	} {
@@ -136,11 +140,12 @@
 type pageChecker struct {
 	declared *declarations
 	settings map[string]bool
+	events   loggedEvents
 }
 
 func newPageChecker(t *testing.T) *pageChecker {
 	t.Helper()
-	c := &pageChecker{declared: readDeclarations(t), settings: map[string]bool{}}
+	c := &pageChecker{declared: readDeclarations(t), settings: map[string]bool{}, events: readEvents(t)}
 	c.addSettings("", reflect.TypeFor[config.Config]())
 	for _, key := range config.Keys() {
 		c.settings[key] = true
@@ -210,7 +215,17 @@
 
 // spanProblem says why the text of a code span is no real name, or nothing.
 func (c *pageChecker) spanProblem(span string) string {
+	event, isEvent := strings.CutPrefix(span, "event: ")
+	reason, isReason := strings.CutPrefix(span, "reason: ")
 	switch {
+	case isEvent:
+		if !c.events.all[event] {
+			return "no such message is logged"
+		}
+	case isReason:
+		if !c.events.literals[reason] {
+			return "no such string is in the sources"
+		}
 	case repositoryPath.MatchString(span):
 		return "" // seen to already
 	case goFile.MatchString(span):
