--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -32,13 +32,13 @@
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
-		"internal/recovery", "internal/tuning"}},
+		"internal/config", "internal/coordination", "internal/protocol", "internal/recovery",
+		"internal/storage", "internal/tuning"}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
+		"internal/config", "internal/coordination/autoscaler",
 		"internal/coordination/cluster", "internal/coordination/kv", "internal/coordination/scheduler",
-		"internal/protocol", "internal/recovery", "internal/tuning"}},
+		"internal/protocol", "internal/recovery", "internal/storage", "internal/tuning"}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
@@ -48,16 +48,16 @@
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
 
-	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
-	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/config":      {imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/protocol":    {},
-	"internal/buddy":       {pure: true},
-	"internal/tuning":      {pure: true},
+	"internal/recovery": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/storage":  {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
+	"internal/config":   {imports: []string{"internal/protocol", "internal/tuning"}},
+	"internal/protocol": {},
+	"internal/buddy":    {pure: true},
+	"internal/tuning":   {pure: true},
 
 	"internal/simulation": {
 		imports: []string{
-			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
+			"internal/config", "internal/coordination", "internal/protocol", "internal/storage",
 			"internal/tuning"},
 		tests: []string{"internal/recovery", "internal/transport"}},
 	"internal/architecture": {tests: []string{"internal/config"}},
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -32,7 +32,7 @@
 
 // isOwnWrite says whether a record was written by this life of this node.
 func (n *Node) isOwnWrite(value json.RawMessage) bool {
-	return strings.HasPrefix(bookkeeping.Writer(value), n.boot+"-")
+	return strings.HasPrefix(storage.Writer(value), n.boot+"-")
 }
 
 // hasReadBudget says whether the budget leaves room for a user's request: what the
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -24,7 +24,7 @@
 		return
 	}
 	deadline := n.now.Add(tuning.UserDeadline)
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+	if e, ok := n.mirror.Get(storage.JobKey(jobID)); ok {
 		n.cancelRecord(id, jobID, &e, deadline)
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 func (n *Node) cancelFresh(id uint64, jobID protocol.JobID, deadline time.Time) {
-	n.read(id, bookkeeping.JobKey(jobID), deadline, func(e *protocol.Entry) {
+	n.read(id, storage.JobKey(jobID), deadline, func(e *protocol.Entry) {
 		if e != nil {
 			n.cancelRecord(id, jobID, e, deadline)
 			return
@@ -52,7 +52,7 @@
 }
 
 func (n *Node) cancelRecord(id uint64, jobID protocol.JobID, e *protocol.Entry, deadline time.Time) {
-	rec, err := bookkeeping.DecodeJob(e.Value)
+	rec, err := storage.DecodeJob(e.Value)
 	if err != nil {
 		n.refuse(id, "record does not parse")
 		return
@@ -68,7 +68,7 @@
 	}
 	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
-		Then: []protocol.Change{{Set: e.Key, Value: bookkeeping.Encode(rec)}},
+		Then: []protocol.Change{{Set: e.Key, Value: storage.Encode(rec)}},
 	}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		switch {
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -41,7 +41,7 @@
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
 	b := &batch{l: l, tx: tx, guarded: map[*cluster.MachineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
-	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.lease.term))
+	b.guard(storage.LeaderKey, protocol.Revision(l.n.lease.term))
 	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
@@ -71,7 +71,7 @@
 		return
 	}
 	l.n.writes.AllowN(l.n.now, len(b.txn.Then))
-	tx.body, tx.changes = bookkeeping.Encode(b.txn), len(b.txn.Then)
+	tx.body, tx.changes = storage.Encode(b.txn), len(b.txn.Then)
 	l.inFlight = tx
 	l.send(tx)
 }
@@ -230,19 +230,19 @@
 }
 
 // finish forgets a job whose final record is committed.
-func (l *leader) finish(job *cluster.Job, f bookkeeping.Final) {
+func (l *leader) finish(job *cluster.Job, f storage.Final) {
 	job.Finished = true
 	clear(job.Write.Dirty)
 	delete(l.cluster.Jobs, job.ID)
 	l.n.cacheFinal(job.ID, f)
 	for r := 1; r < len(job.Records.Revisions); r++ {
 		if job.Records.Revisions[r] != 0 {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
+			l.cleanup = append(l.cleanup, storage.TaskRecordKey(job.ID, r))
 		}
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Records.Abandoned)) {
 		if r >= len(job.Records.Revisions) {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
+			l.cleanup = append(l.cleanup, storage.TaskRecordKey(job.ID, r))
 		}
 	}
 	l.plan = true
@@ -253,7 +253,7 @@
 	l.inFlight = nil
 	l.n.metrics.CommitConflicts++
 	for _, k := range failed {
-		if k == bookkeeping.LeaderKey {
+		if k == storage.LeaderKey {
 			l.n.stepDown("leader lease is no longer ours")
 			return
 		}
@@ -266,7 +266,7 @@
 		}
 	}
 	for _, k := range failed {
-		if strings.HasPrefix(k, bookkeeping.MachinePrefix) {
+		if strings.HasPrefix(k, storage.MachinePrefix) {
 			l.rereadRevision(k)
 		}
 	}
@@ -284,10 +284,10 @@
 				l.dropAttempt(attempt)
 			}
 		}
-		l.rereadRevision(bookkeeping.JobKey(job.ID))
+		l.rereadRevision(storage.JobKey(job.ID))
 		for _, r := range w.records {
 			if r > 0 {
-				l.rereadRevision(bookkeeping.TaskRecordKey(job.ID, r))
+				l.rereadRevision(storage.TaskRecordKey(job.ID, r))
 			}
 		}
 	}
@@ -302,13 +302,13 @@
 			return
 		}
 		e := result.Entry
-		if id, n, ok := bookkeeping.ParseTaskRecordKey(key); ok {
+		if id, n, ok := storage.ParseTaskRecordKey(key); ok {
 			if job := l.cluster.Jobs[id]; job != nil && n < len(job.Records.Revisions) {
 				job.Records.Revisions[n] = e.Revision
 			}
 			return
 		}
-		if strings.HasPrefix(key, bookkeeping.MachinePrefix) {
+		if strings.HasPrefix(key, storage.MachinePrefix) {
 			for _, r := range l.machineRecords {
 				if r.Key == key {
 					r.Revision = e.Revision
@@ -317,7 +317,7 @@
 			}
 			return
 		}
-		id, _ := bookkeeping.ParseJobKey(key)
+		id, _ := storage.ParseJobKey(key)
 		job := l.cluster.Jobs[id]
 		if job == nil {
 			return
@@ -327,7 +327,7 @@
 			l.n.lookUpFinal(l, job)
 			return
 		}
-		rec, err := bookkeeping.DecodeJob(e.Value)
+		rec, err := storage.DecodeJob(e.Value)
 		if err != nil {
 			l.leaveAlone(id, err)
 			return
@@ -338,11 +338,11 @@
 
 // lookUpFinal finishes a job whose record has turned out to be gone.
 func (n *Node) lookUpFinal(l *leader, job *cluster.Job) {
-	n.store.Get(bookkeeping.FinalKey(job.ID), func(result kv.GetResult) {
+	n.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
 		if n.lead != l || result.Outcome != kv.Done || result.Malformed || job.Finished {
 			return
 		}
-		f, ok := parse[bookkeeping.Final](result.Entry.Value)
+		f, ok := parse[storage.Final](result.Entry.Value)
 		if ok && f.Phase != "" {
 			l.finish(job, f)
 		}
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -73,7 +73,7 @@
 
 // leaseObserved notes the leader lease as it now stands.
 func (n *Node) leaseObserved(value json.RawMessage, revision protocol.Revision) {
-	var c bookkeeping.LeaderLease
+	var c storage.LeaderLease
 	if json.Unmarshal(value, &c) != nil {
 		n.log.Error("leader lease does not parse", "value", string(value))
 	}
@@ -121,9 +121,9 @@
 			return
 		}
 		txn := protocol.Txn{
-			If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expect}},
-			Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: granted.Lease,
-				Value: bookkeeping.Encode(bookkeeping.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
+			If: []protocol.Condition{{Key: storage.LeaderKey, Revision: expect}},
+			Then: []protocol.Change{{Set: storage.LeaderKey, Lease: granted.Lease,
+				Value: storage.Encode(storage.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
 		}
 		n.store.Transact(txn, func(result kv.TransactionResult) {
 			if result.Outcome != kv.Done || result.Malformed || result.Revision == 0 {
@@ -203,7 +203,7 @@
 
 // leads is the condition of a transaction that this node's term lasts.
 func (n *Node) leads() protocol.Condition {
-	return protocol.Condition{Key: bookkeeping.LeaderKey, Revision: protocol.Revision(n.lease.term)}
+	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(n.lease.term)}
 }
 
 // mayAct says whether the node may command workers and write records now.
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -45,8 +45,8 @@
 func (l *leader) recorded(machine *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
-	job := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
+	job := l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
+		Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
 	return job, job.SortedAttempts()[0]
 }
 
@@ -165,7 +165,7 @@
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
+	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.lease.term), storage.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
@@ -195,13 +195,13 @@
 	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(job.ID)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{storage.JobKey(job.ID)}})})
 	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
 	}
 	read := l.n.lastRequest(t, ToState)
-	rec := bookkeeping.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
-	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(job.ID), Value: bookkeeping.Encode(rec), Revision: 50})})
+	rec := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
+	l.n.handle(Response{ID: read.ID, Status: 200, Body: storage.Encode(protocol.Entry{Key: storage.JobKey(job.ID), Value: storage.Encode(rec), Revision: 50})})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
 		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
 	}
@@ -255,7 +255,7 @@
 	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.inFlight != nil {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
-	l.n.handle(Response{ID: sent.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
+	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
 	if len(job.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
@@ -269,7 +269,7 @@
 	r := machine.Record
 	l.MachinesDeleted(machine.ID)
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
-	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(machine)}})
+	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
 	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
 	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -132,8 +132,8 @@
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
-		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
+		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
@@ -211,7 +211,7 @@
 	n.stepDown("a test")
 	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
 	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
+		n.leaseObserved(storage.Encode(storage.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
 	send := func(after time.Duration) string {
@@ -278,7 +278,7 @@
 	grant := request(out, protocol.PathLeases)
 	out = n.Step(n.now, []Event{Response{ID: grant.ID, Status: 200, Body: []byte(`{"permit":5}`)}})
 	claim := request(out, protocol.PathTxn)
-	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
+	n.leaseObserved(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestRacks: machines that are rented at once share a few records, each within
@@ -20,7 +20,7 @@
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
-	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: bookkeeping.Encode(protocol.MachineNames{Machines: names})})
+	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
 	txn, _ := parse[protocol.Txn](r.Body)
@@ -34,7 +34,7 @@
 		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.State.ValueKB*1024 {
 			t.Errorf("a record of %d bytes", n)
 		}
-		rec, _ := parse[bookkeeping.MachineRecord](c.Value)
+		rec, _ := parse[storage.MachineRecord](c.Value)
 		next.loadMachineRecord(c.Set, 99, &rec)
 	}
 	for _, id := range names {
@@ -69,11 +69,11 @@
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
-		entries := []protocol.Entry{{Key: bookkeeping.JobKey(s.ID), Revision: 9, Value: bookkeeping.Encode(bookkeeping.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
-			Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
+		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
+			Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
-			entries = append(entries, protocol.Entry{Key: bookkeeping.MachineRecordKey("r"), Revision: 4,
-				Value: bookkeeping.Encode(bookkeeping.MachineRecord{Machines: []bookkeeping.MachineEntry{{ID: "i-1", Address: "h:1", Type: "big", Zone: "a"}}})})
+			entries = append(entries, protocol.Entry{Key: storage.MachineRecordKey("r"), Revision: 4,
+				Value: storage.Encode(storage.MachineRecord{Machines: []storage.MachineEntry{{ID: "i-1", Address: "h:1", Type: "big", Zone: "a"}}})})
 		}
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -27,7 +27,7 @@
 	n.watching = true
 	n.watchSent = n.now
 	sent, after := n.now, n.mirror.Revision
-	n.store.Watch(bookkeeping.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
+	n.store.Watch(storage.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
 		n.watched(sent, after, result)
 	})
 }
@@ -80,7 +80,7 @@
 }
 
 func (n *Node) loadPage(after string) {
-	n.store.Range(bookkeeping.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
+	n.store.Range(storage.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
 		if result.Outcome != kv.Done || result.Malformed {
 			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
 			return
@@ -107,7 +107,7 @@
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
 		n.stepDown("watch too old")
-		n.mirror = bookkeeping.Mirror{}
+		n.mirror = storage.Mirror{}
 		return
 	case result.Outcome != kv.Done || result.Malformed:
 		n.watchAt = n.now.Add(tuning.RetryPause)
@@ -117,7 +117,7 @@
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
 		n.stepDown("state service has gone back")
-		n.mirror, n.awaited = bookkeeping.Mirror{}, observedRevision{}
+		n.mirror, n.awaited = storage.Mirror{}, observedRevision{}
 		return
 	}
 	for i := range w.Events {
@@ -150,12 +150,12 @@
 
 // mirrorLoaded looks at the leader lease after a full load.
 func (n *Node) mirrorLoaded() {
-	if e, ok := n.mirror.Get(bookkeeping.TypesKey); ok && len(n.types) == 0 {
+	if e, ok := n.mirror.Get(storage.TypesKey); ok && len(n.types) == 0 {
 		if list, ok := parse[protocol.MachineTypes](e.Value); ok {
 			n.takeTypes(&list)
 		}
 	}
-	e, ok := n.mirror.Get(bookkeeping.LeaderKey)
+	e, ok := n.mirror.Get(storage.LeaderKey)
 	if !ok {
 		n.leaseReleased()
 		return
@@ -166,7 +166,7 @@
 // changed passes on one change that the mirror took.
 func (n *Node) changed(ev *protocol.WatchEvent) {
 	key := ev.Set + ev.Delete
-	if key == bookkeeping.LeaderKey {
+	if key == storage.LeaderKey {
 		if ev.Set == "" {
 			n.leaseReleased()
 		} else {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -45,7 +45,7 @@
 	typesAt time.Time
 
 	store     kv.Client
-	mirror    bookkeeping.Mirror
+	mirror    storage.Mirror
 	syncedAt  time.Time        // every change made before then is in the mirror
 	awaited   observedRevision // a revision that the mirror has yet to reach
 	loading   bool
@@ -59,7 +59,7 @@
 	unanswered        bool // it did not answer the last request
 	limitsLowered     bool // it has refused what its limits used to allow
 
-	finals map[protocol.JobID]bookkeeping.Final
+	finals map[protocol.JobID]storage.Final
 	polls  []poll
 	pollAt time.Time
 
@@ -90,7 +90,7 @@
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		pending:          map[uint64]func(int, []byte){},
 		types:            map[protocol.MachineTypeName]*protocol.MachineType{},
-		finals:           map[protocol.JobID]bookkeeping.Final{},
+		finals:           map[protocol.JobID]storage.Final{},
 		confirmedCancels: map[protocol.JobID]time.Time{},
 		peers:            map[protocol.NodeName]*peer{},
 		forwarded:        map[uint64]forwardedRequest{},
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -179,7 +179,7 @@
 			return
 		}
 		status, body := n.takeReport(m.Report)
-		n.sendTo(m.Origin, protocol.PeerAnswer{ID: m.ID, Target: m.Origin, Status: uint64(status), Body: bookkeeping.Encode(body)})
+		n.sendTo(m.Origin, protocol.PeerAnswer{ID: m.ID, Target: m.Origin, Status: uint64(status), Body: storage.Encode(body)})
 	case protocol.PeerRequest:
 		n.handleForwarded(m)
 	case protocol.PeerCall:
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -94,7 +94,7 @@
 		if _, ok := b.status[p.job]; ok {
 			continue
 		}
-		key := bookkeeping.JobKey(p.job)
+		key := storage.JobKey(p.job)
 		s, revision, ok := n.mirror.Status(key)
 		if !ok {
 			continue
@@ -126,7 +126,7 @@
 // another look.
 func (n *Node) answerPoll(p poll, b *pollBatch) {
 	s, ok := b.status[p.job]
-	fresh := ok && !b.stale[bookkeeping.JobKey(p.job)]
+	fresh := ok && !b.stale[storage.JobKey(p.job)]
 	switch {
 	case !fresh && p.short:
 		n.answerRepeated(p.id, p.job, p.expire)
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -39,7 +39,7 @@
 					continue
 				}
 				if answers {
-					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
+					l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
 						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.lease.term})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -5,18 +5,18 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // placed is a job's record with tasks placed as given.
-func (l *leader) placed(tasks ...bookkeeping.Task) *cluster.Job {
+func (l *leader) placed(tasks ...storage.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
+	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
 }
 
 // TestRecordPlacesTwice: a damaged record that names an attempt twice, or a task in two
@@ -25,8 +25,8 @@
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
-	job := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
+	twice := storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
+	job := l.placed(twice, twice, storage.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, storage.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
 	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
 		t.Errorf("%d attempts", n)
 	}
@@ -46,7 +46,7 @@
 func TestUnreadableReport(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
-	job := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
+	job := l.placed(storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
 	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.testReport(machine, l.n.lease.term, nonsense)
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -24,11 +24,11 @@
 	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.peers["s"] = &peer{link: 1}
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	rec := &bookkeeping.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
+	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
 	for i := range s.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
+		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
-			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
+			task = storage.Task{Index: i, Attempt: 1, Done: true}
 		}
 		rec.Tasks = append(rec.Tasks, task)
 	}
@@ -65,12 +65,12 @@
 	if len(txn.Then) != 1 || len(txn.Then[0].Value) <= 2048 {
 		t.Fatalf("%d changes, the first of %d bytes", len(txn.Then), len(txn.Then[0].Value))
 	}
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 20})})
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: 20})})
 	l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
 	l.splitOutgrown()
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r = l.sentTxn(t)
-	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(job.ID) {
+	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != storage.JobKey(job.ID) {
 		t.Fatalf("%d changes", len(txn.Then))
 	}
 	next := testLeader(l.n.now)
@@ -79,17 +79,17 @@
 			t.Errorf("%s of %d bytes", c.Set, len(c.Value))
 		}
 	}
-	head, err := bookkeeping.DecodeJob(txn.Then[len(txn.Then)-1].Value)
+	head, err := storage.DecodeJob(txn.Then[len(txn.Then)-1].Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := next.addJob(head, 21)
 	for _, c := range txn.Then[:len(txn.Then)-1] {
-		var chunk bookkeeping.TaskRecord
+		var chunk storage.TaskRecord
 		if err := json.Unmarshal(c.Value, &chunk); err != nil {
 			t.Fatal(err)
 		}
-		_, num, _ := bookkeeping.ParseTaskRecordKey(c.Set)
+		_, num, _ := storage.ParseTaskRecordKey(c.Set)
 		if num >= len(again.Records.Revisions) {
 			t.Fatalf("%s is not among the %d records", c.Set, len(again.Records.Revisions))
 		}
@@ -102,7 +102,7 @@
 		}
 	}
 	// Refused by a race, it is sent again with all its parts.
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(job.ID)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{storage.JobKey(job.ID)}})})
 	l.commitLater(tuning.MarkLate + time.Second)
 	if second, _ := l.sentTxn(t); len(second.Then) != len(txn.Then) {
 		t.Errorf("%d changes, then %d", len(txn.Then), len(second.Then))
@@ -140,9 +140,9 @@
 // into others, which are written first: none may be in no record for a moment.
 func TestSplitMachineRecords(t *testing.T) {
 	l, _ := lowering(t)
-	rec := bookkeeping.MachineRecord{}
+	rec := storage.MachineRecord{}
 	for i := range 90 {
-		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
+		rec.Machines = append(rec.Machines, storage.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 	}
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
@@ -159,7 +159,7 @@
 		}
 		txn, r := l.sentTxn(t)
 		for _, c := range txn.Then {
-			var rack bookkeeping.MachineRecord
+			var rack storage.MachineRecord
 			if json.Unmarshal(c.Value, &rack) != nil || len(rack.Machines) == 0 {
 				continue
 			}
@@ -180,7 +180,7 @@
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
 	if len(old.MovedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -24,7 +24,7 @@
 	}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = time.Unix(1_800_000_000, 0)
-	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
+	n.leaseObserved(storage.Encode(storage.LeaderLease{Node: "a"}), 9)
 	for s, p := range n.peers {
 		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
 		if s == "a" {
@@ -169,7 +169,7 @@
 		t.Fatalf("without a leader: %s", got)
 	}
 	at := b.now
-	b.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 10)
+	b.leaseObserved(storage.Encode(storage.LeaderLease{Node: "a"}), 10)
 	carried := false
 	for _, a := range b.Step(at.Add(time.Second), nil) {
 		if p, ok := a.(PeerSend); ok {
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -15,7 +15,7 @@
 // been asked lately, so that every node knows whether it is served.
 func (n *Node) tickState() {
 	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StateProbe {
-		n.store.Get(bookkeeping.LeaderKey, func(kv.GetResult) {})
+		n.store.Get(storage.LeaderKey, func(kv.GetResult) {})
 	}
 }
 
@@ -27,7 +27,7 @@
 	case []byte:
 		raw = b
 	default:
-		raw = bookkeeping.Encode(b)
+		raw = storage.Encode(b)
 	}
 	n.pending[n.nextID] = done
 	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: raw, Timeout: timeout})
@@ -56,7 +56,7 @@
 
 func (n *Node) reply(id uint64, status int, body any) {
 	n.noteConfirmedCancel(body)
-	n.answer(Reply{ID: id, Status: status, Body: bookkeeping.Encode(body)})
+	n.answer(Reply{ID: id, Status: status, Body: storage.Encode(body)})
 }
 
 // answer gives a reply to whoever asked: a connection of this node, or a
@@ -72,7 +72,7 @@
 
 // refuse answers at once that the request cannot be taken now.
 func (n *Node) refuse(id uint64, why string) {
-	n.answer(Reply{ID: id, Status: 503, Body: bookkeeping.Encode(protocol.ErrorBody{Error: why}), RetryAfter: time.Second})
+	n.answer(Reply{ID: id, Status: 503, Body: storage.Encode(protocol.ErrorBody{Error: why}), RetryAfter: time.Second})
 }
 
 // parse reads a JSON answer.
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -1,10 +1,10 @@
 package coordination
 
 import (
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -33,7 +33,7 @@
 
 // loadRestoredMarker looks whether an earlier leader found the state service restored.
 func (l *leader) loadRestoredMarker() {
-	if e, ok := l.n.mirror.Get(bookkeeping.RestoredKey); ok {
+	if e, ok := l.n.mirror.Get(storage.RestoredKey); ok {
 		l.restored.marked = true
 		l.n.log.Error("state service was restored to an older state, earlier jobs wait for all workers", "record", string(e.Value))
 	}
@@ -148,8 +148,8 @@
 	}
 	l.n.writes.AllowN(l.n.now, 1)
 	s.writing = true
-	marker := bookkeeping.Restored{Writer: l.n.unique(), Token: s.highest}
-	l.writeMarker(protocol.Change{Set: bookkeeping.RestoredKey, Value: bookkeeping.Encode(marker)}, func() {
+	marker := storage.Restored{Writer: l.n.unique(), Token: s.highest}
+	l.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
 		s.marked = true
 		l.tickRestored()
 	})
@@ -161,7 +161,7 @@
 		return
 	}
 	l.restored.writing = true
-	l.writeMarker(protocol.Change{Delete: bookkeeping.RestoredKey}, func() { l.restored.marked = false })
+	l.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { l.restored.marked = false })
 }
 
 // writeMarker carries a change of the marker out under the leader's term.
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -56,7 +56,7 @@
 			}
 			pages++
 			page := protocol.MachineList{More: pages%12 != 0, Machines: []protocol.Machine{{ID: protocol.MachineID(fmt.Sprintf("i-%06d", pages%12))}}}
-			l.n.pending[r.ID](200, bookkeeping.Encode(page))
+			l.n.pending[r.ID](200, storage.Encode(page))
 		}
 	}
 	if most := int(rps*float64(seconds)/2) + 12; pages > most {
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -32,7 +32,7 @@
 		n.outboxes[target] = box
 	}
 	frame := protocol.AppendPeer(nil, m)
-	if len(box.frames)+len(frame) > bookkeeping.RelayCapacity(n.cfg.Cluster.State.ValueKB) {
+	if len(box.frames)+len(frame) > storage.RelayCapacity(n.cfg.Cluster.State.ValueKB) {
 		return false // the sender tries again, as after a lost packet
 	}
 	box.frames = append(box.frames, frame...)
@@ -46,8 +46,8 @@
 		if box == nil || len(box.frames) == 0 || box.sending || n.now.Before(box.sendAt) || !n.relayWrites.AllowN(n.now, 1) {
 			continue
 		}
-		txn := protocol.Txn{Then: []protocol.Change{{Set: bookkeeping.RelayKey(n.cfg.Name, s.Name),
-			Value: bookkeeping.Encode(bookkeeping.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
+		txn := protocol.Txn{Then: []protocol.Change{{Set: storage.RelayKey(n.cfg.Name, s.Name),
+			Value: storage.Encode(storage.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
 		n.countWrite()
 		box.frames, box.sending = nil, true
 		box.sendAt = n.now.Add(tuning.RelayEvery)
@@ -59,11 +59,11 @@
 
 // receiveRelayed takes a value that a peer wrote for this node.
 func (n *Node) receiveRelayed(ev *protocol.WatchEvent) {
-	from, to, ok := bookkeeping.ParseRelayKey(ev.Set)
+	from, to, ok := storage.ParseRelayKey(ev.Set)
 	if !ok || to != n.cfg.Name || n.peers[from] == nil {
 		return
 	}
-	var relayed bookkeeping.RelayedFrames
+	var relayed storage.RelayedFrames
 	if err := json.Unmarshal(ev.Value, &relayed); err != nil {
 		n.log.Error("relayed message does not parse", "from", from, "error", err)
 		return
@@ -80,4 +80,4 @@
 }
 
 // isRelayKey says whether a key is a relay key.
-func isRelayKey(key string) bool { return strings.HasPrefix(key, bookkeeping.RelayPrefix) }
+func isRelayKey(key string) bool { return strings.HasPrefix(key, storage.RelayPrefix) }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestUnreadableRecords: a job of which a record cannot be read, because a later
@@ -30,8 +30,8 @@
 		rec := wideJob(protocol.ShapeGang)
 		rec.RecordTasks, rec.Tasks = 49, rec.Tasks[:49]
 		s := stored(rec)
-		key, part := bookkeeping.JobKey(rec.Spec.ID), bookkeeping.TaskRecordKey(rec.Spec.ID, 1)
-		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: bookkeeping.Encode(bookkeeping.TaskRecord{Writer: "w-4",
+		key, part := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
+		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
 			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
 		l := s.leader(protocol.PeerLevel)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -5,16 +5,16 @@
 	"maps"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // unrunnableReason says why a job can never run, or "".
 func (n *Node) unrunnableReason(spec *protocol.Job) string {
-	if !bookkeeping.Storable(n.cfg.Cluster.State.ValueKB, spec) {
+	if !storage.Storable(n.cfg.Cluster.State.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
 	for i := range n.cfg.Cluster.Teams {
@@ -58,7 +58,7 @@
 	if n.refuseUnserved(id, n.mirror.Ready() && len(n.types) > 0) {
 		return
 	}
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(spec.ID)); ok {
+	if e, ok := n.mirror.Get(storage.JobKey(spec.ID)); ok {
 		n.addPoll(poll{id: id, job: spec.ID, revision: e.Revision, short: true})
 		return
 	}
@@ -91,11 +91,11 @@
 // unknown, finished or not.
 func (n *Node) submissionTxn(spec *protocol.Job) []byte {
 	state := n.cfg.Cluster.State
-	rec := bookkeeping.Job{Writer: n.unique(), Spec: spec, AtMs: n.now.UnixMilli(),
-		RecordTasks: bookkeeping.TasksPerRecord(state.ValueKB, state.TxnOps, spec)}
-	return bookkeeping.Encode(protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
-		Then: []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(rec)}},
+	rec := storage.Job{Writer: n.unique(), Spec: spec, AtMs: n.now.UnixMilli(),
+		RecordTasks: storage.TasksPerRecord(state.ValueKB, state.TxnOps, spec)}
+	return storage.Encode(protocol.Txn{
+		If:   []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Then: []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(rec)}},
 	})
 }
 
@@ -143,7 +143,7 @@
 
 // submission is a submission on its way to a peer.
 func submission(spec *protocol.Job) protocol.PeerRequest {
-	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
+	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: storage.Encode(spec)}
 }
 
 // query answers a user's poll.
@@ -155,7 +155,7 @@
 	if n.refuseUnserved(id, n.mirror.Ready()) {
 		return
 	}
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+	if e, ok := n.mirror.Get(storage.JobKey(jobID)); ok {
 		n.addPoll(poll{id: id, job: jobID, revision: e.Revision})
 		return
 	}
@@ -188,12 +188,12 @@
 	})
 }
 
-func finalStatus(jobID protocol.JobID, f bookkeeping.Final) protocol.Status {
+func finalStatus(jobID protocol.JobID, f storage.Final) protocol.Status {
 	return protocol.Status{ID: jobID, Phase: f.Phase, Done: f.Done}
 }
 
 // cacheFinal remembers a final state; it never changes.
-func (n *Node) cacheFinal(jobID protocol.JobID, f bookkeeping.Final) {
+func (n *Node) cacheFinal(jobID protocol.JobID, f storage.Final) {
 	if len(n.finals) >= tuning.FinalCache {
 		clear(n.finals)
 	}
@@ -221,9 +221,9 @@
 // record is read first: a job moves from there to its final record and never
 // back, so one of the two reads finds it.
 func (n *Node) lookUp(id uint64, jobID protocol.JobID, deadline time.Time, found func(s *protocol.Status)) {
-	n.read(id, bookkeeping.JobKey(jobID), deadline, func(e *protocol.Entry) {
+	n.read(id, storage.JobKey(jobID), deadline, func(e *protocol.Entry) {
 		if e != nil {
-			rec, err := bookkeeping.DecodeJob(e.Value)
+			rec, err := storage.DecodeJob(e.Value)
 			if err != nil {
 				n.refuse(id, "record does not parse")
 				return
@@ -232,12 +232,12 @@
 			found(&s)
 			return
 		}
-		n.read(id, bookkeeping.FinalKey(jobID), deadline, func(e *protocol.Entry) {
+		n.read(id, storage.FinalKey(jobID), deadline, func(e *protocol.Entry) {
 			if e == nil {
 				found(nil)
 				return
 			}
-			var f bookkeeping.Final
+			var f storage.Final
 			if json.Unmarshal(e.Value, &f) != nil || f.Phase == "" {
 				n.refuse(id, "record does not parse")
 				return
--- a/internal/coordination/worker_calls.go
+++ b/internal/coordination/worker_calls.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -43,7 +43,7 @@
 			done(status, body)
 		}
 	}
-	if path == protocol.PathOrders && l.usesProxies() && l.n.delegate(machine, bookkeeping.Encode(body), ended) {
+	if path == protocol.PathOrders && l.usesProxies() && l.n.delegate(machine, storage.Encode(body), ended) {
 		return
 	}
 	l.n.request(ToWorker, machine.Address, method, path, body, tuning.ProbeTimeout, ended)
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // These tests lose all controllers at once while workers go on, and bring them back:
@@ -390,7 +390,7 @@
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.state.keys[bookkeeping.RestoredKey]; stays {
+			if _, stays := c.state.keys[storage.RestoredKey]; stays {
 				t.Error("the marker stays")
 			}
 			c.check(t)
@@ -417,8 +417,8 @@
 }
 
 // pendingRecord is a job's record before any place.
-func pendingRecord(spec *protocol.Job, now time.Time) bookkeeping.Job {
-	return bookkeeping.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
+func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
+	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
 }
 
 // TestColdRestartBadRecords: a job's record that cannot be read, one of a later version, and a
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -3,9 +3,9 @@
 import (
 	"regexp"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // release is a version of the program. A controller of an earlier release runs
@@ -75,11 +75,11 @@
 // controller of an earlier release is up, which would delete it.
 func (r *rules) checkStaged(changes []protocol.Change) {
 	for _, c := range changes {
-		id, num, ok := bookkeeping.ParseTaskRecordKey(c.Set)
+		id, num, ok := storage.ParseTaskRecordKey(c.Set)
 		if !ok {
 			continue
 		}
-		rec, err := bookkeeping.DecodeJob(r.w.state.keys[bookkeeping.JobKey(id)].Value)
+		rec, err := storage.DecodeJob(r.w.state.keys[storage.JobKey(id)].Value)
 		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
 			continue
 		}
--- a/internal/bookkeeping/records.go
+++ b/internal/storage/records.go
@@ -1,4 +1,4 @@
-// Package bookkeeping holds the records that the controllers keep in the state
+// Package storage holds the records that the controllers keep in the state
 // service, the transactions that change them and each node's mirror of them.
 //
 // Keys:
@@ -14,7 +14,7 @@
 //
 // Everything below g/ is mirrored by every node; h/ grows for ever and is read
 // one key at a time.
-package bookkeeping
+package storage
 
 import (
 	"bytes"
@@ -343,7 +343,7 @@
 func Encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("bookkeeping: " + err.Error())
+		panic("storage: " + err.Error())
 	}
 	return b
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"strconv"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/net/netutil"
 )
@@ -64,7 +64,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
-	writeJSON(w, status, bookkeeping.Encode(protocol.ErrorBody{Error: why}))
+	writeJSON(w, status, storage.Encode(protocol.ErrorBody{Error: why}))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body []byte) {
