--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -1,12 +1,11 @@
 package coordination
 
 import (
-	"encoding/json"
-	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -27,10 +26,9 @@
 	}
 	n.watching = true
 	n.watchSent = n.now
-	path := protocol.WatchPath(bookkeeping.LivePrefix, n.mirror.Revision, tuning.WatchBlock.Milliseconds())
 	sent, after := n.now, n.mirror.Revision
-	n.request(ToState, "", "GET", path, nil, tuning.WatchBlock+tuning.WatchOverrun, func(status int, body []byte) {
-		n.watched(sent, after, status, body)
+	n.store.Watch(storage.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
+		n.watched(sent, after, result)
 	})
 }
 
@@ -63,9 +61,10 @@
 func (n *Node) fetchRevision() {
 	sent := n.now
 	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
-	n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-		if a, ok := parse[protocol.TxnAnswer](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
-			n.awaitRevision(observedRevision{a.Revision, sent})
+	n.store.Transact(txn, func(result kv.TransactionResult) {
+		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
+		if answered && !result.Malformed && result.Revision != 0 {
+			n.awaitRevision(observedRevision{result.Revision, sent})
 		}
 	})
 }
@@ -81,13 +80,12 @@
 }
 
 func (n *Node) loadPage(after string) {
-	n.state("GET", protocol.RangePath(bookkeeping.LivePrefix, after, tuning.RangePage), nil, func(status int, body []byte) {
-		var page protocol.Entries
-		if status != 200 || json.Unmarshal(body, &page) != nil {
+	n.store.Range(storage.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
+		if result.Outcome != kv.Done || result.Malformed {
 			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
 			return
 		}
-		if next := n.mirror.LoadPage(&page); next != "" {
+		if next := n.mirror.LoadPage(&result.Page); next != "" {
 			n.loadPage(next)
 			return
 		}
@@ -99,19 +97,19 @@
 }
 
 // watched takes the answer to a watch for what came after a revision.
-func (n *Node) watched(sent time.Time, after protocol.Revision, status int, body []byte) {
+func (n *Node) watched(sent time.Time, after protocol.Revision, result kv.WatchResult) {
 	if sent.Equal(n.watchSent) {
 		n.watching = false
 	}
-	var w protocol.WatchAnswer
+	w := &result.Changes
 	switch {
-	case status == http.StatusGone || status == http.StatusRequestEntityTooLarge:
+	case result.Outcome == kv.Compacted:
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
 		n.stepDown("watch too old")
-		n.mirror = bookkeeping.Mirror{}
+		n.mirror = storage.Mirror{}
 		return
-	case status != 200 || json.Unmarshal(body, &w) != nil:
+	case result.Outcome != kv.Done || result.Malformed:
 		n.watchAt = n.now.Add(tuning.RetryPause)
 		return
 	}
@@ -119,7 +117,7 @@
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
 		n.stepDown("state service has gone back")
-		n.mirror, n.awaited = bookkeeping.Mirror{}, observedRevision{}
+		n.mirror, n.awaited = storage.Mirror{}, observedRevision{}
 		return
 	}
 	for i := range w.Events {
@@ -152,12 +150,12 @@
 
 // mirrorLoaded looks at the leader lease after a full load.
 func (n *Node) mirrorLoaded() {
-	if e, ok := n.mirror.Get(bookkeeping.TypesKey); ok && len(n.types) == 0 {
+	if e, ok := n.mirror.Get(storage.TypesKey); ok && len(n.types) == 0 {
 		if list, ok := parse[protocol.MachineTypes](e.Value); ok {
 			n.takeTypes(&list)
 		}
 	}
-	e, ok := n.mirror.Get(bookkeeping.LeaderKey)
+	e, ok := n.mirror.Get(storage.LeaderKey)
 	if !ok {
 		n.leaseReleased()
 		return
@@ -168,7 +166,7 @@
 // changed passes on one change that the mirror took.
 func (n *Node) changed(ev *protocol.WatchEvent) {
 	key := ev.Set + ev.Delete
-	if key == bookkeeping.LeaderKey {
+	if key == storage.LeaderKey {
 		if ev.Set == "" {
 			n.leaseReleased()
 		} else {
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -1,11 +1,11 @@
 package coordination
 
 import (
-	"encoding/json"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -60,8 +60,8 @@
 		return
 	}
 	b := n.takePolls(limit)
-	n.state("POST", protocol.PathTxn, b.compare, func(code int, body []byte) {
-		if !b.checked(code, body) {
+	n.store.Transact(b.compare, func(result kv.TransactionResult) {
+		if !b.checked(result) {
 			for _, p := range b.polls {
 				n.refuse(p.id, "state service does not answer")
 			}
@@ -94,7 +94,7 @@
 		if _, ok := b.status[p.job]; ok {
 			continue
 		}
-		key := bookkeeping.JobKey(p.job)
+		key := storage.JobKey(p.job)
 		s, revision, ok := n.mirror.Status(key)
 		if !ok {
 			continue
@@ -106,17 +106,16 @@
 }
 
 // checked takes the answer to the comparison; false if there is none.
-func (b *pollBatch) checked(code int, body []byte) bool {
-	switch code {
-	case 200:
+func (b *pollBatch) checked(result kv.TransactionResult) bool {
+	switch result.Outcome {
+	case kv.Done:
 		return true
-	case 409:
-		var a protocol.TxnAnswer
-		if json.Unmarshal(body, &a) != nil || len(a.Failed) == 0 {
+	case kv.ConditionFailed:
+		if result.Malformed || len(result.Failed) == 0 {
 			clear(b.status) // nothing is known to be fresh
 		}
-		for _, k := range a.Failed {
-			b.stale[k] = true
+		for _, key := range result.Failed {
+			b.stale[key] = true
 		}
 		return true
 	}
@@ -127,7 +126,7 @@
 // another look.
 func (n *Node) answerPoll(p poll, b *pollBatch) {
 	s, ok := b.status[p.job]
-	fresh := ok && !b.stale[bookkeeping.JobKey(p.job)]
+	fresh := ok && !b.stale[storage.JobKey(p.job)]
 	switch {
 	case !fresh && p.short:
 		n.answerRepeated(p.id, p.job, p.expire)
