--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -22,7 +22,7 @@
 		n.shed(id)
 		return
 	}
-	deadline := n.now.Add(tuning.UserDeadline)
+	deadline := n.now.Add(tuning.UserRequestTimeout)
 	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
 		n.cancelRecord(id, jobID, &e, deadline)
 		return
@@ -65,11 +65,11 @@
 	if rec.Seq == 0 {
 		rec.Seq = e.Revision
 	}
-	txn := protocol.Txn{
-		If:   []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
-		Then: []protocol.Change{{Set: e.Key, Value: bookkeeping.Encode(rec)}},
+	txn := protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
+		Changes:    []protocol.Change{{Set: e.Key, Value: bookkeeping.Encode(rec)}},
 	}
-	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
+	n.state("POST", protocol.PathTransactions, txn, func(status int, _ []byte) {
 		switch {
 		case status == 200:
 			n.announceCancel(jobID)
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -36,12 +36,12 @@
 func (n *Node) grace() time.Duration {
 	w := n.cfg.Cluster.Workers
 	g := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - n.takeoverTime()
-	return min(max(g, 0), tuning.MaxGrace)
+	return min(max(g, 0), tuning.MaxLeaderGrace)
 }
 
 // takeoverTime is how long a takeover takes on this node's share of a core.
 func (n *Node) takeoverTime() time.Duration {
-	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverWork, 1), tuning.TakeoverMost)
+	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
 }
 
 // leaseTTL is how long the leader lease outlives its last renewal.
@@ -53,7 +53,7 @@
 // the moment after it last knew must have taken effect by then.
 func (n *Node) authority() time.Duration {
 	w := n.cfg.Cluster.Workers
-	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(n.leaseTTL()+n.grace(), max(bound, 0))
 }
 
@@ -67,7 +67,7 @@
 
 // withDrift stretches a span by the largest disagreement of two clocks.
 func withDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*tuning.ClockDrift)
+	return d + time.Duration(float64(d)*tuning.MaxClockDrift)
 }
 
 // leaseObserved notes the leader lease as it now stands.
@@ -111,22 +111,22 @@
 	expect := c.revision
 	fail := func() {
 		c.acquiring = false
-		c.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+		c.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	}
 	sent := n.now
 	n.state("POST", protocol.PathLeases, protocol.LeaseRequest{TTLMs: n.leaseTTL().Milliseconds()}, func(status int, body []byte) {
-		var l protocol.LeaseAnswer
+		var l protocol.LeaseResponse
 		if status != 200 || json.Unmarshal(body, &l) != nil || l.Lease == 0 {
 			fail()
 			return
 		}
-		txn := protocol.Txn{
-			If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expect}},
-			Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: l.Lease,
+		txn := protocol.Transaction{
+			Conditions: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expect}},
+			Changes: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: l.Lease,
 				Value: bookkeeping.Encode(bookkeeping.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
 		}
-		n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-			var a protocol.TxnAnswer
+		n.state("POST", protocol.PathTransactions, txn, func(status int, body []byte) {
+			var a protocol.TransactionResponse
 			if status != 200 || json.Unmarshal(body, &a) != nil || a.Revision == 0 {
 				fail()
 				return
@@ -162,7 +162,7 @@
 		return
 	}
 	c.renewing = true
-	if n.now.Sub(n.syncedAt) >= tuning.SyncedFor {
+	if n.now.Sub(n.syncedAt) >= tuning.MirrorFreshness {
 		n.fetchRevision()
 	}
 	sent, term := n.now, c.term
@@ -174,12 +174,12 @@
 		switch status {
 		case 200:
 			c.renewedAt = sent
-			c.renewAt = sent.Add(tuning.LeaderLeaseRenew)
+			c.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
 			c.unconfirmed = c.unconfirmed && sent.Before(c.resumedAt)
 		case 404:
 			n.stepDown("leader lease has ended")
 		default:
-			c.renewAt = n.now.Add(tuning.RetryPause)
+			c.renewAt = n.now.Add(tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -233,7 +233,7 @@
 	}
 	n.log.Info("stepping down", "term", n.lease.term, "why", why)
 	n.lease.term, n.lease.leaseID, n.lease.renewing, n.lease.unconfirmed = 0, 0, false, false
-	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	n.lead = nil
 	n.confirmation = peerConfirmation{}
 }
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -13,7 +13,7 @@
 // tickTypes keeps the price list: every node needs the types to judge
 // submissions, the leader the prices too.
 func (n *Node) tickTypes() {
-	every := tuning.TypesEvery
+	every := tuning.MachineTypesInterval
 	if n.lead == nil && len(n.types) > 0 {
 		every *= 4
 	}
@@ -58,9 +58,9 @@
 	if float64(len(value)) > n.cfg.Cluster.State.ValueKB*1024 {
 		return
 	}
-	n.state("POST", protocol.PathTxn, protocol.Txn{
-		If:   []protocol.Condition{n.leads()},
-		Then: []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
+	n.state("POST", protocol.PathTransactions, protocol.Transaction{
+		Conditions: []protocol.Condition{n.leads()},
+		Changes:    []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
 	}, func(int, []byte) {})
 }
 
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -27,9 +27,9 @@
 	}
 	n.watching = true
 	n.watchSent = n.now
-	path := protocol.WatchPath(bookkeeping.LivePrefix, n.mirror.Revision, tuning.WatchBlock.Milliseconds())
+	path := protocol.WatchPath(bookkeeping.LivePrefix, n.mirror.Revision, tuning.WatchLongPoll.Milliseconds())
 	sent, after := n.now, n.mirror.Revision
-	n.request(ToState, "", "GET", path, nil, tuning.WatchBlock+tuning.WatchOverrun, func(status int, body []byte) {
+	n.request(ToState, "", "GET", path, nil, tuning.WatchLongPoll+tuning.WatchTimeoutMargin, func(status int, body []byte) {
 		n.watched(sent, after, status, body)
 	})
 }
@@ -62,9 +62,9 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
-	n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-		if a, ok := parse[protocol.TxnAnswer](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{n.leads()}}
+	n.state("POST", protocol.PathTransactions, txn, func(status int, body []byte) {
+		if a, ok := parse[protocol.TransactionResponse](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
 			n.awaitRevision(observedRevision{a.Revision, sent})
 		}
 	})
@@ -74,17 +74,17 @@
 // the state service is known to have; its answer is taken all the same.
 func (n *Node) reopenStuckWatch() {
 	if n.awaited.revision > n.mirror.Revision && n.watching &&
-		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStuck && n.now.Sub(n.watchSent) >= tuning.WatchStuck {
+		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStallTimeout && n.now.Sub(n.watchSent) >= tuning.WatchStallTimeout {
 		n.log.Info("watch does not keep up", "revision", n.mirror.Revision, "ahead", n.awaited.revision)
 		n.watching, n.watchAt = false, n.now
 	}
 }
 
 func (n *Node) loadPage(after string) {
-	n.state("GET", protocol.RangePath(bookkeeping.LivePrefix, after, tuning.RangePage), nil, func(status int, body []byte) {
+	n.state("GET", protocol.RangePath(bookkeeping.LivePrefix, after, tuning.RangePageSize), nil, func(status int, body []byte) {
 		var page protocol.Entries
 		if status != 200 || json.Unmarshal(body, &page) != nil {
-			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
+			n.loading, n.loadAt = false, n.now.Add(tuning.StoreRetryDelay)
 			return
 		}
 		if next := n.mirror.LoadPage(&page); next != "" {
@@ -103,7 +103,7 @@
 	if sent.Equal(n.watchSent) {
 		n.watching = false
 	}
-	var w protocol.WatchAnswer
+	var w protocol.WatchResponse
 	switch {
 	case status == http.StatusGone || status == http.StatusRequestEntityTooLarge:
 		// Too far behind, or by more than one answer may hold: read everything again. A
@@ -112,7 +112,7 @@
 		n.mirror = bookkeeping.Mirror{}
 		return
 	case status != 200 || json.Unmarshal(body, &w) != nil:
-		n.watchAt = n.now.Add(tuning.RetryPause)
+		n.watchAt = n.now.Add(tuning.StoreRetryDelay)
 		return
 	}
 	if w.Revision < after {
@@ -136,9 +136,9 @@
 	if n.awaited.revision <= n.mirror.Revision {
 		n.markSynced(n.awaited.sentAt)
 	}
-	pause := tuning.WatchPause // the leader's: jobs wait for it
+	pause := tuning.MinWatchDelay // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.requestPause(pause, tuning.WatchShare)
+		pause = n.requestPause(pause, tuning.WatchCPUShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
@@ -147,7 +147,7 @@
 // requestPause is the pause before a request that can wait, longer the smaller the
 // share of a core is.
 func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
-	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.RequestCost, share), tuning.RequestPause))
+	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.StoreRequestCPUCost, share), tuning.MaxRequestDelay))
 }
 
 // mirrorLoaded looks at the leader lease after a full load.
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -12,7 +12,7 @@
 // tickState asks the state service for something small when nothing else has
 // been asked lately, so that every node knows whether it is served.
 func (n *Node) tickState() {
-	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StateProbe {
+	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StoreProbeInterval {
 		n.state("GET", protocol.KeyPath(bookkeeping.LeaderKey), nil, func(int, []byte) {})
 	}
 }
@@ -40,7 +40,7 @@
 func (n *Node) stateVia(to Target, method, path string, body any, done func(status int, body []byte)) {
 	n.askedAt = n.now
 	n.stateCalls.AllowN(n.now, 1) // counted in any case; users' requests look first
-	n.request(to, "", method, path, body, tuning.StateTimeout, func(status int, body []byte) {
+	n.request(to, "", method, path, body, tuning.StoreRequestTimeout, func(status int, body []byte) {
 		n.unanswered = status == 0
 		if status != 0 && status != 503 {
 			n.servedAt = n.now
@@ -59,7 +59,7 @@
 func (n *Node) answer(r Reply) {
 	if from, ok := n.received[r.ID]; ok {
 		delete(n.received, r.ID)
-		n.sendTo(from.origin, protocol.PeerAnswer{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
+		n.sendTo(from.origin, protocol.PeerResponse{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
 		return
 	}
 	n.out = append(n.out, r)
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -40,10 +40,10 @@
 
 // refuseHigherToken takes a worker's token above this leader's term: the worker would drop
 // whatever it is answered.
-func (l *leader) refuseHigherToken(r *protocol.Report) {
+func (l *leader) refuseHigherToken(r *protocol.Heartbeat) {
 	s := &l.restored
-	if r.Token > s.highest {
-		s.highest = r.Token
+	if r.FencingToken > s.highest {
+		s.highest = r.FencingToken
 		l.askForTerm(r.Machine)
 	}
 	l.holdsHigherToken(r)
@@ -56,13 +56,13 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Txn{If: []protocol.Condition{l.n.leads()}}
-	l.n.state("POST", protocol.PathTxn, term, func(status int, body []byte) {
+	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}}
+	l.n.state("POST", protocol.PathTransactions, term, func(status int, body []byte) {
 		if l.n.lead != l {
 			return
 		}
 		s.asking = false
-		a, sound := parse[protocol.TxnAnswer](body)
+		a, sound := parse[protocol.TransactionResponse](body)
 		switch {
 		case status == 409:
 			l.n.stepDown("a worker has seen a higher token")
@@ -77,12 +77,12 @@
 }
 
 // holdsHigherToken keeps note of a worker that no order reaches.
-func (l *leader) holdsHigherToken(r *protocol.Report) {
+func (l *leader) holdsHigherToken(r *protocol.Heartbeat) {
 	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
 	if machine.Agent.HigherToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.Token)
+		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
 	}
-	machine.Agent.HigherToken = r.Token
+	machine.Agent.HigherToken = r.FencingToken
 }
 
 // reachableToken is the highest token of a worker above which the revision can be raised
@@ -166,14 +166,14 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Txn{If: []protocol.Condition{l.n.leads()}, Then: []protocol.Change{change}}
-	l.n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}, Changes: []protocol.Change{change}}
+	l.n.state("POST", protocol.PathTransactions, txn, func(status int, body []byte) {
 		if l.n.lead != l {
 			return
 		}
-		a, sound := parse[protocol.TxnAnswer](body)
+		a, sound := parse[protocol.TransactionResponse](body)
 		if status != 200 || !sound {
-			l.n.after(tuning.RetryPause, func() { l.restored.writing = false })
+			l.n.after(tuning.StoreRetryDelay, func() { l.restored.writing = false })
 			return
 		}
 		l.restored.writing = false
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -71,13 +71,13 @@
 		}
 		return
 	}
-	n.storeSubmission(id, spec.ID, n.submissionTxn(spec), n.now.Add(tuning.UserDeadline))
+	n.storeSubmission(id, spec.ID, n.submissionTxn(spec), n.now.Add(tuning.UserRequestTimeout))
 }
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (n *Node) refuseUnrunnable(id uint64, jobID protocol.JobID, why string) {
-	n.lookUp(id, jobID, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
+	n.lookUp(id, jobID, n.now.Add(tuning.UserRequestTimeout), func(s *protocol.Status) {
 		if s != nil {
 			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
 			return
@@ -92,16 +92,16 @@
 	state := n.cfg.Cluster.State
 	rec := bookkeeping.Job{Writer: n.unique(), Spec: spec, AtMs: n.now.UnixMilli(),
 		RecordTasks: bookkeeping.TasksPerRecord(state.ValueKB, state.TxnOps, spec)}
-	return bookkeeping.Encode(protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
-		Then: []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(rec)}},
+	return bookkeeping.Encode(protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
+		Changes:    []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(rec)}},
 	})
 }
 
 // storeSubmission sends it, and again while its answer is lost: it may yet apply, and
 // the same one again finds out.
 func (n *Node) storeSubmission(id uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
-	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
+	n.state("POST", protocol.PathTransactions, txn, func(status int, _ []byte) {
 		switch {
 		case status == 200:
 			n.reply(id, 201, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
@@ -141,8 +141,8 @@
 }
 
 // submission is a submission on its way to a peer.
-func submission(spec *protocol.Job) protocol.PeerRequest {
-	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
+func submission(spec *protocol.Job) protocol.PeerUserRequest {
+	return protocol.PeerUserRequest{Operation: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
 }
 
 // query answers a user's poll.
@@ -162,13 +162,13 @@
 		n.shed(id)
 		return
 	}
-	n.answerQuery(id, jobID, n.now.Add(tuning.UserDeadline))
+	n.answerQuery(id, jobID, n.now.Add(tuning.UserRequestTimeout))
 }
 
 // stateUnreachable says whether requests to the state service hang: a user is better
 // told at once to come back, perhaps to another node.
 func (n *Node) stateUnreachable() bool {
-	return n.unanswered && n.now.Sub(n.servedAt) >= tuning.CutOffAfter
+	return n.unanswered && n.now.Sub(n.servedAt) >= tuning.StoreUnreachableTimeout
 }
 
 // shed turns a user's request away because too much is asked.
@@ -193,7 +193,7 @@
 
 // cacheFinal remembers a final state; it never changes.
 func (n *Node) cacheFinal(jobID protocol.JobID, f bookkeeping.Final) {
-	if len(n.finals) >= tuning.FinalCache {
+	if len(n.finals) >= tuning.MaxCachedFinalStates {
 		clear(n.finals)
 	}
 	n.finals[jobID] = f
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"reflect"
+	"strings"
 )
 
 // JobID names a job, as in run-000412. Its user chooses it; no two jobs share one.
@@ -48,17 +49,34 @@
 // MachineTypeName names a machine type of the cloud's price list.
 type MachineTypeName string
 
+// decodeError is a decoder's error in the words of the wire. Senders are told them, so
+// that they are part of the protocol and do not follow the names of types in Go.
+type decodeError struct{ cause *json.UnmarshalTypeError }
+
+// errorWords puts the names of messages in errors in the place of the types' own.
+var errorWords = strings.NewReplacer(
+	"struct field Heartbeat.", "struct field Report.",
+	"struct field TaskStatus.", "struct field TaskReport.",
+	"protocol.Heartbeat", "protocol.Report",
+	"protocol.TaskStatus", "protocol.TaskReport",
+)
+
+func (e *decodeError) Error() string { return errorWords.Replace(e.cause.Error()) }
+
+func (e *decodeError) Unwrap() error { return e.cause }
+
 // inWireTypes has a decoder's error name the type that an identifier has in JSON and not
-// the identifier's own: senders are told the error.
+// the identifier's own, and a message by its name in errors.
 func inWireTypes(err error) error {
 	var mismatch *json.UnmarshalTypeError
-	if errors.As(err, &mismatch) {
-		switch mismatch.Type {
-		case reflect.TypeFor[MachineID](), reflect.TypeFor[MachineTypeName](), reflect.TypeFor[ZoneName]():
-			mismatch.Type = reflect.TypeFor[string]()
-		case reflect.TypeFor[AttemptNumber](), reflect.TypeFor[Incarnation](), reflect.TypeFor[Sequence](), reflect.TypeFor[Term]():
-			mismatch.Type = reflect.TypeFor[uint64]()
-		}
+	if !errors.As(err, &mismatch) {
+		return err
+	}
+	switch mismatch.Type {
+	case reflect.TypeFor[MachineID](), reflect.TypeFor[MachineTypeName](), reflect.TypeFor[ZoneName]():
+		mismatch.Type = reflect.TypeFor[string]()
+	case reflect.TypeFor[AttemptNumber](), reflect.TypeFor[Incarnation](), reflect.TypeFor[Sequence](), reflect.TypeFor[Term]():
+		mismatch.Type = reflect.TypeFor[uint64]()
 	}
-	return err
+	return &decodeError{mismatch}
 }
