--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -97,7 +97,7 @@
 // Levels of what a node knows. A node announces its own in a form that the first
 // version, which knows none, takes for an answer to nothing and drops.
 const (
-	// PeerKnowsCancelled: PeerCancelled, PeerConfirmRequest and PeerConfirm, and job
+	// PeerKnowsCancelled: PeerCancellation, PeerConfirmRequest and PeerConfirmation, and job
 	// records with more parts than their number of tasks per record implies.
 	PeerKnowsCancelled = 1
 	// PeerKnowsStaged: parts of a job that are written before the job's own record
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -47,7 +47,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// LeaseRequest asks for a lease; LeaseAnswer names it.
+// LeaseRequest asks for a lease; LeaseResponse names it.
 type LeaseRequest struct {
 	TTLMs int64 `json:"ttl_ms"`
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -26,7 +26,7 @@
 
 // Operator holds what operators may set in the properties file.
 type Operator struct {
-	// IdleReturn is how long a machine may be idle before it is returned.
+	// MachineIdleTimeout is how long a machine may be idle before it is returned.
 	// The cloud charges a minute at least, and a boot costs most of one.
 	MachineIdleTimeout time.Duration
 	// SparesPerZone is the number of idle machines kept in every zone.
