--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -47,6 +47,7 @@
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/storage",
 		"internal/config",
+		"internal/coordination/agents",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
 		"internal/coordination/kv",
@@ -71,6 +72,15 @@
 		"internal/protocol",
 		"internal/tuning",
 	}},
+	"internal/coordination/agents": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/lifecycle",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/reconcile",
--- /dev/null
+++ b/internal/coordination/agent_client.go
@@ -0,0 +1,97 @@
+package coordination
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/agents"
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// agentClient makes the leader's calls to agents. What is answered after that leader has
+// stepped down is dropped.
+type agentClient struct{ l *leader }
+
+// SendCommands implements agents.Client.
+func (c agentClient) SendCommands(machine *cluster.Machine, commands protocol.CommandBatch, done func(agents.CallResult)) {
+	body, answered := storage.Encode(commands), c.whileLeading(done)
+	if c.l.usesProxies() && c.l.n.delegate(machine, body, answered) {
+		return
+	}
+	c.l.n.request(ToWorker, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, answered)
+}
+
+// RequestHeartbeat implements agents.Client.
+func (c agentClient) RequestHeartbeat(machine *cluster.Machine, done func(agents.CallResult)) {
+	c.l.n.request(ToWorker, machine.Address, http.MethodGet, protocol.PathInspect, nil, tuning.ProbeTimeout, c.whileLeading(done))
+}
+
+func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
+	return func(status int, body []byte) {
+		if c.l.n.lead == c.l {
+			done(callResult(status, body))
+		}
+	}
+}
+
+// callResult is what an agent's answer to a call says.
+func callResult(status int, body []byte) agents.CallResult {
+	var result agents.CallResult
+	switch status {
+	case 0:
+		return agents.CallResult{Outcome: agents.Unknown}
+	case http.StatusOK:
+		result.Outcome = agents.Answered
+	case http.StatusConflict:
+		result.Outcome = agents.Refused
+	default:
+		return agents.CallResult{Outcome: agents.Failed}
+	}
+	result.Heartbeat, result.Malformed = protocol.ParseHeartbeat(body)
+	return result
+}
+
+// delegate has a peer send commands to an agent, if all links are there: a call
+// is a new connection mostly, which costs much of a small share of a core. What
+// the peer does not answer in time may still be executed, as any command that
+// was not answered. Probes are not delegated: they judge a machine.
+func (n *Node) delegate(machine *cluster.Machine, body []byte, done func(status int, body []byte)) bool {
+	if !n.fullyConnected() {
+		return false
+	}
+	n.nextID++
+	n.delegated[n.nextID] = delegatedCall{done, n.now.Add(tuning.ProbeTimeout + tuning.DelegatedCallMargin)}
+	n.sendTo(n.proxyFor(machine.ID, n.cfg.Name, 0), protocol.PeerAgentCall{ID: n.nextID, Origin: n.cfg.Name, Address: machine.Address, Body: body})
+	return true
+}
+
+// callFor sends commands to an agent for the leader.
+func (n *Node) callFor(c protocol.PeerAgentCall) {
+	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
+		n.sendTo(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
+	})
+}
+
+// TaskStarting implements agents.DeliveryEnvironment.
+func (l *leader) TaskStarting(attempt *cluster.Attempt) {
+	l.n.metrics.Starts++
+	l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
+}
+
+// MayCommand implements agents.DeliveryEnvironment.
+func (l *leader) MayCommand() bool { return l.n.mayAct() }
+
+// Leads implements agents.LivenessEnvironment.
+func (l *leader) Leads() bool { return l.n.lead == l }
+
+// AllPeersReachable implements agents.LivenessEnvironment.
+func (l *leader) AllPeersReachable() bool { return len(l.n.reachablePeers()) == len(l.n.cfg.Peers) }
+
+// ConfirmationGrace implements agents.LivenessEnvironment.
+func (l *leader) ConfirmationGrace() time.Duration { return l.n.grace() }
+
+// CommandsPending implements lifecycle.Environment.
+func (l *leader) CommandsPending(machine *cluster.Machine) { l.agents.Delivery.Enqueue(machine) }
--- /dev/null
+++ b/internal/coordination/agents/liveness.go
@@ -0,0 +1,195 @@
+package agents
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// LivenessEnvironment is what judging agents needs of the leader.
+type LivenessEnvironment interface {
+	// Leads says whether the leader leads still.
+	Leads() bool
+	// AllPeersReachable says whether this controller has a link to every other.
+	AllPeersReachable() bool
+	// ConfirmationGrace is how long a leader may go on answering agents after its leader
+	// lease has ended, as long as its peers confirm it.
+	ConfirmationGrace() time.Duration
+}
+
+// Liveness judges which agents are there: it probes those that are silent, takes the tasks
+// of those whose lease has surely expired for gone, and has machines returned that answer
+// nothing, unless the network is suspected and not they.
+type Liveness struct {
+	state      *cluster.State
+	lifecycle  *lifecycle.Manager
+	recovery   *reconcile.Phase
+	scheduler  *scheduler.Scheduler
+	fleet      Fleet
+	calls      *Calls
+	delivery   *Delivery
+	heartbeats *Heartbeats
+	env        LivenessEnvironment
+	log        *slog.Logger
+}
+
+// LeaseExpiresAt is when an agent's lease has surely expired. One that this leader never
+// answered may have been answered by its predecessor for the whole of the predecessor's
+// grace.
+func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
+	grace := l.env.ConfirmationGrace()
+	from := l.state.LeadingSince.Add(grace)
+	if machine.Agent.AnsweredAt.After(from) {
+		from = machine.Agent.AnsweredAt
+	}
+	lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
+	return from.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
+}
+
+// suspectedCuts are the zones in which the network is suspected.
+type suspectedCuts struct {
+	suspected map[protocol.ZoneName]bool
+	// The same as soon as a machine with replicas may be missing, and the zones most of whose
+	// machines report as ever; nil until they are needed.
+	early, heard map[protocol.ZoneName]bool
+}
+
+// Tick looks for agents that are silent, whose lease has expired, or that are gone.
+func (l *Liveness) Tick() {
+	suspected, _ := l.state.SuspectedZones(l.state.SilenceTimeout())
+	cuts := suspectedCuts{suspected: suspected}
+	for _, machine := range l.state.OrderedMachines {
+		if !l.env.Leads() {
+			return
+		}
+		l.delivery.presentToken(machine)
+		missing := l.isReplicaHostMissing(machine)
+		if l.isExpectedSilent(machine) || l.state.HeardRecently(machine) && !l.state.NotReceiving(machine) && !missing {
+			continue
+		}
+		l.expireLease(machine)
+		l.probeIfDue(machine)
+		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
+			l.fleet.ReturnMachine(machine, "lapsed and of no known address")
+		}
+		if machine.Deleting || !l.isUnresponsive(machine, missing) {
+			continue
+		}
+		switch {
+		case !missing && l.mayReturnSilent(machine, &cuts):
+			l.ReturnSilent(machine, "silent")
+		case missing && l.mayReturnReplicaHost(machine, &cuts):
+			l.ReturnSilent(machine, "silent, with replicas")
+		}
+	}
+}
+
+// isExpectedSilent says whether an agent need not have been heard of yet.
+func (l *Liveness) isExpectedSilent(machine *cluster.Machine) bool {
+	return l.fleet.Booting(machine) || l.state.Now().Sub(l.state.LeadingSince) < l.state.SilenceTimeout()
+}
+
+// isReplicaHostMissing says whether a machine with replicas has been silent for longer than
+// these can wait.
+func (l *Liveness) isReplicaHostMissing(machine *cluster.Machine) bool {
+	return l.state.HasReplicas(machine) && machine.Agent.Heard && l.state.Now().Sub(machine.Agent.LastHeartbeat) > l.state.ReplicaSilenceTimeout()
+}
+
+// expireLease takes all tasks of an agent for gone once its lease has surely expired.
+func (l *Liveness) expireLease(machine *cluster.Machine) {
+	now := l.state.Now()
+	if machine.Agent.LeaseExpired || l.state.HeardRecently(machine) || !now.After(l.LeaseExpiresAt(machine)) {
+		return
+	}
+	machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
+	l.log.Info("lease lapsed", "machine", machine.ID)
+	l.recovery.Known(machine.ID)
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		l.lifecycle.RemoveGone(attempt)
+	}
+}
+
+// isUnresponsive says whether an agent answers neither probes nor has sent a heartbeat for
+// so long that its machine is taken for dead, but for suspected cuts.
+func (l *Liveness) isUnresponsive(machine *cluster.Machine, hasReplicas bool) bool {
+	if machine.Agent.FailedProbes < tuning.MaxUnansweredProbes {
+		return false
+	}
+	// With a peer out of reach the agent may be behind the same cut and on its way to a
+	// controller that forwards its heartbeats. Nor is one not receiving then because it does
+	// not answer this controller's calls.
+	whole := l.env.AllPeersReachable()
+	if whole && l.state.NotReceiving(machine) {
+		return true
+	}
+	patience := l.patienceBehindCut(hasReplicas)
+	if whole {
+		patience = l.patience(hasReplicas)
+	}
+	return l.state.Now().Sub(machine.Agent.LastHeartbeat) > patience
+}
+
+// patience is how long an agent whose probes are not answered may be silent.
+func (l *Liveness) patience(hasReplicas bool) time.Duration {
+	if hasReplicas {
+		return l.state.ReplicaSilenceTimeout()
+	}
+	return l.state.SilenceTimeout()
+}
+
+// patienceBehindCut is the same while a peer is out of reach: a machine with replicas is
+// given no more time than the way to a controller that forwards its heartbeats takes.
+func (l *Liveness) patienceBehindCut(hasReplicas bool) time.Duration {
+	if hasReplicas {
+		interval := config.Seconds(l.state.Config.Cluster.Workers.ReportS * tuning.MaxHeartbeatIntervalFactor)
+		return max(l.state.ReplicaSilenceTimeout(), interval+tuning.HeartbeatRerouteTime)
+	}
+	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
+}
+
+// mayReturnSilent says whether a machine, not the network, is at fault, or has been gone for
+// longer than another takes to boot.
+func (l *Liveness) mayReturnSilent(machine *cluster.Machine, cuts *suspectedCuts) bool {
+	return !cuts.suspected[machine.Zone] || l.state.Outwaited(machine)
+}
+
+// mayReturnReplicaHost says the same of a machine with replicas, or that these have places
+// in zones that are heard of.
+func (l *Liveness) mayReturnReplicaHost(machine *cluster.Machine, cuts *suspectedCuts) bool {
+	if cuts.early == nil {
+		cuts.early, cuts.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
+	}
+	return !cuts.early[machine.Zone] || l.state.Outwaited(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, cuts.heard)
+}
+
+// ReturnSilent returns a machine that does not answer.
+func (l *Liveness) ReturnSilent(machine *cluster.Machine, reason string) {
+	l.scheduler.LostMachineAt[machine.Zone] = l.state.Now()
+	l.fleet.ReturnMachine(machine, reason)
+}
+
+// probeIfDue asks a silent agent for its heartbeat.
+func (l *Liveness) probeIfDue(machine *cluster.Machine) {
+	if machine.Agent.Probing || l.state.Now().Before(machine.Agent.ProbeNotBefore) || machine.Address == "" || machine.Deleting || !l.calls.MayProbe() {
+		return
+	}
+	machine.Agent.Probing = true
+	l.calls.RequestHeartbeat(machine, func(result CallResult) {
+		machine.Agent.Probing, machine.Agent.ProbeNotBefore = false, l.state.Now().Add(tuning.ProbeTimeout)
+		if l.state.HasReplicas(machine) {
+			machine.Agent.ProbeNotBefore = l.state.Now()
+		}
+		if result.Outcome != Answered {
+			machine.Agent.FailedProbes++
+			return
+		}
+		l.heartbeats.ObserveAnswer(machine, result)
+	})
+}
--- /dev/null
+++ b/internal/coordination/agents/reconciliation.go
@@ -0,0 +1,195 @@
+package agents
+
+import (
+	"maps"
+	"time"
+
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// storedRecords shows the cluster model to package reconcile: what the records place, and
+// what else is known to take capacity.
+type storedRecords struct {
+	state *cluster.State
+	env   HeartbeatEnvironment
+	// startsAnswered: the agent's state came in a heartbeat that is answered, so that a start
+	// in an earlier response is known to have come or not.
+	startsAnswered bool
+}
+
+// Job implements reconcile.Records.
+func (s *storedRecords) Job(id protocol.JobID) (reconcile.Job, bool) {
+	job := s.state.Jobs[id]
+	if job == nil {
+		return reconcile.Job{Unreadable: s.env.Unreadable(id)}, false
+	}
+	return reconcile.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.env.Unreadable(id)}, true
+}
+
+// Task implements reconcile.Records.
+func (s *storedRecords) Task(id reconcile.TaskID) reconcile.Task {
+	t := &s.state.Jobs[id.Job].Tasks[id.Index]
+	task := reconcile.Task{LastAttempt: t.LastAttempt, Done: t.Done}
+	if t.Active != nil {
+		task.Machine = t.Active.Machine.ID
+	}
+	return task
+}
+
+// Attempts implements reconcile.Records.
+func (s *storedRecords) Attempts(name protocol.MachineID, list []reconcile.Attempt) []reconcile.Attempt {
+	machine := s.state.Machines[name]
+	if machine == nil {
+		return list
+	}
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
+	}
+	return list
+}
+
+// undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
+func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
+	if !attempt.StartSent || attempt.StartsInFlight > 0 || attempt.StartUnanswered || attempt.StartInResponse && !s.startsAnswered {
+		return true
+	}
+	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
+}
+
+// attemptID is how package reconcile names an attempt.
+func attemptID(attempt *cluster.Attempt) reconcile.AttemptID {
+	return reconcile.AttemptID{TaskID: reconcile.TaskID{Job: attempt.Job.ID, Index: attempt.Key.Index}, Attempt: attempt.Key.Number}
+}
+
+// resolve does what each difference between a heartbeat and the records asks for.
+func (h *Heartbeats) resolve(machine *cluster.Machine, heartbeat *protocol.Heartbeat, differences []reconcile.Difference) {
+	machine.Agent.Exited = machine.Agent.Exited[:0]
+	unnamed, unproven := false, false
+	for _, d := range differences {
+		h.recovery.Observe(d)
+		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
+		if d.Entry >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.Entry].State == protocol.TaskExited {
+			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.Entry])
+		}
+		switch d.Class.Resolution() {
+		case reconcile.Keep:
+			if d.Class == reconcile.Unreadable {
+				unnamed = !h.noteUnreadable(machine, &heartbeat.Tasks[d.Entry]) || unnamed
+				continue
+			}
+			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.Entry].State != protocol.TaskExited {
+				h.observeState(attempt, heartbeat.Tasks[d.Entry].State)
+			}
+		case reconcile.Await:
+			unproven = unproven || d.Current
+		case reconcile.Release:
+			if attempt := machine.Attempts[key]; attempt != nil {
+				h.lifecycle.RemoveGone(attempt)
+			}
+		case reconcile.Stop:
+			h.stopOrphan(machine, key, &heartbeat.Tasks[d.Entry], d)
+		case reconcile.RecordEnd:
+			h.recordEnd(machine, key, &heartbeat.Tasks[d.Entry])
+		}
+	}
+	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
+	h.returnIfUnreadable(machine, unnamed, unproven)
+}
+
+// observeState notes the state of an attempt that an agent has.
+func (h *Heartbeats) observeState(attempt *cluster.Attempt, state protocol.TaskState) {
+	if state == "" {
+		state = stateUnknown // seen all the same, so that it is not started again
+	}
+	attempt.ReportedState = state
+	attempt.StartSent = true
+	if state == protocol.TaskRunning && attempt.RunningSince.IsZero() {
+		attempt.RunningSince = h.state.Now()
+		h.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
+	}
+}
+
+// stateUnknown stands for a state that an agent left empty.
+const stateUnknown protocol.TaskState = "unknown"
+
+// stopOrphan has an attempt that no record asks for stopped. It takes capacity until it is gone,
+// and must be gone before its task starts anywhere else. What a heartbeat
+// shows that may be a late copy is counted as there and not yet stopped: the agent may have
+// ended it.
+func (h *Heartbeats) stopOrphan(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d reconcile.Difference) {
+	job := h.state.Jobs[key.Job]
+	if job == nil || key.Index >= len(job.Tasks) {
+		if d.Current {
+			machine.Delivery.Orphans = append(machine.Delivery.Orphans, key)
+		}
+		return
+	}
+	attempt := machine.Attempts[key]
+	if attempt == nil {
+		attempt = h.state.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
+		attempt.Committed, attempt.StartSent, attempt.Recovered, attempt.Orphaned = true, true, true, true
+	}
+	h.observeState(attempt, entry.State)
+	h.skipAttemptNumbers(job, key)
+	if d.Current || job.Cancelled {
+		if !attempt.Stopping {
+			h.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
+		}
+		h.lifecycle.Stop(attempt, 0)
+	}
+}
+
+// skipAttemptNumbers has the next attempt of a task numbered above one that the records never
+// had: a start of the same attempt would do nothing where the old one is.
+func (h *Heartbeats) skipAttemptNumbers(job *cluster.Job, key cluster.AttemptID) {
+	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.MaxTrustedAttempt {
+		task.LastAttempt = key.Number
+	}
+}
+
+// recordEnd takes the end of an attempt, and of its task if it is done.
+func (h *Heartbeats) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus) {
+	if job := h.state.Jobs[key.Job]; entry.Cause == protocol.CauseDone && job != nil {
+		h.lifecycle.MarkDone(job, key.Index)
+		clear(machine.FailedJobs)
+	}
+	attempt := machine.Attempts[key]
+	if attempt == nil {
+		return
+	}
+	if attempt.StartUnanswered || attempt.StartsInFlight > 0 {
+		machine.Delivery.Pinned[key] = true
+	}
+	attempt.ReportedState = protocol.TaskExited
+	h.lifecycle.HandleExit(attempt, entry)
+	h.lifecycle.RemoveGone(attempt)
+}
+
+// noteUnreadable takes an entry that makes no sense, which is logged once for each machine
+// and name; named is false if it does not even name a task.
+func (h *Heartbeats) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
+	id, _, named := protocol.SplitTask(entry.Task)
+	if named && h.env.Unreadable(id) {
+		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
+		return true
+	}
+	h.env.LogOnce("entry of a report makes no sense", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
+	return named
+}
+
+// returnIfUnreadable returns a machine whose heartbeats have had entries that name no task for
+// a lease, if they keep it from proving something gone: its deletion does.
+func (h *Heartbeats) returnIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
+	switch {
+	case !unnamed:
+		machine.Agent.UnreadableSince = time.Time{}
+	case machine.Agent.UnreadableSince.IsZero():
+		machine.Agent.UnreadableSince = h.state.Now()
+	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Workers.LeaseS):
+		h.fleet.ReturnMachine(machine, "its reports cannot be read")
+	}
+}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
@@ -62,7 +63,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, ok := l.report(r, true); !ok {
+		if l.agents.Heartbeats.Accept(r).Outcome != agents.Accepted {
 			b.Fatal("not taken")
 		}
 	}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -225,7 +225,7 @@
 		}
 		l.lifecycle.CheckEnded(job)
 	}
-	l.sendDirect()
+	l.agents.Delivery.SendPending()
 	l.commitNext()
 }
 
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -84,7 +84,7 @@
 	if l.inFlight == nil && len(l.dirty) > 0 {
 		by(l.commitAt)
 	}
-	if len(l.directQueue) > 0 {
+	if len(l.agents.Delivery.Pending()) > 0 {
 		by(l.n.now)
 	}
 }
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -17,9 +17,8 @@
 // These tests hold one guard each that whole days break too rarely to show.
 
 func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
-	cmds, _ := l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}, true)
-	return cmds
+	return l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}).Commands
 }
 
 func ops(cmds []protocol.Command) (s string) {
@@ -90,7 +89,8 @@
 	clear(job.Write.Dirty)
 	attempt := job.SortedAttempts()[0]
 	attempt.Committed = true
-	l.direct(machine, l.orders(machine, false))
+	l.agents.Delivery.Enqueue(machine)
+	l.agents.Delivery.SendPending()
 	r := l.n.lastRequest(t, ToWorker)
 	l.n.handle(Response{ID: r.ID})
 	l.testReport(machine, l.n.lease.term)
@@ -122,7 +122,7 @@
 	at := func(d time.Duration) {
 		l.n.now = start.Add(d)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.tickMachines()
+		l.agents.Liveness.Tick()
 	}
 	at(lease + l.n.grace() - time.Second)
 	if len(job.Attempts) != 1 {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
@@ -35,7 +36,7 @@
 	l := fullFleet(0)
 	n := l.n
 	n.cfg.Cluster.Resources = bigResources
-	l.calls = n.workerCalls()
+	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
@@ -66,7 +67,7 @@
 			t.Fatalf("%d calls under way", len(open))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.calls.Burst())
+	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
 	if calls == 0 || float64(calls) > most {
 		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
 	}
@@ -80,12 +81,12 @@
 func TestOrdersBeforeProbes(t *testing.T) {
 	l := fullFleet(0)
 	l.n.cfg.Cluster.Resources = bigResources
-	l.calls = l.n.workerCalls()
+	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
-	l.tickMachines()
+	l.agents.Liveness.Tick()
 	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
 	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
@@ -93,7 +94,7 @@
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.lifecycle.Stop(attempt, 0)
 	}
-	l.sendDirect()
+	l.agents.Delivery.SendPending()
 	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
@@ -103,7 +104,7 @@
 // and with two changes a second jobs still end.
 func TestNoLimits(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	if !l.mayCall(false) || !l.mayCall(true) {
+	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
 		t.Error("no worker may be called")
 	}
 	n := l.n
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,6 +4,7 @@
 	"strings"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
@@ -12,7 +13,6 @@
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
-	"golang.org/x/time/rate"
 )
 
 // leader is everything that only the leading controller knows. It is rebuilt
@@ -24,10 +24,9 @@
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
-	stored     storedState     // all of this as package reconcile sees it
-	reconciler reconcile.Reconciler
 	recovery   *reconcile.Phase
 	lifecycle  *lifecycle.Manager
+	agents     *agents.Manager
 	restored   restoredStore
 
 	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
@@ -35,11 +34,8 @@
 	cleanup        []string                 // keys to delete when there is time
 	inFlight       *commit
 	commitAt       time.Time
-	directQueue    []*cluster.Machine // have orders that should not wait for a report
-	calls          *rate.Limiter      // calls to workers: direct orders and probes
-	calling        int                // calls to workers under way
-	proxying       bool               // the peers answer a part of the workers
-	plan           bool               // something changed that placement may depend on
+	proxying       bool // the peers answer a part of the workers
+	plan           bool // something changed that placement may depend on
 	planAt         time.Time
 	watchAt        time.Time // when the machines are looked over again
 	autoscaler     *autoscaler.Autoscaler
@@ -70,9 +66,21 @@
 // Drain implements autoscaler.Environment.
 func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
 
-// Unreadable implements lifecycle.Environment.
+// Unreadable implements lifecycle.Environment and agents.Environment.
 func (l *leader) Unreadable(job protocol.JobID) bool { return l.unreadable[job] }
 
+// LogOnce implements agents.HeartbeatEnvironment.
+func (l *leader) LogOnce(message, key string, attributes ...any) {
+	if l.logged[key] {
+		return
+	}
+	if len(l.logged) >= tuning.MaxRememberedLogKeys {
+		clear(l.logged)
+	}
+	l.logged[key] = true
+	l.n.log.Error(message, attributes...)
+}
+
 // RecordChanged marks one of a job's records as to be written.
 func (l *leader) RecordChanged(job *cluster.Job, record int) {
 	if job.Finished {
@@ -149,7 +157,7 @@
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
 		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
-		l.tickMachines()
+		l.agents.Liveness.Tick()
 		if l.n.lead != l {
 			return
 		}
@@ -167,5 +175,5 @@
 	}
 	l.splitOutgrown()
 	l.commitNext()
-	l.sendDirect()
+	l.agents.Delivery.SendPending()
 }
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -43,7 +43,7 @@
 // expireConfirmedCancels drops the cancellations that have taken effect.
 func (n *Node) expireConfirmedCancels() {
 	for jobID, at := range n.confirmedCancels {
-		if n.now.Sub(at) > withDrift(config.Seconds(n.cfg.Cluster.Workers.CancelS)) {
+		if n.now.Sub(at) > config.WithClockDrift(config.Seconds(n.cfg.Cluster.Workers.CancelS)) {
 			delete(n.confirmedCancels, jobID)
 		}
 	}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -32,7 +33,7 @@
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
 			l.n.lease.renewedAt, l.n.syncedAt, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
 			l.n.out = nil
-			l.tickMachines()
+			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
 				r, ok := a.(Request)
 				if !ok || r.To != ToWorker {
@@ -68,7 +69,7 @@
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, FencingToken: l.n.lease.term}, true)
+	l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, FencingToken: l.n.lease.term})
 	if l.cluster.Schedulable(machine) {
 		t.Error("takes new work")
 	}
@@ -93,7 +94,7 @@
 						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 					}
 				}
-				l.tickMachines()
+				l.agents.Liveness.Tick()
 				for _, a := range l.n.out {
 					if r, ok := a.(Request); ok && r.To == ToWorker {
 						l.n.handle(Response{ID: r.ID})
@@ -125,7 +126,7 @@
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.lease.term}, false)
+		l.agents.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.lease.term}})
 	}
 	if !l.cluster.ConfirmedAlive(machine) || l.cluster.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(machine), l.cluster.Schedulable(machine))
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -1,9 +1,7 @@
 package coordination
 
 import (
-	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
-	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -13,14 +11,10 @@
 	if !l.n.cfg.Operator.RecoveryPhase && !l.restored.marked {
 		return
 	}
-	stored := make(map[protocol.MachineID][]reconcile.Attempt, len(l.cluster.OrderedMachines))
-	for _, machine := range l.cluster.OrderedMachines {
-		stored[machine.ID] = l.stored.Attempts(machine.ID, nil)
-	}
-	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.MachineSweepInterval)
-	l.recovery.Begin(l.n.now, lapse, stored)
+	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
+	l.recovery.Begin(l.n.now, expiry, l.agents.StoredAttempts())
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -213,33 +214,38 @@
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
 	machine := l.cluster.OrderedMachines[0]
-	order := func(path string) (action Action, ended *int) {
+	pending := agents.CallOutcome(-1)
+	send := func(call func(done func(agents.CallResult))) (action Action, ended *agents.CallOutcome) {
 		n.out = nil
-		ended = new(int)
-		*ended = -1
-		l.call(machine, "POST", path, protocol.CommandBatch{FencingToken: 7}, func(status int, _ []byte) { *ended = status })
+		ended = new(agents.CallOutcome)
+		*ended = pending
+		call(func(result agents.CallResult) { *ended = result.Outcome })
 		return n.out[len(n.out)-1], ended
 	}
-	a, ended := order(protocol.PathCommands)
-	send, ok := a.(PeerSend)
+	commands := func(done func(agents.CallResult)) {
+		l.agents.Calls.SendCommands(machine, protocol.CommandBatch{FencingToken: 7}, done)
+	}
+	probe := func(done func(agents.CallResult)) { l.agents.Calls.RequestHeartbeat(machine, done) }
+	a, ended := send(commands)
+	toPeer, ok := a.(PeerSend)
 	if !ok {
 		t.Fatalf("orders leave as %T", a)
 	}
-	call := send.Message.(protocol.PeerAgentCall)
+	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
-	if *ended != 200 || l.calling != 0 {
-		t.Errorf("answered 200: ended with %d, %d under way", *ended, l.calling)
+	if *ended != agents.Answered || l.agents.Calls.InFlight != 0 {
+		t.Errorf("answered 200: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
 	}
-	_, ended = order(protocol.PathCommands)
+	_, ended = send(commands)
 	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
-	if *ended != 0 || l.calling != 0 {
-		t.Errorf("not answered: ended with %d, %d under way", *ended, l.calling)
+	if *ended != agents.Unknown || l.agents.Calls.InFlight != 0 {
+		t.Errorf("not answered: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
 	}
-	if a, _ := order(protocol.PathInspect); a.(Request).To != ToWorker {
+	if a, _ := send(probe); a.(Request).To != ToWorker {
 		t.Errorf("a probe leaves as %+v", a)
 	}
 	n.peers["p"].up = false
-	if a, _ := order(protocol.PathCommands); a.(Request).To != ToWorker {
+	if a, _ := send(commands); a.(Request).To != ToWorker {
 		t.Errorf("with a link missing orders leave as %+v", a)
 	}
 	// The peer's part.
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -2,8 +2,10 @@
 
 import (
 	"hash/fnv"
+	"net/http"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -209,22 +211,31 @@
 	}
 }
 
-// takeReport is the leader's answer to a report, forwarded or not.
-func (n *Node) takeReport(r *protocol.Heartbeat) (status int, body any) {
-	if n.lead == nil || !n.hasAuthority() {
-		return 421, protocol.Redirect{}
-	}
-	if r.FencingToken > n.lease.term {
-		// Somebody else has the right to command by now, or the state service was restored.
-		n.lead.refuseHigherToken(r)
-		return 503, protocol.ErrorBody{Error: "a higher token than this leader's"}
-	}
-	if n.lease.unconfirmed {
-		return 503, protocol.ErrorBody{Error: "not sure to lead"}
-	}
-	commands, ok := n.lead.report(r, true)
-	if !ok {
-		return 503, protocol.ErrorBody{Error: "an older report"}
-	}
-	return 200, protocol.HeartbeatResponse{FencingToken: n.lease.term, Commands: commands}
+// takeReport is the leader's answer to a heartbeat, forwarded or not.
+func (n *Node) takeReport(heartbeat *protocol.Heartbeat) (status int, body any) {
+	result := n.answerHeartbeat(heartbeat)
+	switch result.Outcome {
+	case agents.Accepted:
+		return http.StatusOK, protocol.HeartbeatResponse{FencingToken: result.FencingToken, Commands: result.Commands}
+	case agents.Stale:
+		return http.StatusServiceUnavailable, protocol.ErrorBody{Error: "an older report"}
+	case agents.HigherToken:
+		return http.StatusServiceUnavailable, protocol.ErrorBody{Error: "a higher token than this leader's"}
+	case agents.LeadershipUnconfirmed:
+		return http.StatusServiceUnavailable, protocol.ErrorBody{Error: "not sure to lead"}
+	}
+	return http.StatusMisdirectedRequest, protocol.Redirect{}
+}
+
+// answerHeartbeat takes a heartbeat if this node leads.
+func (n *Node) answerHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
+	switch {
+	case n.lead == nil || !n.hasAuthority():
+		return agents.HeartbeatResult{Outcome: agents.NotLeading}
+	case n.lead.agents.Heartbeats.RefuseHigherToken(heartbeat):
+		return agents.HeartbeatResult{Outcome: agents.HigherToken}
+	case n.lease.unconfirmed:
+		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
+	}
+	return n.lead.agents.Heartbeats.Accept(heartbeat)
 }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -39,9 +39,8 @@
 	}
 }
 
-// refuseHigherToken takes a worker's token above this leader's term: the worker would drop
-// whatever it is answered.
-func (l *leader) refuseHigherToken(r *protocol.Heartbeat) {
+// HigherTokenSeen implements agents.HeartbeatEnvironment.
+func (l *leader) HigherTokenSeen(r *protocol.Heartbeat) {
 	s := &l.restored
 	if r.FencingToken > s.highest {
 		s.highest = r.FencingToken
@@ -130,7 +129,7 @@
 			continue
 		}
 		left = true
-		if l.n.now.After(l.lapseAt(machine)) {
+		if l.n.now.After(l.agents.Liveness.LeaseExpiresAt(machine)) {
 			l.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
 		}
 	}
@@ -181,9 +180,9 @@
 	})
 }
 
-// checkedTokens notes that a recorded worker has taken this leader's token: it held none
+// TokenConfirmed implements agents.HeartbeatEnvironment. It notes that a recorded worker has taken this leader's token: it held none
 // of another history.
-func (l *leader) checkedTokens(machine *cluster.Machine) {
+func (l *leader) TokenConfirmed(machine *cluster.Machine) {
 	if machine.Recovered && machine.Agent.TokenConfirmed && !l.restored.tokensChecked {
 		l.restored.tokensChecked, l.plan = true, true
 	}
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -26,14 +26,14 @@
 	if !l.scheduler.PlaceGang(job) {
 		t.Fatal("no place")
 	}
-	l.calls.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
-	l.calls.SetLimit(1)
+	l.agents.Calls.Limiter.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
+	l.agents.Calls.Limiter.SetLimit(1)
 	l.committed(&commit{jobs: []*jobWrite{{j: job, records: []int{0}}}}, 20)
 	var want []*cluster.Machine
 	for _, attempt := range job.SortedAttempts() {
 		want = append(want, attempt.Machine)
 	}
-	if !slices.Equal(l.directQueue, want) {
+	if !slices.Equal(l.agents.Delivery.Pending(), want) {
 		t.Error("the starts leave in another order than the tasks have")
 	}
 }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
@@ -17,12 +18,14 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true,
-		calls: n.workerCalls()}
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
-	l.stored.l = l
+	l.agents = agents.New(agents.Dependencies{
+		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
+		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
+	})
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
 	n.typesAt = n.now // today's prices, and a record of the types if there is none
@@ -177,7 +180,7 @@
 func (l *leader) addTasks(job *cluster.Job, record int, tasks []storage.Task) {
 	for _, t := range tasks {
 		if t.Index < 0 || t.Index >= len(job.Tasks) {
-			l.logOnce("record names a task that its job does not have", string(job.ID), "job", job.ID, "task", t.Index)
+			l.LogOnce("record names a task that its job does not have", string(job.ID), "job", job.ID, "task", t.Index)
 			continue
 		}
 		if record >= job.BaseRecords() {
@@ -195,7 +198,7 @@
 		}
 		machine := l.cluster.EnsureMachine(t.Machine, "", "", "", false)
 		if machine.Attempts[cluster.AttemptID{Job: job.ID, Index: t.Index, Number: t.Attempt}] != nil {
-			l.logOnce("record places an attempt twice", string(job.ID), "job", job.ID, "task", t.Index)
+			l.LogOnce("record places an attempt twice", string(job.ID), "job", job.ID, "task", t.Index)
 			continue
 		}
 		attempt := l.cluster.AddAttempt(job, t.Index, t.Attempt, machine, t.Incarnation)
@@ -216,6 +219,6 @@
 	task.Active = attempt
 	if older != nil {
 		older.Orphaned = true
-		l.logOnce("record places a task twice", string(job.ID), "job", job.ID, "task", attempt.Key.Index)
+		l.LogOnce("record places a task twice", string(job.ID), "job", job.ID, "task", attempt.Key.Index)
 	}
 }
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -100,7 +100,7 @@
 	if list := l.scheduler.ReplicaCandidates(job, ""); len(list) != 2 {
 		t.Errorf("%d sites", len(list))
 	}
-	l.deleteSilent(late, "silent")
+	l.agents.Liveness.ReturnSilent(late, "silent")
 	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != far {
 		t.Errorf("placed on %v", job.Tasks[0].Active)
 	}
