--- a/internal/protocol/worker.go
+++ b/internal/protocol/agent.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// TaskState is the state of a task on a worker.
+// TaskState is the state of a task on a machine.
 type TaskState string
 
-// States of a task on a worker.
+// States of a task on a machine.
 const (
 	TaskFetching TaskState = "fetching"
 	TaskWaiting  TaskState = "waiting"
@@ -36,17 +36,17 @@
 	CauseUnknown     Cause = "no_such"
 )
 
-// CommandKind is what a command asks of a worker.
+// CommandKind is what a command asks of an agent.
 type CommandKind string
 
-// Verbs of a worker's commands.
+// Kinds of commands.
 const (
 	CommandStart  CommandKind = "start"
 	CommandStop   CommandKind = "halt"
 	CommandForget CommandKind = "reap"
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
 	Task    string        `json:"piece"`
 	Attempt AttemptNumber `json:"try"`
@@ -55,7 +55,7 @@
 	Saved   bool          `json:"kept,omitempty"`
 }
 
-// Heartbeat is a worker's report.
+// Heartbeat is what an agent says of its machine and the tasks on it.
 type Heartbeat struct {
 	Machine           MachineID       `json:"berth"`
 	Address           string          `json:"address"`
@@ -69,17 +69,17 @@
 	Tasks             []TaskStatus    `json:"pieces"`
 }
 
-// Newer says whether r is a newer message than (incarnation, sequence).
-func (r *Heartbeat) Newer(incarnation Incarnation, sequence Sequence) bool {
-	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Sequence > sequence
+// Newer says whether h is a newer message than (incarnation, sequence).
+func (h *Heartbeat) Newer(incarnation Incarnation, sequence Sequence) bool {
+	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// HasAttempt says whether the report has an attempt of a task, in any state.
-func (r *Heartbeat) HasAttempt(task string, attempt AttemptNumber) bool {
-	return slices.ContainsFunc(r.Tasks, func(t TaskStatus) bool { return t.Attempt == attempt && t.Task == task })
+// HasAttempt says whether the heartbeat has an attempt of a task, in any state.
+func (h *Heartbeat) HasAttempt(task string, attempt AttemptNumber) bool {
+	return slices.ContainsFunc(h.Tasks, func(t TaskStatus) bool { return t.Attempt == attempt && t.Task == task })
 }
 
-// ParseHeartbeat decodes and validates a worker's report.
+// ParseHeartbeat decodes and validates a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -108,7 +108,7 @@
 // TaskName is the name of a job's task.
 func TaskName(jobID JobID, index int) string { return string(jobID) + "/" + strconv.Itoa(index) }
 
-// Command is one order to a worker.
+// Command has an agent do something with an attempt of a task.
 type Command struct {
 	Kind    CommandKind   `json:"verb"`
 	Task    string        `json:"piece"`
@@ -132,18 +132,18 @@
 	return append(b, '}'), nil
 }
 
-// HeartbeatResponse is the answer to a report that was taken.
+// HeartbeatResponse answers a heartbeat that was taken.
 type HeartbeatResponse struct {
 	FencingToken Term      `json:"warrant"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends a worker to another node.
+// Redirect sends an agent to another node.
 type Redirect struct {
 	Target NodeName `json:"steward,omitempty"`
 }
 
-// CommandBatch is a direct command to a worker.
+// CommandBatch carries commands to an agent at once, not with the answer to its heartbeat.
 type CommandBatch struct {
 	FencingToken Term        `json:"warrant"`
 	Incarnation  Incarnation `json:"tenure"`
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -22,7 +22,7 @@
 // tasks of an older one, and refuses commands that are meant for that. 0: not known.
 type Incarnation uint64
 
-// Sequence numbers an agent's reports within an incarnation.
+// Sequence numbers an agent's heartbeats within an incarnation.
 type Sequence uint64
 
 // Revision counts the changes of the key-value store. That of a key is the store's at the
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -162,6 +162,30 @@
 	return spec, nil
 }
 
+// Keys of a submission's fields, by which a refusal names them.
+const (
+	keyID          = "uid"
+	keyClass       = "lane"
+	keyTeam        = "crew"
+	keyShape       = "shape"
+	keyPriority    = "rank"
+	keyTasks       = "pieces"
+	keyCPUs        = "cpus"
+	keyGPUs        = "gpus"
+	keyMemoryGB    = "memory_gb"
+	keyImage       = "bundle"
+	keyImageGB     = "pull_gb"
+	keyTypes       = "builds"
+	keyZone        = "yard"
+	keyOneZone     = "one_zone"
+	keySpread      = "scatter"
+	keySpot        = "loaners"
+	keyEstimateS   = "expect_s"
+	keyCheckpointS = "snapshot_s"
+	keySaveS       = "flush_s"
+	keyDeadlineS   = "due_s"
+)
+
 // jobChecker takes the fields of a submission and notes the wire names of those that
 // are missing or invalid.
 type jobChecker struct{ bad []string }
@@ -169,31 +193,31 @@
 // job takes all fields.
 func (c *jobChecker) job(w *jobWire) *Job {
 	spec := &Job{
-		ID:          JobID(c.text("uid", w.ID)),
-		Class:       c.text("lane", w.Class),
-		Team:        TeamName(c.text("crew", w.Team)),
-		Shape:       Shape(c.text("shape", w.Shape)),
-		Priority:    c.text("rank", w.Priority),
-		Image:       c.text("bundle", w.Image),
-		CPUs:        c.amount("cpus", w.CPUs),
-		GPUs:        c.amount("gpus", w.GPUs),
-		MemoryGB:    c.amount("memory_gb", w.MemoryGB),
-		ImageGB:     c.amount("pull_gb", w.ImageGB),
-		EstimateS:   c.amount("expect_s", w.EstimateS),
-		CheckpointS: c.amount("snapshot_s", w.CheckpointS),
-		SaveS:       c.amount("flush_s", w.SaveS),
-		DeadlineS:   c.optionalAmount("due_s", w.DeadlineS),
-		OneZone:     c.flag("one_zone", w.OneZone),
-		Spread:      c.flag("scatter", w.Spread),
-		Spot:        c.flag("loaners", w.Spot),
+		ID:          JobID(c.text(keyID, w.ID)),
+		Class:       c.text(keyClass, w.Class),
+		Team:        TeamName(c.text(keyTeam, w.Team)),
+		Shape:       Shape(c.text(keyShape, w.Shape)),
+		Priority:    c.text(keyPriority, w.Priority),
+		Image:       c.text(keyImage, w.Image),
+		CPUs:        c.amount(keyCPUs, w.CPUs),
+		GPUs:        c.amount(keyGPUs, w.GPUs),
+		MemoryGB:    c.amount(keyMemoryGB, w.MemoryGB),
+		ImageGB:     c.amount(keyImageGB, w.ImageGB),
+		EstimateS:   c.amount(keyEstimateS, w.EstimateS),
+		CheckpointS: c.amount(keyCheckpointS, w.CheckpointS),
+		SaveS:       c.amount(keySaveS, w.SaveS),
+		DeadlineS:   c.optionalAmount(keyDeadlineS, w.DeadlineS),
+		OneZone:     c.flag(keyOneZone, w.OneZone),
+		Spread:      c.flag(keySpread, w.Spread),
+		Spot:        c.flag(keySpot, w.Spot),
 	}
-	c.check("uid", ValidID(spec.ID))
-	c.check("shape", slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
+	c.check(keyID, ValidID(spec.ID))
+	c.check(keyShape, slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
 	_, known := ParsePriority(spec.Priority)
-	c.check("rank", known)
+	c.check(keyPriority, known)
 	spec.Tasks = c.tasks(w.Tasks)
 	if w.Zone != nil {
-		spec.Zone = ZoneName(c.text("yard", w.Zone))
+		spec.Zone = ZoneName(c.text(keyZone, w.Zone))
 	}
 	spec.Types = c.types(w.Types)
 	return spec
@@ -237,7 +261,7 @@
 
 func (c *jobChecker) tasks(value *uint64) int {
 	if value == nil || *value == 0 || *value > MaxTasks {
-		c.check("pieces", false)
+		c.check(keyTasks, false)
 		return 0
 	}
 	return int(*value)
@@ -252,7 +276,7 @@
 	var list []MachineTypeName
 	for _, t := range values {
 		if t == nil || *t == "" || len(*t) > maxTypeName || len(values) > maxTypes {
-			c.check("builds", false)
+			c.check(keyTypes, false)
 			return nil
 		}
 		list = append(list, MachineTypeName(*t))
--- /dev/null
+++ b/internal/protocol/peer_codec.go
@@ -0,0 +1,247 @@
+package protocol
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// Limits of what is decoded.
+const (
+	maxPeerString = MaxBody
+	// minEncodedTask is the least size of a task's status: five fields of a byte each.
+	minEncodedTask = 5
+)
+
+// oneByteVarint is the least number that takes more than one byte.
+const oneByteVarint = 0x80
+
+// codec encodes or decodes the fields of a message in their order. A message describes
+// itself once, in its method fields; each call there writes the field or reads it.
+type codec struct {
+	data     []byte // encoding: what was written; decoding: what is left to read
+	decoding bool
+	failed   bool // something does not parse, and nothing is left to read
+}
+
+func (m *PeerHello) fields(c *codec) { text(c, &m.Node) }
+
+func (m *PeerStatus) fields(c *codec) {
+	number(c, &m.Term)
+	text(c, &m.Leader)
+	c.boolean(&m.StateOK)
+	texts(c, &m.Links)
+	number(c, &m.DirectShare)
+}
+
+func (m *PeerForwardedHeartbeat) fields(c *codec) {
+	number(c, &m.ID)
+	text(c, &m.Origin)
+	text(c, &m.Target)
+	number(c, &m.Hops)
+	m.Heartbeat.fields(c)
+}
+
+func (m *PeerResponse) fields(c *codec) {
+	number(c, &m.ID)
+	text(c, &m.Target)
+	number(c, &m.Hops)
+	number(c, &m.Status)
+	c.bytes(&m.Body)
+}
+
+func (m *PeerUserRequest) fields(c *codec) {
+	number(c, &m.ID)
+	text(c, &m.Origin)
+	text(c, &m.Target)
+	text(c, &m.Operation)
+	text(c, &m.Job)
+	c.bytes(&m.Body)
+}
+
+func (m *PeerAgentCall) fields(c *codec) {
+	number(c, &m.ID)
+	text(c, &m.Origin)
+	text(c, &m.Address)
+	c.bytes(&m.Body)
+}
+
+func (m *PeerCancellation) fields(c *codec) { text(c, &m.Job) }
+
+func (m *PeerConfirmRequest) fields(c *codec) { number(c, &m.ID) }
+
+func (m *PeerConfirmation) fields(c *codec) {
+	number(c, &m.ID)
+	number(c, &m.Term)
+	number(c, &m.UpMs)
+	c.boolean(&m.Complete)
+	texts(c, &m.Cancels)
+}
+
+func (h *Heartbeat) fields(c *codec) {
+	text(c, &h.Machine)
+	text(c, &h.Address)
+	text(c, &h.Type)
+	text(c, &h.Zone)
+	c.boolean(&h.Spot)
+	number(c, &h.Incarnation)
+	number(c, &h.Sequence)
+	number(c, &h.FencingToken)
+	c.optionalFloat(&h.PreemptionNoticeS)
+	if c.decoding {
+		for n := c.readCount(minEncodedTask); n > 0 && !c.failed; n-- {
+			h.Tasks = append(h.Tasks, TaskStatus{})
+			h.Tasks[len(h.Tasks)-1].fields(c)
+		}
+		return
+	}
+	c.writeNumber(uint64(len(h.Tasks)))
+	for i := range h.Tasks {
+		h.Tasks[i].fields(c)
+	}
+}
+
+func (t *TaskStatus) fields(c *codec) {
+	text(c, &t.Task)
+	number(c, &t.Attempt)
+	text(c, &t.State)
+	text(c, &t.Cause)
+	c.boolean(&t.Saved)
+}
+
+// number is a field that holds an unsigned integer.
+func number[T ~uint64](c *codec, field *T) {
+	if c.decoding {
+		*field = T(c.readNumber())
+	} else {
+		c.writeNumber(uint64(*field))
+	}
+}
+
+// text is a field that holds a string.
+func text[T ~string](c *codec, field *T) {
+	if c.decoding {
+		*field = T(c.readString())
+		return
+	}
+	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
+}
+
+// texts is a field that holds a list of strings.
+func texts[T ~string](c *codec, field *[]T) {
+	if c.decoding {
+		for n := c.readCount(1); n > 0 && !c.failed; n-- {
+			*field = append(*field, T(c.readString()))
+		}
+		return
+	}
+	c.writeNumber(uint64(len(*field)))
+	for i := range *field {
+		text(c, &(*field)[i])
+	}
+}
+
+// bytes is a field that holds a body.
+func (c *codec) bytes(field *[]byte) {
+	if c.decoding {
+		b := c.readBytes()
+		*field = make([]byte, len(b))
+		copy(*field, b)
+		return
+	}
+	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
+}
+
+// boolean is a field that is true or false, 1 or 0.
+func (c *codec) boolean(field *bool) {
+	if c.decoding {
+		*field = c.readBoolean()
+	} else {
+		c.writeBoolean(*field)
+	}
+}
+
+// optionalFloat is a field that may be missing: whether it is there, and its bits.
+func (c *codec) optionalFloat(field **float64) {
+	if c.decoding {
+		if c.readBoolean() {
+			v := math.Float64frombits(c.readNumber())
+			*field = &v
+		}
+		return
+	}
+	c.writeBoolean(*field != nil)
+	if *field != nil {
+		c.writeNumber(math.Float64bits(**field))
+	}
+}
+
+func (c *codec) writeNumber(v uint64) { c.data = appendNumber(c.data, v) }
+
+// appendNumber appends a varint, one byte of which, the most frequent, without a loop.
+func appendNumber(b []byte, v uint64) []byte {
+	if v < oneByteVarint {
+		return append(b, byte(v))
+	}
+	return binary.AppendUvarint(b, v)
+}
+
+func (c *codec) writeBoolean(v bool) {
+	if v {
+		c.data = append(c.data, 1)
+	} else {
+		c.data = append(c.data, 0)
+	}
+}
+
+// fail notes that something does not parse. What is read from then on is zero.
+func (c *codec) fail() {
+	c.failed = true
+	c.data = nil
+}
+
+func (c *codec) readNumber() uint64 {
+	if len(c.data) > 0 && c.data[0] < oneByteVarint {
+		v := c.data[0]
+		c.data = c.data[1:]
+		return uint64(v)
+	}
+	v, n := binary.Uvarint(c.data)
+	if n <= 0 {
+		c.fail()
+		return 0
+	}
+	c.data = c.data[n:]
+	return v
+}
+
+func (c *codec) readBoolean() bool {
+	v := c.readNumber()
+	if v > 1 {
+		c.fail()
+	}
+	return v == 1
+}
+
+func (c *codec) readString() string { return string(c.readBytes()) }
+
+// readBytes reads a length and bytes, which it does not copy.
+func (c *codec) readBytes() []byte {
+	n := c.readNumber()
+	if n > uint64(len(c.data)) || n > maxPeerString {
+		c.fail()
+		return nil
+	}
+	b := c.data[:n]
+	c.data = c.data[n:]
+	return b
+}
+
+// readCount reads the length of a list whose items take at least size bytes each.
+func (c *codec) readCount(size int) int {
+	n := c.readNumber()
+	if n > uint64(len(c.data)/size) {
+		c.fail()
+		return 0
+	}
+	return int(n)
+}
