--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -41,14 +41,15 @@
 // than Go's, and all else in backticks are not checked.
 var checkedPages = []string{"*.md", "docs/*.md", "docs/design/*.md"}
 
-// historicalPages name what was, or is to come, as well as what is.
+// historicalPages name what was, or is to come, as well as what is: of these only the links
+// are checked.
 var historicalPages = []string{
 	"docs/ROADMAP.md",      // plans, with packages that do not exist yet
 	"docs/measurements.md", // as measured then, with the names of then
 	"docs/questions.md",    // as asked and answered then
 }
 
-// requiredPages are checked, and must be there.
+// requiredPages are checked whole, and must be there.
 var requiredPages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/recovery.md"}
 
 // TestPagesNameRealThings reads each page of checkedPages.
@@ -69,6 +70,15 @@
 			t.Error(problem)
 		}
 	}
+	for _, page := range historicalPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, problem := range linkProblems(page, fencedBlock.ReplaceAllString(string(text), "")) {
+			t.Error(problem)
+		}
+	}
 }
 
 // pagesToCheck lists the pages that match checkedPages and are not historical.
@@ -176,9 +186,7 @@
 // problems are the names on a page that are not real.
 func (c *pageChecker) problems(page, text string) []string {
 	var problems []string
-	add := func(name, why string) {
-		problems = append(problems, fmt.Sprintf("%s names %s: %s", page, name, why))
-	}
+	add := func(name, why string) { problems = append(problems, problem(page, name, why)) }
 	for _, match := range repositoryPath.FindAllStringSubmatch(text, -1) {
 		if name := strings.TrimRight(match[1], "./-"); !c.pathExists(name) {
 			add(name, "no such file, package or declaration")
@@ -192,19 +200,31 @@
 		}
 	}
 	text = fencedBlock.ReplaceAllString(text, "")
+	problems = append(problems, linkProblems(page, text)...)
+	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
+		if why := c.spanProblem(match[1]); why != "" {
+			add(match[0], why)
+		}
+	}
+	return problems
+}
+
+// problem is what the tests say of a name that is not real.
+func problem(page, name, why string) string {
+	return fmt.Sprintf("%s names %s: %s", page, name, why)
+}
+
+// linkProblems are the local links of a page, its fenced blocks left out, that lead nowhere.
+func linkProblems(page, text string) []string {
+	var problems []string
 	for _, match := range localLink.FindAllStringSubmatch(text, -1) {
 		if _, err := os.Stat(filepath.Join(moduleRoot, path.Dir(page), match[1])); err != nil {
-			add(match[1], "no such file, seen from the page")
+			problems = append(problems, problem(page, match[1], "no such file, seen from the page"))
 		}
 	}
 	for _, match := range headingLink.FindAllStringSubmatch(text, -1) {
 		if !hasHeading(page, text, match[1], match[2]) {
-			add(match[1]+"#"+match[2], "no such heading")
-		}
-	}
-	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
-		if why := c.spanProblem(match[1]); why != "" {
-			add(match[0], why)
+			problems = append(problems, problem(page, match[1]+"#"+match[2], "no such heading"))
 		}
 	}
 	return problems
