--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -36,7 +36,7 @@
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
-		"internal/bookkeeping",
+		"internal/storage",
 		"internal/config",
 		"internal/coordination",
 		"internal/coordination/reconcile",
@@ -45,7 +45,7 @@
 	}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping",
+		"internal/storage",
 		"internal/config",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
@@ -78,7 +78,7 @@
 		"internal/tuning",
 	}},
 
-	"internal/bookkeeping": {pure: true, imports: []string{
+	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
 		"internal/tuning",
 	}},
@@ -92,7 +92,7 @@
 
 	"internal/simulation": {
 		imports: []string{
-			"internal/bookkeeping",
+			"internal/storage",
 			"internal/config",
 			"internal/coordination",
 			"internal/protocol",
