--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -137,7 +137,7 @@
 // UserRequests bounds users' requests under way at one node: a part of the connections
 // that are kept for users, so that reports always find room.
 func (r Resources) UserRequests() int {
-	return max(tuning.QueueUsers, int(float64(r.FDLimit)*tuning.UserKeepSockets*tuning.QueueUsersShare))
+	return max(tuning.MinUserQueueLength, int(float64(r.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
 
 // Cluster is what all controllers share.
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -22,26 +22,26 @@
 // batch builds a transaction within the state service's limits.
 type batch struct {
 	l          *leader
-	txn        protocol.Txn
+	txn        protocol.Transaction
 	bytes      int
 	tx         *commit
 	guarded    map[*cluster.MachineRecord]bool
 	maxChanges int // changes that it may have
 }
 
-func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Then) }
+func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Changes) }
 
 func (b *batch) fits(ops, conditions, bytes int) bool {
-	return b.remainingChanges() >= ops && len(b.txn.If)+conditions <= conditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.TxnBytes
+	return b.remainingChanges() >= ops && len(b.txn.Conditions)+conditions <= conditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
 func (b *batch) guard(key string, revision protocol.Revision) {
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Revision: revision})
+	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Revision: revision})
 	b.bytes += len(key) + 40
 }
 
 func (b *batch) set(key string, value json.RawMessage) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Set: key, Value: value})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
 	b.bytes += len(key) + len(value) + 40
 	if b.tx.probe == "" {
 		b.tx.probe = key
@@ -49,7 +49,7 @@
 }
 
 func (b *batch) remove(key string) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Delete: key})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
 	b.bytes += len(key) + 40
 }
 
@@ -151,7 +151,7 @@
 		}
 		bytes += len(p.value)
 	}
-	if !b.fits(len(pieces), conditions, bytes+conditions*tuning.ConditionBytes) {
+	if !b.fits(len(pieces), conditions, bytes+conditions*tuning.BytesPerCondition) {
 		return false
 	}
 	job := w.j
@@ -198,7 +198,7 @@
 // fit if one transaction cannot hold all of them.
 func (b *batch) addParts(w *jobWrite, records []int) {
 	job := w.j
-	alone := len(b.txn.Then) == 0
+	alone := len(b.txn.Changes) == 0
 	var writes []recordWrite
 	for _, r := range records {
 		writes = append(writes, b.recordWrite(job, r))
@@ -226,9 +226,9 @@
 func (b *batch) fitsOneTransaction(writes []recordWrite) bool {
 	bytes := 0
 	for _, p := range writes {
-		bytes += len(p.value) + tuning.ConditionBytes
+		bytes += len(p.value) + tuning.BytesPerCondition
 	}
-	return len(writes) <= b.l.limits().TxnOps && bytes <= tuning.TxnBytes-tuning.ConditionBytes
+	return len(writes) <= b.l.limits().TxnOps && bytes <= tuning.MaxTransactionBytes-tuning.BytesPerCondition
 }
 
 // stage writes new parts that the job's own record does not name yet. Until that
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -58,7 +58,7 @@
 			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, attempt.Job.ID, attempt.Key.Index, attempt.Key.Number)
 		}
 		body = append(body, "]}"...)
-		r, err := protocol.ParseReport(body)
+		r, err := protocol.ParseHeartbeat(body)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	l := fullFleet(600)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.n.now = l.n.now.Add(tuning.PlanEvery)
+		l.n.now = l.n.now.Add(tuning.MinSchedulingInterval)
 		for _, machine := range l.cluster.OrderedMachines {
 			machine.Agent.LastHeartbeat = l.n.now
 		}
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -19,10 +19,10 @@
 		return rate.NewLimiter(rate.Limit(limit), max(burst, int(limit)))
 	}
 	nodes, state := float64(len(n.cfg.Peers)+1), n.cfg.Cluster.State
-	n.stateCalls = budget(state.RPS*tuning.CallShare/nodes, 1)
-	n.writes = budget(state.WriteRPS*tuning.WriteShare, 2)
-	n.userWrites = budget(state.WriteRPS*tuning.UserShare/nodes, state.TxnOps)
-	n.relayWrites = budget(state.WriteRPS*tuning.RelayShare/nodes, state.TxnOps)
+	n.stateCalls = budget(state.RPS*tuning.RequestBudgetShare/nodes, 1)
+	n.writes = budget(state.WriteRPS*tuning.WriteBudgetShare, 2)
+	n.userWrites = budget(state.WriteRPS*tuning.UserWriteBudgetShare/nodes, state.TxnOps)
+	n.relayWrites = budget(state.WriteRPS*tuning.RelayWriteBudgetShare/nodes, state.TxnOps)
 }
 
 // countWrite takes one write from what the state service accepts: one of this node's
@@ -38,7 +38,7 @@
 // hasReadBudget says whether the budget leaves room for a user's request: what the
 // node itself needs, renewals and decisions above all, comes first.
 func (n *Node) hasReadBudget() bool {
-	return n.stateCalls.TokensAt(n.now) >= 1+float64(n.stateCalls.Burst())*tuning.UserReserve
+	return n.stateCalls.TokensAt(n.now) >= 1+float64(n.stateCalls.Burst())*tuning.NodeRequestReserve
 }
 
 // takeWriteBudget says the same of a user's write, and takes it from the budget: the
@@ -64,5 +64,5 @@
 		}
 	}
 	pause := time.Duration(float64(changes) / float64(n.writes.Limit()) * float64(time.Second))
-	return max(tuning.RetryPause, pause)
+	return max(tuning.StoreRetryDelay, pause)
 }
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -23,7 +23,7 @@
 		n.shed(id)
 		return
 	}
-	deadline := n.now.Add(tuning.UserDeadline)
+	deadline := n.now.Add(tuning.UserRequestTimeout)
 	if e, ok := n.mirror.Get(storage.JobKey(jobID)); ok {
 		n.cancelRecord(id, jobID, &e, deadline)
 		return
@@ -66,9 +66,9 @@
 	if rec.Seq == 0 {
 		rec.Seq = e.Revision
 	}
-	txn := protocol.Txn{
-		If:   []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
-		Then: []protocol.Change{{Set: e.Key, Value: storage.Encode(rec)}},
+	txn := protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
+		Changes:    []protocol.Change{{Set: e.Key, Value: storage.Encode(rec)}},
 	}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		switch {
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -35,7 +35,7 @@
 	}
 	burst := float64(l.n.writes.Burst())
 	// The end of a job takes two changes, however few a second there are.
-	tokens := l.n.writes.TokensAt(l.n.now) - min(burst*tuning.UserFloor, burst-2)
+	tokens := l.n.writes.TokensAt(l.n.now) - min(burst*tuning.UserBurstReserve, burst-2)
 	if tokens < 1 {
 		return
 	}
@@ -45,10 +45,10 @@
 	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
-	reserve := burst * tuning.GangReserve
+	reserve := burst * tuning.GangBurstReserve
 	for i, job := range list {
 		job.Write.Queued = false
-		if i < urgent || i < ready && float64(len(b.txn.Then)+2) <= tokens-reserve {
+		if i < urgent || i < ready && float64(len(b.txn.Changes)+2) <= tokens-reserve {
 			b.addJob(job)
 		}
 		if len(job.Write.Dirty) > 0 {
@@ -59,7 +59,7 @@
 	l.dirty = later
 	if tokens >= burst/2 {
 		b.addMachineRecords(func(r *cluster.MachineRecord) bool {
-			return !r.StaleSince.IsZero() && l.n.now.Sub(r.StaleSince) > tuning.StaleWait
+			return !r.StaleSince.IsZero() && l.n.now.Sub(r.StaleSince) > tuning.StaleMachineRecordDelay
 		})
 		for len(l.cleanup) > 0 && b.fits(1, 0, 200) {
 			b.remove(l.cleanup[0])
@@ -67,11 +67,11 @@
 			l.cleanup = l.cleanup[1:]
 		}
 	}
-	if len(b.txn.Then) == 0 {
+	if len(b.txn.Changes) == 0 {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, len(b.txn.Then))
-	tx.body, tx.changes = storage.Encode(b.txn), len(b.txn.Then)
+	l.n.writes.AllowN(l.n.now, len(b.txn.Changes))
+	tx.body, tx.changes = storage.Encode(b.txn), len(b.txn.Changes)
 	l.inFlight = tx
 	l.send(tx)
 }
@@ -96,14 +96,14 @@
 		}
 		e := entry{job, 3}
 		switch age := l.n.now.Sub(job.Write.DirtySince); {
-		case job.Records.Splitting || (job.Spec.Gang() || job.Spec.Service()) && job.HasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (job.HasUncommitted() || job.FinalPhase() != ""):
+		case job.Records.Splitting || (job.Spec.Gang() || job.Spec.Service()) && job.HasUncommitted() || age > tuning.MaxDoneMarkDelay || age > tuning.MaxWriteDelay && (job.HasUncommitted() || job.FinalPhase() != ""):
 			e.class = 0
 			urgent++
 			ready++
 		case job.HasUncommitted() || job.FinalPhase() != "":
 			e.class = 1
 			ready++
-		case age > tuning.MarkWait:
+		case age > tuning.DoneMarkDelay:
 			e.class = 2
 			ready++
 		}
@@ -138,7 +138,7 @@
 			// The transaction may have been applied, or may be yet. The same
 			// one again can be applied only once.
 			tx.lost = true
-			l.resend(tx, tuning.RetryPause)
+			l.resend(tx, tuning.StoreRetryDelay)
 		case outcome == kv.Throttled:
 			l.resend(tx, l.n.throttled(tx.changes))
 		case outcome == kv.Rejected:
@@ -147,7 +147,7 @@
 			l.conflict(tx, nil)
 			l.commitAt = l.n.now.Add(time.Second)
 		default:
-			l.resend(tx, tuning.RetryPause)
+			l.resend(tx, tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -180,7 +180,7 @@
 		case kv.NotFound:
 			l.conflict(tx, nil)
 		default:
-			l.n.after(tuning.RetryPause, func() {
+			l.n.after(tuning.StoreRetryDelay, func() {
 				if l.n.lead == l && l.inFlight == tx {
 					l.resolveLost(tx)
 				}
@@ -291,7 +291,7 @@
 			}
 		}
 	}
-	l.commitAt = l.n.now.Add(tuning.ConflictPause)
+	l.commitAt = l.n.now.Add(tuning.ConflictRetryDelay)
 	l.plan = true
 }
 
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -37,12 +37,12 @@
 func (n *Node) grace() time.Duration {
 	w := n.cfg.Cluster.Workers
 	g := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - n.takeoverTime()
-	return min(max(g, 0), tuning.MaxGrace)
+	return min(max(g, 0), tuning.MaxLeaderGrace)
 }
 
 // takeoverTime is how long a takeover takes on this node's share of a core.
 func (n *Node) takeoverTime() time.Duration {
-	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverWork, 1), tuning.TakeoverMost)
+	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
 }
 
 // leaseTTL is how long the leader lease outlives its last renewal.
@@ -54,7 +54,7 @@
 // the moment after it last knew must have taken effect by then.
 func (n *Node) authority() time.Duration {
 	w := n.cfg.Cluster.Workers
-	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(n.leaseTTL()+n.grace(), max(bound, 0))
 }
 
@@ -68,7 +68,7 @@
 
 // withDrift stretches a span by the largest disagreement of two clocks.
 func withDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*tuning.ClockDrift)
+	return d + time.Duration(float64(d)*tuning.MaxClockDrift)
 }
 
 // leaseObserved notes the leader lease as it now stands.
@@ -112,7 +112,7 @@
 	expect := c.revision
 	fail := func() {
 		c.acquiring = false
-		c.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+		c.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	}
 	sent := n.now
 	n.store.GrantLease(n.leaseTTL(), func(granted kv.LeaseResult) {
@@ -120,9 +120,9 @@
 			fail()
 			return
 		}
-		txn := protocol.Txn{
-			If: []protocol.Condition{{Key: storage.LeaderKey, Revision: expect}},
-			Then: []protocol.Change{{Set: storage.LeaderKey, Lease: granted.Lease,
+		txn := protocol.Transaction{
+			Conditions: []protocol.Condition{{Key: storage.LeaderKey, Revision: expect}},
+			Changes: []protocol.Change{{Set: storage.LeaderKey, Lease: granted.Lease,
 				Value: storage.Encode(storage.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
 		}
 		n.store.Transact(txn, func(result kv.TransactionResult) {
@@ -161,7 +161,7 @@
 		return
 	}
 	c.renewing = true
-	if n.now.Sub(n.syncedAt) >= tuning.SyncedFor {
+	if n.now.Sub(n.syncedAt) >= tuning.MirrorFreshness {
 		n.fetchRevision()
 	}
 	sent, term := n.now, c.term
@@ -173,12 +173,12 @@
 		switch outcome {
 		case kv.Done:
 			c.renewedAt = sent
-			c.renewAt = sent.Add(tuning.LeaderLeaseRenew)
+			c.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
 			c.unconfirmed = c.unconfirmed && sent.Before(c.resumedAt)
 		case kv.NotFound:
 			n.stepDown("leader lease has ended")
 		default:
-			c.renewAt = n.now.Add(tuning.RetryPause)
+			c.renewAt = n.now.Add(tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -232,7 +232,7 @@
 	}
 	n.log.Info("stepping down", "term", n.lease.term, "why", why)
 	n.lease.term, n.lease.leaseID, n.lease.renewing, n.lease.unconfirmed = 0, 0, false, false
-	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	n.lead = nil
 	n.confirmation = peerConfirmation{}
 }
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -16,15 +16,15 @@
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
-	cmds, _ := l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: token, Tasks: tasks}, true)
+func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
+	cmds, _ := l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}, true)
 	return cmds
 }
 
 func ops(cmds []protocol.Command) (s string) {
 	for _, c := range cmds {
-		s += string(c.Op) + " "
+		s += string(c.Kind) + " "
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := ops(l.testReport(machine, l.n.lease.term, exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
@@ -160,9 +160,9 @@
 	}
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	txn, _ := parse[protocol.Txn](r.Body)
+	txn, _ := parse[protocol.Transaction](r.Body)
 	guards := map[string]protocol.Revision{}
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		guards[c.Key] = c.Revision
 	}
 	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.lease.term), storage.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
@@ -180,7 +180,7 @@
 	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
-	l.n.now = l.n.now.Add(tuning.OrderOnWay)
+	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
 	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
@@ -195,7 +195,7 @@
 	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{storage.JobKey(job.ID)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{storage.JobKey(job.ID)}})})
 	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
 	}
@@ -246,16 +246,16 @@
 	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	sent := l.n.lastRequest(t, ToState)
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	if err := json.Unmarshal(sent.Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	last := txn.Then[len(txn.Then)-1]
+	last := txn.Changes[len(txn.Changes)-1]
 	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
 	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.inFlight != nil {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
-	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
+	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{last.Set}})})
 	if len(job.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
@@ -271,14 +271,14 @@
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
 	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
-	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
+	l.n.now = l.n.now.Add(tuning.StaleMachineRecordDelay + time.Second)
 	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
 	l.commitNext()
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	if len(txn.Then) != 1 || txn.Then[0].Delete != r.Key || txn.If[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
+	if len(txn.Changes) != 1 || txn.Changes[0].Delete != r.Key || txn.Conditions[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
 		t.Errorf("%+v", txn)
 	}
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -50,7 +50,7 @@
 				events = append(events, Response{ID: id}) // none of them answers
 			}
 		}
-		out := n.Step(n.now.Add(tuning.Tick), events)
+		out := n.Step(n.now.Add(tuning.MinTimerInterval), events)
 		for _, a := range out {
 			r, ok := a.(Request)
 			switch {
@@ -62,11 +62,11 @@
 				n.pending[r.ID](200, nil)
 			}
 		}
-		if limit := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); len(open) > limit {
+		if limit := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
 			t.Fatalf("%d calls under way", len(open))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds() + float64(l.calls.Burst())
+	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.calls.Burst())
 	if calls == 0 || float64(calls) > most {
 		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
 	}
@@ -87,14 +87,14 @@
 	}
 	l.tickMachines()
 	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
-	if sockets := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); probes == 0 || probes > sockets/2 {
+	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.sendDirect()
-	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathOrders); orders != 1 {
+	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
 }
@@ -112,10 +112,10 @@
 	job := l.testJob(gangOf(1, 1))
 	l.lifecycle.MarkDone(job, 0)
 	for range 30 {
-		n.now = n.now.Add(tuning.Tick)
+		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.commitNext()
 	}
-	if _, writes := sentTo(n.out, ToState, protocol.PathTxn); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
+	if _, writes := sentTo(n.out, ToState, protocol.PathTransactions); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
@@ -128,7 +128,7 @@
 	n := l.n
 	free := func() int { return int(n.writes.TokensAt(n.now) + 0.5) }
 	before := free()
-	watch := protocol.WatchAnswer{Revision: 90}
+	watch := protocol.WatchResponse{Revision: 90}
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
@@ -152,7 +152,7 @@
 	machine := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
 		machine.Agent.Sequence++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, Token: n.lease.term}}
+		return WorkerReport{ID: id, Report: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.lease.term}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -162,7 +162,7 @@
 		}
 		return 0
 	}
-	n.Step(n.now.Add(tuning.Tick), nil)
+	n.Step(n.now.Add(tuning.MinTimerInterval), nil)
 	job := l.testJob(gangOf(1, 1))
 	l.plan = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{report(1)})
@@ -174,8 +174,8 @@
 	}
 	// It may ask how far the records have come: that changes nothing.
 	for _, a := range out {
-		var txn protocol.Txn
-		if r, ok := a.(Request); ok && r.Path == protocol.PathTxn && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Then) > 0) {
+		var txn protocol.Transaction
+		if r, ok := a.(Request); ok && r.Path == protocol.PathTransactions && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Changes) > 0) {
 			t.Errorf("it writes %s", r.Body)
 		}
 	}
@@ -218,9 +218,9 @@
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}
 		}
-		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
+		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
@@ -228,7 +228,7 @@
 					return fmt.Sprint(a.Status)
 				}
 			case PeerSend:
-				if _, ok := a.Message.(protocol.PeerReport); ok {
+				if _, ok := a.Message.(protocol.PeerForwardedHeartbeat); ok {
 					return string("carried to " + a.Peer)
 				}
 			}
@@ -241,7 +241,7 @@
 		want  string
 	}{
 		{time.Second, "421"}, {5 * time.Second, "carried to first"}, {5 * time.Second, "carried to first"},
-		{tuning.RedirectMemory, "421"}, {5 * time.Second, "carried to first"},
+		{tuning.RedirectRetention, "421"}, {5 * time.Second, "carried to first"},
 	} {
 		if got := send(step.after); got != step.want {
 			t.Errorf("report %d: %s, want %s", i, got, step.want)
@@ -277,14 +277,14 @@
 	out := n.Step(n.now, nil)
 	grant := request(out, protocol.PathLeases)
 	out = n.Step(n.now, []Event{Response{ID: grant.ID, Status: 200, Body: []byte(`{"permit":5}`)}})
-	claim := request(out, protocol.PathTxn)
+	claim := request(out, protocol.PathTransactions)
 	n.leaseObserved(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
 		t.Fatal("leads before its claim was renewed")
 	}
-	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
+	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
 			t.Fatalf("a report is answered %d meanwhile", r.Status)
@@ -295,7 +295,7 @@
 		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.planAt)
 	}
 	answered := false
-	for _, a := range n.Step(n.now.Add(tuning.Tick), nil) {
+	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
 		if r, ok := a.(Reply); ok && r.ID == 77 {
 			answered = r.Status == 200
 		}
@@ -316,7 +316,7 @@
 		if got, most := l.n.leaseTTL()+l.n.grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
-		if ttl := l.n.leaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.TakeoverMost {
+		if ttl := l.n.leaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxTakeoverAllowance {
 			t.Errorf("%v of a core: a claim of %v", cores, ttl)
 		}
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -148,7 +148,7 @@
 
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
-		l.watchAt = l.n.now.Add(tuning.WatchMachines)
+		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.tickMachines()
 		if l.n.lead != l {
 			return
@@ -160,7 +160,7 @@
 			return
 		}
 	}
-	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.PlanIdle {
+	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.MaxSchedulingInterval {
 		l.plan = false
 		l.runSchedulingCycle()
 		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -7,7 +7,7 @@
 )
 
 // HandleExit decides what follows from the exit of an attempt, as its agent reported it.
-func (m *Manager) HandleExit(attempt *cluster.Attempt, exit *protocol.TaskReport) {
+func (m *Manager) HandleExit(attempt *cluster.Attempt, exit *protocol.TaskStatus) {
 	job, machine := attempt.Job, attempt.Machine
 	m.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", exit.Cause, "saved", exit.Saved)
 	if job.Spec.Service() && (exit.Cause == protocol.CauseDone || exit.Cause == protocol.CauseError) && m.noteReplicaExit(attempt) {
@@ -17,11 +17,11 @@
 	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
 	case protocol.CauseError:
 		m.attributeError(job, machine)
-	case protocol.CauseNoRoom, protocol.CauseBusy:
-		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.AvoidFor)
+	case protocol.CauseNoCapacity, protocol.CauseBusy:
+		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineRefusalBackoff)
 	default:
 		// no_such, or a cause of a later version: try again, but not at once.
-		job.RetryAt = m.state.Now().Add(tuning.RetryPause * 8)
+		job.RetryAt = m.state.Now().Add(tuning.StoreRetryDelay * 8)
 	}
 }
 
@@ -29,13 +29,13 @@
 // many that it must be the job's.
 func (m *Manager) attributeError(job *cluster.Job, machine *cluster.Machine) {
 	job.Failures.Machines[machine.ID] = true
-	job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.AvoidFailed)
-	if len(job.Failures.Machines) >= tuning.JobErrors {
+	job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineFailureBackoff)
+	if len(job.Failures.Machines) >= tuning.MaxJobFailures {
 		m.attributeToJob(job)
 		return
 	}
 	machine.FailedJobs[job.ID] = true
-	if len(machine.FailedJobs) >= tuning.MachineErrors && !machine.Quarantined {
+	if len(machine.FailedJobs) >= tuning.MaxMachineFailures && !machine.Quarantined {
 		machine.Quarantined = true
 		m.log.Info("machine quarantined", "machine", machine.ID)
 		m.Drain(machine)
@@ -49,7 +49,7 @@
 	if job.Spec.Service() {
 		clear(job.Failures.Machines)
 	} else {
-		job.RetryAt = m.state.Now().Add(tuning.ErrorPause << min(job.Failures.Attributed, tuning.ErrorDoublings))
+		job.RetryAt = m.state.Now().Add(tuning.FailureBackoff << min(job.Failures.Attributed, tuning.MaxFailureBackoffDoublings))
 		job.Failures.Attributed++
 	}
 	for _, other := range m.state.Machines {
@@ -64,12 +64,12 @@
 // while is stable: neither it nor its machine is to blame.
 func (m *Manager) noteReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
-	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStable {
+	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
 		task.EarlyExits = 0
 		return true
 	}
 	if task.EarlyExits > 0 {
-		task.RetryAt = m.state.Now().Add(tuning.ReplicaPause << min(task.EarlyExits-1, tuning.ReplicaDoublings))
+		task.RetryAt = m.state.Now().Add(tuning.ReplicaRestartBackoff << min(task.EarlyExits-1, tuning.MaxReplicaBackoffDoublings))
 	}
 	task.EarlyExits++
 	return false
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -49,7 +49,7 @@
 	for _, attempt := range job.SortedAttempts() {
 		job.Survivors[attempt.Machine.ID] = true
 		if attempt.Machine.ReservedFor == nil {
-			attempt.Machine.ReserveFor(job, m.state.Now().Add(tuning.HoldFor))
+			attempt.Machine.ReserveFor(job, m.state.Now().Add(tuning.ReservationTimeout))
 		}
 	}
 }
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -39,7 +39,7 @@
 
 // stopGracefully stops an attempt with the time to save its progress; a gang stops as a whole.
 func (m *Manager) stopGracefully(attempt *cluster.Attempt) {
-	m.stopWithGang(attempt, attempt.Job.Spec.SaveS+tuning.StopGrace)
+	m.stopWithGang(attempt, attempt.Job.Spec.SaveS+tuning.StopGraceSeconds)
 }
 
 // Preempt stops an attempt for a job that waits: gracefully if a checkpoint is worth that
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -23,14 +23,14 @@
 	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	txn, _ := parse[protocol.Txn](r.Body)
-	if len(txn.Then) > 2 {
-		t.Errorf("%d changes for 100 machines of one rental", len(txn.Then))
+	txn, _ := parse[protocol.Transaction](r.Body)
+	if len(txn.Changes) > 2 {
+		t.Errorf("%d changes for 100 machines of one rental", len(txn.Changes))
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 
 	next := testLeader(l.n.now)
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.State.ValueKB*1024 {
 			t.Errorf("a record of %d bytes", n)
 		}
@@ -49,9 +49,9 @@
 	next.n.now = next.n.now.Add(time.Minute)
 	next.commitNext()
 	r = next.n.lastRequest(t, ToState)
-	txn, _ = parse[protocol.Txn](r.Body)
+	txn, _ = parse[protocol.Transaction](r.Body)
 	next.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":100}`)})
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if c.Delete == "" {
 			t.Errorf("%s is written again", c.Set)
 		}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -14,7 +14,7 @@
 // tickTypes keeps the price list: every node needs the types to judge
 // submissions, the leader the prices too.
 func (n *Node) tickTypes() {
-	every := tuning.TypesEvery
+	every := tuning.MachineTypesInterval
 	if n.lead == nil && len(n.types) > 0 {
 		every *= 4
 	}
@@ -59,9 +59,9 @@
 	if float64(len(value)) > n.cfg.Cluster.State.ValueKB*1024 {
 		return
 	}
-	n.store.Transact(protocol.Txn{
-		If:   []protocol.Condition{n.leads()},
-		Then: []protocol.Change{{Set: storage.TypesKey, Value: value}},
+	n.store.Transact(protocol.Transaction{
+		Conditions: []protocol.Condition{n.leads()},
+		Changes:    []protocol.Change{{Set: storage.TypesKey, Value: value}},
 	}, func(kv.TransactionResult) {})
 }
 
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -27,7 +27,7 @@
 	n.watching = true
 	n.watchSent = n.now
 	sent, after := n.now, n.mirror.Revision
-	n.store.Watch(storage.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
+	n.store.Watch(storage.LivePrefix, after, tuning.WatchLongPoll, func(result kv.WatchResult) {
 		n.watched(sent, after, result)
 	})
 }
@@ -60,7 +60,7 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{n.leads()}}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
 		if answered && !result.Malformed && result.Revision != 0 {
@@ -73,16 +73,16 @@
 // the state service is known to have; its answer is taken all the same.
 func (n *Node) reopenStuckWatch() {
 	if n.awaited.revision > n.mirror.Revision && n.watching &&
-		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStuck && n.now.Sub(n.watchSent) >= tuning.WatchStuck {
+		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStallTimeout && n.now.Sub(n.watchSent) >= tuning.WatchStallTimeout {
 		n.log.Info("watch does not keep up", "revision", n.mirror.Revision, "ahead", n.awaited.revision)
 		n.watching, n.watchAt = false, n.now
 	}
 }
 
 func (n *Node) loadPage(after string) {
-	n.store.Range(storage.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
+	n.store.Range(storage.LivePrefix, after, tuning.RangePageSize, func(result kv.RangeResult) {
 		if result.Outcome != kv.Done || result.Malformed {
-			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
+			n.loading, n.loadAt = false, n.now.Add(tuning.StoreRetryDelay)
 			return
 		}
 		if next := n.mirror.LoadPage(&result.Page); next != "" {
@@ -110,7 +110,7 @@
 		n.mirror = storage.Mirror{}
 		return
 	case result.Outcome != kv.Done || result.Malformed:
-		n.watchAt = n.now.Add(tuning.RetryPause)
+		n.watchAt = n.now.Add(tuning.StoreRetryDelay)
 		return
 	}
 	if w.Revision < after {
@@ -134,9 +134,9 @@
 	if n.awaited.revision <= n.mirror.Revision {
 		n.markSynced(n.awaited.sentAt)
 	}
-	pause := tuning.WatchPause // the leader's: jobs wait for it
+	pause := tuning.MinWatchDelay // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.requestPause(pause, tuning.WatchShare)
+		pause = n.requestPause(pause, tuning.WatchCPUShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
@@ -145,7 +145,7 @@
 // requestPause is the pause before a request that can wait, longer the smaller the
 // share of a core is.
 func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
-	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.RequestCost, share), tuning.RequestPause))
+	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.StoreRequestCPUCost, share), tuning.MaxRequestDelay))
 }
 
 // mirrorLoaded looks at the leader lease after a full load.
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -107,9 +107,9 @@
 	}
 	slices.Sort(n.names)
 	n.redirects, n.leaderRedirects = rate.NewLimiter(rate.Inf, 0), rate.NewLimiter(rate.Inf, 0)
-	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCost, tuning.RedirectShare); pause > 0 {
-		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.RedirectsAtOnce)
-		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.RedirectsAtOnce)
+	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
+		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxConcurrentRedirects)
+		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxConcurrentRedirects)
 	}
 	n.setBudgets()
 	// Answers name the request by its number and may come late, after the process
@@ -128,7 +128,7 @@
 		gap, n.began = 0, now
 	}
 	n.now, n.out = now, nil
-	if gap >= tuning.ProcessPause {
+	if gap >= tuning.ProcessPauseThreshold {
 		n.resume(gap)
 	}
 	for _, e := range events {
@@ -150,11 +150,11 @@
 			n.submit(e.ID, e.Job)
 		}
 	case Query:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbQuery, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
 			n.query(e.ID, e.Job)
 		}
 	case Cancel:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbCancel, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
 			n.cancel(e.ID, e.Job)
 		}
 	case WorkerReport:
@@ -190,7 +190,7 @@
 	if !n.mirror.Ready() || len(n.types) == 0 {
 		return false
 	}
-	if n.now.Sub(n.servedAt) < tuning.AloneAfter {
+	if n.now.Sub(n.servedAt) < tuning.IsolationTimeout {
 		return true
 	}
 	alone := len(n.peers) > 0
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -35,7 +35,7 @@
 	}
 	if len(n.confirmedCancels) >= n.expireCancelsAt {
 		n.expireConfirmedCancels()
-		n.expireCancelsAt = max(tuning.CancelsKept, 2*len(n.confirmedCancels))
+		n.expireCancelsAt = max(tuning.MaxRememberedCancellations, 2*len(n.confirmedCancels))
 	}
 	n.confirmedCancels[jobID] = n.now
 }
@@ -66,7 +66,7 @@
 // requestConfirmation asks the peers while renewals fail.
 func (n *Node) requestConfirmation() {
 	v := &n.confirmation
-	if n.lead == nil || n.now.Sub(n.authorityStart()) < tuning.ConfirmAfter || n.now.Sub(v.requestedAt) < tuning.ConfirmEvery || len(n.peers) == 0 {
+	if n.lead == nil || n.now.Sub(n.authorityStart()) < tuning.ConfirmationDelay || n.now.Sub(v.requestedAt) < tuning.ConfirmationInterval || len(n.peers) == 0 {
 		return
 	}
 	n.nextID++
@@ -80,7 +80,7 @@
 
 // confirm answers a leader's question.
 func (n *Node) confirm(from protocol.NodeName, ask protocol.PeerConfirmRequest) {
-	m := protocol.PeerConfirm{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds())}
+	m := protocol.PeerConfirmation{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds())}
 	n.expireConfirmedCancels()
 	for jobID := range n.confirmedCancels {
 		m.Cancels = append(m.Cancels, jobID)
@@ -93,7 +93,7 @@
 }
 
 // takeConfirmation takes a peer's confirmation.
-func (n *Node) takeConfirmation(from protocol.NodeName, m protocol.PeerConfirm) {
+func (n *Node) takeConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
 	v := &n.confirmation
 	if n.lead == nil || m.ID != v.requestID {
 		return // an old one, perhaps held back
@@ -107,7 +107,7 @@
 	}
 	// What an earlier life of it told users since this node last knew is not named.
 	up := time.Duration(m.UpMs) * time.Millisecond
-	if m.Term != 0 || !m.Complete || n.now.Add(-up+time.Duration(float64(up)*tuning.ClockDrift)).After(n.syncedAt) {
+	if m.Term != 0 || !m.Complete || n.now.Add(-up+time.Duration(float64(up)*tuning.MaxClockDrift)).After(n.syncedAt) {
 		return
 	}
 	v.answers[from] = true
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -39,9 +39,9 @@
 		return
 	}
 	if len(n.polls) == 0 {
-		n.pollAt = n.now.Add(n.requestPause(tuning.PollBatch, tuning.PollShare))
+		n.pollAt = n.now.Add(n.requestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
-	p.expire = n.now.Add(tuning.UserDeadline)
+	p.expire = n.now.Add(tuning.UserRequestTimeout)
 	n.polls = append(n.polls, p)
 }
 
@@ -80,7 +80,7 @@
 // pollBatch is a number of polls that are checked together.
 type pollBatch struct {
 	polls   []poll
-	compare protocol.Txn
+	compare protocol.Transaction
 	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
 	stale   map[string]bool                    // keys whose records have changed since
 }
@@ -100,7 +100,7 @@
 			continue
 		}
 		b.status[p.job] = s
-		b.compare.If = append(b.compare.If, protocol.Condition{Key: key, Revision: revision})
+		b.compare.Conditions = append(b.compare.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return b
 }
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -30,7 +30,7 @@
 	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
 		t.Errorf("%d attempts", n)
 	}
-	running := protocol.TaskReport{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
 	if got := ops(l.testReport(other, l.n.lease.term, running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
@@ -47,7 +47,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
 	job := l.placed(storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
-	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
+	nonsense := protocol.TaskStatus{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.testReport(machine, l.n.lease.term, nonsense)
 		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
@@ -65,11 +65,11 @@
 // current report shows it; the next attempt of the task is numbered above it, unless its
 // number is beyond reason.
 func TestUnrecordedAttempt(t *testing.T) {
-	for _, attempt := range []protocol.AttemptNumber{9, tuning.AttemptsMost + 1} {
+	for _, attempt := range []protocol.AttemptNumber{9, tuning.MaxTrustedAttempt + 1} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		machine := l.testMachine("i-1", "big", "a", false)
 		job := l.placed()
-		running := protocol.TaskReport{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
+		running := protocol.TaskStatus{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
 		if got := ops(l.testReport(machine, l.n.lease.term-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
 			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, job.Tasks[1].LiveAttempts)
 		}
@@ -79,7 +79,7 @@
 		l.testReport(machine, l.n.lease.term)
 		l.runSchedulingCycle()
 		want := attempt + 1
-		if attempt > tuning.AttemptsMost {
+		if attempt > tuning.MaxTrustedAttempt {
 			want = 1
 		}
 		if c := job.Tasks[1].Active; c == nil || c.Key.Number != want {
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -62,11 +62,11 @@
 		}
 		room -= job.Records.SpecSize
 	}
-	if len(list)*tuning.TaskBytes+tuning.HeaderBytes <= room {
+	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= room {
 		return false // with entries of any size
 	}
 	tasks, _ := recordContent(job, r)
-	return len(storage.Encode(tasks))+tuning.HeaderBytes > room
+	return len(storage.Encode(tasks))+tuning.RecordHeaderBytes > room
 }
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -22,14 +22,14 @@
 }
 
 // apply carries a transaction out if its conditions hold.
-func (s *storedRecords) apply(txn protocol.Txn) bool {
-	for _, c := range txn.If {
+func (s *storedRecords) apply(txn protocol.Transaction) bool {
+	for _, c := range txn.Conditions {
 		if c.Key != storage.LeaderKey && s.entries[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if c.Delete != "" {
 			delete(s.entries, c.Delete)
 			continue
@@ -102,11 +102,11 @@
 
 // nextTxn lets a leader commit and returns what is under way then, nil if that is
 // nothing.
-func (l *leader) nextTxn(t *testing.T) (*protocol.Txn, Request) {
+func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if l.inFlight == nil {
 		l.splitOutgrown()
-		l.commitLater(tuning.MarkLate + time.Second)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if l.inFlight == nil {
 		return nil, Request{}
@@ -116,7 +116,7 @@
 		if !ok || !bytes.Equal(r.Body, l.inFlight.body) {
 			continue
 		}
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if err := json.Unmarshal(r.Body, &txn); err != nil {
 			t.Fatal(err)
 		}
@@ -127,12 +127,12 @@
 }
 
 // answer carries out what a leader has sent and answers it.
-func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Txn, r Request) {
+func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Transaction, r Request) {
 	t.Helper()
 	if !s.apply(*txn) {
 		t.Fatal("refused")
 	}
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision})})
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision})})
 }
 
 // TestSplitInSteps: a record that needs more parts than one transaction has changes
@@ -157,10 +157,10 @@
 					break
 				}
 				steps++
-				if len(txn.Then) > 4 || len(txn.If) > 16 {
-					t.Fatalf("%d changes, %d conditions", len(txn.Then), len(txn.If))
+				if len(txn.Changes) > 4 || len(txn.Conditions) > 16 {
+					t.Fatalf("%d changes, %d conditions", len(txn.Changes), len(txn.Conditions))
 				}
-				for _, c := range txn.Then {
+				for _, c := range txn.Changes {
 					if len(c.Value) > 2048 {
 						t.Fatalf("%s: %d bytes under %s", shape, len(c.Value), c.Set)
 					}
@@ -251,7 +251,7 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if _, num, ok := storage.ParseTaskRecordKey(c.Set); ok && !strings.Contains(string(r.Body), storage.JobKey(rec.Spec.ID)+`","data"`) {
 				t.Errorf("part %d is staged", num)
 			}
@@ -276,7 +276,7 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if c.Delete == key {
 				t.Error("deleted while the job is there")
 			}
@@ -285,17 +285,17 @@
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
 	l.finish(l.cluster.Jobs[rec.Spec.ID], storage.Final{Phase: protocol.PhaseDone})
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	for range 5 {
 		next, r := l.nextTxn(t)
 		if next == nil {
 			break
 		}
-		txn.Then = append(txn.Then, next.Then...)
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		txn.Changes = append(txn.Changes, next.Changes...)
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	deleted := false
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		deleted = deleted || c.Delete == key
 	}
 	if !deleted {
@@ -316,12 +316,12 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if len(c.Value) > 2048 {
 				t.Errorf("%d bytes under %s", len(c.Value), c.Set)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	if job := l.cluster.Jobs[rec.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("unwritable %v, wants %d", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
@@ -342,7 +342,7 @@
 		t.Errorf("%v writes are left", tokens)
 	}
 	l.n.out = nil
-	l.n.now = l.n.now.Add(tuning.RetryPause)
+	l.n.now = l.n.now.Add(tuning.StoreRetryDelay)
 	l.n.tickTimers()
 	if len(l.n.out) > 0 {
 		t.Error("sent again at once")
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -17,7 +17,7 @@
 	for _, machine := range l.cluster.OrderedMachines {
 		stored[machine.ID] = l.stored.Attempts(machine.ID, nil)
 	}
-	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
+	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.MachineSweepInterval)
 	l.recovery.Begin(l.n.now, lapse, stored)
 	s := l.recovery.Summary()
 	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -24,7 +24,7 @@
 // queuedReport is a report that came while nobody was known to lead.
 type queuedReport struct {
 	id     uint64
-	report *protocol.Report
+	report *protocol.Heartbeat
 	expire time.Time
 }
 
@@ -35,25 +35,25 @@
 func (l *leader) directShare() uint64 {
 	r := l.n.cfg.Cluster.Resources
 	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
-		return tuning.DirectAll
+		return tuning.DirectShareScale
 	}
-	most := r.Cores * tuning.ReportShare / tuning.ReportCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
+	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
 	if r.FDLimit > 0 {
-		most = min(most, float64(r.FDLimit)*tuning.WorkerKeepSockets)
+		most = min(most, float64(r.FDLimit)*tuning.AgentKeepAliveShare)
 	}
 	fleet := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyUntil
+	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyReleaseShare
 	if !l.proxying {
-		return tuning.DirectAll
+		return tuning.DirectShareScale
 	}
 	// In steps, so that few workers change their proxy as the fleet grows.
-	return uint64(min(most*tuning.DirectPart/fleet, 1)*tuning.DirectSteps) * tuning.DirectAll / tuning.DirectSteps
+	return uint64(min(most*tuning.RetainedAgentShare/fleet, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
 }
 
 // usesProxies says whether the peers do a part of the leader's dealings with
 // workers.
-func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectAll }
+func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectShareScale }
 
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
@@ -62,10 +62,10 @@
 	h := fnv.New32a()
 	h.Write([]byte(machineID))
 	sum := uint64(h.Sum32())
-	if sum%tuning.DirectAll < keeps || len(n.names) < 2 {
+	if sum%tuning.DirectShareScale < keeps || len(n.names) < 2 {
 		return leader
 	}
-	at := sum / tuning.DirectAll % uint64(len(n.names)-1)
+	at := sum / tuning.DirectShareScale % uint64(len(n.names)-1)
 	if n.names[at] >= leader {
 		at++ // the leader is left out
 	}
@@ -74,12 +74,12 @@
 
 // routeReport answers a worker's report if this node leads; otherwise the
 // leader's answer is fetched or the worker is sent to it.
-func (n *Node) routeReport(id uint64, r *protocol.Report) {
-	n.forward(id, r, n.now.Add(tuning.ForwardTimeout))
+func (n *Node) routeReport(id uint64, r *protocol.Heartbeat) {
+	n.forward(id, r, n.now.Add(tuning.HeartbeatForwardTimeout))
 }
 
 // forward does so for a report that must be answered by a certain time.
-func (n *Node) forward(id uint64, r *protocol.Report, expire time.Time) {
+func (n *Node) forward(id uint64, r *protocol.Heartbeat, expire time.Time) {
 	if n.lease.term != 0 && n.lead != nil {
 		if front := n.proxyFor(r.Machine, n.cfg.Name, n.lead.directShare()); front != n.cfg.Name && !n.redirectedLately(r.Machine) && n.fullyConnected() && n.mayRedirect() {
 			n.redirect(id, r, front)
@@ -105,7 +105,7 @@
 		return
 	}
 	n.nextID++
-	if !n.sendTo(leader, protocol.PeerReport{ID: n.nextID, Origin: n.cfg.Name, Target: leader, Report: r}) {
+	if !n.sendTo(leader, protocol.PeerForwardedHeartbeat{ID: n.nextID, Origin: n.cfg.Name, Target: leader, Heartbeat: r}) {
 		n.reply(id, 421, protocol.Redirect{})
 		return
 	}
@@ -120,7 +120,7 @@
 		return ""
 	}
 	if !n.isReachable(leader) {
-		if n.now.Sub(c.proxiedAt) < tuning.RedirectMemory && n.mayRedirect() {
+		if n.now.Sub(c.proxiedAt) < tuning.RedirectRetention && n.mayRedirect() {
 			// It is here for the leader's sake, and may well reach it. All at once would
 			// be more connections than the leader can open; relayed messages carries some meanwhile.
 			return leader
@@ -136,7 +136,7 @@
 	}
 	to := n.proxyFor(machineID, leader, s.DirectShare)
 	switch {
-	case s.DirectShare >= tuning.DirectAll:
+	case s.DirectShare >= tuning.DirectShareScale:
 	case to == n.cfg.Name, !n.fullyConnected(), !n.mayRedirect():
 		// It stays here: the proxy may be what is missing, or others move first.
 		c.proxiedAt = n.now
@@ -164,13 +164,13 @@
 // over, and answering it here costs more.
 func (n *Node) redirectedLately(machineID protocol.MachineID) bool {
 	c := n.contacts[machineID]
-	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
+	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectRetention
 }
 
 // redirect sends a worker to another node.
-func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
+func (n *Node) redirect(id uint64, r *protocol.Heartbeat, to protocol.NodeName) {
 	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
-	n.reply(id, 421, protocol.Redirect{ReportTo: to})
+	n.reply(id, 421, protocol.Redirect{Target: to})
 }
 
 // knowsLeader says whether somebody leads, as far as this node knows.
@@ -210,11 +210,11 @@
 }
 
 // takeReport is the leader's answer to a report, forwarded or not.
-func (n *Node) takeReport(r *protocol.Report) (status int, body any) {
+func (n *Node) takeReport(r *protocol.Heartbeat) (status int, body any) {
 	if n.lead == nil || !n.hasAuthority() {
 		return 421, protocol.Redirect{}
 	}
-	if r.Token > n.lease.term {
+	if r.FencingToken > n.lease.term {
 		// Somebody else has the right to command by now, or the state service was restored.
 		n.lead.refuseHigherToken(r)
 		return 503, protocol.ErrorBody{Error: "a higher token than this leader's"}
@@ -226,5 +226,5 @@
 	if !ok {
 		return 503, protocol.ErrorBody{Error: "an older report"}
 	}
-	return 200, protocol.ReportAnswer{Token: n.lease.term, Commands: commands}
+	return 200, protocol.HeartbeatResponse{FencingToken: n.lease.term, Commands: commands}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -10,7 +10,7 @@
 // report takes a worker's newest message. answered: it came as a report and
 // will be answered with 200, which renews the worker's lease. ok is false if
 // the message is older than what is known.
-func (l *leader) report(r *protocol.Report, answered bool) (commands []protocol.Command, ok bool) {
+func (l *leader) report(r *protocol.Heartbeat, answered bool) (commands []protocol.Command, ok bool) {
 	if l.autoscaler.Deleted(r.Machine) {
 		return nil, false // what is deleted can only have sent this before
 	}
@@ -27,7 +27,7 @@
 		// of an old report can come at any time.
 		l.RecordMachine(machine)
 	}
-	if r.NoticeS != nil && !machine.SpotNotice {
+	if r.PreemptionNoticeS != nil && !machine.SpotNotice {
 		machine.SpotNotice = true
 		l.plan = true
 		l.lifecycle.Drain(machine)
@@ -45,25 +45,25 @@
 
 // reportedIncarnation takes the incarnation and sequence number of a report. A newer one
 // has forgotten every attempt of an older one.
-func (l *leader) reportedIncarnation(machine *cluster.Machine, r *protocol.Report) {
+func (l *leader) reportedIncarnation(machine *cluster.Machine, r *protocol.Heartbeat) {
 	if r.Incarnation > machine.Agent.Incarnation {
 		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && l.n.now.Sub(machine.Agent.AnsweredAt) < config.Seconds(l.n.cfg.Cluster.Workers.LeaseS) {
 			// Its lease ran out although its reports were answered all the time.
-			machine.Agent.UnseenAnswers = tuning.MissedAnswers
+			machine.Agent.UnseenAnswers = tuning.MaxIneffectiveResponses
 		}
 	}
 	machine.Agent.Incarnation, machine.Agent.Sequence = r.Incarnation, r.Sequence
 }
 
 // reportedLiveness notes the sign of life that a report is.
-func (l *leader) reportedLiveness(machine *cluster.Machine, r *protocol.Report, answered bool) {
+func (l *leader) reportedLiveness(machine *cluster.Machine, r *protocol.Heartbeat, answered bool) {
 	if !machine.Agent.Heard || machine.Agent.LeaseExpired {
 		machine.Agent.Heard, machine.Agent.LeaseExpired = true, false
 		machine.IdleSince = l.n.now
 		l.CommandsPending(machine) // what was to be ordered waited for a sign of life
 	}
-	if confirmed := r.Token == l.n.lease.term; confirmed != machine.Agent.TokenConfirmed {
+	if confirmed := r.FencingToken == l.n.lease.term; confirmed != machine.Agent.TokenConfirmed {
 		machine.Agent.TokenConfirmed = confirmed
 		l.plan = true
 	}
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -41,10 +41,10 @@
 
 // refuseHigherToken takes a worker's token above this leader's term: the worker would drop
 // whatever it is answered.
-func (l *leader) refuseHigherToken(r *protocol.Report) {
+func (l *leader) refuseHigherToken(r *protocol.Heartbeat) {
 	s := &l.restored
-	if r.Token > s.highest {
-		s.highest = r.Token
+	if r.FencingToken > s.highest {
+		s.highest = r.FencingToken
 		l.askForTerm(r.Machine)
 	}
 	l.holdsHigherToken(r)
@@ -57,7 +57,7 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Txn{If: []protocol.Condition{l.n.leads()}}
+	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}}
 	l.n.store.Transact(term, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
@@ -77,12 +77,12 @@
 }
 
 // holdsHigherToken keeps note of a worker that no order reaches.
-func (l *leader) holdsHigherToken(r *protocol.Report) {
+func (l *leader) holdsHigherToken(r *protocol.Heartbeat) {
 	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
 	if machine.Agent.HigherToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.Token)
+		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
 	}
-	machine.Agent.HigherToken = r.Token
+	machine.Agent.HigherToken = r.FencingToken
 }
 
 // reachableToken is the highest token of a worker above which the revision can be raised
@@ -166,13 +166,13 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Txn{If: []protocol.Condition{l.n.leads()}, Then: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}, Changes: []protocol.Change{change}}
 	l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
 		}
 		if result.Outcome != kv.Done || result.Malformed {
-			l.n.after(tuning.RetryPause, func() { l.restored.writing = false })
+			l.n.after(tuning.StoreRetryDelay, func() { l.restored.writing = false })
 			return
 		}
 		l.restored.writing = false
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -42,7 +42,7 @@
 // budget of calls and leave most of it to rentals, whatever the number of pages.
 func TestListOfLargeFleet(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	rps := l.n.cfg.Cluster.Cloud.RPS * tuning.CloudShare
+	rps := l.n.cfg.Cluster.Cloud.RPS * tuning.CloudBudgetShare
 	pages, seconds := 0, 60
 	served := 0 // of the requests in l.n.out
 	for range seconds * 10 {
@@ -72,13 +72,13 @@
 func TestManyConfirmedCancels(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.peers["p"] = &peer{}
-	tell := func(from, to int) protocol.PeerConfirm {
+	tell := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
 			l.n.noteCancel(protocol.JobID(fmt.Sprintf("run-%06d", i)))
 		}
 		l.n.out = nil
 		l.n.confirm("p", protocol.PeerConfirmRequest{ID: 1})
-		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirm)
+		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
 	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
 		t.Errorf("complete %v, %d named", m.Complete, len(m.Cancels))
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -23,7 +23,7 @@
 
 // relayViaState queues a message for a peer that no link leads to.
 func (n *Node) relayViaState(target protocol.NodeName, m protocol.PeerMessage) bool {
-	if _, ok := n.peers[target]; !ok || n.now.Sub(n.servedAt) > tuning.AloneAfter {
+	if _, ok := n.peers[target]; !ok || n.now.Sub(n.servedAt) > tuning.IsolationTimeout {
 		return false
 	}
 	box := n.outboxes[target]
@@ -31,7 +31,7 @@
 		box = &outbox{}
 		n.outboxes[target] = box
 	}
-	frame := protocol.AppendPeer(nil, m)
+	frame := protocol.AppendPeerFrame(nil, m)
 	if len(box.frames)+len(frame) > storage.RelayCapacity(n.cfg.Cluster.State.ValueKB) {
 		return false // the sender tries again, as after a lost packet
 	}
@@ -46,11 +46,11 @@
 		if box == nil || len(box.frames) == 0 || box.sending || n.now.Before(box.sendAt) || !n.relayWrites.AllowN(n.now, 1) {
 			continue
 		}
-		txn := protocol.Txn{Then: []protocol.Change{{Set: storage.RelayKey(n.cfg.Name, s.Name),
+		txn := protocol.Transaction{Changes: []protocol.Change{{Set: storage.RelayKey(n.cfg.Name, s.Name),
 			Value: storage.Encode(storage.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
 		n.countWrite()
 		box.frames, box.sending = nil, true
-		box.sendAt = n.now.Add(tuning.RelayEvery)
+		box.sendAt = n.now.Add(tuning.RelayWriteInterval)
 		n.store.Transact(txn, func(kv.TransactionResult) {
 			box.sending = false // what was lost is sent again by whoever misses it
 		})
@@ -70,7 +70,7 @@
 	}
 	r := bytes.NewReader(relayed.Frames)
 	for r.Len() > 0 {
-		m, err := protocol.ReadPeer(r)
+		m, err := protocol.ReadPeerFrame(r)
 		if err != nil {
 			n.log.Error("relayed message does not parse", "from", from, "error", err)
 			return
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -36,9 +36,9 @@
 		spoil(s, key, part)
 		l := s.leader(protocol.PeerLevel)
 		machine := l.cluster.Machines[hostName]
-		var tasks []protocol.TaskReport
+		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
-			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
+			tasks = append(tasks, protocol.TaskStatus{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
 		}
 		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
@@ -48,7 +48,7 @@
 			l.runSchedulingCycle()
 			l.autoscaler.Tick()
 			if txn, _ := l.nextTxn(t); txn != nil {
-				for _, c := range txn.Then {
+				for _, c := range txn.Changes {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
 						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
 					}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -72,13 +72,13 @@
 		}
 		return
 	}
-	n.storeSubmission(id, spec.ID, n.submissionTxn(spec), n.now.Add(tuning.UserDeadline))
+	n.storeSubmission(id, spec.ID, n.submissionTxn(spec), n.now.Add(tuning.UserRequestTimeout))
 }
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (n *Node) refuseUnrunnable(id uint64, jobID protocol.JobID, why string) {
-	n.lookUp(id, jobID, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
+	n.lookUp(id, jobID, n.now.Add(tuning.UserRequestTimeout), func(s *protocol.Status) {
 		if s != nil {
 			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
 			return
@@ -93,9 +93,9 @@
 	state := n.cfg.Cluster.State
 	rec := storage.Job{Writer: n.unique(), Spec: spec, AtMs: n.now.UnixMilli(),
 		RecordTasks: storage.TasksPerRecord(state.ValueKB, state.TxnOps, spec)}
-	return storage.Encode(protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
-		Then: []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(rec)}},
+	return storage.Encode(protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Changes:    []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(rec)}},
 	})
 }
 
@@ -142,8 +142,8 @@
 }
 
 // submission is a submission on its way to a peer.
-func submission(spec *protocol.Job) protocol.PeerRequest {
-	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: storage.Encode(spec)}
+func submission(spec *protocol.Job) protocol.PeerUserRequest {
+	return protocol.PeerUserRequest{Operation: verbSubmit, Job: spec.ID, Body: storage.Encode(spec)}
 }
 
 // query answers a user's poll.
@@ -163,13 +163,13 @@
 		n.shed(id)
 		return
 	}
-	n.answerQuery(id, jobID, n.now.Add(tuning.UserDeadline))
+	n.answerQuery(id, jobID, n.now.Add(tuning.UserRequestTimeout))
 }
 
 // stateUnreachable says whether requests to the state service hang: a user is better
 // told at once to come back, perhaps to another node.
 func (n *Node) stateUnreachable() bool {
-	return n.unanswered && n.now.Sub(n.servedAt) >= tuning.CutOffAfter
+	return n.unanswered && n.now.Sub(n.servedAt) >= tuning.StoreUnreachableTimeout
 }
 
 // shed turns a user's request away because too much is asked.
@@ -194,7 +194,7 @@
 
 // cacheFinal remembers a final state; it never changes.
 func (n *Node) cacheFinal(jobID protocol.JobID, f storage.Final) {
-	if len(n.finals) >= tuning.FinalCache {
+	if len(n.finals) >= tuning.MaxCachedFinalStates {
 		clear(n.finals)
 	}
 	n.finals[jobID] = f
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -250,7 +250,7 @@
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = &simJob{spec: ghost, run: 500, progress: []float64{0}, done: []bool{false}, gangs: map[protocol.AttemptNumber]*gang{}}
 	c.loseAll(4*time.Second, 0)
-	c.idleWorker().execute([]protocol.Command{{Op: protocol.OpStart, Task: "run-000077/0", Attempt: 4}})
+	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.mark()
 	c.Run(20 * time.Second)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -129,15 +129,15 @@
 	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
 	starts, rented := w.rules.started, len(w.cloud.rented)
 	for _, c := range w.nodes {
-		r, _ := protocol.ParseReport(old)
+		r, _ := protocol.ParseHeartbeat(old)
 		c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
-			var a protocol.ReportAnswer
+			var a protocol.HeartbeatResponse
 			if status == 200 {
 				decode(body, &a)
 			}
 			for _, o := range a.Commands {
-				if o.Op != protocol.OpStop {
-					t.Errorf("%s answers the copy with %s", c.name, o.Op)
+				if o.Kind != protocol.CommandStop {
+					t.Errorf("%s answers the copy with %s", c.name, o.Kind)
 				}
 			}
 		})
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -37,7 +37,7 @@
 	if _, ok := protocol.Announced(m); !ok {
 		return m
 	}
-	a := m.(protocol.PeerAnswer)
+	a := m.(protocol.PeerResponse)
 	a.Status = min(from.level(), to.level())
 	return a
 }
@@ -48,7 +48,7 @@
 	_, announces := protocol.Announced(a.Message)
 	added := false
 	switch a.Message.(type) {
-	case protocol.PeerCancelled, protocol.PeerConfirmRequest, protocol.PeerConfirm:
+	case protocol.PeerCancellation, protocol.PeerConfirmRequest, protocol.PeerConfirmation:
 		added = true
 	}
 	if added && c.w.release[string(a.Peer)] == release02 {
@@ -64,7 +64,7 @@
 
 // recode passes a message through the peers' wire format.
 func recode(m protocol.PeerMessage) protocol.PeerMessage {
-	out, err := protocol.ReadPeer(newReader(protocol.AppendPeer(nil, m)))
+	out, err := protocol.ReadPeerFrame(newReader(protocol.AppendPeerFrame(nil, m)))
 	if err != nil {
 		panic(err)
 	}
