--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -50,6 +50,7 @@
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
 		"internal/coordination/kv",
+		"internal/coordination/lifecycle",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
@@ -70,6 +71,13 @@
 		"internal/protocol",
 		"internal/tuning",
 	}},
+	"internal/coordination/lifecycle": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy",
