--- a/internal/architecture/events_test.go
+++ b/internal/architecture/events_test.go
@@ -219,15 +219,10 @@
 // would find in no runbook. The other direction, that each event of a page is logged, is
 // TestPagesNameRealThings.
 func TestRunbookNamesEveryEvent(t *testing.T) {
+	text := runbooks(t)
 	named := map[string]bool{}
-	for _, page := range runbookPages {
-		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, match := range pageEvent.FindAllStringSubmatch(string(text), -1) {
-			named[match[1]] = true
-		}
+	for _, match := range pageEvent.FindAllStringSubmatch(text, -1) {
+		named[match[1]] = true
 	}
 	events := readEvents(t)
 	if len(events.byDefault) == 0 {
@@ -240,6 +235,39 @@
 	}
 }
 
+// TestRunbookNamesEveryMetric: the operators' pages have every metric of the sources.
+func TestRunbookNamesEveryMetric(t *testing.T) {
+	named := map[string]bool{}
+	for _, match := range codeSpan.FindAllStringSubmatch(runbooks(t), -1) {
+		if metric := metricName.FindStringSubmatch(match[1]); metric != nil {
+			named[metric[1]] = true
+		}
+	}
+	metrics := readDeclarations(t).metrics
+	if len(metrics) == 0 {
+		t.Fatal("no metric was found in the sources")
+	}
+	for metric := range metrics {
+		if !named[metric] {
+			t.Errorf("%s is in the sources, and on none of %q", metric, runbookPages)
+		}
+	}
+}
+
+// runbooks is the text of all runbookPages.
+func runbooks(t *testing.T) string {
+	t.Helper()
+	var all strings.Builder
+	for _, page := range runbookPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		all.Write(text)
+	}
+	return all.String()
+}
+
 // TestLoggedMessages shows what counts as an event, by a source with each kind of call.
 func TestLoggedMessages(t *testing.T) {
 	const source = `package p
