--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -28,38 +28,88 @@
 // that no file needs any more, so that the table can be read as the state of things.
 var allowedImports = map[string]dependencies{
 	"cmd/gappond": {imports: []string{
-		"internal/config", "internal/coordination", "internal/transport", "internal/tuning"}},
+		"internal/config",
+		"internal/coordination",
+		"internal/transport",
+		"internal/tuning",
+	}},
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
-		"internal/recovery", "internal/tuning"}},
+		"internal/storage",
+		"internal/config",
+		"internal/coordination",
+		"internal/coordination/reconcile",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
-		"internal/coordination/cluster", "internal/coordination/kv", "internal/coordination/scheduler",
-		"internal/protocol", "internal/recovery", "internal/tuning"}},
+		"internal/storage",
+		"internal/config",
+		"internal/coordination/autoscaler",
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/coordination/lifecycle",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
-		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
-		"internal/protocol", "internal/tuning"}},
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
-		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
+		"internal/buddy",
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/protocol",
+		"internal/tuning",
+	}},
+	"internal/coordination/lifecycle": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
+	}},
+	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
-		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
+		"internal/buddy",
+		"internal/config",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 
-	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
-	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/config":      {imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/protocol":    {},
-	"internal/buddy":       {pure: true},
-	"internal/tuning":      {pure: true},
+	"internal/storage": {pure: true, imports: []string{
+		"internal/protocol",
+		"internal/tuning",
+	}},
+	"internal/config": {imports: []string{
+		"internal/protocol",
+		"internal/tuning",
+	}},
+	"internal/protocol": {},
+	"internal/buddy":    {pure: true},
+	"internal/tuning":   {pure: true},
 
 	"internal/simulation": {
 		imports: []string{
-			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
-			"internal/tuning"},
-		tests: []string{"internal/recovery", "internal/transport"}},
+			"internal/storage",
+			"internal/config",
+			"internal/coordination",
+			"internal/protocol",
+			"internal/tuning",
+		},
+		tests: []string{
+			"internal/coordination/reconcile",
+			"internal/transport",
+		}},
 	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -91,7 +91,7 @@
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
-		l.Stop(attempt, 0)
+		l.lifecycle.Stop(attempt, 0)
 	}
 	l.sendDirect()
 	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathCommands); orders != 1 {
@@ -110,7 +110,7 @@
 	n.cfg.Cluster.State.WriteRPS = 2
 	n.setBudgets()
 	job := l.testJob(gangOf(1, 1))
-	l.setDone(job, 0)
+	l.lifecycle.MarkDone(job, 0)
 	for range 30 {
 		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.commitNext()
@@ -132,8 +132,8 @@
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
-		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
+		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
@@ -211,7 +211,7 @@
 	n.stepDown("a test")
 	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
 	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
+		n.leaseObserved(storage.Encode(storage.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
 	send := func(after time.Duration) string {
@@ -278,7 +278,7 @@
 	grant := request(out, protocol.PathLeases)
 	out = n.Step(n.now, []Event{Response{ID: grant.ID, Status: 200, Body: []byte(`{"permit":5}`)}})
 	claim := request(out, protocol.PathTransactions)
-	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
+	n.leaseObserved(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
--- a/internal/coordination/kv/kv.go
+++ b/internal/coordination/kv/kv.go
@@ -99,7 +99,9 @@
 }
 
 // Transact carries out a transaction on conditions.
-func (c Client) Transact(txn protocol.Transaction, done func(TransactionResult)) { c.transact(txn, done) }
+func (c Client) Transact(txn protocol.Transaction, done func(TransactionResult)) {
+	c.transact(txn, done)
+}
 
 // TransactEncoded is Transact of a transaction that is encoded already, so that the same
 // one can be sent again.
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -26,7 +26,7 @@
 	// BootTimeoutFactor is how many nominal boot times a machine may take before
 	// another is rented in its place.
 	BootTimeoutFactor = 2.2
-	// BootTimeoutSlack is added to BootTimeoutFactor.
+	// BootTimeoutSlack is added to BootPatience.
 	BootTimeoutSlack = 5 * time.Second
 )
 
@@ -56,7 +56,7 @@
 	ConsolidationInterval = 5 * time.Second
 	// MaxConsolidationCandidates is how many machines are looked at for one to empty.
 	MaxConsolidationCandidates = 8
-	// ConsolidationFleetDivisor: one in so many machines may be emptied at once.
+	// PackFleet: one in so many machines may be emptied at once.
 	ConsolidationFleetDivisor = 20
 	// MaxConsolidationUtilization is the share of its GPUs in use from which on a machine stays.
 	MaxConsolidationUtilization = 0.5
