--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -20,7 +20,8 @@
 //   - a path that begins with internal/, cmd/, docs/ or deploy/, anywhere on the page and in
 //     its diagrams: it exists; "internal/a/..." stands for internal/a, and
 //     "internal/a.Name" for a declaration of that package;
-//   - a local link of Markdown: the file exists, seen from the page;
+//   - a local link of Markdown: the file exists, seen from the page, and has the heading that
+//     follows a "#";
 //   - in backticks, `name.go` or `directory/name.go`: a Go file's path ends so;
 //   - in backticks, `TestName`, `BenchmarkName` or `FuzzName`: such a function exists;
 //   - in backticks, `name()`: a function or method of that name is declared somewhere;
@@ -40,15 +41,16 @@
 // than Go's, and all else in backticks are not checked.
 var checkedPages = []string{"*.md", "docs/*.md", "docs/design/*.md"}
 
-// historicalPages name what was, or is to come, as well as what is.
+// historicalPages name what was, or is to come, as well as what is: of these only the links
+// are checked.
 var historicalPages = []string{
 	"docs/ROADMAP.md",      // plans, with packages that do not exist yet
 	"docs/measurements.md", // as measured then, with the names of then
 	"docs/questions.md",    // as asked and answered then
 }
 
-// requiredPages are checked, and must be there.
-var requiredPages = []string{"README.md", "docs/architecture.md", "docs/operations.md"}
+// requiredPages are checked whole, and must be there.
+var requiredPages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/recovery.md"}
 
 // TestPagesNameRealThings reads each page of checkedPages.
 func TestPagesNameRealThings(t *testing.T) {
@@ -68,6 +70,15 @@
 			t.Error(problem)
 		}
 	}
+	for _, page := range historicalPages {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, problem := range linkProblems(page, fencedBlock.ReplaceAllString(string(text), "")) {
+			t.Error(problem)
+		}
+	}
 }
 
 // pagesToCheck lists the pages that match checkedPages and are not historical.
@@ -93,7 +104,7 @@
 	checker := newPageChecker(t)
 	for _, right := range []string{
 		"`internal/buddy/buddy.go`, `internal/...`, internal/buddy. `cmd/gappond`",
-		"`internal/config.Config`", "`go test ./internal/buddy`", "[design](design.md#terms) [x](https://example.org/y.md)",
+		"`internal/config.Config`", "`go test ./internal/buddy`", "[design](design.md#glossary) [cell](design.md#where-each-section-went) [x](https://example.org/y.md)",
 		"`buddy.go`", "`buddy/buddy.go`", "`TestPageChecker`", "`newPageChecker()`", "`config.Load()`",
 		"`config.Config`", "`config.Config.Cluster`", "`architecture.pageChecker.problems`", "`pageChecker.problems`",
 		"`config.Peer.Name`", "`cluster.workers.cancel_s`", "`cluster.teams`", "`fleet.idle-return.seconds`",
@@ -107,7 +118,7 @@
 	}
 	for _, wrong := range []string{
 		"`internal/buddy/nothing.go`", "internal/nothing", "`internal/nothing/...`", "`cmd/nothing`", "`docs/nothing.md`",
-		"`internal/config.Nothing`", "`go test ./internal/nothing`", "[design](nothing.md)",
+		"`internal/config.Nothing`", "`go test ./internal/nothing`", "[design](nothing.md)", "[design](design.md#nothing)", "[here](#nothing)",
 		"`nothing.go`", "`config/buddy.go`", "`TestNothing`", "`BenchmarkNothing`", "`nothingAtAll()`", "`config.Nothing()`",
 		"`config.Nothing`", "`config.Config.Nothing`", "`architecture.pageChecker.nothing`", "`pageChecker.nothing`",
 		"`event: nothing at all`", "`reason: nothing at all`", "`event: leader lease taken over`",
@@ -124,6 +135,9 @@
 	fencedBlock    = regexp.MustCompile("(?ms)^```.*?^```")
 	codeSpan       = regexp.MustCompile("`([^`\n]+)`")
 	localLink      = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
+	headingLink    = regexp.MustCompile(`\]\(([^)#:\s]*)#([^)\s]+)\)`)
+	heading        = regexp.MustCompile(`(?m)^#+ +(.+)$`)
+	notInAnchors   = regexp.MustCompile(`[^\w -]`)
 	repositoryPath = regexp.MustCompile(`(?:^|[^\w./-])(?:\./)?((?:internal|cmd|docs|deploy)/[\w./-]+)`)
 	goFile         = regexp.MustCompile(`^[\w./-]+\.go$`)
 	testFunction   = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
@@ -172,9 +186,7 @@
 // problems are the names on a page that are not real.
 func (c *pageChecker) problems(page, text string) []string {
 	var problems []string
-	add := func(name, why string) {
-		problems = append(problems, fmt.Sprintf("%s names %s: %s", page, name, why))
-	}
+	add := func(name, why string) { problems = append(problems, problem(page, name, why)) }
 	for _, match := range repositoryPath.FindAllStringSubmatch(text, -1) {
 		if name := strings.TrimRight(match[1], "./-"); !c.pathExists(name) {
 			add(name, "no such file, package or declaration")
@@ -188,19 +200,55 @@
 		}
 	}
 	text = fencedBlock.ReplaceAllString(text, "")
+	problems = append(problems, linkProblems(page, text)...)
+	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
+		if why := c.spanProblem(match[1]); why != "" {
+			add(match[0], why)
+		}
+	}
+	return problems
+}
+
+// problem is what the tests say of a name that is not real.
+func problem(page, name, why string) string {
+	return fmt.Sprintf("%s names %s: %s", page, name, why)
+}
+
+// linkProblems are the local links of a page, its fenced blocks left out, that lead nowhere.
+func linkProblems(page, text string) []string {
+	var problems []string
 	for _, match := range localLink.FindAllStringSubmatch(text, -1) {
 		if _, err := os.Stat(filepath.Join(moduleRoot, path.Dir(page), match[1])); err != nil {
-			add(match[1], "no such file, seen from the page")
+			problems = append(problems, problem(page, match[1], "no such file, seen from the page"))
 		}
 	}
-	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
-		if why := c.spanProblem(match[1]); why != "" {
-			add(match[0], why)
+	for _, match := range headingLink.FindAllStringSubmatch(text, -1) {
+		if !hasHeading(page, text, match[1], match[2]) {
+			problems = append(problems, problem(page, match[1]+"#"+match[2], "no such heading"))
 		}
 	}
 	return problems
 }
 
+// hasHeading reports whether the page that a link names, the page itself if it names none, has
+// a heading with the anchor. A page that does not exist is reported elsewhere.
+func hasHeading(page, text, linked, anchor string) bool {
+	if linked != "" {
+		content, err := os.ReadFile(filepath.Join(moduleRoot, path.Dir(page), linked))
+		if err != nil {
+			return true
+		}
+		text = fencedBlock.ReplaceAllString(string(content), "")
+	}
+	for _, match := range heading.FindAllStringSubmatch(text, -1) {
+		words := notInAnchors.ReplaceAllString(strings.ToLower(match[1]), "")
+		if strings.ReplaceAll(words, " ", "-") == anchor {
+			return true
+		}
+	}
+	return false
+}
+
 // pathExists reports whether a path from the root is a file, a directory or, after the
 // package's path and a dot, a declaration.
 func (c *pageChecker) pathExists(name string) bool {
