--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -163,7 +163,7 @@
 		}
 		l.autoscaler.Tick()
 		l.tickRecovery()
-		l.tickRestored()
+		l.restored.tick()
 		if l.n.lead != l {
 			return
 		}
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -8,192 +8,194 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// A token is a revision of the state service. A worker that holds a higher one than the
-// leader's term has met a later leader; or, if the state service confirms that the term
+// A token is a revision of the state service. An agent that holds a higher one than the
+// leader's term has met a later leader; or, if the store confirms that the term
 // is still the newest, it holds the token of a history that the state service has lost,
-// for it was restored to an older state. Such a worker takes no order and its lease runs
-// out. So the leader raises the revision above the highest token that it has seen, if
-// that can be done within half a lease, and takes a new term; workers then keep what
-// they run. Otherwise they are returned once their leases have lapsed.
+// for it was restored to an older state. Such an agent takes no command and its lease
+// expires. So the leader raises the revision above the highest token that it has seen, if
+// that can be done within half a lease, and takes a new term; agents then keep what
+// they run. Otherwise their machines are returned once their leases have expired.
 //
 // What the lost history placed is on no record. So nothing that was submitted before is
-// started until every recorded worker is known or its lease has lapsed. A marker in the
+// started until every recorded agent is known or its lease has expired. A marker in the
 // state service, whose writes raise the revision, has every later leader do the same.
 
-// restoredStore is what a leader knows of a state service that was restored.
+// restoredStore is what a leader does about a store that was restored.
 type restoredStore struct {
-	tokensChecked bool              // a recorded worker has taken this leader's token
+	leader        *leader
+	tokensChecked bool              // a recorded agent has taken this leader's token
 	marked        bool              // the marker stands
-	proven        bool              // in this term
-	highest       protocol.Term     // token seen
+	confirmed     bool              // in this term
+	highestToken  protocol.Term     // token seen
 	revision      protocol.Revision // of the state service, when it was last told
-	asking        bool
+	verifying     bool
 	writing       bool
 }
 
-// loadRestoredMarker looks whether an earlier leader found the state service restored.
-func (l *leader) loadRestoredMarker() {
-	if e, ok := l.n.mirror.Get(storage.RestoredKey); ok {
-		l.restored.marked = true
-		l.n.log.Error("state service was restored to an older state, earlier jobs wait for all workers", "record", string(e.Value))
+// loadMarker looks whether an earlier leader found the state service restored.
+func (s *restoredStore) loadMarker() {
+	if e, ok := s.leader.n.mirror.Get(storage.RestoredKey); ok {
+		s.marked = true
+		s.leader.n.log.Error("state service was restored to an older state, earlier jobs wait for all workers", "record", string(e.Value))
 	}
 }
 
-// HigherTokenSeen implements agents.HeartbeatEnvironment.
-func (l *leader) HigherTokenSeen(r *protocol.Heartbeat) {
-	s := &l.restored
-	if r.FencingToken > s.highest {
-		s.highest = r.FencingToken
-		l.askForTerm(r.Machine)
+// handleHigherToken takes a heartbeat with a token above this leader's term.
+func (s *restoredStore) handleHigherToken(r *protocol.Heartbeat) {
+	if r.FencingToken > s.highestToken {
+		s.highestToken = r.FencingToken
+		s.verifyTerm(r.Machine)
 	}
-	l.holdsHigherToken(r)
+	s.noteUnreachable(r)
 }
 
-// askForTerm asks the state service whether this leader's term is the newest still.
-func (l *leader) askForTerm(machineID protocol.MachineID) {
-	s := &l.restored
-	if s.asking {
+// verifyTerm asks the state service whether this leader's term is the newest still.
+func (s *restoredStore) verifyTerm(machineID protocol.MachineID) {
+	if s.verifying {
 		return
 	}
-	s.asking = true
-	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}}
-	l.n.store.Transact(term, func(result kv.TransactionResult) {
-		if l.n.lead != l {
+	s.verifying = true
+	term := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.leads()}}
+	s.leader.n.store.Transact(term, func(result kv.TransactionResult) {
+		if s.leader.n.lead != s.leader {
 			return
 		}
-		s.asking = false
+		s.verifying = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
-			l.n.stepDown("a worker has seen a higher token")
+			s.leader.n.stepDown("a worker has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
-			l.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
-				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.lease.term)
-			s.proven, s.revision = true, result.Revision
+			s.leader.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
+				"machine", machineID, "token", s.highestToken, "revision", result.Revision, "term", s.leader.n.lease.term)
+			s.confirmed, s.revision = true, result.Revision
 		default:
-			s.highest = l.n.lease.term // the next report asks again
+			s.highestToken = s.leader.n.lease.term // the next report asks again
 		}
 	})
 }
 
-// holdsHigherToken keeps note of a worker that no order reaches.
-func (l *leader) holdsHigherToken(r *protocol.Heartbeat) {
-	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
+// noteUnreachable keeps note of an agent that no command reaches.
+func (s *restoredStore) noteUnreachable(r *protocol.Heartbeat) {
+	machine := s.leader.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
 	if machine.Agent.HigherToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
+		s.leader.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
 	}
 	machine.Agent.HigherToken = r.FencingToken
 }
 
-// reachableToken is the highest token of a worker above which the revision can be raised
-// before the workers' leases run out, 0 if there is none. A single token beyond reason
-// costs no more than its own worker.
-func (l *leader) reachableToken() (token protocol.Term) {
-	changes := l.n.cfg.Cluster.State.WriteRPS * l.n.cfg.Cluster.Workers.LeaseS / 2
-	for _, machine := range l.cluster.OrderedMachines {
-		if machine.Agent.HigherToken <= protocol.Term(l.restored.revision)+protocol.Term(changes) {
+// highestReachableToken is the highest token of an agent above which the revision can be
+// raised before the agents' leases expire, 0 if there is none. A single token beyond reason
+// costs no more than its own machine.
+func (s *restoredStore) highestReachableToken() (token protocol.Term) {
+	changes := s.leader.n.cfg.Cluster.State.WriteRPS * s.leader.n.cfg.Cluster.Workers.LeaseS / 2
+	for _, machine := range s.leader.cluster.OrderedMachines {
+		if machine.Agent.HigherToken <= protocol.Term(s.revision)+protocol.Term(changes) {
 			token = max(token, machine.Agent.HigherToken)
 		}
 	}
 	return token
 }
 
-// tickRestored raises the revision, takes a new term once it is above the workers' tokens,
-// or returns the workers that no term will reach.
-func (l *leader) tickRestored() {
-	s := &l.restored
+// tick raises the revision, takes a new term once it is above the agents' tokens,
+// or returns the machines whose agents no term will reach.
+func (s *restoredStore) tick() {
 	switch {
-	case !s.proven:
-		if s.marked && !l.Recovering() {
-			l.removeRestoredMarker()
+	case !s.confirmed:
+		if s.marked && !s.leader.Recovering() {
+			s.removeMarker()
 		}
 	case !s.marked:
-		l.raiseRevision()
+		s.raiseRevision()
 	default:
-		switch token := l.reachableToken(); {
-		case token <= l.n.lease.term:
-			l.returnUnreachable()
+		switch token := s.highestReachableToken(); {
+		case token <= s.leader.n.lease.term:
+			s.returnUnreachable()
 		case protocol.Term(s.revision) >= token:
-			l.n.stepDown("workers hold higher tokens, the next term is above them")
+			s.leader.n.stepDown("workers hold higher tokens, the next term is above them")
 		default:
-			l.raiseRevision()
+			s.raiseRevision()
 		}
 	}
 }
 
-// returnUnreachable returns the workers that no term will reach, when their leases have
-// lapsed. Once all are gone the state service's history is the only one again.
-func (l *leader) returnUnreachable() {
+// returnUnreachable returns the machines whose agents no term will reach, when their leases
+// have expired. Once all are gone the state service's history is the only one again.
+func (s *restoredStore) returnUnreachable() {
 	left := false
-	for _, machine := range l.cluster.OrderedMachines {
-		if machine.Agent.HigherToken <= l.n.lease.term {
+	for _, machine := range s.leader.cluster.OrderedMachines {
+		if machine.Agent.HigherToken <= s.leader.n.lease.term {
 			continue
 		}
 		left = true
-		if l.n.now.After(l.agents.Liveness.LeaseExpiresAt(machine)) {
-			l.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
+		if s.leader.n.now.After(s.leader.agents.Liveness.LeaseExpiresAt(machine)) {
+			s.leader.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
 		}
 	}
 	if !left {
-		l.restored.proven, l.restored.highest = false, l.n.lease.term
+		s.confirmed, s.highestToken = false, s.leader.n.lease.term
 	}
 }
 
 // raiseRevision writes the marker, again and again as fast as half of the budget allows.
-func (l *leader) raiseRevision() {
-	s := &l.restored
-	half := float64(l.n.writes.Burst()) / 2
-	if s.writing || l.n.writes.TokensAt(l.n.now) < half {
+func (s *restoredStore) raiseRevision() {
+	half := float64(s.leader.n.writes.Burst()) / 2
+	if s.writing || s.leader.n.writes.TokensAt(s.leader.n.now) < half {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, 1)
+	s.leader.n.writes.AllowN(s.leader.n.now, 1)
 	s.writing = true
-	marker := storage.Restored{Writer: l.n.unique(), Token: s.highest}
-	l.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
+	marker := storage.Restored{Writer: s.leader.n.unique(), Token: s.highestToken}
+	s.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
 		s.marked = true
-		l.tickRestored()
+		s.tick()
 	})
 }
 
-// removeRestoredMarker deletes the marker when a recovery has ended.
-func (l *leader) removeRestoredMarker() {
-	if l.restored.writing || !l.n.writes.AllowN(l.n.now, 1) {
+// removeMarker deletes the marker when a recovery has ended.
+func (s *restoredStore) removeMarker() {
+	if s.writing || !s.leader.n.writes.AllowN(s.leader.n.now, 1) {
 		return
 	}
-	l.restored.writing = true
-	l.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { l.restored.marked = false })
+	s.writing = true
+	s.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { s.marked = false })
 }
 
 // writeMarker carries a change of the marker out under the leader's term.
-func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}, Changes: []protocol.Change{change}}
-	l.n.store.Transact(txn, func(result kv.TransactionResult) {
-		if l.n.lead != l {
+func (s *restoredStore) writeMarker(change protocol.Change, done func()) {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.leads()}, Changes: []protocol.Change{change}}
+	s.leader.n.store.Transact(txn, func(result kv.TransactionResult) {
+		if s.leader.n.lead != s.leader {
 			return
 		}
 		if result.Outcome != kv.Done || result.Malformed {
-			l.n.after(tuning.StoreRetryDelay, func() { l.restored.writing = false })
+			s.leader.n.after(tuning.StoreRetryDelay, func() { s.writing = false })
 			return
 		}
-		l.restored.writing = false
-		l.restored.revision = max(l.restored.revision, result.Revision)
+		s.writing = false
+		s.revision = max(s.revision, result.Revision)
 		done()
 	})
 }
 
-// TokenConfirmed implements agents.HeartbeatEnvironment. It notes that a recorded worker has taken this leader's token: it held none
-// of another history.
+// HigherTokenSeen implements agents.HeartbeatEnvironment.
+func (l *leader) HigherTokenSeen(r *protocol.Heartbeat) {
+	l.restored.handleHigherToken(r)
+}
+
+// TokenConfirmed implements agents.HeartbeatEnvironment. It notes that a recorded agent has
+// taken this leader's token: it held none of another history.
 func (l *leader) TokenConfirmed(machine *cluster.Machine) {
 	if machine.Recovered && machine.Agent.TokenConfirmed && !l.restored.tokensChecked {
 		l.restored.tokensChecked, l.plan = true, true
 	}
 }
 
-// Held says whether a job must not start anything yet: attempts that no record has may
-// run on workers that have yet to report. Until one of them has shown its token, nobody
-// knows.
+// Held implements scheduler.Environment. A job must not start anything yet while attempts
+// that no record has may run on machines whose agents have yet to report. Until one of them
+// has shown its token, nobody knows.
 func (l *leader) Held(job *cluster.Job) bool {
 	if !job.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
-	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
+	return l.restored.confirmed || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
 }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -22,6 +22,7 @@
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
+	l.restored.leader = l
 	l.agents = agents.New(agents.Dependencies{
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
 		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
@@ -36,7 +37,7 @@
 	if allRead {
 		l.forgetUnrecorded()
 	}
-	l.loadRestoredMarker()
+	l.restored.loadMarker()
 	l.beginRecovery()
 	// Jobs and machines come out of the mirror in no order; what follows must
 	// not depend on that.
