--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -80,7 +80,7 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/agents"}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/reconcile",
--- /dev/null
+++ b/internal/coordination/agent_client_test.go
@@ -0,0 +1,54 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/agents"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+)
+
+// TestCallResults: each status of an agent's answer is one outcome, and only an agent that
+// says whether it has executed a call has its heartbeat read.
+func TestCallResults(t *testing.T) {
+	body := storage.Encode(protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 4})
+	for status, want := range map[int]agents.CallOutcome{0: agents.Unknown, 200: agents.Answered, 409: agents.Refused,
+		400: agents.Failed, 404: agents.Failed, 421: agents.Failed, 500: agents.Failed, 503: agents.Failed} {
+		result := callResult(status, body)
+		hasHeartbeat := result.Heartbeat != nil && result.Heartbeat.Sequence == 4
+		if result.Outcome != want || result.Malformed != nil || hasHeartbeat != (want == agents.Answered || want == agents.Refused) {
+			t.Errorf("status %d: %+v, want outcome %d", status, result, want)
+		}
+	}
+	if result := callResult(200, []byte("{}")); result.Outcome != agents.Answered || result.Malformed == nil || result.Heartbeat != nil {
+		t.Errorf("an answer that is no heartbeat: %+v", result)
+	}
+}
+
+// TestHeartbeatStatuses: what a controller makes of a heartbeat, and the status that tells
+// its agent.
+func TestHeartbeatStatuses(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		prepare func(l *leader, heartbeat *protocol.Heartbeat)
+		status  int
+	}{
+		{"accepted", func(*leader, *protocol.Heartbeat) {}, 200},
+		{"stale", func(_ *leader, heartbeat *protocol.Heartbeat) { heartbeat.Sequence = 0 }, 503},
+		{"higher token", func(l *leader, heartbeat *protocol.Heartbeat) { heartbeat.FencingToken = l.n.lease.term + 1 }, 503},
+		{"leadership unconfirmed", func(l *leader, _ *protocol.Heartbeat) { l.n.lease.unconfirmed = true }, 503},
+		{"not leading", func(l *leader, _ *protocol.Heartbeat) { l.n.stepDown("a test") }, 421},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := testLeader(time.Unix(1_800_000_000, 0))
+			machine := l.testMachine("i-1", "big", "a", false)
+			heartbeat := &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone,
+				Incarnation: 1, Sequence: 1, FencingToken: l.n.lease.term}
+			c.prepare(l, heartbeat)
+			if status, body := l.n.takeReport(heartbeat); status != c.status {
+				t.Errorf("answered %d %+v, want %d", status, body, c.status)
+			}
+		})
+	}
+}
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
@@ -40,100 +39,6 @@
 	return Request{}
 }
 
-// recorded is a job whose task a predecessor's record places on a machine.
-func (l *leader) recorded(machine *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
-	s := gangOf(1, 1)
-	s.ID, s.Priority = "run-000077", "normal"
-	job := l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
-	return job, job.SortedAttempts()[0]
-}
-
-// TestAbsenceNeedsToken: until the worker has shown this leader's token its
-// report may be older than a predecessor's start.
-func TestAbsenceNeedsToken(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
-	job, _ := l.recorded(machine)
-	l.testReport(machine, l.n.lease.term-1)
-	if len(job.Attempts) != 1 {
-		t.Fatal("gone by a report that has not seen the token")
-	}
-	l.testReport(machine, l.n.lease.term)
-	if len(job.Attempts) != 0 {
-		t.Error("still there after a report that has")
-	}
-}
-
-// TestRecordsStartNothing: what a predecessor placed may have ended and its
-// room and quota been given to others, so it is never started again as it is.
-func TestRecordsStartNothing(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
-	l.recorded(machine)
-	if got := ops(l.testReport(machine, l.n.lease.term-1)); got != "" {
-		t.Errorf("orders %s", got)
-	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
-		t.Errorf("orders %s", got)
-	}
-}
-
-// TestUnansweredStartPins: a direct start that was not answered may arrive at
-// any later time. Its attempt is kept, made to exist, and never forgotten.
-func TestUnansweredStartPins(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
-	job := l.testJob(gangOf(1, 1))
-	l.scheduler.PlaceGang(job)
-	clear(job.Write.Dirty)
-	attempt := job.SortedAttempts()[0]
-	attempt.Committed = true
-	l.agents.Delivery.Enqueue(machine)
-	l.agents.Delivery.SendPending()
-	r := l.n.lastRequest(t, ToWorker)
-	l.n.handle(Response{ID: r.ID})
-	l.testReport(machine, l.n.lease.term)
-	l.testReport(machine, l.n.lease.term)
-	if len(job.Attempts) != 1 {
-		t.Fatal("gone while its start may be on its way")
-	}
-	l.lifecycle.Stop(attempt, 0)
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start halt " {
-		t.Errorf("orders %q", got)
-	}
-	exited := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
-	if got := ops(l.testReport(machine, l.n.lease.term, exited)); got != "" {
-		t.Errorf("orders %q: the attempt must not be forgotten", got)
-	}
-	if len(job.Attempts) != 0 {
-		t.Error("still there after its exit")
-	}
-}
-
-// TestLapseCountsGrace: a predecessor may have answered a worker until the end
-// of its grace, so its lease lapses that much later.
-func TestLapseCountsGrace(t *testing.T) {
-	start := time.Unix(1_800_000_000, 0)
-	l := testLeader(start)
-	machine := l.cluster.EnsureMachine("i-1", "h:1", "big", "a", false)
-	job, _ := l.recorded(machine)
-	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
-	at := func(d time.Duration) {
-		l.n.now = start.Add(d)
-		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.agents.Liveness.Tick()
-	}
-	at(lease + l.n.grace() - time.Second)
-	if len(job.Attempts) != 1 {
-		t.Fatal("presumed gone within the predecessor's grace")
-	}
-	at(lease + l.n.grace() + 3*time.Second)
-	if len(job.Attempts) != 0 {
-		t.Error("not gone after grace and lease")
-	}
-}
-
 // TestCommitFirst: a placement is guarded on the leader lease, the job and the room it
 // takes, and no start leaves before it is committed.
 func TestCommitFirst(t *testing.T) {
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -5,11 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
-	"github.com/gappond/gappond/internal/tuning"
 )
 
 // placed is a job's record with tasks placed as given.
@@ -41,53 +39,6 @@
 	}
 }
 
-// TestUnreadableReport: reports with an entry that names no task prove nothing absent, are
-// logged once, and after a lease the machine that sends them is returned, which proves it.
-func TestUnreadableReport(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
-	job := l.placed(storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
-	nonsense := protocol.TaskStatus{Task: "?", Attempt: 1, State: "dreaming"}
-	for range 5 {
-		l.testReport(machine, l.n.lease.term, nonsense)
-		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
-			t.Fatalf("%d attempts, deleting %v, %d logged", len(job.Attempts), machine.Deleting, len(l.logged))
-		}
-		l.n.now = l.n.now.Add(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS / 4.9))
-	}
-	l.testReport(machine, l.n.lease.term, nonsense)
-	if !machine.Deleting {
-		t.Error("the machine is kept though nothing is ever proven of it")
-	}
-}
-
-// TestUnrecordedAttempt: an attempt above all that the records have is stopped, once, when a
-// current report shows it; the next attempt of the task is numbered above it, unless its
-// number is beyond reason.
-func TestUnrecordedAttempt(t *testing.T) {
-	for _, attempt := range []protocol.AttemptNumber{9, tuning.MaxTrustedAttempt + 1} {
-		l := testLeader(time.Unix(1_800_000_000, 0))
-		machine := l.testMachine("i-1", "big", "a", false)
-		job := l.placed()
-		running := protocol.TaskStatus{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
-		if got := ops(l.testReport(machine, l.n.lease.term-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
-			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, job.Tasks[1].LiveAttempts)
-		}
-		if got := ops(l.testReport(machine, l.n.lease.term, running)); got != "halt " {
-			t.Errorf("ordered %q", got)
-		}
-		l.testReport(machine, l.n.lease.term)
-		l.runSchedulingCycle()
-		want := attempt + 1
-		if attempt > tuning.MaxTrustedAttempt {
-			want = 1
-		}
-		if c := job.Tasks[1].Active; c == nil || c.Key.Number != want {
-			t.Errorf("placed again as %+v, want attempt %d", c, want)
-		}
-	}
-}
-
 // TestNothingStoppedBesideAwaitedRoom: in a recovery nothing is stopped to make room for a
 // job that fits machines which have yet to report, until they could have. A cold restart
 // of four thousand machines once stopped two hundred tasks beside a thousand free GPUs.
