--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,4 +1,4 @@
-// Package autoscaler rents machines for jobs that wait and returns those that are no longer
+// Package autoscaler adds machines for jobs that wait and deletes those that are no longer
 // needed: scale out and in, spares, the reserve for the loss of a zone, consolidation of
 // half-empty machines. It keeps the cloud's list of machines in the cluster model.
 //
@@ -44,25 +44,23 @@
 
 	// Demand is what waited for machines after the last scheduling cycle.
 	Demand []scheduler.Demand
-	// when a job was last submitted, and one that may not use spot machines
+
+	// lastSubmission is when a job was last submitted, and lastNonSpotSubmission when one
+	// that may not use spot machines was.
 	lastSubmission, lastNonSpotSubmission time.Time
 
-	machinesIn  map[protocol.ZoneName]int        // at the last scale-out
-	deleted     map[protocol.MachineID]time.Time // machines that are gone for certain
-	rentals     []*rental
-	unavailable map[Offer]time.Time // offers that the cloud had no capacity for, and until when they rest
+	machinesPerZone map[protocol.ZoneName]int // at the last scale-out
+	requests        []*rentalRequest          // under way
+	unavailable     map[Offer]time.Time       // offers that the cloud had no capacity for, and until when they rest
 	// zoneReserve are the idle machines that the replicas of a zone would need if it were lost.
 	zoneReserve map[*cluster.Machine]bool
 
-	listing   bool
-	listPages int // of the machine list under way, or of the last one
-	deleting  bool
+	list      machineList
+	deletions deletions
 
-	listNotBefore        time.Time
 	scaleOutNotBefore    time.Time
 	reserveNotBefore     time.Time
 	consolidateNotBefore time.Time
-	deleteNotBefore      time.Time
 }
 
 // New makes an autoscaler.
@@ -70,10 +68,10 @@
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
 	return &Autoscaler{
 		state: state, scheduler: sched, cloud: cloud, env: env, log: log,
-		calls:       rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudShare), max(1, int(callsPerSecond))),
-		machinesIn:  map[protocol.ZoneName]int{},
-		deleted:     map[protocol.MachineID]time.Time{},
-		unavailable: map[Offer]time.Time{},
+		calls:           rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudShare), max(1, int(callsPerSecond))),
+		machinesPerZone: map[protocol.ZoneName]int{},
+		unavailable:     map[Offer]time.Time{},
+		deletions:       deletions{gone: map[protocol.MachineID]bool{}},
 	}
 }
 
@@ -85,43 +83,20 @@
 	}
 }
 
-// Deleted says whether a machine is gone for certain.
-func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool {
-	_, deleted := as.deleted[machineID]
-	return deleted
-}
-
-// PendingRentals is how many requests for machines are under way.
-func (as *Autoscaler) PendingRentals() int { return len(as.rentals) }
-
-// KeptForZoneLoss says whether an idle machine is kept for the replicas of a zone that may be lost.
-func (as *Autoscaler) KeptForZoneLoss(machine *cluster.Machine) bool { return as.zoneReserve[machine] }
-
-// NoteDeleted notes that a machine is gone for certain.
-func (as *Autoscaler) NoteDeleted(machineID protocol.MachineID) {
-	as.deleted[machineID] = as.state.Now()
-}
-
+// Tick takes the next steps: those whose time has come and for which the budget of calls
+// to the cloud allows.
 func (as *Autoscaler) Tick() {
 	now := as.state.Now()
 	as.scheduler.MoveReplicas()
-	spares := as.Spares()
-	for _, machine := range as.state.OrderedMachines {
-		as.EvaluateScaleIn(machine, spares)
-	}
-	if !as.deleting && !now.Before(as.deleteNotBefore) {
-		as.sendDeletes()
-	}
-	if !as.listing && !now.Before(as.listNotBefore) && as.calls.AllowN(now, 1) {
-		as.listing, as.listPages = true, 0
-		as.listPage("")
-	}
+	as.scaleIn()
+	as.sendDeletions()
+	as.refreshList()
 	if !now.Before(as.consolidateNotBefore) {
 		as.consolidateNotBefore = now.Add(tuning.PackEvery)
 		as.consolidate()
 	}
 	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.RentAfterTakeover && len(as.state.Types) > 0 {
 		as.scaleOutNotBefore = now.Add(tuning.RentEvery)
-		as.ScaleOut()
+		as.scaleOut()
 	}
 }
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -9,84 +9,113 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
+// consolidation is one round of emptying half-empty machines.
+type consolidation struct {
+	autoscaler *Autoscaler
+	candidates []consolidationCandidate // machines that may be emptied
+	targets    []*cluster.Machine       // machines that take tasks, the fullest first
+	// free is what targets have left after the moves so far.
+	free    map[*cluster.Machine]cluster.Resources
+	emptied map[*cluster.Machine]bool
+}
+
+// consolidationCandidate is a machine that may be emptied.
+type consolidationCandidate struct {
+	machine *cluster.Machine
+	waste   float64 // the price of its idle GPUs
+}
+
 // consolidate empties machines that waste most money, if nothing waits and what they
 // carry can be saved and fits elsewhere: the paper's defragmentation, for the
-// sake of returning machines instead of making larger blocks. The larger the
+// sake of deleting machines instead of making larger blocks. The larger the
 // fleet, the more machines at once.
 func (as *Autoscaler) consolidate() {
-	if as.scheduler.Waiting > 0 {
+	if as.scheduler.Waiting() > 0 {
 		return
 	}
-	type choice struct {
-		m     *cluster.Machine
-		waste float64
+	c := as.newConsolidation()
+	most := max(1, len(as.state.OrderedMachines)/tuning.PackFleet)
+	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.PackTries*most)] {
+		if len(c.emptied) == most {
+			return
+		}
+		machine := candidate.machine
+		if _, isTarget := c.free[machine]; isTarget || candidate.waste <= 0 || !c.moveAll(machine) {
+			continue
+		}
+		c.emptied[machine] = true
+		as.log.Info("consolidation", "machine", machine.ID, "tasks", len(machine.Attempts))
+		as.env.Drain(machine)
 	}
-	var list []choice
-	p := consolidation{left: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
+}
+
+// newConsolidation lists the machines that may be emptied, the most wasteful first, and
+// those that may take their tasks.
+func (as *Autoscaler) newConsolidation() *consolidation {
+	c := &consolidation{autoscaler: as, free: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
 	for _, machine := range as.state.OrderedMachines {
 		machineType := as.state.TypeOf(machine)
 		if !as.state.Schedulable(machine) || machine.ReservedFor != nil || len(machine.Attempts) == 0 || machineType.GPUs == 0 {
 			continue
 		}
-		p.targets = append(p.targets, machine)
+		c.targets = append(c.targets, machine)
 		if machine.Used.GPUs <= machineType.GPUs*tuning.PackBelow {
-			list = append(list, choice{machine, as.state.PriceOf(machine) * (machineType.GPUs - machine.Used.GPUs)})
-		}
-	}
-	slices.SortStableFunc(list, func(a, b choice) int { return cmp.Compare(b.waste, a.waste) })
-	slices.SortStableFunc(p.targets, func(a, b *cluster.Machine) int { return cmp.Compare(b.Used.GPUs, a.Used.GPUs) })
-	most := max(1, len(as.state.OrderedMachines)/tuning.PackFleet)
-	for _, c := range list[:min(len(list), tuning.PackTries*most)] {
-		if len(p.emptied) == most {
-			return
-		}
-		if _, taken := p.left[c.m]; !taken && c.waste > 0 && as.canBeEmptied(c.m, &p) {
-			p.emptied[c.m] = true
-			as.log.Info("packing", "machine", c.m.ID, "tasks", len(c.m.Attempts))
-			as.env.Drain(c.m)
+			waste := as.state.PriceOf(machine) * (machineType.GPUs - machine.Used.GPUs)
+			c.candidates = append(c.candidates, consolidationCandidate{machine: machine, waste: waste})
 		}
 	}
+	slices.SortStableFunc(c.candidates, func(a, b consolidationCandidate) int { return cmp.Compare(b.waste, a.waste) })
+	slices.SortStableFunc(c.targets, func(a, b *cluster.Machine) int { return cmp.Compare(b.Used.GPUs, a.Used.GPUs) })
+	return c
 }
 
-// consolidation is one round of moves: machines that take tasks, the fullest first,
-// what they have left after the moves so far, and those that are emptied.
-type consolidation struct {
-	targets []*cluster.Machine
-	left    map[*cluster.Machine]cluster.Resources
-	emptied map[*cluster.Machine]bool
-}
-
-// canBeEmptied says whether all that a machine carries is worth moving and fits on
-// other machines that are not dearer; if so the room is taken there.
-func (as *Autoscaler) canBeEmptied(machine *cluster.Machine, p *consolidation) bool {
+// moveAll says whether all that a machine carries is worth moving and fits on other
+// machines that are not dearer; if so the capacity is taken there.
+func (c *consolidation) moveAll(machine *cluster.Machine) bool {
 	taken := map[*cluster.Machine]cluster.Resources{}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		spec := attempt.Job.Spec
-		rest := spec.EstimateS - as.state.Now().Sub(attempt.RunningSince).Seconds()
-		if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 || rest < tuning.PackWorth {
+		if !c.autoscaler.worthMoving(attempt) || !c.moveOne(attempt, taken) {
 			return false
 		}
-		found := false
-		for _, o := range p.targets {
-			if o == machine || p.emptied[o] || as.state.PriceOf(o) > as.state.PriceOf(machine) || !as.state.Usable(attempt.Job, o) {
-				continue
-			}
-			r, ok := taken[o]
-			if !ok {
-				if r, ok = p.left[o]; !ok {
-					r = as.state.FreeResources(o)
-				}
-			}
-			if r.Fit(spec, 1) == 1 {
-				r.AddTasks(spec, -1)
-				taken[o], found = r, true
-				break
-			}
+	}
+	maps.Copy(c.free, taken)
+	return true
+}
+
+// worthMoving says whether an attempt can save its work and is likely to run on for long
+// enough.
+func (as *Autoscaler) worthMoving(attempt *cluster.Attempt) bool {
+	spec := attempt.Job.Spec
+	if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 {
+		return false
+	}
+	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.PackWorth
+}
+
+// moveOne finds a target for an attempt and notes in taken what is left there.
+func (c *consolidation) moveOne(attempt *cluster.Attempt, taken map[*cluster.Machine]cluster.Resources) bool {
+	state := c.autoscaler.state
+	for _, target := range c.targets {
+		if target == attempt.Machine || c.emptied[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Usable(attempt.Job, target) {
+			continue
 		}
-		if !found {
-			return false
+		free := c.freeOn(target, taken)
+		if free.Fit(attempt.Job.Spec, 1) == 1 {
+			free.AddTasks(attempt.Job.Spec, -1)
+			taken[target] = free
+			return true
 		}
 	}
-	maps.Copy(p.left, taken)
-	return true
+	return false
+}
+
+// freeOn is what a target has left after the moves so far, those in taken included.
+func (c *consolidation) freeOn(target *cluster.Machine, taken map[*cluster.Machine]cluster.Resources) cluster.Resources {
+	if free, ok := taken[target]; ok {
+		return free
+	}
+	if free, ok := c.free[target]; ok {
+		return free
+	}
+	return c.autoscaler.state.FreeResources(target)
 }
--- /dev/null
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -0,0 +1,145 @@
+package autoscaler
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/coordination/scheduler"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// harness is an autoscaler and its scheduler over a cluster that the test builds, with a
+// cloud that keeps the calls until the test answers them.
+type harness struct {
+	*Autoscaler
+	cluster     *clustertest.Cluster
+	environment *environment
+	cloud       *cloud
+}
+
+// newHarness makes an autoscaler of a cluster without machines and jobs, whose leader has
+// led for long enough to scale out.
+func newHarness() *harness {
+	c := clustertest.New()
+	surroundings, calls := &environment{cluster: c}, &cloud{}
+	log := slog.New(slog.DiscardHandler)
+	sched := scheduler.New(c.State, clustertest.NewEnvironment(c), log)
+	h := &harness{Autoscaler: New(c.State, sched, calls, surroundings, log), cluster: c, environment: surroundings, cloud: calls}
+	c.Advance(tuning.RentAfterTakeover + time.Second)
+	return h
+}
+
+// schedule runs a scheduling cycle, whose demand the autoscaler then has.
+func (h *harness) schedule() { h.Demand = h.scheduler.RunCycle() }
+
+// requested counts the machines that the cloud was asked for, by offer.
+func (h *harness) requested() map[Offer]int {
+	count := map[Offer]int{}
+	for _, call := range h.cloud.rentals {
+		count[Offer{TypeName: call.request.Type, Zone: call.request.Zone, Spot: call.request.Spot}] += call.request.Count
+	}
+	return count
+}
+
+// cloud is a cloud whose calls the test answers.
+type cloud struct {
+	rentals   []rentCall
+	deletions []deleteCall
+	lists     []listCall
+}
+
+type rentCall struct {
+	request protocol.Rental
+	done    func(RentResult)
+}
+
+type deleteCall struct {
+	machines []protocol.MachineID
+	done     func(deleted bool)
+}
+
+type listCall struct {
+	after protocol.MachineID
+	done  func(page *protocol.MachineList)
+}
+
+// RentMachines implements Cloud.
+func (c *cloud) RentMachines(request protocol.Rental, done func(RentResult)) {
+	c.rentals = append(c.rentals, rentCall{request: request, done: done})
+}
+
+// DeleteMachines implements Cloud.
+func (c *cloud) DeleteMachines(machines []protocol.MachineID, done func(deleted bool)) {
+	c.deletions = append(c.deletions, deleteCall{machines: machines, done: done})
+}
+
+// ListMachines implements Cloud.
+func (c *cloud) ListMachines(after protocol.MachineID, done func(page *protocol.MachineList)) {
+	c.lists = append(c.lists, listCall{after: after, done: done})
+}
+
+// environment stands for the leader around an autoscaler: it takes notes, names requests
+// and keeps timers until the test has them run.
+type environment struct {
+	cluster  *clustertest.Cluster
+	recorded []*cluster.Machine
+	deleted  []protocol.MachineID
+	drained  []*cluster.Machine
+	names    int
+	timers   []timer
+}
+
+type timer struct {
+	at time.Time
+	do func()
+}
+
+// RequestScheduling implements Environment.
+func (e *environment) RequestScheduling() {}
+
+// RecordMachine implements Environment.
+func (e *environment) RecordMachine(machine *cluster.Machine) {
+	e.recorded = append(e.recorded, machine)
+}
+
+// MachinesDeleted implements Environment.
+func (e *environment) MachinesDeleted(machines ...protocol.MachineID) {
+	e.deleted = append(e.deleted, machines...)
+}
+
+// Drain implements Environment.
+func (e *environment) Drain(machine *cluster.Machine) {
+	machine.Cordoned = true
+	e.drained = append(e.drained, machine)
+}
+
+// UniqueName implements Environment.
+func (e *environment) UniqueName() string {
+	e.names++
+	return fmt.Sprint("request-", e.names)
+}
+
+// After implements Environment.
+func (e *environment) After(pause time.Duration, do func()) {
+	e.timers = append(e.timers, timer{at: e.cluster.Now().Add(pause), do: do})
+}
+
+// runTimers runs the timers whose time has come.
+func (e *environment) runTimers() {
+	var due []timer
+	e.timers = slices.DeleteFunc(e.timers, func(t timer) bool {
+		if t.at.After(e.cluster.Now()) {
+			return false
+		}
+		due = append(due, t)
+		return true
+	})
+	for _, t := range due {
+		t.do()
+	}
+}
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -10,70 +10,98 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// ListInterval is the interval between two machine lists. The pages of a large fleet's
+// longestAgeS is the greatest age, in seconds, that is believed of a listed machine: more
+// would be a fault of the list.
+const longestAgeS = 1e6
+
+// machineList is the reading of the cloud's machine list, page by page.
+type machineList struct {
+	inFlight  bool
+	pages     int // of the list under way, or of the last one
+	notBefore time.Time
+}
+
+// refreshList begins to read the machine list if that is due.
+func (as *Autoscaler) refreshList() {
+	now := as.state.Now()
+	if as.list.inFlight || now.Before(as.list.notBefore) || !as.calls.AllowN(now, 1) {
+		return
+	}
+	as.list.inFlight, as.list.pages = true, 0
+	as.requestPage("")
+}
+
+// listInterval is the interval between two machine lists. The pages of a large fleet's
 // list take no more than their part of the calls.
-func (as *Autoscaler) ListInterval() time.Duration {
+func (as *Autoscaler) listInterval() time.Duration {
 	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.ListShare))
-	return max(tuning.ListEvery, time.Duration(as.listPages)*perPage)
+	return max(tuning.ListEvery, time.Duration(as.list.pages)*perPage)
 }
 
-// listNextPage asks for the next page when the budget of calls allows it.
-func (as *Autoscaler) listNextPage(after protocol.MachineID) {
+// requestNextPage asks for the next page when the budget of calls allows it.
+func (as *Autoscaler) requestNextPage(after protocol.MachineID) {
 	pause := as.calls.ReserveN(as.state.Now(), 1).DelayFrom(as.state.Now())
 	if pause == 0 {
-		as.listPage(after)
+		as.requestPage(after)
 		return
 	}
-	as.env.After(pause, func() { as.listPage(after) })
+	as.env.After(pause, func() { as.requestPage(after) })
 }
 
-// listPage reads the machine list, page by page.
-func (as *Autoscaler) listPage(after protocol.MachineID) {
-	as.listPages++
-	as.cloud.ListMachines(after, func(page *protocol.MachineList) {
-		if page == nil {
-			as.listing, as.listNotBefore = false, as.state.Now().Add(time.Second)
-			return
-		}
-		last := protocol.MachineID("")
-		for i := range page.Machines {
-			as.observeListed(&page.Machines[i])
-			last = page.Machines[i].ID
-		}
-		if page.More && last != "" {
-			as.listNextPage(last)
-			return
-		}
-		as.listing, as.listNotBefore = false, as.state.Now().Add(as.ListInterval())
-	})
+// requestPage asks for the page after a machine.
+func (as *Autoscaler) requestPage(after protocol.MachineID) {
+	as.list.pages++
+	as.cloud.ListMachines(after, as.handlePage)
 }
 
-// observeListed takes one machine of the list. Machines that nobody expected are
-// used like any other, and returned when they are idle.
-func (as *Autoscaler) observeListed(e *protocol.Machine) {
-	if e.ID == "" || strings.ContainsAny(string(e.ID), " /") {
+// handlePage takes a page of the list; nil if it could not be read.
+func (as *Autoscaler) handlePage(page *protocol.MachineList) {
+	if page == nil {
+		as.list.inFlight, as.list.notBefore = false, as.state.Now().Add(time.Second)
 		return
 	}
-	if _, gone := as.deleted[e.ID]; gone {
+	last := protocol.MachineID("")
+	for i := range page.Machines {
+		as.observeListed(&page.Machines[i])
+		last = page.Machines[i].ID
+	}
+	if page.More && last != "" {
+		as.requestNextPage(last)
 		return
 	}
-	machine := as.state.Machines[e.ID]
+	as.list.inFlight, as.list.notBefore = false, as.state.Now().Add(as.listInterval())
+}
+
+// observeListed takes one machine of the list. Machines that nobody expected are
+// used like any other, and deleted when they are idle.
+func (as *Autoscaler) observeListed(listed *protocol.Machine) {
+	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || as.Deleted(listed.ID) {
+		return
+	}
+	machine := as.state.Machines[listed.ID]
 	if machine == nil {
-		machine = as.state.EnsureMachine(e.ID, e.Address, e.Type, e.Zone, e.Spot)
-		machine.CreatedAt = as.state.Now().Add(-config.Seconds(min(max(e.AgeS, 0), 1e6)))
-		if e.Phase == protocol.MachineRunning {
-			// It is up but has yet to report to this leader: it gets its time.
-			machine.CreatedAt = as.state.Now()
-		}
+		machine = as.enterListed(listed)
 	}
 	if machine.Address == "" {
-		machine.Address = e.Address
+		machine.Address = listed.Address
+	}
+	machine.Phase = listed.Phase
+}
+
+// enterListed enters a machine that only the list names.
+func (as *Autoscaler) enterListed(listed *protocol.Machine) *cluster.Machine {
+	machine := as.state.EnsureMachine(listed.ID, listed.Address, listed.Type, listed.Zone, listed.Spot)
+	if listed.Phase == protocol.MachineRunning {
+		// It is up but has yet to report to this leader: it gets its time.
+		machine.CreatedAt = as.state.Now()
+	} else {
+		machine.CreatedAt = as.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), longestAgeS)))
 	}
-	machine.Phase = e.Phase
+	return machine
 }
 
 // Booting says whether a machine that never reported is still expected to. One
-// that a predecessor recorded may have been returned since; unless the machine
+// that a predecessor recorded may have been deleted since; unless the machine
 // list shows it, it is not waited for.
 func (as *Autoscaler) Booting(machine *cluster.Machine) bool {
 	if machine.Agent.Heard || machine.Agent.Incarnation > 0 {
@@ -82,6 +110,6 @@
 	if !machine.Recovered || machine.Phase == protocol.MachineBooting {
 		return true
 	}
-	lag := 2*config.Seconds(as.state.Config.Cluster.Cloud.ListLagS) + as.ListInterval()
+	lag := 2*config.Seconds(as.state.Config.Cluster.Cloud.ListLagS) + as.listInterval()
 	return as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout()+lag
 }
--- a/internal/coordination/autoscaler/rental.go
+++ b/internal/coordination/autoscaler/rental.go
@@ -1,87 +1,91 @@
 package autoscaler
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// rental is a request under way.
-type rental struct {
-	offer   Offer
-	count   int
-	request protocol.Rental
-	tries   int
+// rentalRequest is a request for machines under way.
+type rentalRequest struct {
+	offer Offer
+	body  protocol.Rental
+	tries int
 }
 
-// sendRentals asks the cloud for machines.
-func (as *Autoscaler) sendRentals(want map[Offer]int) {
-	offers := slices.SortedFunc(maps.Keys(want), func(a, b Offer) int {
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.TypeName, b.TypeName), cluster.TrueFirst(a.Spot, b.Spot))
-	})
-	for _, o := range offers {
+// requestAll asks the cloud for the machines that are wanted, as far as the budget of calls
+// goes.
+func (as *Autoscaler) requestAll(want map[Offer]int) {
+	offers := slices.SortedFunc(maps.Keys(want), compareOffers)
+	for _, offer := range offers {
 		if !as.calls.AllowN(as.state.Now(), 1) {
 			return
 		}
-		n := min(want[o], tuning.RentCount)
-		as.Rent(o, n)
+		as.RequestMachines(offer, min(want[offer], tuning.RentCount))
 	}
 }
 
-// Rent asks the cloud for machines.
-func (as *Autoscaler) Rent(offer Offer, count int) {
-	r := &rental{offer: offer, count: count, request: protocol.Rental{Request: as.env.UniqueName(),
-		Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count}}
-	as.rentals = append(as.rentals, r)
-	as.log.Info("renting machines", "type", offer.TypeName, "zone", offer.Zone, "spot", offer.Spot, "count", count)
-	as.sendRental(r)
+// RequestMachines asks the cloud for machines.
+func (as *Autoscaler) RequestMachines(offer Offer, count int) {
+	request := &rentalRequest{
+		offer: offer,
+		body: protocol.Rental{
+			Request: as.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
+		},
+	}
+	as.requests = append(as.requests, request)
+	as.log.Info("scale out", "type", offer.TypeName, "zone", offer.Zone, "spot", offer.Spot, "count", count)
+	as.send(request)
 }
 
-// sendRental sends a request. One whose answer is lost is sent again under the
-// same name: the cloud then gives the same machines.
-func (as *Autoscaler) sendRental(r *rental) {
-	r.tries++
-	as.cloud.RentMachines(r.request, func(result RentResult) { as.handleRentResult(r, result) })
+// send sends a request. One whose answer is lost is sent again under the same name: the
+// cloud then gives the same machines.
+func (as *Autoscaler) send(request *rentalRequest) {
+	request.tries++
+	as.cloud.RentMachines(request.body, func(result RentResult) { as.handleRentResult(request, result) })
 }
 
 // handleRentResult takes the answer to a request.
-func (as *Autoscaler) handleRentResult(r *rental, result RentResult) {
+func (as *Autoscaler) handleRentResult(request *rentalRequest, result RentResult) {
 	switch result.Outcome {
 	case Rented:
-		as.enterRented(r, result.Machines)
+		as.enterRented(request, result.Machines)
 	case NoCapacity:
-		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityPause)
+		as.restOffer(request.offer)
 	case RentFailed:
-		if r.tries < tuning.RentTries {
-			as.env.After(time.Second, func() { as.sendRental(r) })
+		if request.tries < tuning.RentTries {
+			as.env.After(time.Second, func() { as.send(request) })
 			return
 		}
-		as.log.Error("rental failed", "detail", result.Detail)
+		as.log.Error("scale out failed", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
 	case RentRejected:
-		as.log.Error("rental rejected", "detail", result.Detail)
+		as.log.Error("scale out rejected", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
 	}
-	as.rentals = slices.DeleteFunc(as.rentals, func(other *rental) bool { return other == r })
+	as.requests = slices.DeleteFunc(as.requests, func(other *rentalRequest) bool { return other == request })
 	as.env.RequestScheduling()
 }
 
-// enterRented enters the machines that the cloud has rented.
-func (as *Autoscaler) enterRented(r *rental, machines []protocol.MachineID) {
+// enterRented enters the machines that the cloud has given.
+func (as *Autoscaler) enterRented(request *rentalRequest, machines []protocol.MachineID) {
 	for _, id := range machines {
 		if as.Deleted(id) || id == "" {
 			continue
 		}
-		machine := as.state.EnsureMachine(id, "", r.offer.TypeName, r.offer.Zone, r.offer.Spot)
+		machine := as.state.EnsureMachine(id, "", request.offer.TypeName, request.offer.Zone, request.offer.Spot)
 		machine.CreatedAt = as.state.Now()
 		if machine.Record == nil {
 			as.env.RecordMachine(machine) // all at once, and before they are up
 		}
 	}
-	if len(machines) < r.count {
-		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityPause)
+	if len(machines) < request.body.Count {
+		as.restOffer(request.offer)
 	}
 }
+
+// restOffer leaves an offer alone for a while that the cloud has no capacity for.
+func (as *Autoscaler) restOffer(offer Offer) {
+	as.unavailable[offer] = as.state.Now().Add(tuning.NoCapacityPause)
+}
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -9,31 +9,48 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// EvaluateScaleIn decides whether a machine is to go.
-func (as *Autoscaler) EvaluateScaleIn(machine *cluster.Machine, spares map[protocol.ZoneName]int) {
+// scaleIn marks the machines to be deleted that failed or that nothing needs.
+func (as *Autoscaler) scaleIn() {
+	spares := as.countSpares()
+	for _, machine := range as.state.OrderedMachines {
+		as.evaluateScaleIn(machine, spares)
+	}
+}
+
+// evaluateScaleIn decides whether a machine is to go.
+func (as *Autoscaler) evaluateScaleIn(machine *cluster.Machine, spares map[protocol.ZoneName]int) {
 	if machine.Deleting {
 		return
 	}
-	now := as.state.Now()
-	machineType := as.state.TypeOf(machine)
 	switch {
 	case machine.Phase == protocol.MachineFailed:
-		as.ReturnMachine(machine, "failed")
-	case !machine.Agent.Heard && machine.Agent.Incarnation == 0 && machineType != nil && now.Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootPatience)+tuning.BootSlack:
-		as.ReturnMachine(machine, "never came up")
+		as.DeleteMachine(machine, "failed")
+	case as.neverCameUp(machine):
+		as.DeleteMachine(machine, "never came up")
 	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
 	case machine.Cordoned:
-		as.ReturnMachine(machine, "emptied")
-	case machine.ReservedFor == nil && now.Sub(machine.IdleSince) > as.state.Config.Operator.IdleReturn && !as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
-		as.ReturnMachine(machine, "idle")
+		as.DeleteMachine(machine, "emptied")
+	case machine.ReservedFor == nil && as.state.Now().Sub(machine.IdleSince) > as.state.Config.Operator.IdleReturn &&
+		!as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
+		as.DeleteMachine(machine, "idle")
 	}
 }
 
-// Spares counts the machines of every zone that could serve as spares. Spares
+// neverCameUp says whether a machine has had time enough to boot and its agent never
+// reported.
+func (as *Autoscaler) neverCameUp(machine *cluster.Machine) bool {
+	machineType := as.state.TypeOf(machine)
+	if machine.Agent.Heard || machine.Agent.Incarnation != 0 || machineType == nil {
+		return false
+	}
+	return as.state.Now().Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootPatience)+tuning.BootSlack
+}
+
+// countSpares counts the machines of every zone that could serve as spares. Spares
 // are kept while jobs come; a machine that only carries work of the lowest
-// priority is a spare too, for it yields at once. Jobs that may not use spot
+// priority is a spare too, for that is preempted at once. Jobs that may not use spot
 // machines need spares that are none.
-func (as *Autoscaler) Spares() map[protocol.ZoneName]int {
+func (as *Autoscaler) countSpares() map[protocol.ZoneName]int {
 	count := map[protocol.ZoneName]int{}
 	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareMemory {
 		return count
@@ -46,9 +63,10 @@
 	return count
 }
 
+// mayBeSpare says whether a machine could take a job that comes now.
 func (as *Autoscaler) mayBeSpare(machine *cluster.Machine) bool {
-	ordinary := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareMemory
-	return as.state.Schedulable(machine) && !(ordinary && machine.Spot) && machine.OnlyLowestPriority()
+	mustNotBeSpot := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareMemory
+	return as.state.Schedulable(machine) && !(mustNotBeSpot && machine.Spot) && machine.OnlyLowestPriority()
 }
 
 // isWantedSpare says whether an idle machine is one of its zone's spares. One
@@ -64,16 +82,35 @@
 	return false
 }
 
-// ReturnMachine marks a machine to be returned.
-func (as *Autoscaler) ReturnMachine(machine *cluster.Machine, why string) {
+// deletions are the calls that delete machines.
+type deletions struct {
+	gone      map[protocol.MachineID]bool // machines that are gone for certain
+	inFlight  bool
+	notBefore time.Time
+}
+
+// DeleteMachine marks a machine to be deleted.
+func (as *Autoscaler) DeleteMachine(machine *cluster.Machine, reason string) {
 	if machine.Deleting {
 		return
 	}
 	machine.Deleting = true
-	as.log.Info("returning machine", "machine", machine.ID, "why", why)
+	as.log.Info("machine to be deleted", "machine", machine.ID, "reason", reason)
+}
+
+// MachineDeleted notes that a machine is gone for certain.
+func (as *Autoscaler) MachineDeleted(machineID protocol.MachineID) {
+	as.deletions.gone[machineID] = true
 }
 
-func (as *Autoscaler) sendDeletes() {
+// Deleted says whether a machine is gone for certain.
+func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool { return as.deletions.gone[machineID] }
+
+// sendDeletions has the cloud delete machines that are marked, several with one call.
+func (as *Autoscaler) sendDeletions() {
+	if as.deletions.inFlight || as.state.Now().Before(as.deletions.notBefore) {
+		return
+	}
 	var names []protocol.MachineID
 	for _, machine := range as.state.OrderedMachines {
 		if machine.Deleting && len(names) < tuning.DeleteCount {
@@ -83,11 +120,11 @@
 	if len(names) == 0 || !as.calls.AllowN(as.state.Now(), 1) {
 		return
 	}
-	as.deleting = true
+	as.deletions.inFlight = true
 	as.cloud.DeleteMachines(names, func(deleted bool) {
-		as.deleting = false
+		as.deletions.inFlight = false
 		if !deleted {
-			as.deleteNotBefore = as.state.Now().Add(time.Second)
+			as.deletions.notBefore = as.state.Now().Add(time.Second)
 			return
 		}
 		as.env.MachinesDeleted(names...)
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -11,87 +11,90 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// capacitySlot is a machine, there or on its way, in the reckoning of demand.
-type capacitySlot struct {
-	machine *cluster.Machine // nil while it is only asked for
-	offer   Offer
-	free    cluster.Resources
-}
-
-// serves says whether a job could use the room. Room that the job avoids must
-// not count, or it would wait for it instead of for a machine to rent.
-func (as *Autoscaler) serves(r *capacitySlot, job *cluster.Job) bool {
-	return cluster.Allows(job.Spec, r.offer.TypeName, r.offer.Zone, r.offer.Spot) && (r.machine == nil || !as.state.Avoids(job, r.machine))
-}
-
-// ScaleOut asks for the machines that waiting jobs lack, beyond those that are
+// scaleOut asks for the machines that waiting jobs lack, beyond those that are
 // there, on their way or being emptied for them.
-func (as *Autoscaler) ScaleOut() {
-	k := as.newScaleOutPlan()
-	for _, d := range as.Demand {
-		if d.Job.Finished || d.Job.Cancelled {
+func (as *Autoscaler) scaleOut() {
+	plan := as.newScaleOutPlan()
+	for _, demand := range as.Demand {
+		if demand.Job.Finished || demand.Job.Cancelled {
 			continue
 		}
-		if d.Job.Spec.Gang() && d.Job.Spec.OneZone {
-			k.planGang(d)
+		if demand.Job.Spec.Gang() && demand.Job.Spec.OneZone {
+			plan.planGang(demand)
 		} else {
-			k.planTasks(d)
+			plan.planTasks(demand)
 		}
 	}
 	as.Demand = nil
 	as.env.RequestScheduling()
 	if !as.state.Now().Before(as.reserveNotBefore) {
 		as.reserveNotBefore = as.state.Now().Add(tuning.ReserveEvery)
-		as.PlanReserve(k.want)
+		as.planZoneReserve(plan.want)
 	}
-	as.sendRentals(k.want)
+	as.requestAll(plan.want)
 }
 
-// newScaleOutPlan begins with the room that is there and on its way.
+// newScaleOutPlan begins with the capacity that is there and on its way.
 func (as *Autoscaler) newScaleOutPlan() *scaleOutPlan {
-	as.machinesIn = map[protocol.ZoneName]int{}
-	k := &scaleOutPlan{autoscaler: as, slots: map[protocol.ZoneName][]*capacitySlot{}, want: map[Offer]int{},
-		anyWithoutGPUs: slices.ContainsFunc(as.Demand, func(d scheduler.Demand) bool { return d.Job.Spec.GPUs == 0 })}
+	as.machinesPerZone = map[protocol.ZoneName]int{}
+	plan := &scaleOutPlan{
+		autoscaler:     as,
+		slots:          map[protocol.ZoneName][]*capacitySlot{},
+		want:           map[Offer]int{},
+		anyWithoutGPUs: slices.ContainsFunc(as.Demand, func(d scheduler.Demand) bool { return d.Job.Spec.GPUs == 0 }),
+	}
 	for _, machine := range as.state.OrderedMachines {
-		as.machinesIn[machine.Zone]++
-		machineType := as.state.TypeOf(machine)
-		if machineType == nil || machine.Deleting || machine.Cordoned {
-			continue
-		}
-		// What is booting, or has yet to report to a new leader, is not rented again.
-		booting := as.Booting(machine) || !machine.Agent.Heard && as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout()
-		if !booting && (!as.state.HeardRecently(machine) || as.state.NotReceiving(machine) || as.state.NotReporting(machine) || !machine.Agent.TokenConfirmed && !machine.Recorded) {
-			continue
+		as.machinesPerZone[machine.Zone]++
+		if as.countsAsCapacity(machine) {
+			plan.add(&capacitySlot{machine: machine, offer: offerOf(machine), free: as.freeSoon(machine)})
 		}
-		left := as.state.FreeResources(machine)
-		for _, attempt := range machine.Attempts {
-			if attempt.Stopping || as.endsWithin(attempt, config.Seconds(machineType.BootS)) {
-				left.AddTasks(attempt.Job.Spec, 1) // free before a rented machine would be up
-			}
+	}
+	for _, request := range as.requests {
+		for range request.body.Count {
+			plan.add(&capacitySlot{offer: request.offer, free: as.capacityOf(request.offer)})
 		}
-		k.add(&capacitySlot{machine, Offer{machine.TypeName, machine.Zone, machine.Spot}, left})
 	}
-	for _, r := range as.rentals {
-		for range r.count {
-			k.add(&capacitySlot{nil, r.offer, cluster.CapacityOf(as.state.Types[r.offer.TypeName])})
+	return plan
+}
+
+// countsAsCapacity says whether jobs can expect to have a machine. What is booting, or has
+// yet to report to a new leader, is not asked for again.
+func (as *Autoscaler) countsAsCapacity(machine *cluster.Machine) bool {
+	if as.state.TypeOf(machine) == nil || machine.Deleting || machine.Cordoned {
+		return false
+	}
+	if as.Booting(machine) || !machine.Agent.Heard && as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout() {
+		return true
+	}
+	return as.state.HeardRecently(machine) && !as.state.NotReceiving(machine) && !as.state.NotReporting(machine) &&
+		(machine.Agent.TokenConfirmed || machine.Recorded)
+}
+
+// freeSoon is what is free on a machine, or will be before another would be up.
+func (as *Autoscaler) freeSoon(machine *cluster.Machine) cluster.Resources {
+	free := as.state.FreeResources(machine)
+	boot := config.Seconds(as.state.TypeOf(machine).BootS)
+	for _, attempt := range machine.Attempts {
+		if attempt.Stopping || as.endsWithin(attempt, boot) {
+			free.AddTasks(attempt.Job.Spec, 1)
 		}
 	}
-	return k
+	return free
 }
 
 // endsWithin says whether an attempt is likely to end within a span, by its
 // owner's estimate; one that has outrun its estimate may take as long again.
-func (as *Autoscaler) endsWithin(attempt *cluster.Attempt, d time.Duration) bool {
+func (as *Autoscaler) endsWithin(attempt *cluster.Attempt, span time.Duration) bool {
 	if attempt.RunningSince.IsZero() || attempt.Job.Spec.Service() {
 		return false
 	}
 	estimate := config.Seconds(attempt.Job.Spec.EstimateS * tuning.EstimateSlack)
 	left := estimate - as.state.Now().Sub(attempt.RunningSince)
-	return left > 0 && left <= d
+	return left > 0 && left <= span
 }
 
 // hasSlack says whether a job's deadline leaves time to wait for machines that
-// others free: renting later would still do.
+// others free: asking for one later would still do.
 func (as *Autoscaler) hasSlack(job *cluster.Job) bool {
 	if job.Spec.DeadlineS <= 0 || job.Spec.Gang() || job.Spec.Service() {
 		return false
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -9,124 +9,143 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// scaleOutPlan compares what waits with what is there and on its way. Room that
-// is used up is left out at once: with the machines full, that is nearly all of
-// it, and every job that waits looks at the rest.
+// capacitySlot is a machine, there or on its way, as a place for what waits.
+type capacitySlot struct {
+	machine *cluster.Machine // nil while it is only asked for
+	offer   Offer
+	free    cluster.Resources
+}
+
+// serves says whether a job could use a slot. What the job avoids must not count, or it
+// would wait for that instead of for a further machine.
+func (as *Autoscaler) serves(slot *capacitySlot, job *cluster.Job) bool {
+	return cluster.Allows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
+		(slot.machine == nil || !as.state.Avoids(job, slot.machine))
+}
+
+// scaleOutPlan compares what waits with what is there and on its way. Slots that are used
+// up are left out at once: with the machines full, that is nearly all of them, and every
+// job that waits examines the rest.
 type scaleOutPlan struct {
 	autoscaler     *Autoscaler
 	slots          map[protocol.ZoneName][]*capacitySlot // of every zone
-	want           map[Offer]int                         // machines to rent
+	want           map[Offer]int                         // machines to ask for
 	anyWithoutGPUs bool                                  // something that waits takes no GPUs
 }
 
-// add enters room that is there.
-func (k *scaleOutPlan) add(r *capacitySlot) {
-	if !k.exhausted(r) {
-		k.slots[r.offer.Zone] = append(k.slots[r.offer.Zone], r)
+// add enters a slot.
+func (p *scaleOutPlan) add(slot *capacitySlot) {
+	if !p.exhausted(slot) {
+		p.slots[slot.offer.Zone] = append(p.slots[slot.offer.Zone], slot)
 	}
 }
 
-// exhausted says whether nothing that waits can have any of the room.
-func (k *scaleOutPlan) exhausted(r *capacitySlot) bool {
-	machineType := k.autoscaler.state.Types[r.offer.TypeName]
-	return r.free.CPUs < cluster.AmountTolerance || r.free.MemoryGB < cluster.AmountTolerance || !k.anyWithoutGPUs && machineType.GPUs > 0 && r.free.GPUs < cluster.AmountTolerance
+// exhausted says whether nothing that waits can have any of a slot.
+func (p *scaleOutPlan) exhausted(slot *capacitySlot) bool {
+	if slot.free.CPUs < cluster.AmountTolerance || slot.free.MemoryGB < cluster.AmountTolerance {
+		return true
+	}
+	machineType := p.autoscaler.state.Types[slot.offer.TypeName]
+	return !p.anyWithoutGPUs && machineType.GPUs > 0 && slot.free.GPUs < cluster.AmountTolerance
 }
 
-// shortage is how many of n tasks find no room in a zone.
-func (k *scaleOutPlan) shortage(job *cluster.Job, zone protocol.ZoneName, n int) int {
-	for _, r := range k.slots[zone] {
-		if n == 0 {
+// shortage is how many of some tasks find no capacity in a zone.
+func (p *scaleOutPlan) shortage(job *cluster.Job, zone protocol.ZoneName, tasks int) int {
+	for _, slot := range p.slots[zone] {
+		if tasks == 0 {
 			break
 		}
-		if k.autoscaler.serves(r, job) {
-			n -= r.free.Fit(job.Spec, n)
+		if p.autoscaler.serves(slot, job) {
+			tasks -= slot.free.Fit(job.Spec, tasks)
 		}
 	}
-	return n
+	return tasks
 }
 
-// take gives up to n tasks room in a zone and returns how many have it.
-func (k *scaleOutPlan) take(job *cluster.Job, zone protocol.ZoneName, n int) (taken int) {
-	used := false
-	for _, r := range k.slots[zone] {
-		if taken == n {
+// take gives up to so many tasks capacity in a zone and returns how many have it.
+func (p *scaleOutPlan) take(job *cluster.Job, zone protocol.ZoneName, tasks int) (taken int) {
+	someExhausted := false
+	for _, slot := range p.slots[zone] {
+		if taken == tasks {
 			break
 		}
-		if k.autoscaler.serves(r, job) {
-			fits := r.free.Fit(job.Spec, n-taken)
-			r.free.AddTasks(job.Spec, -fits)
+		if p.autoscaler.serves(slot, job) {
+			fits := slot.free.Fit(job.Spec, tasks-taken)
+			slot.free.AddTasks(job.Spec, -fits)
 			taken += fits
-			used = used || fits > 0 && k.exhausted(r)
+			someExhausted = someExhausted || fits > 0 && p.exhausted(slot)
 		}
 	}
-	if used {
-		k.slots[zone] = slices.DeleteFunc(k.slots[zone], k.exhausted)
+	if someExhausted {
+		p.slots[zone] = slices.DeleteFunc(p.slots[zone], p.exhausted)
 	}
 	return taken
 }
 
-// rent wants machines for n tasks.
-func (k *scaleOutPlan) rent(job *cluster.Job, o Offer, n int) {
-	for n > 0 {
-		r := &capacitySlot{nil, o, cluster.CapacityOf(k.autoscaler.state.Types[o.TypeName])}
-		fits := r.free.Fit(job.Spec, n)
-		r.free.AddTasks(job.Spec, -fits)
-		n -= fits
-		k.want[o]++
-		k.add(r)
+// addMachines wants machines of an offer for so many tasks.
+func (p *scaleOutPlan) addMachines(job *cluster.Job, offer Offer, tasks int) {
+	for tasks > 0 {
+		slot := &capacitySlot{offer: offer, free: p.autoscaler.capacityOf(offer)}
+		fits := slot.free.Fit(job.Spec, tasks)
+		slot.free.AddTasks(job.Spec, -fits)
+		tasks -= fits
+		p.want[offer]++
+		p.add(slot)
 	}
 }
 
 // planGang finds the zone where a gang lacks least and takes what it needs there,
-// room that is there first.
-func (k *scaleOutPlan) planGang(d scheduler.Demand) {
-	bestZone, bestLack, bestOffers := protocol.ZoneName(""), math.MaxInt, []Offer(nil)
-	for _, z := range k.autoscaler.state.Config.Cluster.Zones {
-		lack := k.shortage(d.Job, z, d.Tasks)
-		var offers []Offer
-		if lack > 0 {
-			if offers = k.autoscaler.offers(d.Job, z); len(offers) == 0 {
-				continue
-			}
-		}
-		if lack < bestLack {
-			bestZone, bestLack, bestOffers = z, lack, offers
-		}
-		if lack == 0 {
-			break
-		}
-	}
-	if bestZone == "" {
+// capacity that is there first.
+func (p *scaleOutPlan) planGang(demand scheduler.Demand) {
+	zone, offers := p.zoneOfLeastShortage(demand)
+	if zone == "" {
 		return
 	}
-	if need := d.Tasks - k.take(d.Job, bestZone, d.Tasks); need > 0 {
-		k.rent(d.Job, bestOffers[0], need)
+	if need := demand.Tasks - p.take(demand.Job, zone, demand.Tasks); need > 0 {
+		p.addMachines(demand.Job, offers[0], need)
+	}
+}
+
+// zoneOfLeastShortage finds the zone where a job lacks least, and the offers for what it
+// lacks there; zone "" if none has capacity or offers enough.
+func (p *scaleOutPlan) zoneOfLeastShortage(demand scheduler.Demand) (best protocol.ZoneName, offers []Offer) {
+	least := math.MaxInt
+	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
+		shortage := p.shortage(demand.Job, zone, demand.Tasks)
+		if shortage == 0 {
+			return zone, nil
+		}
+		available := p.autoscaler.offers(demand.Job, zone)
+		if len(available) > 0 && shortage < least {
+			best, least, offers = zone, shortage, available
+		}
 	}
+	return best, offers
 }
 
-// planTasks takes room for tasks that may be anywhere, within what the job allows
+// planTasks takes capacity for tasks that may be anywhere, within what the job allows
 // of each zone.
-func (k *scaleOutPlan) planTasks(d scheduler.Demand) {
-	job, need := d.Job, d.Tasks
-	limit, only := k.autoscaler.state.ZoneLimits(job)
-	for _, z := range k.autoscaler.state.Config.Cluster.Zones {
-		if only == "" || only == z {
-			n := k.take(job, z, min(need, limit[z]))
-			need -= n
-			limit[z] -= n
+func (p *scaleOutPlan) planTasks(demand scheduler.Demand) {
+	job, need := demand.Job, demand.Tasks
+	limits := p.autoscaler.state.ZoneLimits(job)
+	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
+		if limits.Only == "" || limits.Only == zone {
+			taken := p.take(job, zone, min(need, limits.Remaining[zone]))
+			need -= taken
+			limits.Remaining[zone] -= taken
 		}
 	}
 	if need == 0 {
 		return
 	}
-	wait := k.autoscaler.hasSlack(job)
-	for _, o := range k.autoscaler.offers(job, only) {
-		if wait && !o.Spot {
+	mayWait := p.autoscaler.hasSlack(job)
+	for _, offer := range p.autoscaler.offers(job, limits.Only) {
+		if mayWait && !offer.Spot {
 			continue // an ordinary machine is for when time runs out
 		}
-		n := min(need, limit[o.Zone])
-		k.rent(job, o, n)
-		need -= n
-		limit[o.Zone] -= n
+		tasks := min(need, limits.Remaining[offer.Zone])
+		p.addMachines(job, offer, tasks)
+		need -= tasks
+		limits.Remaining[offer.Zone] -= tasks
 	}
 }
--- /dev/null
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -0,0 +1,153 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// TestOrdinaryMachineOnlyWhenDeadlineIsNear: an array with time to spare has no ordinary
+// machine asked for, only spot ones; one without has.
+func TestOrdinaryMachineOnlyWhenDeadlineIsNear(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		deadlineS float64
+		spot      bool
+		want      map[Offer]int
+	}{
+		{name: "time to spare", deadlineS: 1000},
+		{name: "time to spare, spot allowed", deadlineS: 1000, spot: true, want: map[Offer]int{{TypeName: "big", Zone: "a", Spot: true}: 1}},
+		{name: "no time to spare", deadlineS: 60, want: map[Offer]int{{TypeName: "small", Zone: "a"}: 2}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness()
+			spec := clustertest.Array(3)
+			spec.EstimateS, spec.DeadlineS, spec.Spot = 30, c.deadlineS, c.spot
+			h.cluster.AddJob(spec)
+			h.schedule()
+			h.Tick()
+			checkRequested(t, h, c.want)
+		})
+	}
+}
+
+// checkRequested checks which machines the cloud was asked for, one request an offer.
+func checkRequested(t *testing.T, h *harness, want map[Offer]int) {
+	t.Helper()
+	got := h.requested()
+	if len(h.cloud.rentals) != len(want) || len(got) != len(want) {
+		t.Errorf("requested %v, want %v", got, want)
+	}
+	for offer, count := range want {
+		if got[offer] != count {
+			t.Errorf("%d machines of %+v requested, want %d", got[offer], offer, count)
+		}
+	}
+}
+
+// TestTaskWithoutGPUsFitsBesideFullGPUs: a task that takes no GPUs has the processors that
+// are left on a machine whose GPUs are all taken; no machine is asked for. One that takes
+// GPUs has none there.
+func TestTaskWithoutGPUsFitsBesideFullGPUs(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		gpus     float64
+		placed   bool
+		requests int
+	}{
+		{name: "no GPUs", gpus: 0, placed: true},
+		{name: "one GPU", gpus: 1, requests: 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness()
+			h.cluster.AddMachine("i-1", "big", "a")
+			full := h.cluster.AddJob(clustertest.Gang(1, clustertest.BigType.GPUs))
+			h.schedule()
+			if !full.FullyPlaced() {
+				t.Fatal("the machine does not hold the first gang")
+			}
+			spec := clustertest.Gang(1, c.gpus)
+			spec.Zone = "a"
+			job := h.cluster.AddJob(spec)
+			h.schedule()
+			if placed := len(job.Attempts) == 1; placed != c.placed {
+				t.Errorf("placed %v", placed)
+			}
+			h.Tick()
+			if len(h.cloud.rentals) != c.requests {
+				t.Errorf("%d requests for machines, want %d", len(h.cloud.rentals), c.requests)
+			}
+		})
+	}
+}
+
+// TestUnansweredRequestIsRepeatedUnderItsName: a request whose answer is lost is sent again
+// under the same name, and what it gave is not asked for twice meanwhile.
+func TestUnansweredRequestIsRepeatedUnderItsName(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddJob(clustertest.Gang(1, 4))
+	h.schedule()
+	h.Tick()
+	h.cloud.rentals[0].done(RentResult{Outcome: RentFailed})
+	h.cluster.Advance(tuning.RentEvery)
+	h.schedule()
+	h.Tick()
+	h.environment.runTimers()
+	if len(h.cloud.rentals) != 2 || h.cloud.rentals[0].request != h.cloud.rentals[1].request {
+		t.Fatalf("requests %+v", h.cloud.rentals)
+	}
+	h.cloud.rentals[1].done(RentResult{Outcome: Rented, Machines: []protocol.MachineID{"i-1"}})
+	if len(h.environment.recorded) != 1 || h.cluster.Machines["i-1"] == nil {
+		t.Errorf("%d machines are recorded", len(h.environment.recorded))
+	}
+}
+
+// TestOfferWithoutCapacityRests: what the cloud has no capacity for is not asked for again
+// at once; another zone's is.
+func TestOfferWithoutCapacityRests(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddJob(clustertest.Gang(1, 4))
+	h.schedule()
+	h.Tick()
+	first := h.cloud.rentals[0]
+	first.done(RentResult{Outcome: NoCapacity})
+	h.cluster.Advance(tuning.RentEvery)
+	h.schedule()
+	h.Tick()
+	if len(h.cloud.rentals) != 2 || h.cloud.rentals[1].request.Zone == first.request.Zone {
+		t.Errorf("requests %+v", h.cloud.rentals)
+	}
+	h.cloud.rentals[1].done(RentResult{Outcome: RentRejected, Detail: "a test"})
+	h.cluster.Advance(tuning.RentEvery)
+	if h.schedule(); len(h.Demand) != 1 {
+		t.Errorf("%d jobs wait", len(h.Demand))
+	}
+}
+
+// TestLargeFleetIsListedWithinBudget: the pages of a large fleet's machine list are asked
+// for within the budget of calls and leave most of it to scale-out, whatever the number
+// of pages.
+func TestLargeFleetIsListedWithinBudget(t *testing.T) {
+	const seconds, pagesOfList = 60, 12
+	h := newHarness()
+	callsPerSecond := h.cluster.Config.Cluster.Cloud.RPS * tuning.CloudShare
+	pages := 0
+	for range seconds * 10 {
+		h.cluster.Advance(100 * time.Millisecond)
+		h.environment.runTimers()
+		h.Tick()
+		for ; pages < len(h.cloud.lists); pages++ {
+			id := protocol.MachineID([]byte{'i', '-', byte('a' + pages%pagesOfList)})
+			h.cloud.lists[pages].done(&protocol.MachineList{More: (pages+1)%pagesOfList != 0, Machines: []protocol.Machine{{ID: id}}})
+		}
+	}
+	if most := int(callsPerSecond*float64(seconds)/2) + pagesOfList; pages > most {
+		t.Errorf("%d pages in %d s of a budget of %.1f calls a second", pages, seconds, callsPerSecond)
+	}
+	if pages < pagesOfList {
+		t.Errorf("only %d pages", pages)
+	}
+}
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -26,18 +26,19 @@
 // reserveSlot is a machine, there or on its way, as a place for replicas.
 type reserveSlot struct {
 	capacitySlot
-	preemptible []preemptibleTask // what work on it leaves when it yields
-	rest        cluster.Resources // what is left of the room while the loss of one zone is looked at
+	preemptible []preemptibleTask // work on it that stops at once for a higher priority
+	rest        cluster.Resources // what is left while the loss of one zone is considered
 }
 
-// preemptibleTask is the room of a task that yields to higher priorities.
+// preemptibleTask is what a task that is preempted for higher priorities leaves.
 type preemptibleTask struct {
-	priority  int
+	priority  protocol.Priority
 	resources cluster.Resources
 }
 
-// PlanReserve finds which idle machines the reserve needs, and what must be rented.
-func (as *Autoscaler) PlanReserve(want map[Offer]int) {
+// planZoneReserve finds which idle machines the reserve needs, and adds to want what must
+// be asked for.
+func (as *Autoscaler) planZoneReserve(want map[Offer]int) {
 	if as.state.SomeZoneSilent() {
 		return // what is kept is needed now, and what is silent may be back
 	}
@@ -46,12 +47,12 @@
 	if len(services) == 0 || !as.state.Config.Operator.ZoneReserve {
 		return
 	}
-	z := &zoneReservePlan{autoscaler: as, idle: map[*cluster.Machine]bool{}, want: want}
-	z.addSlots()
+	plan := &zoneReservePlan{autoscaler: as, idle: map[*cluster.Machine]bool{}, want: want}
+	plan.addSlots()
 	for _, zone := range as.state.Config.Cluster.Zones {
-		z.provide(zone, services[zone])
+		plan.provide(zone, services[zone])
 	}
-	as.zoneReserve = z.idle
+	as.zoneReserve = plan.idle
 }
 
 // zoneReplicas is how many replicas of a service a zone has.
@@ -63,138 +64,164 @@
 // servicesByZone lists the services that have replicas in each zone, the largest
 // replicas first.
 func (as *Autoscaler) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
-	zones := map[protocol.ZoneName][]zoneReplicas{}
+	services := map[protocol.ZoneName][]zoneReplicas{}
 	for _, job := range as.state.Jobs {
 		if !job.Spec.Service() || job.Cancelled || job.Failures.Attributed > 0 {
 			continue
 		}
-		per := map[protocol.ZoneName]int{}
-		for i := range job.Tasks {
-			if attempt := job.Tasks[i].Active; attempt != nil && !attempt.Stopping {
-				per[attempt.Machine.Zone]++
-			}
-		}
-		for zone, n := range per {
-			if n = min(n, job.MovableFrom(zone, per, as.state.Config.Cluster.Zones)); n > 0 {
-				zones[zone] = append(zones[zone], zoneReplicas{job, n})
+		perZone := activePerZone(job)
+		for zone, count := range perZone {
+			count = min(count, job.MovableFrom(zone, perZone, as.state.Config.Cluster.Zones))
+			if count > 0 {
+				services[zone] = append(services[zone], zoneReplicas{job: job, count: count})
 			}
 		}
 	}
-	for _, list := range zones {
-		slices.SortFunc(list, func(a, b zoneReplicas) int {
-			return cmp.Or(cmp.Compare(b.job.Spec.CPUs, a.job.Spec.CPUs), cmp.Compare(b.job.Spec.MemoryGB, a.job.Spec.MemoryGB), cmp.Compare(a.job.ID, b.job.ID))
-		})
+	for _, list := range services {
+		slices.SortFunc(list, compareReplicas)
+	}
+	return services
+}
+
+// activePerZone counts a job's active attempts in each zone.
+func activePerZone(job *cluster.Job) map[protocol.ZoneName]int {
+	perZone := map[protocol.ZoneName]int{}
+	for i := range job.Tasks {
+		if attempt := job.Tasks[i].Active; attempt != nil && !attempt.Stopping {
+			perZone[attempt.Machine.Zone]++
+		}
 	}
-	return zones
+	return perZone
+}
+
+// compareReplicas puts the largest replicas first.
+func compareReplicas(a, b zoneReplicas) int {
+	return cmp.Or(
+		cmp.Compare(b.job.Spec.CPUs, a.job.Spec.CPUs),
+		cmp.Compare(b.job.Spec.MemoryGB, a.job.Spec.MemoryGB),
+		cmp.Compare(a.job.ID, b.job.ID))
 }
 
 // addSlots lists what there is and what is on its way: machines with work first, then
 // idle ones, so that no more of these are kept than are needed.
-func (z *zoneReservePlan) addSlots() {
-	as := z.autoscaler
-	for _, machine := range as.state.OrderedMachines {
-		machineType := as.state.TypeOf(machine)
-		if machineType == nil || machine.Deleting || machine.Cordoned || !as.state.Schedulable(machine) && !as.Booting(machine) {
+func (p *zoneReservePlan) addSlots() {
+	state := p.autoscaler.state
+	for _, machine := range state.OrderedMachines {
+		if state.TypeOf(machine) == nil || machine.Deleting || machine.Cordoned {
 			continue
 		}
-		s := &reserveSlot{capacitySlot: capacitySlot{machine, Offer{machine.TypeName, machine.Zone, machine.Spot}, as.state.FreeResources(machine)}}
-		for _, attempt := range machine.Attempts {
-			if !attempt.Job.Spec.Gang() {
-				room := cluster.Resources{}
-				room.AddTasks(attempt.Job.Spec, 1)
-				s.preemptible = append(s.preemptible, preemptibleTask{int(attempt.Job.Priority), room})
-			}
+		if state.Schedulable(machine) || p.autoscaler.Booting(machine) {
+			p.slots = append(p.slots, newReserveSlot(machine, state.FreeResources(machine)))
 		}
-		z.slots = append(z.slots, s)
 	}
-	slices.SortStableFunc(z.slots, func(a, b *reserveSlot) int {
+	slices.SortStableFunc(p.slots, func(a, b *reserveSlot) int {
 		return cluster.TrueFirst(len(a.machine.Attempts) > 0, len(b.machine.Attempts) > 0)
 	})
-	for _, r := range as.rentals {
-		for range r.count {
-			z.addRented(r.offer)
+	for _, request := range p.autoscaler.requests {
+		for range request.body.Count {
+			p.addRequested(request.offer)
+		}
+	}
+}
+
+// newReserveSlot is the slot of a machine. A task of a gang leaves nothing at once.
+func newReserveSlot(machine *cluster.Machine, free cluster.Resources) *reserveSlot {
+	slot := &reserveSlot{capacitySlot: capacitySlot{machine: machine, offer: offerOf(machine), free: free}}
+	for _, attempt := range machine.Attempts {
+		if attempt.Job.Spec.Gang() {
+			continue
 		}
+		task := preemptibleTask{priority: attempt.Job.Priority}
+		task.resources.AddTasks(attempt.Job.Spec, 1)
+		slot.preemptible = append(slot.preemptible, task)
 	}
+	return slot
 }
 
-// addRented adds a machine that is only asked for.
-func (z *zoneReservePlan) addRented(o Offer) *reserveSlot {
-	s := &reserveSlot{capacitySlot: capacitySlot{nil, o, cluster.CapacityOf(z.autoscaler.state.Types[o.TypeName])}}
-	z.slots = append(z.slots, s)
-	return s
+// addRequested adds a machine that is only asked for.
+func (p *zoneReservePlan) addRequested(offer Offer) *reserveSlot {
+	slot := &reserveSlot{capacitySlot: capacitySlot{offer: offer, free: p.autoscaler.capacityOf(offer)}}
+	p.slots = append(p.slots, slot)
+	return slot
 }
 
 // capacityFor is what a slot gives to work of a priority.
-func (s *reserveSlot) capacityFor(rank int) cluster.Resources {
-	room := s.free
-	for _, y := range s.preemptible {
-		if y.priority < rank {
-			room.Add(y.resources)
+func (s *reserveSlot) capacityFor(priority protocol.Priority) cluster.Resources {
+	capacity := s.free
+	for _, task := range s.preemptible {
+		if task.priority < priority {
+			capacity.Add(task.resources)
 		}
 	}
-	return room
+	return capacity
 }
 
 // provide sees to it that the replicas of one zone have places in the others.
-func (z *zoneReservePlan) provide(lost protocol.ZoneName, services []zoneReplicas) {
+func (p *zoneReservePlan) provide(lost protocol.ZoneName, services []zoneReplicas) {
 	if len(services) == 0 {
 		return
 	}
-	for _, s := range z.slots {
-		s.rest = s.capacityFor(int(services[0].job.Priority))
+	for _, slot := range p.slots {
+		slot.rest = slot.capacityFor(services[0].job.Priority)
 	}
-	next := 0 // slots before this one have no room left for anything
-	for _, r := range services {
-		need := r.count
-		for i := next; i < len(z.slots) && need > 0; i++ {
-			s := z.slots[i]
-			if s.offer.Zone == lost || !z.autoscaler.serves(&s.capacitySlot, r.job) {
+	next := 0 // slots before this one have nothing left for anything
+	for _, replicas := range services {
+		need := replicas.count
+		for i := next; i < len(p.slots) && need > 0; i++ {
+			slot := p.slots[i]
+			if slot.offer.Zone == lost || !p.autoscaler.serves(&slot.capacitySlot, replicas.job) {
 				continue
 			}
-			need -= z.take(s, r.job, need)
-			if i == next && s.rest.CPUs < cluster.AmountTolerance {
+			need -= p.take(slot, replicas.job, need)
+			if i == next && slot.rest.CPUs < cluster.AmountTolerance {
 				next++
 			}
 		}
-		z.rent(lost, r.job, need)
+		p.addMachines(lost, replicas.job, need)
 	}
 }
 
-// take gives replicas a slot's room and returns how many have it.
-func (z *zoneReservePlan) take(s *reserveSlot, job *cluster.Job, need int) int {
-	n := s.rest.Fit(job.Spec, need)
-	s.rest.AddTasks(job.Spec, -n)
-	if n > 0 && s.machine != nil && len(s.machine.Attempts) == 0 {
-		z.idle[s.machine] = true
+// take gives replicas a slot's capacity and returns how many have it.
+func (p *zoneReservePlan) take(slot *reserveSlot, job *cluster.Job, need int) int {
+	taken := slot.rest.Fit(job.Spec, need)
+	slot.rest.AddTasks(job.Spec, -taken)
+	if taken > 0 && slot.machine != nil && len(slot.machine.Attempts) == 0 {
+		p.idle[slot.machine] = true
 	}
-	return n
+	return taken
 }
 
-// rent wants machines for replicas that have no place outside a zone: in the zone of
-// the others that has the fewest machines, of the cheapest kind.
-func (z *zoneReservePlan) rent(lost protocol.ZoneName, job *cluster.Job, need int) {
-	for need > 0 && len(z.slots) < tuning.ReserveSlots {
-		var best *Offer
-		for _, zone := range z.autoscaler.state.Config.Cluster.Zones {
-			if zone == lost {
-				continue
-			}
-			list := z.autoscaler.offers(job, zone)
-			if len(list) > 0 && (best == nil || z.autoscaler.machinesIn[zone] < z.autoscaler.machinesIn[best.Zone]) {
-				best = &list[0]
-			}
-		}
-		if best == nil {
+// addMachines wants machines for replicas that have no place outside a zone.
+func (p *zoneReservePlan) addMachines(lost protocol.ZoneName, job *cluster.Job, need int) {
+	for need > 0 && len(p.slots) < tuning.ReserveSlots {
+		offer, ok := p.bestOffer(lost, job)
+		if !ok {
 			return
 		}
-		s := z.addRented(*best)
-		s.rest = s.free
-		n := z.take(s, job, need)
-		if n == 0 {
+		slot := p.addRequested(offer)
+		slot.rest = slot.free
+		taken := p.take(slot, job, need)
+		if taken == 0 {
 			return
 		}
-		need -= n
-		z.want[*best]++
-		z.autoscaler.machinesIn[best.Zone]++
+		need -= taken
+		p.want[offer]++
+		p.autoscaler.machinesPerZone[offer.Zone]++
+	}
+}
+
+// bestOffer is the cheapest kind of machine in the zone of the others that has the fewest
+// machines.
+func (p *zoneReservePlan) bestOffer(lost protocol.ZoneName, job *cluster.Job) (best Offer, ok bool) {
+	machines := p.autoscaler.machinesPerZone
+	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
+		if zone == lost {
+			continue
+		}
+		offers := p.autoscaler.offers(job, zone)
+		if len(offers) > 0 && (!ok || machines[zone] < machines[best.Zone]) {
+			best, ok = offers[0], true
+		}
 	}
+	return best, ok
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,7 +14,7 @@
 		if machine == nil {
 			continue
 		}
-		l.autoscaler.NoteDeleted(id)
+		l.autoscaler.MachineDeleted(id)
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
 			l.dropAttempt(attempt)
 		}
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -46,7 +46,7 @@
 			l.probe(machine)
 		}
 		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
-			l.autoscaler.ReturnMachine(machine, "lapsed and of no known address")
+			l.autoscaler.DeleteMachine(machine, "lapsed and of no known address")
 		}
 		// With a peer out of reach the worker may be behind the same cut and
 		// on its way to a controller that carries its reports.
@@ -89,8 +89,8 @@
 
 // deleteSilent returns a machine that does not answer.
 func (l *leader) deleteSilent(machine *cluster.Machine, why string) {
-	l.scheduler.LostMachineAt[machine.Zone] = l.n.now
-	l.autoscaler.ReturnMachine(machine, why)
+	l.scheduler.MachineLost(machine)
+	l.autoscaler.DeleteMachine(machine, why)
 }
 
 // probe asks a silent worker for its report.
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -22,7 +22,7 @@
 	m := n.metrics
 	n.metrics.CommitSeconds, n.metrics.WaitSeconds = nil, nil
 	if n.lead != nil {
-		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting
+		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting()
 		m.Term = n.lease.term
 		m.Now, m.Recovery = n.now, n.lead.recovery.Summary()
 	}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -195,7 +195,7 @@
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = l.n.now
 	case unproven && l.n.now.Sub(machine.Agent.UnreadableSince) > config.Seconds(l.n.cfg.Cluster.Workers.LeaseS):
-		l.autoscaler.ReturnMachine(machine, "its reports cannot be read")
+		l.autoscaler.DeleteMachine(machine, "its reports cannot be read")
 	}
 }
 
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -131,7 +131,7 @@
 		}
 		left = true
 		if l.n.now.After(l.lapseAt(machine)) {
-			l.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
+			l.autoscaler.DeleteMachine(machine, "holds a higher token than any leader")
 		}
 	}
 	if !left {
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -5,23 +5,33 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
-	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// PlaceArray gives each waiting task the first free room; it returns how many
-// still wait. warm: only on machines that have its image.
-func (sc *Scheduler) PlaceArray(job *cluster.Job, warm bool) (waiting int) {
-	quota := sc.state.TasksWithinLimit(job)
-	if job.Overdue(sc.state.Now()) {
-		quota = min(quota, 1)
+// imageRequirement says which machines a search takes into account.
+type imageRequirement int
+
+const (
+	imageAnywhere  imageRequirement = iota // also machines that would have to fetch the image
+	imageLocalOnly                         // only machines that have the image
+)
+
+// placeTasks places waiting tasks of an array or a service where there is free capacity;
+// it returns how many still wait.
+func (sc *Scheduler) placeTasks(job *cluster.Job, image imageRequirement) (waiting int) {
+	if job.Spec.Service() {
+		return sc.placeService(job)
 	}
-	var list []Candidate
-	var limit map[protocol.ZoneName]int
-	var only protocol.ZoneName
-	next := 0 // sites before this one are full or not allowed
-	for i := range job.Tasks {
-		task := &job.Tasks[i]
+	return sc.placeArray(job, image)
+}
+
+// placeArray places each waiting task on the best machine with free capacity; it returns
+// how many still wait.
+func (sc *Scheduler) placeArray(job *cluster.Job, image imageRequirement) (waiting int) {
+	quota := sc.arrayQuota(job)
+	var choice arrayChoice
+	for index := range job.Tasks {
+		task := &job.Tasks[index]
 		if task.Done || task.LiveAttempts > 0 {
 			continue
 		}
@@ -29,35 +39,61 @@
 			waiting++
 			continue
 		}
-		if list == nil {
-			limit, only = sc.state.ZoneLimits(job)
-			list = sc.candidates(job, only)
-			if warm {
-				list = slices.DeleteFunc(list, func(s Candidate) bool { return !s.imageLocal })
-			}
-			slices.SortFunc(list, compareByImage)
+		if choice.list == nil {
+			choice = sc.newArrayChoice(job, image)
 		}
-		// A site that was taken stays the best until it is full: it has the
-		// image then, and less room left.
-		for next < len(list) && (list[next].tasks == 0 || limit[list[next].machine.Zone] == 0 || only != "" && list[next].machine.Zone != only) {
-			next++
-		}
-		if next == len(list) {
+		best := choice.best()
+		if best == nil {
 			waiting++
 			continue
 		}
-		s := &list[next]
-		sc.Assign(job, i, task.LastAttempt+1, s.machine)
+		sc.assign(job, index, task.LastAttempt+1, best.machine)
 		quota--
-		limit[s.machine.Zone]--
-		if job.Spec.OneZone {
-			only = s.machine.Zone
-		}
-		s.tasks = sc.state.FreeResources(s.machine).Fit(job.Spec, len(job.Tasks))
+		choice.zones.Take(job, best.machine.Zone)
+		best.tasks = sc.state.FreeResources(best.machine).Fit(job.Spec, len(job.Tasks))
 	}
 	return waiting
 }
 
+// arrayQuota is how many tasks an array may place now: an overdue one goes first with one
+// task, then takes its turn again.
+func (sc *Scheduler) arrayQuota(job *cluster.Job) int {
+	quota := sc.state.TasksWithinLimit(job)
+	if job.Overdue(sc.state.Now()) {
+		return min(quota, 1)
+	}
+	return quota
+}
+
+// arrayChoice is the machines that an array's tasks are placed on one after the other.
+type arrayChoice struct {
+	list  []candidate // the best first
+	next  int         // candidates before this one are full or not allowed
+	zones cluster.ZoneLimits
+}
+
+// newArrayChoice lists the machines for an array.
+func (sc *Scheduler) newArrayChoice(job *cluster.Job, image imageRequirement) arrayChoice {
+	zones := sc.state.ZoneLimits(job)
+	list := sc.candidates(job, zones.Only)
+	if image == imageLocalOnly {
+		list = slices.DeleteFunc(list, func(c candidate) bool { return !c.imageLocal })
+	}
+	slices.SortFunc(list, compareByImage)
+	return arrayChoice{list: list, zones: zones}
+}
+
+// best is the machine for the next task, nil if there is none. One that was taken stays
+// the best until it is full: it has the image then, and less free capacity.
+func (a *arrayChoice) best() *candidate {
+	for ; a.next < len(a.list); a.next++ {
+		if c := &a.list[a.next]; c.tasks > 0 && a.zones.Allow(c.machine.Zone) {
+			return c
+		}
+	}
+	return nil
+}
+
 // placeImageLocal lets the arrays that come next in the queue, of one priority and
 // with no gang between, have the machines that hold their image, in their turn:
 // an array that would fetch its image there leaves them to one behind it that
@@ -67,8 +103,13 @@
 		if job.Spec.Gang() || job.Priority != queue[0].Priority {
 			return
 		}
-		if sc.WaitingTasks(job) > 0 {
-			sc.placeTasks(job, sc.canWaitForImage(job))
+		if sc.WaitingTasks(job) == 0 {
+			continue
+		}
+		if sc.canWaitForImage(job) {
+			sc.placeTasks(job, imageLocalOnly)
+		} else {
+			sc.placeTasks(job, imageAnywhere)
 		}
 	}
 }
@@ -78,20 +119,12 @@
 	if job.Spec.Service() {
 		return false
 	}
+	now := sc.state.Now()
 	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.WarmPatience)
-	for _, at := range job.StartDeadlines {
-		if !sc.state.Now().After(at) {
-			return sc.state.Now().Before(at.Add(-fetch))
+	for _, deadline := range job.StartDeadlines {
+		if !now.After(deadline) {
+			return now.Before(deadline.Add(-fetch))
 		}
 	}
-	return len(job.StartDeadlines) > 0 || sc.state.Now().Sub(job.SubmittedAt) < fetch
-}
-
-// placeTasks gives waiting tasks of an array or a service the first free room; it
-// returns how many still wait.
-func (sc *Scheduler) placeTasks(job *cluster.Job, warm bool) (waiting int) {
-	if job.Spec.Service() {
-		return sc.PlaceService(job)
-	}
-	return sc.PlaceArray(job, warm)
+	return len(job.StartDeadlines) > 0 || now.Sub(job.SubmittedAt) < fetch
 }
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -8,153 +8,126 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// cycle is one pass over the queue. What every job would have to look up in the
-// whole fleet is looked up once; what no look can find is not looked for.
-type cycle struct {
-	schedulable  []*cluster.Machine // machines that take tasks
-	vacant       []*cluster.Machine // those of them that have room for a task that takes GPUs, if they have any
-	examined     int                // machines looked at so far
-	examineLimit int                // looks after which no more room is made in this pass
-	supply       map[protocol.ZoneName]*zoneSupply
-	// free room of every zone's machines that have yet to report in a recovery
-	awaited map[protocol.ZoneName]cluster.Resources
+// Demand is a job that waits, and for how many tasks.
+type Demand struct {
+	Job   *cluster.Job
+	Tasks int
 }
 
-// zoneSupply is the most that a zone could give to a job: what is free or on its
-// way out, and what runs there, by its priority.
-type zoneSupply struct {
-	free        cluster.Resources
-	preemptible [protocol.PriorityCritical + 1]cluster.Resources
-}
-
-// newCycle looks every machine over.
-func (sc *Scheduler) newCycle() *cycle {
-	p := &cycle{examined: len(sc.state.OrderedMachines), examineLimit: len(sc.state.OrderedMachines) + tuning.LooksLeast}
-	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
-		p.examineLimit = max(p.examineLimit, int(cores*float64(tuning.PassLength/tuning.LookCost)))
-	}
-	for _, machine := range sc.state.OrderedMachines {
-		if !sc.state.Schedulable(machine) {
-			continue
+// RunCycle is one scheduling cycle over the queue: by priority, then in order of arrival,
+// within the teams' limits. What it returns waits for machines.
+func (sc *Scheduler) RunCycle() []Demand {
+	sc.releaseReservations()
+	sc.cycle = sc.newCycle()
+	defer func() { sc.examined, sc.cycle = sc.cycle.examined, nil }()
+	sc.measureGPUNeeds()
+	queue := sc.Queue()
+	sc.markWithinGuarantee(queue)
+	sc.markReclaimers(queue)
+	var demand []Demand
+	for i, job := range queue {
+		if beginsArrays(queue, i) {
+			sc.placeImageLocal(queue[i:])
 		}
-		p.schedulable = append(p.schedulable, machine)
-		if machine.HasFree(sc.state.TypeOf(machine)) {
-			p.vacant = append(p.vacant, machine)
+		if tasks := sc.place(job); tasks > 0 {
+			demand = append(demand, Demand{Job: job, Tasks: tasks})
+			sc.freeCapacityFor(job, tasks)
 		}
 	}
-	return p
+	sc.waiting = len(demand)
+	return demand
 }
 
-// currentCycle is the pass under way, or one just for the caller.
-func (sc *Scheduler) currentCycle() *cycle {
-	if sc.cycle != nil {
-		return sc.cycle
+// beginsArrays says whether arrays or services of one priority begin at a place of the
+// queue.
+func beginsArrays(queue []*cluster.Job, at int) bool {
+	if queue[at].Spec.Gang() {
+		return false
 	}
-	return sc.newCycle()
+	return at == 0 || queue[at-1].Spec.Gang() || queue[at-1].Priority != queue[at].Priority
 }
 
-// exhausted says whether the pass has looked at so much that the rest of the queue
-// takes its turn at making room in the next one.
-func (p *cycle) exhausted() bool { return p.examined >= p.examineLimit }
-
-// zoneSupplies adds up what the zones could give.
-func (sc *Scheduler) zoneSupplies(p *cycle) map[protocol.ZoneName]*zoneSupply {
-	if p.supply != nil {
-		return p.supply
+// place places a job as far as it can and returns for how many tasks machines are to be
+// freed or added.
+func (sc *Scheduler) place(job *cluster.Job) int {
+	tasks := sc.WaitingTasks(job)
+	if tasks == 0 {
+		return 0
 	}
-	p.supply = map[protocol.ZoneName]*zoneSupply{}
-	p.examined += len(p.schedulable)
-	for _, machine := range p.schedulable {
-		s := p.supply[machine.Zone]
-		if s == nil {
-			s = &zoneSupply{}
-			p.supply[machine.Zone] = s
-		}
-		s.free.Add(sc.state.FreeResources(machine))
-		for _, attempt := range machine.Attempts {
-			if attempt.Stopping {
-				s.free.AddTasks(attempt.Job.Spec, 1)
-			} else {
-				s.preemptible[attempt.Job.Priority].AddTasks(attempt.Job.Spec, 1)
-			}
+	if job.Spec.Gang() {
+		if job.Failures.Attributed == 0 && sc.waitsForImageLocalMachines(job) || sc.placeGang(job) {
+			return 0
 		}
+	} else if tasks = sc.placeTasks(job, imageAnywhere); tasks == 0 {
+		return 0
 	}
-	return p.supply
-}
-
-// awaitsUnreportedCapacity says whether, in a recovery, machines that have yet to report to this leader
-// may have room for n tasks of a job. Nothing is stopped for it until they have reported,
-// or could have: else work would be stopped beside room that is free.
-func (sc *Scheduler) awaitsUnreportedCapacity(job *cluster.Job, n int) bool {
-	if !sc.env.Recovering() || sc.state.Now().Sub(sc.state.LeadingSince) > sc.state.SilenceTimeout() {
-		return false
+	if job.Failures.Attributed > 0 {
+		return 0 // it is tried on what is free alone
 	}
-	var all cluster.Resources
-	for zone, room := range sc.unreportedCapacity(sc.currentCycle()) {
-		if job.Spec.Zone != "" && zone != job.Spec.Zone {
-			continue
-		}
-		if room.Fit(job.Spec, n) == n {
-			return true
-		}
-		all.Add(room)
+	tasks = min(tasks, sc.state.TasksWithinLimit(job))
+	if job.Spec.Gang() && tasks < len(job.Tasks) {
+		return 0 // its team's limit is in the way, not the machines
 	}
-	return !job.Spec.OneZone && all.Fit(job.Spec, n) == n
+	return tasks
 }
 
-// unreportedCapacity adds up what machines have free that have yet to report.
-func (sc *Scheduler) unreportedCapacity(p *cycle) map[protocol.ZoneName]cluster.Resources {
-	if p.awaited != nil {
-		return p.awaited
-	}
-	p.awaited = map[protocol.ZoneName]cluster.Resources{}
-	p.examined += len(sc.state.OrderedMachines)
-	for _, machine := range sc.state.OrderedMachines {
-		if machine.Recovered && !machine.Agent.TokenConfirmed && !machine.Deleting && !machine.Cordoned && !machine.Agent.LeaseExpired {
-			room := p.awaited[machine.Zone]
-			room.Add(sc.state.FreeResources(machine))
-			p.awaited[machine.Zone] = room
-		}
+// freeCapacityFor preempts work for a job that waits, and reserves machines for a gang that
+// has waited for long.
+func (sc *Scheduler) freeCapacityFor(job *cluster.Job, tasks int) {
+	sc.preemptFor(job, tasks)
+	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.ReserveAfter {
+		sc.reserveMachines(job)
 	}
-	return p.awaited
 }
 
-// preemptionIsHopeless says that no search can make room for n tasks of a job: all that
-// may be stopped for it, whoever runs it, and all that is free are not enough.
-// With the machines full of work that does not yield, which is when most jobs
-// wait, this spares a look at every machine for each of them.
-func (sc *Scheduler) preemptionIsHopeless(job *cluster.Job, n int) bool {
-	if !job.Spec.Gang() {
-		n = 1
-	}
-	yielding := job.Priority // work below this priority may be stopped
-	if job.Queue.MayReclaim {
-		yielding++
-	}
-	if yielding == protocol.PriorityIdle && !job.Spec.Gang() {
-		return true
+// CyclePause is the pause after a cycle: longer the more machines it had to examine and
+// the smaller the controller's share of a core is, so that scheduling leaves time for
+// heartbeats and commits.
+func (sc *Scheduler) CyclePause() time.Duration {
+	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.examined)*tuning.LookCost, tuning.PlanShare)
+	return min(max(pause, tuning.PlanEvery), tuning.PlanIdle)
+}
+
+// cycle is what one cycle knows of all machines. What every job would have to look up in
+// the whole fleet is looked up once; what no search can find is not searched for.
+type cycle struct {
+	schedulable  []*cluster.Machine // machines that take tasks
+	vacant       []*cluster.Machine // those of them that can take a task with GPUs, if they have any
+	examined     int                // machines examined so far
+	examineLimit int                // from which on no more work is preempted in this cycle
+	supply       map[protocol.ZoneName]*zoneSupply
+	// unreported is the free capacity of every zone's machines that have yet to report in
+	// a recovery.
+	unreported map[protocol.ZoneName]cluster.Resources
+}
+
+// newCycle examines every machine.
+func (sc *Scheduler) newCycle() *cycle {
+	machines := sc.state.OrderedMachines
+	c := &cycle{examined: len(machines), examineLimit: len(machines) + tuning.LooksLeast}
+	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
+		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.PassLength/tuning.LookCost)))
 	}
-	var all cluster.Resources
-	for zone, s := range sc.zoneSupplies(sc.currentCycle()) {
-		if job.Spec.Zone != "" && zone != job.Spec.Zone {
+	for _, machine := range machines {
+		if !sc.state.Schedulable(machine) {
 			continue
 		}
-		r := s.free
-		for rank := protocol.PriorityIdle; rank < yielding && int(rank) < len(s.preemptible); rank++ {
-			r.Add(s.preemptible[rank])
-		}
-		if r.Fit(job.Spec, n) == n {
-			return false
+		c.schedulable = append(c.schedulable, machine)
+		if machine.HasFree(sc.state.TypeOf(machine)) {
+			c.vacant = append(c.vacant, machine)
 		}
-		all.Add(r)
 	}
-	return job.Spec.OneZone || all.Fit(job.Spec, n) < n
+	return c
 }
 
-// CyclePause is the pause after a pass over the queue: longer the more machines
-// it had to look at and the smaller the controller's share of a core is, so
-// that planning leaves time for reports and commits.
-func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.Examined)*tuning.LookCost, tuning.PlanShare)
-	return min(max(pause, tuning.PlanEvery), tuning.PlanIdle)
+// currentCycle is the cycle under way, or one just for the caller.
+func (sc *Scheduler) currentCycle() *cycle {
+	if sc.cycle != nil {
+		return sc.cycle
+	}
+	return sc.newCycle()
 }
+
+// exhausted says whether the cycle has examined so much that the rest of the queue takes
+// its turn at preemption in the next one.
+func (c *cycle) exhausted() bool { return c.examined >= c.examineLimit }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -13,130 +13,156 @@
 // zone, then the region) that has a free block of its order, the one with the least
 // residual slots among equals. See docs/design.md.
 
-// PlaceGang finds a place for every task of a gang, or for none.
-func (sc *Scheduler) PlaceGang(job *cluster.Job) bool {
-	g := len(job.Tasks)
-	if sc.state.TasksWithinLimit(job) < g || sc.env.AwaitsRecordSplit(job) {
+// placeGang finds a place for every task of a gang, or for none.
+func (sc *Scheduler) placeGang(job *cluster.Job) bool {
+	if sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.env.AwaitsRecordSplit(job) {
 		return false
 	}
-	limit, only := sc.state.ZoneLimits(job)
-	var best []Candidate
-	// The machine level: the whole gang on one machine.
-	if !job.Spec.Spread || g == 1 {
-		k := buddy.Order(g * cluster.TaskSlots(job.Spec))
-		for _, aligned := range []bool{true, false} {
-			var fit []Candidate
-			for _, s := range sc.candidates(job, only) {
-				if s.tasks >= g && (!aligned || s.machine.Slots.Aligned(k) > 0) {
-					fit = append(fit, s)
-				}
-			}
-			if len(fit) > 0 {
-				best = []Candidate{slices.MinFunc(fit, compareByFit)}
-				best[0].tasks = g
-				break
-			}
-		}
-	}
-	// The zone level.
-	if best == nil && (!job.Spec.Spread || g == 1) {
-		best = sc.placeInZone(job, g, only)
-	}
-	// The region.
-	if best == nil && !job.Spec.OneZone && job.Spec.Zone == "" {
-		best = sc.placeInRegion(job, g, limit)
-	}
-	if best == nil {
+	places := sc.smallestDomain(job)
+	if places == nil {
 		return false
 	}
-	job.Epoch = sc.nextEpoch(job)
+	job.Epoch = nextEpoch(job)
 	index := 0
-	for _, s := range best {
-		for range s.tasks {
-			sc.Assign(job, index, job.Epoch, s.machine)
+	for _, place := range places {
+		for range place.tasks {
+			sc.assign(job, index, job.Epoch, place.machine)
 			index++
 		}
 	}
 	return true
 }
 
-// placeInZone finds the zone with a free block of the gang's order and the least
-// residual room; without one, the zone that holds the gang as a union of
-// smaller blocks.
-func (sc *Scheduler) placeInZone(job *cluster.Job, g int, only protocol.ZoneName) []Candidate {
-	type choice struct {
-		sites     []Candidate
-		aligned   bool
-		residual  int
-		survivors int
-		cached    int
-		price     float64
+// smallestDomain finds machines for a whole gang within the smallest domain that holds it;
+// nil if none does.
+func (sc *Scheduler) smallestDomain(job *cluster.Job) []candidate {
+	zones := sc.state.ZoneLimits(job)
+	if !job.Spec.Spread || len(job.Tasks) == 1 {
+		if place := sc.placeOnMachine(job, zones.Only); place != nil {
+			return place
+		}
+		if places := sc.placeInZone(job, zones.Only); places != nil {
+			return places
+		}
+	}
+	if job.Spec.OneZone || job.Spec.Zone != "" {
+		return nil
 	}
-	var best *choice
+	return sc.placeInRegion(job, zones)
+}
+
+// placeOnMachine finds one machine for a whole gang, if possible one with an aligned block
+// of the gang's order.
+func (sc *Scheduler) placeOnMachine(job *cluster.Job, zone protocol.ZoneName) []candidate {
+	order := buddy.Order(len(job.Tasks) * cluster.TaskSlots(job.Spec))
+	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
+	if place := sc.bestMachine(job, zone, aligned); place != nil {
+		return place
+	}
+	return sc.bestMachine(job, zone, func(*cluster.Machine) bool { return true })
+}
+
+// bestMachine finds the best of the machines that hold a whole gang and that suit.
+func (sc *Scheduler) bestMachine(job *cluster.Job, zone protocol.ZoneName, suits func(*cluster.Machine) bool) []candidate {
+	list := sc.candidates(job, zone)
+	var best *candidate
+	for i := range list {
+		c := &list[i]
+		if c.tasks >= len(job.Tasks) && suits(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
+			best = c
+		}
+	}
+	if best == nil {
+		return nil
+	}
+	best.tasks = len(job.Tasks)
+	return []candidate{*best}
+}
+
+// zonePlacement is a gang's placement within one zone.
+type zonePlacement struct {
+	places     []candidate
+	aligned    bool // the zone has a free block of the gang's order
+	residual   int  // tasks that would fit beside it
+	survivors  int  // tasks that return to the machines of the broken attempt
+	imageLocal int  // tasks that find their image
+	price      float64
+}
+
+// placeInZone finds the zone with a free block of the gang's order and the least
+// residual capacity; without one, the zone that holds the gang as a union of smaller
+// blocks.
+func (sc *Scheduler) placeInZone(job *cluster.Job, only protocol.ZoneName) []candidate {
+	var best zonePlacement
 	for _, zone := range sc.state.Config.Cluster.Zones {
 		if only != "" && zone != only {
 			continue
 		}
 		list := sc.candidates(job, zone)
-		fits := 0
-		for _, s := range list {
-			fits += s.tasks
-		}
-		if fits < g {
+		fits := countTasks(list)
+		if fits < len(job.Tasks) {
 			continue
 		}
-		c := &choice{aligned: fits >= 1<<buddy.Order(g), residual: fits - g}
-		c.sites = pack(list, g)
-		for _, s := range c.sites {
-			if s.imageLocal {
-				c.cached += s.tasks
-			}
-			if s.survivor {
-				c.survivors += s.tasks
-			}
-			c.price += s.price
-		}
-		if best == nil || cmp.Or(cmp.Compare(best.survivors, c.survivors), cluster.TrueFirst(c.aligned, best.aligned), cmp.Compare(c.residual, best.residual),
-			cmp.Compare(best.cached, c.cached), cmp.Compare(c.price, best.price)) < 0 {
-			best = c
+		placement := newZonePlacement(list, fits, len(job.Tasks))
+		if best.places == nil || comparePlacements(placement, best) < 0 {
+			best = placement
 		}
 	}
-	if best == nil {
-		return nil
+	return best.places
+}
+
+// newZonePlacement packs a gang of a size into a zone where so many of its tasks fit.
+func newZonePlacement(list []candidate, fits, size int) zonePlacement {
+	p := zonePlacement{places: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residual: fits - size}
+	for _, place := range p.places {
+		if place.imageLocal {
+			p.imageLocal += place.tasks
+		}
+		if place.survivor {
+			p.survivors += place.tasks
+		}
+		p.price += place.price
 	}
-	return best.sites
+	return p
+}
+
+// comparePlacements orders placements in different zones, the best first.
+func comparePlacements(a, b zonePlacement) int {
+	return cmp.Or(
+		cmp.Compare(b.survivors, a.survivors),
+		cluster.TrueFirst(a.aligned, b.aligned),
+		cmp.Compare(a.residual, b.residual),
+		cmp.Compare(b.imageLocal, a.imageLocal),
+		cmp.Compare(a.price, b.price))
 }
 
 // placeInRegion spreads a gang over the fewest zones that its limits allow.
-func (sc *Scheduler) placeInRegion(job *cluster.Job, g int, limit map[protocol.ZoneName]int) []Candidate {
-	type zoneSites struct {
-		list []Candidate
+func (sc *Scheduler) placeInRegion(job *cluster.Job, limits cluster.ZoneLimits) []candidate {
+	type zoneCandidates struct {
+		list []candidate
 		fits int
 	}
-	var zones []zoneSites
+	var zones []zoneCandidates
 	for _, zone := range sc.state.Config.Cluster.Zones {
-		z := zoneSites{list: sc.candidates(job, zone)}
-		for _, s := range z.list {
-			z.fits += s.tasks
-		}
-		z.fits = min(z.fits, limit[zone])
-		zones = append(zones, z)
+		list := sc.candidates(job, zone)
+		zones = append(zones, zoneCandidates{list: list, fits: min(countTasks(list), limits.Remaining[zone])})
 	}
-	slices.SortStableFunc(zones, func(a, b zoneSites) int { return cmp.Compare(b.fits, a.fits) })
-	var taken []Candidate
-	for _, z := range zones {
-		n := min(g, z.fits)
-		taken = append(taken, pack(z.list, n)...)
-		g -= n
+	slices.SortStableFunc(zones, func(a, b zoneCandidates) int { return cmp.Compare(b.fits, a.fits) })
+	var places []candidate
+	left := len(job.Tasks)
+	for _, zone := range zones {
+		tasks := min(left, zone.fits)
+		places = append(places, pack(zone.list, tasks)...)
+		left -= tasks
 	}
-	if g > 0 {
+	if left > 0 {
 		return nil
 	}
-	return taken
+	return places
 }
 
 // nextEpoch is the gang's next epoch: above every attempt of every task.
-func (sc *Scheduler) nextEpoch(job *cluster.Job) protocol.AttemptNumber {
+func nextEpoch(job *cluster.Job) protocol.AttemptNumber {
 	next := job.Epoch
 	for i := range job.Tasks {
 		next = max(next, job.Tasks[i].LastAttempt)
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -5,41 +5,50 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// waitsForImageLocalMachines says whether a gang that could start on machines without its image
-// had better wait a moment for machines that have it, which work of lower
-// priority can leave sooner than the image would arrive.
+// waitsForImageLocalMachines says whether a gang that could start on machines without its
+// image had better wait a moment for machines that have it, which work of lower
+// priority can leave sooner than the image would arrive. That work is preempted then.
 func (sc *Scheduler) waitsForImageLocalMachines(job *cluster.Job) bool {
 	if sc.preempting(job) {
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
-	if fetch < tuning.WarmFetch || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) || sc.state.TasksWithinLimit(job) < len(job.Tasks) ||
-		sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
+	if fetch < tuning.WarmFetch || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
+		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
-	warm := 0
-	for _, s := range sc.candidates(job, "") {
-		if s.imageLocal {
-			warm += s.tasks
-		}
-	}
-	if warm >= len(job.Tasks) {
-		return false // the placement finds them
+	if sc.fitsImageLocally(job) {
+		return false // the placement finds the machines
 	}
 	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.SearchPause)
-	list := sc.findPreemptions(job, len(job.Tasks), true)
-	cost := 0.0
-	for _, e := range list {
-		cost += e.cost
-		for _, attempt := range e.victims {
-			if CheckpointPays(attempt.Job.Spec) && attempt.Job.Spec.SaveS > fetch*tuning.WarmSave {
+	plan := sc.findPreemptions(job, len(job.Tasks), imageLocalOnly)
+	if len(plan.machines) == 0 || !fasterThanFetch(job, plan, fetch) {
+		return false
+	}
+	sc.preempt(job, plan)
+	return true
+}
+
+// fitsImageLocally says whether all tasks of a job fit on free machines with its image.
+func (sc *Scheduler) fitsImageLocally(job *cluster.Job) bool {
+	tasks := 0
+	for _, c := range sc.candidates(job, "") {
+		if c.imageLocal {
+			tasks += c.tasks
+		}
+	}
+	return tasks >= len(job.Tasks)
+}
+
+// fasterThanFetch says whether a plan loses less work, and frees its machines sooner, than
+// fetching the image would.
+func fasterThanFetch(job *cluster.Job, plan preemptionPlan, fetch float64) bool {
+	for i := range plan.machines {
+		for _, victim := range plan.machines[i].victims {
+			if CheckpointPays(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.WarmSave {
 				return false
 			}
 		}
 	}
-	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, job.Spec.GPUs)*float64(len(job.Tasks)) {
-		return false
-	}
-	sc.stopVictims(job, list)
-	return true
+	return plan.cost <= fetch*tuning.WarmLoss*max(1, job.Spec.GPUs)*float64(len(job.Tasks))
 }
--- /dev/null
+++ b/internal/coordination/scheduler/placement_test.go
@@ -0,0 +1,243 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// TestGangIsPlacedWholeInSmallestDomain places generated jobs on generated fleets. Every
+// placement keeps every limit; a gang is placed whole, in the smallest domain that holds
+// it, and is turned away only if no domain does.
+func TestGangIsPlacedWholeInSmallestDomain(t *testing.T) {
+	random := rand.New(rand.NewPCG(3, 4))
+	placed, refused := 0, 0
+	for round := range 400 {
+		h := newHarness()
+		h.addRandomMachines(random)
+		for range 12 {
+			job := h.cluster.AddJob(randomSpec(random))
+			switch {
+			case !job.Spec.Gang():
+				waiting := h.placeArray(job, imageAnywhere)
+				if waiting+len(job.Attempts) != job.Spec.Tasks {
+					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(job.Attempts), job.Spec.Tasks)
+				}
+			case h.gangGoesIntoSmallestDomain(t, job):
+				placed++
+			default:
+				refused++
+			}
+			h.cluster.CheckPlacement(t, job)
+		}
+	}
+	if placed < 500 || refused < 200 {
+		t.Errorf("%d placed and %d refused: the cases are too easy or too hard", placed, refused)
+	}
+}
+
+// addRandomMachines adds a few machines of random kinds.
+func (h *harness) addRandomMachines(random *rand.Rand) {
+	for i := range 1 + random.IntN(8) {
+		machineType := &clustertest.BigType
+		if random.IntN(3) == 0 {
+			machineType = &clustertest.SmallType
+		}
+		id, zone := protocol.MachineID(fmt.Sprintf("i-%02d", i)), machineType.Zones[random.IntN(len(machineType.Zones))]
+		if random.IntN(3) == 0 {
+			h.cluster.AddSpotMachine(id, machineType.Name, zone)
+		} else {
+			h.cluster.AddMachine(id, machineType.Name, zone)
+		}
+	}
+}
+
+// randomSpec is a gang or an array with random needs and constraints.
+func randomSpec(random *rand.Rand) protocol.Job {
+	spec := protocol.Job{Team: []protocol.TeamName{"free", "tight"}[random.IntN(2)], Shape: protocol.ShapeGang, Tasks: 1 + random.IntN(6),
+		CPUs: float64(1 + random.IntN(9)), GPUs: float64(random.IntN(5)), MemoryGB: float64(8 + random.IntN(60)), Image: "x",
+		OneZone: random.IntN(2) == 0, Spread: random.IntN(3) == 0, Spot: random.IntN(2) == 0}
+	if random.IntN(3) == 0 {
+		spec.Shape = protocol.ShapeArray
+	}
+	if random.IntN(5) == 0 {
+		spec.Zone = "a"
+	}
+	if random.IntN(5) == 0 {
+		spec.Types = []protocol.MachineTypeName{"small"}
+	}
+	return spec
+}
+
+// gangGoesIntoSmallestDomain places a gang, checks where, and says whether it was placed.
+func (h *harness) gangGoesIntoSmallestDomain(t *testing.T, job *cluster.Job) bool {
+	t.Helper()
+	onOneMachine, inOneZone, inRegion := h.couldHold(job)
+	if !h.placeGang(job) {
+		if inRegion {
+			t.Fatalf("%+v is turned away though it fits", job.Spec)
+		}
+		return false
+	}
+	if len(job.Attempts) != job.Spec.Tasks {
+		t.Fatalf("a gang of %d has %d places", job.Spec.Tasks, len(job.Attempts))
+	}
+	machines, zones := map[protocol.MachineID]bool{}, map[protocol.ZoneName]bool{}
+	for _, attempt := range job.Attempts {
+		machines[attempt.Machine.ID], zones[attempt.Machine.Zone] = true, true
+	}
+	if onOneMachine && len(machines) > 1 || inOneZone && len(zones) > 1 {
+		t.Fatalf("%+v is spread over %v in %v though it need not be", job.Spec, machines, zones)
+	}
+	return true
+}
+
+// couldHold works out by counting which domains could hold a gang.
+func (h *harness) couldHold(job *cluster.Job) (onOneMachine, inOneZone, inRegion bool) {
+	spec, size := job.Spec, len(job.Tasks)
+	if h.cluster.TasksWithinLimit(job) < size {
+		return false, false, false
+	}
+	perZone := map[protocol.ZoneName]int{}
+	for _, machine := range h.cluster.Machines {
+		if !h.cluster.Usable(job, machine) {
+			continue
+		}
+		fits := h.cluster.FreeResources(machine).Fit(spec, size)
+		perZone[machine.Zone] += fits
+		onOneMachine = onOneMachine || fits >= size
+	}
+	total := 0
+	for _, fits := range perZone {
+		inOneZone = inOneZone || fits >= size
+		if spec.Spread {
+			fits = min(fits, (size+1)/2)
+		}
+		total += fits
+	}
+	if spec.Spread && size > 1 {
+		onOneMachine, inOneZone = false, false
+	}
+	return onOneMachine, inOneZone, inOneZone || onOneMachine || !spec.OneZone && spec.Zone == "" && total >= size
+}
+
+// TestGangTakesFullestThenImageLocalThenCheaperMachine: among machines that hold the gang,
+// the fullest is taken; among equals the one that has the image, then the cheaper one.
+func TestGangTakesFullestThenImageLocalThenCheaperMachine(t *testing.T) {
+	h := newHarness()
+	empty, half := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "b")
+	h.cluster.PlaceAll(h.cluster.AddJob(clustertest.Gang(1, 2)), half)
+	job := h.cluster.AddJob(clustertest.Gang(2, 1))
+	if !h.placeGang(job) || job.SortedAttempts()[0].Machine != half {
+		t.Errorf("not on the fuller machine")
+	}
+	h.cluster.AddSpotMachine("i-3", "big", "c")
+	imageLocal := h.cluster.AddMachine("i-4", "big", "c")
+	imageLocal.UseImage(&protocol.Job{Image: "x", ImageGB: 1}, &clustertest.BigType)
+	spec := clustertest.Gang(1, 4)
+	spec.Spot = true
+	job = h.cluster.AddJob(spec)
+	if !h.placeGang(job) || job.SortedAttempts()[0].Machine != imageLocal {
+		t.Errorf("not on the machine with the image")
+	}
+	job = h.cluster.AddJob(spec)
+	if !h.placeGang(job) || job.SortedAttempts()[0].Machine.ID != "i-3" {
+		t.Errorf("not on the cheaper machine")
+	}
+	if len(empty.Attempts) != 0 {
+		t.Errorf("the dear machine is used")
+	}
+}
+
+// TestGangAwaitsRecordSplit: a gang with a record that must be split first is not placed
+// until that is done.
+func TestGangAwaitsRecordSplit(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddMachine("i-1", "big", "a")
+	job := h.cluster.AddJob(clustertest.Gang(1, 1))
+	h.environment.AwaitingSplit = map[*cluster.Job]bool{job: true}
+	h.RunCycle()
+	if len(job.Attempts) != 0 {
+		t.Fatal("placed before its record was split")
+	}
+	h.environment.AwaitingSplit = nil
+	h.RunCycle()
+	if !job.FullyPlaced() || len(h.environment.Placed) != 1 {
+		t.Errorf("placed %v, the leader was told of %d places", job.FullyPlaced(), len(h.environment.Placed))
+	}
+}
+
+// TestOneZoneJobWaitsForOldAttemptInOtherZone: while old attempts of a one-zone job may
+// still be in two zones, nothing of it starts anywhere.
+func TestOneZoneJobWaitsForOldAttemptInOtherZone(t *testing.T) {
+	h := newHarness()
+	a, b := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "b")
+	spec := clustertest.Array(4)
+	spec.OneZone = true
+	job := h.cluster.AddJob(spec)
+	h.cluster.AddAttempt(job, 0, 1, a, 1)
+	old := h.cluster.AddAttempt(job, 1, 1, b, 1)
+	if waiting := h.placeArray(job, imageAnywhere); waiting != 2 {
+		t.Errorf("%d wait", waiting)
+	}
+	h.cluster.RemoveAttempt(old)
+	if waiting := h.placeArray(job, imageAnywhere); waiting != 0 {
+		t.Errorf("%d wait once the other zone's attempt is gone", waiting)
+	}
+	h.cluster.CheckPlacement(t, job)
+}
+
+// TestReplicaAvoidsSilentMachineAndZoneOfLoss: a replica is not placed on a machine whose
+// heartbeat is late nor, if there is another place, in a zone that a machine was just
+// lost in: the rest of the zone may be lost too and only not missed yet.
+func TestReplicaAvoidsSilentMachineAndZoneOfLoss(t *testing.T) {
+	h := newHarness()
+	late, same, far := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
+	h.cluster.Advance(h.cluster.ReplicaSilenceTimeout() + time.Second)
+	h.cluster.Heartbeat(same, far)
+	late.Agent.AnsweredAt = h.cluster.Now()
+	job := h.cluster.AddJob(clustertest.Service(1, 4))
+	if list := h.replicaCandidates(job, ""); len(list) != 2 {
+		t.Errorf("%d candidates", len(list))
+	}
+	h.MachineLost(late)
+	late.Deleting = true
+	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != far {
+		t.Errorf("placed on %v", job.Tasks[0].Active)
+	}
+	h.cluster.RemoveAttempt(job.Tasks[0].Active)
+	far.Cordoned = true
+	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != same {
+		t.Error("no place though there is one")
+	}
+}
+
+// TestReplicaMovesOffCordonedMachine: a replica on a machine that is to go ends there once
+// a place for its successor is reserved, and starts there.
+func TestReplicaMovesOffCordonedMachine(t *testing.T) {
+	h := newHarness()
+	old := h.cluster.AddMachine("i-1", "big", "a")
+	job := h.cluster.AddJob(clustertest.Service(1, 4))
+	h.RunCycle()
+	h.cluster.Run(job)
+	old.Cordoned = true
+	h.MoveReplicas()
+	if len(h.environment.Stopped) != 0 {
+		t.Fatal("the replica ends though it has no other place")
+	}
+	successor := h.cluster.AddMachine("i-2", "big", "a")
+	h.MoveReplicas()
+	if len(h.environment.Stopped) != 1 || successor.ReservedFor != job {
+		t.Fatalf("%d replicas end, reserved for %v", len(h.environment.Stopped), successor.ReservedFor)
+	}
+	h.cluster.RemoveAttempt(job.Tasks[0].Active)
+	h.RunCycle()
+	if job.Tasks[0].Active == nil || job.Tasks[0].Active.Machine != successor {
+		t.Errorf("the successor is placed on %v", job.Tasks[0].Active)
+	}
+}
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -9,52 +9,58 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// CheckpointPays says whether a task that yields should save first. Saving takes
+// CheckpointPays says whether a task that is preempted should save first. Saving takes
 // its machine's time and the waiting job's; without it half of the interval
 // between two checkpoints is lost, about.
 func CheckpointPays(spec *protocol.Job) bool {
 	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.SavePays*spec.SaveS)
 }
 
-// mayPreempt says whether an attempt may be stopped to make room for the job.
+// mayPreempt says whether an attempt may be stopped to free capacity for the job.
 func (sc *Scheduler) mayPreempt(attempt *cluster.Attempt, job *cluster.Job) bool {
 	if attempt.Stopping || attempt.Job == job || attempt.Job.Finished || attempt.Job.Complete() {
 		return false
 	}
-	if attempt.Job.Priority < job.Priority {
-		return true
+	return attempt.Job.Priority < job.Priority || sc.mayReclaimFrom(attempt.Job, job)
+}
+
+// mayReclaimFrom says whether a job may take back its team's guaranteed quota from
+// another team's job. What fits into its own team's guarantee is never preempted for
+// another's, and what has a higher priority never for a lower one, though it might: the
+// queue would give the machines back, and so in turn for ever.
+func (sc *Scheduler) mayReclaimFrom(victim, job *cluster.Job) bool {
+	if !job.Queue.MayReclaim || victim.Spec.Team == job.Spec.Team {
+		return false
 	}
-	// What fits into its own team's guarantee never yields to another's, and
-	// what has a higher priority never yields to a lower one, though it might:
-	// the queue would give the machines back, and so in turn for ever.
-	quota := sc.state.Quotas[attempt.Job.Spec.Team]
-	return job.Queue.MayReclaim && attempt.Job.Spec.Team != job.Spec.Team && quota != nil && quota.ExceedsGuarantee() && !attempt.Job.Queue.WithinGuarantee && attempt.Job.Priority <= job.Priority
+	quota := sc.state.Quotas[victim.Spec.Team]
+	return quota != nil && quota.ExceedsGuarantee() && !victim.Queue.WithinGuarantee && victim.Priority <= job.Priority
 }
 
-// preemption is what must stop on one machine so that count tasks fit.
+// preemption is what must stop on one machine so that some tasks fit there.
 type preemption struct {
 	machine  *cluster.Machine
 	tasks    int
 	victims  []*cluster.Attempt
 	priority protocol.Priority // the highest of the victims'
-	cost     float64
+	cost     float64           // in GPU seconds, about
 }
 
-// PreemptFor stops work that must yield to a waiting job, where that frees
-// enough room for it, and holds the room for it. A search that found nothing
-// is not repeated at once: it looks at every machine.
-func (sc *Scheduler) PreemptFor(job *cluster.Job, n int) {
-	if sc.preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() || sc.awaitsUnreportedCapacity(job, n) || sc.preemptionIsHopeless(job, n) {
+// preemptFor stops work that may be preempted for a waiting job, where that frees enough
+// capacity for it, and reserves the capacity for it. A search that found nothing is not
+// repeated at once: it examines every machine.
+func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
+	if sc.preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() ||
+		sc.awaitsUnreportedCapacity(job, tasks) || sc.preemptionIsHopeless(job, tasks) {
 		return
 	}
-	list := sc.findPreemptions(job, n, false)
-	if len(list) == 0 {
+	plan := sc.findPreemptions(job, tasks, imageAnywhere)
+	if len(plan.machines) == 0 {
 		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.SearchPause)
 	}
-	sc.stopVictims(job, list)
+	sc.preempt(job, plan)
 }
 
-// preempting says whether room is being made for a job already.
+// preempting says whether capacity is being freed for a job already.
 func (sc *Scheduler) preempting(job *cluster.Job) bool {
 	for _, machine := range job.Reserved {
 		for _, attempt := range machine.Attempts {
@@ -66,72 +72,121 @@
 	return false
 }
 
-// stopVictims carries evictions out.
-func (sc *Scheduler) stopVictims(job *cluster.Job, list []preemption) {
-	for _, e := range list {
-		e.machine.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
-		for _, attempt := range e.victims {
+// preempt carries a plan out: the victims stop and their machines are reserved.
+func (sc *Scheduler) preempt(job *cluster.Job, plan preemptionPlan) {
+	for i := range plan.machines {
+		p := &plan.machines[i]
+		p.machine.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
+		for _, attempt := range p.victims {
 			sc.env.Preempt(attempt)
 		}
 	}
 }
 
-// findPreemptions finds what to stop, and where, so that n tasks of a job fit; for a
-// gang all of them or nothing. warm: only on machines that have its image.
-func (sc *Scheduler) findPreemptions(job *cluster.Job, n int, warm bool) []preemption {
-	limit, only := sc.state.ZoneLimits(job)
-	var best []preemption
-	bestCost := 0.0
-	consider := func(list []preemption, need int) {
-		slices.SortStableFunc(list, func(a, b preemption) int {
-			return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.cost/float64(a.tasks), b.cost/float64(b.tasks)), cmp.Compare(b.tasks, a.tasks))
-		})
-		var taken []preemption
-		cost := 0.0
-		per := map[protocol.ZoneName]int{}
-		for _, e := range list {
-			c := min(e.tasks, need, limit[e.machine.Zone]-per[e.machine.Zone])
-			if c <= 0 {
-				continue
-			}
-			e = sc.victimsOn(job, e.machine, c)
-			per[e.machine.Zone] += c
-			need -= e.tasks
-			cost += e.cost
-			taken = append(taken, e)
+// preemptionPlan is what must stop, and where, so that tasks of a job fit.
+type preemptionPlan struct {
+	machines []preemption // empty if nothing can be done
+	cost     float64
+}
+
+// preemptionSearch looks for victims so that some tasks of a job fit.
+type preemptionSearch struct {
+	*Scheduler
+	job   *cluster.Job
+	tasks int
+	image imageRequirement
+	zones cluster.ZoneLimits
+}
+
+// findPreemptions finds what to stop, and where, so that so many tasks of a job fit; for a
+// gang all of them or nothing.
+func (sc *Scheduler) findPreemptions(job *cluster.Job, tasks int, image imageRequirement) preemptionPlan {
+	search := preemptionSearch{Scheduler: sc, job: job, tasks: tasks, image: image, zones: sc.state.ZoneLimits(job)}
+	if !job.Spec.OneZone {
+		return search.choose(search.collect(""))
+	}
+	var best preemptionPlan
+	for _, zone := range sc.state.Config.Cluster.Zones {
+		plan := search.choose(search.collect(zone))
+		if plan.machines != nil && (best.machines == nil || plan.cost < best.cost) {
+			best = plan
 		}
-		if need > 0 && job.Spec.Gang() || len(taken) == 0 {
-			return
+	}
+	return best
+}
+
+// collect lists the machines on which some of the tasks could fit; zone "" stands for all.
+func (s *preemptionSearch) collect(zone protocol.ZoneName) (list []preemption) {
+	cycle := s.currentCycle()
+	cycle.examined += len(cycle.schedulable)
+	for _, machine := range cycle.schedulable {
+		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
+			continue
 		}
-		if best == nil || cost < bestCost {
-			best, bestCost = taken, cost
+		if s.image == imageLocalOnly && !machine.HasImage(s.job.Spec.Image) {
+			continue
+		}
+		if p := s.victimsOn(s.job, machine, s.tasks); p.tasks > 0 {
+			list = append(list, p)
 		}
 	}
-	p := sc.currentCycle()
-	collect := func(zone protocol.ZoneName) (list []preemption) {
-		p.examined += len(p.schedulable)
-		for _, machine := range p.schedulable {
-			if zone != "" && machine.Zone != zone || only != "" && machine.Zone != only || !sc.state.Suits(job, machine) || warm && !machine.HasImage(job.Spec.Image) {
-				continue
-			}
-			if e := sc.victimsOn(job, machine, n); e.tasks > 0 {
-				list = append(list, e)
-			}
+	return list
+}
+
+// choose takes the cheapest of the machines until all tasks have a place. Without enough of
+// them a gang has no plan, others have one for some of their tasks.
+func (s *preemptionSearch) choose(list []preemption) preemptionPlan {
+	slices.SortStableFunc(list, comparePreemptions)
+	var plan preemptionPlan
+	need := s.tasks
+	perZone := map[protocol.ZoneName]int{}
+	for i := range list {
+		machine := list[i].machine
+		tasks := min(list[i].tasks, need, s.zones.Remaining[machine.Zone]-perZone[machine.Zone])
+		if tasks <= 0 {
+			continue
 		}
-		return list
+		p := s.victimsOn(s.job, machine, tasks)
+		perZone[machine.Zone] += tasks
+		need -= p.tasks
+		plan.cost += p.cost
+		plan.machines = append(plan.machines, p)
 	}
-	if !job.Spec.OneZone {
-		consider(collect(""), n)
-		return best
+	if need > 0 && s.job.Spec.Gang() {
+		return preemptionPlan{}
 	}
-	for _, z := range sc.state.Config.Cluster.Zones {
-		consider(collect(z), n)
+	return plan
+}
+
+// comparePreemptions orders machines by what stops there, the least loss first.
+func comparePreemptions(a, b preemption) int {
+	return cmp.Or(
+		cmp.Compare(a.priority, b.priority),
+		cmp.Compare(a.cost/float64(a.tasks), b.cost/float64(b.tasks)),
+		cmp.Compare(b.tasks, a.tasks))
+}
+
+// victimsOn works out what to stop on a machine so that up to so many tasks fit: the lowest
+// priority first, then what loses least.
+func (sc *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, tasks int) preemption {
+	free := sc.state.FreeResources(machine)
+	if free.Fit(job.Spec, 1) == 0 && !sc.hasPreemptible(machine, job) {
+		return preemption{machine: machine} // most machines: nothing is sorted for them
 	}
-	return best
+	preemptible := sc.preemptibleOn(machine, job, &free)
+	p := preemption{machine: machine, tasks: free.Fit(job.Spec, tasks)}
+	p.addVictims(job.Spec, tasks, preemptible, &free)
+	p.spareVictims(job.Spec, tasks, &free)
+	for _, victim := range p.victims {
+		p.cost += 1 + sc.workLost(victim)
+		p.priority = max(p.priority, victim.Job.Priority)
+	}
+	p.cost += sc.fetchCost(job.Spec, machine, p.tasks)
+	return p
 }
 
-// hasPreemptible says whether anything on a machine may be stopped for a job or is on
-// its way out.
+// hasPreemptible says whether anything on a machine may be stopped for a job or is
+// stopping.
 func (sc *Scheduler) hasPreemptible(machine *cluster.Machine, job *cluster.Job) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.Stopping || sc.mayPreempt(attempt, job) {
@@ -141,50 +196,54 @@
 	return false
 }
 
-// victimsOn works out what to stop on a machine so that up to count tasks fit:
-// the lowest priority first, then what loses least.
-func (sc *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, count int) preemption {
-	left := sc.state.FreeResources(machine)
-	if left.Fit(job.Spec, 1) == 0 && !sc.hasPreemptible(machine, job) {
-		return preemption{machine: machine} // most machines: nothing is sorted for them
-	}
-	var can []*cluster.Attempt
+// preemptibleOn lists what may be stopped on a machine for a job, the least loss first, and
+// adds what is stopping already to the free capacity.
+func (sc *Scheduler) preemptibleOn(machine *cluster.Machine, job *cluster.Job, free *cluster.Resources) (list []*cluster.Attempt) {
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		if attempt.Stopping {
-			left.AddTasks(attempt.Job.Spec, 1) // on its way out already
+			free.AddTasks(attempt.Job.Spec, 1)
 		} else if sc.mayPreempt(attempt, job) {
-			can = append(can, attempt)
+			list = append(list, attempt)
 		}
 	}
-	slices.SortStableFunc(can, func(a, b *cluster.Attempt) int {
+	slices.SortStableFunc(list, func(a, b *cluster.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Job.Priority, b.Job.Priority), cmp.Compare(sc.workLost(a), sc.workLost(b)))
 	})
-	e := preemption{machine: machine, tasks: left.Fit(job.Spec, count)}
-	for _, attempt := range can {
-		if e.tasks >= count {
-			break
+	return list
+}
+
+// addVictims takes victims until so many tasks fit.
+func (p *preemption) addVictims(spec *protocol.Job, tasks int, preemptible []*cluster.Attempt, free *cluster.Resources) {
+	for _, attempt := range preemptible {
+		if p.tasks >= tasks {
+			return
 		}
-		left.AddTasks(attempt.Job.Spec, 1)
-		e.victims = append(e.victims, attempt)
-		e.tasks = left.Fit(job.Spec, count)
-	}
-	// A victim that is not needed after all stays.
-	for i := len(e.victims) - 1; i >= 0; i-- {
-		left.AddTasks(e.victims[i].Job.Spec, -1)
-		if left.Fit(job.Spec, count) < e.tasks {
-			left.AddTasks(e.victims[i].Job.Spec, 1)
+		free.AddTasks(attempt.Job.Spec, 1)
+		p.victims = append(p.victims, attempt)
+		p.tasks = free.Fit(spec, tasks)
+	}
+}
+
+// spareVictims lets those victims go on that are not needed after all.
+func (p *preemption) spareVictims(spec *protocol.Job, tasks int, free *cluster.Resources) {
+	for i := len(p.victims) - 1; i >= 0; i-- {
+		victim := p.victims[i]
+		free.AddTasks(victim.Job.Spec, -1)
+		if free.Fit(spec, tasks) < p.tasks {
+			free.AddTasks(victim.Job.Spec, 1)
 			continue
 		}
-		e.victims = slices.Delete(e.victims, i, i+1)
-	}
-	for _, attempt := range e.victims {
-		e.cost += 1 + sc.workLost(attempt)
-		e.priority = max(e.priority, attempt.Job.Priority)
+		p.victims = slices.Delete(p.victims, i, i+1)
 	}
-	if machineType := sc.state.TypeOf(machine); machineType != nil && machineType.FetchGBPerS > 0 && !machine.HasImage(job.Spec.Image) {
-		e.cost += float64(e.tasks) * max(1, job.Spec.GPUs) * job.Spec.ImageGB / machineType.FetchGBPerS
+}
+
+// fetchCost is what tasks lose on a machine while their image is fetched, in GPU seconds.
+func (sc *Scheduler) fetchCost(spec *protocol.Job, machine *cluster.Machine, tasks int) float64 {
+	machineType := sc.state.TypeOf(machine)
+	if machineType == nil || machineType.FetchGBPerS <= 0 || machine.HasImage(spec.Image) {
+		return 0
 	}
-	return e
+	return float64(tasks) * max(1, spec.GPUs) * spec.ImageGB / machineType.FetchGBPerS
 }
 
 // workLost is about how much work is lost when an attempt is stopped, in GPU seconds.
--- /dev/null
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -0,0 +1,164 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// TestHigherPriorityPreemptsWhatItNeeds: a higher priority takes what it needs and no
+// more; work of equal priority stays.
+func TestHigherPriorityPreemptsWhatItNeeds(t *testing.T) {
+	h := newHarness()
+	machine := h.cluster.AddMachine("i-1", "big", "a")
+	spec := clustertest.Array(4)
+	spec.Priority = "idle"
+	low := h.cluster.AddJob(spec)
+	h.RunCycle()
+	h.cluster.Run(low)
+	same := clustertest.Gang(1, 2)
+	same.Priority = "idle"
+	h.cluster.AddJob(same)
+	h.RunCycle()
+	checkStopping(t, low, 0)
+	high := clustertest.Gang(1, 2)
+	high.Priority = "high"
+	h.cluster.AddJob(high)
+	h.RunCycle()
+	checkStopping(t, low, 2)
+	h.RunCycle()
+	checkStopping(t, low, 2)
+	if machine.ReservedFor == nil {
+		t.Error("the capacity that becomes free is not reserved")
+	}
+}
+
+// TestJobBlamedForItsFailuresPreemptsNothing: a job that failed on several machines is
+// tried on what is free, but nothing is stopped for it and no machine wanted.
+func TestJobBlamedForItsFailuresPreemptsNothing(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddMachine("i-1", "big", "a")
+	spec := clustertest.Array(4)
+	spec.Priority = "idle"
+	low := h.cluster.AddJob(spec)
+	h.RunCycle()
+	h.cluster.Run(low)
+	high := clustertest.Gang(1, 2)
+	high.Priority = "high"
+	job := h.cluster.AddJob(high)
+	job.Failures.Attributed = 1
+	if demand := h.RunCycle(); len(demand) != 0 {
+		t.Errorf("%d jobs want machines", len(demand))
+	}
+	checkStopping(t, low, 0)
+	h.cluster.AddMachine("i-2", "big", "a")
+	h.RunCycle()
+	if !job.FullyPlaced() {
+		t.Error("not placed on the free machine")
+	}
+}
+
+// TestGuaranteedQuotaIsReclaimed: a team within its guarantee takes machines from one
+// beyond its own, but not from higher priority and not from guaranteed work.
+func TestGuaranteedQuotaIsReclaimed(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		priority   string
+		guaranteed bool
+		want       int
+	}{
+		{name: "work beyond its team's guarantee", priority: "normal", want: 2},
+		{name: "work of higher priority", priority: "high"},
+		{name: "work within its team's guarantee", priority: "normal", guaranteed: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness()
+			h.cluster.AddMachine("i-1", "big", "a")
+			spec := clustertest.Array(4)
+			spec.Priority = c.priority
+			if c.guaranteed {
+				h.cluster.Quotas["free"].GuaranteedGPUs = 4
+			}
+			other := h.cluster.AddJob(spec)
+			h.RunCycle()
+			h.cluster.Run(other)
+			spec.Team, spec.Tasks, spec.Priority = "tight", 2, "normal"
+			h.cluster.AddJob(spec)
+			h.RunCycle()
+			checkStopping(t, other, c.want)
+		})
+	}
+}
+
+// TestJobThatComesWithinGuaranteeLaterReclaimsNothing: a job that was beyond its team's
+// guarantee when it came, and comes within it while more of its team waits, stops nobody's
+// work: the teams of an overloaded deployment would go on taking machines in turn.
+func TestJobThatComesWithinGuaranteeLaterReclaimsNothing(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddMachine("i-1", "big", "a")
+	spec := clustertest.Gang(4, 1)
+	spec.Shape = protocol.ShapeArray
+	other := h.cluster.AddJob(spec)
+	h.RunCycle()
+	h.cluster.Run(other)
+	spec.Team, spec.Tasks, spec.Zone = "tight", 2, "b"
+	first := h.cluster.AddJob(spec) // takes the whole guarantee, waits for another zone
+	spec.Zone = ""
+	h.cluster.AddJob(spec)
+	spec.Tasks = 3
+	h.cluster.AddJob(spec)
+	h.RunCycle()
+	first.Finished = true
+	delete(h.cluster.Jobs, first.ID)
+	h.RunCycle()
+	checkStopping(t, other, 0)
+}
+
+// TestRecoveryPreemptsNothingBeforeAgentsReport: after a failover nothing is stopped for a
+// job while machines that have yet to report may have free capacity for it.
+func TestRecoveryPreemptsNothingBeforeAgentsReport(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddMachine("i-1", "big", "a")
+	spec := clustertest.Array(4)
+	spec.Priority = "idle"
+	low := h.cluster.AddJob(spec)
+	h.RunCycle()
+	h.cluster.Run(low)
+	unreported := h.cluster.AddMachine("i-2", "big", "a")
+	unreported.Recovered, unreported.Agent.Heard, unreported.Agent.TokenConfirmed = true, false, false
+	high := clustertest.Gang(1, 2)
+	high.Priority = "high"
+	h.cluster.AddJob(high)
+	h.environment.InRecovery = true
+	h.RunCycle()
+	checkStopping(t, low, 0)
+	h.cluster.Advance(h.cluster.SilenceTimeout() + time.Second)
+	h.cluster.Heartbeat(h.cluster.Machines["i-1"])
+	h.RunCycle()
+	checkStopping(t, low, 2)
+}
+
+// TestLongWaitingGangReservesFreeMachines: a gang that has waited past the time-out keeps
+// the free machines of the zone where it lacks least from smaller jobs behind it.
+func TestLongWaitingGangReservesFreeMachines(t *testing.T) {
+	h := newHarness()
+	h.cluster.AddMachine("i-1", "big", "a")
+	spec := clustertest.Gang(2, 4)
+	spec.OneZone = true
+	job := h.cluster.AddJob(spec)
+	h.RunCycle()
+	h.cluster.Advance(h.cluster.Config.Operator.ReserveAfter + time.Second)
+	h.cluster.Heartbeat()
+	small := h.cluster.AddJob(clustertest.Gang(1, 1))
+	h.RunCycle()
+	if len(small.Attempts) != 0 || len(job.Attempts) != 0 {
+		t.Errorf("the smaller job overtakes the gang")
+	}
+	h.cluster.AddMachine("i-2", "big", "a")
+	h.RunCycle()
+	if len(job.Attempts) != 2 {
+		t.Errorf("the gang is not placed when it could be")
+	}
+}
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -9,55 +9,82 @@
 )
 
 // MoveReplicas moves replicas away from machines that are to go, or whose lease is
-// about to lapse: two attempts must never run, so the old one ends first, when there
+// about to expire: two attempts must never run, so the old one ends first, when there
 // is a place for its successor, on a machine that has its image if there is one.
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
-		if !machine.Cordoned && !sc.state.NotReporting(machine) || machine.Deleting || !sc.state.ConfirmedAlive(machine) {
+		if !sc.mustLoseReplicas(machine) {
 			continue
 		}
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
-			job := attempt.Job
-			if !job.Spec.Service() || attempt.Stopping || !attempt.Committed || job.Cancelled || attempt.Orphaned || !machine.SpotNotice && !job.FullyPlaced() {
-				continue
-			}
-			if target := sc.successor(attempt); target != nil {
-				sc.log.Info("replica moves", "job", job.ID, "task", attempt.Key.Index, "from", machine.ID, "to", target.ID)
-				target.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
-				sc.env.Stop(attempt, 0)
+			if mayMove(attempt) {
+				sc.moveReplica(attempt)
 			}
 		}
 	}
 }
 
-// successor is the machine that a replica would best move to, nil if there is none.
-func (sc *Scheduler) successor(attempt *cluster.Attempt) *cluster.Machine {
-	return sc.successorMachine(attempt, 1)
+// mustLoseReplicas says whether the replicas on a machine should go elsewhere while it can
+// still end them in good order.
+func (sc *Scheduler) mustLoseReplicas(machine *cluster.Machine) bool {
+	return (machine.Cordoned || sc.state.NotReporting(machine)) && !machine.Deleting && sc.state.ConfirmedAlive(machine)
+}
+
+// mayMove says whether an attempt is a replica that may be moved now.
+func mayMove(attempt *cluster.Attempt) bool {
+	job := attempt.Job
+	if !job.Spec.Service() || job.Cancelled {
+		return false
+	}
+	if attempt.Stopping || !attempt.Committed || attempt.Orphaned {
+		return false
+	}
+	return attempt.Machine.SpotNotice || job.FullyPlaced()
 }
 
-// successorInOtherZone is the same in other zones alone.
-func (sc *Scheduler) successorInOtherZone(attempt *cluster.Attempt) *cluster.Machine {
-	return sc.successorMachine(attempt, 0)
+// moveReplica ends a replica once a place for its successor is reserved.
+func (sc *Scheduler) moveReplica(attempt *cluster.Attempt) {
+	target := sc.successorMachine(attempt, anyZone)
+	if target == nil {
+		return
+	}
+	sc.log.Info("replica moves", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
+		"machine", attempt.Machine.ID, "target", target.ID)
+	target.ReserveFor(attempt.Job, sc.state.Now().Add(tuning.HoldFor))
+	sc.env.Stop(attempt, 0)
 }
 
-// successorMachine finds a machine for a replica whose own place is given up; here is how
-// many of its zone's places it may take in turn.
-func (sc *Scheduler) successorMachine(attempt *cluster.Attempt, here int) *cluster.Machine {
+// successorZone says where the successor of a replica may be.
+type successorZone int
+
+const (
+	anyZone       successorZone = iota // also in the replica's own zone, in whose place it comes
+	otherZoneOnly                      // not there
+)
+
+// successorMachine finds the best machine for a replica whose own place is given up; nil if
+// there is none.
+func (sc *Scheduler) successorMachine(attempt *cluster.Attempt, where successorZone) *cluster.Machine {
 	job := attempt.Job
-	limit, only := sc.state.ZoneLimits(job)
-	limit[attempt.Machine.Zone] = here * (limit[attempt.Machine.Zone] + 1)
+	limits := sc.state.ZoneLimits(job)
+	if where == otherZoneOnly {
+		limits.Remaining[attempt.Machine.Zone] = 0
+	} else {
+		limits.Remaining[attempt.Machine.Zone]++
+	}
 	if job.Spec.OneZone && len(job.Attempts) == 1 {
-		only = ""
-		for z := range limit {
-			limit[z] = 1
+		limits.Only = "" // with this replica the service leaves the zone that it was bound to
+		for zone := range limits.Remaining {
+			limits.Remaining[zone] = 1
 		}
 	}
-	var best *Candidate
-	list := sc.ReplicaCandidates(job, only)
+	var best *candidate
+	list := sc.replicaCandidates(job, limits.Only)
 	for i := range list {
-		if s := &list[i]; s.machine != attempt.Machine && limit[s.machine.Zone] > 0 && (best == nil || compareForReplica(*s, *best) < 0) {
-			best = s
+		c := &list[i]
+		if c.machine != attempt.Machine && limits.Remaining[c.machine.Zone] > 0 && (best == nil || compareForReplica(*c, *best) < 0) {
+			best = c
 		}
 	}
 	if best == nil {
@@ -71,7 +98,8 @@
 // network, and most of them have places there that their limits allow. The others are
 // back only with the cut's end, and then where a machine is rented for them.
 func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
-	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, func(z protocol.ZoneName) bool { return z != machine.Zone && heard[z] }) {
+	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
+	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
 		return false
 	}
 	gain := 0
@@ -88,26 +116,33 @@
 }
 
 // hasPlaceInOtherZone says whether a replica could start in another zone at once, on
-// room that is free or that work of lower priority leaves.
+// capacity that is free or that work of lower priority leaves.
 func (sc *Scheduler) hasPlaceInOtherZone(attempt *cluster.Attempt) bool {
-	if sc.successorInOtherZone(attempt) != nil {
+	if sc.successorMachine(attempt, otherZoneOnly) != nil {
 		return true
 	}
 	job := attempt.Job
-	limit, _ := sc.state.ZoneLimits(job)
+	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limit[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.state.Now().Sub(machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout() {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.isLate(machine) {
 			continue
 		}
-		room := sc.state.FreeResources(machine)
-		for _, o := range machine.Attempts {
-			if sc.mayPreempt(o, job) && !o.Job.Spec.Gang() {
-				room.AddTasks(o.Job.Spec, 1)
-			}
-		}
-		if room.Fit(job.Spec, 1) > 0 {
+		free := sc.capacityAfterPreemption(machine, job)
+		if free.Fit(job.Spec, 1) > 0 {
 			return true
 		}
 	}
 	return false
 }
+
+// capacityAfterPreemption is a machine's free capacity once all has stopped that may be
+// preempted for a job and can stop alone, which a task of a gang cannot.
+func (sc *Scheduler) capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job) cluster.Resources {
+	free := sc.state.FreeResources(machine)
+	for _, attempt := range machine.Attempts {
+		if sc.mayPreempt(attempt, job) && !attempt.Job.Spec.Gang() {
+			free.AddTasks(attempt.Job.Spec, 1)
+		}
+	}
+	return free
+}
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -8,21 +8,36 @@
 // reserveMachines keeps the free machines of the zone where the gang lacks least from
 // jobs behind it in the queue, no more of them than it needs.
 func (sc *Scheduler) reserveMachines(job *cluster.Job) {
-	var best []Candidate
-	count := 0
+	var best []candidate
+	most := 0
 	for _, zone := range sc.state.Config.Cluster.Zones {
 		list := sc.candidates(job, zone)
-		n := 0
-		for _, s := range list {
-			n += s.tasks
+		if tasks := countTasks(list); tasks > most {
+			best, most = list, tasks
 		}
-		if n > count {
-			best, count = list, n
+	}
+	for _, place := range pack(best, len(job.Tasks)) {
+		if place.machine.ReservedFor == nil {
+			place.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.PlanIdle))
 		}
 	}
-	for _, s := range pack(best, len(job.Tasks)) {
-		if s.machine.ReservedFor == nil {
-			s.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.PlanIdle))
+}
+
+// releaseReservations ends the reservations that have expired or whose job is over or does
+// not wait any more.
+func (sc *Scheduler) releaseReservations() {
+	now := sc.state.Now()
+	for _, machine := range sc.state.OrderedMachines {
+		if job := machine.ReservedFor; job != nil && (now.After(machine.ReservedUntil) || !sc.needsReservation(job)) {
+			machine.ReleaseReservation()
 		}
 	}
 }
+
+// needsReservation says whether a job waits, or will once its present attempt has ended.
+func (sc *Scheduler) needsReservation(job *cluster.Job) bool {
+	if job.Finished || job.Cancelled {
+		return false
+	}
+	return job.Stopping || sc.WaitingTasks(job) > 0
+}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduler decides where tasks run. Every cycle goes over the queue by priority
 // and order of arrival: gangs are placed whole by the buddy system's deepest fit, tasks
 // of arrays and replicas of services where there is free capacity; where there is none,
-// work that must yield is preempted and capacity reserved.
+// work of lower priority is preempted and capacity reserved.
 //
 // It works on the cluster model alone and is deterministic. It stores nothing, sends
 // nothing and rents nothing: what follows from its decisions is up to its Environment.
@@ -42,25 +42,36 @@
 	cycle    *cycle            // the cycle under way, nil between two
 	gpuNeeds cluster.Resources // what work on GPUs needs beside each of them
 
-	Examined int // machines examined in the last cycle
-	Waiting  int // jobs that waited for machines after the last cycle
+	examined int // machines examined in the last cycle
+	waiting  int // jobs that waited for machines after the last cycle
 	// LostMachineAt is when a machine of a zone was last given up as silent.
-	LostMachineAt map[protocol.ZoneName]time.Time
+	machineLostAt map[protocol.ZoneName]time.Time
 }
 
 // New makes a scheduler.
 func New(state *cluster.State, env Environment, log *slog.Logger) *Scheduler {
-	return &Scheduler{state: state, env: env, log: log, LostMachineAt: map[protocol.ZoneName]time.Time{}}
+	return &Scheduler{state: state, env: env, log: log, machineLostAt: map[protocol.ZoneName]time.Time{}}
 }
 
-// Assign plans a task onto a machine. Its start leaves once that is committed.
-func (sc *Scheduler) Assign(job *cluster.Job, index int, attempt protocol.AttemptNumber, machine *cluster.Machine) {
+// Examined is how many machines the last cycle examined, each time counted.
+func (sc *Scheduler) Examined() int { return sc.examined }
+
+// Waiting is how many jobs waited for machines after the last cycle.
+func (sc *Scheduler) Waiting() int { return sc.waiting }
+
+// assign plans a task onto a machine. Its start leaves once that is committed.
+func (sc *Scheduler) assign(job *cluster.Job, index int, number protocol.AttemptNumber, machine *cluster.Machine) {
 	task := &job.Tasks[index]
-	c := sc.state.AddAttempt(job, index, attempt, machine, machine.Agent.Incarnation)
-	task.LastAttempt, task.Active, job.EverPlaced = attempt, c, true
-	sc.log.Debug("task placed", "job", job.ID, "task", index, "attempt", attempt, "machine", machine.ID)
+	attempt := sc.state.AddAttempt(job, index, number, machine, machine.Agent.Incarnation)
+	task.LastAttempt, task.Active, job.EverPlaced = number, attempt, true
+	sc.log.Debug("task placed", "job", job.ID, "task", index, "attempt", number, "machine", machine.ID)
 	if machine.ReservedFor == job {
 		machine.ReleaseReservation()
 	}
-	sc.env.TaskPlaced(c)
+	sc.env.TaskPlaced(attempt)
+}
+
+// MachineLost notes that a machine was given up as silent.
+func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
+	sc.machineLostAt[machine.Zone] = sc.state.Now()
 }
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -13,14 +13,12 @@
 // there is, as the tasks of an array do, but no two of a service on one machine if there
 // is a choice, and they leave GPUs the processors and memory that work on them needs.
 
-// PlaceService finds each waiting replica the best place.
-func (sc *Scheduler) PlaceService(job *cluster.Job) (waiting int) {
+// placeService finds each waiting replica the best place; it returns how many still wait.
+func (sc *Scheduler) placeService(job *cluster.Job) (waiting int) {
 	quota := sc.state.TasksWithinLimit(job)
-	var list []Candidate
-	var limit map[protocol.ZoneName]int
-	var only protocol.ZoneName
-	for i := range job.Tasks {
-		task := &job.Tasks[i]
+	var choice replicaChoice
+	for index := range job.Tasks {
+		task := &job.Tasks[index]
 		if task.LiveAttempts > 0 || sc.state.Now().Before(task.RetryAt) {
 			continue
 		}
@@ -28,68 +26,95 @@
 			waiting++
 			continue
 		}
-		if list == nil {
-			limit, only = sc.state.ZoneLimits(job)
-			list = sc.ReplicaCandidates(job, only)
+		if choice.list == nil {
+			choice.zones = sc.state.ZoneLimits(job)
+			choice.list = sc.replicaCandidates(job, choice.zones.Only)
 		}
-		list = slices.DeleteFunc(list, func(s Candidate) bool {
-			return s.tasks == 0 || limit[s.machine.Zone] == 0 || only != "" && s.machine.Zone != only
-		})
-		if len(list) == 0 {
+		best := choice.best()
+		if best == nil {
 			waiting++
 			continue
 		}
-		s := &list[0]
-		for k := range list {
-			if compareForReplica(list[k], *s) < 0 {
-				s = &list[k]
-			}
-		}
-		sc.Assign(job, i, task.LastAttempt+1, s.machine)
+		sc.assign(job, index, task.LastAttempt+1, best.machine)
 		quota--
-		limit[s.machine.Zone]--
-		if job.Spec.OneZone {
-			only = s.machine.Zone
-		}
-		s.tasks, s.siblingReplicas, s.imageLocal = sc.state.FreeResources(s.machine).Fit(job.Spec, 1), s.siblingReplicas+1, true
-		s.starvesGPUs = sc.starvesGPUs(job.Spec, s.machine)
+		choice.zones.Take(job, best.machine.Zone)
+		sc.addReplica(job, best)
 	}
 	return waiting
 }
 
-// ReplicaCandidates lists the machines that can take a replica. One whose report is late
+// replicaChoice is the machines that a service's replicas are placed on one after the
+// other.
+type replicaChoice struct {
+	list  []candidate
+	zones cluster.ZoneLimits
+}
+
+// best is the machine for the next replica, nil if there is none. Those that are full or
+// not allowed any more are dropped.
+func (r *replicaChoice) best() *candidate {
+	r.list = slices.DeleteFunc(r.list, func(c candidate) bool {
+		return c.tasks == 0 || !r.zones.Allow(c.machine.Zone)
+	})
+	var best *candidate
+	for i := range r.list {
+		if best == nil || compareForReplica(r.list[i], *best) < 0 {
+			best = &r.list[i]
+		}
+	}
+	return best
+}
+
+// addReplica accounts for a replica that was placed on a candidate.
+func (sc *Scheduler) addReplica(job *cluster.Job, c *candidate) {
+	c.tasks = sc.state.FreeResources(c.machine).Fit(job.Spec, 1)
+	c.siblingReplicas++
+	c.imageLocal = true
+	c.starvesGPUs = sc.starvesGPUs(job.Spec, c.machine)
+}
+
+// replicaCandidates lists the machines that can take a replica. One whose heartbeat is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
-func (sc *Scheduler) ReplicaCandidates(job *cluster.Job, zone protocol.ZoneName) []Candidate {
-	list := slices.DeleteFunc(sc.candidates(job, zone), func(s Candidate) bool {
-		return sc.state.Now().Sub(s.machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout()
-	})
+func (sc *Scheduler) replicaCandidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
+	list := slices.DeleteFunc(sc.candidates(job, zone), func(c candidate) bool { return sc.isLate(c.machine) })
 	for i := range list {
-		s := &list[i]
-		s.starvesGPUs = sc.starvesGPUs(job.Spec, s.machine)
-		s.suspected = s.suspected || sc.lostMachineRecently(s.machine.Zone)
-		for _, attempt := range s.machine.Attempts {
+		c := &list[i]
+		c.starvesGPUs = sc.starvesGPUs(job.Spec, c.machine)
+		c.suspected = c.suspected || sc.lostMachineRecently(c.machine.Zone)
+		for _, attempt := range c.machine.Attempts {
 			if attempt.Job == job {
-				s.siblingReplicas++
+				c.siblingReplicas++
 			}
 		}
 	}
 	return list
 }
 
+// isLate says whether a machine's heartbeat is later than a machine with replicas may be.
+func (sc *Scheduler) isLate(machine *cluster.Machine) bool {
+	return sc.state.Now().Sub(machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout()
+}
+
 // lostMachineRecently says whether a machine of a zone was given up as silent a moment
 // ago: the rest of the zone may be lost too and only not missed yet.
 func (sc *Scheduler) lostMachineRecently(zone protocol.ZoneName) bool {
-	at, ok := sc.LostMachineAt[zone]
+	at, ok := sc.machineLostAt[zone]
 	return ok && sc.state.Now().Sub(at) < tuning.ZoneDistrust
 }
 
-// compareForReplica orders sites for a replica: no machine under suspicion, none that has
-// another replica of the service, none whose GPUs would lack processors or memory;
-// then the image, the price, and the least room left.
-func compareForReplica(a, b Candidate) int {
-	return cmp.Or(cluster.TrueFirst(b.suspected, a.suspected), cmp.Compare(a.siblingReplicas, b.siblingReplicas), cluster.TrueFirst(b.starvesGPUs, a.starvesGPUs),
-		cluster.TrueFirst(a.imageLocal, b.imageLocal), cmp.Compare(a.price, b.price), cmp.Compare(a.residualSlots, b.residualSlots), cmp.Compare(a.machine.ID, b.machine.ID))
+// compareForReplica orders candidates for a replica: no machine under suspicion, none that
+// has another replica of the service, none whose GPUs would lack processors or memory;
+// then the image, the price, and the fewest free slots.
+func compareForReplica(a, b candidate) int {
+	return cmp.Or(
+		cluster.TrueFirst(b.suspected, a.suspected),
+		cmp.Compare(a.siblingReplicas, b.siblingReplicas),
+		cluster.TrueFirst(b.starvesGPUs, a.starvesGPUs),
+		cluster.TrueFirst(a.imageLocal, b.imageLocal),
+		cmp.Compare(a.price, b.price),
+		cmp.Compare(a.residualSlots, b.residualSlots),
+		cmp.Compare(a.machine.ID, b.machine.ID))
 }
 
 // measureGPUNeeds finds what the work that takes GPUs needs beside each of them.
@@ -120,5 +145,6 @@
 			rest.AddTasks(attempt.Job.Spec, -1)
 		}
 	}
-	return rest.CPUs+cluster.AmountTolerance < sc.gpuNeeds.CPUs*machineType.GPUs || rest.MemoryGB+cluster.AmountTolerance < sc.gpuNeeds.MemoryGB*machineType.GPUs
+	return rest.CPUs+cluster.AmountTolerance < sc.gpuNeeds.CPUs*machineType.GPUs ||
+		rest.MemoryGB+cluster.AmountTolerance < sc.gpuNeeds.MemoryGB*machineType.GPUs
 }
