--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -68,7 +68,7 @@
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
 	return &Autoscaler{
 		state: state, scheduler: sched, cloud: cloud, env: env, log: log,
-		calls:           rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudShare), max(1, int(callsPerSecond))),
+		calls:           rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond))),
 		machinesPerZone: map[protocol.ZoneName]int{},
 		unavailable:     map[Offer]time.Time{},
 		deletions:       deletions{gone: map[protocol.MachineID]bool{}},
@@ -92,11 +92,11 @@
 	as.sendDeletions()
 	as.refreshList()
 	if !now.Before(as.consolidateNotBefore) {
-		as.consolidateNotBefore = now.Add(tuning.PackEvery)
+		as.consolidateNotBefore = now.Add(tuning.ConsolidationInterval)
 		as.consolidate()
 	}
-	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.RentAfterTakeover && len(as.state.Types) > 0 {
-		as.scaleOutNotBefore = now.Add(tuning.RentEvery)
+	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.ScaleOutDelayAfterTakeover && len(as.state.Types) > 0 {
+		as.scaleOutNotBefore = now.Add(tuning.ScaleOutInterval)
 		as.scaleOut()
 	}
 }
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -34,8 +34,8 @@
 		return
 	}
 	c := as.newConsolidation()
-	most := max(1, len(as.state.OrderedMachines)/tuning.PackFleet)
-	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.PackTries*most)] {
+	most := max(1, len(as.state.OrderedMachines)/tuning.ConsolidationFleetDivisor)
+	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.MaxConsolidationCandidates*most)] {
 		if len(c.emptied) == most {
 			return
 		}
@@ -59,7 +59,7 @@
 			continue
 		}
 		c.targets = append(c.targets, machine)
-		if machine.Used.GPUs <= machineType.GPUs*tuning.PackBelow {
+		if machine.Used.GPUs <= machineType.GPUs*tuning.MaxConsolidationUtilization {
 			waste := as.state.PriceOf(machine) * (machineType.GPUs - machine.Used.GPUs)
 			c.candidates = append(c.candidates, consolidationCandidate{machine: machine, waste: waste})
 		}
@@ -89,7 +89,7 @@
 	if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 {
 		return false
 	}
-	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.PackWorth
+	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.MinRemainingSecondsToMove
 }
 
 // moveOne finds a target for an attempt and notes in taken what is left there.
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -34,8 +34,8 @@
 // listInterval is the interval between two machine lists. The pages of a large fleet's
 // list take no more than their part of the calls.
 func (as *Autoscaler) listInterval() time.Duration {
-	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.ListShare))
-	return max(tuning.ListEvery, time.Duration(as.list.pages)*perPage)
+	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.MachineListBudgetShare))
+	return max(tuning.MachineListInterval, time.Duration(as.list.pages)*perPage)
 }
 
 // requestNextPage asks for the next page when the budget of calls allows it.
--- a/internal/coordination/autoscaler/rental.go
+++ b/internal/coordination/autoscaler/rental.go
@@ -24,7 +24,7 @@
 		if !as.calls.AllowN(as.state.Now(), 1) {
 			return
 		}
-		as.RequestMachines(offer, min(want[offer], tuning.RentCount))
+		as.RequestMachines(offer, min(want[offer], tuning.MaxMachinesPerRental))
 	}
 }
 
@@ -56,7 +56,7 @@
 	case NoCapacity:
 		as.restOffer(request.offer)
 	case RentFailed:
-		if request.tries < tuning.RentTries {
+		if request.tries < tuning.MaxRentalAttempts {
 			as.env.After(time.Second, func() { as.send(request) })
 			return
 		}
@@ -87,5 +87,5 @@
 
 // restOffer leaves an offer alone for a while that the cloud has no capacity for.
 func (as *Autoscaler) restOffer(offer Offer) {
-	as.unavailable[offer] = as.state.Now().Add(tuning.NoCapacityPause)
+	as.unavailable[offer] = as.state.Now().Add(tuning.NoCapacityBackoff)
 }
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -30,7 +30,7 @@
 	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
 	case machine.Cordoned:
 		as.DeleteMachine(machine, "emptied")
-	case machine.ReservedFor == nil && as.state.Now().Sub(machine.IdleSince) > as.state.Config.Operator.IdleReturn &&
+	case machine.ReservedFor == nil && as.state.Now().Sub(machine.IdleSince) > as.state.Config.Operator.MachineIdleTimeout &&
 		!as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
 		as.DeleteMachine(machine, "idle")
 	}
@@ -43,7 +43,7 @@
 	if machine.Agent.Heard || machine.Agent.Incarnation != 0 || machineType == nil {
 		return false
 	}
-	return as.state.Now().Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootPatience)+tuning.BootSlack
+	return as.state.Now().Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootTimeoutFactor)+tuning.BootTimeoutSlack
 }
 
 // countSpares counts the machines of every zone that could serve as spares. Spares
@@ -52,7 +52,7 @@
 // machines need spares that are none.
 func (as *Autoscaler) countSpares() map[protocol.ZoneName]int {
 	count := map[protocol.ZoneName]int{}
-	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareMemory {
+	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareRetention {
 		return count
 	}
 	for _, machine := range as.state.OrderedMachines {
@@ -65,7 +65,7 @@
 
 // mayBeSpare says whether a machine could take a job that comes now.
 func (as *Autoscaler) mayBeSpare(machine *cluster.Machine) bool {
-	mustNotBeSpot := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareMemory
+	mustNotBeSpot := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareRetention
 	return as.state.Schedulable(machine) && !(mustNotBeSpot && machine.Spot) && machine.OnlyLowestPriority()
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	machine.Deleting = true
-	as.log.Info("machine to be deleted", "machine", machine.ID, "reason", reason)
+	as.log.Info("deleting machine", "machine", machine.ID, "reason", reason)
 }
 
 // MachineDeleted notes that a machine is gone for certain.
@@ -113,7 +113,7 @@
 	}
 	var names []protocol.MachineID
 	for _, machine := range as.state.OrderedMachines {
-		if machine.Deleting && len(names) < tuning.DeleteCount {
+		if machine.Deleting && len(names) < tuning.MaxMachinesPerDeletion {
 			names = append(names, machine.ID)
 		}
 	}
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -55,7 +55,7 @@
 				t.Errorf("kept %v", h.zoneReserve[other])
 			}
 			if c.kept {
-				h.cluster.Advance(h.cluster.Config.Operator.IdleReturn + time.Second)
+				h.cluster.Advance(h.cluster.Config.Operator.MachineIdleTimeout + time.Second)
 				h.cluster.Heartbeat()
 				h.Tick()
 				if other.Deleting {
@@ -106,7 +106,7 @@
 				spec := clustertest.Gang(1, 1)
 				h.JobSubmitted(&spec)
 			}
-			h.cluster.Advance(h.cluster.Config.Operator.IdleReturn + time.Second)
+			h.cluster.Advance(h.cluster.Config.Operator.MachineIdleTimeout + time.Second)
 			h.cluster.Heartbeat()
 			h.Tick()
 			if len(h.cloud.deletions) != 1 || len(h.cloud.deletions[0].machines) != c.want {
@@ -165,7 +165,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
 			spec := clustertest.Array(1)
-			spec.CheckpointS, spec.SaveS, spec.EstimateS = c.checkpointS, 1, 2*tuning.PackWorth
+			spec.CheckpointS, spec.SaveS, spec.EstimateS = c.checkpointS, 1, 2*tuning.MinRemainingSecondsToMove
 			for _, id := range []protocol.MachineID{"i-1", "i-2"} {
 				job := h.cluster.AddJob(spec)
 				h.cluster.PlaceAll(job, h.cluster.AddMachine(id, "big", "a"))
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -92,7 +92,7 @@
 	h.schedule()
 	h.Tick()
 	h.cloud.rentals[0].done(RentResult{Outcome: RentFailed})
-	h.cluster.Advance(tuning.RentEvery)
+	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
 	h.environment.runTimers()
@@ -114,14 +114,14 @@
 	h.Tick()
 	first := h.cloud.rentals[0]
 	first.done(RentResult{Outcome: NoCapacity})
-	h.cluster.Advance(tuning.RentEvery)
+	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
 	if len(h.cloud.rentals) != 2 || h.cloud.rentals[1].request.Zone == first.request.Zone {
 		t.Errorf("requests %+v", h.cloud.rentals)
 	}
 	h.cloud.rentals[1].done(RentResult{Outcome: RentRejected, Detail: "a test"})
-	h.cluster.Advance(tuning.RentEvery)
+	h.cluster.Advance(tuning.ScaleOutInterval)
 	if h.schedule(); len(h.Demand) != 1 {
 		t.Errorf("%d jobs wait", len(h.Demand))
 	}
@@ -133,7 +133,7 @@
 func TestLargeFleetIsListedWithinBudget(t *testing.T) {
 	const seconds, pagesOfList = 60, 12
 	h := newHarness()
-	callsPerSecond := h.cluster.Config.Cluster.Cloud.RPS * tuning.CloudShare
+	callsPerSecond := h.cluster.Config.Cluster.Cloud.RPS * tuning.CloudBudgetShare
 	pages := 0
 	for range seconds * 10 {
 		h.cluster.Advance(100 * time.Millisecond)
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -193,7 +193,7 @@
 
 // addMachines wants machines for replicas that have no place outside a zone.
 func (p *zoneReservePlan) addMachines(lost protocol.ZoneName, job *cluster.Job, need int) {
-	for need > 0 && len(p.slots) < tuning.ReserveSlots {
+	for need > 0 && len(p.slots) < tuning.MaxZoneReserveMachines {
 		offer, ok := p.bestOffer(lost, job)
 		if !ok {
 			return
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -22,8 +23,8 @@
 		n.shed(id)
 		return
 	}
-	deadline := n.now.Add(tuning.UserDeadline)
-	if e, ok := n.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+	deadline := n.now.Add(tuning.UserRequestTimeout)
+	if e, ok := n.mirror.Get(storage.JobKey(jobID)); ok {
 		n.cancelRecord(id, jobID, &e, deadline)
 		return
 	}
@@ -31,7 +32,7 @@
 }
 
 func (n *Node) cancelFresh(id uint64, jobID protocol.JobID, deadline time.Time) {
-	n.read(id, bookkeeping.JobKey(jobID), deadline, func(e *protocol.Entry) {
+	n.read(id, storage.JobKey(jobID), deadline, func(e *protocol.Entry) {
 		if e != nil {
 			n.cancelRecord(id, jobID, e, deadline)
 			return
@@ -51,7 +52,7 @@
 }
 
 func (n *Node) cancelRecord(id uint64, jobID protocol.JobID, e *protocol.Entry, deadline time.Time) {
-	rec, err := bookkeeping.DecodeJob(e.Value)
+	rec, err := storage.DecodeJob(e.Value)
 	if err != nil {
 		n.refuse(id, "record does not parse")
 		return
@@ -65,16 +66,16 @@
 	if rec.Seq == 0 {
 		rec.Seq = e.Revision
 	}
-	txn := protocol.Txn{
-		If:   []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
-		Then: []protocol.Change{{Set: e.Key, Value: bookkeeping.Encode(rec)}},
+	txn := protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: e.Key, Revision: e.Revision}},
+		Changes:    []protocol.Change{{Set: e.Key, Value: storage.Encode(rec)}},
 	}
-	n.state("POST", protocol.PathTxn, txn, func(status int, _ []byte) {
+	n.store.Transact(txn, func(result kv.TransactionResult) {
 		switch {
-		case status == 200:
+		case result.Outcome == kv.Done:
 			n.announceCancel(jobID)
 			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
-		case (status == 409 || status == 0) && n.now.Before(deadline):
+		case (result.Outcome == kv.ConditionFailed || result.Outcome == kv.Unknown) && n.now.Before(deadline):
 			n.cancelFresh(id, jobID, deadline)
 		default:
 			n.refuse(id, "state service does not answer")
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -4,9 +4,10 @@
 	"encoding/json"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -36,12 +37,12 @@
 func (n *Node) grace() time.Duration {
 	w := n.cfg.Cluster.Workers
 	g := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - n.takeoverTime()
-	return min(max(g, 0), tuning.MaxGrace)
+	return min(max(g, 0), tuning.MaxLeaderGrace)
 }
 
 // takeoverTime is how long a takeover takes on this node's share of a core.
 func (n *Node) takeoverTime() time.Duration {
-	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverWork, 1), tuning.TakeoverMost)
+	return min(n.cfg.Cluster.Resources.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
 }
 
 // leaseTTL is how long the leader lease outlives its last renewal.
@@ -53,7 +54,7 @@
 // the moment after it last knew must have taken effect by then.
 func (n *Node) authority() time.Duration {
 	w := n.cfg.Cluster.Workers
-	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(n.leaseTTL()+n.grace(), max(bound, 0))
 }
 
@@ -67,12 +68,12 @@
 
 // withDrift stretches a span by the largest disagreement of two clocks.
 func withDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*tuning.ClockDrift)
+	return d + time.Duration(float64(d)*tuning.MaxClockDrift)
 }
 
 // leaseObserved notes the leader lease as it now stands.
 func (n *Node) leaseObserved(value json.RawMessage, revision protocol.Revision) {
-	var c bookkeeping.LeaderLease
+	var c storage.LeaderLease
 	if json.Unmarshal(value, &c) != nil {
 		n.log.Error("leader lease does not parse", "value", string(value))
 	}
@@ -111,31 +112,29 @@
 	expect := c.revision
 	fail := func() {
 		c.acquiring = false
-		c.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+		c.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	}
 	sent := n.now
-	n.state("POST", protocol.PathLeases, protocol.LeaseRequest{TTLMs: n.leaseTTL().Milliseconds()}, func(status int, body []byte) {
-		var l protocol.LeaseAnswer
-		if status != 200 || json.Unmarshal(body, &l) != nil || l.Lease == 0 {
+	n.store.GrantLease(n.leaseTTL(), func(granted kv.LeaseResult) {
+		if granted.Outcome != kv.Done || granted.Lease == 0 {
 			fail()
 			return
 		}
-		txn := protocol.Txn{
-			If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expect}},
-			Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: l.Lease,
-				Value: bookkeeping.Encode(bookkeeping.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
+		txn := protocol.Transaction{
+			Conditions: []protocol.Condition{{Key: storage.LeaderKey, Revision: expect}},
+			Changes: []protocol.Change{{Set: storage.LeaderKey, Lease: granted.Lease,
+				Value: storage.Encode(storage.LeaderLease{Node: n.cfg.Name, Boot: n.unique()})}},
 		}
-		n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-			var a protocol.TxnAnswer
-			if status != 200 || json.Unmarshal(body, &a) != nil || a.Revision == 0 {
+		n.store.Transact(txn, func(result kv.TransactionResult) {
+			if result.Outcome != kv.Done || result.Malformed || result.Revision == 0 {
 				fail()
 				return
 			}
 			c.acquiring = false
-			if c.revision > a.Revision {
+			if c.revision > result.Revision {
 				return // somebody has taken it over already
 			}
-			c.term, c.leaseID, c.renewedAt, c.renewAt = protocol.Term(a.Revision), l.Lease, sent, n.now
+			c.term, c.leaseID, c.renewedAt, c.renewAt = protocol.Term(result.Revision), granted.Lease, sent, n.now
 			c.unconfirmed, c.resumedAt = true, n.now
 			n.log.Info("leader lease acquired", "term", c.term)
 		})
@@ -162,24 +161,24 @@
 		return
 	}
 	c.renewing = true
-	if n.now.Sub(n.syncedAt) >= tuning.SyncedFor {
+	if n.now.Sub(n.syncedAt) >= tuning.MirrorFreshness {
 		n.fetchRevision()
 	}
 	sent, term := n.now, c.term
-	n.stateVia(ToLeaderLease, "POST", protocol.RenewPath(c.leaseID), struct{}{}, func(status int, _ []byte) {
+	n.store.RenewLeaderLease(c.leaseID, func(outcome kv.Outcome) {
 		if c.term != term {
 			return
 		}
 		c.renewing = false
-		switch status {
-		case 200:
+		switch outcome {
+		case kv.Done:
 			c.renewedAt = sent
-			c.renewAt = sent.Add(tuning.LeaderLeaseRenew)
+			c.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
 			c.unconfirmed = c.unconfirmed && sent.Before(c.resumedAt)
-		case 404:
+		case kv.NotFound:
 			n.stepDown("leader lease has ended")
 		default:
-			c.renewAt = n.now.Add(tuning.RetryPause)
+			c.renewAt = n.now.Add(tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -204,7 +203,7 @@
 
 // leads is the condition of a transaction that this node's term lasts.
 func (n *Node) leads() protocol.Condition {
-	return protocol.Condition{Key: bookkeeping.LeaderKey, Revision: protocol.Revision(n.lease.term)}
+	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(n.lease.term)}
 }
 
 // mayAct says whether the node may command workers and write records now.
@@ -233,7 +232,7 @@
 	}
 	n.log.Info("stepping down", "term", n.lease.term, "why", why)
 	n.lease.term, n.lease.leaseID, n.lease.renewing, n.lease.unconfirmed = 0, 0, false, false
-	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetry + n.jitter(tuning.LeaderLeaseJitter))
+	n.lease.retryAt = n.now.Add(tuning.LeaderLeaseRetryDelay + n.jitter(tuning.LeaderLeaseJitter))
 	n.lead = nil
 	n.confirmation = peerConfirmation{}
 }
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -1,12 +1,11 @@
 package coordination
 
 import (
-	"encoding/json"
-	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -27,10 +26,9 @@
 	}
 	n.watching = true
 	n.watchSent = n.now
-	path := protocol.WatchPath(bookkeeping.LivePrefix, n.mirror.Revision, tuning.WatchBlock.Milliseconds())
 	sent, after := n.now, n.mirror.Revision
-	n.request(ToState, "", "GET", path, nil, tuning.WatchBlock+tuning.WatchOverrun, func(status int, body []byte) {
-		n.watched(sent, after, status, body)
+	n.store.Watch(storage.LivePrefix, after, tuning.WatchLongPoll, func(result kv.WatchResult) {
+		n.watched(sent, after, result)
 	})
 }
 
@@ -62,10 +60,11 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
-	n.state("POST", protocol.PathTxn, txn, func(status int, body []byte) {
-		if a, ok := parse[protocol.TxnAnswer](body); ok && (status == 200 || status == 409) && a.Revision != 0 {
-			n.awaitRevision(observedRevision{a.Revision, sent})
+	txn := protocol.Transaction{Conditions: []protocol.Condition{n.leads()}}
+	n.store.Transact(txn, func(result kv.TransactionResult) {
+		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
+		if answered && !result.Malformed && result.Revision != 0 {
+			n.awaitRevision(observedRevision{result.Revision, sent})
 		}
 	})
 }
@@ -74,20 +73,19 @@
 // the state service is known to have; its answer is taken all the same.
 func (n *Node) reopenStuckWatch() {
 	if n.awaited.revision > n.mirror.Revision && n.watching &&
-		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStuck && n.now.Sub(n.watchSent) >= tuning.WatchStuck {
+		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStallTimeout && n.now.Sub(n.watchSent) >= tuning.WatchStallTimeout {
 		n.log.Info("watch does not keep up", "revision", n.mirror.Revision, "ahead", n.awaited.revision)
 		n.watching, n.watchAt = false, n.now
 	}
 }
 
 func (n *Node) loadPage(after string) {
-	n.state("GET", protocol.RangePath(bookkeeping.LivePrefix, after, tuning.RangePage), nil, func(status int, body []byte) {
-		var page protocol.Entries
-		if status != 200 || json.Unmarshal(body, &page) != nil {
-			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
+	n.store.Range(storage.LivePrefix, after, tuning.RangePageSize, func(result kv.RangeResult) {
+		if result.Outcome != kv.Done || result.Malformed {
+			n.loading, n.loadAt = false, n.now.Add(tuning.StoreRetryDelay)
 			return
 		}
-		if next := n.mirror.LoadPage(&page); next != "" {
+		if next := n.mirror.LoadPage(&result.Page); next != "" {
 			n.loadPage(next)
 			return
 		}
@@ -99,27 +97,27 @@
 }
 
 // watched takes the answer to a watch for what came after a revision.
-func (n *Node) watched(sent time.Time, after protocol.Revision, status int, body []byte) {
+func (n *Node) watched(sent time.Time, after protocol.Revision, result kv.WatchResult) {
 	if sent.Equal(n.watchSent) {
 		n.watching = false
 	}
-	var w protocol.WatchAnswer
+	w := &result.Changes
 	switch {
-	case status == http.StatusGone || status == http.StatusRequestEntityTooLarge:
+	case result.Outcome == kv.Compacted:
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
 		n.stepDown("watch too old")
-		n.mirror = bookkeeping.Mirror{}
+		n.mirror = storage.Mirror{}
 		return
-	case status != 200 || json.Unmarshal(body, &w) != nil:
-		n.watchAt = n.now.Add(tuning.RetryPause)
+	case result.Outcome != kv.Done || result.Malformed:
+		n.watchAt = n.now.Add(tuning.StoreRetryDelay)
 		return
 	}
 	if w.Revision < after {
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
 		n.stepDown("state service has gone back")
-		n.mirror, n.awaited = bookkeeping.Mirror{}, observedRevision{}
+		n.mirror, n.awaited = storage.Mirror{}, observedRevision{}
 		return
 	}
 	for i := range w.Events {
@@ -136,9 +134,9 @@
 	if n.awaited.revision <= n.mirror.Revision {
 		n.markSynced(n.awaited.sentAt)
 	}
-	pause := tuning.WatchPause // the leader's: jobs wait for it
+	pause := tuning.MinWatchDelay // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.requestPause(pause, tuning.WatchShare)
+		pause = n.requestPause(pause, tuning.WatchCPUShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
@@ -147,17 +145,17 @@
 // requestPause is the pause before a request that can wait, longer the smaller the
 // share of a core is.
 func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
-	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.RequestCost, share), tuning.RequestPause))
+	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.StoreRequestCPUCost, share), tuning.MaxRequestDelay))
 }
 
 // mirrorLoaded looks at the leader lease after a full load.
 func (n *Node) mirrorLoaded() {
-	if e, ok := n.mirror.Get(bookkeeping.TypesKey); ok && len(n.types) == 0 {
+	if e, ok := n.mirror.Get(storage.TypesKey); ok && len(n.types) == 0 {
 		if list, ok := parse[protocol.MachineTypes](e.Value); ok {
 			n.takeTypes(&list)
 		}
 	}
-	e, ok := n.mirror.Get(bookkeeping.LeaderKey)
+	e, ok := n.mirror.Get(storage.LeaderKey)
 	if !ok {
 		n.leaseReleased()
 		return
@@ -168,7 +166,7 @@
 // changed passes on one change that the mirror took.
 func (n *Node) changed(ev *protocol.WatchEvent) {
 	key := ev.Set + ev.Delete
-	if key == bookkeeping.LeaderKey {
+	if key == storage.LeaderKey {
 		if ev.Set == "" {
 			n.leaseReleased()
 		} else {
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	now := sc.state.Now()
-	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.WarmPatience)
+	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.ImageLocalWaitFactor)
 	for _, deadline := range job.StartDeadlines {
 		if !now.After(deadline) {
 			return now.Before(deadline.Add(-fetch))
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -75,7 +75,7 @@
 // has waited for long.
 func (sc *Scheduler) freeCapacityFor(job *cluster.Job, tasks int) {
 	sc.preemptFor(job, tasks)
-	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.ReserveAfter {
+	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.BackfillBarrierDelay {
 		sc.reserveMachines(job)
 	}
 }
@@ -84,8 +84,8 @@
 // the smaller the controller's share of a core is, so that scheduling leaves time for
 // heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.examined)*tuning.LookCost, tuning.PlanShare)
-	return min(max(pause, tuning.PlanEvery), tuning.PlanIdle)
+	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.examined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
+	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
 // cycle is what one cycle knows of all machines. What every job would have to look up in
@@ -104,9 +104,9 @@
 // newCycle examines every machine.
 func (sc *Scheduler) newCycle() *cycle {
 	machines := sc.state.OrderedMachines
-	c := &cycle{examined: len(machines), examineLimit: len(machines) + tuning.LooksLeast}
+	c := &cycle{examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
 	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
-		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.PassLength/tuning.LookCost)))
+		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range machines {
 		if !sc.state.Schedulable(machine) {
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -30,7 +30,7 @@
 // leader lease lasts; each new leader fared no better than the last.
 func TestCycleExaminesBoundedNumberOfMachines(t *testing.T) {
 	const cores = 0.2
-	budget := int(cores * float64(tuning.PassLength/tuning.LookCost))
+	budget := int(cores * float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost))
 	t.Run("nothing preemptible", func(t *testing.T) {
 		h := newHarness()
 		h.fillFleet()
@@ -72,7 +72,7 @@
 func (h *harness) checkExamined(t *testing.T, waiting []*cluster.Job, limit int) {
 	t.Helper()
 	for range 60 {
-		h.cluster.Advance(tuning.PlanEvery)
+		h.cluster.Advance(tuning.MinSchedulingInterval)
 		h.cluster.Heartbeat()
 		h.RunCycle()
 		if h.Examined() > limit {
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -13,14 +13,14 @@
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
-	if fetch < tuning.WarmFetch || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
+	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
 	if sc.fitsImageLocally(job) {
 		return false // the placement finds the machines
 	}
-	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.SearchPause)
+	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	plan := sc.findPreemptions(job, len(job.Tasks), imageLocalOnly)
 	if len(plan.machines) == 0 || !fasterThanFetch(job, plan, fetch) {
 		return false
@@ -45,10 +45,10 @@
 func fasterThanFetch(job *cluster.Job, plan preemptionPlan, fetch float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
-			if CheckpointPays(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.WarmSave {
+			if CheckpointPays(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
 	}
-	return plan.cost <= fetch*tuning.WarmLoss*max(1, job.Spec.GPUs)*float64(len(job.Tasks))
+	return plan.cost <= fetch*tuning.MaxImageLocalLossFactor*max(1, job.Spec.GPUs)*float64(len(job.Tasks))
 }
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -13,7 +13,7 @@
 // its machine's time and the waiting job's; without it half of the interval
 // between two checkpoints is lost, about.
 func CheckpointPays(spec *protocol.Job) bool {
-	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.SavePays*spec.SaveS)
+	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
 
 // mayPreempt says whether an attempt may be stopped to free capacity for the job.
@@ -55,7 +55,7 @@
 	}
 	plan := sc.findPreemptions(job, tasks, imageAnywhere)
 	if len(plan.machines) == 0 {
-		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.SearchPause)
+		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
 	sc.preempt(job, plan)
 }
@@ -76,7 +76,7 @@
 func (sc *Scheduler) preempt(job *cluster.Job, plan preemptionPlan) {
 	for i := range plan.machines {
 		p := &plan.machines[i]
-		p.machine.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
+		p.machine.ReserveFor(job, sc.state.Now().Add(tuning.ReservationTimeout))
 		for _, attempt := range p.victims {
 			sc.env.Preempt(attempt)
 		}
@@ -253,7 +253,7 @@
 	gpus := max(1, spec.GPUs)
 	switch {
 	case spec.Gang() && spec.CheckpointS > 0:
-		return (spec.SaveS + tuning.GangRestart) * gpus * float64(spec.Tasks)
+		return (spec.SaveS + tuning.GangRestartSeconds) * gpus * float64(spec.Tasks)
 	case attempt.RunningSince.IsZero():
 		return 0
 	case spec.Gang():
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -149,7 +149,7 @@
 	spec.OneZone = true
 	job := h.cluster.AddJob(spec)
 	h.RunCycle()
-	h.cluster.Advance(h.cluster.Config.Operator.ReserveAfter + time.Second)
+	h.cluster.Advance(h.cluster.Config.Operator.BackfillBarrierDelay + time.Second)
 	h.cluster.Heartbeat()
 	small := h.cluster.AddJob(clustertest.Gang(1, 1))
 	h.RunCycle()
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -51,7 +51,7 @@
 	}
 	sc.log.Info("replica moves", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
 		"machine", attempt.Machine.ID, "target", target.ID)
-	target.ReserveFor(attempt.Job, sc.state.Now().Add(tuning.HoldFor))
+	target.ReserveFor(attempt.Job, sc.state.Now().Add(tuning.ReservationTimeout))
 	sc.env.Stop(attempt, 0)
 }
 
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -18,7 +18,7 @@
 	}
 	for _, place := range pack(best, len(job.Tasks)) {
 		if place.machine.ReservedFor == nil {
-			place.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.PlanIdle))
+			place.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.MaxSchedulingInterval))
 		}
 	}
 }
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -100,7 +100,7 @@
 // ago: the rest of the zone may be lost too and only not missed yet.
 func (sc *Scheduler) lostMachineRecently(zone protocol.ZoneName) bool {
 	at, ok := sc.machineLostAt[zone]
-	return ok && sc.state.Now().Sub(at) < tuning.ZoneDistrust
+	return ok && sc.state.Now().Sub(at) < tuning.ZoneSuspicionTime
 }
 
 // compareForReplica orders candidates for a replica: no machine under suspicion, none that
