--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -63,14 +63,14 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/clustertest"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
 		"internal/coordination/cluster",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/clustertest"}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/reconcile",
@@ -79,6 +79,12 @@
 		"internal/tuning",
 	}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/coordination/clustertest": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -35,7 +35,7 @@
 	lost map[string]string            // machines that were lost, by the tasks that they had
 }
 
-var logLine = regexp.MustCompile(`msg="?(returning machine|task gone|task placed|start)"? .*`)
+var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
 
 // Write takes one line of the log.
 func (s *stageLog) Write(line []byte) (int, error) {
@@ -51,7 +51,7 @@
 	}
 	name := field["job"] + "/" + field["task"]
 	switch string(m[1]) {
-	case "returning machine":
+	case "deleting machine":
 		for task, machine := range s.lost {
 			if machine == field["machine"] {
 				s.end(task, detection)
