--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -366,7 +366,7 @@
 						other.hang(6 * time.Second) // so that it is heard first
 					}
 				}
-				c.after(4*time.Second, func() { k.changed = true })
+				c.after(4*time.Second, k.noteChange)
 			}
 			if play.hangs {
 				c.rules.onAt["run-000007/0"].k.hang(20 * time.Second)
--- /dev/null
+++ b/internal/simulation/events.go
@@ -0,0 +1,143 @@
+package simulation
+
+import "time"
+
+// position is the place of an event in the order of all events: by the instant at which
+// it happens, at the same instant by the one at which it was scheduled, then by the order
+// of the scheduling. Both instants count from the start of the world.
+type position struct {
+	at        time.Duration
+	scheduled time.Duration
+	number    int
+	// series is the place of the event with which a series began, nil for one that is in
+	// none. Each event of a series is scheduled by the one before, a tickInterval ahead.
+	series *position
+}
+
+// before says whether p comes before other.
+func (p position) before(other position) bool {
+	switch {
+	case p.at != other.at:
+		return p.at < other.at
+	case p.scheduled != other.scheduled:
+		return p.scheduled < other.scheduled
+	case p.series != nil && other.series != nil && p.series != other.series:
+		return p.series.beganBefore(*other.series)
+	}
+	return p.number < other.number
+}
+
+// beganBefore says whether the series that began with p comes before the one that began
+// with other at all instants at which both have an event. The order at the first such
+// instant decides: there the earlier series has an event that was scheduled a tickInterval
+// ahead, and the later one its first, which was not.
+func (p position) beganBefore(other position) bool {
+	switch {
+	case p.at < other.at:
+		return other.at-tickInterval < other.scheduled
+	case p.at > other.at:
+		return p.at-tickInterval > p.scheduled
+	}
+	return p.before(other)
+}
+
+// following is the place of an event that the one at p schedules.
+func (p position) following(delay time.Duration, number int) position {
+	next := position{at: p.at + delay, scheduled: p.at, number: number}
+	switch {
+	case delay != tickInterval:
+	case p.series != nil:
+		next.series = p.series
+	default:
+		start := p
+		next.series = &start
+	}
+	return next
+}
+
+// event is something that happens in the world.
+type event struct {
+	position
+	do func()
+}
+
+// eventQueue is a binary heap of the events to come: the first one is at index 0, the
+// children of index i are at 2i+1 and 2i+2.
+type eventQueue []event
+
+// push adds an event.
+func (q *eventQueue) push(e event) {
+	*q = append(*q, e)
+	heap := *q
+	i := len(heap) - 1
+	for i > 0 {
+		parent := (i - 1) / 2
+		if !e.before(heap[parent].position) {
+			break
+		}
+		heap[i] = heap[parent]
+		i = parent
+	}
+	heap[i] = e
+}
+
+// pop removes and returns the first event.
+func (q *eventQueue) pop() event {
+	heap := *q
+	first, last := heap[0], heap[len(heap)-1]
+	heap[len(heap)-1] = event{} // frees what it refers to
+	heap = heap[:len(heap)-1]
+	*q = heap
+	if len(heap) > 0 {
+		heap.sink(last)
+	}
+	return first
+}
+
+// sink puts an event at the place of the first one and moves those that come before it up.
+func (q eventQueue) sink(e event) {
+	i := 0
+	for {
+		child := 2*i + 1
+		if child >= len(q) {
+			break
+		}
+		if child+1 < len(q) && q[child+1].before(q[child].position) {
+			child++
+		}
+		if !q[child].before(e.position) {
+			break
+		}
+		q[i] = q[child]
+		i = child
+	}
+	q[i] = e
+}
+
+// worldStart is the time at which every world starts.
+var worldStart = time.Unix(1_800_000_000, 0)
+
+// elapsed is how long the world has run.
+func (w *World) elapsed() time.Duration { return w.Now.Sub(worldStart) }
+
+// after does something once the time has passed.
+func (w *World) after(d time.Duration, do func()) {
+	w.queue.push(event{w.reached.following(d, w.nextNumber()), do})
+}
+
+// nextNumber numbers events in the order in which they are scheduled.
+func (w *World) nextNumber() int {
+	w.scheduled++
+	return w.scheduled
+}
+
+// Run lets the world go on for a while.
+func (w *World) Run(d time.Duration) {
+	end := w.elapsed() + d
+	for len(w.queue) > 0 && w.queue[0].at <= end {
+		e := w.queue.pop()
+		w.Now, w.reached = worldStart.Add(e.at), e.position
+		e.do()
+	}
+	w.Now, w.reached = worldStart.Add(end), position{at: end, scheduled: end, number: w.scheduled}
+}
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -36,7 +36,8 @@
 // arrive is the moment at which a task has its image: it is on its machine.
 func (t *workerTask) arrive() {
 	w := t.k.w
-	t.on, t.k.changed = true, true
+	t.on = true
+	t.k.noteChange()
 	w.rules.starts(t)
 	j := w.rules.jobs[t.job.ID]
 	if j.done[t.index] {
@@ -97,7 +98,8 @@
 	g.running, g.began = true, w.Now
 	j.begin(w.Now)
 	for _, t := range g.list() {
-		t.state, t.k.changed = protocol.TaskRunning, true
+		t.state = protocol.TaskRunning
+		t.k.noteChange()
 	}
 	w.after(secs(max(0, j.run-j.progress[0])), func() {
 		if g.over || !g.stopped.IsZero() {
@@ -153,7 +155,8 @@
 		t.exit(protocol.CauseStopped, false)
 		return
 	}
-	t.state, t.k.changed = protocol.TaskSaving, true
+	t.state = protocol.TaskSaving
+	t.k.noteChange()
 	j := w.rules.jobs[t.job.ID]
 	if t.gang == nil {
 		run := j.progress[t.index] + w.Now.Sub(t.began).Seconds()
@@ -194,7 +197,7 @@
 	t.leave()
 	t.k.w.Audit.ended(t.instance(), cause, false)
 	t.state, t.cause, t.kept = protocol.TaskExited, cause, kept
-	t.k.changed = true
+	t.k.noteChange()
 	if j := t.k.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.last != nil && !slices.Contains(j.done, false) {
 		j.last()
 	}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -41,7 +41,8 @@
 	{"a machine is taken away with notice", func(w *World, u *user) {
 		k := w.rules.onAt[u.j.spec.ID+"/1"].k
 		n := 20.0
-		k.notice, k.changed = &n, true
+		k.notice = &n
+		k.noteChange()
 		w.after(20*time.Second, func() { w.cloud.destroy(k.h) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -162,7 +162,8 @@
 		func() string {
 			if someone != nil && someone.h.Spot {
 				n := 20.0
-				someone.notice, someone.changed = &n, true
+				someone.notice = &n
+				someone.noteChange()
 				h := someone.h
 				w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(h) })
 			}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -22,8 +22,10 @@
 	images   map[string]bool
 	node     int
 	inFlight bool
+	due      time.Time // when the next report is due if nothing changes
 	lastSent time.Time
-	changed  bool
+	changed  bool // since the last report
+	timer    *tickTimer
 	dead     bool
 	hung     bool
 	stuck    []func() // what arrives while the machine hangs
@@ -35,37 +37,79 @@
 
 func newWorker(w *World, h *host) *worker {
 	k := &worker{w: w, h: h, session: 1, answered: w.Now, tasks: map[string]*workerTask{}, images: map[string]bool{}, node: w.rng.IntN(len(w.nodes))}
-	var tick func()
-	next := w.between(0, secs(w.shape.Workers.ReportS))
-	due := w.Now.Add(next)
-	tick = func() {
-		if k.dead {
-			return
-		}
-		// A machine resumes within its lease or not at all: its tasks are gone
-		// when the lease ends, hanging or not.
-		if w.Now.Sub(k.answered) > secs(w.shape.Workers.LeaseS) {
-			for _, t := range k.list() {
-				t.lose()
-			}
-			k.tasks = map[string]*workerTask{}
-			k.session++
-			k.seq = 0
-			k.answered = w.Now
-			k.changed = true
-		}
-		if !k.hung {
-			if !k.inFlight && (!w.Now.Before(due) || k.changed && w.Now.Sub(k.lastSent) >= 500*time.Millisecond) {
-				due = w.Now.Add(w.between(secs(w.shape.Workers.ReportS*0.75), secs(w.shape.Workers.ReportS*1.25)))
-				k.send()
-			}
-		}
-		w.after(100*time.Millisecond, tick)
-	}
-	w.after(0, tick)
+	k.due = w.Now.Add(w.between(0, secs(w.shape.Workers.ReportS)))
+	k.timer = newTickTimer(w, k.tick)
+	k.setTimer()
 	return k
 }
 
+// minReportGap is the least time between two reports.
+const minReportGap = 500 * time.Millisecond
+
+// tick does what is due: the lease may be over, or it is time for a report.
+func (k *worker) tick() {
+	if k.dead {
+		return
+	}
+	if k.w.Now.After(k.leaseEnd()) {
+		k.startOver()
+	}
+	if k.reports() && !k.w.Now.Before(k.nextReport()) {
+		k.due = k.w.Now.Add(k.w.between(secs(k.w.shape.Workers.ReportS*0.75), secs(k.w.shape.Workers.ReportS*1.25)))
+		k.send()
+	}
+	k.setTimer()
+}
+
+// setTimer sets the timer to the next thing that is due. Whatever brings something
+// forward calls it.
+func (k *worker) setTimer() {
+	due := k.leaseEnd().Add(1) // a lease is over after its end
+	if next := k.nextReport(); k.reports() && next.Before(due) {
+		due = next
+	}
+	k.timer.wakeBy(due)
+}
+
+// leaseEnd is the end of the machine's lease.
+func (k *worker) leaseEnd() time.Time { return k.answered.Add(secs(k.w.shape.Workers.LeaseS)) }
+
+// reports says whether the machine can report now.
+func (k *worker) reports() bool { return !k.hung && !k.inFlight }
+
+// nextReport is when the next report is due: at its time, or sooner if there is news.
+func (k *worker) nextReport() time.Time {
+	if soonest := k.lastSent.Add(minReportGap); k.changed && soonest.Before(k.due) {
+		return soonest
+	}
+	return k.due
+}
+
+// startOver begins a new incarnation once the lease is over. A machine resumes within its
+// lease or not at all: its tasks are gone when the lease ends, hanging or not.
+func (k *worker) startOver() {
+	for _, t := range k.list() {
+		t.lose()
+	}
+	k.tasks = map[string]*workerTask{}
+	k.session++
+	k.seq = 0
+	k.answered = k.w.Now
+	k.changed = true
+}
+
+// noteChange has news reported before the next report's time.
+func (k *worker) noteChange() {
+	k.changed = true
+	k.setTimer()
+}
+
+// reportAgain has the next report sent after one that was of no use.
+func (k *worker) reportAgain() {
+	k.inFlight, k.changed = false, true
+	k.setTimer()
+}
+
 // hang stops the machine for a while; what arrives meanwhile is handled when
 // it resumes.
 func (k *worker) hang(d time.Duration) {
@@ -75,6 +119,7 @@
 		if k.dead {
 			return
 		}
+		k.setTimer()
 		stuck := k.stuck
 		k.stuck = nil
 		for _, do := range stuck {
@@ -139,6 +184,7 @@
 	switch status {
 	case 200:
 		k.inFlight = false
+		k.setTimer()
 		if k.w.Now.Sub(sent) > 4*time.Second || k.hung {
 			return
 		}
@@ -163,7 +209,7 @@
 	for i, o := range k.w.nodes {
 		if o.name == r.ReportTo && i != k.node {
 			k.node = i
-			k.w.after(k.w.between(0, 500*time.Millisecond), func() { k.inFlight, k.changed = false, true })
+			k.w.after(k.w.between(0, 500*time.Millisecond), k.reportAgain)
 			return
 		}
 	}
@@ -173,7 +219,7 @@
 // tryNext reports to the next node a second later.
 func (k *worker) tryNext() {
 	k.node = (k.node + 1) % len(k.w.nodes)
-	k.w.after(time.Second, func() { k.inFlight, k.changed = false, true })
+	k.w.after(time.Second, k.reportAgain)
 }
 
 // copyReport delivers a late duplicate of an old report to a controller; nobody reads the
@@ -195,7 +241,7 @@
 		k.token = token
 		if k.w.Now.Sub(k.tokenAt) > secs(k.w.shape.Workers.LeaseS/2) {
 			k.tokenAt = k.w.Now
-			k.changed = true
+			k.noteChange()
 		}
 	}
 	return true
@@ -256,7 +302,7 @@
 func (k *worker) start(key, id string, index int, c protocol.Command) {
 	j := k.w.rules.jobs[id]
 	t := &workerTask{k: k, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
-	k.changed = true
+	k.noteChange()
 	k.w.Audit.began(k.w.Now, t.instance())
 	refuse := func(cause protocol.Cause) {
 		t.state, t.cause = protocol.TaskExited, cause
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -6,7 +6,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"io"
 	"log/slog"
@@ -19,27 +18,6 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-type event struct {
-	at  time.Time
-	seq int
-	do  func()
-}
-
-type eventQueue []event
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].seq < q[j].seq
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return e
-}
-
 // Shape is a deployment's size: zones, machines, teams and budgets.
 type Shape struct {
 	Zones     []string
@@ -80,11 +58,12 @@
 	live  *Live // where the controllers are elsewhere
 	Audit *Audit
 
-	Now   time.Time
-	rng   *rand.Rand
-	queue eventQueue
-	seq   int
-	log   *slog.Logger
+	Now       time.Time
+	rng       *rand.Rand
+	queue     eventQueue
+	scheduled int      // events so far
+	reached   position // of the newest event that has happened
+	log       *slog.Logger
 
 	zoneOf     map[string]string
 	cuts       []*cut
@@ -124,7 +103,7 @@
 		shape:   shape,
 		live:    live,
 		Audit:   newAudit(),
-		Now:     time.Unix(1_800_000_000, 0),
+		Now:     worldStart,
 		rng:     rand.New(rand.NewPCG(seed, 7)),
 		zoneOf:  map[string]string{},
 		workers: map[string]*worker{},
@@ -152,7 +131,7 @@
 }
 
 func (w *World) clock() string {
-	return fmt.Sprintf("%.3f", w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds())
+	return fmt.Sprintf("%.3f", w.elapsed().Seconds())
 }
 
 func (w *World) config(name string) *config.Config {
@@ -173,23 +152,6 @@
 	return c
 }
 
-// after does something once the time has passed.
-func (w *World) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.Now.Add(d), w.seq, do})
-}
-
-// Run lets the world go on for a while.
-func (w *World) Run(d time.Duration) {
-	end := w.Now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(event)
-		w.Now = e.at
-		e.do()
-	}
-	w.Now = end
-}
-
 func (w *World) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
