--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -31,8 +31,8 @@
 	Booting(machine *cluster.Machine) bool
 	// Deleted says whether a machine is gone for certain.
 	Deleted(machine protocol.MachineID) bool
-	// ReturnMachine gives a machine back.
-	ReturnMachine(machine *cluster.Machine, reason string)
+	// DeleteMachine has a machine deleted.
+	DeleteMachine(machine *cluster.Machine, reason string)
 }
 
 // Dependencies are the parts of a leader that its dealings with agents work with.
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -77,7 +77,7 @@
 		l.expireLease(machine)
 		l.probeIfDue(machine)
 		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
-			l.fleet.ReturnMachine(machine, "lapsed and of no known address")
+			l.fleet.DeleteMachine(machine, "lapsed and of no known address")
 		}
 		if machine.Deleting || !l.isUnresponsive(machine, missing) {
 			continue
@@ -171,8 +171,8 @@
 
 // ReturnSilent returns a machine that does not answer.
 func (l *Liveness) ReturnSilent(machine *cluster.Machine, reason string) {
-	l.scheduler.LostMachineAt[machine.Zone] = l.state.Now()
-	l.fleet.ReturnMachine(machine, reason)
+	l.scheduler.MachineLost(machine)
+	l.fleet.DeleteMachine(machine, reason)
 }
 
 // probeIfDue asks a silent agent for its heartbeat.
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -190,6 +190,6 @@
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = h.state.Now()
 	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Workers.LeaseS):
-		h.fleet.ReturnMachine(machine, "its reports cannot be read")
+		h.fleet.DeleteMachine(machine, "its reports cannot be read")
 	}
 }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -128,7 +128,7 @@
 		}
 		left = true
 		if s.leader.n.now.After(s.leader.agents.Liveness.LeaseExpiresAt(machine)) {
-			s.leader.autoscaler.ReturnMachine(machine, "holds a higher token than any leader")
+			s.leader.autoscaler.DeleteMachine(machine, "holds a higher token than any leader")
 		}
 	}
 	if !left {
