--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -34,7 +34,7 @@
 		commands = commands[:tuning.MaxCommandsPerResponse]
 	}
 	for _, command := range commands {
-		d.recovery.Ordered(command.Kind)
+		d.recovery.CommandSent(command.Kind)
 	}
 	return commands
 }
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -47,7 +47,7 @@
 		return list
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
+		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Orphaned: attempt.Orphaned})
 	}
 	return list
 }
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -1,21 +1,21 @@
-// Package reconcile compares what the records say with what workers report, after a
-// takeover and ever after. It is pure: records and reports go in, classified
+// Package reconcile compares what the records say with what agents report, after a
+// failover and ever after. It is pure: records and heartbeats go in, classified
 // differences come out; it has no clock, does no I/O and changes nothing. Each class of
 // difference has exactly one resolution, which docs/cold-restart.md explains.
 package reconcile
 
 import "github.com/gappond/gappond/internal/protocol"
 
-// Class is the kind of a difference between the records and a worker's report.
+// Class is the kind of a difference between the records and an agent's heartbeat.
 type Class uint8
 
 // The classes. What the records place on a machine is "stored".
 const (
 	// Matching: stored and reported, or ended on both sides.
 	Matching Class = iota
-	// NotYetReported: stored; no report has shown it, and none proves it absent.
+	// NotYetReported: stored; no heartbeat has shown it, and none proves it absent.
 	NotYetReported
-	// ReportedAbsent: stored; a report proves that the worker does not have it.
+	// ReportedAbsent: stored; a heartbeat proves that the agent does not have it.
 	ReportedAbsent
 	// NeverStored: reported; no record has the job, the task or so high an attempt.
 	NeverStored
@@ -55,7 +55,7 @@
 	// Release: the place is free and the task may start again.
 	Release
 	// Stop: it takes room and quota until it is proven gone; it is told to stop once
-	// its report is known to be current.
+	// its heartbeat is known to be current.
 	Stop
 	// RecordEnd: the end is recorded, a completed task for good, and the place is free.
 	RecordEnd
@@ -81,14 +81,14 @@
 	Attempt protocol.AttemptNumber
 }
 
-// Difference is one attempt as the records and a report have it.
+// Difference is one attempt as the records and a heartbeat have it.
 type Difference struct {
 	Class   Class
 	ID      AttemptID
 	Machine protocol.MachineID
-	// Entry is the report's entry, -1 if the report does not have the attempt.
+	// Entry is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
 	Entry int
-	// Current: the report shows the present leader's token. One that does not may be a
+	// Current: the heartbeat shows the present leader's token. One that does not may be a
 	// late copy: what it shows may be there, what it lacks may be there as well.
 	Current bool
 	Done    bool // the entry says that the task is done
--- a/internal/coordination/reconcile/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -11,52 +11,52 @@
 
 // The reasons.
 const (
-	// EndNothingStored: the records placed nothing and named no worker.
+	// EndNothingStored: the records placed nothing and named no agent.
 	EndNothingStored EndReason = "nothing stored"
-	// EndAllKnown: every worker that the records name has reported to this leader or is
-	// proven gone.
+	// EndAllKnown: every agent that the records name has sent this leader a heartbeat
+	// or is proven gone.
 	EndAllKnown EndReason = "all workers known"
-	// EndLeasesLapsed: the lease of every worker that stayed silent has surely lapsed.
-	EndLeasesLapsed EndReason = "leases lapsed"
+	// EndLeasesExpired: the lease of every agent that stayed silent has surely expired.
+	EndLeasesExpired EndReason = "leases lapsed"
 )
 
-// Orders counts the orders that a leader gave in a phase.
-type Orders struct{ Starts, Stops, Forgets int }
+// CommandCounts counts the commands that a leader sent in a phase.
+type CommandCounts struct{ Starts, Stops, Forgets int }
 
 // Summary is what a phase has found so far.
 type Summary struct {
-	Began   time.Time
-	Ended   time.Time // zero while it lasts
-	Reason  EndReason
-	Workers int // that the records name
-	Silent  int // of them, neither heard nor proven gone
-	Stored  int // attempts that the records place
-	Classes [Classes]int
-	Orders  Orders
+	Began    time.Time
+	Ended    time.Time // zero while it lasts
+	Reason   EndReason
+	Agents   int // that the records name
+	Silent   int // of them, neither heard nor proven gone
+	Stored   int // attempts that the records place
+	Classes  [Classes]int
+	Commands CommandCounts
 }
 
 // Active says whether the phase lasts.
 func (s *Summary) Active() bool { return s.Reason == "" }
 
-// Phase follows one recovery from a takeover to its end. It only watches and counts:
+// Phase follows one recovery from a failover to its end. It only watches and counts:
 // what is done about each difference is its class's resolution, in the phase and after.
 type Phase struct {
-	summary Summary
-	lapse   time.Time                       // when every silent worker's lease has lapsed
-	silent  map[protocol.MachineID]struct{} // workers that are neither heard nor proven gone
-	classes map[Placement]Class             // of every attempt that was observed, its latest class
-	gangs   map[protocol.JobID]struct{}     // found incomplete
+	summary        Summary
+	leasesExpireAt time.Time                       // when every silent agent's lease has expired
+	silent         map[protocol.MachineID]struct{} // agents that are neither heard nor proven gone
+	classes        map[Placement]Class             // of every attempt that was observed, its latest class
+	gangs          map[protocol.JobID]struct{}     // found incomplete
 }
 
 // NewPhase makes a phase that is over and counts nothing until it begins.
 func NewPhase() *Phase { return &Phase{summary: Summary{Reason: EndNothingStored}} }
 
-// Begin begins the phase at a failover. lapse is the moment from which the lease of any
-// worker that this leader has not answered has surely lapsed; stored lists the attempts
-// of every worker that the records name.
-func (p *Phase) Begin(now, lapse time.Time, stored map[protocol.MachineID][]Attempt) {
-	*p = Phase{lapse: lapse, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
-	p.summary.Began, p.summary.Workers = now, len(stored)
+// Begin begins the phase at a failover. From leasesExpireAt on the lease of any
+// agent that this leader has not answered has surely expired; stored lists the attempts on
+// every machine that the records name.
+func (p *Phase) Begin(now, leasesExpireAt time.Time, stored map[protocol.MachineID][]Attempt) {
+	*p = Phase{leasesExpireAt: leasesExpireAt, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
+	p.summary.Began, p.summary.Agents = now, len(stored)
 	for machineID, attempts := range stored {
 		p.silent[machineID] = struct{}{}
 		for _, a := range attempts {
@@ -71,7 +71,7 @@
 }
 
 // Observe counts a difference. An attempt counts once, in its latest class; one that a
-// report shows anew after its end was found keeps that class.
+// heartbeat shows anew after its end was found keeps that class.
 func (p *Phase) Observe(d Difference) {
 	switch {
 	case !p.summary.Active():
@@ -97,24 +97,24 @@
 	p.summary.Classes[class]++
 }
 
-// Known notes that a worker has shown the leader's token, or is proven gone.
+// Known notes that an agent has shown the leader's token, or is proven gone.
 func (p *Phase) Known(machineID protocol.MachineID) {
 	delete(p.silent, machineID)
 	p.summary.Silent = len(p.silent)
 }
 
-// Ordered counts an order to a worker.
-func (p *Phase) Ordered(op protocol.CommandKind) {
+// CommandSent counts a command to an agent.
+func (p *Phase) CommandSent(kind protocol.CommandKind) {
 	if !p.summary.Active() {
 		return
 	}
-	switch op {
+	switch kind {
 	case protocol.CommandStart:
-		p.summary.Orders.Starts++
+		p.summary.Commands.Starts++
 	case protocol.CommandStop:
-		p.summary.Orders.Stops++
+		p.summary.Commands.Stops++
 	case protocol.CommandForget:
-		p.summary.Orders.Forgets++
+		p.summary.Commands.Forgets++
 	}
 }
 
@@ -125,8 +125,8 @@
 		return false
 	case len(p.silent) == 0:
 		p.end(now, EndAllKnown)
-	case now.After(p.lapse):
-		p.end(now, EndLeasesLapsed)
+	case now.After(p.leasesExpireAt):
+		p.end(now, EndLeasesExpired)
 	default:
 		return false
 	}
--- a/internal/coordination/reconcile/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -22,15 +22,15 @@
 	Machine     protocol.MachineID // where the latest attempt is placed, "" if nowhere
 }
 
-// Attempt is an attempt that the records, or a leader's accounts, have on a machine.
+// Attempt is an attempt that the records, or a leader's cluster model, have on a machine.
 type Attempt struct {
 	ID          AttemptID
-	Incarnation protocol.Incarnation // of the worker when it was placed
-	// Undelivered: its start may be on its way, or is yet to be ordered. A report
+	Incarnation protocol.Incarnation // of the agent when it was placed
+	// Undelivered: its start may be on its way, or is yet to be sent. A heartbeat
 	// without it proves nothing.
 	Undelivered bool
-	// Fenced: no record asks for it; a leader keeps it in its accounts until it is gone.
-	Fenced bool
+	// Fenced: no record asks for it; a leader keeps it in the cluster model until it is gone.
+	Orphaned bool
 }
 
 // Records answers what is stored.
@@ -43,56 +43,56 @@
 	Attempts(machine protocol.MachineID, list []Attempt) []Attempt
 }
 
-// Reconciler compares reports with records. It keeps buffers between calls, and no state.
+// Reconciler compares heartbeats with records. It keeps buffers between calls, and no state.
 type Reconciler struct {
 	stored  []Attempt
 	places  map[AttemptID]int // in stored
-	entries map[AttemptID]int // in the report; contradicted if there are several that differ
+	entries map[AttemptID]int // in the heartbeat; contradicted if there are several that differ
 	found   []Difference
 }
 
-// contradicted marks an attempt that a report shows in two different ways.
+// contradicted marks an attempt that a heartbeat shows in two different ways.
 const contradicted = -2
 
-// Compare compares one worker's report with the records. The report must be newer than
-// what was known of its worker. token is the present leader's. The result is valid
+// Compare compares one agent's heartbeat with the records. The heartbeat must be newer than
+// what was known of its agent. token is the present leader's. The result is valid
 // until the next call.
-func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Heartbeat) []Difference {
-	c.found = c.found[:0]
-	c.stored = records.Attempts(r.Machine, c.stored[:0])
+func (rc *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Heartbeat) []Difference {
+	rc.found = rc.found[:0]
+	rc.stored = records.Attempts(r.Machine, rc.stored[:0])
 	current := r.FencingToken == token
-	readable := c.index(r)
-	c.releaseOlderIncarnations(r, current)
+	readable := rc.index(r)
+	rc.releaseOlderIncarnations(r, current)
 	for i := range r.Tasks {
-		c.addEntry(records, r, i, current)
+		rc.addEntry(records, r, i, current)
 	}
-	for i := range c.stored {
-		a := &c.stored[i]
-		if _, shown := c.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
+	for i := range rc.stored {
+		a := &rc.stored[i]
+		if _, shown := rc.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
 			continue
 		}
 		class := NotYetReported
 		if current && readable && !a.Undelivered {
 			class = ReportedAbsent
 		}
-		c.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
 	}
-	return c.found
+	return rc.found
 }
 
-func (c *Reconciler) add(d Difference) { c.found = append(c.found, d) }
+func (rc *Reconciler) add(d Difference) { rc.found = append(rc.found, d) }
 
 // index finds what is stored and the entries by attempt; false if some entry's name
-// cannot be read, so that the report does not prove any attempt absent.
-func (c *Reconciler) index(r *protocol.Heartbeat) (readable bool) {
-	if c.entries == nil {
-		c.places, c.entries = map[AttemptID]int{}, map[AttemptID]int{}
+// cannot be read, so that the heartbeat does not prove any attempt absent.
+func (rc *Reconciler) index(r *protocol.Heartbeat) (readable bool) {
+	if rc.entries == nil {
+		rc.places, rc.entries = map[AttemptID]int{}, map[AttemptID]int{}
 	}
-	clear(c.places)
-	clear(c.entries)
-	for i := range c.stored {
-		if c.stored[i].Incarnation >= r.Incarnation {
-			c.places[c.stored[i].ID] = i
+	clear(rc.places)
+	clear(rc.entries)
+	for i := range rc.stored {
+		if rc.stored[i].Incarnation >= r.Incarnation {
+			rc.places[rc.stored[i].ID] = i
 		}
 	}
 	readable = true
@@ -102,13 +102,13 @@
 			readable = false
 			continue
 		}
-		if first, twice := c.entries[id]; twice {
+		if first, twice := rc.entries[id]; twice {
 			if first == contradicted || r.Tasks[first] != r.Tasks[i] {
-				c.entries[id] = contradicted
+				rc.entries[id] = contradicted
 			}
 			continue
 		}
-		c.entries[id] = i
+		rc.entries[id] = i
 	}
 	return readable
 }
@@ -119,33 +119,33 @@
 }
 
 // releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
-// proves gone whatever else the report says.
-func (c *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
-	for i := range c.stored {
-		if a := &c.stored[i]; a.Incarnation < r.Incarnation {
-			c.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+// proves gone whatever else the heartbeat says.
+func (rc *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
+	for i := range rc.stored {
+		if a := &rc.stored[i]; a.Incarnation < r.Incarnation {
+			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
 		}
 	}
 }
 
-// addEntry classifies one entry of a report.
-func (c *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
+// addEntry classifies one entry of a heartbeat.
+func (rc *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
 	t := &r.Tasks[i]
 	id, valid := entryID(t)
 	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, Entry: i, Current: current}
-	at := c.entries[id]
+	at := rc.entries[id]
 	switch {
 	case !valid, at == contradicted:
-		c.add(d)
+		rc.add(d)
 		return
 	case at != i:
 		return // the same entry once more
 	case !knownState(t.State):
-		c.add(d) // and it counts as there, in whatever state
+		rc.add(d) // and it counts as there, in whatever state
 	}
-	d.Class = c.classify(records, r.Machine, id, t, current)
+	d.Class = rc.classify(records, r.Machine, id, t, current)
 	d.Done = t.State == protocol.TaskExited && t.Cause == protocol.CauseDone
-	c.add(d)
+	rc.add(d)
 }
 
 func knownState(s protocol.TaskState) bool {
@@ -157,10 +157,10 @@
 }
 
 // classify tells the class of a reported attempt.
-func (c *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskStatus, current bool) Class {
+func (rc *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskStatus, current bool) Class {
 	var stored *Attempt
-	if i, ok := c.places[id]; ok {
-		stored = &c.stored[i]
+	if i, ok := rc.places[id]; ok {
+		stored = &rc.stored[i]
 	}
 	job, known := records.Job(id.Job)
 	known = known && id.Index < job.Tasks
@@ -168,7 +168,7 @@
 		return classifyEnded(records, id, t, stored, job, known, current)
 	}
 	switch {
-	case stored != nil && !stored.Fenced:
+	case stored != nil && !stored.Orphaned:
 		return Matching
 	case job.Unreadable:
 		return Unreadable
@@ -192,7 +192,7 @@
 }
 
 // classifyEnded tells the class of an attempt that is reported as ended. That a task is
-// done holds whoever says it; any other end is believed only of a current report.
+// done holds whoever says it; any other end is believed only of a current heartbeat.
 func classifyEnded(records Records, id AttemptID, t *protocol.TaskStatus, stored *Attempt, job Job, known, current bool) Class {
 	done := t.Cause == protocol.CauseDone
 	switch {
@@ -223,8 +223,8 @@
 type Snapshot interface {
 	Records
 	// Machines lists the machines that the records name, and the incarnation and sequence
-	// number that are known of each worker.
-	Machines() []Worker
+	// number that are known of each agent.
+	Machines() []Agent
 	// Gangs lists the gangs that are not over.
 	Gangs() []protocol.JobID
 	// Placed lists where the latest attempt of a gang is placed.
@@ -237,21 +237,21 @@
 	Machine protocol.MachineID
 }
 
-// Worker is what is known of a machine's worker.
-type Worker struct {
+// Agent is what is known of a machine's agent.
+type Agent struct {
 	Machine     protocol.MachineID
 	Incarnation protocol.Incarnation
 	Sequence    protocol.Sequence
 }
 
-// Reconcile compares a snapshot with all reports that came. Of each worker only the newest
-// report counts, so that their order does not matter.
-func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Heartbeat) []Difference {
+// Reconcile compares a snapshot with all heartbeats that came. Of each agent only the
+// newest counts, so that their order does not matter.
+func (rc *Reconciler) Reconcile(s Snapshot, token protocol.Term, heartbeats []*protocol.Heartbeat) []Difference {
 	newest := map[protocol.MachineID]*protocol.Heartbeat{}
-	workers := s.Machines()
-	for _, r := range reports {
-		at := slices.IndexFunc(workers, func(w Worker) bool { return w.Machine == r.Machine })
-		if at >= 0 && !r.Newer(workers[at].Incarnation, workers[at].Sequence) {
+	agents := s.Machines()
+	for _, r := range heartbeats {
+		at := slices.IndexFunc(agents, func(w Agent) bool { return w.Machine == r.Machine })
+		if at >= 0 && !r.Newer(agents[at].Incarnation, agents[at].Sequence) {
 			continue
 		}
 		if n := newest[r.Machine]; n == nil || r.Newer(n.Incarnation, n.Sequence) {
@@ -259,7 +259,7 @@
 		}
 	}
 	var all []Difference
-	for _, w := range workers {
+	for _, w := range agents {
 		if newest[w.Machine] == nil {
 			for _, a := range s.Attempts(w.Machine, nil) {
 				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, Entry: -1})
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, r := range newest {
-		all = append(all, c.Compare(s, token, r)...)
+		all = append(all, rc.Compare(s, token, r)...)
 	}
 	all = append(all, incompleteGangs(s, all)...)
 	slices.SortFunc(all, byAttempt)
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -18,7 +18,7 @@
 	jobs     map[protocol.JobID]Job
 	tasks    map[TaskID]Task
 	attempts map[protocol.MachineID][]Attempt
-	workers  []Worker
+	workers  []Agent
 }
 
 func (s *store) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
@@ -29,7 +29,7 @@
 	return append(list, s.attempts[machineID]...)
 }
 
-func (s *store) Machines() []Worker { return s.workers }
+func (s *store) Machines() []Agent { return s.workers }
 
 func (s *store) Gangs() (list []protocol.JobID) {
 	for id, j := range s.jobs {
@@ -44,7 +44,7 @@
 func (s *store) Placed(gang protocol.JobID) (list []Placement) {
 	for machineID, attempts := range s.attempts {
 		for _, a := range attempts {
-			if a.ID.Job == gang && !a.Fenced {
+			if a.ID.Job == gang && !a.Orphaned {
 				list = append(list, Placement{a.ID, machineID})
 			}
 		}
@@ -64,7 +64,7 @@
 	real := truth{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
-		s.workers = append(s.workers, Worker{Machine: m, Incarnation: 1})
+		s.workers = append(s.workers, Agent{Machine: m, Incarnation: 1})
 	}
 	state := rapid.SampledFrom([]protocol.TaskState{protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited})
 	cause := rapid.SampledFrom([]protocol.Cause{protocol.CauseDone, protocol.CauseStopped, protocol.CauseError})
@@ -331,7 +331,7 @@
 		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
 		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Incarnation: 1},
 			{ID: AttemptID{TaskID{job(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
-		workers: []Worker{{Machine: "m0", Incarnation: 1}},
+		workers: []Agent{{Machine: "m0", Incarnation: 1}},
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
 	late := report(replica)
@@ -384,7 +384,7 @@
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
 	}
 	p.Known("m0")
-	p.Ordered(protocol.CommandStop)
+	p.CommandSent(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
 		t.Error("ends while a worker is silent")
 	}
@@ -392,7 +392,7 @@
 		t.Error("goes on though every lease has lapsed")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
-	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesLapsed, Workers: 2, Silent: 1, Stored: 1, Orders: Orders{Stops: 1}}
+	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, Agents: 2, Silent: 1, Stored: 1, Commands: CommandCounts{Stops: 1}}
 	want.Classes[OlderEpoch] = 1
 	if d := cmp.Diff(want, p.Summary()); d != "" {
 		t.Error(d)
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -14,7 +14,7 @@
 	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
 	l.recovery.Begin(l.n.now, expiry, l.agents.StoredAttempts())
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Agents, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
@@ -25,7 +25,7 @@
 	l.plan = true // what was held may start
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.lease.term, "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
-		"workers", s.Workers, "silent", s.Silent, "starts", s.Orders.Starts, "stops", s.Orders.Stops, "forgets", s.Orders.Forgets}
+		"workers", s.Agents, "silent", s.Silent, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
 	for class, n := range s.Classes {
 		attributes = append(attributes, reconcile.Class(class).String(), n)
 	}
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -235,8 +235,8 @@
 	}
 	w.Run(12 * time.Second)
 	c.expectKept("late copies")
-	if s := c.summary(); s.Orders.Stops > 0 {
-		t.Errorf("%d stops were ordered in the answers to copies", s.Orders.Stops)
+	if s := c.summary(); s.Commands.Stops > 0 {
+		t.Errorf("%d stops were ordered in the answers to copies", s.Commands.Stops)
 	}
 	c.finishBoth()
 }
@@ -439,7 +439,7 @@
 			c.Run(4 * time.Second)
 			u := c.submit(0, array("run-000006", 2), 10, 0, false)
 			c.waitFor(t, 30*time.Second, "a new job is done", func() bool { return u.over })
-			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Orders.Stops > 0 {
+			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -50,7 +50,7 @@
 	for class, n := range s.Classes {
 		m.differences.WithLabelValues(reconcile.Class(class).String()).Set(float64(n))
 	}
-	m.orders.WithLabelValues("start").Set(float64(s.Orders.Starts))
-	m.orders.WithLabelValues("stop").Set(float64(s.Orders.Stops))
-	m.orders.WithLabelValues("forget").Set(float64(s.Orders.Forgets))
+	m.orders.WithLabelValues("start").Set(float64(s.Commands.Starts))
+	m.orders.WithLabelValues("stop").Set(float64(s.Commands.Stops))
+	m.orders.WithLabelValues("forget").Set(float64(s.Commands.Forgets))
 }
