--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -129,7 +129,7 @@
 // retryUnanswered has commands sent again some time after a call that was not answered.
 func (d *Delivery) retryUnanswered(machine *cluster.Machine) {
 	now := d.state.Now()
-	machine.Agent.UnseenAnswers = max(machine.Agent.UnseenAnswers, 1)
+	machine.Agent.IneffectiveResponses = max(machine.Agent.IneffectiveResponses, 1)
 	machine.Delivery.NotBefore = now.Add(tuning.StopResendDelay)
 	switch {
 	case !machine.Agent.Heard:
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -92,14 +92,14 @@
 	if machine == nil {
 		return HeartbeatResult{Outcome: Stale}
 	}
-	machine.CountUnseenAnswers(heartbeat)
+	machine.CountIneffectiveResponses(heartbeat)
 	return HeartbeatResult{Outcome: Accepted, FencingToken: h.term, Commands: h.delivery.CommandsForResponse(machine)}
 }
 
 // ObserveAnswer takes the heartbeat that an agent gave as the answer to a call.
 func (h *Heartbeats) ObserveAnswer(machine *cluster.Machine, result CallResult) {
 	if result.Malformed != nil || result.Heartbeat.Machine != machine.ID {
-		h.log.Error("a worker's answer is no report of its own", "machine", machine.ID, "error", result.Malformed)
+		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.Malformed)
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
@@ -145,7 +145,7 @@
 		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Workers.LeaseS) {
 			// Its lease expired although its heartbeats were answered all the time.
-			machine.Agent.UnseenAnswers = tuning.MaxIneffectiveResponses
+			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
 	}
 	machine.Agent.Incarnation, machine.Agent.Sequence = heartbeat.Incarnation, heartbeat.Sequence
@@ -167,7 +167,7 @@
 	if from == fromHeartbeat {
 		machine.Agent.AnsweredAt = now
 	} else {
-		machine.Agent.UnseenAnswers = 0 // it has answered a call
+		machine.Agent.IneffectiveResponses = 0 // it has answered a call
 	}
 	if !h.state.NotReceiving(machine) {
 		machine.Agent.FailedProbes = 0
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -77,7 +77,7 @@
 		l.expireLease(machine)
 		l.probeIfDue(machine)
 		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
-			l.fleet.DeleteMachine(machine, "lapsed and of no known address")
+			l.fleet.DeleteMachine(machine, "lease expired and of no known address")
 		}
 		if machine.Deleting || !l.isUnresponsive(machine, missing) {
 			continue
@@ -109,7 +109,7 @@
 		return
 	}
 	machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
-	l.log.Info("lease lapsed", "machine", machine.ID)
+	l.log.Info("lease expired", "machine", machine.ID)
 	l.recovery.Known(machine.ID)
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		l.lifecycle.RemoveGone(attempt)
@@ -157,7 +157,7 @@
 // mayReturnSilent says whether a machine, not the network, is at fault, or has been gone for
 // longer than another takes to boot.
 func (l *Liveness) mayReturnSilent(machine *cluster.Machine, cuts *suspectedCuts) bool {
-	return !cuts.suspected[machine.Zone] || l.state.Outwaited(machine)
+	return !cuts.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
 }
 
 // mayReturnReplicaHost says the same of a machine with replicas, or that these have places
@@ -166,7 +166,7 @@
 	if cuts.early == nil {
 		cuts.early, cuts.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !cuts.early[machine.Zone] || l.state.Outwaited(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, cuts.heard)
+	return !cuts.early[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, cuts.heard)
 }
 
 // ReturnSilent returns a machine that does not answer.
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -137,7 +137,7 @@
 	h.skipAttemptNumbers(job, key)
 	if d.Current || job.Cancelled {
 		if !attempt.Stopping {
-			h.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
+			h.log.Info("stopping orphaned attempt", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
 		h.lifecycle.Stop(attempt, 0)
 	}
@@ -177,7 +177,7 @@
 		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
-	h.env.LogOnce("entry of a report makes no sense", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
+	h.env.LogOnce("heartbeat entry is unreadable", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
@@ -190,6 +190,6 @@
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = h.state.Now()
 	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Workers.LeaseS):
-		h.fleet.DeleteMachine(machine, "its reports cannot be read")
+		h.fleet.DeleteMachine(machine, "its heartbeats cannot be read")
 	}
 }
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -19,8 +19,8 @@
 	LeaseExpired   bool                 // the lease has surely run out since
 	LeaseExpiredAt time.Time            // when that was found
 
-	LastAnswered  bool // its last heartbeat was answered
-	UnseenAnswers int  // answers and commands in a row that seem not to have reached it
+	LastAnswered         bool // its last heartbeat was answered
+	IneffectiveResponses int  // answers and commands in a row that seem not to have reached it
 
 	Exited []protocol.TaskStatus // as last reported
 	// UnreadableSince is since when every heartbeat has had entries that name no task.
@@ -48,9 +48,9 @@
 	return slices.ContainsFunc(m.Agent.Exited, func(t protocol.TaskStatus) bool { return t.Attempt == key.Number && t.Task == name })
 }
 
-// CountUnseenAnswers looks whether the last answer has shown an effect: the token, or
+// CountIneffectiveResponses looks whether the last answer has shown an effect: the token, or
 // the starts that were in it.
-func (m *Machine) CountUnseenAnswers(r *protocol.Heartbeat) {
+func (m *Machine) CountIneffectiveResponses(r *protocol.Heartbeat) {
 	lost, shown := m.Agent.LastAnswered && !m.Agent.TokenConfirmed, false
 	for _, attempt := range m.Attempts {
 		if attempt.StartInResponse {
@@ -60,9 +60,9 @@
 		}
 	}
 	if lost {
-		m.Agent.UnseenAnswers++
+		m.Agent.IneffectiveResponses++
 	} else if shown {
-		m.Agent.UnseenAnswers = 0
+		m.Agent.IneffectiveResponses = 0
 	}
 	m.Agent.LastAnswered = true
 }
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -24,7 +24,7 @@
 // lease ran out though it was answered. Its lease runs out again and again, so
 // it takes no work; if it does not answer a call either, it is returned.
 func (st *State) NotReceiving(machine *Machine) bool {
-	return machine.Agent.UnseenAnswers >= tuning.MaxIneffectiveResponses
+	return machine.Agent.IneffectiveResponses >= tuning.MaxIneffectiveResponses
 }
 
 // NotReporting says whether a worker answers calls while no report of it comes, so that
@@ -73,9 +73,9 @@
 	return suspected, heard
 }
 
-// Outwaited says whether a machine behind a suspected cut has been gone for so
+// GoneLongerThanBoot says whether a machine behind a suspected cut has been gone for so
 // long after its lease that another would have booted.
-func (st *State) Outwaited(machine *Machine) bool {
+func (st *State) GoneLongerThanBoot(machine *Machine) bool {
 	machineType := st.TypeOf(machine)
 	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
 }
--- a/internal/coordination/reconcile/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -15,9 +15,9 @@
 	EndNothingStored EndReason = "nothing stored"
 	// EndAllKnown: every agent that the records name has sent this leader a heartbeat
 	// or is proven gone.
-	EndAllKnown EndReason = "all workers known"
+	EndAllKnown EndReason = "all agents known"
 	// EndLeasesExpired: the lease of every agent that stayed silent has surely expired.
-	EndLeasesExpired EndReason = "leases lapsed"
+	EndLeasesExpired EndReason = "leases expired"
 )
 
 // CommandCounts counts the commands that a leader sent in a phase.
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -36,7 +36,7 @@
 func (s *restoredStore) loadMarker() {
 	if e, ok := s.leader.n.mirror.Get(storage.RestoredKey); ok {
 		s.marked = true
-		s.leader.n.log.Error("state service was restored to an older state, earlier jobs wait for all workers", "record", string(e.Value))
+		s.leader.n.log.Error("state service was restored to an older state, earlier jobs wait for all agents", "record", string(e.Value))
 	}
 }
 
@@ -63,13 +63,13 @@
 		s.verifying = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
-			s.leader.n.stepDown("a worker has seen a higher token")
+			s.leader.n.stepDown("an agent has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
-			s.leader.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
+			s.leader.n.log.Error("state service was restored to an older state: an agent holds a token that it never gave",
 				"machine", machineID, "token", s.highestToken, "revision", result.Revision, "term", s.leader.n.lease.term)
 			s.confirmed, s.revision = true, result.Revision
 		default:
-			s.highestToken = s.leader.n.lease.term // the next report asks again
+			s.highestToken = s.leader.n.lease.term // the next heartbeat asks again
 		}
 	})
 }
@@ -78,7 +78,7 @@
 func (s *restoredStore) noteUnreachable(r *protocol.Heartbeat) {
 	machine := s.leader.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
 	if machine.Agent.HigherToken == 0 {
-		s.leader.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
+		s.leader.n.log.Info("agent holds a higher token", "machine", machine.ID, "token", r.FencingToken)
 	}
 	machine.Agent.HigherToken = r.FencingToken
 }
@@ -111,7 +111,7 @@
 		case token <= s.leader.n.lease.term:
 			s.returnUnreachable()
 		case protocol.Term(s.revision) >= token:
-			s.leader.n.stepDown("workers hold higher tokens, the next term is above them")
+			s.leader.n.stepDown("agents hold higher tokens, the next term is above them")
 		default:
 			s.raiseRevision()
 		}
