--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -13,7 +13,7 @@
 // learns it from its watch.
 func (n *Node) cancel(id uint64, jobID protocol.JobID) {
 	if f, ok := n.finals[jobID]; ok {
-		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: f.Phase})
+		n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: f.Phase})
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready()) {
@@ -39,14 +39,14 @@
 		}
 		n.lookUp(id, jobID, deadline, func(s *protocol.Status) {
 			if s == nil {
-				n.reply(id, 404, protocol.ErrorBody{Error: "no such job"})
+				n.replyUnknownJob(id)
 				return
 			}
 			if s.Phase != protocol.PhaseDone && s.Phase != protocol.PhaseCancelled {
 				n.refuse(id, "try again")
 				return
 			}
-			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
+			n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: s.Phase})
 		})
 	})
 }
@@ -59,7 +59,7 @@
 	}
 	if rec.Cancelled {
 		n.announceCancel(jobID) // by a transaction whose answer was lost, perhaps
-		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
+		n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
 		return
 	}
 	rec.Cancelled, rec.Writer = true, n.unique()
@@ -74,7 +74,7 @@
 		switch {
 		case result.Outcome == kv.Done:
 			n.announceCancel(jobID)
-			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
+			n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
 		case (result.Outcome == kv.ConditionFailed || result.Outcome == kv.Unknown) && n.now.Before(deadline):
 			n.cancelFresh(id, jobID, deadline)
 		default:
--- a/internal/coordination/forwarding.go
+++ b/internal/coordination/forwarding.go
@@ -62,7 +62,7 @@
 	case verbSubmit:
 		spec, err := protocol.ParseJob(m.Body)
 		if err != nil {
-			n.reply(id, 400, protocol.ErrorBody{Error: err.Error()})
+			n.replyMalformed(id, err.Error())
 			return
 		}
 		n.submit(id, spec)
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"time"
 
@@ -22,9 +23,9 @@
 		return
 	}
 	n.typesAt = n.now.Add(tuning.CloudTimeout + time.Second)
-	n.request(ToCloud, "", "GET", protocol.PathMachineTypes, nil, tuning.CloudTimeout, func(status int, body []byte) {
+	n.request(ToCloud, "", http.MethodGet, protocol.PathMachineTypes, nil, tuning.CloudTimeout, func(status int, body []byte) {
 		var list protocol.MachineTypes
-		if status != 200 || json.Unmarshal(body, &list) != nil || len(list.Types) == 0 {
+		if status != http.StatusOK || json.Unmarshal(body, &list) != nil || len(list.Types) == 0 {
 			n.typesAt = n.now.Add(time.Second)
 			return
 		}
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -49,17 +49,10 @@
 	}
 }
 
-// noteConfirmedCancel looks for one in an answer.
-func (n *Node) noteConfirmedCancel(body any) {
-	switch b := body.(type) {
-	case protocol.Status:
-		if b.Phase == protocol.PhaseCancelled {
-			n.noteCancel(b.ID)
-		}
-	case protocol.Accepted:
-		if b.Phase == protocol.PhaseCancelled {
-			n.noteCancel(b.ID)
-		}
+// noteIfCancelled keeps note of a job that a user is told is cancelled.
+func (n *Node) noteIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
+	if phase == protocol.PhaseCancelled {
+		n.noteCancel(jobID)
 	}
 }
 
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -178,8 +177,8 @@
 			n.passAlong(m.Target, m.Hops, m)
 			return
 		}
-		status, body := n.takeReport(m.Report)
-		n.sendTo(m.Origin, protocol.PeerAnswer{ID: m.ID, Target: m.Origin, Status: uint64(status), Body: bookkeeping.Encode(body)})
+		reply := n.takeReport(m.Report)
+		n.sendTo(m.Origin, protocol.PeerAnswer{ID: m.ID, Target: m.Origin, Status: uint64(reply.status), Body: reply.body})
 	case protocol.PeerRequest:
 		n.handleForwarded(m)
 	case protocol.PeerCall:
@@ -199,11 +198,7 @@
 			d.done(int(m.Status), m.Body)
 		} else if c, ok := n.forwarded[m.ID]; ok {
 			delete(n.forwarded, m.ID)
-			r := Reply{ID: c.reply, Status: int(m.Status), Body: m.Body}
-			if r.Status == 503 {
-				r.RetryAfter = time.Second
-			}
-			n.answer(r)
+			n.replyForwarded(c.reply, m)
 		}
 	}
 }
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -133,8 +133,8 @@
 	case !fresh:
 		n.answerQuery(p.id, p.job, p.expire)
 	case p.short:
-		n.reply(p.id, 200, protocol.Accepted{ID: p.job, Phase: s.Phase})
+		n.replyAccepted(p.id, protocol.Accepted{ID: p.job, Phase: s.Phase})
 	default:
-		n.reply(p.id, 200, s)
+		n.replyStatus(p.id, s)
 	}
 }
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -85,8 +85,7 @@
 			n.redirect(id, r, front)
 			return
 		}
-		status, body := n.takeReport(r)
-		n.reply(id, status, body)
+		n.replyHeartbeat(id, n.takeReport(r))
 		return
 	}
 	leader := n.lease.holder
@@ -106,7 +105,7 @@
 	}
 	n.nextID++
 	if !n.sendTo(leader, protocol.PeerReport{ID: n.nextID, Origin: n.cfg.Name, Target: leader, Report: r}) {
-		n.reply(id, 421, protocol.Redirect{})
+		n.replyHeartbeat(id, heartbeatRedirect(""))
 		return
 	}
 	n.forwarded[n.nextID] = forwardedRequest{reply: id, expire: expire}
@@ -170,7 +169,7 @@
 // redirect sends a worker to another node.
 func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
 	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
-	n.reply(id, 421, protocol.Redirect{ReportTo: to})
+	n.replyHeartbeat(id, heartbeatRedirect(to))
 }
 
 // knowsLeader says whether somebody leads, as far as this node knows.
@@ -202,7 +201,7 @@
 		case n.knowsLeader():
 			n.forward(p.id, p.report, p.expire)
 		case n.now.After(p.expire):
-			n.reply(p.id, 503, protocol.ErrorBody{Error: "no leader known"})
+			n.replyHeartbeat(p.id, heartbeatRefusal("no leader known"))
 		default:
 			n.queuedReports = append(n.queuedReports, p)
 		}
@@ -210,21 +209,21 @@
 }
 
 // takeReport is the leader's answer to a report, forwarded or not.
-func (n *Node) takeReport(r *protocol.Report) (status int, body any) {
+func (n *Node) takeReport(r *protocol.Report) heartbeatReply {
 	if n.lead == nil || !n.hasAuthority() {
-		return 421, protocol.Redirect{}
+		return heartbeatRedirect("")
 	}
 	if r.Token > n.lease.term {
 		// Somebody else has the right to command by now, or the state service was restored.
 		n.lead.refuseHigherToken(r)
-		return 503, protocol.ErrorBody{Error: "a higher token than this leader's"}
+		return heartbeatRefusal("a higher token than this leader's")
 	}
 	if n.lease.unconfirmed {
-		return 503, protocol.ErrorBody{Error: "not sure to lead"}
+		return heartbeatRefusal("not sure to lead")
 	}
 	commands, ok := n.lead.report(r, true)
 	if !ok {
-		return 503, protocol.ErrorBody{Error: "an older report"}
+		return heartbeatRefusal("an older report")
 	}
-	return 200, protocol.ReportAnswer{Token: n.lease.term, Commands: commands}
+	return heartbeatAnswer(protocol.ReportAnswer{Token: n.lease.term, Commands: commands})
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -54,11 +54,6 @@
 	})
 }
 
-func (n *Node) reply(id uint64, status int, body any) {
-	n.noteConfirmedCancel(body)
-	n.answer(Reply{ID: id, Status: status, Body: bookkeeping.Encode(body)})
-}
-
 // answer gives a reply to whoever asked: a connection of this node, or a
 // peer that forwarded the request here.
 func (n *Node) answer(r Reply) {
@@ -70,11 +65,6 @@
 	n.out = append(n.out, r)
 }
 
-// refuse answers at once that the request cannot be taken now.
-func (n *Node) refuse(id uint64, why string) {
-	n.answer(Reply{ID: id, Status: 503, Body: bookkeeping.Encode(protocol.ErrorBody{Error: why}), RetryAfter: time.Second})
-}
-
 // parse reads a JSON answer.
 func parse[T any](body []byte) (T, bool) {
 	var v T
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -52,7 +52,7 @@
 // submit takes a user's submission.
 func (n *Node) submit(id uint64, spec *protocol.Job) {
 	if f, ok := n.finals[spec.ID]; ok {
-		n.reply(id, 200, protocol.Accepted{ID: spec.ID, Phase: f.Phase})
+		n.replyAccepted(id, protocol.Accepted{ID: spec.ID, Phase: f.Phase})
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready() && len(n.types) > 0) {
@@ -80,10 +80,10 @@
 func (n *Node) refuseUnrunnable(id uint64, jobID protocol.JobID, why string) {
 	n.lookUp(id, jobID, n.now.Add(tuning.UserDeadline), func(s *protocol.Status) {
 		if s != nil {
-			n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
+			n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: s.Phase})
 			return
 		}
-		n.reply(id, 422, protocol.ErrorBody{Error: why})
+		n.replyUnrunnable(id, why)
 	})
 }
 
@@ -105,7 +105,7 @@
 	n.store.TransactEncoded(txn, func(result kv.TransactionResult) {
 		switch {
 		case result.Outcome == kv.Done:
-			n.reply(id, 201, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
+			n.replyCreated(id, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
 		case result.Outcome == kv.ConditionFailed:
 			n.answerRepeated(id, jobID, deadline)
 		case result.Outcome == kv.Unknown && n.now.Before(deadline):
@@ -123,7 +123,7 @@
 			n.refuse(id, "try again")
 			return
 		}
-		n.reply(id, 200, protocol.Accepted{ID: jobID, Phase: s.Phase})
+		n.replyAccepted(id, protocol.Accepted{ID: jobID, Phase: s.Phase})
 	})
 }
 
@@ -149,7 +149,7 @@
 // query answers a user's poll.
 func (n *Node) query(id uint64, jobID protocol.JobID) {
 	if f, ok := n.finals[jobID]; ok {
-		n.reply(id, 200, finalStatus(jobID, f))
+		n.replyStatus(id, finalStatus(jobID, f))
 		return
 	}
 	if n.refuseUnserved(id, n.mirror.Ready()) {
@@ -181,10 +181,10 @@
 func (n *Node) answerQuery(id uint64, jobID protocol.JobID, deadline time.Time) {
 	n.lookUp(id, jobID, deadline, func(s *protocol.Status) {
 		if s == nil {
-			n.reply(id, 404, protocol.ErrorBody{Error: "no such job"})
+			n.replyUnknownJob(id)
 			return
 		}
-		n.reply(id, 200, *s)
+		n.replyStatus(id, *s)
 	})
 }
 
--- a/internal/coordination/worker_calls.go
+++ b/internal/coordination/worker_calls.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"net/http"
+
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
@@ -65,7 +67,7 @@
 
 // callFor sends orders to a worker for the leader.
 func (n *Node) callFor(c protocol.PeerCall) {
-	n.request(ToWorker, c.Address, "POST", protocol.PathOrders, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
+	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathOrders, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.sendTo(c.Origin, protocol.PeerAnswer{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
 }
