--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -1,68 +1,77 @@
 package coordination
 
 import (
-	"encoding/json"
-	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
 
-// setBudgets divides the state service's budgets. Of the writes the users of
-// every node and relayed messages have parts of their own; the leader's decisions have
-// whatever these leave, which it knows from the changes that its watch sees.
+// storeBudgets are this node's shares of what the key-value store accepts. Of the writes
+// the users of every node and store-relayed messages have parts of their own; the leader's
+// decisions have whatever these leave, which it knows from the changes that its watch sees.
 // Requests are divided in equal parts.
-func (n *Node) setBudgets() {
+type storeBudgets struct {
+	calls  *rate.Limiter // requests of any kind
+	writes *rate.Limiter // puts and deletes of the leader's decisions
+	users  *rate.Limiter // puts for users: submissions and cancellations
+	relay  *rate.Limiter // puts of store-relayed messages
+}
+
+// newStoreBudgets divides the store's limits.
+func newStoreBudgets(cfg *config.Config) storeBudgets {
 	budget := func(limit float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(limit), max(burst, int(limit)))
 	}
-	nodes, state := float64(len(n.cfg.Peers)+1), n.cfg.Cluster.State
-	n.stateCalls = budget(state.RPS*tuning.CallShare/nodes, 1)
-	n.writes = budget(state.WriteRPS*tuning.WriteShare, 2)
-	n.userWrites = budget(state.WriteRPS*tuning.UserShare/nodes, state.TxnOps)
-	n.relayWrites = budget(state.WriteRPS*tuning.RelayShare/nodes, state.TxnOps)
+	nodes, state := float64(len(cfg.Peers)+1), cfg.Cluster.State
+	return storeBudgets{
+		calls:  budget(state.RPS*tuning.CallShare/nodes, 1),
+		writes: budget(state.WriteRPS*tuning.WriteShare, 2),
+		users:  budget(state.WriteRPS*tuning.UserShare/nodes, state.TxnOps),
+		relay:  budget(state.WriteRPS*tuning.RelayShare/nodes, state.TxnOps),
+	}
 }
 
-// countWrite takes one write from what the state service accepts: one of this node's
-// own or one that the watch shows. It never runs into debt: what was missed in
-// a gap of the watch is over.
-func (n *Node) countWrite() { n.writes.AllowN(n.now, 1) }
+// countCall takes a request from the budget in any case; users' requests look first.
+func (sb *storeBudgets) countCall(now time.Time) { sb.calls.AllowN(now, 1) }
 
-// isOwnWrite says whether a record was written by this life of this node.
-func (n *Node) isOwnWrite(value json.RawMessage) bool {
-	return strings.HasPrefix(bookkeeping.Writer(value), n.boot+"-")
-}
+// countWrite takes one write from what the store accepts: one of this node's own or one
+// that the watch shows. It never runs into debt: what was missed in a gap of the watch
+// is over.
+func (sb *storeBudgets) countWrite(now time.Time) { sb.writes.AllowN(now, 1) }
+
+// takeRelayWrite says whether store-relayed messages may be written now, and counts that.
+func (sb *storeBudgets) takeRelayWrite(now time.Time) bool { return sb.relay.AllowN(now, 1) }
 
-// hasReadBudget says whether the budget leaves room for a user's request: what the
-// node itself needs, renewals and decisions above all, comes first.
-func (n *Node) hasReadBudget() bool {
-	return n.stateCalls.TokensAt(n.now) >= 1+float64(n.stateCalls.Burst())*tuning.UserReserve
+// AllowsUserRead says whether the budget leaves room for a user's request: what the node
+// itself needs, renewals and decisions above all, comes first.
+func (sb *storeBudgets) AllowsUserRead(now time.Time) bool {
+	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.UserReserve
 }
 
-// takeWriteBudget says the same of a user's write, and takes it from the budget: the
-// users' own or what is kept for relayed messages and mostly not needed.
-func (n *Node) takeWriteBudget() bool {
-	if !n.hasReadBudget() {
+// TakeUserWrite says the same of a user's write, and takes it from the budget: the users'
+// own or what is kept for store-relayed messages and mostly not needed.
+func (sb *storeBudgets) TakeUserWrite(now time.Time) bool {
+	if !sb.AllowsUserRead(now) {
 		return false
 	}
-	if n.userWrites.AllowN(n.now, 1) || n.relayWrites.TokensAt(n.now) > float64(n.relayWrites.Burst())/2 && n.relayWrites.AllowN(n.now, 1) {
-		n.countWrite()
+	if sb.users.AllowN(now, 1) || sb.relay.TokensAt(now) > float64(sb.relay.Burst())/2 && sb.relay.AllowN(now, 1) {
+		sb.countWrite(now)
 		return true
 	}
 	return false
 }
 
-// throttled takes note that the state service refused changes as too many: whatever
-// the budget says, the service has no more to give now. The budget fills again from
-// nothing. It returns the time after which that many changes may be sent again.
-func (n *Node) throttled(changes int) time.Duration {
-	for _, budget := range []*rate.Limiter{n.writes, n.userWrites, n.relayWrites} {
-		if tokens := int(budget.TokensAt(n.now)); tokens > 0 {
-			budget.AllowN(n.now, tokens)
+// throttled takes note that the store refused changes as too many: whatever the budget
+// says, the store has no more to give now. The budget fills again from nothing. It
+// returns the time after which that many changes may be sent again.
+func (sb *storeBudgets) throttled(now time.Time, changes int) time.Duration {
+	for _, budget := range []*rate.Limiter{sb.writes, sb.users, sb.relay} {
+		if tokens := int(budget.TokensAt(now)); tokens > 0 {
+			budget.AllowN(now, tokens)
 		}
 	}
-	pause := time.Duration(float64(changes) / float64(n.writes.Limit()) * float64(time.Second))
+	pause := time.Duration(float64(changes) / float64(sb.writes.Limit()) * float64(time.Second))
 	return max(tuning.RetryPause, pause)
 }
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -19,7 +19,7 @@
 	if n.refuseUnserved(id, n.mirror.Ready()) {
 		return
 	}
-	if !n.takeWriteBudget() {
+	if !n.budgets.TakeUserWrite(n.now) {
 		n.shed(id)
 		return
 	}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -33,9 +33,9 @@
 	if l.inFlight != nil || l.n.now.Before(l.commitAt) {
 		return
 	}
-	burst := float64(l.n.writes.Burst())
+	burst := float64(l.n.budgets.writes.Burst())
 	// The end of a job takes two changes, however few a second there are.
-	tokens := l.n.writes.TokensAt(l.n.now) - min(burst*tuning.UserFloor, burst-2)
+	tokens := l.n.budgets.writes.TokensAt(l.n.now) - min(burst*tuning.UserFloor, burst-2)
 	if tokens < 1 {
 		return
 	}
@@ -70,7 +70,7 @@
 	if len(b.txn.Then) == 0 {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, len(b.txn.Then))
+	l.n.budgets.writes.AllowN(l.n.now, len(b.txn.Then))
 	tx.body, tx.changes = bookkeeping.Encode(b.txn), len(b.txn.Then)
 	l.inFlight = tx
 	l.send(tx)
@@ -140,7 +140,7 @@
 			tx.lost = true
 			l.resend(tx, tuning.RetryPause)
 		case outcome == kv.Throttled:
-			l.resend(tx, l.n.throttled(tx.changes))
+			l.resend(tx, l.n.budgets.throttled(l.n.now, tx.changes))
 		case outcome == kv.Rejected:
 			l.n.log.Error("transaction rejected", "detail", result.Detail)
 			l.n.limitsLowered = l.n.limitsLowered || l.n.cfg.Cluster.Present != nil
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -216,8 +216,8 @@
 	n.servedAt = n.now
 	for _, spent := range []bool{false, true} {
 		if spent {
-			n.userWrites.AllowN(n.now, n.userWrites.Burst()-1)
-			n.relayWrites.AllowN(n.now, n.relayWrites.Burst())
+			n.budgets.users.AllowN(n.now, n.budgets.users.Burst()-1)
+			n.budgets.relay.AllowN(n.now, n.budgets.relay.Burst())
 		}
 		s := gangOf(protocol.MaxTasks, 0)
 		s.ID, s.Priority, s.Shape = "run-000001", "normal", protocol.ShapeArray
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -108,7 +108,7 @@
 	}
 	n := l.n
 	n.cfg.Cluster.State.WriteRPS = 2
-	n.setBudgets()
+	n.budgets = newStoreBudgets(n.cfg)
 	job := l.testJob(gangOf(1, 1))
 	l.setDone(job, 0)
 	for range 30 {
@@ -126,7 +126,7 @@
 func TestOthersWritesCount(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	free := func() int { return int(n.writes.TokensAt(n.now) + 0.5) }
+	free := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
 	before := free()
 	watch := protocol.WatchAnswer{Revision: 90}
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"encoding/json"
+	"strings"
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
@@ -124,7 +126,7 @@
 		ev := &w.Events[i]
 		if n.mirror.Apply(ev) {
 			if ev.Set != "" && !n.isOwnWrite(ev.Value) {
-				n.countWrite()
+				n.budgets.countWrite(n.now)
 			}
 			n.changed(ev)
 		}
@@ -142,6 +144,11 @@
 	n.tickMirror()
 }
 
+// isOwnWrite says whether a record was written by this life of this node.
+func (n *Node) isOwnWrite(value json.RawMessage) bool {
+	return strings.HasPrefix(bookkeeping.Writer(value), n.boot+"-")
+}
+
 // requestPause is the pause before a request that can wait, longer the smaller the
 // share of a core is.
 func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -31,15 +31,12 @@
 	expireCancelsAt  int                          // how many of them are kept before old ones are dropped
 	confirmation     peerConfirmation
 
-	now         time.Time
-	out         []Action
-	nextID      uint64
-	pending     map[uint64]func(status int, body []byte)
-	writes      *rate.Limiter // puts and deletes of the leader's decisions
-	userWrites  *rate.Limiter // puts for users: submissions and cancellations
-	relayWrites *rate.Limiter // puts of relayed messages
-	stateCalls  *rate.Limiter // requests to the state service
-	metrics     Metrics
+	now     time.Time
+	out     []Action
+	nextID  uint64
+	pending map[uint64]func(status int, body []byte)
+	budgets storeBudgets
+	metrics Metrics
 
 	types   map[protocol.MachineTypeName]*protocol.MachineType
 	typesAt time.Time
@@ -111,7 +108,7 @@
 		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.RedirectsAtOnce)
 		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.RedirectsAtOnce)
 	}
-	n.setBudgets()
+	n.budgets = newStoreBudgets(cfg)
 	// Answers name the request by its number and may come late, after the process
 	// has ended and begun again: numbers of different lives must not meet.
 	n.nextID = n.rng.Uint64() >> 24
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -55,7 +55,7 @@
 	if n.now.Before(n.pollAt) && len(n.polls) < limit {
 		return
 	}
-	if !n.hasReadBudget() {
+	if !n.budgets.AllowsUserRead(n.now) {
 		n.dropLatePolls()
 		return
 	}
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -46,7 +46,7 @@
 	present := n.cfg.Cluster.State
 	n.cfg.Cluster.Present = &present
 	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
-	n.setBudgets()
+	n.budgets = newStoreBudgets(n.cfg)
 	n.peers["s"] = &peer{up: true, link: 1, level: level}
 	page := protocol.Entries{Revision: s.revision}
 	for _, e := range s.entries {
@@ -333,12 +333,12 @@
 // same transaction is sent again when its changes may be.
 func TestThrottled(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.n.writes.SetLimit(1)
+	l.n.budgets.writes.SetLimit(1)
 	machine := l.testMachine(hostName, "big", "a", false)
 	l.writeForTest(machine)
 	_, r := l.sentTxn(t)
 	l.n.handle(Response{ID: r.ID, Status: 429})
-	if tokens := l.n.writes.TokensAt(l.n.now); tokens >= 1 {
+	if tokens := l.n.budgets.writes.TokensAt(l.n.now); tokens >= 1 {
 		t.Errorf("%v writes are left", tokens)
 	}
 	l.n.out = nil
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -44,7 +44,7 @@
 		to = ToLeaderLease
 	}
 	n.askedAt = n.now
-	n.stateCalls.AllowN(n.now, 1) // counted in any case; users' requests look first
+	n.budgets.countCall(n.now)
 	n.request(to, "", call.Method, call.Path, call.Body, tuning.StateTimeout, func(status int, body []byte) {
 		n.unanswered = status == 0
 		if status != 0 && status != http.StatusServiceUnavailable {
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -142,11 +142,11 @@
 // raiseRevision writes the marker, again and again as fast as half of the budget allows.
 func (l *leader) raiseRevision() {
 	s := &l.restored
-	half := float64(l.n.writes.Burst()) / 2
-	if s.writing || l.n.writes.TokensAt(l.n.now) < half {
+	half := float64(l.n.budgets.writes.Burst()) / 2
+	if s.writing || l.n.budgets.writes.TokensAt(l.n.now) < half {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, 1)
+	l.n.budgets.writes.AllowN(l.n.now, 1)
 	s.writing = true
 	marker := bookkeeping.Restored{Writer: l.n.unique(), Token: s.highest}
 	l.writeMarker(protocol.Change{Set: bookkeeping.RestoredKey, Value: bookkeeping.Encode(marker)}, func() {
@@ -157,7 +157,7 @@
 
 // removeRestoredMarker deletes the marker when a recovery has ended.
 func (l *leader) removeRestoredMarker() {
-	if l.restored.writing || !l.n.writes.AllowN(l.n.now, 1) {
+	if l.restored.writing || !l.n.budgets.writes.AllowN(l.n.now, 1) {
 		return
 	}
 	l.restored.writing = true
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -43,12 +43,12 @@
 func (n *Node) flushOutboxes() {
 	for _, s := range n.cfg.Peers {
 		box := n.outboxes[s.Name]
-		if box == nil || len(box.frames) == 0 || box.sending || n.now.Before(box.sendAt) || !n.relayWrites.AllowN(n.now, 1) {
+		if box == nil || len(box.frames) == 0 || box.sending || n.now.Before(box.sendAt) || !n.budgets.takeRelayWrite(n.now) {
 			continue
 		}
 		txn := protocol.Txn{Then: []protocol.Change{{Set: bookkeeping.RelayKey(n.cfg.Name, s.Name),
 			Value: bookkeeping.Encode(bookkeeping.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
-		n.countWrite()
+		n.budgets.countWrite(n.now)
 		box.frames, box.sending = nil, true
 		box.sendAt = n.now.Add(tuning.RelayEvery)
 		n.store.Transact(txn, func(kv.TransactionResult) {
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -66,7 +66,7 @@
 		n.refuseUnrunnable(id, spec.ID, why)
 		return
 	}
-	if !n.takeWriteBudget() {
+	if !n.budgets.TakeUserWrite(n.now) {
 		if !n.forwardToPeer(id, submission(spec)) {
 			n.shed(id)
 		}
@@ -159,7 +159,7 @@
 		n.addPoll(poll{id: id, job: jobID, revision: e.Revision})
 		return
 	}
-	if !n.hasReadBudget() {
+	if !n.budgets.AllowsUserRead(n.now) {
 		n.shed(id)
 		return
 	}
