--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -36,10 +36,13 @@
 		"internal/recovery", "internal/tuning"}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/autoscaler",
+		"internal/bookkeeping", "internal/config", "internal/coordination/api", "internal/coordination/autoscaler",
 		"internal/coordination/cluster", "internal/coordination/kv", "internal/coordination/scheduler",
 		"internal/protocol", "internal/recovery", "internal/tuning"}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/coordination/api": {pure: true, imports: []string{
+		"internal/bookkeeping", "internal/config", "internal/coordination/cluster", "internal/coordination/kv",
+		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -134,6 +134,12 @@
 	return time.Duration(float64(cost) / (r.Cores * part))
 }
 
+// RequestPause is the pause before a request that can wait, longer the smaller the share of
+// a core is.
+func (r Resources) RequestPause(least time.Duration, part float64) time.Duration {
+	return max(least, min(r.Pause(tuning.RequestCost, part), tuning.RequestPause))
+}
+
 // UserRequests bounds users' requests under way at one node: a part of the connections
 // that are kept for users, so that reports always find room.
 func (r Resources) UserRequests() int {
--- /dev/null
+++ b/internal/coordination/api/runnable.go
@@ -0,0 +1,60 @@
+package api
+
+import (
+	"slices"
+
+	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// unrunnableReason says why a job can never run, or "".
+func (s *Service) unrunnableReason(spec *protocol.Job) string {
+	if !bookkeeping.Storable(s.cfg.Cluster.State.ValueKB, spec) {
+		return "its description is too long to be kept"
+	}
+	teams := s.cfg.Cluster.Teams
+	at := slices.IndexFunc(teams, func(team config.Team) bool { return team.Name == spec.Team })
+	if at < 0 {
+		return "unknown team"
+	}
+	if exceedsLimit(&teams[at], spec) {
+		return "more than the team's limit"
+	}
+	zones := s.allowedZones(spec)
+	switch {
+	case zones == 0:
+		return "fits no allowed machine type"
+	case spec.Gang() && spec.Spread && spec.Tasks > 1 && (spec.OneZone || zones < 2):
+		return "its tasks may neither be in one zone nor in several"
+	}
+	return ""
+}
+
+// exceedsLimit says whether a job that is alone in its team needs more than the team's
+// limit at one time.
+func exceedsLimit(team *config.Team, spec *protocol.Job) bool {
+	count := 1.0
+	if spec.Gang() || spec.Service() { // all its tasks run at the same time
+		count = float64(spec.Tasks)
+	}
+	return team.MaxGPUs > 0 && spec.GPUs*count > team.MaxGPUs+cluster.AmountTolerance ||
+		team.MaxCPUs > 0 && spec.CPUs*count > team.MaxCPUs+cluster.AmountTolerance
+}
+
+// allowedZones is how many zones a job may run in that have a machine type that a task of it fits.
+func (s *Service) allowedZones(spec *protocol.Job) int {
+	allowed := map[protocol.ZoneName]bool{}
+	for _, machineType := range s.types {
+		if !machineType.Fits(spec) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				allowed[zone] = true
+			}
+		}
+	}
+	return len(allowed)
+}
--- /dev/null
+++ b/internal/coordination/api/submission.go
@@ -0,0 +1,88 @@
+package api
+
+import (
+	"time"
+
+	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// Submit answers a submission: the job is stored, unless it is known already.
+func (s *Service) Submit(requestID uint64, spec *protocol.Job) {
+	if final, ok := s.finished[spec.ID]; ok {
+		s.replyAccepted(requestID, spec.ID, final.Phase)
+		return
+	}
+	if s.refuseUnserved(requestID, s.mirror.Ready() && len(s.types) > 0) {
+		return
+	}
+	if _, ok := s.mirror.Get(bookkeeping.JobKey(spec.ID)); ok {
+		s.addQuery(statusQuery{requestID: requestID, job: spec.ID, submission: true})
+		return
+	}
+	if reason := s.unrunnableReason(spec); reason != "" {
+		s.refuseUnrunnable(requestID, spec.ID, reason)
+		return
+	}
+	if !s.budgets.TakeUserWrite(s.env.Now()) {
+		if !s.env.ForwardSubmission(requestID, spec) {
+			s.shedLoad(requestID)
+		}
+		return
+	}
+	s.storeSubmission(requestID, spec.ID, s.submissionTxn(spec), s.env.Now().Add(tuning.UserDeadline))
+}
+
+// refuseUnrunnable refuses a job that can never run. It may have been accepted by a
+// peer and be over; only a job that nobody knows is refused.
+func (s *Service) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
+	s.lookUp(requestID, jobID, s.env.Now().Add(tuning.UserDeadline), func(status *protocol.Status) {
+		if status != nil {
+			s.replyAccepted(requestID, jobID, status.Phase)
+			return
+		}
+		s.replies.Unrunnable(requestID, reason)
+	})
+}
+
+// submissionTxn is the transaction that makes a submission durable: the job must be
+// unknown, finished or not.
+func (s *Service) submissionTxn(spec *protocol.Job) []byte {
+	limits := s.cfg.Cluster.State
+	record := bookkeeping.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
+		RecordTasks: bookkeeping.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
+	return bookkeeping.Encode(protocol.Txn{
+		If:   []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
+		Then: []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(record)}},
+	})
+}
+
+// storeSubmission sends it, and again while its answer is lost: it may yet apply, and
+// the same one again finds out.
+func (s *Service) storeSubmission(requestID uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
+	s.store.TransactEncoded(txn, func(result kv.TransactionResult) {
+		switch {
+		case result.Outcome == kv.Done:
+			s.replies.Created(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
+		case result.Outcome == kv.ConditionFailed:
+			s.answerRepeated(requestID, jobID, deadline)
+		case result.Outcome == kv.Unknown && s.env.Now().Before(deadline):
+			s.storeSubmission(requestID, jobID, txn, deadline)
+		default:
+			s.replies.Unavailable(requestID, reasonStoreSilent)
+		}
+	})
+}
+
+// answerRepeated answers the submission of a job that is known already.
+func (s *Service) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
+	s.lookUp(requestID, jobID, deadline, func(status *protocol.Status) {
+		if status == nil {
+			s.replies.Unavailable(requestID, reasonTryAgain)
+			return
+		}
+		s.replyAccepted(requestID, jobID, status.Phase)
+	})
+}
--- /dev/null
+++ b/internal/coordination/api_environment.go
@@ -0,0 +1,39 @@
+package coordination
+
+import (
+	"time"
+
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// apiEnvironment implements api.Environment.
+type apiEnvironment struct{ n *Node }
+
+// Now implements api.Environment.
+func (ae apiEnvironment) Now() time.Time { return ae.n.now }
+
+// UniqueName implements api.Environment.
+func (ae apiEnvironment) UniqueName() string { return ae.n.unique() }
+
+// StoreUnreachable implements api.Environment.
+func (ae apiEnvironment) StoreUnreachable() bool {
+	return ae.n.unanswered && ae.n.now.Sub(ae.n.servedAt) >= tuning.CutOffAfter
+}
+
+// ForwardSubmission implements api.Environment.
+func (ae apiEnvironment) ForwardSubmission(requestID uint64, spec *protocol.Job) bool {
+	return ae.n.forwardToPeer(requestID, submission(spec))
+}
+
+// AnnounceCancellation implements api.Environment: a leader need not wait for its watch, or
+// for the store to serve it again.
+func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancel(jobID) }
+
+// CancellationConfirmed implements api.Environment: this node's own leader may have to be
+// told, for the cancellation may have been read while its watch hangs.
+func (ae apiEnvironment) CancellationConfirmed(jobID protocol.JobID) {
+	if ae.n.lead != nil {
+		ae.n.lead.cancelFromPeer(jobID)
+	}
+}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -6,6 +6,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -32,7 +33,7 @@
 func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Then) }
 
 func (b *batch) fits(ops, conditions, bytes int) bool {
-	return b.remainingChanges() >= ops && len(b.txn.If)+conditions <= conditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.TxnBytes
+	return b.remainingChanges() >= ops && len(b.txn.If)+conditions <= kv.ConditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.TxnBytes
 }
 
 func (b *batch) guard(key string, revision protocol.Revision) {
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -234,7 +234,7 @@
 	job.Finished = true
 	clear(job.Write.Dirty)
 	delete(l.cluster.Jobs, job.ID)
-	l.n.cacheFinal(job.ID, f)
+	l.n.api.JobFinished(job.ID, f)
 	for r := 1; r < len(job.Records.Revisions); r++ {
 		if job.Records.Revisions[r] != 0 {
 			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -45,9 +45,7 @@
 			by(box.sendAt)
 		}
 	}
-	if len(n.polls) > 0 {
-		by(n.pollAt)
-	}
+	n.api.Due(by)
 	if n.mayAct() {
 		n.lead.due(by)
 	}
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -54,7 +54,7 @@
 // the moment after it last knew must have taken effect by then.
 func (n *Node) authority() time.Duration {
 	w := n.cfg.Cluster.Workers
-	bound := config.Seconds(w.CancelS) - withDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - config.WithClockDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
 	return min(n.leaseTTL()+n.grace(), max(bound, 0))
 }
 
@@ -66,11 +66,6 @@
 	return n.lease.renewedAt
 }
 
-// withDrift stretches a span by the largest disagreement of two clocks.
-func withDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*tuning.ClockDrift)
-}
-
 // leaseObserved notes the leader lease as it now stands.
 func (n *Node) leaseObserved(value json.RawMessage, revision protocol.Revision) {
 	var c bookkeeping.LeaderLease
--- a/internal/coordination/forwarding.go
+++ b/internal/coordination/forwarding.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -53,6 +54,11 @@
 	return n.sendTo(r.Target, r)
 }
 
+// submission is a submission on its way to a peer.
+func submission(spec *protocol.Job) protocol.PeerRequest {
+	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
+}
+
 // handleForwarded answers a user's request that a peer sent on.
 func (n *Node) handleForwarded(m protocol.PeerRequest) {
 	n.nextID++
@@ -62,15 +68,15 @@
 	case verbSubmit:
 		spec, err := protocol.ParseJob(m.Body)
 		if err != nil {
-			n.replyMalformed(id, err.Error())
+			userReplies{n}.Malformed(id, err.Error())
 			return
 		}
-		n.submit(id, spec)
+		n.api.Submit(id, spec)
 	case verbQuery:
-		n.query(id, m.Job)
+		n.api.Query(id, m.Job)
 	case verbCancel:
-		n.cancel(id, m.Job)
+		n.api.Cancel(id, m.Job)
 	default:
-		n.refuse(id, "unknown request")
+		userReplies{n}.Unavailable(id, "unknown request")
 	}
 }
--- a/internal/coordination/kv/kv.go
+++ b/internal/coordination/kv/kv.go
@@ -83,6 +83,10 @@
 	CallStore(call Call, done func(status int, body []byte))
 }
 
+// ConditionsPerChange is how many conditions a transaction may have for each change that it
+// may have.
+const ConditionsPerChange = 4
+
 // Client makes calls to the store. Each is answered by one call of done.
 type Client struct{ transport Transport }
 
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -17,7 +17,7 @@
 	if machine.Agent.AnsweredAt.After(from) {
 		from = machine.Agent.AnsweredAt
 	}
-	return from.Add(withDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + withDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
+	return from.Add(config.WithClockDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + config.WithClockDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
 }
 
 // tickMachines looks for workers that are silent, lapsed or dead.
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -20,6 +20,7 @@
 // TakeMetrics returns the counters and forgets the observations.
 func (n *Node) TakeMetrics() Metrics {
 	m := n.metrics
+	m.Sheds = n.api.Shed()
 	n.metrics.CommitSeconds, n.metrics.WaitSeconds = nil, nil
 	if n.lead != nil {
 		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -138,7 +138,7 @@
 	}
 	pause := tuning.WatchPause // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.requestPause(pause, tuning.WatchShare)
+		pause = n.cfg.Cluster.Resources.RequestPause(pause, tuning.WatchShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
@@ -149,12 +149,6 @@
 	return strings.HasPrefix(bookkeeping.Writer(value), n.boot+"-")
 }
 
-// requestPause is the pause before a request that can wait, longer the smaller the
-// share of a core is.
-func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
-	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.RequestCost, share), tuning.RequestPause))
-}
-
 // mirrorLoaded looks at the leader lease after a full load.
 func (n *Node) mirrorLoaded() {
 	if e, ok := n.mirror.Get(bookkeeping.TypesKey); ok && len(n.types) == 0 {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,6 +13,7 @@
 
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/api"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
@@ -26,10 +27,8 @@
 	rng  *rand.Rand
 	boot string
 
-	began            time.Time                    // of this life
-	confirmedCancels map[protocol.JobID]time.Time // cancellations that users were told of, and since when
-	expireCancelsAt  int                          // how many of them are kept before old ones are dropped
-	confirmation     peerConfirmation
+	began        time.Time // of this life
+	confirmation peerConfirmation
 
 	now     time.Time
 	out     []Action
@@ -56,9 +55,7 @@
 	unanswered        bool // it did not answer the last request
 	limitsLowered     bool // it has refused what its limits used to allow
 
-	finals map[protocol.JobID]bookkeeping.Final
-	polls  []poll
-	pollAt time.Time
+	api *api.Service
 
 	timers []timer
 
@@ -84,17 +81,15 @@
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
 		cfg: cfg, log: log, boot: boot,
-		rng:              rand.New(rand.NewPCG(seed, 1)),
-		pending:          map[uint64]func(int, []byte){},
-		types:            map[protocol.MachineTypeName]*protocol.MachineType{},
-		finals:           map[protocol.JobID]bookkeeping.Final{},
-		confirmedCancels: map[protocol.JobID]time.Time{},
-		peers:            map[protocol.NodeName]*peer{},
-		forwarded:        map[uint64]forwardedRequest{},
-		received:         map[uint64]receivedRequest{},
-		delegated:        map[uint64]delegatedCall{},
-		contacts:         map[protocol.MachineID]contact{},
-		outboxes:         map[protocol.NodeName]*outbox{},
+		rng:       rand.New(rand.NewPCG(seed, 1)),
+		pending:   map[uint64]func(int, []byte){},
+		types:     map[protocol.MachineTypeName]*protocol.MachineType{},
+		peers:     map[protocol.NodeName]*peer{},
+		forwarded: map[uint64]forwardedRequest{},
+		received:  map[uint64]receivedRequest{},
+		delegated: map[uint64]delegatedCall{},
+		contacts:  map[protocol.MachineID]contact{},
+		outboxes:  map[protocol.NodeName]*outbox{},
 	}
 	n.store = kv.New(n)
 	n.names = []protocol.NodeName{cfg.Name}
@@ -109,6 +104,7 @@
 		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.RedirectsAtOnce)
 	}
 	n.budgets = newStoreBudgets(cfg)
+	n.api = api.New(cfg, n.types, &n.mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
 	// Answers name the request by its number and may come late, after the process
 	// has ended and begun again: numbers of different lives must not meet.
 	n.nextID = n.rng.Uint64() >> 24
@@ -144,15 +140,15 @@
 		}
 	case Submit:
 		if !n.forwardIfUnserved(e.ID, submission(e.Job)) {
-			n.submit(e.ID, e.Job)
+			n.api.Submit(e.ID, e.Job)
 		}
 	case Query:
 		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbQuery, Job: e.Job}) {
-			n.query(e.ID, e.Job)
+			n.api.Query(e.ID, e.Job)
 		}
 	case Cancel:
 		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbCancel, Job: e.Job}) {
-			n.cancel(e.ID, e.Job)
+			n.api.Cancel(e.ID, e.Job)
 		}
 	case WorkerReport:
 		n.routeReport(e.ID, e.Report)
@@ -176,7 +172,7 @@
 	if n.mayAct() {
 		n.lead.tick()
 	}
-	n.flushPolls()
+	n.api.CheckQueries()
 	n.startLeading() // at the end: what it leads to is done in the next step
 }
 
--- a/internal/coordination/peer_confirmation.go
+++ b/internal/coordination/peer_confirmation.go
@@ -1,10 +1,8 @@
 package coordination
 
 import (
-	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -25,37 +23,6 @@
 	confirmedAt time.Time                  // when the last question that all answered was sent
 }
 
-// noteCancel keeps note of a cancellation that a user is being told of.
-func (n *Node) noteCancel(jobID protocol.JobID) {
-	if n.lead != nil {
-		n.lead.cancelFromPeer(jobID) // it may have read that while its watch hangs
-	}
-	if _, known := n.confirmedCancels[jobID]; known {
-		return
-	}
-	if len(n.confirmedCancels) >= n.expireCancelsAt {
-		n.expireConfirmedCancels()
-		n.expireCancelsAt = max(tuning.CancelsKept, 2*len(n.confirmedCancels))
-	}
-	n.confirmedCancels[jobID] = n.now
-}
-
-// expireConfirmedCancels drops the cancellations that have taken effect.
-func (n *Node) expireConfirmedCancels() {
-	for jobID, at := range n.confirmedCancels {
-		if n.now.Sub(at) > withDrift(config.Seconds(n.cfg.Cluster.Workers.CancelS)) {
-			delete(n.confirmedCancels, jobID)
-		}
-	}
-}
-
-// noteIfCancelled keeps note of a job that a user is told is cancelled.
-func (n *Node) noteIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
-	if phase == protocol.PhaseCancelled {
-		n.noteCancel(jobID)
-	}
-}
-
 // requestConfirmation asks the peers while renewals fail.
 func (n *Node) requestConfirmation() {
 	v := &n.confirmation
@@ -73,12 +40,8 @@
 
 // confirm answers a leader's question.
 func (n *Node) confirm(from protocol.NodeName, ask protocol.PeerConfirmRequest) {
-	m := protocol.PeerConfirm{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds())}
-	n.expireConfirmedCancels()
-	for jobID := range n.confirmedCancels {
-		m.Cancels = append(m.Cancels, jobID)
-	}
-	slices.Sort(m.Cancels)
+	m := protocol.PeerConfirm{ID: ask.ID, Term: n.lease.term, UpMs: uint64(n.now.Sub(n.began).Milliseconds()),
+		Cancels: n.api.ConfirmedCancellations()}
 	if m.Complete = m.FitsFrame(); !m.Complete {
 		m.Cancels = nil
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -83,7 +83,7 @@
 		for _, id := range slices.Sorted(maps.Keys(n.forwarded)) {
 			if c := n.forwarded[id]; n.now.After(c.expire) {
 				delete(n.forwarded, id)
-				n.refuse(c.reply, "leader does not answer")
+				userReplies{n}.Unavailable(c.reply, "leader does not answer")
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(n.delegated)) {
@@ -198,7 +198,7 @@
 			d.done(int(m.Status), m.Body)
 		} else if c, ok := n.forwarded[m.ID]; ok {
 			delete(n.forwarded, m.ID)
-			n.replyForwarded(c.reply, m)
+			userReplies{n}.Forwarded(c.reply, m)
 		}
 	}
 }
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -9,60 +9,58 @@
 )
 
 // The replies to users and agents, and the HTTP statuses that stand for them, which are
-// named nowhere else in this package. Replies of users' requests are methods of the node
-// by the request's number; each request gets one.
+// named nowhere else in this package.
 
-// replyCreated tells a user that a job was new and is stored.
-func (n *Node) replyCreated(id uint64, accepted protocol.Accepted) {
-	n.replyAcceptedAs(id, http.StatusCreated, accepted)
-}
+// userReplies implements api.Replies.
+type userReplies struct{ n *Node }
 
-// replyAccepted tells a user that a submission or a cancellation stands.
-func (n *Node) replyAccepted(id uint64, accepted protocol.Accepted) {
-	n.replyAcceptedAs(id, http.StatusOK, accepted)
+// Created implements api.Replies.
+func (ur userReplies) Created(requestID uint64, accepted protocol.Accepted) {
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusCreated, Body: bookkeeping.Encode(accepted)})
 }
 
-func (n *Node) replyAcceptedAs(id uint64, status int, accepted protocol.Accepted) {
-	n.noteIfCancelled(accepted.ID, accepted.Phase)
-	n.answer(Reply{ID: id, Status: status, Body: bookkeeping.Encode(accepted)})
+// Accepted implements api.Replies.
+func (ur userReplies) Accepted(requestID uint64, accepted protocol.Accepted) {
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: bookkeeping.Encode(accepted)})
 }
 
-// replyStatus tells a user the state of a job.
-func (n *Node) replyStatus(id uint64, status protocol.Status) {
-	n.noteIfCancelled(status.ID, status.Phase)
-	n.answer(Reply{ID: id, Status: http.StatusOK, Body: bookkeeping.Encode(status)})
+// Status implements api.Replies.
+func (ur userReplies) Status(requestID uint64, status protocol.Status) {
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: bookkeeping.Encode(status)})
 }
 
-// replyUnknownJob tells a user that there is no such job.
-func (n *Node) replyUnknownJob(id uint64) { n.replyError(id, http.StatusNotFound, "no such job") }
-
-// replyMalformed refuses a request that cannot be read.
-func (n *Node) replyMalformed(id uint64, reason string) {
-	n.replyError(id, http.StatusBadRequest, reason)
+// UnknownJob implements api.Replies.
+func (ur userReplies) UnknownJob(requestID uint64) {
+	ur.fail(requestID, http.StatusNotFound, "no such job")
 }
 
-// replyUnrunnable refuses a job that can never run.
-func (n *Node) replyUnrunnable(id uint64, reason string) {
-	n.replyError(id, http.StatusUnprocessableEntity, reason)
+// Unrunnable implements api.Replies.
+func (ur userReplies) Unrunnable(requestID uint64, reason string) {
+	ur.fail(requestID, http.StatusUnprocessableEntity, reason)
 }
 
-func (n *Node) replyError(id uint64, status int, reason string) {
-	n.answer(Reply{ID: id, Status: status, Body: bookkeeping.Encode(protocol.ErrorBody{Error: reason})})
+// Malformed refuses a request that cannot be read.
+func (ur userReplies) Malformed(requestID uint64, reason string) {
+	ur.fail(requestID, http.StatusBadRequest, reason)
 }
 
-// refuse answers at once that the request cannot be taken now.
-func (n *Node) refuse(id uint64, reason string) {
-	n.answer(Reply{ID: id, Status: http.StatusServiceUnavailable,
+// Unavailable implements api.Replies.
+func (ur userReplies) Unavailable(requestID uint64, reason string) {
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
 		Body: bookkeeping.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
 }
 
-// replyForwarded passes on what a peer answered to a forwarded request.
-func (n *Node) replyForwarded(id uint64, answer protocol.PeerAnswer) {
-	reply := Reply{ID: id, Status: int(answer.Status), Body: answer.Body}
+// Forwarded passes on what a peer answered to a forwarded request.
+func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerAnswer) {
+	reply := Reply{ID: requestID, Status: int(answer.Status), Body: answer.Body}
 	if reply.Status == http.StatusServiceUnavailable {
 		reply.RetryAfter = time.Second
 	}
-	n.answer(reply)
+	ur.n.answer(reply)
+}
+
+func (ur userReplies) fail(requestID uint64, status int, reason string) {
+	ur.n.answer(Reply{ID: requestID, Status: status, Body: bookkeeping.Encode(protocol.ErrorBody{Error: reason})})
 }
 
 // heartbeatReply answers an agent's heartbeat: with commands, a redirect or a refusal.
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -74,7 +74,9 @@
 	l.n.peers["p"] = &peer{}
 	tell := func(from, to int) protocol.PeerConfirm {
 		for i := from; i < to; i++ {
-			l.n.noteCancel(protocol.JobID(fmt.Sprintf("run-%06d", i)))
+			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
+			l.n.api.JobFinished(jobID, bookkeeping.Final{Phase: protocol.PhaseCancelled})
+			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
 		l.n.confirm("p", protocol.PeerConfirmRequest{ID: 1})
