--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -37,8 +37,8 @@
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/bookkeeping", "internal/config", "internal/coordination/api", "internal/coordination/autoscaler",
-		"internal/coordination/cluster", "internal/coordination/kv", "internal/coordination/scheduler",
-		"internal/protocol", "internal/recovery", "internal/tuning"}},
+		"internal/coordination/cluster", "internal/coordination/election", "internal/coordination/kv",
+		"internal/coordination/scheduler", "internal/protocol", "internal/recovery", "internal/tuning"}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/api": {pure: true, imports: []string{
 		"internal/bookkeeping", "internal/config", "internal/coordination/cluster", "internal/coordination/kv",
@@ -46,6 +46,8 @@
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
+	"internal/coordination/election": {pure: true, imports: []string{
+		"internal/bookkeeping", "internal/config", "internal/coordination/kv", "internal/protocol", "internal/tuning"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -50,7 +50,7 @@
 	for i := range b.N {
 		machine := bodies[i%len(bodies)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
-			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.lease.term)
+			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.election.Term())
 		for k, attempt := range cluster.SortedAttemptsOn(machine) {
 			if k > 0 {
 				body = append(body, ',')
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -41,7 +41,7 @@
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
 	b := &batch{l: l, tx: tx, guarded: map[*cluster.MachineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
-	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.lease.term))
+	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.election.Term()))
 	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
@@ -254,7 +254,7 @@
 	l.n.metrics.CommitConflicts++
 	for _, k := range failed {
 		if k == bookkeeping.LeaderKey {
-			l.n.stepDown("leader lease is no longer ours")
+			l.n.election.StepDown("leader lease is no longer ours")
 			return
 		}
 	}
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -35,7 +35,7 @@
 		by(n.askedAt.Add(tuning.StateProbe))
 	}
 	by(n.typesAt)
-	n.leaseDue(by)
+	n.election.Due(by)
 	by(n.beatAt)
 	if len(n.forwarded)+len(n.queuedReports)+len(n.delegated) > 0 {
 		by(n.expireAt)
@@ -52,26 +52,6 @@
 	return max(due.Sub(n.now), tuning.Tick)
 }
 
-// leaseDue tells when the leader lease is to be renewed, given up or tried for.
-func (n *Node) leaseDue(by func(time.Time)) {
-	c := &n.lease
-	switch {
-	case c.term == 0:
-		if n.mayAcquireLease() {
-			by(c.retryAt)
-		}
-	case !c.renewing:
-		by(c.renewAt)
-		fallthrough
-	default:
-		if n.confirmedByPeers() {
-			by(n.confirmation.confirmedAt.Add(min(n.grace(), n.authority())))
-		} else {
-			by(n.authorityStart().Add(n.authority()))
-		}
-	}
-}
-
 // due tells when the leader has something to look after.
 func (l *leader) due(by func(time.Time)) {
 	by(l.watchAt)
--- /dev/null
+++ b/internal/coordination/election/election_test.go
@@ -0,0 +1,228 @@
+package election
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// controller is an election's surroundings: its calls wait to be answered.
+type controller struct {
+	*Election
+	now       time.Time
+	synced    time.Time
+	peerCount int
+	requests  uint64 // for confirmation
+	revisions int    // fetched
+	leading   bool
+	cancelled []protocol.JobID
+	calls     []pendingCall
+}
+
+type pendingCall struct {
+	kv.Call
+	done func(status int, body []byte)
+}
+
+const testLease protocol.LeaseID = 5
+
+// newController makes an election on so much of a core, with so many peers.
+func newController(t *testing.T, cores float64, peers int) *controller {
+	t.Helper()
+	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
+	cfg.Cluster.Workers = config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}
+	cfg.Cluster.Resources.Cores = cores
+	c := &controller{now: time.Unix(1_800_000_000, 0), peerCount: peers}
+	c.Election = New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)), kv.New(c), c, c, c)
+	return c
+}
+
+func (c *controller) CallStore(call kv.Call, done func(status int, body []byte)) {
+	c.calls = append(c.calls, pendingCall{call, done})
+}
+func (c *controller) Now() time.Time          { return c.now }
+func (c *controller) UniqueName() string      { return "n-1" }
+func (c *controller) Leading() bool           { return c.leading }
+func (c *controller) SteppedDown()            { c.leading = false }
+func (c *controller) Ready() bool             { return true }
+func (c *controller) SyncedAt() time.Time     { return c.synced }
+func (c *controller) MarkSynced(at time.Time) { c.synced = at }
+func (c *controller) FetchRevision()          { c.revisions++ }
+func (c *controller) Count() int              { return c.peerCount }
+func (c *controller) RequestConfirmation() uint64 {
+	c.requests++
+	return c.requests
+}
+func (c *controller) CancellationConfirmed(jobID protocol.JobID) {
+	c.cancelled = append(c.cancelled, jobID)
+}
+
+// answer answers the only call under way.
+func (c *controller) answer(t *testing.T, path string, status int, body any) {
+	t.Helper()
+	if len(c.calls) != 1 || c.calls[0].Path != path {
+		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
+	}
+	call := c.calls[0]
+	c.calls = nil
+	call.done(status, bookkeeping.Encode(body))
+}
+
+// elect has the controller win and renew the leader lease, and lead.
+func (c *controller) elect(t *testing.T) {
+	t.Helper()
+	c.synced = c.now
+	c.Tick()
+	c.answer(t, protocol.PathLeases, http.StatusOK, protocol.LeaseAnswer{Lease: testLease})
+	c.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
+	c.answer(t, protocol.PathTxn, http.StatusOK, protocol.TxnAnswer{Revision: 9})
+	if c.Term() != 9 || c.MayAct() || c.MayTakeOver() {
+		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
+	}
+	c.Tick()
+	c.answer(t, protocol.RenewPath(testLease), http.StatusOK, nil)
+	if !c.MayAct() || !c.MayTakeOver() {
+		t.Fatal("may not act though the leader lease was renewed")
+	}
+	c.leading = true
+}
+
+// TestAuthorityIsBounded: whatever the share of a core, a leader lease that outlives its last
+// renewal for longer takes it from the grace: what a leader that was cut off kept
+// alive is gone within the time that a cancellation may take.
+func TestAuthorityIsBounded(t *testing.T) {
+	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
+		c := newController(t, cores, 0)
+		w := c.cfg.Cluster.Workers
+		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
+			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
+		}
+		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.TakeoverMost {
+			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
+		}
+	}
+}
+
+// TestAuthorityEndsWithoutRenewal: a leader that cannot renew its leader lease, or that can
+// but no longer learns of cancellations, steps down when its authority ends, not earlier.
+func TestAuthorityEndsWithoutRenewal(t *testing.T) {
+	for name, renewed := range map[string]bool{"not renewed": false, "not synced": true} {
+		c := newController(t, 0, 0)
+		c.elect(t)
+		start := c.now
+		for c.HasAuthority() && c.now.Sub(start) < time.Hour {
+			c.now = c.now.Add(tuning.Tick)
+			if renewed {
+				c.Renewed(c.now)
+			} else {
+				c.synced = c.now
+			}
+		}
+		if lasted := c.now.Sub(start); lasted < c.authority() || lasted > c.authority()+2*tuning.Tick {
+			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.authority())
+		}
+		c.Tick()
+		if c.Term() != 0 || c.leading {
+			t.Errorf("%s: still leads", name)
+		}
+	}
+}
+
+// TestProcessPauseNeedsRenewal: after a pause a leader does nothing before a renewal that was
+// sent since; one sent before proves nothing.
+func TestProcessPauseNeedsRenewal(t *testing.T) {
+	c := newController(t, 0, 0)
+	c.elect(t)
+	c.now = c.now.Add(tuning.LeaderLeaseRenew)
+	c.Tick()
+	before := c.calls[0]
+	c.calls = nil
+	c.now = c.now.Add(5 * time.Second)
+	c.ProcessPaused(5 * time.Second)
+	before.done(http.StatusOK, nil)
+	if c.MayAct() || c.Confirmed() || !c.HasAuthority() {
+		t.Fatal("a renewal sent before the pause counts")
+	}
+	c.ProcessPaused(0)
+	c.Tick()
+	c.answer(t, protocol.RenewPath(testLease), http.StatusOK, nil)
+	if !c.MayAct() {
+		t.Error("may not act after the renewal")
+	}
+	c.now = c.now.Add(c.TTL() + c.Grace() + time.Second)
+	c.ProcessPaused(time.Minute)
+	if c.Term() != 0 || c.leading {
+		t.Error("leads on a leader lease that has expired")
+	}
+}
+
+// TestAllPeersConfirmAuthority: while renewals fail the confirmation of every peer extends a
+// leader's authority, and the cancellations that they name are taken; one that has not
+// answered, leads, or has started since the leader last knew all cancellations ends that.
+func TestAllPeersConfirmAuthority(t *testing.T) {
+	hour := uint64(time.Hour.Milliseconds())
+	for name, test := range map[string]struct {
+		second protocol.PeerConfirm
+		want   bool
+	}{
+		"all confirm":    {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true}, true},
+		"an old answer":  {protocol.PeerConfirm{ID: 0, UpMs: hour, Complete: true}, false},
+		"not all named":  {protocol.PeerConfirm{ID: 1, UpMs: hour}, false},
+		"just started":   {protocol.PeerConfirm{ID: 1, UpMs: 1, Complete: true}, false},
+		"a lower term":   {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
+		"another leader": {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
+	} {
+		c := newController(t, 0, 2)
+		c.elect(t)
+		c.now = c.now.Add(tuning.ConfirmAfter)
+		c.Tick()
+		asked := c.now
+		c.now = c.now.Add(time.Millisecond)
+		c.ReceiveConfirmation("a", protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
+		if c.confirmedByPeers() {
+			t.Fatalf("%s: confirmed by one of two", name)
+		}
+		c.ReceiveConfirmation("b", test.second)
+		if got := c.confirmedByPeers(); got != test.want || got != c.synced.Equal(asked) {
+			t.Errorf("%s: confirmed %v, synced at %v", name, got, c.synced)
+		}
+		if !slices.Equal(c.cancelled, []protocol.JobID{"run-000001"}) {
+			t.Errorf("%s: cancellations %v", name, c.cancelled)
+		}
+		if leads := c.Term() != 0; leads != (test.second.Term <= 9) {
+			t.Errorf("%s: leads %v", name, leads)
+		}
+	}
+}
+
+// TestLeaderStepsDownForHigherTerm: a leader lease of a later revision is a successor's.
+func TestLeaderStepsDownForHigherTerm(t *testing.T) {
+	c := newController(t, 0, 0)
+	c.elect(t)
+	c.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "other"}), 12)
+	if c.Term() != 0 || c.leading || c.Holder() != "other" || c.HolderTerm() != 12 {
+		t.Errorf("term %d, holder %s of term %d", c.Term(), c.Holder(), c.HolderTerm())
+	}
+	c.now = c.now.Add(time.Minute)
+	c.Tick()
+	if len(c.calls) > 0 {
+		t.Error("tries for a leader lease that another holds")
+	}
+	c.ObserveRelease()
+	var due time.Time
+	c.Due(func(at time.Time) { due = at })
+	c.now = due
+	c.Tick()
+	if len(c.calls) != 1 || c.calls[0].Path != protocol.PathLeases {
+		t.Errorf("calls %+v, want one for a lease", c.calls)
+	}
+}
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -56,11 +56,11 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
 	job, _ := l.recorded(machine)
-	l.testReport(machine, l.n.lease.term-1)
+	l.testReport(machine, l.n.election.Term()-1)
 	if len(job.Attempts) != 1 {
 		t.Fatal("gone by a report that has not seen the token")
 	}
-	l.testReport(machine, l.n.lease.term)
+	l.testReport(machine, l.n.election.Term())
 	if len(job.Attempts) != 0 {
 		t.Error("still there after a report that has")
 	}
@@ -72,10 +72,10 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
 	l.recorded(machine)
-	if got := ops(l.testReport(machine, l.n.lease.term-1)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term()-1)); got != "" {
 		t.Errorf("orders %s", got)
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %s", got)
 	}
 }
@@ -93,17 +93,17 @@
 	l.direct(machine, l.orders(machine, false))
 	r := l.n.lastRequest(t, ToWorker)
 	l.n.handle(Response{ID: r.ID})
-	l.testReport(machine, l.n.lease.term)
-	l.testReport(machine, l.n.lease.term)
+	l.testReport(machine, l.n.election.Term())
+	l.testReport(machine, l.n.election.Term())
 	if len(job.Attempts) != 1 {
 		t.Fatal("gone while its start may be on its way")
 	}
 	l.Stop(attempt, 0)
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start halt " {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
 	exited := protocol.TaskReport{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
-	if got := ops(l.testReport(machine, l.n.lease.term, exited)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term(), exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
 	if len(job.Attempts) != 0 {
@@ -121,14 +121,14 @@
 	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	at := func(d time.Duration) {
 		l.n.now = start.Add(d)
-		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
+		l.n.keepAuthority()
 		l.tickMachines()
 	}
-	at(lease + l.n.grace() - time.Second)
+	at(lease + l.n.election.Grace() - time.Second)
 	if len(job.Attempts) != 1 {
 		t.Fatal("presumed gone within the predecessor's grace")
 	}
-	at(lease + l.n.grace() + 3*time.Second)
+	at(lease + l.n.election.Grace() + 3*time.Second)
 	if len(job.Attempts) != 0 {
 		t.Error("not gone after grace and lease")
 	}
@@ -155,7 +155,7 @@
 	if !place(l, job) {
 		t.Fatal("not placed")
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.commitNext()
@@ -165,23 +165,23 @@
 	for _, c := range txn.If {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.lease.term), bookkeeping.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
+	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.election.Term()), bookkeeping.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToWorker); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
 	l.n.now = l.n.now.Add(tuning.OrderOnWay)
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start start " {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
 }
@@ -272,7 +272,7 @@
 	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
 	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
-	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
+	l.n.keepAuthority()
 	l.commitNext()
 	var txn protocol.Txn
 	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
@@ -57,7 +56,7 @@
 			case ok && r.To == ToWorker:
 				calls++
 				open[r.ID] = n.now
-			case ok && r.Path == protocol.RenewPath(n.lease.leaseID):
+			case ok && r.Path == protocol.RenewPath(testLease):
 				renewals++
 				n.pending[r.ID](200, nil)
 			}
@@ -152,7 +151,7 @@
 	machine := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
 		machine.Agent.Sequence++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, Token: n.lease.term}}
+		return WorkerReport{ID: id, Report: &protocol.Report{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, Token: n.election.Term()}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -182,13 +181,13 @@
 	if len(job.Attempts) > 0 {
 		t.Errorf("%d tasks placed", len(job.Attempts))
 	}
-	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(n.lease.leaseID))
+	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(testLease))
 	if renewals != 1 {
 		t.Fatalf("%d renewals", renewals)
 	}
 	renew := Request{}
 	for _, a := range out {
-		if r, ok := a.(Request); ok && r.Path == protocol.RenewPath(n.lease.leaseID) {
+		if r, ok := a.(Request); ok && r.Path == protocol.RenewPath(testLease) {
 			renew = r
 		}
 	}
@@ -196,7 +195,7 @@
 	if got := status(out, 2); got != 200 || !n.mayAct() {
 		t.Errorf("after the renewal a report is answered %d", got)
 	}
-	n.Step(n.now.Add(n.leaseTTL()+n.grace()+time.Second), nil)
+	n.Step(n.now.Add(n.election.TTL()+n.election.Grace()+time.Second), nil)
 	if n.Leading() {
 		t.Error("leads on a claim that has lapsed")
 	}
@@ -208,17 +207,17 @@
 func TestCarriedWorkerIsSentAgain(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	n.stepDown("a test")
+	n.election.StepDown("a test")
 	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
 	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
+		n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
 	send := func(after time.Duration) string {
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
 		}
 		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
@@ -259,10 +258,10 @@
 func TestRenewedBeforeTakeover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	n.stepDown("a test")
+	n.election.StepDown("a test")
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 1})
-	n.lease.holder, n.lease.revision = "", 0
+	n.election.ObserveRelease()
 	n.now = n.now.Add(time.Second)
 	request := func(out []Action, path string) Request {
 		t.Helper()
@@ -278,7 +277,7 @@
 	grant := request(out, protocol.PathLeases)
 	out = n.Step(n.now, []Event{Response{ID: grant.ID, Status: 200, Body: []byte(`{"permit":5}`)}})
 	claim := request(out, protocol.PathTxn)
-	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
+	n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
@@ -304,20 +303,3 @@
 		t.Error("the report that waited has no answer")
 	}
 }
-
-// TestAuthorityBound: whatever the share of a core, a leader lease that outlives its last
-// renewal for longer takes it from the grace: what a leader that was cut off kept
-// alive is gone within the time that a cancellation may take.
-func TestAuthorityBound(t *testing.T) {
-	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
-		l := testLeader(time.Unix(1_800_000_000, 0))
-		l.n.cfg.Cluster.Resources.Cores = cores
-		w := l.n.cfg.Cluster.Workers
-		if got, most := l.n.leaseTTL()+l.n.grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
-			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
-		}
-		if ttl := l.n.leaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.TakeoverMost {
-			t.Errorf("%v of a core: a claim of %v", cores, ttl)
-		}
-	}
-}
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -13,11 +13,11 @@
 // never answered may have been answered by its predecessor for the whole of
 // the predecessor's grace.
 func (l *leader) lapseAt(machine *cluster.Machine) time.Time {
-	from := l.cluster.LeadingSince.Add(l.n.grace())
+	from := l.cluster.LeadingSince.Add(l.n.election.Grace())
 	if machine.Agent.AnsweredAt.After(from) {
 		from = machine.Agent.AnsweredAt
 	}
-	return from.Add(config.WithClockDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + config.WithClockDrift(l.n.grace()) - l.n.grace() + tuning.LapseMargin)
+	return from.Add(config.WithClockDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + config.WithClockDrift(l.n.election.Grace()) - l.n.election.Grace() + tuning.LapseMargin)
 }
 
 // tickMachines looks for workers that are silent, lapsed or dead.
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -61,7 +61,7 @@
 		return
 	}
 	n.store.Transact(protocol.Txn{
-		If:   []protocol.Condition{n.leads()},
+		If:   []protocol.Condition{n.election.Condition()},
 		Then: []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
 	}, func(kv.TransactionResult) {})
 }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -24,7 +24,7 @@
 	n.metrics.CommitSeconds, n.metrics.WaitSeconds = nil, nil
 	if n.lead != nil {
 		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting
-		m.Term = n.lease.term
+		m.Term = n.election.Term()
 		m.Now, m.Recovery = n.now, n.lead.recovery.Summary()
 	}
 	return m
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -62,7 +62,7 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{n.leads()}}
+	txn := protocol.Txn{If: []protocol.Condition{n.election.Condition()}}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
 		if answered && !result.Malformed && result.Revision != 0 {
@@ -108,7 +108,7 @@
 	case result.Outcome == kv.Compacted:
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
-		n.stepDown("watch too old")
+		n.election.StepDown("watch too old")
 		n.mirror = bookkeeping.Mirror{}
 		return
 	case result.Outcome != kv.Done || result.Malformed:
@@ -118,7 +118,7 @@
 	if w.Revision < after {
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
-		n.stepDown("state service has gone back")
+		n.election.StepDown("state service has gone back")
 		n.mirror, n.awaited = bookkeeping.Mirror{}, observedRevision{}
 		return
 	}
@@ -158,10 +158,10 @@
 	}
 	e, ok := n.mirror.Get(bookkeeping.LeaderKey)
 	if !ok {
-		n.leaseReleased()
+		n.election.ObserveRelease()
 		return
 	}
-	n.leaseObserved(e.Value, e.Revision)
+	n.election.ObserveLease(e.Value, e.Revision)
 }
 
 // changed passes on one change that the mirror took.
@@ -169,9 +169,9 @@
 	key := ev.Set + ev.Delete
 	if key == bookkeeping.LeaderKey {
 		if ev.Set == "" {
-			n.leaseReleased()
+			n.election.ObserveRelease()
 		} else {
-			n.leaseObserved(ev.Value, ev.Revision)
+			n.election.ObserveLease(ev.Value, ev.Revision)
 		}
 		return
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -14,6 +14,7 @@
 	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/api"
+	"github.com/gappond/gappond/internal/coordination/election"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
@@ -27,8 +28,7 @@
 	rng  *rand.Rand
 	boot string
 
-	began        time.Time // of this life
-	confirmation peerConfirmation
+	began time.Time // of this life
 
 	now     time.Time
 	out     []Action
@@ -59,8 +59,8 @@
 
 	timers []timer
 
-	lease leaderLease
-	lead  *leader
+	election *election.Election
+	lead     *leader
 
 	names           []protocol.NodeName // of all controllers, in order
 	peers           map[protocol.NodeName]*peer
@@ -105,12 +105,17 @@
 	}
 	n.budgets = newStoreBudgets(cfg)
 	n.api = api.New(cfg, n.types, &n.mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
+	around := electionEnvironment{n}
+	n.election = election.New(cfg, log, n.rng, n.store, around, around, around)
 	// Answers name the request by its number and may come late, after the process
 	// has ended and begun again: numbers of different lives must not meet.
 	n.nextID = n.rng.Uint64() >> 24
 	return n
 }
 
+// mayAct says whether the node may command agents and write records now.
+func (n *Node) mayAct() bool { return n.lead != nil && n.election.MayAct() }
+
 // Leading says whether the node leads.
 func (n *Node) Leading() bool { return n.lead != nil }
 
@@ -122,7 +127,7 @@
 	}
 	n.now, n.out = now, nil
 	if gap >= tuning.ProcessPause {
-		n.resume(gap)
+		n.election.ProcessPaused(gap)
 	}
 	for _, e := range events {
 		n.handle(e)
@@ -166,14 +171,16 @@
 	n.tickMirror()
 	n.tickState()
 	n.tickTypes()
-	n.tickElection()
+	n.election.Tick()
 	n.tickPeers()
 	n.flushOutboxes()
 	if n.mayAct() {
 		n.lead.tick()
 	}
 	n.api.CheckQueries()
-	n.startLeading() // at the end: what it leads to is done in the next step
+	if n.lead == nil && n.election.MayTakeOver() {
+		n.takeOver() // at the end: what it leads to is done in the next step
+	}
 }
 
 // Ready says whether the node can take requests. An outage of the state
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -163,7 +163,7 @@
 		}
 	}
 	machine.Delivery.InFlight = true
-	body := protocol.Orders{Token: l.n.lease.term, Incarnation: machine.Agent.Incarnation, Commands: cmds}
+	body := protocol.Orders{Token: l.n.election.Term(), Incarnation: machine.Agent.Incarnation, Commands: cmds}
 	l.call(machine, "POST", protocol.PathOrders, body, func(status int, body []byte) {
 		machine.Delivery.InFlight = false
 		for _, attempt := range starts {
@@ -200,7 +200,7 @@
 		l.n.log.Error("a worker's answer is no report of its own", "machine", machine.ID, "error", err)
 		return
 	}
-	if r.Token > l.n.lease.term {
+	if r.Token > l.n.election.Term() {
 		l.refuseHigherToken(r)
 		return
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -102,7 +102,7 @@
 			delete(n.contacts, name)
 		}
 	}
-	status := protocol.PeerStatus{Term: protocol.Term(n.lease.revision), Leader: n.lease.holder, StateOK: n.now.Sub(n.servedAt) < tuning.ServedLately, Links: n.reachablePeers()}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.now.Sub(n.servedAt) < tuning.ServedLately, Links: n.reachablePeers()}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
 	}
@@ -137,9 +137,10 @@
 	case protocol.PeerStatus:
 		p.status = m
 	case protocol.PeerConfirmRequest:
-		n.confirm(from, m)
+		answer := n.election.Confirm(m, n.now.Sub(n.began), n.api.ConfirmedCancellations())
+		n.out = append(n.out, PeerSend{Peer: from, Message: answer})
 	case protocol.PeerConfirm:
-		n.takeConfirmation(from, m)
+		n.election.ReceiveConfirmation(from, m)
 	default:
 		n.deliver(m)
 	}
@@ -162,7 +163,7 @@
 		n.lead.cancelFromPeer(jobID)
 		return
 	}
-	to := n.lease.holder
+	to := n.election.Holder()
 	if p := n.peers[to]; p != nil && p.level >= protocol.PeerKnowsCancelled && n.isReachable(to) {
 		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancelled{Job: jobID}})
 	}
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -17,6 +17,15 @@
 var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 
+// testLease is the lease of the store under which testLeader leads.
+const testLease protocol.LeaseID = 3
+
+// keepAuthority renews the leader lease and has the mirror know every change.
+func (n *Node) keepAuthority() {
+	n.election.Renewed(n.now)
+	n.markSynced(n.now)
+}
+
 // testLeader is a leader that never had to be elected.
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
@@ -26,7 +35,8 @@
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = now
 	n.types["big"], n.types["small"] = &bigType, &smallType
-	n.lease.term, n.lease.renewedAt, n.syncedAt = 7, now, now
+	n.election.Acquired(7, testLease, now)
+	n.keepAuthority()
 	n.takeOver()
 	return n.lead
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -23,14 +23,15 @@
 		clear(job.Write.Dirty)
 		job.SortedAttempts()[0].Committed = true
 		for range tuning.MissedAnswers + 1 {
-			l.testReport(machine, l.n.lease.term)
+			l.testReport(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
 			t.Fatal("takes new work")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.WatchMachines)
-			l.n.lease.renewedAt, l.n.syncedAt, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
+			l.n.keepAuthority()
+			machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.tickMachines()
 			for _, a := range l.n.out {
@@ -40,7 +41,7 @@
 				}
 				if answers {
 					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
-						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.lease.term})})
+						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.election.Term()})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
@@ -62,13 +63,13 @@
 	machine := l.testMachine("i-1", "big", "a", false)
 	for range 6 {
 		l.n.now = l.n.now.Add(4 * time.Second)
-		l.testReport(machine, l.n.lease.term)
+		l.testReport(machine, l.n.election.Term())
 	}
 	if !l.cluster.Schedulable(machine) {
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, Token: l.n.lease.term}, true)
+	l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, Token: l.n.election.Term()}, true)
 	if l.cluster.Schedulable(machine) {
 		t.Error("takes new work")
 	}
@@ -87,7 +88,8 @@
 		lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 		returned := func(till time.Duration) (n int) {
 			for ; l.n.now.Sub(start) < till; l.n.now = l.n.now.Add(tuning.WatchMachines) {
-				l.n.lease.renewedAt, l.n.syncedAt, l.n.out = l.n.now, l.n.now, nil
+				l.n.out = nil
+				l.n.keepAuthority()
 				for i, machine := range l.cluster.OrderedMachines {
 					if i >= c.silent {
 						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
@@ -124,13 +126,13 @@
 	lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
-		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.lease.term}, false)
+		l.n.keepAuthority()
+		l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.election.Term()}, false)
 	}
 	if !l.cluster.ConfirmedAlive(machine) || l.cluster.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(machine), l.cluster.Schedulable(machine))
 	}
-	l.testReport(machine, l.n.lease.term)
+	l.testReport(machine, l.n.election.Term())
 	if !l.cluster.Schedulable(machine) {
 		t.Error("takes no work though it reports again")
 	}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -68,7 +68,7 @@
 // compare squares a report with what is stored.
 func (l *leader) compare(r *protocol.Report, answered bool) []recovery.Difference {
 	l.stored.answered = answered
-	return l.reconciler.Compare(&l.stored, l.n.lease.term, r)
+	return l.reconciler.Compare(&l.stored, l.n.election.Term(), r)
 }
 
 // resolve does what each difference between a report and the records asks for.
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -31,11 +31,11 @@
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskReport{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
-	if got := ops(l.testReport(other, l.n.lease.term, running)); got != "halt " {
+	if got := ops(l.testReport(other, l.n.election.Term(), running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
-	l.testReport(machine, l.n.lease.term)
-	l.testReport(other, l.n.lease.term)
+	l.testReport(machine, l.n.election.Term())
+	l.testReport(other, l.n.election.Term())
 	if n := job.Tasks[0].LiveAttempts; n != 0 || len(job.Attempts) != 0 {
 		t.Errorf("%d attempts after the proofs", n)
 	}
@@ -49,13 +49,13 @@
 	job := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
 	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
-		l.testReport(machine, l.n.lease.term, nonsense)
+		l.testReport(machine, l.n.election.Term(), nonsense)
 		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
 			t.Fatalf("%d attempts, deleting %v, %d logged", len(job.Attempts), machine.Deleting, len(l.logged))
 		}
 		l.n.now = l.n.now.Add(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS / 4.9))
 	}
-	l.testReport(machine, l.n.lease.term, nonsense)
+	l.testReport(machine, l.n.election.Term(), nonsense)
 	if !machine.Deleting {
 		t.Error("the machine is kept though nothing is ever proven of it")
 	}
@@ -70,13 +70,13 @@
 		machine := l.testMachine("i-1", "big", "a", false)
 		job := l.placed()
 		running := protocol.TaskReport{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
-		if got := ops(l.testReport(machine, l.n.lease.term-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
+		if got := ops(l.testReport(machine, l.n.election.Term()-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
 			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, job.Tasks[1].LiveAttempts)
 		}
-		if got := ops(l.testReport(machine, l.n.lease.term, running)); got != "halt " {
+		if got := ops(l.testReport(machine, l.n.election.Term(), running)); got != "halt " {
 			t.Errorf("ordered %q", got)
 		}
-		l.testReport(machine, l.n.lease.term)
+		l.testReport(machine, l.n.election.Term())
 		l.runSchedulingCycle()
 		want := attempt + 1
 		if attempt > tuning.AttemptsMost {
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -38,7 +38,7 @@
 // commitLater sends what there is to write after a while.
 func (l *leader) commitLater(d time.Duration) {
 	l.n.now = l.n.now.Add(d)
-	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
+	l.n.keepAuthority()
 	l.commitNext()
 }
 
@@ -180,7 +180,7 @@
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.election.Term()) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
 	if len(old.MovedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -48,7 +48,7 @@
 	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
 	l.recovery = recovery.Begin(l.n.now, lapse, stored)
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.lease.term, "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
@@ -58,7 +58,7 @@
 	}
 	l.plan = true // what was held may start
 	s := l.recovery.Summary()
-	attributes := []any{"term", l.n.lease.term, "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
+	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
 		"workers", s.Workers, "silent", s.Silent, "starts", s.Orders.Starts, "stops", s.Orders.Stops, "forgets", s.Orders.Forgets}
 	for class, n := range s.Classes {
 		attributes = append(attributes, recovery.Class(class).String(), n)
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -24,7 +24,7 @@
 	}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = time.Unix(1_800_000_000, 0)
-	n.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
+	n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
 	for s, p := range n.peers {
 		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
 		if s == "a" {
@@ -159,7 +159,7 @@
 // waits.
 func TestReportsWaitForALeader(t *testing.T) {
 	b := follower("b", 0)
-	b.leaseReleased()
+	b.election.ObserveRelease()
 	// A node that has just started takes a peer's confirmation.
 	if got := reported(b, "i-1"); got != "a" {
 		t.Fatalf("a sibling knows the leader: %s", got)
@@ -169,7 +169,7 @@
 		t.Fatalf("without a leader: %s", got)
 	}
 	at := b.now
-	b.leaseObserved(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 10)
+	b.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 10)
 	carried := false
 	for _, a := range b.Step(at.Add(time.Second), nil) {
 		if p, ok := a.(PeerSend); ok {
@@ -181,7 +181,7 @@
 	if !carried {
 		t.Error("the report that waited is not carried to the new leader")
 	}
-	b.leaseReleased()
+	b.election.ObserveRelease()
 	reported(b, "i-2")
 	id := b.nextID
 	for d := time.Duration(0); d <= tuning.ForwardTimeout+time.Second; d += tuning.Tick {
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -80,7 +80,7 @@
 
 // forward does so for a report that must be answered by a certain time.
 func (n *Node) forward(id uint64, r *protocol.Report, expire time.Time) {
-	if n.lease.term != 0 && n.lead != nil {
+	if n.election.Term() != 0 && n.lead != nil {
 		if front := n.proxyFor(r.Machine, n.cfg.Name, n.lead.directShare()); front != n.cfg.Name && !n.redirectedLately(r.Machine) && n.fullyConnected() && n.mayRedirect() {
 			n.redirect(id, r, front)
 			return
@@ -88,7 +88,7 @@
 		n.replyHeartbeat(id, n.takeReport(r))
 		return
 	}
-	leader := n.lease.holder
+	leader := n.election.Holder()
 	if !n.knowsLeader() {
 		if to := n.leaderFromPeers(); to != "" && !n.redirectedLately(r.Machine) {
 			n.redirect(id, r, to)
@@ -130,7 +130,7 @@
 		return ""
 	}
 	s := n.peers[leader].status
-	if s.Term != protocol.Term(n.lease.revision) || s.Leader != leader {
+	if s.Term != n.election.HolderTerm() || s.Leader != leader {
 		return "" // it has yet to say how many it keeps
 	}
 	to := n.proxyFor(machineID, leader, s.DirectShare)
@@ -163,18 +163,18 @@
 // over, and answering it here costs more.
 func (n *Node) redirectedLately(machineID protocol.MachineID) bool {
 	c := n.contacts[machineID]
-	return !c.redirectedAt.IsZero() && c.term == protocol.Term(n.lease.revision) && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
+	return !c.redirectedAt.IsZero() && c.term == n.election.HolderTerm() && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
 }
 
 // redirect sends a worker to another node.
 func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
-	n.contacts[r.Machine] = contact{term: protocol.Term(n.lease.revision), redirectedAt: n.now}
+	n.contacts[r.Machine] = contact{term: n.election.HolderTerm(), redirectedAt: n.now}
 	n.replyHeartbeat(id, heartbeatRedirect(to))
 }
 
 // knowsLeader says whether somebody leads, as far as this node knows.
 func (n *Node) knowsLeader() bool {
-	return n.lead != nil || n.lease.holder != "" && n.lease.holder != n.cfg.Name
+	return n.lead != nil || n.election.Holder() != "" && n.election.Holder() != n.cfg.Name
 }
 
 // leaderFromPeers is the leader that some peer knows of while this node, which has
@@ -210,20 +210,20 @@
 
 // takeReport is the leader's answer to a report, forwarded or not.
 func (n *Node) takeReport(r *protocol.Report) heartbeatReply {
-	if n.lead == nil || !n.hasAuthority() {
+	if n.lead == nil || !n.election.HasAuthority() {
 		return heartbeatRedirect("")
 	}
-	if r.Token > n.lease.term {
+	if r.Token > n.election.Term() {
 		// Somebody else has the right to command by now, or the state service was restored.
 		n.lead.refuseHigherToken(r)
 		return heartbeatRefusal("a higher token than this leader's")
 	}
-	if n.lease.unconfirmed {
+	if !n.election.Confirmed() {
 		return heartbeatRefusal("not sure to lead")
 	}
 	commands, ok := n.lead.report(r, true)
 	if !ok {
 		return heartbeatRefusal("an older report")
 	}
-	return heartbeatAnswer(protocol.ReportAnswer{Token: n.lease.term, Commands: commands})
+	return heartbeatAnswer(protocol.ReportAnswer{Token: n.election.Term(), Commands: commands})
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -63,7 +63,7 @@
 		machine.IdleSince = l.n.now
 		l.sendSoon(machine) // what was to be ordered waited for a sign of life
 	}
-	if confirmed := r.Token == l.n.lease.term; confirmed != machine.Agent.TokenConfirmed {
+	if confirmed := r.Token == l.n.election.Term(); confirmed != machine.Agent.TokenConfirmed {
 		machine.Agent.TokenConfirmed = confirmed
 		l.plan = true
 	}
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -57,7 +57,7 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Txn{If: []protocol.Condition{l.n.leads()}}
+	term := protocol.Txn{If: []protocol.Condition{l.n.election.Condition()}}
 	l.n.store.Transact(term, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
@@ -65,13 +65,13 @@
 		s.asking = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
-			l.n.stepDown("a worker has seen a higher token")
+			l.n.election.StepDown("a worker has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
 			l.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
-				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.lease.term)
+				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.election.Term())
 			s.proven, s.revision = true, result.Revision
 		default:
-			s.highest = l.n.lease.term // the next report asks again
+			s.highest = l.n.election.Term() // the next report asks again
 		}
 	})
 }
@@ -111,10 +111,10 @@
 		l.raiseRevision()
 	default:
 		switch token := l.reachableToken(); {
-		case token <= l.n.lease.term:
+		case token <= l.n.election.Term():
 			l.returnUnreachable()
 		case protocol.Term(s.revision) >= token:
-			l.n.stepDown("workers hold higher tokens, the next term is above them")
+			l.n.election.StepDown("workers hold higher tokens, the next term is above them")
 		default:
 			l.raiseRevision()
 		}
@@ -126,7 +126,7 @@
 func (l *leader) returnUnreachable() {
 	left := false
 	for _, machine := range l.cluster.OrderedMachines {
-		if machine.Agent.HigherToken <= l.n.lease.term {
+		if machine.Agent.HigherToken <= l.n.election.Term() {
 			continue
 		}
 		left = true
@@ -135,7 +135,7 @@
 		}
 	}
 	if !left {
-		l.restored.proven, l.restored.highest = false, l.n.lease.term
+		l.restored.proven, l.restored.highest = false, l.n.election.Term()
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Txn{If: []protocol.Condition{l.n.leads()}, Then: []protocol.Change{change}}
+	txn := protocol.Txn{If: []protocol.Condition{l.n.election.Condition()}, Then: []protocol.Change{change}}
 	l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -79,7 +79,7 @@
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
-		l.n.confirm("p", protocol.PeerConfirmRequest{ID: 1})
+		l.n.peerReceive("p", 1, protocol.PeerConfirmRequest{ID: 1})
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirm)
 	}
 	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -37,7 +37,7 @@
 	for _, job := range l.scheduler.Queue() {
 		l.checkEnded(job)
 	}
-	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
+	n.log.Info("leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
 
 // loadMachineRecords takes the machines; false if some record cannot be read.
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -42,7 +42,7 @@
 		}
 		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
-			if cmds := l.testReport(machine, l.n.lease.term, tasks...); len(cmds) > 0 {
+			if cmds := l.testReport(machine, l.n.election.Term(), tasks...); len(cmds) > 0 {
 				t.Fatalf("%s: orders %v", name, cmds)
 			}
 			l.runSchedulingCycle()
@@ -64,7 +64,7 @@
 		}
 		if job != nil {
 			l.cancelJob(job)
-			if cmds := l.testReport(machine, l.n.lease.term, tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
+			if cmds := l.testReport(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
 		}
