--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -77,7 +77,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
 	if mb := cfg.Cluster.Resources.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * tuning.MemoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(mb * tuning.GCMemoryShare * (1 << 20)))
 	}
 	var boot [16]byte
 	if _, err := crand.Read(boot[:]); err != nil {
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -32,37 +32,37 @@
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
+		"internal/storage", "internal/config", "internal/coordination", "internal/protocol",
 		"internal/recovery", "internal/tuning"}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/api", "internal/coordination/autoscaler",
+		"internal/storage", "internal/config", "internal/coordination/api", "internal/coordination/autoscaler",
 		"internal/coordination/cluster", "internal/coordination/election", "internal/coordination/kv",
 		"internal/coordination/scheduler", "internal/protocol", "internal/recovery", "internal/tuning"}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/api": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/cluster", "internal/coordination/kv",
+		"internal/storage", "internal/config", "internal/coordination/cluster", "internal/coordination/kv",
 		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config", "internal/coordination/cluster", "internal/coordination/scheduler",
 		"internal/protocol", "internal/tuning"}},
 	"internal/coordination/election": {pure: true, imports: []string{
-		"internal/bookkeeping", "internal/config", "internal/coordination/kv", "internal/protocol", "internal/tuning"}},
+		"internal/storage", "internal/config", "internal/coordination/kv", "internal/protocol", "internal/tuning"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/coordination/cluster", "internal/protocol", "internal/tuning"}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy", "internal/config", "internal/protocol", "internal/tuning"}},
 
-	"internal/recovery":    {pure: true, imports: []string{"internal/protocol"}},
-	"internal/bookkeeping": {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/config":      {imports: []string{"internal/protocol", "internal/tuning"}},
-	"internal/protocol":    {},
-	"internal/buddy":       {pure: true},
-	"internal/tuning":      {pure: true},
+	"internal/recovery": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/storage":  {pure: true, imports: []string{"internal/protocol", "internal/tuning"}},
+	"internal/config":   {imports: []string{"internal/protocol", "internal/tuning"}},
+	"internal/protocol": {},
+	"internal/buddy":    {pure: true},
+	"internal/tuning":   {pure: true},
 
 	"internal/simulation": {
 		imports: []string{
-			"internal/bookkeeping", "internal/config", "internal/coordination", "internal/protocol",
+			"internal/storage", "internal/config", "internal/coordination", "internal/protocol",
 			"internal/tuning"},
 		tests: []string{"internal/recovery", "internal/transport"}},
 	"internal/architecture": {tests: []string{"internal/config"}},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -137,13 +137,13 @@
 // RequestPause is the pause before a request that can wait, longer the smaller the share of
 // a core is.
 func (r Resources) RequestPause(least time.Duration, part float64) time.Duration {
-	return max(least, min(r.Pause(tuning.RequestCost, part), tuning.RequestPause))
+	return max(least, min(r.Pause(tuning.StoreRequestCPUCost, part), tuning.MaxRequestDelay))
 }
 
 // UserRequests bounds users' requests under way at one node: a part of the connections
 // that are kept for users, so that reports always find room.
 func (r Resources) UserRequests() int {
-	return max(tuning.QueueUsers, int(float64(r.FDLimit)*tuning.UserKeepSockets*tuning.QueueUsersShare))
+	return max(tuning.MinUserQueueLength, int(float64(r.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
 
 // Cluster is what all controllers share.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	want := tuning.Defaults()
-	want.IdleReturn, want.SparesPerZone, want.DirectStarts = 45500*time.Millisecond, 2, false
+	want.MachineIdleTimeout, want.SparesPerZone, want.DirectStarts = 45500*time.Millisecond, 2, false
 	if d := cmp.Diff(want, o); d != "" {
 		t.Error(d)
 	}
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -10,5 +10,5 @@
 
 // WithClockDrift stretches a span by the largest disagreement of two clocks.
 func WithClockDrift(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*tuning.ClockDrift)
+	return d + time.Duration(float64(d)*tuning.MaxClockDrift)
 }
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -51,7 +51,7 @@
 
 var known = map[string]property{
 	"fleet.idle-return.seconds": seconds("seconds a machine may be idle before it is returned",
-		func(o *tuning.Operator) *time.Duration { return &o.IdleReturn }),
+		func(o *tuning.Operator) *time.Duration { return &o.MachineIdleTimeout }),
 	"fleet.spares-per-zone": {"idle machines kept in every zone, 0 to 100000",
 		func(o *tuning.Operator, value string) error {
 			v, err := strconv.Atoi(value)
@@ -63,7 +63,7 @@
 		},
 		func(o *tuning.Operator) string { return strconv.Itoa(o.SparesPerZone) }},
 	"queue.bar-after.seconds": seconds("seconds a gang waits before smaller jobs no longer pass it",
-		func(o *tuning.Operator) *time.Duration { return &o.ReserveAfter }),
+		func(o *tuning.Operator) *time.Duration { return &o.BackfillBarrierDelay }),
 	"workers.direct-starts": boolean("true: starts go straight to workers; false: with their next report",
 		func(o *tuning.Operator) *bool { return &o.DirectStarts }),
 	"recovery.phase": boolean("true: recoveries are followed, logged and measured, and the largest gangs go first in them",
--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -11,10 +11,10 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -70,13 +70,13 @@
 type Service struct {
 	cfg     *config.Config
 	types   map[protocol.MachineTypeName]*protocol.MachineType // known so far, filled by the owner
-	mirror  *bookkeeping.Mirror
+	mirror  *storage.Mirror
 	store   kv.Client
 	budgets Budgets
 	replies Replies
 	env     Environment
 
-	finished  map[protocol.JobID]bookkeeping.Final // finished jobs, whose states never change
+	finished  map[protocol.JobID]storage.Final // finished jobs, whose states never change
 	confirmed confirmedCancellations
 	queries   []statusQuery
 	checkAt   time.Time // when the status queries are checked
@@ -84,11 +84,11 @@
 }
 
 // New makes a service that reads from the owner's mirror and machine types.
-func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *bookkeeping.Mirror,
+func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *storage.Mirror,
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
 	return &Service{
 		cfg: cfg, types: types, mirror: mirror, store: store, budgets: budgets, replies: replies, env: env,
-		finished:  map[protocol.JobID]bookkeeping.Final{},
+		finished:  map[protocol.JobID]storage.Final{},
 		confirmed: confirmedCancellations{jobs: map[protocol.JobID]time.Time{}},
 	}
 }
@@ -104,8 +104,8 @@
 }
 
 // JobFinished remembers the final state of a job.
-func (s *Service) JobFinished(jobID protocol.JobID, final bookkeeping.Final) {
-	if len(s.finished) >= tuning.FinalCache {
+func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
+	if len(s.finished) >= tuning.MaxCachedFinalStates {
 		clear(s.finished)
 	}
 	s.finished[jobID] = final
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -43,7 +43,7 @@
 		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}}
 	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 	c := &controller{now: time.Unix(1_800_000_000, 0)}
-	mirror := &bookkeeping.Mirror{}
+	mirror := &storage.Mirror{}
 	mirror.BeginLoad()
 	mirror.LoadPage(&protocol.Entries{Revision: 1})
 	c.Service = New(cfg, map[protocol.MachineTypeName]*protocol.MachineType{"big": big}, mirror, kv.New(c), c, replyLog{c}, c)
@@ -88,7 +88,7 @@
 	}
 	call := c.calls[0]
 	c.calls = nil
-	call.done(status, bookkeeping.Encode(body))
+	call.done(status, storage.Encode(body))
 }
 
 // expect compares what was noted since it was last called.
@@ -103,8 +103,8 @@
 // store puts a job's record into the mirror.
 func (c *controller) store(t *testing.T, spec *protocol.Job, revision protocol.Revision) protocol.Entry {
 	t.Helper()
-	event := protocol.WatchEvent{Set: bookkeeping.JobKey(spec.ID), Revision: revision,
-		Value: bookkeeping.Encode(bookkeeping.Job{Writer: "other-1", Spec: spec, RecordTasks: 60})}
+	event := protocol.WatchEvent{Set: storage.JobKey(spec.ID), Revision: revision,
+		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, RecordTasks: 60})}
 	if !c.mirror.Apply(&event) {
 		t.Fatal("the mirror does not take the record")
 	}
@@ -151,20 +151,20 @@
 	spec := testSpec()
 	c.Submit(1, &spec)
 	first := c.calls[0].Body.([]byte)
-	c.answer(t, protocol.PathTxn, 0, nil)
+	c.answer(t, protocol.PathTransactions, 0, nil)
 	if again := c.calls[0].Body.([]byte); string(again) != string(first) {
 		t.Errorf("repeated as %s, was %s", again, first)
 	}
-	c.answer(t, protocol.PathTxn, http.StatusConflict, protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(spec.ID)}})
-	c.answer(t, protocol.KeyPath(bookkeeping.JobKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Key: bookkeeping.JobKey(spec.ID), Revision: 5, Value: bookkeeping.Encode(bookkeeping.Job{Spec: &spec, RecordTasks: 60})})
+	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
+	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, RecordTasks: 60})})
 	c.expect(t, "1 accepted pending")
 	c.Submit(2, &spec)
-	c.answer(t, protocol.PathTxn, http.StatusOK, protocol.TxnAnswer{Revision: 7})
+	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 7})
 	c.expect(t, "2 created pending")
 	c.Submit(3, &spec)
-	c.now = c.now.Add(tuning.UserDeadline)
-	c.answer(t, protocol.PathTxn, 0, nil)
+	c.now = c.now.Add(tuning.UserRequestTimeout)
+	c.answer(t, protocol.PathTransactions, 0, nil)
 	c.expect(t, "3 unavailable: "+reasonStoreSilent)
 }
 
@@ -205,23 +205,23 @@
 	c.Due(func(at time.Time) { due = at })
 	c.now = due
 	c.CheckQueries()
-	c.answer(t, protocol.PathTxn, http.StatusOK, protocol.TxnAnswer{Revision: 9})
+	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	c.expect(t, "1 status pending 0", "2 accepted pending")
 
 	c.Query(3, spec.ID)
 	c.now = c.now.Add(time.Second)
 	c.CheckQueries()
-	c.answer(t, protocol.PathTxn, http.StatusConflict, protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(spec.ID)}})
-	c.answer(t, protocol.KeyPath(bookkeeping.JobKey(spec.ID)), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(bookkeeping.FinalKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Value: bookkeeping.Encode(bookkeeping.Final{Phase: protocol.PhaseDone, Done: 2})})
+	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
+	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
+	c.answer(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone, Done: 2})})
 	c.expect(t, "3 status done 2")
 	c.Query(4, spec.ID) // remembered: it never changes
 	c.expect(t, "4 status done 2")
 
 	c.Query(5, "run-000002")
-	c.answer(t, protocol.KeyPath(bookkeeping.JobKey("run-000002")), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(bookkeeping.FinalKey("run-000002")), http.StatusNotFound, nil)
+	c.answer(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
+	c.answer(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
 	c.expect(t, "5 unknown")
 }
 
@@ -233,10 +233,10 @@
 	spec := testSpec()
 	entry := c.store(t, &spec, 5)
 	c.Cancel(1, spec.ID)
-	c.answer(t, protocol.PathTxn, http.StatusConflict, protocol.TxnAnswer{Failed: []string{entry.Key}})
+	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{entry.Key}})
 	c.answer(t, protocol.KeyPath(entry.Key), http.StatusOK, entry)
 	c.expect(t)
-	c.answer(t, protocol.PathTxn, http.StatusOK, protocol.TxnAnswer{Revision: 9})
+	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	c.expect(t, "announced run-000001", "confirmed run-000001", "1 accepted "+string(protocol.PhaseCancelled))
 	if got := c.ConfirmedCancellations(); !slices.Equal(got, []protocol.JobID{spec.ID}) {
 		t.Errorf("confirmed: %v", got)
--- a/internal/coordination/api/cancellation.go
+++ b/internal/coordination/api/cancellation.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -23,8 +23,8 @@
 		s.shedLoad(requestID)
 		return
 	}
-	deadline := s.env.Now().Add(tuning.UserDeadline)
-	if entry, ok := s.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+	deadline := s.env.Now().Add(tuning.UserRequestTimeout)
+	if entry, ok := s.mirror.Get(storage.JobKey(jobID)); ok {
 		s.cancelRecord(requestID, jobID, &entry, deadline)
 		return
 	}
@@ -33,7 +33,7 @@
 
 // cancelFromStore cancels a job by the record that the store has now.
 func (s *Service) cancelFromStore(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.read(requestID, bookkeeping.JobKey(jobID), deadline, func(entry *protocol.Entry) {
+	s.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry != nil {
 			s.cancelRecord(requestID, jobID, entry, deadline)
 			return
@@ -58,7 +58,7 @@
 
 // cancelRecord marks a job's record as cancelled, unless it is.
 func (s *Service) cancelRecord(requestID uint64, jobID protocol.JobID, entry *protocol.Entry, deadline time.Time) {
-	record, err := bookkeeping.DecodeJob(entry.Value)
+	record, err := storage.DecodeJob(entry.Value)
 	if err != nil {
 		s.replies.Unavailable(requestID, reasonUnreadableRecord)
 		return
@@ -71,9 +71,9 @@
 	if record.Seq == 0 {
 		record.Seq = entry.Revision
 	}
-	txn := protocol.Txn{
-		If:   []protocol.Condition{{Key: entry.Key, Revision: entry.Revision}},
-		Then: []protocol.Change{{Set: entry.Key, Value: bookkeeping.Encode(record)}},
+	txn := protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: entry.Key, Revision: entry.Revision}},
+		Changes:    []protocol.Change{{Set: entry.Key, Value: storage.Encode(record)}},
 	}
 	s.store.Transact(txn, func(result kv.TransactionResult) {
 		switch {
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -43,7 +43,7 @@
 	}
 	if len(c.jobs) >= c.expireAt {
 		s.expireConfirmed()
-		c.expireAt = max(tuning.CancelsKept, 2*len(c.jobs))
+		c.expireAt = max(tuning.MaxRememberedCancellations, 2*len(c.jobs))
 	}
 	c.jobs[jobID] = s.env.Now()
 }
--- a/internal/coordination/api/lookup.go
+++ b/internal/coordination/api/lookup.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // read reads one key; found is called with nil if it does not exist, and not
@@ -29,12 +29,12 @@
 // lookUp reads a job's state from the store itself. The unfinished record is read first: a
 // job moves from there to its final record and never back, so one of the two reads finds it.
 func (s *Service) lookUp(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	s.read(requestID, bookkeeping.JobKey(jobID), deadline, func(entry *protocol.Entry) {
+	s.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			s.lookUpFinished(requestID, jobID, deadline, found)
 			return
 		}
-		record, err := bookkeeping.DecodeJob(entry.Value)
+		record, err := storage.DecodeJob(entry.Value)
 		if err != nil {
 			s.replies.Unavailable(requestID, reasonUnreadableRecord)
 			return
@@ -46,12 +46,12 @@
 
 // lookUpFinished reads a job's final record.
 func (s *Service) lookUpFinished(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	s.read(requestID, bookkeeping.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
+	s.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			found(nil)
 			return
 		}
-		var final bookkeeping.Final
+		var final storage.Final
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
 			s.replies.Unavailable(requestID, reasonUnreadableRecord)
 			return
@@ -62,6 +62,6 @@
 	})
 }
 
-func finishedStatus(jobID protocol.JobID, final bookkeeping.Final) protocol.Status {
+func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.Status {
 	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/coordination/api/runnable.go
+++ b/internal/coordination/api/runnable.go
@@ -3,15 +3,15 @@
 import (
 	"slices"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // unrunnableReason says why a job can never run, or "".
 func (s *Service) unrunnableReason(spec *protocol.Job) string {
-	if !bookkeeping.Storable(s.cfg.Cluster.State.ValueKB, spec) {
+	if !storage.Storable(s.cfg.Cluster.State.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
 	teams := s.cfg.Cluster.Teams
--- a/internal/coordination/api/status_query.go
+++ b/internal/coordination/api/status_query.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -28,7 +28,7 @@
 	if s.refuseUnserved(requestID, s.mirror.Ready()) {
 		return
 	}
-	if _, ok := s.mirror.Get(bookkeeping.JobKey(jobID)); ok {
+	if _, ok := s.mirror.Get(storage.JobKey(jobID)); ok {
 		s.addQuery(statusQuery{requestID: requestID, job: jobID})
 		return
 	}
@@ -36,7 +36,7 @@
 		s.shedLoad(requestID)
 		return
 	}
-	s.answerFromStore(requestID, jobID, s.env.Now().Add(tuning.UserDeadline))
+	s.answerFromStore(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout))
 }
 
 // answerFromStore answers a status query from the store itself.
@@ -70,9 +70,9 @@
 		return
 	}
 	if len(s.queries) == 0 {
-		s.checkAt = s.env.Now().Add(resources.RequestPause(tuning.PollBatch, tuning.PollShare))
+		s.checkAt = s.env.Now().Add(resources.RequestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
-	query.expire = s.env.Now().Add(tuning.UserDeadline)
+	query.expire = s.env.Now().Add(tuning.UserRequestTimeout)
 	s.queries = append(s.queries, query)
 }
 
@@ -107,7 +107,7 @@
 // queryBatch is a number of status queries that are checked together.
 type queryBatch struct {
 	queries []statusQuery
-	compare protocol.Txn
+	compare protocol.Transaction
 	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
 	stale   map[string]bool                    // keys whose records have changed since
 }
@@ -121,13 +121,13 @@
 		if _, ok := batch.status[query.job]; ok {
 			continue
 		}
-		key := bookkeeping.JobKey(query.job)
+		key := storage.JobKey(query.job)
 		status, revision, ok := s.mirror.Status(key)
 		if !ok {
 			continue
 		}
 		batch.status[query.job] = status
-		batch.compare.If = append(batch.compare.If, protocol.Condition{Key: key, Revision: revision})
+		batch.compare.Conditions = append(batch.compare.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return batch
 }
@@ -153,7 +153,7 @@
 // another look.
 func (s *Service) answerQuery(query statusQuery, batch *queryBatch) {
 	status, ok := batch.status[query.job]
-	fresh := ok && !batch.stale[bookkeeping.JobKey(query.job)]
+	fresh := ok && !batch.stale[storage.JobKey(query.job)]
 	switch {
 	case !fresh && query.submission:
 		s.answerRepeated(query.requestID, query.job, query.expire)
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submission.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -18,7 +18,7 @@
 	if s.refuseUnserved(requestID, s.mirror.Ready() && len(s.types) > 0) {
 		return
 	}
-	if _, ok := s.mirror.Get(bookkeeping.JobKey(spec.ID)); ok {
+	if _, ok := s.mirror.Get(storage.JobKey(spec.ID)); ok {
 		s.addQuery(statusQuery{requestID: requestID, job: spec.ID, submission: true})
 		return
 	}
@@ -32,13 +32,13 @@
 		}
 		return
 	}
-	s.storeSubmission(requestID, spec.ID, s.submissionTxn(spec), s.env.Now().Add(tuning.UserDeadline))
+	s.storeSubmission(requestID, spec.ID, s.submissionTxn(spec), s.env.Now().Add(tuning.UserRequestTimeout))
 }
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (s *Service) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
-	s.lookUp(requestID, jobID, s.env.Now().Add(tuning.UserDeadline), func(status *protocol.Status) {
+	s.lookUp(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
 			s.replyAccepted(requestID, jobID, status.Phase)
 			return
@@ -51,11 +51,11 @@
 // unknown, finished or not.
 func (s *Service) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.State
-	record := bookkeeping.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
-		RecordTasks: bookkeeping.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
-	return bookkeeping.Encode(protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(spec.ID)}, {Key: bookkeeping.FinalKey(spec.ID)}},
-		Then: []protocol.Change{{Set: bookkeeping.JobKey(spec.ID), Value: bookkeeping.Encode(record)}},
+	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
+		RecordTasks: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
+	return storage.Encode(protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Changes:    []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(record)}},
 	})
 }
 
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -18,7 +18,7 @@
 
 // StoreUnreachable implements api.Environment.
 func (ae apiEnvironment) StoreUnreachable() bool {
-	return ae.n.unanswered && ae.n.now.Sub(ae.n.servedAt) >= tuning.CutOffAfter
+	return ae.n.unanswered && ae.n.now.Sub(ae.n.servedAt) >= tuning.StoreUnreachableTimeout
 }
 
 // ForwardSubmission implements api.Environment.
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -90,7 +90,7 @@
 	for _, attempt := range job.SortedAttempts() {
 		job.Survivors[attempt.Machine.ID] = true
 		if attempt.Machine.ReservedFor == nil {
-			attempt.Machine.ReserveFor(job, l.n.now.Add(tuning.HoldFor))
+			attempt.Machine.ReserveFor(job, l.n.now.Add(tuning.ReservationTimeout))
 		}
 	}
 }
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -70,7 +70,7 @@
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
 	return &Autoscaler{
 		state: state, scheduler: sched, cloud: cloud, env: env, log: log,
-		calls:       rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudShare), max(1, int(callsPerSecond))),
+		calls:       rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond))),
 		machinesIn:  map[protocol.ZoneName]int{},
 		deleted:     map[protocol.MachineID]time.Time{},
 		unavailable: map[Offer]time.Time{},
@@ -117,11 +117,11 @@
 		as.listPage("")
 	}
 	if !now.Before(as.consolidateNotBefore) {
-		as.consolidateNotBefore = now.Add(tuning.PackEvery)
+		as.consolidateNotBefore = now.Add(tuning.ConsolidationInterval)
 		as.consolidate()
 	}
-	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.RentAfterTakeover && len(as.state.Types) > 0 {
-		as.scaleOutNotBefore = now.Add(tuning.RentEvery)
+	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.ScaleOutDelayAfterTakeover && len(as.state.Types) > 0 {
+		as.scaleOutNotBefore = now.Add(tuning.ScaleOutInterval)
 		as.ScaleOut()
 	}
 }
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -29,14 +29,14 @@
 			continue
 		}
 		p.targets = append(p.targets, machine)
-		if machine.Used.GPUs <= machineType.GPUs*tuning.PackBelow {
+		if machine.Used.GPUs <= machineType.GPUs*tuning.MaxConsolidationUtilization {
 			list = append(list, choice{machine, as.state.PriceOf(machine) * (machineType.GPUs - machine.Used.GPUs)})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b choice) int { return cmp.Compare(b.waste, a.waste) })
 	slices.SortStableFunc(p.targets, func(a, b *cluster.Machine) int { return cmp.Compare(b.Used.GPUs, a.Used.GPUs) })
-	most := max(1, len(as.state.OrderedMachines)/tuning.PackFleet)
-	for _, c := range list[:min(len(list), tuning.PackTries*most)] {
+	most := max(1, len(as.state.OrderedMachines)/tuning.ConsolidationFleetDivisor)
+	for _, c := range list[:min(len(list), tuning.MaxConsolidationCandidates*most)] {
 		if len(p.emptied) == most {
 			return
 		}
@@ -63,7 +63,7 @@
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		spec := attempt.Job.Spec
 		rest := spec.EstimateS - as.state.Now().Sub(attempt.RunningSince).Seconds()
-		if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 || rest < tuning.PackWorth {
+		if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 || rest < tuning.MinRemainingSecondsToMove {
 			return false
 		}
 		found := false
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -13,8 +13,8 @@
 // ListInterval is the interval between two machine lists. The pages of a large fleet's
 // list take no more than their part of the calls.
 func (as *Autoscaler) ListInterval() time.Duration {
-	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.ListShare))
-	return max(tuning.ListEvery, time.Duration(as.listPages)*perPage)
+	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.MachineListBudgetShare))
+	return max(tuning.MachineListInterval, time.Duration(as.listPages)*perPage)
 }
 
 // listNextPage asks for the next page when the budget of calls allows it.
--- a/internal/coordination/autoscaler/rental.go
+++ b/internal/coordination/autoscaler/rental.go
@@ -28,7 +28,7 @@
 		if !as.calls.AllowN(as.state.Now(), 1) {
 			return
 		}
-		n := min(want[o], tuning.RentCount)
+		n := min(want[o], tuning.MaxMachinesPerRental)
 		as.Rent(o, n)
 	}
 }
@@ -55,9 +55,9 @@
 	case Rented:
 		as.enterRented(r, result.Machines)
 	case NoCapacity:
-		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityPause)
+		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityBackoff)
 	case RentFailed:
-		if r.tries < tuning.RentTries {
+		if r.tries < tuning.MaxRentalAttempts {
 			as.env.After(time.Second, func() { as.sendRental(r) })
 			return
 		}
@@ -82,6 +82,6 @@
 		}
 	}
 	if len(machines) < r.count {
-		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityPause)
+		as.unavailable[r.offer] = as.state.Now().Add(tuning.NoCapacityBackoff)
 	}
 }
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -19,12 +19,12 @@
 	switch {
 	case machine.Phase == protocol.MachineFailed:
 		as.ReturnMachine(machine, "failed")
-	case !machine.Agent.Heard && machine.Agent.Incarnation == 0 && machineType != nil && now.Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootPatience)+tuning.BootSlack:
+	case !machine.Agent.Heard && machine.Agent.Incarnation == 0 && machineType != nil && now.Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootTimeoutFactor)+tuning.BootTimeoutSlack:
 		as.ReturnMachine(machine, "never came up")
 	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
 	case machine.Cordoned:
 		as.ReturnMachine(machine, "emptied")
-	case machine.ReservedFor == nil && now.Sub(machine.IdleSince) > as.state.Config.Operator.IdleReturn && !as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
+	case machine.ReservedFor == nil && now.Sub(machine.IdleSince) > as.state.Config.Operator.MachineIdleTimeout && !as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
 		as.ReturnMachine(machine, "idle")
 	}
 }
@@ -35,7 +35,7 @@
 // machines need spares that are none.
 func (as *Autoscaler) Spares() map[protocol.ZoneName]int {
 	count := map[protocol.ZoneName]int{}
-	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareMemory {
+	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareRetention {
 		return count
 	}
 	for _, machine := range as.state.OrderedMachines {
@@ -47,7 +47,7 @@
 }
 
 func (as *Autoscaler) mayBeSpare(machine *cluster.Machine) bool {
-	ordinary := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareMemory
+	ordinary := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareRetention
 	return as.state.Schedulable(machine) && !(ordinary && machine.Spot) && machine.OnlyLowestPriority()
 }
 
@@ -76,7 +76,7 @@
 func (as *Autoscaler) sendDeletes() {
 	var names []protocol.MachineID
 	for _, machine := range as.state.OrderedMachines {
-		if machine.Deleting && len(names) < tuning.DeleteCount {
+		if machine.Deleting && len(names) < tuning.MaxMachinesPerDeletion {
 			names = append(names, machine.ID)
 		}
 	}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -41,7 +41,7 @@
 	as.Demand = nil
 	as.env.RequestScheduling()
 	if !as.state.Now().Before(as.reserveNotBefore) {
-		as.reserveNotBefore = as.state.Now().Add(tuning.ReserveEvery)
+		as.reserveNotBefore = as.state.Now().Add(tuning.ZoneReserveInterval)
 		as.PlanReserve(k.want)
 	}
 	as.sendRentals(k.want)
@@ -85,7 +85,7 @@
 	if attempt.RunningSince.IsZero() || attempt.Job.Spec.Service() {
 		return false
 	}
-	estimate := config.Seconds(attempt.Job.Spec.EstimateS * tuning.EstimateSlack)
+	estimate := config.Seconds(attempt.Job.Spec.EstimateS * tuning.EstimateSlackFactor)
 	left := estimate - as.state.Now().Sub(attempt.RunningSince)
 	return left > 0 && left <= d
 }
@@ -102,6 +102,6 @@
 			boot = max(boot, machineType.BootS)
 		}
 	}
-	need := config.Seconds(job.Spec.EstimateS*tuning.EstimateSlack + as.state.ImageFetchSeconds(job.Spec) + boot*tuning.BootSlackShare)
+	need := config.Seconds(job.Spec.EstimateS*tuning.EstimateSlackFactor + as.state.ImageFetchSeconds(job.Spec) + boot*tuning.BootTimeSlackFactor)
 	return as.state.Now().Add(need).Before(job.SubmittedAt.Add(config.Seconds(job.Spec.DeadlineS)))
 }
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -173,7 +173,7 @@
 // rent wants machines for replicas that have no place outside a zone: in the zone of
 // the others that has the fewest machines, of the cheapest kind.
 func (z *zoneReservePlan) rent(lost protocol.ZoneName, job *cluster.Job, need int) {
-	for need > 0 && len(z.slots) < tuning.ReserveSlots {
+	for need > 0 && len(z.slots) < tuning.MaxZoneReserveMachines {
 		var best *Offer
 		for _, zone := range z.autoscaler.state.Config.Cluster.Zones {
 			if zone == lost {
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -15,7 +15,7 @@
 type jobWrite struct {
 	j       *cluster.Job
 	records []int
-	final   *bookkeeping.Final
+	final   *storage.Final
 	placed  []*cluster.Attempt // by this transaction
 	staging bool               // the records are parts that the job's own record does not name yet
 }
@@ -23,26 +23,26 @@
 // batch builds a transaction within the state service's limits.
 type batch struct {
 	l          *leader
-	txn        protocol.Txn
+	txn        protocol.Transaction
 	bytes      int
 	tx         *commit
 	guarded    map[*cluster.MachineRecord]bool
 	maxChanges int // changes that it may have
 }
 
-func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Then) }
+func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Changes) }
 
 func (b *batch) fits(ops, conditions, bytes int) bool {
-	return b.remainingChanges() >= ops && len(b.txn.If)+conditions <= kv.ConditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.TxnBytes
+	return b.remainingChanges() >= ops && len(b.txn.Conditions)+conditions <= kv.ConditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
 func (b *batch) guard(key string, revision protocol.Revision) {
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Revision: revision})
+	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Revision: revision})
 	b.bytes += len(key) + 40
 }
 
 func (b *batch) set(key string, value json.RawMessage) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Set: key, Value: value})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
 	b.bytes += len(key) + len(value) + 40
 	if b.tx.probe == "" {
 		b.tx.probe = key
@@ -50,7 +50,7 @@
 }
 
 func (b *batch) remove(key string) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Delete: key})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
 	b.bytes += len(key) + 40
 }
 
@@ -58,14 +58,14 @@
 // a gang's new epoch shows only when every task's place is written.
 func (b *batch) addJob(job *cluster.Job) {
 	if phase := job.FinalPhase(); phase != "" {
-		f := &bookkeeping.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
+		f := &storage.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 		if !b.fits(2, 2, 400) {
 			return
 		}
-		b.guard(bookkeeping.JobKey(job.ID), job.Records.Revisions[0])
-		b.guard(bookkeeping.FinalKey(job.ID), 0)
-		b.set(bookkeeping.FinalKey(job.ID), bookkeeping.Encode(f))
-		b.remove(bookkeeping.JobKey(job.ID))
+		b.guard(storage.JobKey(job.ID), job.Records.Revisions[0])
+		b.guard(storage.FinalKey(job.ID), 0)
+		b.set(storage.FinalKey(job.ID), storage.Encode(f))
+		b.remove(storage.JobKey(job.ID))
 		clear(job.Write.Dirty)
 		job.Write.InFlight = true
 		b.tx.jobs = append(b.tx.jobs, &jobWrite{j: job, final: f})
@@ -102,7 +102,7 @@
 func (b *batch) recordWrite(job *cluster.Job, r int) recordWrite {
 	tasks, placed := recordContent(job, r)
 	p := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
-	most, dropped := bookkeeping.GangRecordTasks(b.l.limits().TxnOps), false
+	most, dropped := storage.GangRecordTasks(b.l.limits().TxnOps), false
 	for _, attempt := range placed {
 		if attempt.Machine.Record == nil || p.machineRecords[attempt.Machine.Record] {
 			continue
@@ -118,9 +118,9 @@
 		tasks, p.placed = recordContent(job, r)
 	}
 	if r == 0 {
-		p.value = bookkeeping.Encode(jobRecord(job, b.tx.writer, tasks))
+		p.value = storage.Encode(jobRecord(job, b.tx.writer, tasks))
 	} else {
-		p.value = bookkeeping.Encode(bookkeeping.TaskRecord{Writer: b.tx.writer, Tasks: tasks})
+		p.value = storage.Encode(storage.TaskRecord{Writer: b.tx.writer, Tasks: tasks})
 	}
 	return p
 }
@@ -152,14 +152,14 @@
 		}
 		bytes += len(p.value)
 	}
-	if !b.fits(len(pieces), conditions, bytes+conditions*tuning.ConditionBytes) {
+	if !b.fits(len(pieces), conditions, bytes+conditions*tuning.BytesPerCondition) {
 		return false
 	}
 	job := w.j
 	for _, p := range pieces {
-		key := bookkeeping.JobKey(job.ID)
+		key := storage.JobKey(job.ID)
 		if p.record > 0 {
-			key = bookkeeping.TaskRecordKey(job.ID, p.record)
+			key = storage.TaskRecordKey(job.ID, p.record)
 		}
 		b.guard(key, job.Records.Revisions[p.record])
 		b.set(key, p.value)
@@ -199,7 +199,7 @@
 // fit if one transaction cannot hold all of them.
 func (b *batch) addParts(w *jobWrite, records []int) {
 	job := w.j
-	alone := len(b.txn.Then) == 0
+	alone := len(b.txn.Changes) == 0
 	var writes []recordWrite
 	for _, r := range records {
 		writes = append(writes, b.recordWrite(job, r))
@@ -227,9 +227,9 @@
 func (b *batch) fitsOneTransaction(writes []recordWrite) bool {
 	bytes := 0
 	for _, p := range writes {
-		bytes += len(p.value) + tuning.ConditionBytes
+		bytes += len(p.value) + tuning.BytesPerCondition
 	}
-	return len(writes) <= b.l.limits().TxnOps && bytes <= tuning.TxnBytes-tuning.ConditionBytes
+	return len(writes) <= b.l.limits().TxnOps && bytes <= tuning.MaxTransactionBytes-tuning.BytesPerCondition
 }
 
 // stage writes new parts that the job's own record does not name yet. Until that
@@ -252,13 +252,13 @@
 }
 
 // recordContent lists the tasks of one of a job's records and the attempts that it places.
-func recordContent(job *cluster.Job, r int) (tasks []bookkeeping.Task, placed []*cluster.Attempt) {
+func recordContent(job *cluster.Job, r int) (tasks []storage.Task, placed []*cluster.Attempt) {
 	for _, i := range job.TasksOf(r) {
 		task := &job.Tasks[i]
 		if task.LastAttempt == 0 && !task.Done {
 			continue
 		}
-		rec := bookkeeping.Task{Index: i, Attempt: task.LastAttempt, Done: task.Done}
+		rec := storage.Task{Index: i, Attempt: task.LastAttempt, Done: task.Done}
 		if attempt := task.Active; attempt != nil && !task.Done {
 			rec.Machine, rec.Incarnation = attempt.Machine.ID, attempt.Incarnation
 			if !attempt.Committed {
@@ -271,7 +271,7 @@
 }
 
 // jobRecord is the content of a job's own record.
-func jobRecord(job *cluster.Job, writer string, tasks []bookkeeping.Task) bookkeeping.Job {
+func jobRecord(job *cluster.Job, writer string, tasks []storage.Task) storage.Job {
 	placed := 0
 	for i := range job.Tasks {
 		if job.Tasks[i].Active != nil && !job.Tasks[i].Done {
@@ -282,6 +282,6 @@
 	if len(job.Records.ExtraParts) > 0 {
 		parts = len(job.Records.Revisions)
 	}
-	return bookkeeping.Job{Writer: writer, Spec: job.Spec, AtMs: job.SubmittedAt.UnixMilli(), Seq: job.ArrivalOrder, Attempt: job.Epoch,
+	return storage.Job{Writer: writer, Spec: job.Spec, AtMs: job.SubmittedAt.UnixMilli(), Seq: job.ArrivalOrder, Attempt: job.Epoch,
 		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, RecordTasks: job.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -58,7 +58,7 @@
 			body = fmt.Appendf(body, `{"piece":"%s/%d","try":%d,"phase":"running"}`, attempt.Job.ID, attempt.Key.Index, attempt.Key.Number)
 		}
 		body = append(body, "]}"...)
-		r, err := protocol.ParseReport(body)
+		r, err := protocol.ParseHeartbeat(body)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	l := fullFleet(600)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.n.now = l.n.now.Add(tuning.PlanEvery)
+		l.n.now = l.n.now.Add(tuning.MinSchedulingInterval)
 		for _, machine := range l.cluster.OrderedMachines {
 			machine.Agent.LastHeartbeat = l.n.now
 		}
@@ -117,23 +117,23 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	page := protocol.Entries{Revision: 9}
 	add := func(key string, v any) {
-		page.Items = append(page.Items, protocol.Entry{Key: key, Value: bookkeeping.Encode(v), Revision: 8})
+		page.Items = append(page.Items, protocol.Entry{Key: key, Value: storage.Encode(v), Revision: 8})
 	}
 	for i := range 4000 / 40 {
-		rec := bookkeeping.MachineRecord{}
+		rec := storage.MachineRecord{}
 		for k := range 40 {
-			rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID(fmt.Sprintf("i-%06d", i*40+k)), Address: "10.0.0.1:9000", Type: "big", Zone: "a"})
+			rec.Machines = append(rec.Machines, storage.MachineEntry{ID: protocol.MachineID(fmt.Sprintf("i-%06d", i*40+k)), Address: "10.0.0.1:9000", Type: "big", Zone: "a"})
 		}
-		add(bookkeeping.MachineRecordKey(fmt.Sprint("boot-", i)), rec)
+		add(storage.MachineRecordKey(fmt.Sprint("boot-", i)), rec)
 	}
 	for i := range 800 {
 		s := gangOf(10, 2)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", i)), "high"
-		rec := bookkeeping.Job{Spec: &s, Seq: protocol.Revision(i + 1), Attempt: 1, RecordTasks: 60}
+		rec := storage.Job{Spec: &s, Seq: protocol.Revision(i + 1), Attempt: 1, RecordTasks: 60}
 		for k := range 10 {
-			rec.Tasks = append(rec.Tasks, bookkeeping.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Incarnation: 1})
+			rec.Tasks = append(rec.Tasks, storage.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Incarnation: 1})
 		}
-		add(bookkeeping.JobKey(s.ID), rec)
+		add(storage.JobKey(s.ID), rec)
 	}
 	l.n.mirror.BeginLoad()
 	l.n.mirror.LoadPage(&page)
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -26,10 +26,10 @@
 	}
 	nodes, state := float64(len(cfg.Peers)+1), cfg.Cluster.State
 	return storeBudgets{
-		calls:  budget(state.RPS*tuning.CallShare/nodes, 1),
-		writes: budget(state.WriteRPS*tuning.WriteShare, 2),
-		users:  budget(state.WriteRPS*tuning.UserShare/nodes, state.TxnOps),
-		relay:  budget(state.WriteRPS*tuning.RelayShare/nodes, state.TxnOps),
+		calls:  budget(state.RPS*tuning.RequestBudgetShare/nodes, 1),
+		writes: budget(state.WriteRPS*tuning.WriteBudgetShare, 2),
+		users:  budget(state.WriteRPS*tuning.UserWriteBudgetShare/nodes, state.TxnOps),
+		relay:  budget(state.WriteRPS*tuning.RelayWriteBudgetShare/nodes, state.TxnOps),
 	}
 }
 
@@ -47,7 +47,7 @@
 // AllowsUserRead says whether the budget leaves room for a user's request: what the node
 // itself needs, renewals and decisions above all, comes first.
 func (sb *storeBudgets) AllowsUserRead(now time.Time) bool {
-	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.UserReserve
+	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.NodeRequestReserve
 }
 
 // TakeUserWrite says the same of a user's write, and takes it from the budget: the users'
@@ -73,5 +73,5 @@
 		}
 	}
 	pause := time.Duration(float64(changes) / float64(sb.writes.Limit()) * float64(time.Second))
-	return max(tuning.RetryPause, pause)
+	return max(tuning.StoreRetryDelay, pause)
 }
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -41,7 +41,7 @@
 
 // ListMachines implements autoscaler.Cloud.
 func (c cloudClient) ListMachines(after protocol.MachineID, done func(page *protocol.MachineList)) {
-	c.call(http.MethodGet, protocol.MachinesPath(after, tuning.ListPage), nil, func(status int, body []byte) {
+	c.call(http.MethodGet, protocol.MachinesPath(after, tuning.MachineListPageSize), nil, func(status int, body []byte) {
 		page, ok := parse[protocol.MachineList](body)
 		if status != http.StatusOK || !ok {
 			done(nil)
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -22,7 +22,7 @@
 	LastAnswered  bool // its last heartbeat was answered
 	UnseenAnswers int  // answers and commands in a row that seem not to have reached it
 
-	Exited []protocol.TaskReport // as last reported
+	Exited []protocol.TaskStatus // as last reported
 	// UnreadableSince is since when every heartbeat has had entries that name no task.
 	UnreadableSince time.Time
 
@@ -45,16 +45,16 @@
 // ShowsExited says whether the last report had an attempt that has exited.
 func (m *Machine) ShowsExited(key AttemptID) bool {
 	name := protocol.TaskName(key.Job, key.Index)
-	return slices.ContainsFunc(m.Agent.Exited, func(t protocol.TaskReport) bool { return t.Attempt == key.Number && t.Task == name })
+	return slices.ContainsFunc(m.Agent.Exited, func(t protocol.TaskStatus) bool { return t.Attempt == key.Number && t.Task == name })
 }
 
 // CountUnseenAnswers looks whether the last answer has shown an effect: the token, or
 // the starts that were in it.
-func (m *Machine) CountUnseenAnswers(r *protocol.Report) {
+func (m *Machine) CountUnseenAnswers(r *protocol.Heartbeat) {
 	lost, shown := m.Agent.LastAnswered && !m.Agent.TokenConfirmed, false
 	for _, attempt := range m.Attempts {
 		if attempt.StartInResponse {
-			there := r.Shows(protocol.TaskName(attempt.Job.ID, attempt.Key.Index), attempt.Key.Number)
+			there := r.HasAttempt(protocol.TaskName(attempt.Job.ID, attempt.Key.Index), attempt.Key.Number)
 			lost, shown = lost || !there, shown || there
 			attempt.StartInResponse = false
 		}
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -102,16 +102,16 @@
 	}
 	for missed, at := range j.StartDeadlines {
 		if !now.After(at) {
-			return at.Add(time.Duration(missed)*tuning.LatePenalty + time.Duration(len(j.Tasks)-j.DoneTasks)*tuning.SizePenalty)
+			return at.Add(time.Duration(missed)*tuning.MissedObjectivePenalty + time.Duration(len(j.Tasks)-j.DoneTasks)*tuning.RemainingTaskPenalty)
 		}
 	}
-	return j.SubmittedAt.Add(time.Duration(len(j.StartDeadlines)) * tuning.LatePenalty)
+	return j.SubmittedAt.Add(time.Duration(len(j.StartDeadlines)) * tuning.MissedObjectivePenalty)
 }
 
 // Overdue says whether an array has waited so long for its first place that it
 // goes first: with one task, then it takes its turn again.
 func (j *Job) Overdue(now time.Time) bool {
-	return !j.EverPlaced && !j.Spec.Gang() && now.Sub(j.SubmittedAt) > tuning.BeginWithin
+	return !j.EverPlaced && !j.Spec.Gang() && now.Sub(j.SubmittedAt) > tuning.ArrayStartDeadline
 }
 
 // GangSize is the number of a gang's tasks, 0 for other jobs.
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -24,7 +24,7 @@
 // lease ran out though it was answered. Its lease runs out again and again, so
 // it takes no work; if it does not answer a call either, it is returned.
 func (st *State) NotReceiving(machine *Machine) bool {
-	return machine.Agent.UnseenAnswers >= tuning.MissedAnswers
+	return machine.Agent.UnseenAnswers >= tuning.MaxIneffectiveResponses
 }
 
 // NotReporting says whether a worker answers calls while no report of it comes, so that
@@ -39,7 +39,7 @@
 
 // SilenceTimeout is how long a worker may be silent before it is probed.
 func (st *State) SilenceTimeout() time.Duration {
-	return max(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.SilentReports), tuning.SilentLeast)
+	return max(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.SilenceIntervals), tuning.MinSilenceTimeout)
 }
 
 // SuspectedZones are those in which the network is suspected, not the machines:
@@ -67,8 +67,8 @@
 	many := func(c count, share float64) bool { return c.silent > 2 && float64(c.silent) > share*float64(c.total) }
 	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
 	for name, z := range zones {
-		suspected[name] = many(z, tuning.ZoneSilentShare) || many(all, tuning.SilentShare)
-		heard[name] = z.total > 0 && float64(z.silent) < tuning.HeardSilentShare*float64(z.total)
+		suspected[name] = many(z, tuning.MaxZoneSilentShare) || many(all, tuning.MaxSilentShare)
+		heard[name] = z.total > 0 && float64(z.silent) < tuning.MaxHeardZoneSilentShare*float64(z.total)
 	}
 	return suspected, heard
 }
@@ -92,7 +92,7 @@
 
 // ReplicaSilenceTimeout is how long such a machine may be silent before it is probed.
 func (st *State) ReplicaSilenceTimeout() time.Duration {
-	return min(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.ReplicaReports), st.SilenceTimeout())
+	return min(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
 }
 
 // SomeZoneSilent says whether machines of some zone are missed at the same time.
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -13,7 +13,7 @@
 	if machineType.GPUs >= 1 {
 		return int(machineType.GPUs)
 	}
-	return max(1, int(machineType.CPUs/tuning.SlotCPUs))
+	return max(1, int(machineType.CPUs/tuning.CPUsPerSlot))
 }
 
 // TaskSlots is the number of slots that a task takes.
@@ -21,7 +21,7 @@
 	if spec.GPUs > 0 {
 		return int(math.Ceil(spec.GPUs))
 	}
-	return max(1, int(math.Ceil(spec.CPUs/tuning.SlotCPUs)))
+	return max(1, int(math.Ceil(spec.CPUs/tuning.CPUsPerSlot)))
 }
 
 // Resources is an amount of what tasks take of machines.
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -35,20 +35,20 @@
 	}
 	burst := float64(l.n.budgets.writes.Burst())
 	// The end of a job takes two changes, however few a second there are.
-	tokens := l.n.budgets.writes.TokensAt(l.n.now) - min(burst*tuning.UserFloor, burst-2)
+	tokens := l.n.budgets.writes.TokensAt(l.n.now) - min(burst*tuning.UserBurstReserve, burst-2)
 	if tokens < 1 {
 		return
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
 	b := &batch{l: l, tx: tx, guarded: map[*cluster.MachineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
-	b.guard(bookkeeping.LeaderKey, protocol.Revision(l.n.election.Term()))
+	b.guard(storage.LeaderKey, protocol.Revision(l.n.election.Term()))
 	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
-	reserve := burst * tuning.GangReserve
+	reserve := burst * tuning.GangBurstReserve
 	for i, job := range list {
 		job.Write.Queued = false
-		if i < urgent || i < ready && float64(len(b.txn.Then)+2) <= tokens-reserve {
+		if i < urgent || i < ready && float64(len(b.txn.Changes)+2) <= tokens-reserve {
 			b.addJob(job)
 		}
 		if len(job.Write.Dirty) > 0 {
@@ -59,7 +59,7 @@
 	l.dirty = later
 	if tokens >= burst/2 {
 		b.addMachineRecords(func(r *cluster.MachineRecord) bool {
-			return !r.StaleSince.IsZero() && l.n.now.Sub(r.StaleSince) > tuning.StaleWait
+			return !r.StaleSince.IsZero() && l.n.now.Sub(r.StaleSince) > tuning.StaleMachineRecordDelay
 		})
 		for len(l.cleanup) > 0 && b.fits(1, 0, 200) {
 			b.remove(l.cleanup[0])
@@ -67,11 +67,11 @@
 			l.cleanup = l.cleanup[1:]
 		}
 	}
-	if len(b.txn.Then) == 0 {
+	if len(b.txn.Changes) == 0 {
 		return
 	}
-	l.n.budgets.writes.AllowN(l.n.now, len(b.txn.Then))
-	tx.body, tx.changes = bookkeeping.Encode(b.txn), len(b.txn.Then)
+	l.n.budgets.writes.AllowN(l.n.now, len(b.txn.Changes))
+	tx.body, tx.changes = storage.Encode(b.txn), len(b.txn.Changes)
 	l.inFlight = tx
 	l.send(tx)
 }
@@ -96,14 +96,14 @@
 		}
 		e := entry{job, 3}
 		switch age := l.n.now.Sub(job.Write.DirtySince); {
-		case job.Records.Splitting || (job.Spec.Gang() || job.Spec.Service()) && job.HasUncommitted() || age > tuning.MarkLate || age > tuning.WriteWait && (job.HasUncommitted() || job.FinalPhase() != ""):
+		case job.Records.Splitting || (job.Spec.Gang() || job.Spec.Service()) && job.HasUncommitted() || age > tuning.MaxDoneMarkDelay || age > tuning.MaxWriteDelay && (job.HasUncommitted() || job.FinalPhase() != ""):
 			e.class = 0
 			urgent++
 			ready++
 		case job.HasUncommitted() || job.FinalPhase() != "":
 			e.class = 1
 			ready++
-		case age > tuning.MarkWait:
+		case age > tuning.DoneMarkDelay:
 			e.class = 2
 			ready++
 		}
@@ -138,7 +138,7 @@
 			// The transaction may have been applied, or may be yet. The same
 			// one again can be applied only once.
 			tx.lost = true
-			l.resend(tx, tuning.RetryPause)
+			l.resend(tx, tuning.StoreRetryDelay)
 		case outcome == kv.Throttled:
 			l.resend(tx, l.n.budgets.throttled(l.n.now, tx.changes))
 		case outcome == kv.Rejected:
@@ -147,7 +147,7 @@
 			l.conflict(tx, nil)
 			l.commitAt = l.n.now.Add(time.Second)
 		default:
-			l.resend(tx, tuning.RetryPause)
+			l.resend(tx, tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -180,7 +180,7 @@
 		case kv.NotFound:
 			l.conflict(tx, nil)
 		default:
-			l.n.after(tuning.RetryPause, func() {
+			l.n.after(tuning.StoreRetryDelay, func() {
 				if l.n.lead == l && l.inFlight == tx {
 					l.resolveLost(tx)
 				}
@@ -230,19 +230,19 @@
 }
 
 // finish forgets a job whose final record is committed.
-func (l *leader) finish(job *cluster.Job, f bookkeeping.Final) {
+func (l *leader) finish(job *cluster.Job, f storage.Final) {
 	job.Finished = true
 	clear(job.Write.Dirty)
 	delete(l.cluster.Jobs, job.ID)
 	l.n.api.JobFinished(job.ID, f)
 	for r := 1; r < len(job.Records.Revisions); r++ {
 		if job.Records.Revisions[r] != 0 {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
+			l.cleanup = append(l.cleanup, storage.TaskRecordKey(job.ID, r))
 		}
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Records.Abandoned)) {
 		if r >= len(job.Records.Revisions) {
-			l.cleanup = append(l.cleanup, bookkeeping.TaskRecordKey(job.ID, r))
+			l.cleanup = append(l.cleanup, storage.TaskRecordKey(job.ID, r))
 		}
 	}
 	l.plan = true
@@ -253,7 +253,7 @@
 	l.inFlight = nil
 	l.n.metrics.CommitConflicts++
 	for _, k := range failed {
-		if k == bookkeeping.LeaderKey {
+		if k == storage.LeaderKey {
 			l.n.election.StepDown("leader lease is no longer ours")
 			return
 		}
@@ -266,7 +266,7 @@
 		}
 	}
 	for _, k := range failed {
-		if strings.HasPrefix(k, bookkeeping.MachinePrefix) {
+		if strings.HasPrefix(k, storage.MachinePrefix) {
 			l.rereadRevision(k)
 		}
 	}
@@ -284,14 +284,14 @@
 				l.dropAttempt(attempt)
 			}
 		}
-		l.rereadRevision(bookkeeping.JobKey(job.ID))
+		l.rereadRevision(storage.JobKey(job.ID))
 		for _, r := range w.records {
 			if r > 0 {
-				l.rereadRevision(bookkeeping.TaskRecordKey(job.ID, r))
+				l.rereadRevision(storage.TaskRecordKey(job.ID, r))
 			}
 		}
 	}
-	l.commitAt = l.n.now.Add(tuning.ConflictPause)
+	l.commitAt = l.n.now.Add(tuning.ConflictRetryDelay)
 	l.plan = true
 }
 
@@ -302,13 +302,13 @@
 			return
 		}
 		e := result.Entry
-		if id, n, ok := bookkeeping.ParseTaskRecordKey(key); ok {
+		if id, n, ok := storage.ParseTaskRecordKey(key); ok {
 			if job := l.cluster.Jobs[id]; job != nil && n < len(job.Records.Revisions) {
 				job.Records.Revisions[n] = e.Revision
 			}
 			return
 		}
-		if strings.HasPrefix(key, bookkeeping.MachinePrefix) {
+		if strings.HasPrefix(key, storage.MachinePrefix) {
 			for _, r := range l.machineRecords {
 				if r.Key == key {
 					r.Revision = e.Revision
@@ -317,7 +317,7 @@
 			}
 			return
 		}
-		id, _ := bookkeeping.ParseJobKey(key)
+		id, _ := storage.ParseJobKey(key)
 		job := l.cluster.Jobs[id]
 		if job == nil {
 			return
@@ -327,7 +327,7 @@
 			l.n.lookUpFinal(l, job)
 			return
 		}
-		rec, err := bookkeeping.DecodeJob(e.Value)
+		rec, err := storage.DecodeJob(e.Value)
 		if err != nil {
 			l.leaveAlone(id, err)
 			return
@@ -338,11 +338,11 @@
 
 // lookUpFinal finishes a job whose record has turned out to be gone.
 func (n *Node) lookUpFinal(l *leader, job *cluster.Job) {
-	n.store.Get(bookkeeping.FinalKey(job.ID), func(result kv.GetResult) {
+	n.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
 		if n.lead != l || result.Outcome != kv.Done || result.Malformed || job.Finished {
 			return
 		}
-		f, ok := parse[bookkeeping.Final](result.Entry.Value)
+		f, ok := parse[storage.Final](result.Entry.Value)
 		if ok && f.Phase != "" {
 			l.finish(job, f)
 		}
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -24,7 +24,7 @@
 
 // stopInOrder stops an attempt in good order; a gang stops as a whole.
 func (l *leader) stopInOrder(attempt *cluster.Attempt) {
-	l.endAttempt(attempt, attempt.Job.Spec.SaveS+tuning.StopGrace)
+	l.endAttempt(attempt, attempt.Job.Spec.SaveS+tuning.StopGraceSeconds)
 }
 
 // Preempt stops an attempt for a job that waits: in good order if saving is worth
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -12,7 +12,7 @@
 // Timers are kept to the tick, so that what is due at about the same time is
 // done in one.
 func (n *Node) Due() time.Duration {
-	due := n.now.Add(tuning.TickMost)
+	due := n.now.Add(tuning.MaxTimerInterval)
 	by := func(t time.Time) {
 		if t.Before(due) {
 			due = t
@@ -29,10 +29,10 @@
 	case !n.watching:
 		by(n.watchAt)
 	case n.awaited.revision > n.mirror.Revision:
-		by(n.awaited.sentAt.Add(tuning.WatchStuck))
+		by(n.awaited.sentAt.Add(tuning.WatchStallTimeout))
 	}
 	if n.mirror.Ready() {
-		by(n.askedAt.Add(tuning.StateProbe))
+		by(n.askedAt.Add(tuning.StoreProbeInterval))
 	}
 	by(n.typesAt)
 	n.election.Due(by)
@@ -49,7 +49,7 @@
 	if n.mayAct() {
 		n.lead.due(by)
 	}
-	return max(due.Sub(n.now), tuning.Tick)
+	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
 
 // due tells when the leader has something to look after.
@@ -58,7 +58,7 @@
 	if l.plan {
 		by(l.planAt)
 	}
-	by(l.planAt.Add(tuning.PlanIdle))
+	by(l.planAt.Add(tuning.MaxSchedulingInterval))
 	if l.inFlight == nil && len(l.dirty) > 0 {
 		by(l.commitAt)
 	}
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -13,12 +13,12 @@
 func (e *Election) Grace() time.Duration {
 	w := e.cfg.Cluster.Workers
 	grace := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - e.failoverTime()
-	return min(max(grace, 0), tuning.MaxGrace)
+	return min(max(grace, 0), tuning.MaxLeaderGrace)
 }
 
 // failoverTime is how long a failover takes on this controller's share of a core.
 func (e *Election) failoverTime() time.Duration {
-	return min(e.cfg.Cluster.Resources.Pause(tuning.TakeoverWork, 1), tuning.TakeoverMost)
+	return min(e.cfg.Cluster.Resources.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
 }
 
 // TTL is how long the leader lease outlives its last renewal.
@@ -30,7 +30,7 @@
 // the moment after it last knew must have taken effect by then.
 func (e *Election) authority() time.Duration {
 	w := e.cfg.Cluster.Workers
-	bound := config.Seconds(w.CancelS) - config.WithClockDrift(config.Seconds(w.LeaseS)) - tuning.CancelMargin
+	bound := config.Seconds(w.CancelS) - config.WithClockDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(e.TTL()+e.Grace(), max(bound, 0))
 }
 
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -25,8 +25,8 @@
 // requestConfirmation asks the peers while renewals fail.
 func (e *Election) requestConfirmation() {
 	c, now := &e.confirmation, e.env.Now()
-	if !e.env.Leading() || now.Sub(e.authorityStart()) < tuning.ConfirmAfter ||
-		now.Sub(c.requestedAt) < tuning.ConfirmEvery || e.peers.Count() == 0 {
+	if !e.env.Leading() || now.Sub(e.authorityStart()) < tuning.ConfirmationDelay ||
+		now.Sub(c.requestedAt) < tuning.ConfirmationInterval || e.peers.Count() == 0 {
 		return
 	}
 	c.requestID, c.requestedAt, c.answers = e.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
@@ -34,8 +34,8 @@
 
 // Confirm answers a leader's question: under which term this controller leads itself, how
 // long its process has been up, and the cancellations that it has told users of meanwhile.
-func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirm {
-	m := protocol.PeerConfirm{ID: request.ID, Term: e.term, UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
+func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
+	m := protocol.PeerConfirmation{ID: request.ID, Term: e.term, UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
 	if m.Complete = m.FitsFrame(); !m.Complete {
 		m.Cancels = nil
 	}
@@ -43,7 +43,7 @@
 }
 
 // ReceiveConfirmation takes a peer's answer.
-func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirm) {
+func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
 	c := &e.confirmation
 	if !e.env.Leading() || m.ID != c.requestID {
 		return // an old one, perhaps held back
@@ -57,7 +57,7 @@
 	}
 	// What an earlier life of it told users since this controller last knew is not named.
 	up := time.Duration(m.UpMs) * time.Millisecond
-	latestStart := e.env.Now().Add(-up + time.Duration(float64(up)*tuning.ClockDrift))
+	latestStart := e.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
 	if m.Term != 0 || !m.Complete || latestStart.After(e.mirror.SyncedAt()) {
 		return
 	}
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -17,10 +17,10 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -118,12 +118,12 @@
 
 // Condition is the condition of a transaction that this controller's term lasts.
 func (e *Election) Condition() protocol.Condition {
-	return protocol.Condition{Key: bookkeeping.LeaderKey, Revision: protocol.Revision(e.term)}
+	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(e.term)}
 }
 
 // ObserveLease notes the leader lease as it now stands.
 func (e *Election) ObserveLease(value json.RawMessage, revision protocol.Revision) {
-	var lease bookkeeping.LeaderLease
+	var lease storage.LeaderLease
 	if err := json.Unmarshal(value, &lease); err != nil {
 		e.log.Error("leader lease does not parse", "value", string(value), "error", err)
 	}
@@ -197,7 +197,7 @@
 	}
 	e.log.Info("stepping down", "term", e.term, "reason", reason)
 	e.term, e.leaseID, e.renewing, e.unconfirmed = 0, 0, false, false
-	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetry + e.jitter(tuning.LeaderLeaseJitter))
+	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetryDelay + e.jitter(tuning.LeaderLeaseJitter))
 	e.confirmation = confirmation{}
 	e.env.SteppedDown()
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -74,7 +74,7 @@
 	}
 	call := c.calls[0]
 	c.calls = nil
-	call.done(status, bookkeeping.Encode(body))
+	call.done(status, storage.Encode(body))
 }
 
 // elect has the controller win and renew the leader lease, and lead.
@@ -82,9 +82,9 @@
 	t.Helper()
 	c.synced = c.now
 	c.Tick()
-	c.answer(t, protocol.PathLeases, http.StatusOK, protocol.LeaseAnswer{Lease: testLease})
-	c.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
-	c.answer(t, protocol.PathTxn, http.StatusOK, protocol.TxnAnswer{Revision: 9})
+	c.answer(t, protocol.PathLeases, http.StatusOK, protocol.LeaseResponse{Lease: testLease})
+	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
+	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	if c.Term() != 9 || c.MayAct() || c.MayTakeOver() {
 		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
 	}
@@ -106,7 +106,7 @@
 		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
-		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.TakeoverMost {
+		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxTakeoverAllowance {
 			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
 		}
 	}
@@ -120,14 +120,14 @@
 		c.elect(t)
 		start := c.now
 		for c.HasAuthority() && c.now.Sub(start) < time.Hour {
-			c.now = c.now.Add(tuning.Tick)
+			c.now = c.now.Add(tuning.MinTimerInterval)
 			if renewed {
 				c.Renewed(c.now)
 			} else {
 				c.synced = c.now
 			}
 		}
-		if lasted := c.now.Sub(start); lasted < c.authority() || lasted > c.authority()+2*tuning.Tick {
+		if lasted := c.now.Sub(start); lasted < c.authority() || lasted > c.authority()+2*tuning.MinTimerInterval {
 			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.authority())
 		}
 		c.Tick()
@@ -142,7 +142,7 @@
 func TestProcessPauseNeedsRenewal(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
-	c.now = c.now.Add(tuning.LeaderLeaseRenew)
+	c.now = c.now.Add(tuning.LeaderLeaseRenewInterval)
 	c.Tick()
 	before := c.calls[0]
 	c.calls = nil
@@ -171,23 +171,23 @@
 func TestAllPeersConfirmAuthority(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
-		second protocol.PeerConfirm
+		second protocol.PeerConfirmation
 		want   bool
 	}{
-		"all confirm":    {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true}, true},
-		"an old answer":  {protocol.PeerConfirm{ID: 0, UpMs: hour, Complete: true}, false},
-		"not all named":  {protocol.PeerConfirm{ID: 1, UpMs: hour}, false},
-		"just started":   {protocol.PeerConfirm{ID: 1, UpMs: 1, Complete: true}, false},
-		"a lower term":   {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
-		"another leader": {protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
+		"all confirm":    {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
+		"an old answer":  {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
+		"not all named":  {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
+		"just started":   {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
+		"a lower term":   {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
+		"another leader": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
 	} {
 		c := newController(t, 0, 2)
 		c.elect(t)
-		c.now = c.now.Add(tuning.ConfirmAfter)
+		c.now = c.now.Add(tuning.ConfirmationDelay)
 		c.Tick()
 		asked := c.now
 		c.now = c.now.Add(time.Millisecond)
-		c.ReceiveConfirmation("a", protocol.PeerConfirm{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
+		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
 		if c.confirmedByPeers() {
 			t.Fatalf("%s: confirmed by one of two", name)
 		}
@@ -208,7 +208,7 @@
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
-	c.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "other"}), 12)
+	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "other"}), 12)
 	if c.Term() != 0 || c.leading || c.Holder() != "other" || c.HolderTerm() != 12 {
 		t.Errorf("term %d, holder %s of term %d", c.Term(), c.Holder(), c.HolderTerm())
 	}
--- a/internal/coordination/election/lease.go
+++ b/internal/coordination/election/lease.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -41,18 +41,18 @@
 }
 
 // claim is the transaction that takes the leader lease.
-func (e *Election) claim(leaseID protocol.LeaseID, expected protocol.Revision) protocol.Txn {
-	return protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Revision: expected}},
-		Then: []protocol.Change{{Set: bookkeeping.LeaderKey, Lease: leaseID,
-			Value: bookkeeping.Encode(bookkeeping.LeaderLease{Node: e.cfg.Name, Boot: e.env.UniqueName()})}},
+func (e *Election) claim(leaseID protocol.LeaseID, expected protocol.Revision) protocol.Transaction {
+	return protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: storage.LeaderKey, Revision: expected}},
+		Changes: []protocol.Change{{Set: storage.LeaderKey, Lease: leaseID,
+			Value: storage.Encode(storage.LeaderLease{Node: e.cfg.Name, Boot: e.env.UniqueName()})}},
 	}
 }
 
 // acquireLater ends an attempt that failed.
 func (e *Election) acquireLater() {
 	e.acquiring = false
-	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetry + e.jitter(tuning.LeaderLeaseJitter))
+	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetryDelay + e.jitter(tuning.LeaderLeaseJitter))
 }
 
 // Acquired notes that this controller has won the leader lease by a request sent at that
@@ -75,7 +75,7 @@
 		return
 	}
 	e.renewing = true
-	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.SyncedFor {
+	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MirrorFreshness {
 		e.mirror.FetchRevision()
 	}
 	e.renew()
@@ -94,7 +94,7 @@
 		case kv.NotFound:
 			e.StepDown("leader lease has ended")
 		default:
-			e.renewAt = e.env.Now().Add(tuning.RetryPause)
+			e.renewAt = e.env.Now().Add(tuning.StoreRetryDelay)
 		}
 	})
 }
@@ -102,6 +102,6 @@
 // Renewed notes that the leader lease was renewed by a request sent at that time.
 func (e *Election) Renewed(sent time.Time) {
 	e.renewedAt = sent
-	e.renewAt = sent.Add(tuning.LeaderLeaseRenew)
+	e.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
 	e.unconfirmed = e.unconfirmed && sent.Before(e.resumedAt)
 }
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -88,7 +88,7 @@
 // WorkerReport is a worker's report that this node was sent.
 type WorkerReport struct {
 	ID     uint64
-	Report *protocol.Report
+	Report *protocol.Heartbeat
 }
 
 // PeerUp and PeerDown say that a link to a peer exists or no longer does.
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskReport) []protocol.Command {
-	cmds, _ := l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: token, Tasks: tasks}, true)
+func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
+	cmds, _ := l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}, true)
 	return cmds
 }
 
 func ops(cmds []protocol.Command) (s string) {
 	for _, c := range cmds {
-		s += string(c.Op) + " "
+		s += string(c.Kind) + " "
 	}
 	return s
 }
@@ -45,8 +45,8 @@
 func (l *leader) recorded(machine *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
-	job := l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
-		Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
+	job := l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
+		Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
 	return job, job.SortedAttempts()[0]
 }
 
@@ -102,7 +102,7 @@
 	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start halt " {
 		t.Errorf("orders %q", got)
 	}
-	exited := protocol.TaskReport{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
+	exited := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := ops(l.testReport(machine, l.n.election.Term(), exited)); got != "" {
 		t.Errorf("orders %q: the attempt must not be forgotten", got)
 	}
@@ -160,12 +160,12 @@
 	}
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	txn, _ := parse[protocol.Txn](r.Body)
+	txn, _ := parse[protocol.Transaction](r.Body)
 	guards := map[string]protocol.Revision{}
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{bookkeeping.LeaderKey: protocol.Revision(l.n.election.Term()), bookkeeping.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
+	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.election.Term()), storage.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
@@ -180,7 +180,7 @@
 	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
-	l.n.now = l.n.now.Add(tuning.OrderOnWay)
+	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
 	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
@@ -195,13 +195,13 @@
 	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{bookkeeping.JobKey(job.ID)}})})
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{storage.JobKey(job.ID)}})})
 	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
 	}
 	read := l.n.lastRequest(t, ToState)
-	rec := bookkeeping.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
-	l.n.handle(Response{ID: read.ID, Status: 200, Body: bookkeeping.Encode(protocol.Entry{Key: bookkeeping.JobKey(job.ID), Value: bookkeeping.Encode(rec), Revision: 50})})
+	rec := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
+	l.n.handle(Response{ID: read.ID, Status: 200, Body: storage.Encode(protocol.Entry{Key: storage.JobKey(job.ID), Value: storage.Encode(rec), Revision: 50})})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
 		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
 	}
@@ -246,16 +246,16 @@
 	l.scheduler.PlaceGang(job)
 	l.commitNext()
 	sent := l.n.lastRequest(t, ToState)
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	if err := json.Unmarshal(sent.Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	last := txn.Then[len(txn.Then)-1]
+	last := txn.Changes[len(txn.Changes)-1]
 	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
 	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.inFlight != nil {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
-	l.n.handle(Response{ID: sent.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
+	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{last.Set}})})
 	if len(job.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
@@ -269,16 +269,16 @@
 	r := machine.Record
 	l.MachinesDeleted(machine.ID)
 	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
-	value := bookkeeping.Encode(bookkeeping.MachineRecord{Writer: l.n.unique(), Machines: []bookkeeping.MachineEntry{machineEntry(machine)}})
+	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
-	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
+	l.n.now = l.n.now.Add(tuning.StaleMachineRecordDelay + time.Second)
 	l.n.keepAuthority()
 	l.commitNext()
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	if len(txn.Then) != 1 || txn.Then[0].Delete != r.Key || txn.If[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
+	if len(txn.Changes) != 1 || txn.Changes[0].Delete != r.Key || txn.Conditions[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
 		t.Errorf("%+v", txn)
 	}
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -49,7 +49,7 @@
 				events = append(events, Response{ID: id}) // none of them answers
 			}
 		}
-		out := n.Step(n.now.Add(tuning.Tick), events)
+		out := n.Step(n.now.Add(tuning.MinTimerInterval), events)
 		for _, a := range out {
 			r, ok := a.(Request)
 			switch {
@@ -61,11 +61,11 @@
 				n.pending[r.ID](200, nil)
 			}
 		}
-		if limit := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); len(open) > limit {
+		if limit := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
 			t.Fatalf("%d calls under way", len(open))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds() + float64(l.calls.Burst())
+	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.calls.Burst())
 	if calls == 0 || float64(calls) > most {
 		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
 	}
@@ -86,14 +86,14 @@
 	}
 	l.tickMachines()
 	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
-	if sockets := int(float64(bigResources.FDLimit) * tuning.WorkerSockets); probes == 0 || probes > sockets/2 {
+	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.Stop(attempt, 0)
 	}
 	l.sendDirect()
-	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathOrders); orders != 1 {
+	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
 }
@@ -111,10 +111,10 @@
 	job := l.testJob(gangOf(1, 1))
 	l.setDone(job, 0)
 	for range 30 {
-		n.now = n.now.Add(tuning.Tick)
+		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.commitNext()
 	}
-	if _, writes := sentTo(n.out, ToState, protocol.PathTxn); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
+	if _, writes := sentTo(n.out, ToState, protocol.PathTransactions); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
@@ -127,12 +127,12 @@
 	n := l.n
 	free := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
 	before := free()
-	watch := protocol.WatchAnswer{Revision: 90}
+	watch := protocol.WatchResponse{Revision: 90}
 	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
-		watch.Events = append(watch.Events, protocol.WatchEvent{Set: bookkeeping.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: bookkeeping.Encode(bookkeeping.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
+		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
@@ -151,7 +151,7 @@
 	machine := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
 		machine.Agent.Sequence++
-		return WorkerReport{ID: id, Report: &protocol.Report{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, Token: n.election.Term()}}
+		return WorkerReport{ID: id, Report: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.election.Term()}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -161,7 +161,7 @@
 		}
 		return 0
 	}
-	n.Step(n.now.Add(tuning.Tick), nil)
+	n.Step(n.now.Add(tuning.MinTimerInterval), nil)
 	job := l.testJob(gangOf(1, 1))
 	l.plan = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{report(1)})
@@ -173,8 +173,8 @@
 	}
 	// It may ask how far the records have come: that changes nothing.
 	for _, a := range out {
-		var txn protocol.Txn
-		if r, ok := a.(Request); ok && r.Path == protocol.PathTxn && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Then) > 0) {
+		var txn protocol.Transaction
+		if r, ok := a.(Request); ok && r.Path == protocol.PathTransactions && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Changes) > 0) {
 			t.Errorf("it writes %s", r.Body)
 		}
 	}
@@ -210,16 +210,16 @@
 	n.election.StepDown("a test")
 	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
 	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: name}), stamp)
+		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
 	send := func(after time.Duration) string {
 		seq++
 		for _, p := range n.peers {
 			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), DirectShare: tuning.DirectAll, Links: []protocol.NodeName{"first", "second"}}
+			p.status = protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}
 		}
-		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
+		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
@@ -227,7 +227,7 @@
 					return fmt.Sprint(a.Status)
 				}
 			case PeerSend:
-				if _, ok := a.Message.(protocol.PeerReport); ok {
+				if _, ok := a.Message.(protocol.PeerForwardedHeartbeat); ok {
 					return string("carried to " + a.Peer)
 				}
 			}
@@ -240,7 +240,7 @@
 		want  string
 	}{
 		{time.Second, "421"}, {5 * time.Second, "carried to first"}, {5 * time.Second, "carried to first"},
-		{tuning.RedirectMemory, "421"}, {5 * time.Second, "carried to first"},
+		{tuning.RedirectRetention, "421"}, {5 * time.Second, "carried to first"},
 	} {
 		if got := send(step.after); got != step.want {
 			t.Errorf("report %d: %s, want %s", i, got, step.want)
@@ -276,14 +276,14 @@
 	out := n.Step(n.now, nil)
 	grant := request(out, protocol.PathLeases)
 	out = n.Step(n.now, []Event{Response{ID: grant.ID, Status: 200, Body: []byte(`{"permit":5}`)}})
-	claim := request(out, protocol.PathTxn)
-	n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "n"}), 9)
+	claim := request(out, protocol.PathTransactions)
+	n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
 		t.Fatal("leads before its claim was renewed")
 	}
-	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Report{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
+	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
 			t.Fatalf("a report is answered %d meanwhile", r.Status)
@@ -294,7 +294,7 @@
 		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.planAt)
 	}
 	answered := false
-	for _, a := range n.Step(n.now.Add(tuning.Tick), nil) {
+	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
 		if r, ok := a.(Reply); ok && r.ID == 77 {
 			answered = r.Status == 200
 		}
--- a/internal/coordination/forwarding.go
+++ b/internal/coordination/forwarding.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -34,13 +34,13 @@
 
 // forwardIfUnserved sends a user's request on to a peer that the state service
 // serves while it does not serve this node.
-func (n *Node) forwardIfUnserved(id uint64, r protocol.PeerRequest) bool {
-	return n.now.Sub(n.servedAt) >= tuning.ServedLately && n.forwardToPeer(id, r)
+func (n *Node) forwardIfUnserved(id uint64, r protocol.PeerUserRequest) bool {
+	return n.now.Sub(n.servedAt) >= tuning.StoreServedFreshness && n.forwardToPeer(id, r)
 }
 
 // forwardToPeer sends a user's request on to a peer that the state service serves,
 // to each in turn. What a peer sent here goes no further.
-func (n *Node) forwardToPeer(id uint64, r protocol.PeerRequest) bool {
+func (n *Node) forwardToPeer(id uint64, r protocol.PeerUserRequest) bool {
 	if id&receivedID != 0 {
 		return false
 	}
@@ -50,21 +50,21 @@
 	}
 	n.nextID++
 	r.ID, r.Origin, r.Target = n.nextID, n.cfg.Name, list[n.nextID%uint64(len(list))]
-	n.forwarded[r.ID] = forwardedRequest{reply: id, expire: n.now.Add(tuning.UserDeadline)}
+	n.forwarded[r.ID] = forwardedRequest{reply: id, expire: n.now.Add(tuning.UserRequestTimeout)}
 	return n.sendTo(r.Target, r)
 }
 
 // submission is a submission on its way to a peer.
-func submission(spec *protocol.Job) protocol.PeerRequest {
-	return protocol.PeerRequest{Verb: verbSubmit, Job: spec.ID, Body: bookkeeping.Encode(spec)}
+func submission(spec *protocol.Job) protocol.PeerUserRequest {
+	return protocol.PeerUserRequest{Operation: verbSubmit, Job: spec.ID, Body: storage.Encode(spec)}
 }
 
 // handleForwarded answers a user's request that a peer sent on.
-func (n *Node) handleForwarded(m protocol.PeerRequest) {
+func (n *Node) handleForwarded(m protocol.PeerUserRequest) {
 	n.nextID++
 	id := n.nextID | receivedID
 	n.received[id] = receivedRequest{m.Origin, m.ID}
-	switch m.Verb {
+	switch m.Operation {
 	case verbSubmit:
 		spec, err := protocol.ParseJob(m.Body)
 		if err != nil {
--- a/internal/coordination/forwarding_test.go
+++ b/internal/coordination/forwarding_test.go
@@ -18,7 +18,7 @@
 			n.forwarded[id+1] = forwardedRequest{reply: 100 + id, expire: sent}
 		}
 		last := uint64(0)
-		for _, action := range n.Step(sent.Add(tuning.ExpireEvery+time.Second), nil) {
+		for _, action := range n.Step(sent.Add(tuning.ForwardExpiryInterval+time.Second), nil) {
 			reply, ok := action.(Reply)
 			if !ok {
 				continue
--- a/internal/coordination/kv/kv.go
+++ b/internal/coordination/kv/kv.go
@@ -103,18 +103,20 @@
 }
 
 // Transact carries out a transaction on conditions.
-func (c Client) Transact(txn protocol.Txn, done func(TransactionResult)) { c.transact(txn, done) }
+func (c Client) Transact(txn protocol.Transaction, done func(TransactionResult)) {
+	c.transact(txn, done)
+}
 
 // TransactEncoded is Transact of a transaction that is encoded already, so that the same
 // one can be sent again.
 func (c Client) TransactEncoded(txn []byte, done func(TransactionResult)) { c.transact(txn, done) }
 
 func (c Client) transact(body any, done func(TransactionResult)) {
-	c.transport.CallStore(Call{Method: http.MethodPost, Path: protocol.PathTxn, Body: body}, func(status int, body []byte) {
+	c.transport.CallStore(Call{Method: http.MethodPost, Path: protocol.PathTransactions, Body: body}, func(status int, body []byte) {
 		result := TransactionResult{Outcome: outcomeOf(status)}
 		switch result.Outcome {
 		case Done, ConditionFailed:
-			var answer protocol.TxnAnswer
+			var answer protocol.TransactionResponse
 			result.Malformed = json.Unmarshal(body, &answer) != nil
 			result.Revision, result.Failed = answer.Revision, answer.Failed
 		case Rejected:
@@ -164,7 +166,7 @@
 type WatchResult struct {
 	Outcome   Outcome
 	Malformed bool
-	Changes   protocol.WatchAnswer
+	Changes   protocol.WatchResponse
 }
 
 // Watch waits for changes of keys with a prefix after a revision, for so long at most.
@@ -189,7 +191,7 @@
 func (c Client) GrantLease(ttl time.Duration, done func(LeaseResult)) {
 	request := protocol.LeaseRequest{TTLMs: ttl.Milliseconds()}
 	c.transport.CallStore(Call{Method: http.MethodPost, Path: protocol.PathLeases, Body: request}, func(status int, body []byte) {
-		var answer protocol.LeaseAnswer
+		var answer protocol.LeaseResponse
 		if json.Unmarshal(body, &answer) != nil {
 			answer.Lease = 0
 		}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,12 +4,12 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -70,16 +70,16 @@
 
 // changed takes a change of a record that the watch saw.
 func (l *leader) changed(ev *protocol.WatchEvent) {
-	if tx := l.inFlight; tx != nil && ev.Set != "" && ev.Set == tx.probe && bookkeeping.Writer(ev.Value) == tx.writer {
+	if tx := l.inFlight; tx != nil && ev.Set != "" && ev.Set == tx.probe && storage.Writer(ev.Value) == tx.writer {
 		// The transaction under way is done, though its answer may be lost.
 		l.committed(tx, ev.Revision)
 		return
 	}
-	if strings.HasPrefix(ev.Set, bookkeeping.MachinePrefix) {
+	if strings.HasPrefix(ev.Set, storage.MachinePrefix) {
 		l.deleteStrayRecord(ev)
 		return
 	}
-	id, ok := bookkeeping.ParseJobKey(ev.Set)
+	id, ok := storage.ParseJobKey(ev.Set)
 	if !ok {
 		return
 	}
@@ -87,10 +87,10 @@
 	if job != nil && ev.Revision <= job.Records.Revisions[0] {
 		return
 	}
-	if job != nil && l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
+	if job != nil && l.inFlight != nil && storage.Writer(ev.Value) == l.inFlight.writer {
 		return // our own write, whose answer is on its way
 	}
-	rec, err := bookkeeping.DecodeJob(ev.Value)
+	rec, err := storage.DecodeJob(ev.Value)
 	if err != nil {
 		l.leaveAlone(id, err)
 		return
@@ -105,7 +105,7 @@
 }
 
 // merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(job *cluster.Job, rec *bookkeeping.Job, revision protocol.Revision) {
+func (l *leader) merge(job *cluster.Job, rec *storage.Job, revision protocol.Revision) {
 	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
 	if rec.Cancelled {
 		l.cancelJob(job)
@@ -131,7 +131,7 @@
 
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
-		l.watchAt = l.n.now.Add(tuning.WatchMachines)
+		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.tickMachines()
 		if l.n.lead != l {
 			return
@@ -143,7 +143,7 @@
 			return
 		}
 	}
-	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.PlanIdle {
+	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.MaxSchedulingInterval {
 		l.plan = false
 		l.runSchedulingCycle()
 		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
--- a/internal/coordination/liveness.go
+++ b/internal/coordination/liveness.go
@@ -17,7 +17,7 @@
 	if machine.Agent.AnsweredAt.After(from) {
 		from = machine.Agent.AnsweredAt
 	}
-	return from.Add(config.WithClockDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + config.WithClockDrift(l.n.election.Grace()) - l.n.election.Grace() + tuning.LapseMargin)
+	return from.Add(config.WithClockDrift(config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)) + config.WithClockDrift(l.n.election.Grace()) - l.n.election.Grace() + tuning.LeaseExpiryMargin)
 }
 
 // tickMachines looks for workers that are silent, lapsed or dead.
@@ -52,7 +52,7 @@
 		// on its way to a controller that carries its reports.
 		// Nor is one not receiving then because it does not answer this node's calls.
 		patience, whole := l.patience(missing), len(l.n.reachablePeers()) == len(l.n.cfg.Peers)
-		if machine.Deleting || machine.Agent.FailedProbes < tuning.ProbesToDelete || !(whole && l.cluster.NotReceiving(machine) || now.Sub(machine.Agent.LastHeartbeat) > patience) {
+		if machine.Deleting || machine.Agent.FailedProbes < tuning.MaxUnansweredProbes || !(whole && l.cluster.NotReceiving(machine) || now.Sub(machine.Agent.LastHeartbeat) > patience) {
 			continue
 		}
 		if !missing {
@@ -81,10 +81,10 @@
 	case whole:
 		return l.cluster.SilenceTimeout()
 	case hasReplicas:
-		interval := config.Seconds(l.n.cfg.Cluster.Workers.ReportS * tuning.LongestReports)
-		return max(l.cluster.ReplicaSilenceTimeout(), interval+tuning.RerouteTime)
+		interval := config.Seconds(l.n.cfg.Cluster.Workers.ReportS * tuning.MaxHeartbeatIntervalFactor)
+		return max(l.cluster.ReplicaSilenceTimeout(), interval+tuning.HeartbeatRerouteTime)
 	}
-	return l.cluster.SilenceTimeout() + tuning.CutPatience
+	return l.cluster.SilenceTimeout() + tuning.PartitionSilenceAllowance
 }
 
 // deleteSilent returns a machine that does not answer.
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // machineRecordWrite is a machine record's part of a transaction.
@@ -16,8 +16,8 @@
 }
 
 // machineEntry is a machine's entry in its machine record.
-func machineEntry(machine *cluster.Machine) bookkeeping.MachineEntry {
-	return bookkeeping.MachineEntry{ID: machine.ID, Address: machine.Address, Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Cordoned: machine.Cordoned}
+func machineEntry(machine *cluster.Machine) storage.MachineEntry {
+	return storage.MachineEntry{ID: machine.ID, Address: machine.Address, Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Cordoned: machine.Cordoned}
 }
 
 // RecordMachine has the machine's entry recorded anew.
@@ -31,11 +31,11 @@
 // assignMachineRecord gives a machine its place in a record of its zone.
 func (l *leader) assignMachineRecord(machine *cluster.Machine) {
 	entry := machineEntry(machine)
-	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
+	limit := storage.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
 	at := slices.IndexFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r.Zone == machine.Zone && r.Bytes+entry.Size() <= limit })
 	if at < 0 {
 		at = len(l.machineRecords)
-		l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: bookkeeping.MachineRecordKey(l.n.unique()), Zone: machine.Zone})
+		l.machineRecords = append(l.machineRecords, &cluster.MachineRecord{Key: storage.MachineRecordKey(l.n.unique()), Zone: machine.Zone})
 	}
 	l.machineRecords[at].Add(machine, entry.Size())
 }
@@ -55,7 +55,7 @@
 }
 
 // loadMachineRecord takes a machine record at a takeover.
-func (l *leader) loadMachineRecord(key string, revision protocol.Revision, rec *bookkeeping.MachineRecord) {
+func (l *leader) loadMachineRecord(key string, revision protocol.Revision, rec *storage.MachineRecord) {
 	r := &cluster.MachineRecord{Key: key, Revision: revision}
 	for _, entry := range rec.Machines {
 		machine := l.cluster.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
@@ -74,7 +74,7 @@
 // splitMachineRecords moves machines out of records that have outgrown the limits. Until
 // the new record is written such a machine takes no task; then both name it.
 func (l *leader) splitMachineRecords() {
-	limit := bookkeeping.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
+	limit := storage.MachineRecordCapacity(l.n.cfg.Cluster.State.ValueKB)
 	for _, r := range slices.Clone(l.machineRecords) {
 		for r.Bytes > limit && len(r.Members) > 1 {
 			machine := r.Members[len(r.Members)-1]
@@ -101,7 +101,7 @@
 // deleteStrayRecord has a machine record deleted that this leader does not have: its creation
 // was carried out late, when the record had served its time.
 func (l *leader) deleteStrayRecord(ev *protocol.WatchEvent) {
-	if l.hasMachineRecord(ev.Set) || l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
+	if l.hasMachineRecord(ev.Set) || l.inFlight != nil && storage.Writer(ev.Value) == l.inFlight.writer {
 		return
 	}
 	l.n.log.Info("machine record of nobody", "key", ev.Set)
@@ -127,11 +127,11 @@
 			}
 			continue
 		}
-		rec := bookkeeping.MachineRecord{Writer: b.tx.writer}
+		rec := storage.MachineRecord{Writer: b.tx.writer}
 		for _, machine := range r.Members {
 			rec.Machines = append(rec.Machines, machineEntry(machine))
 		}
-		value := bookkeeping.Encode(rec)
+		value := storage.Encode(rec)
 		if !b.fits(1, 1, len(value)+200) {
 			continue
 		}
@@ -155,7 +155,7 @@
 	if len(w.members) == 0 {
 		// The key is gone. Machines that came meanwhile are written under another:
 		// a late creation of the old one must find no guard that it meets.
-		w.record.Key, w.record.Revision = bookkeeping.MachineRecordKey(l.n.unique()), 0
+		w.record.Key, w.record.Revision = storage.MachineRecordKey(l.n.unique()), 0
 		if len(w.record.Members) == 0 {
 			l.machineRecords = slices.DeleteFunc(l.machineRecords, func(r *cluster.MachineRecord) bool { return r == w.record })
 		}
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestRacks: machines that are rented at once share a few records, each within
@@ -20,21 +20,21 @@
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
-	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: bookkeeping.Encode(protocol.MachineNames{Machines: names})})
+	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
-	txn, _ := parse[protocol.Txn](r.Body)
-	if len(txn.Then) > 2 {
-		t.Errorf("%d changes for 100 machines of one rental", len(txn.Then))
+	txn, _ := parse[protocol.Transaction](r.Body)
+	if len(txn.Changes) > 2 {
+		t.Errorf("%d changes for 100 machines of one rental", len(txn.Changes))
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 
 	next := testLeader(l.n.now)
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.State.ValueKB*1024 {
 			t.Errorf("a record of %d bytes", n)
 		}
-		rec, _ := parse[bookkeeping.MachineRecord](c.Value)
+		rec, _ := parse[storage.MachineRecord](c.Value)
 		next.loadMachineRecord(c.Set, 99, &rec)
 	}
 	for _, id := range names {
@@ -49,9 +49,9 @@
 	next.n.now = next.n.now.Add(time.Minute)
 	next.commitNext()
 	r = next.n.lastRequest(t, ToState)
-	txn, _ = parse[protocol.Txn](r.Body)
+	txn, _ = parse[protocol.Transaction](r.Body)
 	next.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":100}`)})
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if c.Delete == "" {
 			t.Errorf("%s is written again", c.Set)
 		}
@@ -69,11 +69,11 @@
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
-		entries := []protocol.Entry{{Key: bookkeeping.JobKey(s.ID), Revision: 9, Value: bookkeeping.Encode(bookkeeping.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
-			Tasks: []bookkeeping.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
+		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
+			Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
-			entries = append(entries, protocol.Entry{Key: bookkeeping.MachineRecordKey("r"), Revision: 4,
-				Value: bookkeeping.Encode(bookkeeping.MachineRecord{Machines: []bookkeeping.MachineEntry{{ID: "i-1", Address: "h:1", Type: "big", Zone: "a"}}})})
+			entries = append(entries, protocol.Entry{Key: storage.MachineRecordKey("r"), Revision: 4,
+				Value: storage.Encode(storage.MachineRecord{Machines: []storage.MachineEntry{{ID: "i-1", Address: "h:1", Type: "big", Zone: "a"}}})})
 		}
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -6,16 +6,16 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // tickTypes keeps the price list: every node needs the types to judge
 // submissions, the leader the prices too.
 func (n *Node) tickTypes() {
-	every := tuning.TypesEvery
+	every := tuning.MachineTypesInterval
 	if n.lead == nil && len(n.types) > 0 {
 		every *= 4
 	}
@@ -52,17 +52,17 @@
 	if n.lead == nil {
 		return
 	}
-	e, _ := n.mirror.Get(bookkeeping.TypesKey)
+	e, _ := n.mirror.Get(storage.TypesKey)
 	if known, ok := parse[protocol.MachineTypes](e.Value); ok && slices.EqualFunc(known.Types, list.Types, sameType) {
 		return
 	}
-	value := bookkeeping.Encode(list)
+	value := storage.Encode(list)
 	if float64(len(value)) > n.cfg.Cluster.State.ValueKB*1024 {
 		return
 	}
-	n.store.Transact(protocol.Txn{
-		If:   []protocol.Condition{n.election.Condition()},
-		Then: []protocol.Change{{Set: bookkeeping.TypesKey, Value: value}},
+	n.store.Transact(protocol.Transaction{
+		Conditions: []protocol.Condition{n.election.Condition()},
+		Changes:    []protocol.Change{{Set: storage.TypesKey, Value: value}},
 	}, func(kv.TransactionResult) {})
 }
 
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -29,7 +29,7 @@
 	n.watching = true
 	n.watchSent = n.now
 	sent, after := n.now, n.mirror.Revision
-	n.store.Watch(bookkeeping.LivePrefix, after, tuning.WatchBlock, func(result kv.WatchResult) {
+	n.store.Watch(storage.LivePrefix, after, tuning.WatchLongPoll, func(result kv.WatchResult) {
 		n.watched(sent, after, result)
 	})
 }
@@ -62,7 +62,7 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Txn{If: []protocol.Condition{n.election.Condition()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{n.election.Condition()}}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
 		if answered && !result.Malformed && result.Revision != 0 {
@@ -75,16 +75,16 @@
 // the state service is known to have; its answer is taken all the same.
 func (n *Node) reopenStuckWatch() {
 	if n.awaited.revision > n.mirror.Revision && n.watching &&
-		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStuck && n.now.Sub(n.watchSent) >= tuning.WatchStuck {
+		n.now.Sub(n.awaited.sentAt) >= tuning.WatchStallTimeout && n.now.Sub(n.watchSent) >= tuning.WatchStallTimeout {
 		n.log.Info("watch does not keep up", "revision", n.mirror.Revision, "ahead", n.awaited.revision)
 		n.watching, n.watchAt = false, n.now
 	}
 }
 
 func (n *Node) loadPage(after string) {
-	n.store.Range(bookkeeping.LivePrefix, after, tuning.RangePage, func(result kv.RangeResult) {
+	n.store.Range(storage.LivePrefix, after, tuning.RangePageSize, func(result kv.RangeResult) {
 		if result.Outcome != kv.Done || result.Malformed {
-			n.loading, n.loadAt = false, n.now.Add(tuning.RetryPause)
+			n.loading, n.loadAt = false, n.now.Add(tuning.StoreRetryDelay)
 			return
 		}
 		if next := n.mirror.LoadPage(&result.Page); next != "" {
@@ -109,17 +109,17 @@
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
 		n.election.StepDown("watch too old")
-		n.mirror = bookkeeping.Mirror{}
+		n.mirror = storage.Mirror{}
 		return
 	case result.Outcome != kv.Done || result.Malformed:
-		n.watchAt = n.now.Add(tuning.RetryPause)
+		n.watchAt = n.now.Add(tuning.StoreRetryDelay)
 		return
 	}
 	if w.Revision < after {
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
 		n.election.StepDown("state service has gone back")
-		n.mirror, n.awaited = bookkeeping.Mirror{}, observedRevision{}
+		n.mirror, n.awaited = storage.Mirror{}, observedRevision{}
 		return
 	}
 	for i := range w.Events {
@@ -136,9 +136,9 @@
 	if n.awaited.revision <= n.mirror.Revision {
 		n.markSynced(n.awaited.sentAt)
 	}
-	pause := tuning.WatchPause // the leader's: jobs wait for it
+	pause := tuning.MinWatchDelay // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.cfg.Cluster.Resources.RequestPause(pause, tuning.WatchShare)
+		pause = n.cfg.Cluster.Resources.RequestPause(pause, tuning.WatchCPUShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
@@ -146,17 +146,17 @@
 
 // isOwnWrite says whether a record was written by this life of this node.
 func (n *Node) isOwnWrite(value json.RawMessage) bool {
-	return strings.HasPrefix(bookkeeping.Writer(value), n.boot+"-")
+	return strings.HasPrefix(storage.Writer(value), n.boot+"-")
 }
 
 // mirrorLoaded looks at the leader lease after a full load.
 func (n *Node) mirrorLoaded() {
-	if e, ok := n.mirror.Get(bookkeeping.TypesKey); ok && len(n.types) == 0 {
+	if e, ok := n.mirror.Get(storage.TypesKey); ok && len(n.types) == 0 {
 		if list, ok := parse[protocol.MachineTypes](e.Value); ok {
 			n.takeTypes(&list)
 		}
 	}
-	e, ok := n.mirror.Get(bookkeeping.LeaderKey)
+	e, ok := n.mirror.Get(storage.LeaderKey)
 	if !ok {
 		n.election.ObserveRelease()
 		return
@@ -167,7 +167,7 @@
 // changed passes on one change that the mirror took.
 func (n *Node) changed(ev *protocol.WatchEvent) {
 	key := ev.Set + ev.Delete
-	if key == bookkeeping.LeaderKey {
+	if key == storage.LeaderKey {
 		if ev.Set == "" {
 			n.election.ObserveRelease()
 		} else {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -11,12 +11,12 @@
 	"strconv"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/api"
 	"github.com/gappond/gappond/internal/coordination/election"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -41,7 +41,7 @@
 	typesAt time.Time
 
 	store     kv.Client
-	mirror    bookkeeping.Mirror
+	mirror    storage.Mirror
 	syncedAt  time.Time        // every change made before then is in the mirror
 	awaited   observedRevision // a revision that the mirror has yet to reach
 	loading   bool
@@ -99,9 +99,9 @@
 	}
 	slices.Sort(n.names)
 	n.redirects, n.leaderRedirects = rate.NewLimiter(rate.Inf, 0), rate.NewLimiter(rate.Inf, 0)
-	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCost, tuning.RedirectShare); pause > 0 {
-		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.RedirectsAtOnce)
-		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.RedirectsAtOnce)
+	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
+		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxConcurrentRedirects)
+		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxConcurrentRedirects)
 	}
 	n.budgets = newStoreBudgets(cfg)
 	n.api = api.New(cfg, n.types, &n.mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
@@ -126,7 +126,7 @@
 		gap, n.began = 0, now
 	}
 	n.now, n.out = now, nil
-	if gap >= tuning.ProcessPause {
+	if gap >= tuning.ProcessPauseThreshold {
 		n.election.ProcessPaused(gap)
 	}
 	for _, e := range events {
@@ -148,11 +148,11 @@
 			n.api.Submit(e.ID, e.Job)
 		}
 	case Query:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbQuery, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
 			n.api.Query(e.ID, e.Job)
 		}
 	case Cancel:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbCancel, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
 			n.api.Cancel(e.ID, e.Job)
 		}
 	case WorkerReport:
@@ -190,7 +190,7 @@
 	if !n.mirror.Ready() || len(n.types) == 0 {
 		return false
 	}
-	if n.now.Sub(n.servedAt) < tuning.AloneAfter {
+	if n.now.Sub(n.servedAt) < tuning.IsolationTimeout {
 		return true
 	}
 	alone := len(n.peers) > 0
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -21,12 +21,12 @@
 	if machine.Agent.TokenConfirmed {
 		for _, t := range machine.Agent.Exited {
 			if l.reapable(machine, t) && l.mayForget(machine, t) {
-				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt})
+				cmds = append(cmds, protocol.Command{Kind: protocol.CommandForget, Task: t.Task, Attempt: t.Attempt})
 			}
 		}
 	}
 	for _, k := range machine.Delivery.Orphans {
-		cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(k.Job, k.Index), Attempt: k.Number})
+		cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(k.Job, k.Index), Attempt: k.Number})
 	}
 	machine.Delivery.Orphans = machine.Delivery.Orphans[:0]
 	list := cluster.SortedAttemptsOn(machine)
@@ -39,9 +39,9 @@
 			// a late copy of it does nothing: so start it and end it at once.
 			cmds = append(cmds, l.startOrder(attempt, inReply))
 		}
-		if inReply || l.n.now.Sub(attempt.StopSentAt) > tuning.StopResend {
+		if inReply || l.n.now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
 			attempt.StopSentAt = l.n.now
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
+			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
 	}
 	for _, attempt := range list {
@@ -54,7 +54,7 @@
 		if !inReply && (attempt.StartsInFlight > 0 || attempt.StartInResponse || !l.n.cfg.Operator.DirectStarts) {
 			continue
 		}
-		if inReply && attempt.StartsInFlight > 0 && l.n.now.Sub(attempt.StartSentAt) < tuning.OrderOnWay {
+		if inReply && attempt.StartsInFlight > 0 && l.n.now.Sub(attempt.StartSentAt) < tuning.DirectStartSettleTime {
 			continue // the report was sent before the order came
 		}
 		if machine.Cordoned || machine.Deleting {
@@ -63,11 +63,11 @@
 		}
 		cmds = append(cmds, l.startOrder(attempt, inReply))
 	}
-	if len(cmds) > tuning.OrdersAtOnce {
-		cmds = cmds[:tuning.OrdersAtOnce]
+	if len(cmds) > tuning.MaxCommandsPerResponse {
+		cmds = cmds[:tuning.MaxCommandsPerResponse]
 	}
 	for _, cmd := range cmds {
-		l.recovery.Ordered(cmd.Op)
+		l.recovery.Ordered(cmd.Kind)
 	}
 	return cmds
 }
@@ -83,12 +83,12 @@
 		attempt.StartInResponse = true
 	}
 	attempt.Machine.UseImage(attempt.Job.Spec, l.cluster.TypeOf(attempt.Machine))
-	return protocol.Command{Op: protocol.OpStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
+	return protocol.Command{Kind: protocol.CommandStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
 }
 
 // reapable says whether an exited attempt may be forgotten: what it achieved
 // is stored, and no late start of it can arrive.
-func (l *leader) reapable(machine *cluster.Machine, t protocol.TaskReport) bool {
+func (l *leader) reapable(machine *cluster.Machine, t protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
 	if machine.Delivery.Pinned[key] || machine.Attempts[key] != nil || l.unreadable[id] {
@@ -103,7 +103,7 @@
 
 // mayForget says whether a worker is to be told to forget an exited attempt: not again
 // while it may have yet to report that it has, unless the task is to start there anew.
-func (l *leader) mayForget(machine *cluster.Machine, t protocol.TaskReport) bool {
+func (l *leader) mayForget(machine *cluster.Machine, t protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
 	for other := range machine.Attempts {
@@ -111,7 +111,7 @@
 			return true
 		}
 	}
-	if l.n.now.Sub(machine.Delivery.ForgetSentAt[key]) < tuning.StopResend {
+	if l.n.now.Sub(machine.Delivery.ForgetSentAt[key]) < tuning.StopResendDelay {
 		return false
 	}
 	machine.Delivery.ForgetSentAt[key] = l.n.now
@@ -152,7 +152,7 @@
 func (l *leader) direct(machine *cluster.Machine, cmds []protocol.Command) {
 	var starts []*cluster.Attempt
 	for _, cmd := range cmds {
-		if cmd.Op != protocol.OpStart {
+		if cmd.Kind != protocol.CommandStart {
 			continue
 		}
 		id, index, _ := protocol.SplitTask(cmd.Task)
@@ -163,8 +163,8 @@
 		}
 	}
 	machine.Delivery.InFlight = true
-	body := protocol.Orders{Token: l.n.election.Term(), Incarnation: machine.Agent.Incarnation, Commands: cmds}
-	l.call(machine, "POST", protocol.PathOrders, body, func(status int, body []byte) {
+	body := protocol.CommandBatch{FencingToken: l.n.election.Term(), Incarnation: machine.Agent.Incarnation, Commands: cmds}
+	l.call(machine, "POST", protocol.PathCommands, body, func(status int, body []byte) {
 		machine.Delivery.InFlight = false
 		for _, attempt := range starts {
 			attempt.StartsInFlight--
@@ -176,7 +176,7 @@
 		}
 		if status != 200 && status != 409 {
 			machine.Agent.UnseenAnswers = max(machine.Agent.UnseenAnswers, 1)
-			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
+			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResendDelay)
 			switch {
 			case !machine.Agent.Heard:
 				machine.Delivery.NotBefore = l.n.now.Add(l.cluster.SilenceTimeout()) // others have their turn
@@ -187,7 +187,7 @@
 		}
 		l.takeAnswer(machine, body)
 		if status == 409 {
-			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResend)
+			machine.Delivery.NotBefore = l.n.now.Add(tuning.StopResendDelay)
 			l.sendSoon(machine)
 		}
 	})
@@ -195,12 +195,12 @@
 
 // takeAnswer takes the report that a worker gave as an answer.
 func (l *leader) takeAnswer(machine *cluster.Machine, body []byte) {
-	r, err := protocol.ParseReport(body)
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil || r.Machine != machine.ID {
 		l.n.log.Error("a worker's answer is no report of its own", "machine", machine.ID, "error", err)
 		return
 	}
-	if r.Token > l.n.election.Term() {
+	if r.FencingToken > l.n.election.Term() {
 		l.refuseHigherToken(r)
 		return
 	}
--- a/internal/coordination/pass_test.go
+++ b/internal/coordination/pass_test.go
@@ -31,14 +31,14 @@
 			waiting = append(waiting, l.testJob(s))
 		}
 		for range 60 {
-			l.n.now = l.n.now.Add(tuning.PlanEvery)
+			l.n.now = l.n.now.Add(tuning.MinSchedulingInterval)
 			for _, machine := range l.cluster.OrderedMachines {
 				machine.Agent.LastHeartbeat = l.n.now
 			}
 			l.runSchedulingCycle()
 			limit := 4 * len(l.cluster.OrderedMachines) // what is open, vacant and could yield
 			if !high {
-				limit += int(0.2*float64(tuning.PassLength/tuning.LookCost)) + len(l.cluster.OrderedMachines)*len(l.n.cfg.Cluster.Zones)
+				limit += int(0.2*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)) + len(l.cluster.OrderedMachines)*len(l.n.cfg.Cluster.Zones)
 			}
 			if l.scheduler.Examined > limit {
 				t.Fatalf("nothing yields %v: %d looks at %d machines in one pass", high, l.scheduler.Examined, len(l.cluster.OrderedMachines))
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -34,7 +34,7 @@
 // isReachable says whether the link to a peer is there and alive.
 func (n *Node) isReachable(name protocol.NodeName) bool {
 	p := n.peers[name]
-	return p != nil && p.up && n.now.Sub(p.heard) < tuning.PeerSilent
+	return p != nil && p.up && n.now.Sub(p.heard) < tuning.PeerSilenceTimeout
 }
 
 // reachablePeers lists the peers within reach, in order of their names.
@@ -78,7 +78,7 @@
 		n.routeQueuedReports()
 	}
 	if late {
-		n.expireAt = n.now.Add(tuning.ExpireEvery)
+		n.expireAt = n.now.Add(tuning.ForwardExpiryInterval)
 		// In the order of their numbers: the same seed must give the same run.
 		for _, id := range slices.Sorted(maps.Keys(n.forwarded)) {
 			if c := n.forwarded[id]; n.now.After(c.expire) {
@@ -96,19 +96,19 @@
 	if n.now.Before(n.beatAt) {
 		return
 	}
-	n.beatAt = n.now.Add(tuning.PeerBeat)
+	n.beatAt = n.now.Add(tuning.PeerHeartbeatInterval)
 	for name, c := range n.contacts {
-		if n.now.Sub(c.redirectedAt) > tuning.RedirectMemory && n.now.Sub(c.proxiedAt) > tuning.RedirectMemory {
+		if n.now.Sub(c.redirectedAt) > tuning.RedirectRetention && n.now.Sub(c.proxiedAt) > tuning.RedirectRetention {
 			delete(n.contacts, name)
 		}
 	}
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.now.Sub(n.servedAt) < tuning.ServedLately, Links: n.reachablePeers()}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.now.Sub(n.servedAt) < tuning.StoreServedFreshness, Links: n.reachablePeers()}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
 	}
 	for _, s := range n.cfg.Peers {
 		p := n.peers[s.Name]
-		if p.up && n.now.Sub(p.heard) > 2*tuning.PeerSilent {
+		if p.up && n.now.Sub(p.heard) > 2*tuning.PeerSilenceTimeout {
 			p.heard = n.now // one reset at a time
 			n.out = append(n.out, PeerReset{Peer: s.Name})
 		} else if p.up {
@@ -139,7 +139,7 @@
 	case protocol.PeerConfirmRequest:
 		answer := n.election.Confirm(m, n.now.Sub(n.began), n.api.ConfirmedCancellations())
 		n.out = append(n.out, PeerSend{Peer: from, Message: answer})
-	case protocol.PeerConfirm:
+	case protocol.PeerConfirmation:
 		n.election.ReceiveConfirmation(from, m)
 	default:
 		n.deliver(m)
@@ -165,30 +165,30 @@
 	}
 	to := n.election.Holder()
 	if p := n.peers[to]; p != nil && p.level >= protocol.PeerKnowsCancelled && n.isReachable(to) {
-		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancelled{Job: jobID}})
+		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
 
 // deliver takes a message that came over a link or through the state service.
 func (n *Node) deliver(m protocol.PeerMessage) {
 	switch m := m.(type) {
-	case protocol.PeerReport:
+	case protocol.PeerForwardedHeartbeat:
 		if m.Target != n.cfg.Name {
 			m.Hops++
 			n.passAlong(m.Target, m.Hops, m)
 			return
 		}
-		reply := n.takeReport(m.Report)
-		n.sendTo(m.Origin, protocol.PeerAnswer{ID: m.ID, Target: m.Origin, Status: uint64(reply.status), Body: reply.body})
-	case protocol.PeerRequest:
+		reply := n.takeReport(m.Heartbeat)
+		n.sendTo(m.Origin, protocol.PeerResponse{ID: m.ID, Target: m.Origin, Status: uint64(reply.status), Body: reply.body})
+	case protocol.PeerUserRequest:
 		n.handleForwarded(m)
-	case protocol.PeerCall:
+	case protocol.PeerAgentCall:
 		n.callFor(m)
-	case protocol.PeerCancelled:
+	case protocol.PeerCancellation:
 		if n.lead != nil {
 			n.lead.cancelFromPeer(m.Job)
 		}
-	case protocol.PeerAnswer:
+	case protocol.PeerResponse:
 		if m.Target != n.cfg.Name {
 			m.Hops++
 			n.passAlong(m.Target, m.Hops, m)
@@ -206,7 +206,7 @@
 
 // passAlong carries a message between two peers, unless it goes in circles.
 func (n *Node) passAlong(target protocol.NodeName, hops uint64, m protocol.PeerMessage) {
-	if hops <= tuning.PeerHops {
+	if hops <= tuning.MaxPeerHops {
 		n.sendTo(target, m)
 	}
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -55,7 +55,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -49,10 +49,10 @@
 func TestDistrust(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
-	for range tuning.MachineErrors {
+	for range tuning.MaxMachineFailures {
 		job := l.testJob(gangOf(1, 1))
 		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
+		l.exited(machine, attempt, protocol.TaskStatus{Cause: protocol.CauseError})
 		l.dropAttempt(attempt)
 	}
 	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
@@ -75,17 +75,17 @@
 	high := gangOf(1, 2)
 	high.Priority = "high"
 	job := l.testJob(high)
-	for i := range tuning.JobErrors {
+	for i := range tuning.MaxJobFailures {
 		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
 		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
+		l.exited(machine, attempt, protocol.TaskStatus{Cause: protocol.CauseError})
 		l.dropAttempt(attempt)
 		machine.Cordoned = true
 		if machine.Quarantined {
 			t.Errorf("%s is distrusted for a job that fails everywhere", machine.ID)
 		}
 	}
-	l.n.now = l.n.now.Add(tuning.ErrorPause)
+	l.n.now = l.n.now.Add(tuning.FailureBackoff)
 	l.runSchedulingCycle()
 	if n := stopping(low); n != 0 || len(l.autoscaler.Demand) != 0 {
 		t.Errorf("%d tasks yield, %d jobs want machines", n, len(l.autoscaler.Demand))
@@ -167,7 +167,7 @@
 	big.OneZone = true
 	job := l.testJob(big)
 	l.runSchedulingCycle()
-	l.n.now = now.Add(l.n.cfg.Operator.ReserveAfter + time.Second)
+	l.n.now = now.Add(l.n.cfg.Operator.BackfillBarrierDelay + time.Second)
 	for _, machine := range l.cluster.Machines {
 		machine.Agent.LastHeartbeat = l.n.now
 	}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -22,14 +22,14 @@
 		l.scheduler.PlaceGang(job)
 		clear(job.Write.Dirty)
 		job.SortedAttempts()[0].Committed = true
-		for range tuning.MissedAnswers + 1 {
+		for range tuning.MaxIneffectiveResponses + 1 {
 			l.testReport(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
 			t.Fatal("takes new work")
 		}
 		for range 100 {
-			l.n.now = l.n.now.Add(tuning.WatchMachines)
+			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
 			l.n.keepAuthority()
 			machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 			l.n.out = nil
@@ -40,8 +40,8 @@
 					continue
 				}
 				if answers {
-					l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
-						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.election.Term()})})
+					l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
+						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
@@ -69,7 +69,7 @@
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, Token: l.n.election.Term()}, true)
+	l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, FencingToken: l.n.election.Term()}, true)
 	if l.cluster.Schedulable(machine) {
 		t.Error("takes new work")
 	}
@@ -87,7 +87,7 @@
 		}
 		lease := config.Seconds(l.n.cfg.Cluster.Workers.LeaseS)
 		returned := func(till time.Duration) (n int) {
-			for ; l.n.now.Sub(start) < till; l.n.now = l.n.now.Add(tuning.WatchMachines) {
+			for ; l.n.now.Sub(start) < till; l.n.now = l.n.now.Add(tuning.MachineSweepInterval) {
 				l.n.out = nil
 				l.n.keepAuthority()
 				for i, machine := range l.cluster.OrderedMachines {
@@ -127,7 +127,7 @@
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.keepAuthority()
-		l.report(&protocol.Report{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, Token: l.n.election.Term()}, false)
+		l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()}, false)
 	}
 	if !l.cluster.ConfirmedAlive(machine) || l.cluster.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(machine), l.cluster.Schedulable(machine))
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -66,13 +66,13 @@
 }
 
 // compare squares a report with what is stored.
-func (l *leader) compare(r *protocol.Report, answered bool) []recovery.Difference {
+func (l *leader) compare(r *protocol.Heartbeat, answered bool) []recovery.Difference {
 	l.stored.answered = answered
 	return l.reconciler.Compare(&l.stored, l.n.election.Term(), r)
 }
 
 // resolve does what each difference between a report and the records asks for.
-func (l *leader) resolve(machine *cluster.Machine, r *protocol.Report, differences []recovery.Difference) {
+func (l *leader) resolve(machine *cluster.Machine, r *protocol.Heartbeat, differences []recovery.Difference) {
 	machine.Agent.Exited = machine.Agent.Exited[:0]
 	unnamed, unproven := false, false
 	for _, d := range differences {
@@ -125,7 +125,7 @@
 // fence has an attempt that no record asks for stopped. It takes room until it is gone,
 // and must be gone before its task starts anywhere else. What a report shows that may be
 // a late copy is counted as there and not yet stopped: the worker may have ended it.
-func (l *leader) fence(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport, d recovery.Difference) {
+func (l *leader) fence(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d recovery.Difference) {
 	job := l.cluster.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
 		if d.Current {
@@ -151,13 +151,13 @@
 // skipAttempts has the next attempt of a task numbered above one that the records never
 // had: a start of the same attempt would do nothing where the old one is.
 func (l *leader) skipAttempts(job *cluster.Job, key cluster.AttemptID) {
-	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.AttemptsMost {
+	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.MaxTrustedAttempt {
 		task.LastAttempt = key.Number
 	}
 }
 
 // recordEnd takes the end of an attempt, and of its task if it is done.
-func (l *leader) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskReport) {
+func (l *leader) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus) {
 	if job := l.cluster.Jobs[key.Job]; entry.Cause == protocol.CauseDone && job != nil {
 		l.setDone(job, key.Index)
 		clear(machine.FailedJobs)
@@ -176,7 +176,7 @@
 
 // noteUnreadable takes an entry that makes no sense, which is logged once for each machine
 // and name; named is false if it does not even name a task.
-func (l *leader) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskReport) (named bool) {
+func (l *leader) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && l.unreadable[id] {
 		machine.IdleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
@@ -204,7 +204,7 @@
 	if l.logged[key] {
 		return
 	}
-	if len(l.logged) >= tuning.LoggedOnce {
+	if len(l.logged) >= tuning.MaxRememberedLogKeys {
 		clear(l.logged)
 	}
 	l.logged[key] = true
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -5,18 +5,18 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // placed is a job's record with tasks placed as given.
-func (l *leader) placed(tasks ...bookkeeping.Task) *cluster.Job {
+func (l *leader) placed(tasks ...storage.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
+	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
 }
 
 // TestRecordPlacesTwice: a damaged record that names an attempt twice, or a task in two
@@ -25,12 +25,12 @@
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
-	twice := bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
-	job := l.placed(twice, twice, bookkeeping.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, bookkeeping.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
+	twice := storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
+	job := l.placed(twice, twice, storage.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, storage.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
 	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
 		t.Errorf("%d attempts", n)
 	}
-	running := protocol.TaskReport{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
 	if got := ops(l.testReport(other, l.n.election.Term(), running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
@@ -46,8 +46,8 @@
 func TestUnreadableReport(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
-	job := l.placed(bookkeeping.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
-	nonsense := protocol.TaskReport{Task: "?", Attempt: 1, State: "dreaming"}
+	job := l.placed(storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1})
+	nonsense := protocol.TaskStatus{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.testReport(machine, l.n.election.Term(), nonsense)
 		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
@@ -65,11 +65,11 @@
 // current report shows it; the next attempt of the task is numbered above it, unless its
 // number is beyond reason.
 func TestUnrecordedAttempt(t *testing.T) {
-	for _, attempt := range []protocol.AttemptNumber{9, tuning.AttemptsMost + 1} {
+	for _, attempt := range []protocol.AttemptNumber{9, tuning.MaxTrustedAttempt + 1} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		machine := l.testMachine("i-1", "big", "a", false)
 		job := l.placed()
-		running := protocol.TaskReport{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
+		running := protocol.TaskStatus{Task: "run-000077/1", Attempt: attempt, State: protocol.TaskRunning}
 		if got := ops(l.testReport(machine, l.n.election.Term()-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
 			t.Errorf("by what may be a late copy: ordered %q, %d counted", got, job.Tasks[1].LiveAttempts)
 		}
@@ -79,7 +79,7 @@
 		l.testReport(machine, l.n.election.Term())
 		l.runSchedulingCycle()
 		want := attempt + 1
-		if attempt > tuning.AttemptsMost {
+		if attempt > tuning.MaxTrustedAttempt {
 			want = 1
 		}
 		if c := job.Tasks[1].Active; c == nil || c.Key.Number != want {
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -52,21 +52,21 @@
 	if len(list) < 2 {
 		return false
 	}
-	if job.Spec.Gang() && len(list) > bookkeeping.GangRecordTasks(limits.TxnOps) {
+	if job.Spec.Gang() && len(list) > storage.GangRecordTasks(limits.TxnOps) {
 		return true
 	}
 	room := int(limits.ValueKB * 1024)
 	if r == 0 {
 		if job.Records.SpecSize == 0 {
-			job.Records.SpecSize = len(bookkeeping.Encode(job.Spec))
+			job.Records.SpecSize = len(storage.Encode(job.Spec))
 		}
 		room -= job.Records.SpecSize
 	}
-	if len(list)*tuning.TaskBytes+tuning.HeaderBytes <= room {
+	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= room {
 		return false // with entries of any size
 	}
 	tasks, _ := recordContent(job, r)
-	return len(bookkeeping.Encode(tasks))+tuning.HeaderBytes > room
+	return len(storage.Encode(tasks))+tuning.RecordHeaderBytes > room
 }
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
@@ -132,7 +132,7 @@
 // AwaitsRecordSplit says whether a gang has a record that must be split before its places
 // are written, and sees to it.
 func (l *leader) AwaitsRecordSplit(job *cluster.Job) bool {
-	if !l.maySplit() || job.Records.TasksPerRecord <= bookkeeping.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
+	if !l.maySplit() || job.Records.TasksPerRecord <= storage.GangRecordTasks(l.n.cfg.Cluster.State.TxnOps) {
 		return false
 	}
 	first := len(job.Records.UnnamedParts) > 0
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -24,11 +24,11 @@
 	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.peers["s"] = &peer{link: 1}
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	rec := &bookkeeping.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
+	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
 	for i := range s.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
+		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
-			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
+			task = storage.Task{Index: i, Attempt: 1, Done: true}
 		}
 		rec.Tasks = append(rec.Tasks, task)
 	}
@@ -43,10 +43,10 @@
 }
 
 // sentTxn is the transaction that the leader sent last.
-func (l *leader) sentTxn(t *testing.T) (protocol.Txn, Request) {
+func (l *leader) sentTxn(t *testing.T) (protocol.Transaction, Request) {
 	t.Helper()
 	r := l.n.lastRequest(t, ToState)
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	if err := json.Unmarshal(r.Body, &txn); err != nil {
 		t.Fatal(err)
 	}
@@ -60,36 +60,36 @@
 func TestSplitRecord(t *testing.T) {
 	l, job := lowering(t)
 	l.touch(job, 0)
-	l.commitLater(tuning.MarkLate + time.Second)
+	l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	txn, r := l.sentTxn(t)
-	if len(txn.Then) != 1 || len(txn.Then[0].Value) <= 2048 {
-		t.Fatalf("%d changes, the first of %d bytes", len(txn.Then), len(txn.Then[0].Value))
+	if len(txn.Changes) != 1 || len(txn.Changes[0].Value) <= 2048 {
+		t.Fatalf("%d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
 	}
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 20})})
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: 20})})
 	l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
 	l.splitOutgrown()
-	l.commitLater(tuning.MarkLate + time.Second)
+	l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	txn, r = l.sentTxn(t)
-	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != bookkeeping.JobKey(job.ID) {
-		t.Fatalf("%d changes", len(txn.Then))
+	if len(txn.Changes) < 2 || len(txn.Changes) > 4 || txn.Changes[len(txn.Changes)-1].Set != storage.JobKey(job.ID) {
+		t.Fatalf("%d changes", len(txn.Changes))
 	}
 	next := testLeader(l.n.now)
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if len(c.Value) > 2048 {
 			t.Errorf("%s of %d bytes", c.Set, len(c.Value))
 		}
 	}
-	head, err := bookkeeping.DecodeJob(txn.Then[len(txn.Then)-1].Value)
+	head, err := storage.DecodeJob(txn.Changes[len(txn.Changes)-1].Value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := next.addJob(head, 21)
-	for _, c := range txn.Then[:len(txn.Then)-1] {
-		var chunk bookkeeping.TaskRecord
+	for _, c := range txn.Changes[:len(txn.Changes)-1] {
+		var chunk storage.TaskRecord
 		if err := json.Unmarshal(c.Value, &chunk); err != nil {
 			t.Fatal(err)
 		}
-		_, num, _ := bookkeeping.ParseTaskRecordKey(c.Set)
+		_, num, _ := storage.ParseTaskRecordKey(c.Set)
 		if num >= len(again.Records.Revisions) {
 			t.Fatalf("%s is not among the %d records", c.Set, len(again.Records.Revisions))
 		}
@@ -102,10 +102,10 @@
 		}
 	}
 	// Refused by a race, it is sent again with all its parts.
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: 22, Failed: []string{bookkeeping.JobKey(job.ID)}})})
-	l.commitLater(tuning.MarkLate + time.Second)
-	if second, _ := l.sentTxn(t); len(second.Then) != len(txn.Then) {
-		t.Errorf("%d changes, then %d", len(txn.Then), len(second.Then))
+	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Revision: 22, Failed: []string{storage.JobKey(job.ID)}})})
+	l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+	if second, _ := l.sentTxn(t); len(second.Changes) != len(txn.Changes) {
+		t.Errorf("%d changes, then %d", len(txn.Changes), len(second.Changes))
 	}
 }
 
@@ -119,19 +119,19 @@
 		l, job := lowering(t)
 		l.n.peers["s"].up = up
 		l.touch(job, 0)
-		l.commitLater(tuning.MarkLate + time.Second)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 		_, r := l.sentTxn(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
-		l.commitLater(tuning.MarkLate + time.Second)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 		if up {
 			if l.inFlight != nil {
 				t.Error("sent again beside a peer that may be of version 0.2")
 			}
 			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
-			l.commitLater(tuning.MarkLate + time.Second)
+			l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 		}
-		if txn, _ := l.sentTxn(t); len(txn.Then) < 2 {
-			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Then), len(txn.Then[0].Value))
+		if txn, _ := l.sentTxn(t); len(txn.Changes) < 2 {
+			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
 		}
 	}
 }
@@ -140,9 +140,9 @@
 // into others, which are written first: none may be in no record for a moment.
 func TestSplitMachineRecords(t *testing.T) {
 	l, _ := lowering(t)
-	rec := bookkeeping.MachineRecord{}
+	rec := storage.MachineRecord{}
 	for i := range 90 {
-		rec.Machines = append(rec.Machines, bookkeeping.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
+		rec.Machines = append(rec.Machines, storage.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 	}
 	l.loadMachineRecord("g/m/old", 9, &rec)
 	l.splitMachineRecords()
@@ -158,13 +158,13 @@
 			break
 		}
 		txn, r := l.sentTxn(t)
-		for _, c := range txn.Then {
-			var rack bookkeeping.MachineRecord
+		for _, c := range txn.Changes {
+			var rack storage.MachineRecord
 			if json.Unmarshal(c.Value, &rack) != nil || len(rack.Machines) == 0 {
 				continue
 			}
-			if len(c.Value) > 2048 || len(txn.Then) > 4 {
-				t.Errorf("%s of %d bytes, one of %d changes", c.Set, len(c.Value), len(txn.Then))
+			if len(c.Value) > 2048 || len(txn.Changes) > 4 {
+				t.Errorf("%s of %d bytes, one of %d changes", c.Set, len(c.Value), len(txn.Changes))
 			}
 			for id, key := range named {
 				if key == c.Set {
@@ -180,7 +180,7 @@
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.election.Term()) + protocol.Revision(l.n.now.Unix()%1000)})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: protocol.Revision(l.n.election.Term()) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
 	if len(old.MovedOut) > 0 && !l.movesRecorded(old) {
 		t.Error("the old record is never written")
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -22,14 +22,14 @@
 }
 
 // apply carries a transaction out if its conditions hold.
-func (s *storedRecords) apply(txn protocol.Txn) bool {
-	for _, c := range txn.If {
-		if c.Key != bookkeeping.LeaderKey && s.entries[c.Key].Revision != c.Revision {
+func (s *storedRecords) apply(txn protocol.Transaction) bool {
+	for _, c := range txn.Conditions {
+		if c.Key != storage.LeaderKey && s.entries[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if c.Delete != "" {
 			delete(s.entries, c.Delete)
 			continue
@@ -63,30 +63,30 @@
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
 // wideJob is a job whose description leaves room for few tasks in its first record.
-func wideJob(shape protocol.Shape) *bookkeeping.Job {
+func wideJob(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	rec := &bookkeeping.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	rec := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
 	for i := range spec.Tasks {
-		task := bookkeeping.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
+		task := storage.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
-			task = bookkeeping.Task{Index: i, Attempt: 1, Done: true}
+			task = storage.Task{Index: i, Attempt: 1, Done: true}
 		}
 		rec.Tasks = append(rec.Tasks, task)
 	}
 	return rec
 }
 
-func stored(rec *bookkeeping.Job) *storedRecords {
+func stored(rec *storage.Job) *storedRecords {
 	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
-	s.entries[bookkeeping.JobKey(rec.Spec.ID)] = protocol.Entry{Key: bookkeeping.JobKey(rec.Spec.ID), Value: bookkeeping.Encode(rec), Revision: 9}
-	machines := bookkeeping.MachineRecord{Writer: "w-2", Machines: []bookkeeping.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
-	s.entries["g/m/one"] = protocol.Entry{Key: "g/m/one", Value: bookkeeping.Encode(machines), Revision: 8}
+	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
+	machines := storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
+	s.entries["g/m/one"] = protocol.Entry{Key: "g/m/one", Value: storage.Encode(machines), Revision: 8}
 	return s
 }
 
 // sameTasks compares the tasks that a leader has read with those of a record.
-func sameTasks(t *testing.T, l *leader, rec *bookkeeping.Job) {
+func sameTasks(t *testing.T, l *leader, rec *storage.Job) {
 	t.Helper()
 	job := l.cluster.Jobs[rec.Spec.ID]
 	if job == nil {
@@ -102,11 +102,11 @@
 
 // nextTxn lets a leader commit and returns what is under way then, nil if that is
 // nothing.
-func (l *leader) nextTxn(t *testing.T) (*protocol.Txn, Request) {
+func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if l.inFlight == nil {
 		l.splitOutgrown()
-		l.commitLater(tuning.MarkLate + time.Second)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if l.inFlight == nil {
 		return nil, Request{}
@@ -116,7 +116,7 @@
 		if !ok || !bytes.Equal(r.Body, l.inFlight.body) {
 			continue
 		}
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if err := json.Unmarshal(r.Body, &txn); err != nil {
 			t.Fatal(err)
 		}
@@ -127,12 +127,12 @@
 }
 
 // answer carries out what a leader has sent and answers it.
-func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Txn, r Request) {
+func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Transaction, r Request) {
 	t.Helper()
 	if !s.apply(*txn) {
 		t.Fatal("refused")
 	}
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision})})
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision})})
 }
 
 // TestSplitInSteps: a record that needs more parts than one transaction has changes
@@ -157,10 +157,10 @@
 					break
 				}
 				steps++
-				if len(txn.Then) > 4 || len(txn.If) > 16 {
-					t.Fatalf("%d changes, %d conditions", len(txn.Then), len(txn.If))
+				if len(txn.Changes) > 4 || len(txn.Conditions) > 16 {
+					t.Fatalf("%d changes, %d conditions", len(txn.Changes), len(txn.Conditions))
 				}
-				for _, c := range txn.Then {
+				for _, c := range txn.Changes {
 					if len(c.Value) > 2048 {
 						t.Fatalf("%s: %d bytes under %s", shape, len(c.Value), c.Set)
 					}
@@ -176,7 +176,7 @@
 					t.Errorf("%s: %s still has %d bytes", shape, key, len(e.Value))
 				}
 			}
-			head, err := bookkeeping.DecodeJob(s.entries[bookkeeping.JobKey(rec.Spec.ID)].Value)
+			head, err := storage.DecodeJob(s.entries[storage.JobKey(rec.Spec.ID)].Value)
 			if err != nil || head.Parts < 5 {
 				t.Errorf("%s: %v, %d parts", shape, err, head.Parts)
 			}
@@ -218,7 +218,7 @@
 		if l.scheduler.WaitingTasks(job) != 0 {
 			t.Error("tasks are wanted while the record is split")
 		}
-		rec.Tasks[ended] = bookkeeping.Task{Index: ended, Attempt: 2, Done: true}
+		rec.Tasks[ended] = storage.Task{Index: ended, Attempt: 2, Done: true}
 		for range 10 {
 			if !job.Records.Splitting {
 				break
@@ -251,8 +251,8 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
-			if _, num, ok := bookkeeping.ParseTaskRecordKey(c.Set); ok && !strings.Contains(string(r.Body), bookkeeping.JobKey(rec.Spec.ID)+`","data"`) {
+		for _, c := range txn.Changes {
+			if _, num, ok := storage.ParseTaskRecordKey(c.Set); ok && !strings.Contains(string(r.Body), storage.JobKey(rec.Spec.ID)+`","data"`) {
 				t.Errorf("part %d is staged", num)
 			}
 		}
@@ -267,8 +267,8 @@
 func TestLeftoverParts(t *testing.T) {
 	rec := wideJob(protocol.ShapeArray)
 	s := stored(rec)
-	key := bookkeeping.TaskRecordKey(rec.Spec.ID, 1)
-	s.entries[key] = protocol.Entry{Key: key, Value: bookkeeping.Encode(bookkeeping.TaskRecord{Writer: "w-3", Tasks: bookkeeping.Tasks{{Index: 40, Attempt: 1}}}), Revision: 7}
+	key := storage.TaskRecordKey(rec.Spec.ID, 1)
+	s.entries[key] = protocol.Entry{Key: key, Value: storage.Encode(storage.TaskRecord{Writer: "w-3", Tasks: storage.Tasks{{Index: 40, Attempt: 1}}}), Revision: 7}
 	l := s.leader(protocol.PeerLevel)
 	sameTasks(t, l, rec)
 	for range 40 {
@@ -276,7 +276,7 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if c.Delete == key {
 				t.Error("deleted while the job is there")
 			}
@@ -284,18 +284,18 @@
 		s.answer(t, l, txn, r) // refused if the leftover's revision was not taken
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
-	l.finish(l.cluster.Jobs[rec.Spec.ID], bookkeeping.Final{Phase: protocol.PhaseDone})
-	var txn protocol.Txn
+	l.finish(l.cluster.Jobs[rec.Spec.ID], storage.Final{Phase: protocol.PhaseDone})
+	var txn protocol.Transaction
 	for range 5 {
 		next, r := l.nextTxn(t)
 		if next == nil {
 			break
 		}
-		txn.Then = append(txn.Then, next.Then...)
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		txn.Changes = append(txn.Changes, next.Changes...)
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	deleted := false
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		deleted = deleted || c.Delete == key
 	}
 	if !deleted {
@@ -316,12 +316,12 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if len(c.Value) > 2048 {
 				t.Errorf("%d bytes under %s", len(c.Value), c.Set)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: bookkeeping.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	if job := l.cluster.Jobs[rec.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("unwritable %v, wants %d", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
@@ -342,7 +342,7 @@
 		t.Errorf("%v writes are left", tokens)
 	}
 	l.n.out = nil
-	l.n.now = l.n.now.Add(tuning.RetryPause)
+	l.n.now = l.n.now.Add(tuning.StoreRetryDelay)
 	l.n.tickTimers()
 	if len(l.n.out) > 0 {
 		t.Error("sent again at once")
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -15,7 +15,7 @@
 type recoveryPhase interface {
 	Observe(d recovery.Difference)
 	Known(machine protocol.MachineID)
-	Ordered(op protocol.Verb)
+	Ordered(op protocol.CommandKind)
 	Tick(now time.Time) (ended bool)
 	Summary() recovery.Summary
 }
@@ -27,7 +27,7 @@
 
 func (noRecoveryPhase) Known(protocol.MachineID) {}
 
-func (noRecoveryPhase) Ordered(protocol.Verb) {}
+func (noRecoveryPhase) Ordered(protocol.CommandKind) {}
 
 func (noRecoveryPhase) Tick(time.Time) bool { return false }
 
@@ -45,7 +45,7 @@
 	for _, machine := range l.cluster.OrderedMachines {
 		stored[machine.ID] = l.stored.Attempts(machine.ID, nil)
 	}
-	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.WatchMachines)
+	lapse := l.lapseAt(&cluster.Machine{}).Add(tuning.MachineSweepInterval)
 	l.recovery = recovery.Begin(l.n.now, lapse, stored)
 	s := l.recovery.Summary()
 	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.Workers, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", lapse.Sub(l.n.now).Seconds())
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -24,7 +24,7 @@
 	}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = time.Unix(1_800_000_000, 0)
-	n.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 9)
+	n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "a"}), 9)
 	for s, p := range n.peers {
 		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
 		if s == "a" {
@@ -40,7 +40,7 @@
 	n.nextID++
 	id := n.nextID
 	n.out = nil
-	n.routeReport(id, &protocol.Report{Machine: machineID, Incarnation: 1, Sequence: protocol.Sequence(id)})
+	n.routeReport(id, &protocol.Heartbeat{Machine: machineID, Incarnation: 1, Sequence: protocol.Sequence(id)})
 	for _, a := range n.out {
 		switch a := a.(type) {
 		case Reply:
@@ -48,7 +48,7 @@
 				continue
 			}
 			if r, _ := parse[protocol.Redirect](a.Body); a.Status == 421 {
-				return string(r.ReportTo)
+				return string(r.Target)
 			}
 			return fmt.Sprint(a.Status)
 		case PeerSend:
@@ -112,7 +112,7 @@
 	if got := reported(b, own); got == "a" {
 		t.Error("sent to the leader again at once, though it came back")
 	}
-	if got := reported(follower("b", tuning.DirectAll), own); got != "a" {
+	if got := reported(follower("b", tuning.DirectShareScale), own); got != "a" {
 		t.Errorf("the leader keeps all: %s", got)
 	}
 }
@@ -169,11 +169,11 @@
 		t.Fatalf("without a leader: %s", got)
 	}
 	at := b.now
-	b.election.ObserveLease(bookkeeping.Encode(bookkeeping.LeaderLease{Node: "a"}), 10)
+	b.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "a"}), 10)
 	carried := false
 	for _, a := range b.Step(at.Add(time.Second), nil) {
 		if p, ok := a.(PeerSend); ok {
-			if r, ok := p.Message.(protocol.PeerReport); ok && r.Report.Machine == "i-1" {
+			if r, ok := p.Message.(protocol.PeerForwardedHeartbeat); ok && r.Heartbeat.Machine == "i-1" {
 				carried = true
 			}
 		}
@@ -184,7 +184,7 @@
 	b.election.ObserveRelease()
 	reported(b, "i-2")
 	id := b.nextID
-	for d := time.Duration(0); d <= tuning.ForwardTimeout+time.Second; d += tuning.Tick {
+	for d := time.Duration(0); d <= tuning.HeartbeatForwardTimeout+time.Second; d += tuning.MinTimerInterval {
 		for _, a := range b.Step(at.Add(time.Second+d), nil) {
 			if r, ok := a.(Reply); ok && r.ID == id {
 				if r.Status != 503 || d > 4*time.Second {
@@ -217,21 +217,21 @@
 		n.out = nil
 		ended = new(int)
 		*ended = -1
-		l.call(machine, "POST", path, protocol.Orders{Token: 7}, func(status int, _ []byte) { *ended = status })
+		l.call(machine, "POST", path, protocol.CommandBatch{FencingToken: 7}, func(status int, _ []byte) { *ended = status })
 		return n.out[len(n.out)-1], ended
 	}
-	a, ended := order(protocol.PathOrders)
+	a, ended := order(protocol.PathCommands)
 	send, ok := a.(PeerSend)
 	if !ok {
 		t.Fatalf("orders leave as %T", a)
 	}
-	call := send.Message.(protocol.PeerCall)
-	n.deliver(protocol.PeerAnswer{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
+	call := send.Message.(protocol.PeerAgentCall)
+	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
 	if *ended != 200 || l.calling != 0 {
 		t.Errorf("answered 200: ended with %d, %d under way", *ended, l.calling)
 	}
-	_, ended = order(protocol.PathOrders)
-	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegateSlack+tuning.Tick), nil)
+	_, ended = order(protocol.PathCommands)
+	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
 	if *ended != 0 || l.calling != 0 {
 		t.Errorf("not answered: ended with %d, %d under way", *ended, l.calling)
 	}
@@ -239,20 +239,20 @@
 		t.Errorf("a probe leaves as %+v", a)
 	}
 	n.peers["p"].up = false
-	if a, _ := order(protocol.PathOrders); a.(Request).To != ToWorker {
+	if a, _ := order(protocol.PathCommands); a.(Request).To != ToWorker {
 		t.Errorf("with a link missing orders leave as %+v", a)
 	}
 	// The peer's part.
 	b := follower("b", 0)
 	b.out = nil
-	b.deliver(protocol.PeerCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
+	b.deliver(protocol.PeerAgentCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
 	r := b.out[0].(Request)
 	if r.To != ToWorker || r.Address != "h:1" || string(r.Body) != `{"x":1}` {
 		t.Fatalf("sent to the worker: %+v", r)
 	}
 	b.handle(Response{ID: r.ID, Status: 409, Body: []byte("{}")})
 	back := b.out[len(b.out)-1].(PeerSend)
-	if got := back.Message.(protocol.PeerAnswer); back.Peer != "a" || got.ID != 5 || got.Status != 409 {
+	if got := back.Message.(protocol.PeerResponse); back.Peer != "a" || got.ID != 5 || got.Status != 409 {
 		t.Errorf("the answer goes back as %+v", back)
 	}
 }
@@ -272,7 +272,7 @@
 			t.Fatalf("report %d: %s", i, got)
 		}
 	}
-	if sent != tuning.RedirectsAtOnce {
+	if sent != tuning.MaxConcurrentRedirects {
 		t.Errorf("%d workers are sent away at once", sent)
 	}
 	more := 0
@@ -287,7 +287,7 @@
 			more++
 		}
 	}
-	if want := int(5 / b.cfg.Cluster.Resources.Pause(tuning.RedirectCost, tuning.RedirectShare).Seconds()); more < want-1 || more > want+1 {
+	if want := int(5 / b.cfg.Cluster.Resources.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare).Seconds()); more < want-1 || more > want+1 {
 		t.Errorf("%d workers are sent away in 5 s, want %d", more, want)
 	}
 }
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -15,12 +15,12 @@
 // while is stable: neither it nor its machine is to blame.
 func (l *leader) replicaEnded(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
-	if !attempt.RunningSince.IsZero() && l.n.now.Sub(attempt.RunningSince) >= tuning.ReplicaStable {
+	if !attempt.RunningSince.IsZero() && l.n.now.Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
 		task.EarlyExits = 0
 		return true
 	}
 	if task.EarlyExits > 0 {
-		task.RetryAt = l.n.now.Add(tuning.ReplicaPause << min(task.EarlyExits-1, tuning.ReplicaDoublings))
+		task.RetryAt = l.n.now.Add(tuning.ReplicaRestartBackoff << min(task.EarlyExits-1, tuning.MaxReplicaBackoffDoublings))
 	}
 	task.EarlyExits++
 	return false
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // The replies to users and agents, and the HTTP statuses that stand for them, which are
@@ -16,17 +16,17 @@
 
 // Created implements api.Replies.
 func (ur userReplies) Created(requestID uint64, accepted protocol.Accepted) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusCreated, Body: bookkeeping.Encode(accepted)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusCreated, Body: storage.Encode(accepted)})
 }
 
 // Accepted implements api.Replies.
 func (ur userReplies) Accepted(requestID uint64, accepted protocol.Accepted) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: bookkeeping.Encode(accepted)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(accepted)})
 }
 
 // Status implements api.Replies.
 func (ur userReplies) Status(requestID uint64, status protocol.Status) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: bookkeeping.Encode(status)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
 }
 
 // UnknownJob implements api.Replies.
@@ -47,11 +47,11 @@
 // Unavailable implements api.Replies.
 func (ur userReplies) Unavailable(requestID uint64, reason string) {
 	ur.n.answer(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
-		Body: bookkeeping.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
+		Body: storage.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
 }
 
 // Forwarded passes on what a peer answered to a forwarded request.
-func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerAnswer) {
+func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerResponse) {
 	reply := Reply{ID: requestID, Status: int(answer.Status), Body: answer.Body}
 	if reply.Status == http.StatusServiceUnavailable {
 		reply.RetryAfter = time.Second
@@ -60,7 +60,7 @@
 }
 
 func (ur userReplies) fail(requestID uint64, status int, reason string) {
-	ur.n.answer(Reply{ID: requestID, Status: status, Body: bookkeeping.Encode(protocol.ErrorBody{Error: reason})})
+	ur.n.answer(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
 }
 
 // heartbeatReply answers an agent's heartbeat: with commands, a redirect or a refusal.
@@ -70,18 +70,18 @@
 }
 
 // heartbeatAnswer is the leader's answer with commands.
-func heartbeatAnswer(answer protocol.ReportAnswer) heartbeatReply {
-	return heartbeatReply{http.StatusOK, bookkeeping.Encode(answer)}
+func heartbeatAnswer(answer protocol.HeartbeatResponse) heartbeatReply {
+	return heartbeatReply{http.StatusOK, storage.Encode(answer)}
 }
 
 // heartbeatRedirect sends an agent to another controller; to whichever it likes if that is "".
 func heartbeatRedirect(to protocol.NodeName) heartbeatReply {
-	return heartbeatReply{http.StatusMisdirectedRequest, bookkeeping.Encode(protocol.Redirect{ReportTo: to})}
+	return heartbeatReply{http.StatusMisdirectedRequest, storage.Encode(protocol.Redirect{Target: to})}
 }
 
 // heartbeatRefusal tells an agent that its heartbeat has no effect; it sends another.
 func heartbeatRefusal(reason string) heartbeatReply {
-	return heartbeatReply{http.StatusServiceUnavailable, bookkeeping.Encode(protocol.ErrorBody{Error: reason})}
+	return heartbeatReply{http.StatusServiceUnavailable, storage.Encode(protocol.ErrorBody{Error: reason})}
 }
 
 // replyHeartbeat answers an agent that reports to this node.
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -24,7 +24,7 @@
 // queuedReport is a report that came while nobody was known to lead.
 type queuedReport struct {
 	id     uint64
-	report *protocol.Report
+	report *protocol.Heartbeat
 	expire time.Time
 }
 
@@ -35,25 +35,25 @@
 func (l *leader) directShare() uint64 {
 	r := l.n.cfg.Cluster.Resources
 	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
-		return tuning.DirectAll
+		return tuning.DirectShareScale
 	}
-	most := r.Cores * tuning.ReportShare / tuning.ReportCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
+	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
 	if r.FDLimit > 0 {
-		most = min(most, float64(r.FDLimit)*tuning.WorkerKeepSockets)
+		most = min(most, float64(r.FDLimit)*tuning.AgentKeepAliveShare)
 	}
 	fleet := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyUntil
+	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyReleaseShare
 	if !l.proxying {
-		return tuning.DirectAll
+		return tuning.DirectShareScale
 	}
 	// In steps, so that few workers change their proxy as the fleet grows.
-	return uint64(min(most*tuning.DirectPart/fleet, 1)*tuning.DirectSteps) * tuning.DirectAll / tuning.DirectSteps
+	return uint64(min(most*tuning.RetainedAgentShare/fleet, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
 }
 
 // usesProxies says whether the peers do a part of the leader's dealings with
 // workers.
-func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectAll }
+func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectShareScale }
 
 // proxyFor is the node that answers a worker when all links are there: the leader
 // for as many workers as it keeps, the others in equal parts for the rest. All
@@ -62,10 +62,10 @@
 	h := fnv.New32a()
 	h.Write([]byte(machineID))
 	sum := uint64(h.Sum32())
-	if sum%tuning.DirectAll < keeps || len(n.names) < 2 {
+	if sum%tuning.DirectShareScale < keeps || len(n.names) < 2 {
 		return leader
 	}
-	at := sum / tuning.DirectAll % uint64(len(n.names)-1)
+	at := sum / tuning.DirectShareScale % uint64(len(n.names)-1)
 	if n.names[at] >= leader {
 		at++ // the leader is left out
 	}
@@ -74,12 +74,12 @@
 
 // routeReport answers a worker's report if this node leads; otherwise the
 // leader's answer is fetched or the worker is sent to it.
-func (n *Node) routeReport(id uint64, r *protocol.Report) {
-	n.forward(id, r, n.now.Add(tuning.ForwardTimeout))
+func (n *Node) routeReport(id uint64, r *protocol.Heartbeat) {
+	n.forward(id, r, n.now.Add(tuning.HeartbeatForwardTimeout))
 }
 
 // forward does so for a report that must be answered by a certain time.
-func (n *Node) forward(id uint64, r *protocol.Report, expire time.Time) {
+func (n *Node) forward(id uint64, r *protocol.Heartbeat, expire time.Time) {
 	if n.election.Term() != 0 && n.lead != nil {
 		if front := n.proxyFor(r.Machine, n.cfg.Name, n.lead.directShare()); front != n.cfg.Name && !n.redirectedLately(r.Machine) && n.fullyConnected() && n.mayRedirect() {
 			n.redirect(id, r, front)
@@ -104,7 +104,7 @@
 		return
 	}
 	n.nextID++
-	if !n.sendTo(leader, protocol.PeerReport{ID: n.nextID, Origin: n.cfg.Name, Target: leader, Report: r}) {
+	if !n.sendTo(leader, protocol.PeerForwardedHeartbeat{ID: n.nextID, Origin: n.cfg.Name, Target: leader, Heartbeat: r}) {
 		n.replyHeartbeat(id, heartbeatRedirect(""))
 		return
 	}
@@ -119,7 +119,7 @@
 		return ""
 	}
 	if !n.isReachable(leader) {
-		if n.now.Sub(c.proxiedAt) < tuning.RedirectMemory && n.mayRedirect() {
+		if n.now.Sub(c.proxiedAt) < tuning.RedirectRetention && n.mayRedirect() {
 			// It is here for the leader's sake, and may well reach it. All at once would
 			// be more connections than the leader can open; relayed messages carries some meanwhile.
 			return leader
@@ -135,7 +135,7 @@
 	}
 	to := n.proxyFor(machineID, leader, s.DirectShare)
 	switch {
-	case s.DirectShare >= tuning.DirectAll:
+	case s.DirectShare >= tuning.DirectShareScale:
 	case to == n.cfg.Name, !n.fullyConnected(), !n.mayRedirect():
 		// It stays here: the proxy may be what is missing, or others move first.
 		c.proxiedAt = n.now
@@ -163,11 +163,11 @@
 // over, and answering it here costs more.
 func (n *Node) redirectedLately(machineID protocol.MachineID) bool {
 	c := n.contacts[machineID]
-	return !c.redirectedAt.IsZero() && c.term == n.election.HolderTerm() && n.now.Sub(c.redirectedAt) < tuning.RedirectMemory
+	return !c.redirectedAt.IsZero() && c.term == n.election.HolderTerm() && n.now.Sub(c.redirectedAt) < tuning.RedirectRetention
 }
 
 // redirect sends a worker to another node.
-func (n *Node) redirect(id uint64, r *protocol.Report, to protocol.NodeName) {
+func (n *Node) redirect(id uint64, r *protocol.Heartbeat, to protocol.NodeName) {
 	n.contacts[r.Machine] = contact{term: n.election.HolderTerm(), redirectedAt: n.now}
 	n.replyHeartbeat(id, heartbeatRedirect(to))
 }
@@ -209,11 +209,11 @@
 }
 
 // takeReport is the leader's answer to a report, forwarded or not.
-func (n *Node) takeReport(r *protocol.Report) heartbeatReply {
+func (n *Node) takeReport(r *protocol.Heartbeat) heartbeatReply {
 	if n.lead == nil || !n.election.HasAuthority() {
 		return heartbeatRedirect("")
 	}
-	if r.Token > n.election.Term() {
+	if r.FencingToken > n.election.Term() {
 		// Somebody else has the right to command by now, or the state service was restored.
 		n.lead.refuseHigherToken(r)
 		return heartbeatRefusal("a higher token than this leader's")
@@ -225,5 +225,5 @@
 	if !ok {
 		return heartbeatRefusal("an older report")
 	}
-	return heartbeatAnswer(protocol.ReportAnswer{Token: n.election.Term(), Commands: commands})
+	return heartbeatAnswer(protocol.HeartbeatResponse{FencingToken: n.election.Term(), Commands: commands})
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -10,7 +10,7 @@
 // report takes a worker's newest message. answered: it came as a report and
 // will be answered with 200, which renews the worker's lease. ok is false if
 // the message is older than what is known.
-func (l *leader) report(r *protocol.Report, answered bool) (commands []protocol.Command, ok bool) {
+func (l *leader) report(r *protocol.Heartbeat, answered bool) (commands []protocol.Command, ok bool) {
 	if l.autoscaler.Deleted(r.Machine) {
 		return nil, false // what is deleted can only have sent this before
 	}
@@ -27,7 +27,7 @@
 		// of an old report can come at any time.
 		l.RecordMachine(machine)
 	}
-	if r.NoticeS != nil && !machine.SpotNotice {
+	if r.PreemptionNoticeS != nil && !machine.SpotNotice {
 		machine.SpotNotice = true
 		l.plan = true
 		l.Drain(machine)
@@ -45,25 +45,25 @@
 
 // reportedIncarnation takes the incarnation and sequence number of a report. A newer one
 // has forgotten every attempt of an older one.
-func (l *leader) reportedIncarnation(machine *cluster.Machine, r *protocol.Report) {
+func (l *leader) reportedIncarnation(machine *cluster.Machine, r *protocol.Heartbeat) {
 	if r.Incarnation > machine.Agent.Incarnation {
 		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && l.n.now.Sub(machine.Agent.AnsweredAt) < config.Seconds(l.n.cfg.Cluster.Workers.LeaseS) {
 			// Its lease ran out although its reports were answered all the time.
-			machine.Agent.UnseenAnswers = tuning.MissedAnswers
+			machine.Agent.UnseenAnswers = tuning.MaxIneffectiveResponses
 		}
 	}
 	machine.Agent.Incarnation, machine.Agent.Sequence = r.Incarnation, r.Sequence
 }
 
 // reportedLiveness notes the sign of life that a report is.
-func (l *leader) reportedLiveness(machine *cluster.Machine, r *protocol.Report, answered bool) {
+func (l *leader) reportedLiveness(machine *cluster.Machine, r *protocol.Heartbeat, answered bool) {
 	if !machine.Agent.Heard || machine.Agent.LeaseExpired {
 		machine.Agent.Heard, machine.Agent.LeaseExpired = true, false
 		machine.IdleSince = l.n.now
 		l.sendSoon(machine) // what was to be ordered waited for a sign of life
 	}
-	if confirmed := r.Token == l.n.election.Term(); confirmed != machine.Agent.TokenConfirmed {
+	if confirmed := r.FencingToken == l.n.election.Term(); confirmed != machine.Agent.TokenConfirmed {
 		machine.Agent.TokenConfirmed = confirmed
 		l.plan = true
 	}
@@ -79,7 +79,7 @@
 }
 
 // exited decides what follows from the end of an attempt.
-func (l *leader) exited(machine *cluster.Machine, attempt *cluster.Attempt, t protocol.TaskReport) {
+func (l *leader) exited(machine *cluster.Machine, attempt *cluster.Attempt, t protocol.TaskStatus) {
 	job := attempt.Job
 	l.n.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", t.Cause, "saved", t.Saved)
 	if job.Spec.Service() && (t.Cause == protocol.CauseDone || t.Cause == protocol.CauseError) && l.replicaEnded(attempt) {
@@ -89,8 +89,8 @@
 	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
 	case protocol.CauseError:
 		job.Failures.Machines[machine.ID] = true
-		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFailed)
-		if len(job.Failures.Machines) >= tuning.JobErrors {
+		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.MachineFailureBackoff)
+		if len(job.Failures.Machines) >= tuning.MaxJobFailures {
 			// It fails everywhere: the job is to blame, not the machines.
 			// It goes on trying, ever more rarely, on what is free: it must not
 			// keep sound work of lower priority from its machines for ever.
@@ -98,7 +98,7 @@
 			if job.Spec.Service() {
 				clear(job.Failures.Machines)
 			} else {
-				job.RetryAt = l.n.now.Add(tuning.ErrorPause << min(job.Failures.Attributed, tuning.ErrorDoublings))
+				job.RetryAt = l.n.now.Add(tuning.FailureBackoff << min(job.Failures.Attributed, tuning.MaxFailureBackoffDoublings))
 				job.Failures.Attributed++
 			}
 			for _, other := range l.cluster.Machines {
@@ -108,15 +108,15 @@
 			return
 		}
 		machine.FailedJobs[job.ID] = true
-		if len(machine.FailedJobs) >= tuning.MachineErrors && !machine.Quarantined {
+		if len(machine.FailedJobs) >= tuning.MaxMachineFailures && !machine.Quarantined {
 			machine.Quarantined = true
 			l.n.log.Info("machine distrusted", "machine", machine.ID)
 			l.Drain(machine)
 		}
-	case protocol.CauseNoRoom, protocol.CauseBusy:
-		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.AvoidFor)
+	case protocol.CauseNoCapacity, protocol.CauseBusy:
+		job.Failures.AvoidUntil[machine.ID] = l.n.now.Add(tuning.MachineRefusalBackoff)
 	default:
 		// no_such, or a cause of a later version: try again, but not at once.
-		job.RetryAt = l.n.now.Add(tuning.RetryPause * 8)
+		job.RetryAt = l.n.now.Add(tuning.StoreRetryDelay * 8)
 	}
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -5,17 +5,17 @@
 	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
 // tickState asks the state service for something small when nothing else has
 // been asked lately, so that every node knows whether it is served.
 func (n *Node) tickState() {
-	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StateProbe {
-		n.store.Get(bookkeeping.LeaderKey, func(kv.GetResult) {})
+	if n.mirror.Ready() && n.now.Sub(n.askedAt) >= tuning.StoreProbeInterval {
+		n.store.Get(storage.LeaderKey, func(kv.GetResult) {})
 	}
 }
 
@@ -27,7 +27,7 @@
 	case []byte:
 		raw = b
 	default:
-		raw = bookkeeping.Encode(b)
+		raw = storage.Encode(b)
 	}
 	n.pending[n.nextID] = done
 	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: raw, Timeout: timeout})
@@ -36,7 +36,7 @@
 // CallStore implements kv.Transport. It keeps note of whether the store serves this node.
 func (n *Node) CallStore(call kv.Call, done func(status int, body []byte)) {
 	if call.Connection == kv.Watching {
-		n.request(ToState, "", call.Method, call.Path, call.Body, tuning.WatchBlock+tuning.WatchOverrun, done)
+		n.request(ToState, "", call.Method, call.Path, call.Body, tuning.WatchLongPoll+tuning.WatchTimeoutMargin, done)
 		return
 	}
 	to := ToState
@@ -45,7 +45,7 @@
 	}
 	n.askedAt = n.now
 	n.budgets.countCall(n.now)
-	n.request(to, "", call.Method, call.Path, call.Body, tuning.StateTimeout, func(status int, body []byte) {
+	n.request(to, "", call.Method, call.Path, call.Body, tuning.StoreRequestTimeout, func(status int, body []byte) {
 		n.unanswered = status == 0
 		if status != 0 && status != http.StatusServiceUnavailable {
 			n.servedAt = n.now
@@ -59,7 +59,7 @@
 func (n *Node) answer(r Reply) {
 	if from, ok := n.received[r.ID]; ok {
 		delete(n.received, r.ID)
-		n.sendTo(from.origin, protocol.PeerAnswer{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
+		n.sendTo(from.origin, protocol.PeerResponse{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
 		return
 	}
 	n.out = append(n.out, r)
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -1,10 +1,10 @@
 package coordination
 
 import (
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -33,7 +33,7 @@
 
 // loadRestoredMarker looks whether an earlier leader found the state service restored.
 func (l *leader) loadRestoredMarker() {
-	if e, ok := l.n.mirror.Get(bookkeeping.RestoredKey); ok {
+	if e, ok := l.n.mirror.Get(storage.RestoredKey); ok {
 		l.restored.marked = true
 		l.n.log.Error("state service was restored to an older state, earlier jobs wait for all workers", "record", string(e.Value))
 	}
@@ -41,10 +41,10 @@
 
 // refuseHigherToken takes a worker's token above this leader's term: the worker would drop
 // whatever it is answered.
-func (l *leader) refuseHigherToken(r *protocol.Report) {
+func (l *leader) refuseHigherToken(r *protocol.Heartbeat) {
 	s := &l.restored
-	if r.Token > s.highest {
-		s.highest = r.Token
+	if r.FencingToken > s.highest {
+		s.highest = r.FencingToken
 		l.askForTerm(r.Machine)
 	}
 	l.holdsHigherToken(r)
@@ -57,7 +57,7 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Txn{If: []protocol.Condition{l.n.election.Condition()}}
+	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.election.Condition()}}
 	l.n.store.Transact(term, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
@@ -77,12 +77,12 @@
 }
 
 // holdsHigherToken keeps note of a worker that no order reaches.
-func (l *leader) holdsHigherToken(r *protocol.Report) {
+func (l *leader) holdsHigherToken(r *protocol.Heartbeat) {
 	machine := l.cluster.EnsureMachine(r.Machine, r.Address, r.Type, r.Zone, r.Spot)
 	if machine.Agent.HigherToken == 0 {
-		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.Token)
+		l.n.log.Info("worker holds a higher token", "machine", machine.ID, "token", r.FencingToken)
 	}
-	machine.Agent.HigherToken = r.Token
+	machine.Agent.HigherToken = r.FencingToken
 }
 
 // reachableToken is the highest token of a worker above which the revision can be raised
@@ -148,8 +148,8 @@
 	}
 	l.n.budgets.writes.AllowN(l.n.now, 1)
 	s.writing = true
-	marker := bookkeeping.Restored{Writer: l.n.unique(), Token: s.highest}
-	l.writeMarker(protocol.Change{Set: bookkeeping.RestoredKey, Value: bookkeeping.Encode(marker)}, func() {
+	marker := storage.Restored{Writer: l.n.unique(), Token: s.highest}
+	l.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
 		s.marked = true
 		l.tickRestored()
 	})
@@ -161,18 +161,18 @@
 		return
 	}
 	l.restored.writing = true
-	l.writeMarker(protocol.Change{Delete: bookkeeping.RestoredKey}, func() { l.restored.marked = false })
+	l.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { l.restored.marked = false })
 }
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Txn{If: []protocol.Condition{l.n.election.Condition()}, Then: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.election.Condition()}, Changes: []protocol.Change{change}}
 	l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
 		}
 		if result.Outcome != kv.Done || result.Malformed {
-			l.n.after(tuning.RetryPause, func() { l.restored.writing = false })
+			l.n.after(tuning.StoreRetryDelay, func() { l.restored.writing = false })
 			return
 		}
 		l.restored.writing = false
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -42,7 +42,7 @@
 // budget of calls and leave most of it to rentals, whatever the number of pages.
 func TestListOfLargeFleet(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	rps := l.n.cfg.Cluster.Cloud.RPS * tuning.CloudShare
+	rps := l.n.cfg.Cluster.Cloud.RPS * tuning.CloudBudgetShare
 	pages, seconds := 0, 60
 	served := 0 // of the requests in l.n.out
 	for range seconds * 10 {
@@ -56,7 +56,7 @@
 			}
 			pages++
 			page := protocol.MachineList{More: pages%12 != 0, Machines: []protocol.Machine{{ID: protocol.MachineID(fmt.Sprintf("i-%06d", pages%12))}}}
-			l.n.pending[r.ID](200, bookkeeping.Encode(page))
+			l.n.pending[r.ID](200, storage.Encode(page))
 		}
 	}
 	if most := int(rps*float64(seconds)/2) + 12; pages > most {
@@ -72,15 +72,15 @@
 func TestManyConfirmedCancels(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.peers["p"] = &peer{}
-	tell := func(from, to int) protocol.PeerConfirm {
+	tell := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
 			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
-			l.n.api.JobFinished(jobID, bookkeeping.Final{Phase: protocol.PhaseCancelled})
+			l.n.api.JobFinished(jobID, storage.Final{Phase: protocol.PhaseCancelled})
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
 		l.n.peerReceive("p", 1, protocol.PeerConfirmRequest{ID: 1})
-		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirm)
+		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
 	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
 		t.Errorf("complete %v, %d named", m.Complete, len(m.Cancels))
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -78,7 +78,7 @@
 	if job.Spec.Service() {
 		return false
 	}
-	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.WarmPatience)
+	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.ImageLocalWaitFactor)
 	for _, at := range job.StartDeadlines {
 		if !sc.state.Now().After(at) {
 			return sc.state.Now().Before(at.Add(-fetch))
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -29,9 +29,9 @@
 
 // newCycle looks every machine over.
 func (sc *Scheduler) newCycle() *cycle {
-	p := &cycle{examined: len(sc.state.OrderedMachines), examineLimit: len(sc.state.OrderedMachines) + tuning.LooksLeast}
+	p := &cycle{examined: len(sc.state.OrderedMachines), examineLimit: len(sc.state.OrderedMachines) + tuning.MinExaminedMachines}
 	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
-		p.examineLimit = max(p.examineLimit, int(cores*float64(tuning.PassLength/tuning.LookCost)))
+		p.examineLimit = max(p.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range sc.state.OrderedMachines {
 		if !sc.state.Schedulable(machine) {
@@ -155,6 +155,6 @@
 // it had to look at and the smaller the controller's share of a core is, so
 // that planning leaves time for reports and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.Examined)*tuning.LookCost, tuning.PlanShare)
-	return min(max(pause, tuning.PlanEvery), tuning.PlanIdle)
+	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.Examined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
+	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -13,7 +13,7 @@
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
-	if fetch < tuning.WarmFetch || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) || sc.state.TasksWithinLimit(job) < len(job.Tasks) ||
+	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) || sc.state.TasksWithinLimit(job) < len(job.Tasks) ||
 		sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
@@ -26,18 +26,18 @@
 	if warm >= len(job.Tasks) {
 		return false // the placement finds them
 	}
-	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.SearchPause)
+	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	list := sc.findPreemptions(job, len(job.Tasks), true)
 	cost := 0.0
 	for _, e := range list {
 		cost += e.cost
 		for _, attempt := range e.victims {
-			if CheckpointPays(attempt.Job.Spec) && attempt.Job.Spec.SaveS > fetch*tuning.WarmSave {
+			if CheckpointPays(attempt.Job.Spec) && attempt.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
 	}
-	if len(list) == 0 || cost > fetch*tuning.WarmLoss*max(1, job.Spec.GPUs)*float64(len(job.Tasks)) {
+	if len(list) == 0 || cost > fetch*tuning.MaxImageLocalLossFactor*max(1, job.Spec.GPUs)*float64(len(job.Tasks)) {
 		return false
 	}
 	sc.stopVictims(job, list)
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -13,7 +13,7 @@
 // its machine's time and the waiting job's; without it half of the interval
 // between two checkpoints is lost, about.
 func CheckpointPays(spec *protocol.Job) bool {
-	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.SavePays*spec.SaveS)
+	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
 
 // mayPreempt says whether an attempt may be stopped to make room for the job.
@@ -49,7 +49,7 @@
 	}
 	list := sc.findPreemptions(job, n, false)
 	if len(list) == 0 {
-		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.SearchPause)
+		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
 	sc.stopVictims(job, list)
 }
@@ -69,7 +69,7 @@
 // stopVictims carries evictions out.
 func (sc *Scheduler) stopVictims(job *cluster.Job, list []preemption) {
 	for _, e := range list {
-		e.machine.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
+		e.machine.ReserveFor(job, sc.state.Now().Add(tuning.ReservationTimeout))
 		for _, attempt := range e.victims {
 			sc.env.Preempt(attempt)
 		}
@@ -194,7 +194,7 @@
 	gpus := max(1, spec.GPUs)
 	switch {
 	case spec.Gang() && spec.CheckpointS > 0:
-		return (spec.SaveS + tuning.GangRestart) * gpus * float64(spec.Tasks)
+		return (spec.SaveS + tuning.GangRestartSeconds) * gpus * float64(spec.Tasks)
 	case attempt.RunningSince.IsZero():
 		return 0
 	case spec.Gang():
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -102,7 +102,7 @@
 		}
 		waiting = append(waiting, Demand{Job: job, Tasks: n})
 		sc.PreemptFor(job, n)
-		if job.Spec.Gang() && now.Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.ReserveAfter {
+		if job.Spec.Gang() && now.Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.BackfillBarrierDelay {
 			sc.reserveMachines(job)
 		}
 	}
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -24,7 +24,7 @@
 			}
 			if target := sc.successor(attempt); target != nil {
 				sc.log.Info("replica moves", "job", job.ID, "task", attempt.Key.Index, "from", machine.ID, "to", target.ID)
-				target.ReserveFor(job, sc.state.Now().Add(tuning.HoldFor))
+				target.ReserveFor(job, sc.state.Now().Add(tuning.ReservationTimeout))
 				sc.env.Stop(attempt, 0)
 			}
 		}
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -22,7 +22,7 @@
 	}
 	for _, s := range pack(best, len(job.Tasks)) {
 		if s.machine.ReservedFor == nil {
-			s.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.PlanIdle))
+			s.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.MaxSchedulingInterval))
 		}
 	}
 }
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -81,7 +81,7 @@
 // ago: the rest of the zone may be lost too and only not missed yet.
 func (sc *Scheduler) lostMachineRecently(zone protocol.ZoneName) bool {
 	at, ok := sc.LostMachineAt[zone]
-	return ok && sc.state.Now().Sub(at) < tuning.ZoneDistrust
+	return ok && sc.state.Now().Sub(at) < tuning.ZoneSuspicionTime
 }
 
 // compareForReplica orders sites for a replica: no machine under suspicion, none that has
--- a/internal/coordination/state_relay.go
+++ b/internal/coordination/state_relay.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -23,7 +23,7 @@
 
 // relayViaState queues a message for a peer that no link leads to.
 func (n *Node) relayViaState(target protocol.NodeName, m protocol.PeerMessage) bool {
-	if _, ok := n.peers[target]; !ok || n.now.Sub(n.servedAt) > tuning.AloneAfter {
+	if _, ok := n.peers[target]; !ok || n.now.Sub(n.servedAt) > tuning.IsolationTimeout {
 		return false
 	}
 	box := n.outboxes[target]
@@ -31,8 +31,8 @@
 		box = &outbox{}
 		n.outboxes[target] = box
 	}
-	frame := protocol.AppendPeer(nil, m)
-	if len(box.frames)+len(frame) > bookkeeping.RelayCapacity(n.cfg.Cluster.State.ValueKB) {
+	frame := protocol.AppendPeerFrame(nil, m)
+	if len(box.frames)+len(frame) > storage.RelayCapacity(n.cfg.Cluster.State.ValueKB) {
 		return false // the sender tries again, as after a lost packet
 	}
 	box.frames = append(box.frames, frame...)
@@ -46,11 +46,11 @@
 		if box == nil || len(box.frames) == 0 || box.sending || n.now.Before(box.sendAt) || !n.budgets.takeRelayWrite(n.now) {
 			continue
 		}
-		txn := protocol.Txn{Then: []protocol.Change{{Set: bookkeeping.RelayKey(n.cfg.Name, s.Name),
-			Value: bookkeeping.Encode(bookkeeping.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
+		txn := protocol.Transaction{Changes: []protocol.Change{{Set: storage.RelayKey(n.cfg.Name, s.Name),
+			Value: storage.Encode(storage.RelayedFrames{Writer: n.unique(), Frames: box.frames})}}}
 		n.budgets.countWrite(n.now)
 		box.frames, box.sending = nil, true
-		box.sendAt = n.now.Add(tuning.RelayEvery)
+		box.sendAt = n.now.Add(tuning.RelayWriteInterval)
 		n.store.Transact(txn, func(kv.TransactionResult) {
 			box.sending = false // what was lost is sent again by whoever misses it
 		})
@@ -59,18 +59,18 @@
 
 // receiveRelayed takes a value that a peer wrote for this node.
 func (n *Node) receiveRelayed(ev *protocol.WatchEvent) {
-	from, to, ok := bookkeeping.ParseRelayKey(ev.Set)
+	from, to, ok := storage.ParseRelayKey(ev.Set)
 	if !ok || to != n.cfg.Name || n.peers[from] == nil {
 		return
 	}
-	var relayed bookkeeping.RelayedFrames
+	var relayed storage.RelayedFrames
 	if err := json.Unmarshal(ev.Value, &relayed); err != nil {
 		n.log.Error("relayed message does not parse", "from", from, "error", err)
 		return
 	}
 	r := bytes.NewReader(relayed.Frames)
 	for r.Len() > 0 {
-		m, err := protocol.ReadPeer(r)
+		m, err := protocol.ReadPeerFrame(r)
 		if err != nil {
 			n.log.Error("relayed message does not parse", "from", from, "error", err)
 			return
@@ -80,4 +80,4 @@
 }
 
 // isRelayKey says whether a key is a relay key.
-func isRelayKey(key string) bool { return strings.HasPrefix(key, bookkeeping.RelayPrefix) }
+func isRelayKey(key string) bool { return strings.HasPrefix(key, storage.RelayPrefix) }
