--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // takeOver begins to lead with what the records say.
@@ -45,12 +45,12 @@
 	allRead := true
 	type entry struct {
 		protocol.Entry
-		record bookkeeping.MachineRecord
+		record storage.MachineRecord
 	}
 	var entries []entry
 	var names []protocol.MachineID
-	l.n.mirror.Each(bookkeeping.MachinePrefix, func(e protocol.Entry) {
-		rec, ok := parse[bookkeeping.MachineRecord](e.Value)
+	l.n.mirror.Each(storage.MachinePrefix, func(e protocol.Entry) {
+		rec, ok := parse[storage.MachineRecord](e.Value)
 		if !ok || len(rec.Machines) == 0 { // an empty one is deleted, so this is something else
 			allRead = false
 			l.n.log.Error("machine record does not parse", "key", e.Key)
@@ -74,10 +74,10 @@
 
 // loadJobs takes the jobs' own records.
 func (l *leader) loadJobs() {
-	l.n.mirror.Each(bookkeeping.JobPrefix, func(e protocol.Entry) {
-		rec, err := bookkeeping.DecodeJob(e.Value)
+	l.n.mirror.Each(storage.JobPrefix, func(e protocol.Entry) {
+		rec, err := storage.DecodeJob(e.Value)
 		if err != nil {
-			id, _ := bookkeeping.ParseJobKey(e.Key)
+			id, _ := storage.ParseJobKey(e.Key)
 			l.leaveAlone(id, err)
 			return
 		}
@@ -87,8 +87,8 @@
 
 // loadTaskRecords takes the further records of the jobs.
 func (l *leader) loadTaskRecords() {
-	l.n.mirror.Each(bookkeeping.TaskPrefix, func(e protocol.Entry) {
-		id, num, ok := bookkeeping.ParseTaskRecordKey(e.Key)
+	l.n.mirror.Each(storage.TaskPrefix, func(e protocol.Entry) {
+		id, num, ok := storage.ParseTaskRecordKey(e.Key)
 		if ok && l.unreadable[id] {
 			return
 		}
@@ -104,7 +104,7 @@
 			job.Records.Abandoned[num] = e.Revision
 			return
 		}
-		var rec bookkeeping.TaskRecord
+		var rec storage.TaskRecord
 		if err := json.Unmarshal(e.Value, &rec); err != nil {
 			l.leaveAlone(id, err)
 			return
@@ -129,7 +129,7 @@
 }
 
 // addJob takes a job from its own record.
-func (l *leader) addJob(rec *bookkeeping.Job, revision protocol.Revision) *cluster.Job {
+func (l *leader) addJob(rec *storage.Job, revision protocol.Revision) *cluster.Job {
 	spec := rec.Spec
 	job := &cluster.Job{
 		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: rec.Seq, SubmittedAt: time.UnixMilli(rec.AtMs),
@@ -171,7 +171,7 @@
 }
 
 // addTasks takes the tasks of one of a job's records.
-func (l *leader) addTasks(job *cluster.Job, record int, tasks []bookkeeping.Task) {
+func (l *leader) addTasks(job *cluster.Job, record int, tasks []storage.Task) {
 	for _, t := range tasks {
 		if t.Index < 0 || t.Index >= len(job.Tasks) {
 			l.logOnce("record names a task that its job does not have", string(job.ID), "job", job.ID, "task", t.Index)
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestUnreadableRecords: a job of which a record cannot be read, because a later
@@ -30,15 +30,15 @@
 		rec := wideJob(protocol.ShapeGang)
 		rec.RecordTasks, rec.Tasks = 49, rec.Tasks[:49]
 		s := stored(rec)
-		key, part := bookkeeping.JobKey(rec.Spec.ID), bookkeeping.TaskRecordKey(rec.Spec.ID, 1)
-		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: bookkeeping.Encode(bookkeeping.TaskRecord{Writer: "w-4",
+		key, part := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
+		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
 			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
 		l := s.leader(protocol.PeerLevel)
 		machine := l.cluster.Machines[hostName]
-		var tasks []protocol.TaskReport
+		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
-			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
+			tasks = append(tasks, protocol.TaskStatus{Task: protocol.TaskName(rec.Spec.ID, i), Attempt: 2, State: protocol.TaskRunning})
 		}
 		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
@@ -48,7 +48,7 @@
 			l.runSchedulingCycle()
 			l.autoscaler.Tick()
 			if txn, _ := l.nextTxn(t); txn != nil {
-				for _, c := range txn.Then {
+				for _, c := range txn.Changes {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
 						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
 					}
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestUnrunnableSubmissionIsRefusedOnceAllIsKnown: before a node knows the machine types, or
@@ -39,7 +39,7 @@
 		read := n.lastRequest(t, ToState)
 		body := []byte(nil)
 		if status == 200 {
-			body = bookkeeping.Encode(protocol.Entry{Key: bookkeeping.FinalKey(bad.ID), Revision: 4, Value: bookkeeping.Encode(bookkeeping.Final{Phase: protocol.PhaseDone})})
+			body = storage.Encode(protocol.Entry{Key: storage.FinalKey(bad.ID), Revision: 4, Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})})
 		}
 		n.handle(Response{ID: read.ID, Status: status, Body: body})
 	}
--- a/internal/coordination/worker_calls.go
+++ b/internal/coordination/worker_calls.go
@@ -3,9 +3,9 @@
 import (
 	"net/http"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -18,15 +18,15 @@
 	if cores <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	limit := cores * tuning.OrderShare / tuning.OrderCost.Seconds()
-	return rate.NewLimiter(rate.Limit(limit), max(tuning.OrdersLeast, int(limit)))
+	limit := cores * tuning.AgentCallCPUShare / tuning.AgentCallCPUCost.Seconds()
+	return rate.NewLimiter(rate.Limit(limit), max(tuning.MinConcurrentAgentCalls, int(limit)))
 }
 
 // mayCall says whether a worker may be called now. Calls that can wait leave
 // half of the pace and of the sockets to orders: probes of a dark zone hang
 // for their whole time.
 func (l *leader) mayCall(canWait bool) bool {
-	sockets := max(tuning.OrdersLeast, int(float64(l.n.cfg.Cluster.Resources.FDLimit)*tuning.WorkerSockets))
+	sockets := max(tuning.MinConcurrentAgentCalls, int(float64(l.n.cfg.Cluster.Resources.FDLimit)*tuning.AgentCallConnectionShare))
 	pace := 1.0
 	if canWait {
 		sockets /= 2
@@ -45,7 +45,7 @@
 			done(status, body)
 		}
 	}
-	if path == protocol.PathOrders && l.usesProxies() && l.n.delegate(machine, bookkeeping.Encode(body), ended) {
+	if path == protocol.PathCommands && l.usesProxies() && l.n.delegate(machine, storage.Encode(body), ended) {
 		return
 	}
 	l.n.request(ToWorker, machine.Address, method, path, body, tuning.ProbeTimeout, ended)
@@ -60,14 +60,14 @@
 		return false
 	}
 	n.nextID++
-	n.delegated[n.nextID] = delegatedCall{done, n.now.Add(tuning.ProbeTimeout + tuning.DelegateSlack)}
-	n.sendTo(n.proxyFor(machine.ID, n.cfg.Name, 0), protocol.PeerCall{ID: n.nextID, Origin: n.cfg.Name, Address: machine.Address, Body: body})
+	n.delegated[n.nextID] = delegatedCall{done, n.now.Add(tuning.ProbeTimeout + tuning.DelegatedCallMargin)}
+	n.sendTo(n.proxyFor(machine.ID, n.cfg.Name, 0), protocol.PeerAgentCall{ID: n.nextID, Origin: n.cfg.Name, Address: machine.Address, Body: body})
 	return true
 }
 
 // callFor sends orders to a worker for the leader.
-func (n *Node) callFor(c protocol.PeerCall) {
-	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathOrders, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
-		n.sendTo(c.Origin, protocol.PeerAnswer{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
+func (n *Node) callFor(c protocol.PeerAgentCall) {
+	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
+		n.sendTo(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
 }
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -69,7 +69,7 @@
 			t.Errorf("%s: %d rented, kept %v", c.name, rented, l.autoscaler.KeptForZoneLoss(other))
 		}
 		if c.kept {
-			l.n.now = l.n.now.Add(l.n.cfg.Operator.IdleReturn + time.Second)
+			l.n.now = l.n.now.Add(l.n.cfg.Operator.MachineIdleTimeout + time.Second)
 			other.Agent.LastHeartbeat = l.n.now
 			l.autoscaler.EvaluateScaleIn(other, map[protocol.ZoneName]int{})
 			if other.Deleting {
--- a/internal/protocol/identifiers_test.go
+++ b/internal/protocol/identifiers_test.go
@@ -15,7 +15,7 @@
 		"tally":   "of type uint64",
 		"warrant": "of type uint64",
 	} {
-		_, err := ParseReport([]byte(`{"` + field + `":-1}`))
+		_, err := ParseHeartbeat([]byte(`{"` + field + `":-1}`))
 		kind := "number"
 		if want == "of type uint64" {
 			kind = "number -1"
@@ -26,13 +26,13 @@
 		}
 	}
 	for field, want := range map[string]string{"piece": "string", "phase": "protocol.TaskState", "cause": "protocol.Cause"} {
-		_, err := ParseReport([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"` + field + `":7}]}`))
+		_, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"` + field + `":7}]}`))
 		want = "not valid JSON for a report: json: cannot unmarshal number into Go struct field TaskReport.pieces." + field + " of type " + want
 		if err == nil || err.Error() != want {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
-	_, err := ParseReport([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"try":"x"}]}`))
+	_, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":1,"pieces":[{"try":"x"}]}`))
 	const want = "not valid JSON for a report: json: cannot unmarshal string into Go struct field TaskReport.pieces.try of type uint64"
 	if err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -51,11 +51,11 @@
 	PriorityCritical
 )
 
-var rankNames = []string{"idle", "normal", "high", "critical"}
+var priorityNames = []string{"idle", "normal", "high", "critical"}
 
-// ParseRank reads a priority's wire name.
-func ParseRank(s string) (Priority, bool) {
-	for i, name := range rankNames {
+// ParsePriority reads a priority's wire name.
+func ParsePriority(s string) (Priority, bool) {
+	for i, name := range priorityNames {
 		if s == name {
 			return Priority(i), true
 		}
@@ -95,7 +95,7 @@
 
 // PriorityLevel is the job's priority as a number.
 func (j *Job) PriorityLevel() Priority {
-	r, _ := ParseRank(j.Priority)
+	r, _ := ParsePriority(j.Priority)
 	return r
 }
 
@@ -189,7 +189,7 @@
 	}
 	c.check("uid", ValidID(spec.ID))
 	c.check("shape", slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
-	_, known := ParseRank(spec.Priority)
+	_, known := ParsePriority(spec.Priority)
 	c.check("rank", known)
 	spec.Tasks = c.tasks(w.Tasks)
 	if w.Zone != nil {
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -30,15 +30,15 @@
 	"error":         reflect.TypeFor[ErrorBody](),
 	"entries":       reflect.TypeFor[Entries](),
 	"entry":         reflect.TypeFor[Entry](),
-	"txn":           reflect.TypeFor[Txn](),
-	"txn answer":    reflect.TypeFor[TxnAnswer](),
+	"txn":           reflect.TypeFor[Transaction](),
+	"txn answer":    reflect.TypeFor[TransactionResponse](),
 	"lease request": reflect.TypeFor[LeaseRequest](),
-	"lease answer":  reflect.TypeFor[LeaseAnswer](),
-	"watch answer":  reflect.TypeFor[WatchAnswer](),
-	"report":        reflect.TypeFor[Report](),
-	"report answer": reflect.TypeFor[ReportAnswer](),
+	"lease answer":  reflect.TypeFor[LeaseResponse](),
+	"watch answer":  reflect.TypeFor[WatchResponse](),
+	"report":        reflect.TypeFor[Heartbeat](),
+	"report answer": reflect.TypeFor[HeartbeatResponse](),
 	"redirect":      reflect.TypeFor[Redirect](),
-	"orders":        reflect.TypeFor[Orders](),
+	"orders":        reflect.TypeFor[CommandBatch](),
 }
 
 // TestWireNames: every field of every message, its place and its kind, the messages as a
@@ -62,15 +62,15 @@
 			t.Errorf("%s is in no message of the list", tag)
 		}
 	}
-	for _, verb := range []Verb{OpStart, OpStop, OpForget} {
-		text, err := json.Marshal(Command{Op: verb, Task: "run-1/2", Attempt: 3, GraceS: 4})
+	for _, verb := range []CommandKind{CommandStart, CommandStop, CommandForget} {
+		text, err := json.Marshal(Command{Kind: verb, Task: "run-1/2", Attempt: 3, GraceS: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
 		list = append(list, "command "+string(text))
 	}
-	for _, path := range []string{PathJobs, PathReady, PathReport, PathMetrics, CancelAction, PathOrders, PathInspect, PathMachineTypes,
-		PathMachines, PathDeleteMachines, PathTxn, PathLeases, MachinesPath("a/b", 2), KeyPath("g/a"), RangePath("g/", "g/a", 3),
+	for _, path := range []string{PathJobs, PathReady, PathHeartbeat, PathMetrics, CancelAction, PathCommands, PathInspect, PathMachineTypes,
+		PathMachines, PathDeleteMachines, PathTransactions, PathLeases, MachinesPath("a/b", 2), KeyPath("g/a"), RangePath("g/", "g/a", 3),
 		RangePath("g/", "", 3), WatchPath("g/", 4, 5), RenewPath(6)} {
 		list = append(list, "path "+path)
 	}
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -7,9 +7,9 @@
 
 // Paths of the service itself.
 const (
-	PathJobs   = "/v2/runs"
-	PathReady  = "/ready"
-	PathReport = "/checkin"
+	PathJobs      = "/v2/runs"
+	PathReady     = "/ready"
+	PathHeartbeat = "/checkin"
 	// PathMetrics serves the operators' metrics.
 	PathMetrics = "/metrics"
 	// CancelAction follows a job's path to cancel it.
@@ -18,8 +18,8 @@
 
 // Paths of a worker.
 const (
-	PathOrders  = "/orders"
-	PathInspect = "/inspect"
+	PathCommands = "/orders"
+	PathInspect  = "/inspect"
 )
 
 // Paths of the cloud.
@@ -31,8 +31,8 @@
 
 // Paths of the state service.
 const (
-	PathTxn    = "/txn"
-	PathLeases = "/grants"
+	PathTransactions = "/txn"
+	PathLeases       = "/grants"
 )
 
 // MachinesPath asks for a page of the machine list.
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -38,17 +38,17 @@
 	DirectShare uint64     // of a thousand workers the leader answers so many itself
 }
 
-// PeerReport carries a worker's report to the leader.
-type PeerReport struct {
-	ID     uint64
-	Origin NodeName
-	Target NodeName
-	Hops   uint64
-	Report *Report
+// PeerForwardedHeartbeat carries a worker's report to the leader.
+type PeerForwardedHeartbeat struct {
+	ID        uint64
+	Origin    NodeName
+	Target    NodeName
+	Hops      uint64
+	Heartbeat *Heartbeat
 }
 
-// PeerAnswer carries the answer back.
-type PeerAnswer struct {
+// PeerResponse carries the answer back.
+type PeerResponse struct {
 	ID     uint64
 	Target NodeName // the node that forwarded the request first
 	Hops   uint64
@@ -56,28 +56,28 @@
 	Body   []byte
 }
 
-// PeerRequest carries a user's request to a node that reaches the state service.
-type PeerRequest struct {
-	ID     uint64
-	Origin NodeName
-	Target NodeName
-	Verb   string // submit, query or cancel
-	Job    JobID
-	Body   []byte
+// PeerUserRequest carries a user's request to a node that reaches the state service.
+type PeerUserRequest struct {
+	ID        uint64
+	Origin    NodeName
+	Target    NodeName
+	Operation string // submit, query or cancel
+	Job       JobID
+	Body      []byte
 }
 
-// PeerCancelled tells the leader of a job whose cancellation is in the records. It
+// PeerCancellation tells the leader of a job whose cancellation is in the records. It
 // goes only to a node that has announced PeerKnowsCancelled.
-type PeerCancelled struct{ Job JobID }
+type PeerCancellation struct{ Job JobID }
 
 // PeerConfirmRequest has a node confirm for what it has told users and for not leading. ID is
 // the asker's, and comes back.
 type PeerConfirmRequest struct{ ID uint64 }
 
-// PeerConfirm answers: at the time of writing the node led under that term, or not if
+// PeerConfirmation answers: at the time of writing the node led under that term, or not if
 // it is 0, had been up for so long, and had confirmed to users no cancellation that is
 // younger than they may take but these.
-type PeerConfirm struct {
+type PeerConfirmation struct {
 	ID       uint64
 	Term     Term
 	UpMs     uint64
@@ -86,7 +86,7 @@
 }
 
 // FitsFrame says whether the cancellations fit into one frame.
-func (m PeerConfirm) FitsFrame() bool {
+func (m PeerConfirmation) FitsFrame() bool {
 	size := peerHeader + 5*binary.MaxVarintLen64
 	for _, jobID := range m.Cancels {
 		size += binary.MaxVarintLen16 + len(jobID)
@@ -97,7 +97,7 @@
 // Levels of what a node knows. A node announces its own in a form that the first
 // version, which knows none, takes for an answer to nothing and drops.
 const (
-	// PeerKnowsCancelled: PeerCancelled, PeerConfirmRequest and PeerConfirm, and job
+	// PeerKnowsCancelled: PeerCancellation, PeerConfirmRequest and PeerConfirmation, and job
 	// records with more parts than their number of tasks per record implies.
 	PeerKnowsCancelled = 1
 	// PeerKnowsStaged: parts of a job that are written before the job's own record
@@ -112,35 +112,35 @@
 
 // Announcement says to a peer what this node knows.
 func Announcement(target NodeName) PeerMessage {
-	return PeerAnswer{ID: announcementID, Target: target, Status: PeerLevel, Body: []byte{}}
+	return PeerResponse{ID: announcementID, Target: target, Status: PeerLevel, Body: []byte{}}
 }
 
 // Announced is the level that a message announces, if it does.
 func Announced(m PeerMessage) (level uint64, ok bool) {
-	a, ok := m.(PeerAnswer)
+	a, ok := m.(PeerResponse)
 	if !ok || a.ID != announcementID {
 		return 0, false
 	}
 	return a.Status, true
 }
 
-// PeerCall has a node send orders to a worker for the leader.
-type PeerCall struct {
+// PeerAgentCall has a node send orders to a worker for the leader.
+type PeerAgentCall struct {
 	ID      uint64
 	Origin  NodeName
 	Address string // of the worker
 	Body    []byte
 }
 
-func (PeerHello) kind() byte          { return 1 }
-func (PeerStatus) kind() byte         { return 2 }
-func (PeerReport) kind() byte         { return 3 }
-func (PeerAnswer) kind() byte         { return 4 }
-func (PeerRequest) kind() byte        { return 5 }
-func (PeerCall) kind() byte           { return 6 }
-func (PeerCancelled) kind() byte      { return 7 }
-func (PeerConfirmRequest) kind() byte { return 8 }
-func (PeerConfirm) kind() byte        { return 9 }
+func (PeerHello) kind() byte              { return 1 }
+func (PeerStatus) kind() byte             { return 2 }
+func (PeerForwardedHeartbeat) kind() byte { return 3 }
+func (PeerResponse) kind() byte           { return 4 }
+func (PeerUserRequest) kind() byte        { return 5 }
+func (PeerAgentCall) kind() byte          { return 6 }
+func (PeerCancellation) kind() byte       { return 7 }
+func (PeerConfirmRequest) kind() byte     { return 8 }
+func (PeerConfirmation) kind() byte       { return 9 }
 
 type encoder struct{ b []byte }
 
@@ -218,8 +218,8 @@
 	return list
 }
 
-// AppendPeer appends the message's frame to b.
-func AppendPeer(b []byte, m PeerMessage) []byte {
+// AppendPeerFrame appends the message's frame to b.
+func AppendPeerFrame(b []byte, m PeerMessage) []byte {
 	start := len(b)
 	e := &encoder{append(b, 'G', 'P', peerVersion, m.kind(), 0, 0, 0, 0)}
 	switch m := m.(type) {
@@ -231,35 +231,35 @@
 		e.flag(m.StateOK)
 		encodeStrings(e, m.Links)
 		e.num(m.DirectShare)
-	case PeerReport:
+	case PeerForwardedHeartbeat:
 		e.num(m.ID)
 		e.str(string(m.Origin))
 		e.str(string(m.Target))
 		e.num(m.Hops)
-		e.report(m.Report)
-	case PeerAnswer:
+		e.heartbeat(m.Heartbeat)
+	case PeerResponse:
 		e.num(m.ID)
 		e.str(string(m.Target))
 		e.num(m.Hops)
 		e.num(m.Status)
 		e.str(string(m.Body))
-	case PeerRequest:
+	case PeerUserRequest:
 		e.num(m.ID)
 		e.str(string(m.Origin))
 		e.str(string(m.Target))
-		e.str(m.Verb)
+		e.str(m.Operation)
 		e.str(string(m.Job))
 		e.str(string(m.Body))
-	case PeerCall:
+	case PeerAgentCall:
 		e.num(m.ID)
 		e.str(string(m.Origin))
 		e.str(m.Address)
 		e.str(string(m.Body))
-	case PeerCancelled:
+	case PeerCancellation:
 		e.str(string(m.Job))
 	case PeerConfirmRequest:
 		e.num(m.ID)
-	case PeerConfirm:
+	case PeerConfirmation:
 		e.num(m.ID)
 		e.num(uint64(m.Term))
 		e.num(m.UpMs)
@@ -270,7 +270,7 @@
 	return e.b
 }
 
-func (e *encoder) report(r *Report) {
+func (e *encoder) heartbeat(r *Heartbeat) {
 	e.str(string(r.Machine))
 	e.str(r.Address)
 	e.str(string(r.Type))
@@ -278,10 +278,10 @@
 	e.flag(r.Spot)
 	e.num(uint64(r.Incarnation))
 	e.num(uint64(r.Sequence))
-	e.num(uint64(r.Token))
-	e.flag(r.NoticeS != nil)
-	if r.NoticeS != nil {
-		e.num(math.Float64bits(*r.NoticeS))
+	e.num(uint64(r.FencingToken))
+	e.flag(r.PreemptionNoticeS != nil)
+	if r.PreemptionNoticeS != nil {
+		e.num(math.Float64bits(*r.PreemptionNoticeS))
 	}
 	e.num(uint64(len(r.Tasks)))
 	for _, t := range r.Tasks {
@@ -293,23 +293,23 @@
 	}
 }
 
-func (d *decoder) report() *Report {
-	r := &Report{Machine: MachineID(d.str()), Address: d.str(), Type: MachineTypeName(d.str()), Zone: ZoneName(d.str()), Spot: d.flag(),
-		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), Token: Term(d.num())}
+func (d *decoder) heartbeat() *Heartbeat {
+	r := &Heartbeat{Machine: MachineID(d.str()), Address: d.str(), Type: MachineTypeName(d.str()), Zone: ZoneName(d.str()), Spot: d.flag(),
+		Incarnation: Incarnation(d.num()), Sequence: Sequence(d.num()), FencingToken: Term(d.num())}
 	if d.flag() {
 		v := math.Float64frombits(d.num())
-		r.NoticeS = &v
+		r.PreemptionNoticeS = &v
 	}
 	n := d.count(5)
 	for i := 0; i < n && d.err == nil; i++ {
-		r.Tasks = append(r.Tasks, TaskReport{Task: d.str(), Attempt: AttemptNumber(d.num()), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
+		r.Tasks = append(r.Tasks, TaskStatus{Task: d.str(), Attempt: AttemptNumber(d.num()), State: TaskState(d.str()), Cause: Cause(d.str()), Saved: d.flag()})
 	}
 	return r
 }
 
-// ReadPeer reads one frame. A frame that is wrong, too large or of another
+// ReadPeerFrame reads one frame. A frame that is wrong, too large or of another
 // version is an error that wraps ErrFrame; the link must then be closed.
-func ReadPeer(r io.Reader) (PeerMessage, error) {
+func ReadPeerFrame(r io.Reader) (PeerMessage, error) {
 	var h [peerHeader]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return nil, err
@@ -328,10 +328,10 @@
 	if _, err := io.ReadFull(r, b); err != nil {
 		return nil, err
 	}
-	return decodePeer(h[3], b)
+	return decodePeerMessage(h[3], b)
 }
 
-func decodePeer(kind byte, b []byte) (PeerMessage, error) {
+func decodePeerMessage(kind byte, b []byte) (PeerMessage, error) {
 	d := &decoder{b: b}
 	var m PeerMessage
 	switch kind {
@@ -339,20 +339,20 @@
 		m = PeerHello{Node: NodeName(d.str())}
 	case PeerStatus{}.kind():
 		m = PeerStatus{Term: Term(d.num()), Leader: NodeName(d.str()), StateOK: d.flag(), Links: decodeStrings[NodeName](d), DirectShare: d.num()}
-	case PeerReport{}.kind():
-		m = PeerReport{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Hops: d.num(), Report: d.report()}
-	case PeerAnswer{}.kind():
-		m = PeerAnswer{ID: d.num(), Target: NodeName(d.str()), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
-	case PeerRequest{}.kind():
-		m = PeerRequest{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Verb: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
-	case PeerCall{}.kind():
-		m = PeerCall{ID: d.num(), Origin: NodeName(d.str()), Address: d.str(), Body: []byte(d.str())}
-	case PeerCancelled{}.kind():
-		m = PeerCancelled{Job: JobID(d.str())}
+	case PeerForwardedHeartbeat{}.kind():
+		m = PeerForwardedHeartbeat{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Hops: d.num(), Heartbeat: d.heartbeat()}
+	case PeerResponse{}.kind():
+		m = PeerResponse{ID: d.num(), Target: NodeName(d.str()), Hops: d.num(), Status: d.num(), Body: []byte(d.str())}
+	case PeerUserRequest{}.kind():
+		m = PeerUserRequest{ID: d.num(), Origin: NodeName(d.str()), Target: NodeName(d.str()), Operation: d.str(), Job: JobID(d.str()), Body: []byte(d.str())}
+	case PeerAgentCall{}.kind():
+		m = PeerAgentCall{ID: d.num(), Origin: NodeName(d.str()), Address: d.str(), Body: []byte(d.str())}
+	case PeerCancellation{}.kind():
+		m = PeerCancellation{Job: JobID(d.str())}
 	case PeerConfirmRequest{}.kind():
 		m = PeerConfirmRequest{ID: d.num()}
-	case PeerConfirm{}.kind():
-		m = PeerConfirm{ID: d.num(), Term: Term(d.num()), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
+	case PeerConfirmation{}.kind():
+		m = PeerConfirmation{ID: d.num(), Term: Term(d.num()), UpMs: d.num(), Complete: d.flag(), Cancels: decodeStrings[JobID](d)}
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -135,23 +135,23 @@
 }
 
 func TestParseReportTolerates(t *testing.T) {
-	r, err := ParseReport([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
+	r, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
 		"pieces":[{"piece":"run-1/0","try":1,"phase":"napping","cause":"bored","x":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Tasks[0].State != "napping" || *r.NoticeS != 12.5 {
+	if r.Tasks[0].State != "napping" || *r.PreemptionNoticeS != 12.5 {
 		t.Errorf("%+v", r)
 	}
 	for _, bad := range []string{"", "[]", `{"berth":"","tenure":1}`, `{"berth":"a b","tenure":1}`, `{"berth":"a"}`, `{"berth":"a","tenure":-1}`} {
-		if _, err := ParseReport([]byte(bad)); err == nil {
+		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
 }
 
 func TestNewer(t *testing.T) {
-	r := &Report{Incarnation: 2, Sequence: 5}
+	r := &Heartbeat{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
 		incarnation Incarnation
 		sequence    Sequence
@@ -164,7 +164,7 @@
 }
 
 func TestCommandShowsZeroGrace(t *testing.T) {
-	got := string(mustJSON([]Command{{Op: OpStop, Task: "run-1/0", Attempt: 2}, {Op: OpStart, Task: "run-1/1", Attempt: 1}}))
+	got := string(mustJSON([]Command{{Kind: CommandStop, Task: "run-1/0", Attempt: 2}, {Kind: CommandStart, Task: "run-1/1", Attempt: 1}}))
 	want := `[{"verb":"halt","piece":"run-1/0","try":2,"leeway_s":0},{"verb":"start","piece":"run-1/1","try":1}]`
 	if got != want {
 		t.Errorf("got %s", got)
@@ -176,27 +176,27 @@
 	return []PeerMessage{
 		PeerHello{Node: "a"},
 		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
-		PeerCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
-		PeerCancelled{Job: "run-000412"},
+		PeerAgentCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
+		PeerCancellation{Job: "run-000412"},
 		PeerConfirmRequest{ID: 1 << 40},
-		PeerConfirm{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
-		PeerConfirm{ID: 3, Term: 9},
+		PeerConfirmation{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
+		PeerConfirmation{ID: 3, Term: 9},
 		Announcement("berth-1"),
-		PeerReport{ID: 1, Origin: "a", Target: "b", Hops: 1, Report: &Report{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
-			Incarnation: 2, Sequence: 3, Token: 4, NoticeS: &n, Tasks: []TaskReport{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
-		PeerAnswer{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
-		PeerRequest{ID: 5, Origin: "a", Target: "c", Verb: "submit", Job: "run-1", Body: []byte(`{"x":1}`)},
+		PeerForwardedHeartbeat{ID: 1, Origin: "a", Target: "b", Hops: 1, Heartbeat: &Heartbeat{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
+			Incarnation: 2, Sequence: 3, FencingToken: 4, PreemptionNoticeS: &n, Tasks: []TaskStatus{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
+		PeerResponse{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
+		PeerUserRequest{ID: 5, Origin: "a", Target: "c", Operation: "submit", Job: "run-1", Body: []byte(`{"x":1}`)},
 	}
 }
 
 func TestPeerRoundTrip(t *testing.T) {
 	var stream []byte
 	for _, m := range peerSamples() {
-		stream = AppendPeer(stream, m)
+		stream = AppendPeerFrame(stream, m)
 	}
 	r := bytes.NewReader(stream)
 	for _, want := range peerSamples() {
-		got, err := ReadPeer(r)
+		got, err := ReadPeerFrame(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,7 +207,7 @@
 }
 
 func TestPeerRefuses(t *testing.T) {
-	good := AppendPeer(nil, PeerHello{Node: "a"})
+	good := AppendPeerFrame(nil, PeerHello{Node: "a"})
 	change := func(at int, b byte) []byte {
 		c := bytes.Clone(good)
 		c[at] = b
@@ -217,29 +217,29 @@
 		"mark": change(0, 'X'), "version": change(2, 0), "kind": change(3, 99), "huge": change(4, 0xff),
 		"inner length": change(peerHeader, 200), "left over": append(change(7, 3), 0),
 	} {
-		if m, err := ReadPeer(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
+		if m, err := ReadPeerFrame(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
 			t.Errorf("%s: %v, %v", name, m, err)
 		}
 	}
-	if _, err := ReadPeer(bytes.NewReader(good[:len(good)-1])); err == nil {
+	if _, err := ReadPeerFrame(bytes.NewReader(good[:len(good)-1])); err == nil {
 		t.Error("a truncated frame is taken")
 	}
 }
 
 func FuzzReadPeer(f *testing.F) {
 	for _, m := range peerSamples() {
-		f.Add(AppendPeer(nil, m))
+		f.Add(AppendPeerFrame(nil, m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := ReadPeer(bytes.NewReader(b))
+		m, err := ReadPeerFrame(bytes.NewReader(b))
 		if err != nil {
 			return
 		}
-		again, err := ReadPeer(bytes.NewReader(AppendPeer(nil, m)))
+		again, err := ReadPeerFrame(bytes.NewReader(AppendPeerFrame(nil, m)))
 		if err != nil {
 			t.Fatalf("%+v does not come back: %v", m, err)
 		}
-		if !bytes.Equal(AppendPeer(nil, m), AppendPeer(nil, again)) {
+		if !bytes.Equal(AppendPeerFrame(nil, m), AppendPeerFrame(nil, again)) {
 			t.Errorf("%+v comes back as %+v", m, again)
 		}
 	})
@@ -262,11 +262,11 @@
 func FuzzParseReport(f *testing.F) {
 	f.Add([]byte(`{"berth":"i-1","tenure":1,"tally":2,"pieces":[{"piece":"run-1/0","try":1,"phase":"running"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := ParseReport(b); err == nil {
+		if r, err := ParseHeartbeat(b); err == nil {
 			for _, task := range r.Tasks {
 				SplitTask(task.Task)
 			}
-			AppendPeer(nil, PeerReport{Report: r})
+			AppendPeerFrame(nil, PeerForwardedHeartbeat{Heartbeat: r})
 		}
 	})
 }
@@ -288,20 +288,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m, err := ReadPeer(bytes.NewReader(frame))
+			m, err := ReadPeerFrame(bytes.NewReader(frame))
 			if err != nil {
 				t.Errorf("%s: %s: %v", version, line, err)
 				continue
 			}
 			kinds[m.kind()] = true
-			if got := AppendPeer(nil, m); !bytes.Equal(got, frame) {
+			if got := AppendPeerFrame(nil, m); !bytes.Equal(got, frame) {
 				t.Errorf("%s: %T is written as %x, was %x", version, m, got, frame)
 			}
 			if level, ok := Announced(m); ok && (version != "0.3" || level != PeerKnowsCancelled || level >= PeerLevel) {
 				t.Errorf("%s announces level %d", version, level)
 			}
 		}
-		if len(kinds) != want || !kinds[Announcement("a").kind()] || kinds[PeerCancelled{}.kind()] != (version == "0.3") {
+		if len(kinds) != want || !kinds[Announcement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
 			t.Errorf("%s: kinds %v", version, kinds)
 		}
 	}
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -35,25 +35,25 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is an atomic transaction.
-type Txn struct {
-	If   []Condition `json:"if"`
-	Then []Change    `json:"apply,omitempty"`
+// Transaction is an atomic transaction.
+type Transaction struct {
+	Conditions []Condition `json:"if"`
+	Changes    []Change    `json:"apply,omitempty"`
 }
 
-// TxnAnswer is the answer to a transaction, done or refused.
-type TxnAnswer struct {
+// TransactionResponse is the answer to a transaction, done or refused.
+type TransactionResponse struct {
 	Revision Revision `json:"ledger"`
 	Failed   []string `json:"failed"`
 }
 
-// LeaseRequest asks for a lease; LeaseAnswer names it.
+// LeaseRequest asks for a lease; LeaseResponse names it.
 type LeaseRequest struct {
 	TTLMs int64 `json:"ttl_ms"`
 }
 
-// LeaseAnswer names a new lease.
-type LeaseAnswer struct {
+// LeaseResponse names a new lease.
+type LeaseResponse struct {
 	Lease LeaseID `json:"permit"`
 }
 
@@ -65,8 +65,8 @@
 	Revision Revision        `json:"stamp"`
 }
 
-// WatchAnswer is what a watch returns.
-type WatchAnswer struct {
+// WatchResponse is what a watch returns.
+type WatchResponse struct {
 	Revision Revision     `json:"ledger"`
 	Events   []WatchEvent `json:"news"`
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -31,23 +31,23 @@
 	CauseGangBroken  Cause = "mates_gone"
 	CauseGangTimeout Cause = "alone"
 	CauseError       Cause = "error"
-	CauseNoRoom      Cause = "full"
+	CauseNoCapacity  Cause = "full"
 	CauseBusy        Cause = "in_use"
 	CauseUnknown     Cause = "no_such"
 )
 
-// Verb is what a command asks of a worker.
-type Verb string
+// CommandKind is what a command asks of a worker.
+type CommandKind string
 
 // Verbs of a worker's commands.
 const (
-	OpStart  Verb = "start"
-	OpStop   Verb = "halt"
-	OpForget Verb = "reap"
+	CommandStart  CommandKind = "start"
+	CommandStop   CommandKind = "halt"
+	CommandForget CommandKind = "reap"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
 	Task    string        `json:"piece"`
 	Attempt AttemptNumber `json:"try"`
 	State   TaskState     `json:"phase"`
@@ -55,33 +55,33 @@
 	Saved   bool          `json:"kept,omitempty"`
 }
 
-// Report is a worker's report.
-type Report struct {
-	Machine     MachineID       `json:"berth"`
-	Address     string          `json:"address"`
-	Type        MachineTypeName `json:"build"`
-	Zone        ZoneName        `json:"yard"`
-	Spot        bool            `json:"loaners"`
-	Incarnation Incarnation     `json:"tenure"`
-	Sequence    Sequence        `json:"tally"`
-	Token       Term            `json:"warrant"`
-	NoticeS     *float64        `json:"recall_s"`
-	Tasks       []TaskReport    `json:"pieces"`
+// Heartbeat is a worker's report.
+type Heartbeat struct {
+	Machine           MachineID       `json:"berth"`
+	Address           string          `json:"address"`
+	Type              MachineTypeName `json:"build"`
+	Zone              ZoneName        `json:"yard"`
+	Spot              bool            `json:"loaners"`
+	Incarnation       Incarnation     `json:"tenure"`
+	Sequence          Sequence        `json:"tally"`
+	FencingToken      Term            `json:"warrant"`
+	PreemptionNoticeS *float64        `json:"recall_s"`
+	Tasks             []TaskStatus    `json:"pieces"`
 }
 
 // Newer says whether r is a newer message than (incarnation, sequence).
-func (r *Report) Newer(incarnation Incarnation, sequence Sequence) bool {
+func (r *Heartbeat) Newer(incarnation Incarnation, sequence Sequence) bool {
 	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Sequence > sequence
 }
 
-// Shows says whether the report has an attempt of a task, in any state.
-func (r *Report) Shows(task string, attempt AttemptNumber) bool {
-	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool { return t.Attempt == attempt && t.Task == task })
+// HasAttempt says whether the report has an attempt of a task, in any state.
+func (r *Heartbeat) HasAttempt(task string, attempt AttemptNumber) bool {
+	return slices.ContainsFunc(r.Tasks, func(t TaskStatus) bool { return t.Attempt == attempt && t.Task == task })
 }
 
-// ParseReport decodes and validates a worker's report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+// ParseHeartbeat decodes and validates a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("not valid JSON for a report: %w", inWireTypes(err))
 	}
@@ -110,7 +110,7 @@
 
 // Command is one order to a worker.
 type Command struct {
-	Op      Verb          `json:"verb"`
+	Kind    CommandKind   `json:"verb"`
 	Task    string        `json:"piece"`
 	Attempt AttemptNumber `json:"try"`
 	GraceS  float64       `json:"leeway_s,omitempty"`
@@ -120,32 +120,32 @@
 func (c Command) MarshalJSON() ([]byte, error) {
 	b := make([]byte, 0, 80)
 	b = append(b, `{"verb":"`...)
-	b = append(b, c.Op...)
+	b = append(b, c.Kind...)
 	b = append(b, `","piece":`...)
 	b = strconv.AppendQuote(b, c.Task)
 	b = append(b, `,"try":`...)
 	b = strconv.AppendUint(b, uint64(c.Attempt), 10)
-	if c.Op == OpStop {
+	if c.Kind == CommandStop {
 		b = append(b, `,"leeway_s":`...)
 		b = strconv.AppendFloat(b, c.GraceS, 'f', -1, 64)
 	}
 	return append(b, '}'), nil
 }
 
-// ReportAnswer is the answer to a report that was taken.
-type ReportAnswer struct {
-	Token    Term      `json:"warrant"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse is the answer to a report that was taken.
+type HeartbeatResponse struct {
+	FencingToken Term      `json:"warrant"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect sends a worker to another node.
 type Redirect struct {
-	ReportTo NodeName `json:"steward,omitempty"`
+	Target NodeName `json:"steward,omitempty"`
 }
 
-// Orders is a direct command to a worker.
-type Orders struct {
-	Token       Term        `json:"warrant"`
-	Incarnation Incarnation `json:"tenure"`
-	Commands    []Command   `json:"orders"`
+// CommandBatch is a direct command to a worker.
+type CommandBatch struct {
+	FencingToken Term        `json:"warrant"`
+	Incarnation  Incarnation `json:"tenure"`
+	Commands     []Command   `json:"orders"`
 }
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -102,16 +102,16 @@
 }
 
 // Ordered counts an order to a worker.
-func (p *Phase) Ordered(op protocol.Verb) {
+func (p *Phase) Ordered(op protocol.CommandKind) {
 	if !p.summary.Active() {
 		return
 	}
 	switch op {
-	case protocol.OpStart:
+	case protocol.CommandStart:
 		p.summary.Orders.Starts++
-	case protocol.OpStop:
+	case protocol.CommandStop:
 		p.summary.Orders.Stops++
-	case protocol.OpForget:
+	case protocol.CommandForget:
 		p.summary.Orders.Forgets++
 	}
 }
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -57,10 +57,10 @@
 // Compare squares one worker's report with the records. The report must be newer than
 // what was known of its worker. token is the present leader's. The result is valid
 // until the next call.
-func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Report) []Difference {
+func (c *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Heartbeat) []Difference {
 	c.found = c.found[:0]
 	c.stored = records.Attempts(r.Machine, c.stored[:0])
-	current := r.Token == token
+	current := r.FencingToken == token
 	readable := c.index(r)
 	c.releaseOlderIncarnations(r, current)
 	for i := range r.Tasks {
@@ -84,7 +84,7 @@
 
 // index finds what is stored and the entries by attempt; false if some entry's name
 // cannot be read, so that the report does not prove any attempt absent.
-func (c *Reconciler) index(r *protocol.Report) (readable bool) {
+func (c *Reconciler) index(r *protocol.Heartbeat) (readable bool) {
 	if c.entries == nil {
 		c.places, c.entries = map[AttemptID]int{}, map[AttemptID]int{}
 	}
@@ -113,14 +113,14 @@
 	return readable
 }
 
-func entryID(t *protocol.TaskReport) (AttemptID, bool) {
+func entryID(t *protocol.TaskStatus) (AttemptID, bool) {
 	jobID, index, valid := protocol.SplitTask(t.Task)
 	return AttemptID{TaskID{jobID, index}, t.Attempt}, valid
 }
 
 // releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
 // proves gone whatever else the report says.
-func (c *Reconciler) releaseOlderIncarnations(r *protocol.Report, current bool) {
+func (c *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
 	for i := range c.stored {
 		if a := &c.stored[i]; a.Incarnation < r.Incarnation {
 			c.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
@@ -129,7 +129,7 @@
 }
 
 // addEntry classifies one entry of a report.
-func (c *Reconciler) addEntry(records Records, r *protocol.Report, i int, current bool) {
+func (c *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
 	t := &r.Tasks[i]
 	id, valid := entryID(t)
 	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, Entry: i, Current: current}
@@ -157,7 +157,7 @@
 }
 
 // classify tells the class of a reported attempt.
-func (c *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskReport, current bool) Class {
+func (c *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskStatus, current bool) Class {
 	var stored *Attempt
 	if i, ok := c.places[id]; ok {
 		stored = &c.stored[i]
@@ -193,7 +193,7 @@
 
 // classifyEnded tells the class of an attempt that is reported as ended. That a task is
 // done holds whoever says it; any other end is believed only of a current report.
-func classifyEnded(records Records, id AttemptID, t *protocol.TaskReport, stored *Attempt, job Job, known, current bool) Class {
+func classifyEnded(records Records, id AttemptID, t *protocol.TaskStatus, stored *Attempt, job Job, known, current bool) Class {
 	done := t.Cause == protocol.CauseDone
 	switch {
 	case done && known && !job.Service && !records.Task(id.TaskID).Done:
@@ -246,8 +246,8 @@
 
 // Reconcile squares a snapshot with all reports that came. Of each worker only the newest
 // report counts, so that their order does not matter.
-func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Report) []Difference {
-	newest := map[protocol.MachineID]*protocol.Report{}
+func (c *Reconciler) Reconcile(s Snapshot, token protocol.Term, reports []*protocol.Heartbeat) []Difference {
+	newest := map[protocol.MachineID]*protocol.Heartbeat{}
 	workers := s.Machines()
 	for _, r := range reports {
 		at := slices.IndexFunc(workers, func(w Worker) bool { return w.Machine == r.Machine })
--- a/internal/recovery/reconcile_test.go
+++ b/internal/recovery/reconcile_test.go
@@ -53,13 +53,13 @@
 }
 
 // truth is what really is on the workers.
-type truth map[protocol.MachineID][]protocol.TaskReport
+type truth map[protocol.MachineID][]protocol.TaskStatus
 
 func job(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
 
 // world draws a snapshot, the true state of its workers, which may differ from it in every
 // way, and reports of it: current ones, late copies, halves.
-func world(t *rapid.T) (*store, truth, []*protocol.Report) {
+func world(t *rapid.T) (*store, truth, []*protocol.Heartbeat) {
 	s := &store{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
 	real := truth{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
@@ -97,22 +97,22 @@
 			if rapid.IntRange(0, 4).Draw(t, "other") == 0 {
 				on, attempt = rapid.SampledFrom(machines).Draw(t, "on"), protocol.AttemptNumber(rapid.Uint64Range(1, 5).Draw(t, "attempt"))
 			}
-			e := protocol.TaskReport{Task: protocol.TaskName(id.Job, i), Attempt: attempt, State: state.Draw(t, "state")}
+			e := protocol.TaskStatus{Task: protocol.TaskName(id.Job, i), Attempt: attempt, State: state.Draw(t, "state")}
 			if e.State == protocol.TaskExited {
 				e.Cause = cause.Draw(t, "cause")
 			}
 			real[on] = append(real[on], e)
 		}
 	}
-	var reports []*protocol.Report
+	var reports []*protocol.Heartbeat
 	for _, m := range machines {
-		r := &protocol.Report{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, Token: token, Tasks: real[m]}
+		r := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, FencingToken: token, Tasks: real[m]}
 		if r.Incarnation == 2 { // it has forgotten all
 			r.Tasks, real[m] = nil, nil
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "copies") {
 			old := *r
-			old.Incarnation, old.Sequence, old.Token = 1, protocol.Sequence(1+i), token-1
+			old.Incarnation, old.Sequence, old.FencingToken = 1, protocol.Sequence(1+i), token-1
 			old.Tasks = nil
 			reports = append(reports, &old)
 		}
@@ -123,7 +123,7 @@
 	return s, real, reports
 }
 
-func reconcile(s *store, reports []*protocol.Report) []Difference {
+func reconcile(s *store, reports []*protocol.Heartbeat) []Difference {
 	var c Reconciler
 	return c.Reconcile(s, token, reports)
 }
@@ -154,7 +154,7 @@
 				}
 			}
 		case Stop:
-			real[d.Machine] = slices.DeleteFunc(real[d.Machine], func(e protocol.TaskReport) bool {
+			real[d.Machine] = slices.DeleteFunc(real[d.Machine], func(e protocol.TaskStatus) bool {
 				return e.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && e.Attempt == d.ID.Attempt
 			})
 		case EndGang:
@@ -162,7 +162,7 @@
 				for _, a := range slices.Clone(list) {
 					if a.ID.Job == d.ID.Job {
 						drop(Difference{ID: a.ID, Machine: machineID})
-						real[machineID] = slices.DeleteFunc(real[machineID], func(e protocol.TaskReport) bool {
+						real[machineID] = slices.DeleteFunc(real[machineID], func(e protocol.TaskStatus) bool {
 							id, index, _ := protocol.SplitTask(e.Task)
 							return id == a.ID.Job && index == a.ID.Index
 						})
@@ -192,9 +192,9 @@
 		s, real, reports := world(t)
 		found := reconcile(s, reports)
 		apply(s, real, found)
-		var again []*protocol.Report
+		var again []*protocol.Heartbeat
 		for _, r := range reports {
-			if r.Token == token {
+			if r.FencingToken == token {
 				later := *r
 				later.Sequence, later.Tasks = r.Sequence+1, real[r.Machine]
 				again = append(again, &later)
@@ -217,9 +217,9 @@
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _, reports := world(t)
-		heard := map[protocol.MachineID]*protocol.Report{}
+		heard := map[protocol.MachineID]*protocol.Heartbeat{}
 		for _, r := range reports {
-			if r.Token == token {
+			if r.FencingToken == token {
 				heard[r.Machine] = r
 			}
 		}
@@ -227,7 +227,7 @@
 		for _, d := range reconcile(s, reports) {
 			recorded := slices.ContainsFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
 			r := heard[d.Machine]
-			there := r != nil && slices.ContainsFunc(r.Tasks, func(e protocol.TaskReport) bool {
+			there := r != nil && slices.ContainsFunc(r.Tasks, func(e protocol.TaskStatus) bool {
 				return e.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && e.Attempt == d.ID.Attempt && e.State != protocol.TaskExited
 			})
 			switch d.Class.Resolution() {
@@ -270,7 +270,7 @@
 			}
 		}
 		for _, r := range reports {
-			if r.Token != token {
+			if r.FencingToken != token {
 				continue
 			}
 			for _, a := range s.attempts[r.Machine] {
@@ -316,12 +316,12 @@
 }
 
 // report makes a current report of machine m0.
-func report(tasks ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: "m0", Incarnation: 1, Sequence: 2, Token: token, Tasks: tasks}
+func report(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: token, Tasks: tasks}
 }
 
-func entry(n, index int, attempt protocol.AttemptNumber, state protocol.TaskState, cause protocol.Cause) protocol.TaskReport {
-	return protocol.TaskReport{Task: protocol.TaskName(job(n), index), Attempt: attempt, State: state, Cause: cause}
+func entry(n, index int, attempt protocol.AttemptNumber, state protocol.TaskState, cause protocol.Cause) protocol.TaskStatus {
+	return protocol.TaskStatus{Task: protocol.TaskName(job(n), index), Attempt: attempt, State: state, Cause: cause}
 }
 
 // TestClasses has one case for each class, and for input that makes no sense.
@@ -335,9 +335,9 @@
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
 	late := report(replica)
-	late.Token = token - 1
+	late.FencingToken = token - 1
 	for name, c := range map[string]struct {
-		r    *protocol.Report
+		r    *protocol.Heartbeat
 		want map[AttemptID][]Class // of what the report shows or lacks of job 1
 	}{
 		"matching":         {report(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
@@ -353,15 +353,15 @@
 		"older gang":       {report(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(2), 0}, 2}: {OlderEpoch}}},
 		"two machines":     {report(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 3}: {OnTwoMachines}}},
 		"unreadable job":   {report(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(4), 0}, 2}: {Unreadable}}},
-		"unreadable name":  {report(protocol.TaskReport{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
+		"unreadable name":  {report(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
 		"unknown state":    {report(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
 		"contradiction":    {report(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
 		"said twice":       {report(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"done by any copy": {&protocol.Report{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskReport{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
-		"newer session":    {&protocol.Report{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
+		"done by any copy": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
+		"newer session":    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
 	} {
 		got := map[AttemptID][]Class{}
-		for _, d := range reconcile(s, []*protocol.Report{c.r}) {
+		for _, d := range reconcile(s, []*protocol.Heartbeat{c.r}) {
 			if _, wanted := c.want[d.ID]; wanted {
 				got[d.ID] = append(got[d.ID], d.Class)
 			}
@@ -383,7 +383,7 @@
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
 	}
 	p.Known("m0")
-	p.Ordered(protocol.OpStop)
+	p.Ordered(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
 		t.Error("ends while a worker is silent")
 	}
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -134,7 +134,7 @@
 
 // ordered takes an order that a worker has executed.
 func (a *Audit) ordered(now time.Time, machineID protocol.MachineID, c protocol.Command) {
-	kind := slices.Index([]protocol.Verb{protocol.OpStart, protocol.OpStop, protocol.OpForget}, c.Op)
+	kind := slices.Index([]protocol.CommandKind{protocol.CommandStart, protocol.CommandStop, protocol.CommandForget}, c.Kind)
 	a.Orders[kind]++
 	if a.from.IsZero() {
 		return
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // These tests lose all controllers at once while workers go on, and bring them back:
@@ -250,7 +250,7 @@
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = &simJob{spec: ghost, run: 500, progress: []float64{0}, done: []bool{false}, gangs: map[protocol.AttemptNumber]*gang{}}
 	c.loseAll(4*time.Second, 0)
-	c.idleWorker().execute([]protocol.Command{{Op: protocol.OpStart, Task: "run-000077/0", Attempt: 4}})
+	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.mark()
 	c.Run(20 * time.Second)
@@ -390,7 +390,7 @@
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.state.keys[bookkeeping.RestoredKey]; stays {
+			if _, stays := c.state.keys[storage.RestoredKey]; stays {
 				t.Error("the marker stays")
 			}
 			c.check(t)
@@ -417,8 +417,8 @@
 }
 
 // pendingRecord is a job's record before any place.
-func pendingRecord(spec *protocol.Job, now time.Time) bookkeeping.Job {
-	return bookkeeping.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
+func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
+	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
 }
 
 // TestColdRestartBadRecords: a job's record that cannot be read, one of a later version, and a
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -38,13 +38,13 @@
 	look = func() {
 		if c.alive && c.life == life {
 			c.links()
-			c.w.after(tuning.Tick, look)
+			c.w.after(tuning.MinTimerInterval, look)
 		}
 	}
-	c.w.after(c.w.between(0, tuning.Tick), look)
+	c.w.after(c.w.between(0, tuning.MinTimerInterval), look)
 	c.timerAt = time.Time{}
 	c.backlog, c.working, c.calling = backlog{}, false, 0
-	c.wake(c.w.between(0, tuning.Tick))
+	c.wake(c.w.between(0, tuning.MinTimerInterval))
 }
 
 // wake has the node stepped after a while, unless something happens before: a
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // over says whether every user has had a final answer.
@@ -129,22 +129,22 @@
 	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
 	starts, rented := w.rules.started, len(w.cloud.rented)
 	for _, c := range w.nodes {
-		r, _ := protocol.ParseReport(old)
+		r, _ := protocol.ParseHeartbeat(old)
 		c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
-			var a protocol.ReportAnswer
+			var a protocol.HeartbeatResponse
 			if status == 200 {
 				decode(body, &a)
 			}
 			for _, o := range a.Commands {
-				if o.Op != protocol.OpStop {
-					t.Errorf("%s answers the copy with %s", c.name, o.Op)
+				if o.Kind != protocol.CommandStop {
+					t.Errorf("%s answers the copy with %s", c.name, o.Kind)
 				}
 			}
 		})
 	}
 	w.Run(2 * time.Second)
 	for key, e := range w.state.keys {
-		if strings.HasPrefix(key, bookkeeping.MachinePrefix) && containsName(e.Value, k.h.ID) {
+		if strings.HasPrefix(key, storage.MachinePrefix) && containsName(e.Value, k.h.ID) {
 			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
 		}
 	}
@@ -160,9 +160,9 @@
 }
 
 func containsName(value []byte, id protocol.MachineID) bool {
-	var rack bookkeeping.MachineRecord
+	var rack storage.MachineRecord
 	decode(value, &rack)
-	return slices.ContainsFunc(rack.Machines, func(r bookkeeping.MachineEntry) bool { return r.ID == id })
+	return slices.ContainsFunc(rack.Machines, func(r storage.MachineEntry) bool { return r.ID == id })
 }
 
 // TestCopyOfDeadMachine: a machine dies with its leader, and the next leader's
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -53,7 +53,7 @@
 	case coordination.Reply:
 		f.add(controller, "reply", a.ID, a.Status, a.Body, a.RetryAfter)
 	case coordination.PeerSend:
-		f.add(controller, "send", string(a.Peer), protocol.AppendPeer(nil, a.Message))
+		f.add(controller, "send", string(a.Peer), protocol.AppendPeerFrame(nil, a.Message))
 	case coordination.PeerReset:
 		f.add(controller, "reset", string(a.Peer))
 	default:
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -104,14 +104,14 @@
 	t.Logf("a task starts after %v", w.Now.Sub(returned))
 	w.Run(returned.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-before, w.calls-calls, w.state.requests-requests, w.state.changed-changed)
-	if n, limit := w.calls-calls, int(21*shape.Resources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds()); n > limit {
+	if n, limit := w.calls-calls, int(21*shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
 	w.faultsOver = w.Now
 	w.finish(t, 700*time.Second)
 	span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
 	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused; at most %d calls to workers at once", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused, w.most)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.WorkerSockets); w.most > limit {
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.most > limit {
 		t.Errorf("%d calls to workers under way at once", w.most)
 	}
 	if w.state.refused > 40 {
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -146,7 +146,7 @@
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
 	case coordination.WorkerReport:
-		path, body = protocol.PathReport, encode(e.Report)
+		path, body = protocol.PathHeartbeat, encode(e.Report)
 	case coordination.Submit:
 		path, body = protocol.PathJobs, encode(e.Job)
 	case coordination.Query:
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -3,9 +3,9 @@
 import (
 	"regexp"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // release is a version of the program. A controller of an earlier release runs
@@ -37,7 +37,7 @@
 	if _, ok := protocol.Announced(m); !ok {
 		return m
 	}
-	a := m.(protocol.PeerAnswer)
+	a := m.(protocol.PeerResponse)
 	a.Status = min(from.level(), to.level())
 	return a
 }
@@ -48,7 +48,7 @@
 	_, announces := protocol.Announced(a.Message)
 	added := false
 	switch a.Message.(type) {
-	case protocol.PeerCancelled, protocol.PeerConfirmRequest, protocol.PeerConfirm:
+	case protocol.PeerCancellation, protocol.PeerConfirmRequest, protocol.PeerConfirmation:
 		added = true
 	}
 	if added && c.w.release[string(a.Peer)] == release02 {
@@ -64,7 +64,7 @@
 
 // recode passes a message through the peers' wire format.
 func recode(m protocol.PeerMessage) protocol.PeerMessage {
-	out, err := protocol.ReadPeer(newReader(protocol.AppendPeer(nil, m)))
+	out, err := protocol.ReadPeerFrame(newReader(protocol.AppendPeerFrame(nil, m)))
 	if err != nil {
 		panic(err)
 	}
@@ -75,11 +75,11 @@
 // controller of an earlier release is up, which would delete it.
 func (r *rules) checkStaged(changes []protocol.Change) {
 	for _, c := range changes {
-		id, num, ok := bookkeeping.ParseTaskRecordKey(c.Set)
+		id, num, ok := storage.ParseTaskRecordKey(c.Set)
 		if !ok {
 			continue
 		}
-		rec, err := bookkeeping.DecodeJob(r.w.state.keys[bookkeeping.JobKey(id)].Value)
+		rec, err := storage.DecodeJob(r.w.state.keys[storage.JobKey(id)].Value)
 		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
 			continue
 		}
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -40,7 +40,7 @@
 // take is a batch as the owner makes it, and what it costs.
 func (b *backlog) take() (batch []coordination.Event, cost time.Duration) {
 	cost = wakeCost
-	for rank, limit := range [3]int{tuning.BatchUrgent, tuning.BatchUrgent, tuning.BatchUsers} {
+	for rank, limit := range [3]int{tuning.MaxUrgentEventsPerBatch, tuning.MaxUrgentEventsPerBatch, tuning.MaxUserEventsPerBatch} {
 		n := min(limit, len(b.ranks[rank]))
 		batch = append(batch, b.ranks[rank][:n]...)
 		b.ranks[rank] = b.ranks[rank][n:]
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestSlowControllers plays days of controllers that take time for what they do,
@@ -64,4 +64,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() protocol.Revision { return w.state.keys[bookkeeping.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.state.keys[storage.LeaderKey].Revision }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -199,7 +199,7 @@
 		s.list(u.Query(), answer)
 	case method == "GET":
 		s.get(strings.TrimPrefix(u.Path, "/kv/"), answer)
-	case u.Path == protocol.PathTxn:
+	case u.Path == protocol.PathTransactions:
 		s.take(body, answer)
 	case u.Path == protocol.PathLeases:
 		s.grant(body, answer)
@@ -241,7 +241,7 @@
 		answer(200, encode(e))
 		return
 	}
-	answer(404, encode(protocol.TxnAnswer{Revision: s.revision}))
+	answer(404, encode(protocol.TransactionResponse{Revision: s.revision}))
 }
 
 // take carries a transaction out, unless it, or its answer, is to be lost.
@@ -264,7 +264,7 @@
 	s.nextID++
 	ttl := time.Duration(r.TTLMs) * time.Millisecond
 	s.leases[s.nextID] = &lease{ttl, s.w.Now.Add(ttl)}
-	answer(200, encode(protocol.LeaseAnswer{Lease: s.nextID}))
+	answer(200, encode(protocol.LeaseResponse{Lease: s.nextID}))
 }
 
 // renew renews the lease that a path names.
@@ -276,19 +276,19 @@
 		return
 	}
 	l.expires = s.w.Now.Add(l.ttl)
-	answer(200, encode(protocol.LeaseAnswer{Lease: protocol.LeaseID(id)}))
+	answer(200, encode(protocol.LeaseResponse{Lease: protocol.LeaseID(id)}))
 }
 
 // txn carries a transaction out if it keeps within the limits and its conditions hold.
 func (s *stateService) txn(body []byte, answer func(int, []byte)) {
-	var t protocol.Txn
+	var t protocol.Transaction
 	decode(body, &t)
-	if n := len(t.Then); n > 0 && !s.writes.AllowN(s.w.Now, n) {
+	if n := len(t.Changes); n > 0 && !s.writes.AllowN(s.w.Now, n) {
 		s.refused++
 		answer(429, nil)
 		return
 	}
-	s.changed += len(t.Then)
+	s.changed += len(t.Changes)
 	if beyond := s.beyondLimits(&t, len(body)); beyond != "" {
 		s.tooLarge++
 		if s.limits == s.w.shape.State || s.tooLarge > 20 { // they were lowered without notice
@@ -297,34 +297,34 @@
 		answer(400, nil)
 		return
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			answer(400, encode(protocol.ErrorBody{Error: "no such lease"}))
 			return
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if s.keys[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		answer(409, encode(protocol.TxnAnswer{Revision: s.revision, Failed: failed}))
+		answer(409, encode(protocol.TransactionResponse{Revision: s.revision, Failed: failed}))
 		return
 	}
-	s.apply(t.Then)
-	s.w.rules.checkStaged(t.Then)
-	answer(200, encode(protocol.TxnAnswer{Revision: s.revision}))
+	s.apply(t.Changes)
+	s.w.rules.checkStaged(t.Changes)
+	answer(200, encode(protocol.TransactionResponse{Revision: s.revision}))
 	s.notify()
 }
 
 // beyondLimits says in which way a transaction is too large, "" if it is not.
-func (s *stateService) beyondLimits(t *protocol.Txn, size int) string {
-	if len(t.Then) > s.limits.TxnOps || len(t.If) > 4*s.limits.TxnOps || size > protocol.MaxBody {
-		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Then), len(t.If), size)
+func (s *stateService) beyondLimits(t *protocol.Transaction, size int) string {
+	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBody {
+		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if float64(len(c.Value)) > s.limits.ValueKB*1024 {
 			return fmt.Sprintf("value of %d bytes under %s", len(c.Value), c.Set)
 		}
@@ -377,5 +377,5 @@
 	}
 	x.ended = true
 	s.watches = slices.DeleteFunc(s.watches, func(o *watch) bool { return o == x })
-	x.answer(200, encode(protocol.WatchAnswer{Revision: s.revision, Events: events}))
+	x.answer(200, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -101,12 +101,12 @@
 	return l
 }
 
-func (k *worker) report() *protocol.Report {
+func (k *worker) report() *protocol.Heartbeat {
 	k.seq++
-	r := &protocol.Report{Machine: k.h.ID, Address: k.h.Address, Type: k.h.Type, Zone: k.h.Zone, Spot: k.h.Spot,
-		Incarnation: k.session, Sequence: k.seq, Token: k.token, NoticeS: k.notice}
+	r := &protocol.Heartbeat{Machine: k.h.ID, Address: k.h.Address, Type: k.h.Type, Zone: k.h.Zone, Spot: k.h.Spot,
+		Incarnation: k.session, Sequence: k.seq, FencingToken: k.token, PreemptionNoticeS: k.notice}
 	for _, t := range k.list() {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.kept})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.kept})
 	}
 	return r
 }
@@ -123,7 +123,7 @@
 		w.after(w.between(time.Second, w.copies), func() { w.copyReport(w.nodes[w.rng.IntN(len(w.nodes))], body) })
 	}
 	w.reach(string(k.h.ID), k.node, 4*time.Second, func(id uint64) coordination.Event {
-		r, err := protocol.ParseReport(body)
+		r, err := protocol.ParseHeartbeat(body)
 		if err != nil {
 			panic(err)
 		}
@@ -142,9 +142,9 @@
 		if k.w.Now.Sub(sent) > 4*time.Second || k.hung {
 			return
 		}
-		var a protocol.ReportAnswer
+		var a protocol.HeartbeatResponse
 		decode(body, &a)
-		if k.session != session || !k.accept(a.Token) {
+		if k.session != session || !k.accept(a.FencingToken) {
 			return
 		}
 		k.answered = sent
@@ -161,7 +161,7 @@
 	var r protocol.Redirect
 	decode(body, &r)
 	for i, o := range k.w.nodes {
-		if o.name == string(r.ReportTo) && i != k.node {
+		if o.name == string(r.Target) && i != k.node {
 			k.node = i
 			k.w.after(k.w.between(0, 500*time.Millisecond), func() { k.inFlight, k.changed = false, true })
 			return
@@ -179,7 +179,7 @@
 // copyReport delivers a late duplicate of an old report to a controller; nobody reads the
 // answer.
 func (w *World) copyReport(c *controller, body []byte) {
-	r, err := protocol.ParseReport(body)
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		panic(err)
 	}
@@ -214,9 +214,9 @@
 		answer(200, encode(k.report()))
 		return
 	}
-	var o protocol.Orders
+	var o protocol.CommandBatch
 	decode(body, &o)
-	if o.Incarnation != k.session || !k.accept(o.Token) {
+	if o.Incarnation != k.session || !k.accept(o.FencingToken) {
 		answer(409, encode(k.report()))
 		return
 	}
@@ -233,16 +233,16 @@
 		key := attemptName(c.Task, c.Attempt)
 		t := k.tasks[key]
 		k.w.Audit.ordered(k.w.Now, k.h.ID, c)
-		switch c.Op {
-		case protocol.OpStart:
+		switch c.Kind {
+		case protocol.CommandStart:
 			if t == nil {
 				k.start(key, id, index, c)
 			}
-		case protocol.OpStop:
+		case protocol.CommandStop:
 			if t != nil {
 				t.halt(c.GraceS)
 			}
-		case protocol.OpForget:
+		case protocol.CommandForget:
 			if t != nil && t.state == protocol.TaskExited {
 				k.w.Audit.forgot(t.instance())
 				delete(k.tasks, key)
@@ -282,7 +282,7 @@
 	}
 	machine := &k.w.shape.Type
 	if cpus+t.job.CPUs > machine.CPUs || gpus+t.job.GPUs > machine.GPUs || memory+t.job.MemoryGB > machine.MemoryGB {
-		refuse(protocol.CauseNoRoom)
+		refuse(protocol.CauseNoCapacity)
 		return
 	}
 	k.tasks[key] = t
--- a/internal/bookkeeping/records.go
+++ b/internal/storage/records.go
@@ -1,4 +1,4 @@
-// Package bookkeeping holds the records that the controllers keep in the state
+// Package storage holds the records that the controllers keep in the state
 // service, the transactions that change them and each node's mirror of them.
 //
 // Keys:
@@ -14,7 +14,7 @@
 //
 // Everything below g/ is mirrored by every node; h/ grows for ever and is read
 // one key at a time.
-package bookkeeping
+package storage
 
 import (
 	"bytes"
@@ -293,8 +293,8 @@
 // TasksPerRecord is the number of a job's tasks per record that the limits allow. The
 // places of a gang are all written, and each is guarded on its machine's room.
 func TasksPerRecord(valueKB float64, txnOps int, spec *protocol.Job) int {
-	n := (int(valueKB*1024) - len(Encode(spec)) - tuning.HeaderBytes) / tuning.TaskBytes
-	n = min(n, tuning.TasksPerRecord)
+	n := (int(valueKB*1024) - len(Encode(spec)) - tuning.RecordHeaderBytes) / tuning.BytesPerTask
+	n = min(n, tuning.MaxTasksPerRecord)
 	if spec.Gang() {
 		n = min(n, GangRecordTasks(txnOps))
 	}
@@ -308,7 +308,7 @@
 
 // Storable says whether a job's description leaves room for a task.
 func Storable(valueKB float64, spec *protocol.Job) bool {
-	return len(Encode(spec))+tuning.HeaderBytes+tuning.TaskBytes <= int(valueKB*1024)
+	return len(Encode(spec))+tuning.RecordHeaderBytes+tuning.BytesPerTask <= int(valueKB*1024)
 }
 
 // Status is what a user is told of an unfinished job. A record counts as
@@ -343,7 +343,7 @@
 func Encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("bookkeeping: " + err.Error())
+		panic("storage: " + err.Error())
 	}
 	return b
 }
--- a/internal/bookkeeping/bookkeeping_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -77,12 +77,12 @@
 	}
 	call(b, cfg, "POST", protocol.PathJobs+"/run-000001/withdraw", "")
 	eventually(b, "leads", func() bool {
-		s, _, _ := call(b, cfg, "POST", protocol.PathReport, machineReport(1, 1))
+		s, _, _ := call(b, cfg, "POST", protocol.PathHeartbeat, machineReport(1, 1))
 		return s == 200
 	})
 	seq := 1
 	for name, request := range map[string]func(i int) []byte{
-		"report":  func(i int) []byte { return rawRequest("POST", protocol.PathReport, machineReport(7, i)) },
+		"report":  func(i int) []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport(7, i)) },
 		"ready":   func(int) []byte { return rawRequest("GET", protocol.PathReady, "") },
 		"poll":    func(int) []byte { return rawRequest("GET", protocol.PathJobs+"/run-000001", "") },
 		"refused": func(int) []byte { return rawRequest("POST", protocol.PathJobs, job("run-000009", "vision", 0)[1:]) },
@@ -104,7 +104,7 @@
 	cfg, _ := startOwner(t, true, 800)
 	eventually(t, "ready", ready(t, cfg))
 	eventually(t, "leads", func() bool {
-		s, _, _ := call(t, cfg, "POST", protocol.PathReport, machineReport(1, 1))
+		s, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, machineReport(1, 1))
 		return s == 200
 	})
 	c := dialRaw(t, cfg.Listen)
@@ -115,7 +115,7 @@
 		status int
 		what   func() []byte
 	}{
-		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathReport, machineReport(7, seq)) }},
+		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport(7, seq)) }},
 		{"refused submission", 60, 400, func() []byte { return rawRequest("POST", protocol.PathJobs, "[]") }},
 		{"health probe", 45, 200, func() []byte { return rawRequest("GET", protocol.PathReady, "") }},
 	} {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -32,8 +32,8 @@
 				DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}).DialContext,
 				MaxIdleConns:        idle,
 				MaxIdleConnsPerHost: perHost,
-				MaxConnsPerHost:     tuning.ConnsPerHost,
-				IdleConnTimeout:     tuning.IdleConn,
+				MaxConnsPerHost:     tuning.MaxConnectionsPerHost,
+				IdleConnTimeout:     tuning.ClientIdleTimeout,
 				DisableCompression:  true,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -41,11 +41,11 @@
 	}
 	return &clients{
 		state: "http://" + cfg.Endpoints.State, cloud: "http://" + cfg.Endpoints.Cloud,
-		outside:     client(2*tuning.ConnsPerHost, tuning.ConnsPerHost),
+		outside:     client(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost),
 		leaderLease: client(1, 1),
-		workers:     client(max(tuning.SocketsLeast, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.WorkerConns)), 1),
+		workers:     client(max(tuning.MinConnections, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.AgentIdleConnectionShare)), 1),
 		// The node bounds its calls by the same share; this holds whatever it does.
-		calls:   make(chan struct{}, max(tuning.OrdersLeast, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.WorkerSockets))),
+		calls:   make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.AgentCallConnectionShare))),
 		answers: answers,
 	}
 }
@@ -89,11 +89,11 @@
 		return 0, nil
 	}
 	defer resp.Body.Close()
-	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxAnswer), resp.ContentLength, protocol.MaxBody)
+	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBody)
 	if err != nil {
 		return 0, nil
 	}
-	if len(body) == tuning.MaxAnswer {
+	if len(body) == tuning.MaxResponseBytes {
 		return http.StatusRequestEntityTooLarge, nil // cut short; the same request would be again
 	}
 	return resp.StatusCode, body
--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -18,7 +18,7 @@
 func TestAnswerTooLarge(t *testing.T) {
 	chunk := bytes.Repeat([]byte("x"), 1<<20)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for range tuning.MaxAnswer/len(chunk) + 1 {
+		for range tuning.MaxResponseBytes/len(chunk) + 1 {
 			w.Write(chunk)
 		}
 	}))
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -32,11 +32,11 @@
 
 // newConnections derives the shares from the limit of sockets, 0 for none.
 func newConnections(limit int) *connections {
-	share := func(part float64) int { return max(tuning.SocketsLeast, int(float64(limit)*part)) }
+	share := func(part float64) int { return max(tuning.MinConnections, int(float64(limit)*part)) }
 	if limit <= 0 {
 		return &connections{}
 	}
-	return &connections{most: share(tuning.ServerSockets), keepUsers: int64(share(tuning.UserKeepSockets)), keepWorkers: int64(share(tuning.WorkerKeepSockets))}
+	return &connections{most: share(tuning.ServerConnectionShare), keepUsers: int64(share(tuning.UserKeepAliveShare)), keepWorkers: int64(share(tuning.AgentKeepAliveShare))}
 }
 
 // track is told of every connection's state.
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -28,10 +28,10 @@
 	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")) // its loop never runs
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for range tuning.QueueUsers {
+	for range tuning.MinUserQueueLength {
 		go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-1"} })
 	}
-	eventually(t, "the queue is full", func() bool { return len(o.users) == tuning.QueueUsers })
+	eventually(t, "the queue is full", func() bool { return len(o.users) == tuning.MinUserQueueLength })
 	if r := o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many gets %+v", r)
 	}
@@ -43,7 +43,7 @@
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
 	go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
-		return coordination.WorkerReport{ID: id, Report: &protocol.Report{}}
+		return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
 	})
 	eventually(t, "the report is queued", func() bool { return len(o.urgent) == 1 })
 }
@@ -75,12 +75,12 @@
 		}()
 	}
 	eventually(t, "a report is answered with 200", func() bool {
-		status, _, _ := call(t, cfg, "POST", protocol.PathReport, report(1))
+		status, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report(1))
 		return status == 200
 	})
 	for seq := range 40 {
 		began := time.Now()
-		status, body, _ := call(t, cfg, "POST", protocol.PathReport, report(seq+1000))
+		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report(seq+1000))
 		if took := time.Since(began); status != 200 || took > 4*time.Second {
 			t.Fatalf("report %d: %d %s after %v", seq, status, body, took)
 		}
@@ -142,7 +142,7 @@
 	}
 	for k := range workers {
 		loop(func(i int) (string, string, string) {
-			return "POST", protocol.PathReport, strings.Replace(report(i+1), "i-1", fmt.Sprint("i-", 100+k), 1)
+			return "POST", protocol.PathHeartbeat, strings.Replace(report(i+1), "i-1", fmt.Sprint("i-", 100+k), 1)
 		})
 	}
 	for range users {
@@ -162,12 +162,12 @@
 	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
 	log := slog.New(slog.DiscardHandler)
 	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
-	for range 2 * tuning.BatchUrgent {
-		o.urgent <- coordination.WorkerReport{Report: &protocol.Report{}}
+	for range 2 * tuning.MaxUrgentEventsPerBatch {
+		o.urgent <- coordination.WorkerReport{Report: &protocol.Heartbeat{}}
 	}
 	o.clients.answers <- coordination.Response{ID: 1}
 	batch := o.next(nil)
-	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.BatchUrgent {
+	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.MaxUrgentEventsPerBatch {
 		t.Errorf("a batch of %d begins with %T", len(batch), batch[0])
 	}
 }
@@ -192,7 +192,7 @@
 	for _, ctx := range []context.Context{gone, here} {
 		for range 3 {
 			go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
-				return coordination.WorkerReport{ID: id, Report: &protocol.Report{}}
+				return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
 			})
 			go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} })
 		}
--- a/internal/transport/owner.go
+++ b/internal/transport/owner.go
@@ -41,8 +41,8 @@
 func NewOwner(cfg *config.Config, log *slog.Logger, node *coordination.Node) *Owner {
 	o := &Owner{
 		cfg: cfg, log: log, node: node,
-		answers: make(chan coordination.Event, tuning.QueueLen),
-		urgent:  make(chan coordination.Event, max(tuning.QueueLen, cfg.Cluster.Resources.FDLimit)),
+		answers: make(chan coordination.Event, tuning.EventQueueLength),
+		urgent:  make(chan coordination.Event, max(tuning.EventQueueLength, cfg.Cluster.Resources.FDLimit)),
 		users:   make(chan coordination.Event, cfg.Cluster.Resources.UserRequests()),
 		metrics: newMetrics(),
 		conns:   newConnections(cfg.Cluster.Resources.FDLimit),
@@ -74,7 +74,7 @@
 }
 
 func (o *Owner) loop(ctx context.Context) {
-	due := time.NewTimer(tuning.Tick)
+	due := time.NewTimer(tuning.MinTimerInterval)
 	defer due.Stop()
 	var batch []coordination.Event
 	for ctx.Err() == nil {
@@ -104,9 +104,9 @@
 
 // next adds what waits to the batch, each kind by its rank and up to its limit.
 func (o *Owner) next(batch []coordination.Event) []coordination.Event {
-	batch = o.drain(batch, o.answers, tuning.BatchUrgent)
-	batch = o.drain(batch, o.urgent, tuning.BatchUrgent)
-	return o.drain(batch, o.users, tuning.BatchUsers)
+	batch = o.drain(batch, o.answers, tuning.MaxUrgentEventsPerBatch)
+	batch = o.drain(batch, o.urgent, tuning.MaxUrgentEventsPerBatch)
+	return o.drain(batch, o.users, tuning.MaxUserEventsPerBatch)
 }
 
 // drain moves up to limit events that wait in a queue into the batch.
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -38,7 +38,7 @@
 func newPeers(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peers {
 	p := &peers{cfg: cfg, log: log, events: events, links: map[protocol.NodeName]*link{}, gather: gatherFor(cfg)}
 	for _, s := range cfg.Peers {
-		p.links[s.Name] = &link{name: s.Name, addr: s.Addr, queue: make(chan protocol.PeerMessage, max(tuning.PeerQueue, cfg.Cluster.Resources.FDLimit))}
+		p.links[s.Name] = &link{name: s.Name, addr: s.Addr, queue: make(chan protocol.PeerMessage, max(tuning.MinPeerQueueLength, cfg.Cluster.Resources.FDLimit))}
 	}
 	return p
 }
@@ -46,8 +46,8 @@
 // gatherFor is how long reports are gathered for one frame write, so that what
 // all peers send costs the leader no more than its share of processor time.
 func gatherFor(cfg *config.Config) time.Duration {
-	each := cfg.Cluster.Resources.Pause(tuning.CoalesceCost, tuning.CoalesceShare)
-	return min(each*time.Duration(len(cfg.Peers)), tuning.CoalesceMost)
+	each := cfg.Cluster.Resources.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
+	return min(each*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
 func (p *peers) start(ctx context.Context) error {
@@ -65,7 +65,7 @@
 				}
 				// Out of sockets, perhaps: what is there goes on.
 				p.log.Error("peer link not accepted", "error", err)
-				time.Sleep(tuning.PeerRedial)
+				time.Sleep(tuning.PeerRedialDelay)
 				continue
 			}
 			go p.read(conn)
@@ -114,7 +114,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.PeerRedial):
+		case <-time.After(tuning.PeerRedialDelay):
 		}
 	}
 }
@@ -127,9 +127,9 @@
 		conn.Read(b[:])
 		close(ended)
 	}()
-	buf := protocol.AppendPeer(nil, protocol.PeerHello{Node: p.cfg.Name})
+	buf := protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: p.cfg.Name})
 	for {
-		conn.SetWriteDeadline(time.Now().Add(tuning.PeerWrite))
+		conn.SetWriteDeadline(time.Now().Add(tuning.PeerWriteTimeout))
 		if _, err := conn.Write(buf); err != nil {
 			return
 		}
@@ -145,7 +145,7 @@
 func (p *peers) collect(ctx context.Context, l *link, ended <-chan struct{}, buf []byte) []byte {
 	gathering := true // only reports so far
 	var gathered <-chan time.Time
-	for len(buf) < tuning.PeerBatch {
+	for len(buf) < tuning.PeerBatchBytes {
 		var m protocol.PeerMessage
 		select {
 		case m = <-l.queue:
@@ -163,12 +163,12 @@
 				return nil
 			}
 		}
-		_, report := m.(protocol.PeerReport)
+		_, report := m.(protocol.PeerForwardedHeartbeat)
 		gathering = gathering && report && p.gather > 0
 		if gathering && gathered == nil {
 			gathered = time.After(p.gather)
 		}
-		buf = protocol.AppendPeer(buf, m)
+		buf = protocol.AppendPeerFrame(buf, m)
 	}
 	return buf
 }
@@ -176,11 +176,11 @@
 // read takes a peer's frames until one is wrong or none comes.
 func (p *peers) read(conn net.Conn) {
 	defer conn.Close()
-	r := bufio.NewReaderSize(conn, tuning.PeerBatch)
+	r := bufio.NewReaderSize(conn, tuning.PeerBatchBytes)
 	name, number := protocol.NodeName(""), p.taken.Add(1)
 	for {
-		conn.SetReadDeadline(time.Now().Add(tuning.PeerRead))
-		m, err := protocol.ReadPeer(r)
+		conn.SetReadDeadline(time.Now().Add(tuning.PeerReadTimeout))
+		m, err := protocol.ReadPeerFrame(r)
 		if err != nil {
 			p.log.Info("peer link ended", "peer", name, "remote", conn.RemoteAddr().String(), "error", err)
 			return
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"strconv"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/net/netutil"
 )
@@ -24,10 +24,10 @@
 	}
 	srv := &http.Server{
 		Handler:           o.handler(),
-		ReadHeaderTimeout: tuning.ReadTimeout,
-		ReadTimeout:       tuning.ReadTimeout,
-		WriteTimeout:      tuning.ReadTimeout + tuning.AnswerLimit,
-		IdleTimeout:       tuning.IdleServer,
+		ReadHeaderTimeout: tuning.RequestReadTimeout,
+		ReadTimeout:       tuning.RequestReadTimeout,
+		WriteTimeout:      tuning.RequestReadTimeout + tuning.ReplyTimeout,
+		IdleTimeout:       tuning.ServerIdleTimeout,
 		MaxHeaderBytes:    16 << 10,
 		ErrorLog:          nil,
 		ConnState:         o.conns.track,
@@ -42,7 +42,7 @@
 	mux.HandleFunc("POST "+protocol.PathJobs, o.handleSubmit)
 	mux.HandleFunc("GET "+protocol.PathJobs+"/{id}", o.handleQuery)
 	mux.HandleFunc("POST "+protocol.PathJobs+"/{id}/"+protocol.CancelAction, o.handleCancel)
-	mux.HandleFunc("POST "+protocol.PathReport, o.handleReport)
+	mux.HandleFunc("POST "+protocol.PathHeartbeat, o.handleReport)
 	mux.HandleFunc("GET "+protocol.PathReady, o.handleReady)
 	mux.Handle("GET "+protocol.PathMetrics, o.metrics.handler())
 	return mux
@@ -50,7 +50,7 @@
 
 // readBody reads a request's body, or answers why it does not.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.TrustedBody)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.TrustedBodyBytes)
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
@@ -64,7 +64,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
-	writeJSON(w, status, bookkeeping.Encode(protocol.ErrorBody{Error: why}))
+	writeJSON(w, status, storage.Encode(protocol.ErrorBody{Error: why}))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body []byte) {
@@ -100,7 +100,7 @@
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, o.ask(r.Context(), o.users, tuning.AnswerLimit, func(id uint64) coordination.Event {
+	respond(w, o.ask(r.Context(), o.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return coordination.Submit{ID: id, Job: job}
 	}))
 }
@@ -113,7 +113,7 @@
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
-	respond(w, o.ask(r.Context(), o.users, tuning.AnswerLimit, func(id uint64) coordination.Event {
+	respond(w, o.ask(r.Context(), o.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return event(id, jobID)
 	}))
 }
@@ -136,13 +136,13 @@
 	if !ok {
 		return
 	}
-	report, err := protocol.ParseReport(body)
+	report, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		o.log.Error("report refused", "error", err)
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, o.ask(r.Context(), o.urgent, tuning.AnswerLimit, func(id uint64) coordination.Event {
+	respond(w, o.ask(r.Context(), o.urgent, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return coordination.WorkerReport{ID: id, Report: report}
 	}))
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -46,7 +46,7 @@
 			answer(200, e)
 			return
 		}
-		answer(404, protocol.TxnAnswer{Revision: s.revision})
+		answer(404, protocol.TransactionResponse{Revision: s.revision})
 	case r.URL.Path == "/watch":
 		var after protocol.Revision
 		fmt.Sscan(r.URL.Query().Get("after"), &after)
@@ -59,31 +59,31 @@
 			}
 			s.mu.Lock()
 		}
-		a := protocol.WatchAnswer{Revision: s.revision}
+		a := protocol.WatchResponse{Revision: s.revision}
 		for _, e := range s.keys {
 			if e.Revision > after {
 				a.Events = append(a.Events, protocol.WatchEvent{Set: e.Key, Value: e.Value, Revision: e.Revision})
 			}
 		}
 		answer(200, a)
-	case r.URL.Path == protocol.PathTxn:
-		var t protocol.Txn
+	case r.URL.Path == protocol.PathTransactions:
+		var t protocol.Transaction
 		json.NewDecoder(r.Body).Decode(&t)
-		for _, c := range t.If {
+		for _, c := range t.Conditions {
 			if s.keys[c.Key].Revision != c.Revision {
-				answer(409, protocol.TxnAnswer{Failed: []string{c.Key}, Revision: s.revision})
+				answer(409, protocol.TransactionResponse{Failed: []string{c.Key}, Revision: s.revision})
 				return
 			}
 		}
 		s.revision++
-		for _, c := range t.Then {
+		for _, c := range t.Changes {
 			s.keys[c.Set] = protocol.Entry{Key: c.Set, Value: c.Value, Revision: s.revision}
 		}
 		close(s.changed)
 		s.changed = make(chan struct{})
-		answer(200, protocol.TxnAnswer{Revision: s.revision})
+		answer(200, protocol.TransactionResponse{Revision: s.revision})
 	default:
-		answer(200, protocol.LeaseAnswer{Lease: 1})
+		answer(200, protocol.LeaseResponse{Lease: 1})
 	}
 }
 
@@ -256,7 +256,7 @@
 	if status, _, _ := call(t, cfg, "GET", "/v2/runs/run-000007", ""); status != 404 {
 		t.Errorf("another user gets %d", status)
 	}
-	conn.SetReadDeadline(time.Now().Add(2 * tuning.ReadTimeout))
+	conn.SetReadDeadline(time.Now().Add(2 * tuning.RequestReadTimeout))
 	if _, err := io.ReadAll(conn); err != nil {
 		t.Errorf("the stalled connection stays: %v", err)
 	}
@@ -267,7 +267,7 @@
 func TestWrongPeers(t *testing.T) {
 	cfg, _ := startOwner(t, true, 0)
 	eventually(t, "ready", ready(t, cfg))
-	good := protocol.AppendPeer(nil, protocol.PeerHello{Node: "n1"})
+	good := protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n1"})
 	old := bytes.Clone(good)
 	old[2] = 0
 	huge := bytes.Clone(good)
@@ -276,8 +276,8 @@
 		"text":       []byte("GET / HTTP/1.1\r\n\r\n"),
 		"old":        old,
 		"oversized":  huge,
-		"stranger":   protocol.AppendPeer(nil, protocol.PeerHello{Node: "n9"}),
-		"no hello":   protocol.AppendPeer(nil, protocol.PeerStatus{Term: 1}),
+		"stranger":   protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n9"}),
+		"no hello":   protocol.AppendPeerFrame(nil, protocol.PeerStatus{Term: 1}),
 		"two hellos": append(bytes.Clone(good), good...),
 		"wrong kind": append(bytes.Clone(good), 'G', 'P', 1, 99, 0, 0, 0, 0),
 	} {
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -7,35 +7,35 @@
 
 // Owner loop.
 const (
-	// Tick is the least pause after which the owner looks at its timers by
+	// MinTimerInterval is the least pause after which the owner looks at its timers by
 	// itself. Waking up for one costs a process some 100 microseconds of its
 	// share, in system calls more than in code.
-	Tick = 100 * time.Millisecond
-	// TickMost is the longest such pause, when no timer is due: well below
-	// ProcessPause, by which a node knows that it was paused.
-	TickMost = time.Second
-	// QueueLen bounds the owner's queue of commands; beyond it requests are shed.
-	QueueLen = 4096
-	// QueueUsers is the least bound of users' requests under way at one node, so that
+	MinTimerInterval = 100 * time.Millisecond
+	// MaxTimerInterval is the longest such pause, when no timer is due: well below
+	// ProcessPauseThreshold, by which a node knows that it was paused.
+	MaxTimerInterval = time.Second
+	// EventQueueLength bounds the owner's queue of commands; beyond it requests are shed.
+	EventQueueLength = 4096
+	// MinUserQueueLength is the least bound of users' requests under way at one node, so that
 	// reports always find room in the queue.
-	QueueUsers = 512
-	// QueueUsersShare is the share of the users' connections that makes the bound where
+	MinUserQueueLength = 512
+	// UserQueueConnectionShare is the share of the users' connections that makes the bound where
 	// there are many.
-	QueueUsersShare = 0.5
+	UserQueueConnectionShare = 0.5
 )
 
 // Operator holds what operators may set in the properties file.
 type Operator struct {
-	// IdleReturn is how long a machine may be idle before it is returned.
+	// MachineIdleTimeout is how long a machine may be idle before it is returned.
 	// The cloud charges a minute at least, and a boot costs most of one.
-	IdleReturn time.Duration
+	MachineIdleTimeout time.Duration
 	// SparesPerZone is the number of idle machines kept in every zone.
 	SparesPerZone int
 	// ZoneReserve keeps room outside every zone for the replicas of services that
 	// it has, so that they run again at once when it is lost.
 	ZoneReserve bool
-	// ReserveAfter is how long a gang waits before smaller jobs no longer pass it.
-	ReserveAfter time.Duration
+	// BackfillBarrierDelay is how long a gang waits before smaller jobs no longer pass it.
+	BackfillBarrierDelay time.Duration
 	// RecoveryPhase follows what is found and ordered after a takeover until every
 	// worker is known, and gives the largest of waiting gangs their turn first.
 	RecoveryPhase bool
@@ -46,5 +46,5 @@
 
 // Defaults are the operators' settings when none are given.
 func Defaults() Operator {
-	return Operator{IdleReturn: 20 * time.Second, SparesPerZone: 1, ZoneReserve: true, ReserveAfter: 10 * time.Second, DirectStarts: true}
+	return Operator{MachineIdleTimeout: 20 * time.Second, SparesPerZone: 1, ZoneReserve: true, BackfillBarrierDelay: 10 * time.Second, DirectStarts: true}
 }
