--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,9 +14,9 @@
 		if machine == nil {
 			continue
 		}
-		l.autoscaler.NoteDeleted(id)
+		l.autoscaler.MachineDeleted(id)
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
-			l.dropAttempt(attempt)
+			l.lifecycle.RemoveGone(attempt)
 		}
 		machine.ReleaseReservation()
 		delete(l.cluster.Machines, id)
--- a/internal/protocol/identifiers_test.go
+++ b/internal/protocol/identifiers_test.go
@@ -37,4 +37,18 @@
 	if err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
+	for body, want := range map[string]string{
+		`[]`:                          "array into Go value of type protocol.Report",
+		`7`:                           "number into Go value of type protocol.Report",
+		`{"pieces":{}}`:               "object into Go struct field Report.pieces of type []protocol.TaskReport",
+		`{"pieces":[1]}`:              "number into Go struct field Report.pieces of type protocol.TaskReport",
+		`{"recall_s":"soon"}`:         "string into Go struct field Report.recall_s of type float64",
+		`{"pieces":[{"kept":"yes"}]}`: "string into Go struct field TaskReport.pieces.kept of type bool",
+	} {
+		_, err := ParseHeartbeat([]byte(body))
+		want = "not valid JSON for a report: json: cannot unmarshal " + want
+		if err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", body, err, want)
+		}
+	}
 }
--- a/internal/tuning/network.go
+++ b/internal/tuning/network.go
@@ -18,7 +18,7 @@
 	// it asks just to know whether it is served.
 	StoreProbeInterval = time.Second
 	// StoreServedFreshness is how fresh the last served request must be for a node to
-	// tell its peers that the state service serves it: less than IsolationTimeout,
+	// tell its peers that the state service serves it: less than AloneAfter,
 	// so that in an outage no node takes an old word for a sign of life.
 	StoreServedFreshness = 1500 * time.Millisecond
 	// PeerHeartbeatInterval is the interval of the peers' beats.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -12,7 +12,7 @@
 	// share, in system calls more than in code.
 	MinTimerInterval = 100 * time.Millisecond
 	// MaxTimerInterval is the longest such pause, when no timer is due: well below
-	// ProcessPauseThreshold, by which a node knows that it was paused.
+	// ProcessPause, by which a node knows that it was paused.
 	MaxTimerInterval = time.Second
 	// EventQueueLength bounds the owner's queue of commands; beyond it requests are shed.
 	EventQueueLength = 4096
@@ -34,7 +34,7 @@
 	// ZoneReserve keeps room outside every zone for the replicas of services that
 	// it has, so that they run again at once when it is lost.
 	ZoneReserve bool
-	// BackfillBarrierDelay is how long a gang waits before smaller jobs no longer pass it.
+	// ReserveAfter is how long a gang waits before smaller jobs no longer pass it.
 	BackfillBarrierDelay time.Duration
 	// RecoveryPhase follows what is found and ordered after a takeover until every
 	// worker is known, and gives the largest of waiting gangs their turn first.
