--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -33,7 +34,7 @@
 			l.n.keepAuthority()
 			machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 			l.n.out = nil
-			l.tickMachines()
+			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
 				r, ok := a.(Request)
 				if !ok || r.To != ToWorker {
@@ -69,7 +70,7 @@
 		t.Fatal("takes no work")
 	}
 	l.n.now = l.n.now.Add(4 * time.Second)
-	l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, FencingToken: l.n.election.Term()}, true)
+	l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 2, Sequence: 1, FencingToken: l.n.election.Term()})
 	if l.cluster.Schedulable(machine) {
 		t.Error("takes new work")
 	}
@@ -95,7 +96,7 @@
 						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 					}
 				}
-				l.tickMachines()
+				l.agents.Liveness.Tick()
 				for _, a := range l.n.out {
 					if r, ok := a.(Request); ok && r.To == ToWorker {
 						l.n.handle(Response{ID: r.ID})
@@ -127,7 +128,7 @@
 	for range int(lease / time.Second) {
 		l.n.now = l.n.now.Add(time.Second)
 		l.n.keepAuthority()
-		l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()}, false)
+		l.agents.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()}})
 	}
 	if !l.cluster.ConfirmedAlive(machine) || l.cluster.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.cluster.ConfirmedAlive(machine), l.cluster.Schedulable(machine))
--- a/internal/coordination/report_routing.go
+++ b/internal/coordination/report_routing.go
@@ -4,6 +4,7 @@
 	"hash/fnv"
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -208,22 +209,31 @@
 	}
 }
 
-// takeReport is the leader's answer to a report, forwarded or not.
-func (n *Node) takeReport(r *protocol.Heartbeat) heartbeatReply {
-	if n.lead == nil || !n.election.HasAuthority() {
-		return heartbeatRedirect("")
-	}
-	if r.FencingToken > n.election.Term() {
-		// Somebody else has the right to command by now, or the state service was restored.
-		n.lead.refuseHigherToken(r)
+// takeReport is the leader's answer to a heartbeat, forwarded or not.
+func (n *Node) takeReport(heartbeat *protocol.Heartbeat) heartbeatReply {
+	result := n.answerHeartbeat(heartbeat)
+	switch result.Outcome {
+	case agents.Accepted:
+		return heartbeatAnswer(protocol.HeartbeatResponse{FencingToken: result.FencingToken, Commands: result.Commands})
+	case agents.Stale:
+		return heartbeatRefusal("an older report")
+	case agents.HigherToken:
 		return heartbeatRefusal("a higher token than this leader's")
-	}
-	if !n.election.Confirmed() {
+	case agents.LeadershipUnconfirmed:
 		return heartbeatRefusal("not sure to lead")
 	}
-	commands, ok := n.lead.report(r, true)
-	if !ok {
-		return heartbeatRefusal("an older report")
-	}
-	return heartbeatAnswer(protocol.HeartbeatResponse{FencingToken: n.election.Term(), Commands: commands})
+	return heartbeatRedirect("")
+}
+
+// answerHeartbeat takes a heartbeat if this node leads.
+func (n *Node) answerHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
+	switch {
+	case n.lead == nil || !n.election.HasAuthority():
+		return agents.HeartbeatResult{Outcome: agents.NotLeading}
+	case n.lead.agents.Heartbeats.RefuseHigherToken(heartbeat):
+		return agents.HeartbeatResult{Outcome: agents.HigherToken}
+	case !n.election.Confirmed():
+		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
+	}
+	return n.lead.agents.Heartbeats.Accept(heartbeat)
 }
