--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -54,6 +54,7 @@
 		"internal/coordination/election",
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
+		"internal/coordination/membership",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
@@ -75,6 +76,13 @@
 		"internal/protocol",
 		"internal/tuning",
 	}, tests: []string{"internal/coordination/clustertest"}},
+	"internal/coordination/membership": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/election": {pure: true, imports: []string{
 		"internal/storage",
 		"internal/config",
--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -18,7 +18,7 @@
 // SendCommands implements agents.Client.
 func (c agentClient) SendCommands(machine *cluster.Machine, commands protocol.CommandBatch, done func(agents.CallResult)) {
 	body, answered := storage.Encode(commands), c.whileLeading(done)
-	if c.l.usesProxies() && c.l.n.delegate(machine, body, answered) {
+	if c.l.usesProxies() && c.l.n.forwarder.Delegate(machine.ID, machine.Address, body, answered) {
 		return
 	}
 	c.l.n.request(ToWorker, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, answered)
@@ -54,24 +54,10 @@
 	return result
 }
 
-// delegate has a peer send commands to an agent, if all links are there: a call
-// is a new connection mostly, which costs much of a small share of a core. What
-// the peer does not answer in time may still be executed, as any command that
-// was not answered. Probes are not delegated: they judge a machine.
-func (n *Node) delegate(machine *cluster.Machine, body []byte, done func(status int, body []byte)) bool {
-	if !n.fullyConnected() {
-		return false
-	}
-	n.nextID++
-	n.delegated[n.nextID] = delegatedCall{done, n.now.Add(tuning.ProbeTimeout + tuning.DelegatedCallMargin)}
-	n.sendTo(n.proxyFor(machine.ID, n.cfg.Name, 0), protocol.PeerAgentCall{ID: n.nextID, Origin: n.cfg.Name, Address: machine.Address, Body: body})
-	return true
-}
-
 // callFor sends commands to an agent for the leader.
 func (n *Node) callFor(c protocol.PeerAgentCall) {
 	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
-		n.sendTo(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
+		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
 }
 
@@ -88,7 +74,9 @@
 func (l *leader) Leads() bool { return l.n.lead == l }
 
 // AllPeersReachable implements agents.LivenessEnvironment.
-func (l *leader) AllPeersReachable() bool { return len(l.n.reachablePeers()) == len(l.n.cfg.Peers) }
+func (l *leader) AllPeersReachable() bool {
+	return len(l.n.peers.ReachableNames()) == len(l.n.cfg.Peers)
+}
 
 // ConfirmationGrace implements agents.LivenessEnvironment.
 func (l *leader) ConfirmationGrace() time.Duration { return l.n.election.Grace() }
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -23,12 +23,12 @@
 
 // ForwardSubmission implements api.Environment.
 func (ae apiEnvironment) ForwardSubmission(requestID uint64, spec *protocol.Job) bool {
-	return ae.n.forwardToPeer(requestID, submission(spec))
+	return ae.n.forwarder.ForwardRequest(requestID, submission(spec))
 }
 
 // AnnounceCancellation implements api.Environment: a leader need not wait for its watch, or
 // for the store to serve it again.
-func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancel(jobID) }
+func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancellation(jobID) }
 
 // CancellationConfirmed implements api.Environment: this node's own leader may have to be
 // told, for the cancellation may have been read while its watch hangs.
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -42,7 +42,13 @@
 func (sb *storeBudgets) countWrite(now time.Time) { sb.writes.AllowN(now, 1) }
 
 // takeRelayWrite says whether store-relayed messages may be written now, and counts that.
-func (sb *storeBudgets) takeRelayWrite(now time.Time) bool { return sb.relay.AllowN(now, 1) }
+func (sb *storeBudgets) takeRelayWrite(now time.Time) bool {
+	if !sb.relay.AllowN(now, 1) {
+		return false
+	}
+	sb.countWrite(now)
+	return true
+}
 
 // AllowsUserRead says whether the budget leaves room for a user's request: what the node
 // itself needs, renewals and decisions above all, comes first.
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -36,15 +36,8 @@
 	}
 	by(n.typesAt)
 	n.election.Due(by)
-	by(n.beatAt)
-	if len(n.forwarded)+len(n.queuedReports)+len(n.delegated) > 0 {
-		by(n.expireAt)
-	}
-	for _, box := range n.outboxes {
-		if len(box.frames) > 0 && !box.sending {
-			by(box.sendAt)
-		}
-	}
+	n.peers.Due(by)
+	n.forwarder.Due(by, n.router.Queued())
 	n.api.Due(by)
 	if n.mayAct() {
 		n.lead.due(by)
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -39,7 +39,7 @@
 func (ee electionEnvironment) FetchRevision() { ee.n.fetchRevision() }
 
 // Count implements election.Peers.
-func (ee electionEnvironment) Count() int { return len(ee.n.peers) }
+func (ee electionEnvironment) Count() int { return ee.n.peers.Count() }
 
 // RequestConfirmation implements election.Peers.
 func (ee electionEnvironment) RequestConfirmation() uint64 {
@@ -47,7 +47,7 @@
 	n.nextID++
 	request := protocol.PeerConfirmRequest{ID: n.nextID}
 	for _, s := range n.cfg.Peers {
-		if n.isReachable(s.Name) && n.peers[s.Name].level >= protocol.PeerKnowsCancelled {
+		if n.peers.Knows(s.Name, protocol.PeerKnowsCancelled) {
 			n.out = append(n.out, PeerSend{Peer: s.Name, Message: request})
 		}
 	}
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -305,7 +305,7 @@
 // held back on an earlier link does not speak for it.
 func TestAnnouncements(t *testing.T) {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
-	n.peers["s"] = &peer{}
+	n.peers.Add("s")
 	steps := []struct {
 		link uint64
 		m    protocol.PeerMessage
@@ -321,7 +321,7 @@
 	}
 	for i, s := range steps {
 		n.handle(PeerReceive{Peer: "s", Link: s.link, Message: s.m})
-		if got := n.allKnow(protocol.PeerLevel); got != s.want {
+		if got := n.peers.AllKnow(protocol.PeerLevel); got != s.want {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -209,18 +209,22 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.election.StepDown("a test")
-	n.peers = map[protocol.NodeName]*peer{"first": {up: true}, "second": {up: true}}
+	peers := []protocol.NodeName{"first", "second"}
+	for _, name := range peers {
+		n.peers.Add(name)
+	}
 	lead := func(name protocol.NodeName, stamp protocol.Revision) {
 		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), stamp)
 	}
 	seq := uint64(0)
 	send := func(after time.Duration) string {
 		seq++
-		for _, p := range n.peers {
-			p.heard = n.now.Add(after)
-			p.status = protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}
+		var events []Event
+		for _, name := range peers {
+			events = append(events, PeerUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
+				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
-		out := n.Step(n.now.Add(after), []Event{WorkerReport{ID: seq, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}})
+		out := n.Step(n.now.Add(after), append(events, WorkerReport{ID: seq, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
--- a/internal/coordination/forwarding_test.go
+++ b/internal/coordination/forwarding_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"testing"
-	"time"
 
+	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -14,11 +14,12 @@
 		n := follower("b", 0)
 		n.out = nil
 		sent := n.now
+		n.connect("c", protocol.PeerStatus{StateOK: true})
 		for id := range uint64(8) {
-			n.forwarded[id+1] = forwardedRequest{reply: 100 + id, expire: sent}
+			n.handle(Query{ID: 100 + id, Job: "run-000001"})
 		}
 		last := uint64(0)
-		for _, action := range n.Step(sent.Add(tuning.ForwardExpiryInterval+time.Second), nil) {
+		for _, action := range n.Step(sent.Add(tuning.UserRequestTimeout+tuning.ForwardExpiryInterval), nil) {
 			reply, ok := action.(Reply)
 			if !ok {
 				continue
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/coordination/membership"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -175,8 +176,8 @@
 		}
 		return
 	}
-	if isRelayKey(key) {
-		n.receiveRelayed(ev)
+	if membership.IsRelayKey(key) {
+		n.peers.ReceiveRelayed(ev)
 		return
 	}
 	if n.lead != nil {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -7,7 +7,6 @@
 import (
 	"log/slog"
 	"math/rand/v2"
-	"slices"
 	"strconv"
 	"time"
 
@@ -15,10 +14,10 @@
 	"github.com/gappond/gappond/internal/coordination/api"
 	"github.com/gappond/gappond/internal/coordination/election"
 	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/coordination/membership"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
-	"golang.org/x/time/rate"
 )
 
 // Node is one controller.
@@ -62,18 +61,9 @@
 	election *election.Election
 	lead     *leader
 
-	names           []protocol.NodeName // of all controllers, in order
-	peers           map[protocol.NodeName]*peer
-	beatAt          time.Time
-	forwarded       map[uint64]forwardedRequest    // requests that peers answer
-	expireAt        time.Time                      // when they are looked over for late ones
-	received        map[uint64]receivedRequest     // requests of peers that this node answers
-	delegated       map[uint64]delegatedCall       // calls that peers make
-	redirects       *rate.Limiter                  // of workers to their proxies
-	leaderRedirects *rate.Limiter                  // the same by the leader, to all peers
-	contacts        map[protocol.MachineID]contact // workers that report here, or did
-	queuedReports   []queuedReport
-	outboxes        map[protocol.NodeName]*outbox
+	peers     *membership.Peers
+	forwarder *membership.Forwarder
+	router    *membership.HeartbeatRouter
 }
 
 // New makes a node. The seed feeds its random pauses; boot tells this life of
@@ -81,32 +71,19 @@
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
 		cfg: cfg, log: log, boot: boot,
-		rng:       rand.New(rand.NewPCG(seed, 1)),
-		pending:   map[uint64]func(int, []byte){},
-		types:     map[protocol.MachineTypeName]*protocol.MachineType{},
-		peers:     map[protocol.NodeName]*peer{},
-		forwarded: map[uint64]forwardedRequest{},
-		received:  map[uint64]receivedRequest{},
-		delegated: map[uint64]delegatedCall{},
-		contacts:  map[protocol.MachineID]contact{},
-		outboxes:  map[protocol.NodeName]*outbox{},
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		pending: map[uint64]func(int, []byte){},
+		types:   map[protocol.MachineTypeName]*protocol.MachineType{},
 	}
 	n.store = kv.New(n)
-	n.names = []protocol.NodeName{cfg.Name}
-	for _, s := range cfg.Peers {
-		n.peers[s.Name] = &peer{}
-		n.names = append(n.names, s.Name)
-	}
-	slices.Sort(n.names)
-	n.redirects, n.leaderRedirects = rate.NewLimiter(rate.Inf, 0), rate.NewLimiter(rate.Inf, 0)
-	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
-		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxConcurrentRedirects)
-		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxConcurrentRedirects)
-	}
 	n.budgets = newStoreBudgets(cfg)
 	n.api = api.New(cfg, n.types, &n.mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
-	around := electionEnvironment{n}
-	n.election = election.New(cfg, log, n.rng, n.store, around, around, around)
+	peerEnv := peerEnvironment{n, userReplies{n}}
+	n.peers = membership.NewPeers(cfg, log, n.store, peerEnv)
+	n.forwarder = membership.NewForwarder(cfg.Name, n.peers, peerEnv)
+	n.router = membership.NewHeartbeatRouter(cfg, n.peers, n.forwarder, leadership{n}, heartbeatReplies{n})
+	electionEnv := electionEnvironment{n}
+	n.election = election.New(cfg, log, n.rng, n.store, electionEnv, electionEnv, electionEnv)
 	// Answers name the request by its number and may come late, after the process
 	// has ended and begun again: numbers of different lives must not meet.
 	n.nextID = n.rng.Uint64() >> 24
@@ -156,13 +133,13 @@
 			n.api.Cancel(e.ID, e.Job)
 		}
 	case WorkerReport:
-		n.routeReport(e.ID, e.Report)
+		n.router.Route(e.ID, e.Report)
 	case PeerUp:
-		n.peerUp(e.Peer)
+		n.peers.Up(e.Peer)
 	case PeerDown:
-		n.peerDown(e.Peer)
+		n.peers.Down(e.Peer)
 	case PeerReceive:
-		n.peerReceive(e.Peer, e.Link, e.Message)
+		n.receive(e.Peer, e.Link, e.Message)
 	}
 }
 
@@ -173,7 +150,7 @@
 	n.tickTypes()
 	n.election.Tick()
 	n.tickPeers()
-	n.flushOutboxes()
+	n.peers.WriteRelayed()
 	if n.mayAct() {
 		n.lead.tick()
 	}
@@ -193,17 +170,11 @@
 	if n.now.Sub(n.servedAt) < tuning.IsolationTimeout {
 		return true
 	}
-	alone := len(n.peers) > 0
-	for name, p := range n.peers {
-		if !n.isReachable(name) {
-			continue
-		}
-		alone = false
-		if p.status.StateOK {
-			return false
-		}
+	if len(n.peers.ServedNames()) > 0 {
+		return false
 	}
-	return !alone // cut off from everybody: users should go elsewhere
+	// Cut off from everybody: users should go elsewhere.
+	return n.peers.Count() == 0 || len(n.peers.ReachableNames()) > 0
 }
 
 // unique makes a string that no other write, rental or process uses.
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -30,12 +30,10 @@
 // to be lowered, which happens after the upgrade, a peer that is down does not count:
 // a job must not wait for its return.
 func (l *leader) peersKnow(level uint64) bool {
-	for _, p := range l.n.peers {
-		if p.level < level && (p.up || !l.n.limitsLowered) {
-			return false
-		}
+	if l.n.limitsLowered {
+		return l.n.peers.AllLinkedKnow(level)
 	}
-	return true
+	return l.n.peers.AllKnow(level)
 }
 
 // limits are those that a record must keep within now.
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -22,7 +22,8 @@
 	present := n.cfg.Cluster.State
 	n.cfg.Cluster.Present = &present
 	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
-	n.peers["s"] = &peer{link: 1}
+	n.peers.Add("s")
+	n.peers.Receive("s", 1, protocol.PeerHello{Node: "s"})
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
 	for i := range s.Tasks {
@@ -117,7 +118,9 @@
 func TestRefusedForSize(t *testing.T) {
 	for _, up := range []bool{false, true} {
 		l, job := lowering(t)
-		l.n.peers["s"].up = up
+		if up {
+			l.n.peers.Up("s")
+		}
 		l.RecordChanged(job, 0)
 		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 		_, r := l.sentTxn(t)
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -47,7 +47,11 @@
 	n.cfg.Cluster.Present = &present
 	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.budgets = newStoreBudgets(n.cfg)
-	n.peers["s"] = &peer{up: true, link: 1, level: level}
+	n.peers.Add("s")
+	n.peers.Up("s")
+	announcement := protocol.Announcement("n").(protocol.PeerResponse)
+	announcement.Status = level
+	n.peers.Receive("s", 1, announcement)
 	page := protocol.Entries{Revision: s.revision}
 	for _, e := range s.entries {
 		page.Items = append(page.Items, e)
--- a/internal/coordination/relay_test.go
+++ b/internal/coordination/relay_test.go
@@ -11,13 +11,31 @@
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
-	"golang.org/x/time/rate"
 )
 
+// connect makes a link to a peer that says so of itself.
+func (n *Node) connect(name protocol.NodeName, status protocol.PeerStatus) {
+	n.peers.Up(name)
+	n.peers.Receive(name, 1, status)
+}
+
+// connectNewPeers adds two peers that are linked to each other and to the node.
+func (n *Node) connectNewPeers() {
+	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
+	for _, s := range n.cfg.Peers {
+		n.peers.Add(s.Name)
+		n.connect(s.Name, protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}})
+	}
+}
+
 // follower is one of three nodes, each linked to the others, while "a" leads
 // and keeps so many of a thousand workers.
-func follower(name protocol.NodeName, keeps uint64) *Node {
+func follower(name protocol.NodeName, keeps uint64) *Node { return followerOn(0, name, keeps) }
+
+// followerOn is follower on so much of a core, 0 for no limit.
+func followerOn(cores float64, name protocol.NodeName, keeps uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
+	cfg.Cluster.Resources.Cores = cores
 	for _, s := range []protocol.NodeName{"a", "b", "c"} {
 		if s != name {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: s})
@@ -26,11 +44,12 @@
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = time.Unix(1_800_000_000, 0)
 	n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "a"}), 9)
-	for s, p := range n.peers {
-		*p = peer{up: true, heard: n.now, status: protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}}
-		if s == "a" {
-			p.status.DirectShare, p.status.Links = keeps, []protocol.NodeName{"b", "c"}
+	for _, s := range cfg.Peers {
+		status := protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}
+		if s.Name == "a" {
+			status.DirectShare, status.Links = keeps, []protocol.NodeName{"b", "c"}
 		}
+		n.connect(s.Name, status)
 	}
 	return n
 }
@@ -41,7 +60,7 @@
 	n.nextID++
 	id := n.nextID
 	n.out = nil
-	n.routeReport(id, &protocol.Heartbeat{Machine: machineID, Incarnation: 1, Sequence: protocol.Sequence(id)})
+	n.router.Route(id, &protocol.Heartbeat{Machine: machineID, Incarnation: 1, Sequence: protocol.Sequence(id)})
 	for _, a := range n.out {
 		switch a := a.(type) {
 		case Reply:
@@ -93,7 +112,7 @@
 	b := follower("b", 0)
 	var own, other protocol.MachineID
 	for i := 0; own == "" || other == ""; i++ {
-		if m := protocol.MachineID(fmt.Sprintf("i-%06d", i)); b.proxyFor(m, "a", 0) == "b" {
+		if m := protocol.MachineID(fmt.Sprintf("i-%06d", i)); b.peers.ProxyFor(m, "a", 0) == "b" {
 			own = m
 		} else {
 			other = m
@@ -102,11 +121,11 @@
 	if got := reported(b, own); got != "carried to a" {
 		t.Fatalf("its own worker is %s", got)
 	}
-	b.peers["c"].up = false
+	b.peers.Down("c")
 	if got := reported(b, other); got != "carried to a" {
 		t.Errorf("with c gone its worker is %s", got)
 	}
-	b.peers["a"].up = false
+	b.peers.Down("a")
 	if got := reported(b, own); got != "a" {
 		t.Errorf("with the leader's link gone its own worker is %s", got)
 	}
@@ -126,12 +145,7 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		n := l.n
 		n.cfg.Cluster.Resources.Cores = cores
-		n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-		n.names = []protocol.NodeName{"n", "o", "p"}
-		for _, s := range []protocol.NodeName{"o", "p"} {
-			n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
-		}
-		n.leaderRedirects.SetLimit(rate.Inf)
+		n.connectNewPeers()
 		for i := range 300 {
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 		}
@@ -165,7 +179,8 @@
 	if got := reported(b, "i-1"); got != "a" {
 		t.Fatalf("a sibling knows the leader: %s", got)
 	}
-	b.peers["a"].status.Leader, b.peers["c"].status.Leader = "", ""
+	b.connect("a", protocol.PeerStatus{})
+	b.connect("c", protocol.PeerStatus{})
 	if got := reported(b, "i-1"); got != "parked" {
 		t.Fatalf("without a leader: %s", got)
 	}
@@ -205,11 +220,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.cfg.Cluster.Resources.Cores = 0.001
-	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
-	n.names = []protocol.NodeName{"n", "o", "p"}
-	for _, s := range []protocol.NodeName{"o", "p"} {
-		n.peers[s] = &peer{up: true, heard: n.now, status: protocol.PeerStatus{Links: []protocol.NodeName{"n", "x"}}}
-	}
+	n.connectNewPeers()
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
 	}
@@ -244,7 +255,7 @@
 	if a, _ := send(probe); a.(Request).To != ToWorker {
 		t.Errorf("a probe leaves as %+v", a)
 	}
-	n.peers["p"].up = false
+	n.peers.Down("p")
 	if a, _ := send(commands); a.(Request).To != ToWorker {
 		t.Errorf("with a link missing orders leave as %+v", a)
 	}
@@ -266,10 +277,7 @@
 // TestMovesArePaced: after all controllers were lost every worker is at some node;
 // they are sent to their proxies by and by, and answered meanwhile.
 func TestMovesArePaced(t *testing.T) {
-	b := follower("b", 250)
-	b.cfg.Cluster.Resources.Cores = 0.018
-	paced := New(b.cfg, b.log, 1, "boot")
-	b.redirects = paced.redirects
+	b := followerOn(0.018, "b", 250)
 	sent := 0
 	for i := range 600 {
 		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", i))); got == "a" || got == "c" {
@@ -285,8 +293,8 @@
 	for i := range 600 {
 		if i%120 == 0 { // five times
 			b.now = b.now.Add(time.Second)
-			for _, p := range b.peers {
-				p.heard = b.now
+			for _, s := range b.cfg.Peers {
+				b.peers.Receive(s.Name, 1, protocol.PeerHello{Node: s.Name})
 			}
 		}
 		if got := reported(b, protocol.MachineID(fmt.Sprintf("i-%06d", 1000+i))); got == "a" || got == "c" {
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -84,7 +84,24 @@
 	return heartbeatReply{http.StatusServiceUnavailable, storage.Encode(protocol.ErrorBody{Error: reason})}
 }
 
-// replyHeartbeat answers an agent that reports to this node.
-func (n *Node) replyHeartbeat(id uint64, reply heartbeatReply) {
-	n.answer(Reply{ID: id, Status: reply.status, Body: reply.body})
+// heartbeatReplies implements membership.HeartbeatReplies.
+type heartbeatReplies struct{ n *Node }
+
+// Answer implements membership.HeartbeatReplies.
+func (hr heartbeatReplies) Answer(requestID uint64, heartbeat *protocol.Heartbeat) {
+	hr.reply(requestID, hr.n.takeHeartbeat(heartbeat))
+}
+
+// Redirect implements membership.HeartbeatReplies.
+func (hr heartbeatReplies) Redirect(requestID uint64, to protocol.NodeName) {
+	hr.reply(requestID, heartbeatRedirect(to))
+}
+
+// Refuse implements membership.HeartbeatReplies.
+func (hr heartbeatReplies) Refuse(requestID uint64, reason string) {
+	hr.reply(requestID, heartbeatRefusal(reason))
+}
+
+func (hr heartbeatReplies) reply(requestID uint64, reply heartbeatReply) {
+	hr.n.answer(Reply{ID: requestID, Status: reply.status, Body: reply.body})
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/kv"
-	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -57,9 +56,7 @@
 // answer gives a reply to whoever asked: a connection of this node, or a
 // peer that forwarded the request here.
 func (n *Node) answer(r Reply) {
-	if from, ok := n.received[r.ID]; ok {
-		delete(n.received, r.ID)
-		n.sendTo(from.origin, protocol.PeerResponse{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
+	if n.forwarder.Respond(r.ID, r.Status, r.Body) {
 		return
 	}
 	n.out = append(n.out, r)
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -41,7 +41,7 @@
 // thousand names them all, as far as a frame holds them.
 func TestManyConfirmedCancels(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.n.peers["p"] = &peer{}
+	l.n.peers.Add("p")
 	tell := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
 			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
@@ -49,7 +49,7 @@
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
-		l.n.peerReceive("p", 1, protocol.PeerConfirmRequest{ID: 1})
+		l.n.receive("p", 1, protocol.PeerConfirmRequest{ID: 1})
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
 	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -27,8 +27,8 @@
 		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
 	n.lead = l
-	n.beatAt = n.now  // the peers learn how many workers it keeps
-	n.typesAt = n.now // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
+	n.typesAt = n.now       // today's prices, and a record of the types if there is none
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
