--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -166,14 +166,21 @@
 		cmp.Compare(b.tasks, a.tasks))
 }
 
-// victimsOn works out what to stop on a machine so that up to so many tasks fit: the lowest
-// priority first, then what loses least.
+// victimsOn works out what to stop on a machine so that up to so many tasks fit.
 func (sc *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, tasks int) preemption {
 	free := sc.state.FreeResources(machine)
 	if free.Fit(job.Spec, 1) == 0 && !sc.hasPreemptible(machine, job) {
 		return preemption{machine: machine} // most machines: nothing is sorted for them
 	}
-	preemptible := sc.preemptibleOn(machine, job, &free)
+	var preemptible []*cluster.Attempt
+	for _, attempt := range cluster.SortedAttemptsOn(machine) {
+		if attempt.Stopping {
+			free.AddTasks(attempt.Job.Spec, 1) // about to be free
+		} else if sc.mayPreempt(attempt, job) {
+			preemptible = append(preemptible, attempt)
+		}
+	}
+	sc.sortByLoss(preemptible)
 	p := preemption{machine: machine, tasks: free.Fit(job.Spec, tasks)}
 	p.addVictims(job.Spec, tasks, preemptible, &free)
 	p.spareVictims(job.Spec, tasks, &free)
@@ -196,20 +203,12 @@
 	return false
 }
 
-// preemptibleOn lists what may be stopped on a machine for a job, the least loss first, and
-// adds what is stopping already to the free capacity.
-func (sc *Scheduler) preemptibleOn(machine *cluster.Machine, job *cluster.Job, free *cluster.Resources) (list []*cluster.Attempt) {
-	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		if attempt.Stopping {
-			free.AddTasks(attempt.Job.Spec, 1)
-		} else if sc.mayPreempt(attempt, job) {
-			list = append(list, attempt)
-		}
-	}
-	slices.SortStableFunc(list, func(a, b *cluster.Attempt) int {
+// sortByLoss sorts attempts that may be stopped: the lowest priority first, then what loses
+// least.
+func (sc *Scheduler) sortByLoss(attempts []*cluster.Attempt) {
+	slices.SortStableFunc(attempts, func(a, b *cluster.Attempt) int {
 		return cmp.Or(cmp.Compare(a.Job.Priority, b.Job.Priority), cmp.Compare(sc.workLost(a), sc.workLost(b)))
 	})
-	return list
 }
 
 // addVictims takes victims until so many tasks fit.
