--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -83,7 +83,7 @@
 	if survivor.ReservedFor != job {
 		t.Error("the survivor's room is not held")
 	}
-	l.dropAttempt(job.SortedAttempts()[0])
+	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
 	l.runSchedulingCycle()
 	on := map[*cluster.Machine]bool{}
 	for _, attempt := range job.Attempts {
