--- a/internal/coordination/autoscaler/harness_test.go
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -114,7 +114,7 @@
 
 // Drain implements Environment.
 func (e *environment) Drain(machine *cluster.Machine) {
-	machine.Cordoned = true
+	machine.Cordon()
 	e.drained = append(e.drained, machine)
 }
 
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -91,10 +91,9 @@
 
 // DeleteMachine marks a machine to be deleted.
 func (as *Autoscaler) DeleteMachine(machine *cluster.Machine, reason string) {
-	if machine.Deleting {
+	if !machine.MarkDeleting() {
 		return
 	}
-	machine.Deleting = true
 	as.log.Info("deleting machine", "machine", machine.ID, "reason", reason)
 }
 
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -9,19 +9,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// FinalPhase is the phase in which the job has ended, or "".
-func (j *Job) FinalPhase() protocol.Phase {
-	switch {
-	case j.Cancelled && len(j.Attempts) == 0:
-		return protocol.PhaseCancelled
-	case !j.Cancelled && j.Complete():
-		return protocol.PhaseDone
-	}
-	return ""
-}
-
 // Job is a job that is not over yet: its specification, its tasks, and what the parts
 // of the leader know of it.
+//
+// Its states (cancelled, finished, stopping) and those of its tasks are changed by its
+// methods alone.
 type Job struct {
 	ID           protocol.JobID
 	Spec         *protocol.Job
@@ -56,7 +48,7 @@
 // FailureHistory is what is known of a job's failed attempts.
 type FailureHistory struct {
 	Machines map[protocol.MachineID]bool // machines on which a task failed
-	// Attributed counts how often the job, not a machine, was blamed for a failure.
+	// Attributed counts how often failures were attributed to the job, not to machines.
 	Attributed int
 	AvoidUntil map[protocol.MachineID]time.Time
 }
@@ -92,9 +84,9 @@
 	RetryAt      time.Time // when one that did may start again
 }
 
-// QueueTime is a job's place among those of its priority: the moment it came or,
-// for an array, the moment by which it must start to meet the next of its aims.
-// One that is late for an aim can wait for those that are not; but none waits
+// QueueTime is a job's sort key among those of its priority: the moment it came or,
+// for an array, the moment by which it must start to meet the next of its objectives.
+// One that is late for an objective can wait for those that are not; but none waits
 // for ever, and one that nothing was done for in a long time goes first.
 func (j *Job) QueueTime(now time.Time) time.Time {
 	if len(j.StartDeadlines) == 0 || j.Overdue(now) {
@@ -114,6 +106,62 @@
 	return !j.EverPlaced && !j.Spec.Gang() && now.Sub(j.SubmittedAt) > tuning.ArrayStartDeadline
 }
 
+// FinalPhase is the phase in which the job has ended, or "".
+func (j *Job) FinalPhase() protocol.Phase {
+	switch {
+	case j.Cancelled && len(j.Attempts) == 0:
+		return protocol.PhaseCancelled
+	case !j.Cancelled && j.Complete():
+		return protocol.PhaseDone
+	}
+	return ""
+}
+
+// Cancel cancels the job; false if it was cancelled before.
+func (j *Job) Cancel() bool {
+	if j.Cancelled {
+		return false
+	}
+	j.Cancelled = true
+	return true
+}
+
+// Finish notes that the job's final record is committed: nothing of it is written any more.
+func (j *Job) Finish() {
+	j.Finished = true
+	clear(j.Write.Dirty)
+}
+
+// BeginStop notes that the gang's attempt is being ended; false if it has none, for then
+// nothing would ever end the stop.
+func (j *Job) BeginStop() bool {
+	if len(j.Attempts) == 0 {
+		return false
+	}
+	j.Stopping = true
+	return true
+}
+
+// EndStop ends the stop once no attempt is left, and says whether that is so now.
+func (j *Job) EndStop() bool {
+	if !j.Stopping || len(j.Attempts) > 0 {
+		return false
+	}
+	j.Stopping = false
+	return true
+}
+
+// CompleteTask marks a task as done; false if it was before.
+func (j *Job) CompleteTask(index int) bool {
+	task := &j.Tasks[index]
+	if task.Done {
+		return false
+	}
+	task.Done = true
+	j.DoneTasks++
+	return true
+}
+
 // GangSize is the number of a gang's tasks, 0 for other jobs.
 func (j *Job) GangSize() int {
 	if !j.Spec.Gang() {
@@ -158,20 +206,20 @@
 	return true
 }
 
-// MovableFrom is how many replicas the rules allow in other zones when one is lost,
+// MovableFrom is how many replicas the rules allow in other zones when a zone is lost,
 // beyond those that are there.
-func (j *Job) MovableFrom(lost protocol.ZoneName, per map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
+func (j *Job) MovableFrom(lost protocol.ZoneName, perZone map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
 	if j.Spec.Zone != "" {
 		return 0
 	}
 	if !j.Spec.Spread {
 		return len(j.Tasks)
 	}
-	n := 0
+	movable := 0
 	for _, zone := range zones {
 		if zone != lost {
-			n += max(0, (len(j.Tasks)+1)/2-per[zone])
+			movable += max(0, (len(j.Tasks)+1)/2-perZone[zone])
 		}
 	}
-	return n
+	return movable
 }
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -9,17 +9,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// OnlyLowestPriority says whether all that a machine carries is of the lowest priority.
-func (m *Machine) OnlyLowestPriority() bool {
-	for _, attempt := range m.Attempts {
-		if attempt.Job.Priority > protocol.PriorityIdle {
-			return false
-		}
-	}
-	return true
-}
-
-// Machine is a rented machine and its agent.
+// Machine is a machine of the cloud and its agent.
 type Machine struct {
 	ID        protocol.MachineID
 	Address   string
@@ -42,7 +32,7 @@
 	Deleting    bool
 	SpotNotice  bool                    // the cloud takes the machine away soon
 	Quarantined bool                    // too many jobs failed here
-	FailedJobs  map[protocol.JobID]bool // jobs that failed here, none succeeding between
+	FailedJobs  map[protocol.JobID]bool // jobs that failed here since one has succeeded
 
 	// ReservedFor is the job that the free capacity is reserved for.
 	ReservedFor   *Job
@@ -52,27 +42,27 @@
 	RecordEntrySize int            // of its entry there, at most
 	Recorded        bool           // the stored record has it
 
-	Agent    AgentSession
+	Agent    AgentState
 	Delivery CommandDelivery
 }
 
-// CachedImage is an image that a machine holds.
+// CachedImage is an image that a machine has.
 type CachedImage struct {
 	Name   string
 	SizeGB float64
 }
 
-// ReserveFor holds a machine's room for a job.
-func (m *Machine) ReserveFor(job *Job, till time.Time) {
+// ReserveFor reserves the free capacity for a job, in place of another it was reserved for.
+func (m *Machine) ReserveFor(job *Job, until time.Time) {
 	if m.ReservedFor != job {
 		m.ReleaseReservation()
 		m.ReservedFor = job
 		job.Reserved = append(job.Reserved, m)
 	}
-	m.ReservedUntil = till
+	m.ReservedUntil = until
 }
 
-// ReleaseReservation ends the hold.
+// ReleaseReservation ends the reservation, if there is one.
 func (m *Machine) ReleaseReservation() {
 	if job := m.ReservedFor; job != nil {
 		m.ReservedFor = nil
@@ -80,6 +70,43 @@
 	}
 }
 
+// OnlyLowestPriority says whether all that a machine carries is of the lowest priority.
+func (m *Machine) OnlyLowestPriority() bool {
+	for _, attempt := range m.Attempts {
+		if attempt.Job.Priority > protocol.PriorityIdle {
+			return false
+		}
+	}
+	return true
+}
+
+// Cordon has the machine take no further tasks; false if it was cordoned before.
+func (m *Machine) Cordon() bool {
+	if m.Cordoned {
+		return false
+	}
+	m.Cordoned = true
+	return true
+}
+
+// Quarantine notes that too many jobs failed here; false if that was known.
+func (m *Machine) Quarantine() bool {
+	if m.Quarantined {
+		return false
+	}
+	m.Quarantined = true
+	return true
+}
+
+// MarkDeleting has the machine deleted; false if that was decided before.
+func (m *Machine) MarkDeleting() bool {
+	if m.Deleting {
+		return false
+	}
+	m.Deleting = true
+	return true
+}
+
 // SortedAttemptsOn lists the attempts on a machine in a fixed order.
 func SortedAttemptsOn(machine *Machine) []*Attempt {
 	list := make([]*Attempt, 0, len(machine.Attempts))
@@ -87,25 +114,28 @@
 		list = append(list, attempt)
 	}
 	slices.SortFunc(list, func(a, b *Attempt) int {
-		return cmp.Or(cmp.Compare(a.Job.ArrivalOrder, b.Job.ArrivalOrder), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Key.Index, b.Key.Index), cmp.Compare(a.Key.Number, b.Key.Number))
+		return cmp.Or(
+			cmp.Compare(a.Job.ArrivalOrder, b.Job.ArrivalOrder),
+			cmp.Compare(a.Job.ID, b.Job.ID),
+			cmp.Compare(a.Key.Index, b.Key.Index),
+			cmp.Compare(a.Key.Number, b.Key.Number))
 	})
 	return list
 }
 
-// account accounts for a job's tasks on the machine; n is negative to give back.
-func (m *Machine) account(spec *protocol.Job, n int) {
-	m.Used.CPUs += spec.CPUs * float64(n)
-	m.Used.GPUs += spec.GPUs * float64(n)
-	m.Used.MemoryGB += spec.MemoryGB * float64(n)
+// account accounts for a job's tasks on the machine; a negative count gives back.
+func (m *Machine) account(spec *protocol.Job, tasks int) {
+	m.Used.AddTasks(spec, tasks)
 	if len(m.Attempts) == 0 {
-		m.Used.CPUs, m.Used.GPUs, m.Used.MemoryGB = 0, 0, 0 // no rounding is left behind
+		m.Used = Resources{} // no rounding is left behind
 	}
 }
 
-// UseImage notes that the machine has an image; it keeps those last used.
+// UseImage notes that the machine has an image, and forgets the least recently used ones
+// that the cache cannot have beside it.
 func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
 	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == spec.Image })
-	m.Images = append(m.Images, CachedImage{spec.Image, spec.ImageGB})
+	m.Images = append(m.Images, CachedImage{Name: spec.Image, SizeGB: spec.ImageGB})
 	if machineType == nil {
 		return
 	}
@@ -119,11 +149,12 @@
 	}
 }
 
+// HasImage says whether the machine is known to have an image.
 func (m *Machine) HasImage(name string) bool {
 	return slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.Name == name })
 }
 
-// HasFree says whether a machine has anything left to give.
+// HasFree says whether the machine, of the given type, has free capacity of every kind.
 func (m *Machine) HasFree(machineType *protocol.MachineType) bool {
 	return m.Used.CPUs < machineType.CPUs && m.Used.MemoryGB < machineType.MemoryGB && (machineType.GPUs == 0 || m.Used.GPUs < machineType.GPUs)
 }
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -111,7 +111,8 @@
 // Run makes all attempts of a job committed, started and seen running.
 func (c *Cluster) Run(job *cluster.Job) {
 	for _, attempt := range job.Attempts {
-		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
+		attempt.MarkCommitted()
+		attempt.ObserveState(protocol.TaskRunning, c.now)
 	}
 }
 
--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -41,7 +41,7 @@
 	for _, attempt := range victim.Job.SortedAttempts() {
 		e.end(attempt)
 	}
-	victim.Job.Stopping = len(victim.Job.Attempts) > 0
+	victim.Job.BeginStop()
 }
 
 // Stop implements scheduler.Environment.
@@ -56,5 +56,5 @@
 		e.cluster.RemoveAttempt(attempt)
 		return
 	}
-	attempt.Stopping = true
+	attempt.RequestStop(0)
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -212,7 +212,7 @@
 			if job.Attempts[attempt.Key] != attempt {
 				continue
 			}
-			attempt.Committed = true
+			attempt.MarkCommitted()
 			l.CommandsPending(attempt.Machine)
 		}
 		for _, attempt := range w.placed {
@@ -231,8 +231,7 @@
 
 // finish forgets a job whose final record is committed.
 func (l *leader) finish(job *cluster.Job, f storage.Final) {
-	job.Finished = true
-	clear(job.Write.Dirty)
+	job.Finish()
 	delete(l.cluster.Jobs, job.ID)
 	l.n.cacheFinal(job.ID, f)
 	for r := 1; r < len(job.Records.Revisions); r++ {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -139,8 +139,7 @@
 }
 
 func (l *leader) cancelJob(job *cluster.Job) {
-	if !job.Cancelled {
-		job.Cancelled = true
+	if job.Cancel() {
 		l.plan = true
 		l.lifecycle.CheckEnded(job)
 	}
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -35,8 +35,7 @@
 		return
 	}
 	machine.FailedJobs[job.ID] = true
-	if len(machine.FailedJobs) >= tuning.MaxMachineFailures && !machine.Quarantined {
-		machine.Quarantined = true
+	if len(machine.FailedJobs) >= tuning.MaxMachineFailures && machine.Quarantine() {
 		m.log.Info("machine quarantined", "machine", machine.ID)
 		m.Drain(machine)
 	}
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -32,10 +32,9 @@
 // stopGang ends a gang's attempt: every task is told to stop at once, so that
 // a graceful stop reaches all of them within the gang's patience.
 func (m *Manager) stopGang(job *cluster.Job, graceS float64) {
-	if len(job.Attempts) == 0 {
-		return // nothing would ever end the stop
+	if !job.BeginStop() {
+		return
 	}
-	job.Stopping = true
 	m.log.Debug("gang stops", "job", job.ID, "attempt", job.Epoch, "grace", graceS)
 	for _, attempt := range job.SortedAttempts() {
 		m.Stop(attempt, graceS)
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -64,8 +64,7 @@
 	if job.Finished || m.env.Unreadable(job.ID) && !job.Cancelled {
 		return
 	}
-	if job.Stopping && len(job.Attempts) == 0 {
-		job.Stopping = false
+	if job.EndStop() {
 		m.env.RequestScheduling()
 	}
 	switch {
@@ -90,9 +89,7 @@
 		return // a replica is never done, whatever it says
 	}
 	mark := func(i int) {
-		if !job.Tasks[i].Done {
-			job.Tasks[i].Done = true
-			job.DoneTasks++
+		if job.CompleteTask(i) {
 			m.env.RecordChanged(job, job.RecordOf(i))
 		}
 	}
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -1,8 +1,6 @@
 package lifecycle
 
 import (
-	"time"
-
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/tuning"
@@ -11,9 +9,7 @@
 // Stop asks an attempt to end. One whose start never left is gone at once,
 // unless the transaction that places it is still in flight.
 func (m *Manager) Stop(attempt *cluster.Attempt, graceS float64) {
-	if !attempt.Stopping || graceS < attempt.GraceS {
-		attempt.Stopping, attempt.GraceS, attempt.StopSentAt = true, graceS, time.Time{}
-	}
+	attempt.RequestStop(graceS)
 	if !attempt.StartSent && !(attempt.Job.Write.InFlight && !attempt.Committed) {
 		m.RemoveGone(attempt)
 		return
@@ -25,8 +21,7 @@
 // stops now, what cannot may finish if it can.
 func (m *Manager) Drain(machine *cluster.Machine) {
 	m.env.RequestScheduling()
-	if !machine.Cordoned {
-		machine.Cordoned = true
+	if machine.Cordon() {
 		m.env.RecordMachine(machine) // so that no leader places anything there any more
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -34,13 +34,13 @@
 		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
 			continue // what a predecessor placed is stopped once a report shows it
 		}
-		if attempt.ReportedState == "" && (attempt.StartUnanswered || attempt.StartsInFlight > 0) {
+		if attempt.ReportedState == "" && attempt.StartMayArrive() {
 			// The lost start may yet arrive. Once the worker holds the attempt,
 			// a late copy of it does nothing: so start it and end it at once.
 			cmds = append(cmds, l.startOrder(attempt, inReply))
 		}
 		if inReply || l.n.now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
-			attempt.StopSentAt = l.n.now
+			attempt.MarkStopSent(l.n.now)
 			cmds = append(cmds, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
 	}
@@ -78,9 +78,10 @@
 		l.n.metrics.Starts++
 		l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
 	}
-	attempt.StartSent = true
 	if inReply {
-		attempt.StartInResponse = true
+		attempt.MarkStartInResponse()
+	} else {
+		attempt.MarkStartSent()
 	}
 	attempt.Machine.UseImage(attempt.Job.Spec, l.cluster.TypeOf(attempt.Machine))
 	return protocol.Command{Kind: protocol.CommandStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
@@ -157,8 +158,7 @@
 		}
 		id, index, _ := protocol.SplitTask(cmd.Task)
 		if attempt := machine.Attempts[cluster.AttemptID{Job: id, Index: index, Number: cmd.Attempt}]; attempt != nil {
-			attempt.StartsInFlight++
-			attempt.StartSentAt = l.n.now
+			attempt.BeginDirectStart(l.n.now)
 			starts = append(starts, attempt)
 		}
 	}
@@ -167,12 +167,12 @@
 	l.call(machine, "POST", protocol.PathCommands, body, func(status int, body []byte) {
 		machine.Delivery.InFlight = false
 		for _, attempt := range starts {
-			attempt.StartsInFlight--
-			if status != 200 && status != 409 {
-				// It may arrive at any later time while session and token match.
-				attempt.StartUnanswered = true
-				machine.Delivery.Pinned[attempt.ID()] = true
+			if status == 200 || status == 409 {
+				attempt.EndDirectStart()
+				continue
 			}
+			attempt.LoseDirectStart()
+			machine.Delivery.Pinned[attempt.ID()] = true
 		}
 		if status != 200 && status != 409 {
 			machine.Agent.UnseenAnswers = max(machine.Agent.UnseenAnswers, 1)
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -54,7 +54,7 @@
 // undelivered says whether a start of an attempt may be on its way, or will be ordered
 // again. One that a predecessor recorded is never started by this leader.
 func (s *storedState) undelivered(attempt *cluster.Attempt) bool {
-	if !attempt.StartSent || attempt.StartsInFlight > 0 || attempt.StartUnanswered || attempt.StartInResponse && !s.answered {
+	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.answered {
 		return true
 	}
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
@@ -111,10 +111,7 @@
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
-	attempt.ReportedState = state
-	attempt.StartSent = true
-	if state == protocol.TaskRunning && attempt.RunningSince.IsZero() {
-		attempt.RunningSince = l.n.now
+	if attempt.ObserveState(state, l.n.now) {
 		l.n.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
 	}
 }
@@ -136,7 +133,7 @@
 	attempt := machine.Attempts[key]
 	if attempt == nil {
 		attempt = l.cluster.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
-		attempt.Committed, attempt.StartSent, attempt.Recovered, attempt.Orphaned = true, true, true, true
+		attempt.MarkOrphaned()
 	}
 	l.shows(attempt, entry.State)
 	l.skipAttempts(job, key)
@@ -166,10 +163,10 @@
 	if attempt == nil {
 		return
 	}
-	if attempt.StartUnanswered || attempt.StartsInFlight > 0 {
+	if attempt.StartMayArrive() {
 		machine.Delivery.Pinned[key] = true
 	}
-	attempt.ReportedState = protocol.TaskExited
+	attempt.ObserveExit()
 	l.lifecycle.HandleExit(attempt, entry)
 	l.lifecycle.RemoveGone(attempt)
 }
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -110,7 +110,7 @@
 	spec.Tasks = 3
 	h.cluster.AddJob(spec)
 	h.RunCycle()
-	first.Finished = true
+	first.Finish()
 	delete(h.cluster.Jobs, first.ID)
 	h.RunCycle()
 	checkStopping(t, other, 0)
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -186,9 +186,8 @@
 		jt := &job.Tasks[t.Index]
 		jt.LastAttempt = max(jt.LastAttempt, t.Attempt)
 		job.EverPlaced = true
-		if t.Done && !jt.Done {
-			jt.Done = true
-			job.DoneTasks++
+		if t.Done {
+			job.CompleteTask(t.Index)
 		}
 		if t.Machine == "" || t.Done {
 			continue
@@ -199,7 +198,7 @@
 			continue
 		}
 		attempt := l.cluster.AddAttempt(job, t.Index, t.Attempt, machine, t.Incarnation)
-		attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
+		attempt.MarkRecovered()
 		l.activate(job, jt, attempt)
 		machine.UseImage(job.Spec, nil)
 		machine.Agent.Incarnation = max(machine.Agent.Incarnation, t.Incarnation)
@@ -215,7 +214,7 @@
 	}
 	task.Active = attempt
 	if older != nil {
-		older.Orphaned = true
+		older.MarkOrphaned()
 		l.logOnce("record places a task twice", string(job.ID), "job", job.ID, "task", attempt.Key.Index)
 	}
 }
