--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -90,7 +90,7 @@
 		"internal/config",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/cluster", "internal/coordination/clustertest"}},
 
 	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -13,7 +13,7 @@
 // machine to boot. So for every zone the others together keep what its replicas would
 // need there: free capacity, or that of work of lower priority, which leaves at once.
 // Only one zone is lost at a time. The reserve is what it takes beyond the capacity that
-// is there anyway: idle machines that are not returned, and machines that are rented.
+// is there anyway: idle machines that are not scaled in, and machines that are asked for.
 
 // zoneReservePlan works the reserve out.
 type zoneReservePlan struct {
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -8,27 +8,27 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// HeardRecently says whether a report of the worker came lately.
+// HeardRecently says whether a heartbeat of the agent came lately.
 func (st *State) HeardRecently(machine *Machine) bool {
 	return machine.Agent.Heard && !machine.Agent.LeaseExpired && st.Now().Sub(machine.Agent.LastHeartbeat) < st.SilenceTimeout()
 }
 
-// ConfirmedAlive says whether the worker is surely there: it has shown this leader's
-// token lately. What has not may be a late duplicate of an old report.
+// ConfirmedAlive says whether the agent is surely there: it has shown this leader's
+// token lately. What has not may be a late duplicate of an old heartbeat.
 func (st *State) ConfirmedAlive(machine *Machine) bool {
 	return machine.Agent.TokenConfirmed && st.HeardRecently(machine)
 }
 
-// NotReceiving says whether reports of a worker come, but answers and orders do not
-// reach it: what an answer told it does not show in its next report, or its
-// lease ran out though it was answered. Its lease runs out again and again, so
-// it takes no work; if it does not answer a call either, it is returned.
+// NotReceiving says whether heartbeats of an agent come, but responses and commands do not
+// reach it: what a response told it does not show in its next heartbeat, or its
+// lease expired though it was answered. Its lease expires again and again, so
+// it takes no work; if it does not answer a call either, the machine is deleted.
 func (st *State) NotReceiving(machine *Machine) bool {
 	return machine.Agent.UnseenAnswers >= tuning.MaxIneffectiveResponses
 }
 
-// NotReporting says whether a worker answers calls while no report of it comes, so that
-// its lease is about to run out, or does so again and again: it takes no work.
+// NotReporting says whether an agent answers calls while no heartbeat of it comes, so that
+// its lease is about to expire, or does so again and again: it takes no work.
 func (st *State) NotReporting(machine *Machine) bool {
 	from := st.LeadingSince
 	if machine.Agent.AnsweredAt.After(from) {
@@ -37,43 +37,67 @@
 	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Workers.LeaseS/2)
 }
 
-// SilenceTimeout is how long a worker may be silent before it is probed.
+// SilenceTimeout is how long an agent may be silent before it is probed.
 func (st *State) SilenceTimeout() time.Duration {
 	return max(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.SilenceIntervals), tuning.MinSilenceTimeout)
 }
 
+// silenceCount counts the machines of a zone, or of all, and how many of them are silent.
+type silenceCount struct{ silent, total int }
+
+// add counts a machine.
+func (c *silenceCount) add(silent bool) {
+	c.total++
+	if silent {
+		c.silent++
+	}
+}
+
+// exceeds says whether more than a share of the machines, and more than two, are silent.
+func (c *silenceCount) exceeds(share float64) bool {
+	return c.silent > 2 && float64(c.silent) > share*float64(c.total)
+}
+
 // SuspectedZones are those in which the network is suspected, not the machines:
 // half of a zone's machines are silent at once, or a third of all. Machines
-// behind a cut are back when it ends, with their images; what is rented in
-// their place boots, perhaps behind the same cut. heard are the zones most of whose
-// machines report as ever.
+// behind a partition are back when it ends, with their images; others in
+// their place would have to boot, perhaps behind the same partition. heard are the zones
+// most of whose machines send heartbeats as ever.
 func (st *State) SuspectedZones(silence time.Duration) (suspected, heard map[protocol.ZoneName]bool) {
-	type count struct{ silent, total int }
-	zones := map[protocol.ZoneName]count{}
-	var all count
+	var all silenceCount
+	zones := map[protocol.ZoneName]silenceCount{}
 	for _, machine := range st.OrderedMachines {
 		if !machine.Agent.Heard && machine.Agent.Incarnation == 0 {
 			continue
 		}
-		z := zones[machine.Zone]
-		z.total++
-		all.total++
-		if st.NotReceiving(machine) || (machine.Agent.LeaseExpired || !machine.Agent.Heard || st.Now().Sub(machine.Agent.LastHeartbeat) > silence) && st.Now().Sub(st.LeadingSince) > st.SilenceTimeout() {
-			z.silent++
-			all.silent++
-		}
-		zones[machine.Zone] = z
+		silent := st.isSilent(machine, silence)
+		all.add(silent)
+		zone := zones[machine.Zone]
+		zone.add(silent)
+		zones[machine.Zone] = zone
 	}
-	many := func(c count, share float64) bool { return c.silent > 2 && float64(c.silent) > share*float64(c.total) }
 	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
-	for name, z := range zones {
-		suspected[name] = many(z, tuning.MaxZoneSilentShare) || many(all, tuning.MaxSilentShare)
-		heard[name] = z.total > 0 && float64(z.silent) < tuning.MaxHeardZoneSilentShare*float64(z.total)
+	for name, zone := range zones {
+		suspected[name] = zone.exceeds(tuning.MaxZoneSilentShare) || all.exceeds(tuning.MaxSilentShare)
+		heard[name] = zone.total > 0 && float64(zone.silent) < tuning.MaxHeardZoneSilentShare*float64(zone.total)
 	}
 	return suspected, heard
 }
 
-// Outwaited says whether a machine behind a suspected cut has been gone for so
+// isSilent says whether a machine is out of reach: it does not receive, or was silent for
+// so long. Soon after a takeover an agent may simply have yet to find this leader.
+func (st *State) isSilent(machine *Machine, silence time.Duration) bool {
+	if st.NotReceiving(machine) {
+		return true
+	}
+	agent := &machine.Agent
+	if st.Now().Sub(st.LeadingSince) <= st.SilenceTimeout() {
+		return false
+	}
+	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silence
+}
+
+// Outwaited says whether a machine behind a suspected partition has been gone for so
 // long after its lease that another would have booted.
 func (st *State) Outwaited(machine *Machine) bool {
 	machineType := st.TypeOf(machine)
--- a/internal/coordination/cluster/machine_record.go
+++ b/internal/coordination/cluster/machine_record.go
@@ -6,8 +6,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// MachineRecord is the stored record that several machines of a zone share: a mass rental
-// or a mass return costs a change or two, not one for every machine.
+// MachineRecord is the stored record that several machines of a zone share: scaling out or
+// in by many machines costs a change or two, not one for every machine.
 type MachineRecord struct {
 	Key      string
 	Zone     protocol.ZoneName
--- a/internal/coordination/cluster/quota.go
+++ b/internal/coordination/cluster/quota.go
@@ -10,6 +10,20 @@
 	UsedCPUs, UsedGPUs             float64 // by every task that may be on a machine
 }
 
+// Guarantees says whether an amount fits into the guarantee; nothing does if there is none.
+func (q *Quota) Guarantees(amount Resources) bool {
+	if q.GuaranteedCPUs <= 0 && q.GuaranteedGPUs <= 0 {
+		return false
+	}
+	return (q.GuaranteedCPUs == 0 || amount.CPUs <= q.GuaranteedCPUs+AmountTolerance) &&
+		(q.GuaranteedGPUs == 0 || amount.GPUs <= q.GuaranteedGPUs+AmountTolerance)
+}
+
+// ExceedsGuarantee says whether a team uses more than its guarantee.
+func (q *Quota) ExceedsGuarantee() bool {
+	return q.UsedGPUs > q.GuaranteedGPUs+AmountTolerance || q.GuaranteedGPUs == 0 && q.UsedCPUs > q.GuaranteedCPUs+AmountTolerance
+}
+
 // TasksWithinLimit is how many more tasks of the job its team's limit allows.
 func (st *State) TasksWithinLimit(job *Job) int {
 	quota := st.Quotas[job.Spec.Team]
@@ -25,8 +39,3 @@
 	}
 	return max(0, n)
 }
-
-// ExceedsGuarantee says whether a team uses more than its guarantee.
-func (t *Quota) ExceedsGuarantee() bool {
-	return t.UsedGPUs > t.GuaranteedGPUs+AmountTolerance || t.GuaranteedGPUs == 0 && t.UsedCPUs > t.GuaranteedCPUs+AmountTolerance
-}
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -8,25 +8,26 @@
 
 // RecordLayout says which of a job's stored records holds which tasks. Every record has a
 // fixed number of tasks; one that has outgrown the store's limits is split, as a node of
-// a B-tree is: what it gives away is in a further record, a part, which names its tasks.
+// a B-tree is: what it gives away is in a further record, an extra part, which names its
+// tasks.
 type RecordLayout struct {
 	TasksPerRecord int
 	Revisions      []protocol.Revision // of every record, the first is the job's own
 	Moved          map[int]int         // tasks that are not in the record that their index says
-	ExtraParts     [][]int             // the tasks of the parts
-	// UnnamedParts are parts that the job's own record does not name yet, and the records
+	ExtraParts     [][]int             // the tasks of the extra parts
+	// UnnamedParts are extra parts that the job's own record does not name yet, and the records
 	// that they were split from; Staged are those of them that are written as they
 	// should be.
 	UnnamedParts map[int]int
 	Staged       map[int]bool
-	// Abandoned are parts that a predecessor staged and never named, with their revisions.
+	// Abandoned are extra parts that a predecessor staged and never named, with their revisions.
 	Abandoned   map[int]protocol.Revision
 	Splitting   bool // the split takes several transactions: nothing is placed meanwhile
 	Quarantined bool // a record cannot be read, or cannot be brought under the limits
 	SpecSize    int  // of the specification in the first record
 }
 
-// BaseRecords is the number of records that the chunk says.
+// BaseRecords is the number of records without the extra parts.
 func (j *Job) BaseRecords() int { return len(j.Records.Revisions) - len(j.Records.ExtraParts) }
 
 // RecordOf is the record that a task is in.
@@ -42,17 +43,18 @@
 	if r >= j.BaseRecords() {
 		return j.Records.ExtraParts[r-j.BaseRecords()]
 	}
-	list := make([]int, 0, j.Records.TasksPerRecord)
-	for i := r * j.Records.TasksPerRecord; i < min((r+1)*j.Records.TasksPerRecord, len(j.Tasks)); i++ {
-		if len(j.Records.Moved) > 0 && j.RecordOf(i) != r {
+	tasks := make([]int, 0, j.Records.TasksPerRecord)
+	end := min((r+1)*j.Records.TasksPerRecord, len(j.Tasks))
+	for index := r * j.Records.TasksPerRecord; index < end; index++ {
+		if len(j.Records.Moved) > 0 && j.RecordOf(index) != r {
 			continue
 		}
-		list = append(list, i)
+		tasks = append(tasks, index)
 	}
-	return list
+	return tasks
 }
 
-// MoveTask puts a task into a further record.
+// MoveTask puts a task into an extra part.
 func (j *Job) MoveTask(index, r int) {
 	if old, ok := j.Records.Moved[index]; ok {
 		if old == r {
@@ -70,7 +72,7 @@
 	*list = slices.Insert(*list, at, index)
 }
 
-// SplitRecord gives half of a record's tasks to a new one.
+// SplitRecord gives half of a record's tasks to a new extra part, whose number it returns.
 func (j *Job) SplitRecord(r int) (part int) {
 	list := slices.Clone(j.TasksOf(r))
 	part = len(j.Records.Revisions)
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -54,7 +54,7 @@
 
 // CapacityOf is what a machine of a type has.
 func CapacityOf(machineType *protocol.MachineType) Resources {
-	return Resources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
 // TrueFirst compares two Booleans for a sort that puts true first.
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -34,31 +34,64 @@
 
 // NewState makes the model of a cluster of which nothing is known yet.
 func NewState(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, now func() time.Time) *State {
-	s := &State{Config: cfg, Types: types, Now: now, LeadingSince: now(),
-		Jobs: map[protocol.JobID]*Job{}, Machines: map[protocol.MachineID]*Machine{}, Quotas: map[protocol.TeamName]*Quota{}}
-	for _, t := range cfg.Cluster.Teams {
-		s.Quotas[t.Name] = &Quota{GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs, LimitCPUs: t.MaxCPUs, LimitGPUs: t.MaxGPUs}
+	st := &State{
+		Config: cfg, Types: types, Now: now, LeadingSince: now(),
+		Jobs:     map[protocol.JobID]*Job{},
+		Machines: map[protocol.MachineID]*Machine{},
+		Quotas:   map[protocol.TeamName]*Quota{},
 	}
-	return s
+	for _, team := range cfg.Cluster.Teams {
+		st.Quotas[team.Name] = &Quota{GuaranteedCPUs: team.CPUs, GuaranteedGPUs: team.GPUs, LimitCPUs: team.MaxCPUs, LimitGPUs: team.MaxGPUs}
+	}
+	return st
 }
 
 // AddAttempt enters an attempt into every account.
-func (st *State) AddAttempt(job *Job, index int, attempt protocol.AttemptNumber, machine *Machine, incarnation protocol.Incarnation) *Attempt {
-	c := &Attempt{Job: job, Key: AttemptKey{index, attempt, machine.ID}, Machine: machine, Incarnation: incarnation}
-	c.Slots = machine.Slots.Carve(TaskSlots(job.Spec))
-	job.Attempts[c.Key] = c
+func (st *State) AddAttempt(job *Job, index int, number protocol.AttemptNumber, machine *Machine, incarnation protocol.Incarnation) *Attempt {
+	attempt := &Attempt{
+		Job: job, Machine: machine, Incarnation: incarnation,
+		Key:   AttemptKey{Index: index, Number: number, Machine: machine.ID},
+		Slots: machine.Slots.Carve(TaskSlots(job.Spec)),
+	}
+	job.Attempts[attempt.Key] = attempt
 	job.Tasks[index].LiveAttempts++
-	machine.Attempts[AttemptID{job.ID, index, attempt}] = c
+	machine.Attempts[attempt.ID()] = attempt
 	machine.account(job.Spec, 1)
 	if quota := st.Quotas[job.Spec.Team]; quota != nil {
 		quota.UsedCPUs += job.Spec.CPUs
 		quota.UsedGPUs += job.Spec.GPUs
 	}
-	return c
+	return attempt
+}
+
+// RemoveAttempt takes an attempt out of every account; false if it is out already.
+func (st *State) RemoveAttempt(attempt *Attempt) bool {
+	job, machine := attempt.Job, attempt.Machine
+	if job.Attempts[attempt.Key] != attempt {
+		return false
+	}
+	delete(job.Attempts, attempt.Key)
+	delete(machine.Attempts, attempt.ID())
+	machine.Slots.Release(attempt.Slots)
+	machine.account(job.Spec, -1)
+	if len(machine.Attempts) == 0 {
+		machine.IdleSince = st.Now()
+	}
+	if quota := st.Quotas[job.Spec.Team]; quota != nil {
+		quota.UsedCPUs -= job.Spec.CPUs
+		quota.UsedGPUs -= job.Spec.GPUs
+	}
+	task := &job.Tasks[attempt.Key.Index]
+	task.LiveAttempts--
+	if task.Active == attempt {
+		task.Active = nil
+		job.Queue.WaitingSince = st.Now()
+	}
+	return true
 }
 
 // StartDeadlines lists the moments by which an array must start to meet its own
-// deadline and the aims that the settings give for its class, the next first.
+// deadline and the objectives that the settings give for its class, the next first.
 func (st *State) StartDeadlines(job *Job) []time.Time {
 	spec := job.Spec
 	if spec.Gang() {
@@ -93,8 +126,7 @@
 func (st *State) EnsureMachine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *Machine {
 	machine := st.Machines[id]
 	if machine == nil {
-		machine = &Machine{ID: id, Attempts: map[AttemptID]*Attempt{}, Delivery: CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}}, FailedJobs: map[protocol.JobID]bool{},
-			IdleSince: st.Now(), CreatedAt: st.Now(), Slots: buddy.New(0)}
+		machine = newMachine(id, st.Now())
 		st.Machines[id] = machine
 		st.enroll(machine)
 	}
@@ -104,7 +136,20 @@
 	return machine
 }
 
-// enroll adds a machine to the roster, which is never changed in place. Machines are
+// newMachine is a machine of which only the name is known.
+func newMachine(id protocol.MachineID, now time.Time) *Machine {
+	return &Machine{
+		ID:         id,
+		Attempts:   map[AttemptID]*Attempt{},
+		Delivery:   CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}},
+		FailedJobs: map[protocol.JobID]bool{},
+		IdleSince:  now,
+		CreatedAt:  now,
+		Slots:      buddy.New(0),
+	}
+}
+
+// enroll adds a machine to OrderedMachines, which is never changed in place. Machines are
 // named in the order of their creation, so that most come last.
 func (st *State) enroll(machine *Machine) {
 	at, _ := slices.BinarySearchFunc(st.OrderedMachines, machine, compareMachineIDs)
@@ -142,13 +187,17 @@
 	return fetch
 }
 
-// FreeResources is the machine's free room.
+// FreeResources is the machine's free capacity.
 func (st *State) FreeResources(machine *Machine) Resources {
 	machineType := st.TypeOf(machine)
 	if machineType == nil {
 		return Resources{}
 	}
-	return Resources{machineType.CPUs - machine.Used.CPUs, machineType.GPUs - machine.Used.GPUs, machineType.MemoryGB - machine.Used.MemoryGB}
+	return Resources{
+		CPUs:     machineType.CPUs - machine.Used.CPUs,
+		GPUs:     machineType.GPUs - machine.Used.GPUs,
+		MemoryGB: machineType.MemoryGB - machine.Used.MemoryGB,
+	}
 }
 
 // PriceOf is a machine's price per hour.
@@ -163,29 +212,3 @@
 		return machineType.Price
 	}
 }
-
-// RemoveAttempt takes an attempt out of every account; false if it is out already.
-func (st *State) RemoveAttempt(attempt *Attempt) bool {
-	job, machine := attempt.Job, attempt.Machine
-	if job.Attempts[attempt.Key] != attempt {
-		return false
-	}
-	delete(job.Attempts, attempt.Key)
-	delete(machine.Attempts, attempt.ID())
-	machine.Slots.Release(attempt.Slots)
-	machine.account(job.Spec, -1)
-	if len(machine.Attempts) == 0 {
-		machine.IdleSince = st.Now()
-	}
-	if quota := st.Quotas[job.Spec.Team]; quota != nil {
-		quota.UsedCPUs -= job.Spec.CPUs
-		quota.UsedGPUs -= job.Spec.GPUs
-	}
-	task := &job.Tasks[attempt.Key.Index]
-	task.LiveAttempts--
-	if task.Active == attempt {
-		task.Active = nil
-		job.Queue.WaitingSince = st.Now()
-	}
-	return true
-}
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -15,25 +15,20 @@
 	slices.SortFunc(byArrival, func(a, b *cluster.Job) int {
 		return cmp.Or(cmp.Compare(a.ArrivalOrder, b.ArrivalOrder), cmp.Compare(a.ID, b.ID))
 	})
-	type sum struct{ cpus, gpus float64 }
-	used := map[protocol.TeamName]sum{}
+	used := map[protocol.TeamName]cluster.Resources{}
 	for _, job := range byArrival {
 		quota := sc.state.Quotas[job.Spec.Team]
 		if quota == nil || job.Cancelled {
 			continue
 		}
-		n := float64(len(job.Tasks) - job.DoneTasks)
-		u := used[job.Spec.Team]
-		u.cpus += job.Spec.CPUs * n
-		u.gpus += job.Spec.GPUs * n
-		used[job.Spec.Team] = u
-		some := quota.GuaranteedCPUs > 0 || quota.GuaranteedGPUs > 0
-		job.Queue.WithinGuarantee = some && (quota.GuaranteedCPUs == 0 || u.cpus <= quota.GuaranteedCPUs+cluster.AmountTolerance) &&
-			(quota.GuaranteedGPUs == 0 || u.gpus <= quota.GuaranteedGPUs+cluster.AmountTolerance)
+		sum := used[job.Spec.Team]
+		sum.AddTasks(job.Spec, len(job.Tasks)-job.DoneTasks)
+		used[job.Spec.Team] = sum
+		job.Queue.WithinGuarantee = quota.Guarantees(sum)
 	}
 }
 
-// markReclaimers tells the jobs that other teams' work must yield to: those that were
+// markReclaimers tells the jobs that other teams' work may be preempted for: those that were
 // within their team's guarantee when they came, and all of a team whose whole
 // backlog is. A job that only comes within it while others of its team wait
 // behind takes its turn: else the teams of an overloaded deployment would
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -4,7 +4,8 @@
 // work of lower priority is preempted and capacity reserved.
 //
 // It works on the cluster model alone and is deterministic. It stores nothing, sends
-// nothing and rents nothing: what follows from its decisions is up to its Environment.
+// nothing and asks the cloud for nothing: what follows from its decisions is up to its
+// Environment.
 package scheduler
 
 import (
@@ -44,7 +45,7 @@
 
 	examined int // machines examined in the last cycle
 	waiting  int // jobs that waited for machines after the last cycle
-	// LostMachineAt is when a machine of a zone was last given up as silent.
+	// machineLostAt is when a machine of a zone was last given up as silent.
 	machineLostAt map[protocol.ZoneName]time.Time
 }
 
@@ -59,6 +60,11 @@
 // Waiting is how many jobs waited for machines after the last cycle.
 func (sc *Scheduler) Waiting() int { return sc.waiting }
 
+// MachineLost notes that a machine was given up as silent.
+func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
+	sc.machineLostAt[machine.Zone] = sc.state.Now()
+}
+
 // assign plans a task onto a machine. Its start leaves once that is committed.
 func (sc *Scheduler) assign(job *cluster.Job, index int, number protocol.AttemptNumber, machine *cluster.Machine) {
 	task := &job.Tasks[index]
@@ -70,8 +76,3 @@
 	}
 	sc.env.TaskPlaced(attempt)
 }
-
-// MachineLost notes that a machine was given up as silent.
-func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
-	sc.machineLostAt[machine.Zone] = sc.state.Now()
-}
