--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -50,7 +50,7 @@
 	lastSubmission, lastNonSpotSubmission time.Time
 
 	machinesPerZone map[protocol.ZoneName]int // at the last scale-out
-	requests        []*rentalRequest          // under way
+	requests        []*machineRequest         // under way
 	unavailable     map[Offer]time.Time       // offers that the cloud had no capacity for, and until when they rest
 	// zoneReserve are the idle machines that the replicas of a zone would need if it were lost.
 	zoneReserve map[*cluster.Machine]bool
--- a/internal/coordination/autoscaler/harness_test.go
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -40,7 +40,7 @@
 // requested counts the machines that the cloud was asked for, by offer.
 func (h *harness) requested() map[Offer]int {
 	count := map[Offer]int{}
-	for _, call := range h.cloud.rentals {
+	for _, call := range h.cloud.creations {
 		count[Offer{TypeName: call.request.Type, Zone: call.request.Zone, Spot: call.request.Spot}] += call.request.Count
 	}
 	return count
@@ -48,14 +48,14 @@
 
 // cloud is a cloud whose calls the test answers.
 type cloud struct {
-	rentals   []rentCall
+	creations []createCall
 	deletions []deleteCall
 	lists     []listCall
 }
 
-type rentCall struct {
+type createCall struct {
 	request protocol.Rental
-	done    func(RentResult)
+	done    func(CreateResult)
 }
 
 type deleteCall struct {
@@ -68,9 +68,9 @@
 	done  func(page *protocol.MachineList)
 }
 
-// RentMachines implements Cloud.
-func (c *cloud) RentMachines(request protocol.Rental, done func(RentResult)) {
-	c.rentals = append(c.rentals, rentCall{request: request, done: done})
+// CreateMachines implements Cloud.
+func (c *cloud) CreateMachines(request protocol.Rental, done func(CreateResult)) {
+	c.creations = append(c.creations, createCall{request: request, done: done})
 }
 
 // DeleteMachines implements Cloud.
--- a/internal/coordination/autoscaler/rental.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// rentalRequest is a request for machines under way.
-type rentalRequest struct {
+// machineRequest is a request for machines under way.
+type machineRequest struct {
 	offer Offer
 	body  protocol.Rental
 	tries int
@@ -30,7 +30,7 @@
 
 // RequestMachines asks the cloud for machines.
 func (as *Autoscaler) RequestMachines(offer Offer, count int) {
-	request := &rentalRequest{
+	request := &machineRequest{
 		offer: offer,
 		body: protocol.Rental{
 			Request: as.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
@@ -43,33 +43,33 @@
 
 // send sends a request. One whose answer is lost is sent again under the same name: the
 // cloud then gives the same machines.
-func (as *Autoscaler) send(request *rentalRequest) {
+func (as *Autoscaler) send(request *machineRequest) {
 	request.tries++
-	as.cloud.RentMachines(request.body, func(result RentResult) { as.handleRentResult(request, result) })
+	as.cloud.CreateMachines(request.body, func(result CreateResult) { as.handleCreateResult(request, result) })
 }
 
-// handleRentResult takes the answer to a request.
-func (as *Autoscaler) handleRentResult(request *rentalRequest, result RentResult) {
+// handleCreateResult takes the answer to a request.
+func (as *Autoscaler) handleCreateResult(request *machineRequest, result CreateResult) {
 	switch result.Outcome {
-	case Rented:
-		as.enterRented(request, result.Machines)
+	case Created:
+		as.enterCreated(request, result.Machines)
 	case NoCapacity:
 		as.restOffer(request.offer)
-	case RentFailed:
+	case CreateUnclear:
 		if request.tries < tuning.MaxRentalAttempts {
 			as.env.After(time.Second, func() { as.send(request) })
 			return
 		}
 		as.log.Error("scale out failed", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
-	case RentRejected:
+	case CreateRejected:
 		as.log.Error("scale out rejected", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
 	}
-	as.requests = slices.DeleteFunc(as.requests, func(other *rentalRequest) bool { return other == request })
+	as.requests = slices.DeleteFunc(as.requests, func(other *machineRequest) bool { return other == request })
 	as.env.RequestScheduling()
 }
 
-// enterRented enters the machines that the cloud has given.
-func (as *Autoscaler) enterRented(request *rentalRequest, machines []protocol.MachineID) {
+// enterCreated enters the machines that the cloud has given.
+func (as *Autoscaler) enterCreated(request *machineRequest, machines []protocol.MachineID) {
 	for _, id := range machines {
 		if as.Deleted(id) || id == "" {
 			continue
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -38,7 +38,7 @@
 func checkRequested(t *testing.T, h *harness, want map[Offer]int) {
 	t.Helper()
 	got := h.requested()
-	if len(h.cloud.rentals) != len(want) || len(got) != len(want) {
+	if len(h.cloud.creations) != len(want) || len(got) != len(want) {
 		t.Errorf("requested %v, want %v", got, want)
 	}
 	for offer, count := range want {
@@ -77,8 +77,8 @@
 				t.Errorf("placed %v", placed)
 			}
 			h.Tick()
-			if len(h.cloud.rentals) != c.requests {
-				t.Errorf("%d requests for machines, want %d", len(h.cloud.rentals), c.requests)
+			if len(h.cloud.creations) != c.requests {
+				t.Errorf("%d requests for machines, want %d", len(h.cloud.creations), c.requests)
 			}
 		})
 	}
@@ -91,15 +91,15 @@
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
 	h.Tick()
-	h.cloud.rentals[0].done(RentResult{Outcome: RentFailed})
+	h.cloud.creations[0].done(CreateResult{Outcome: CreateUnclear})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
 	h.environment.runTimers()
-	if len(h.cloud.rentals) != 2 || h.cloud.rentals[0].request != h.cloud.rentals[1].request {
-		t.Fatalf("requests %+v", h.cloud.rentals)
+	if len(h.cloud.creations) != 2 || h.cloud.creations[0].request != h.cloud.creations[1].request {
+		t.Fatalf("requests %+v", h.cloud.creations)
 	}
-	h.cloud.rentals[1].done(RentResult{Outcome: Rented, Machines: []protocol.MachineID{"i-1"}})
+	h.cloud.creations[1].done(CreateResult{Outcome: Created, Machines: []protocol.MachineID{"i-1"}})
 	if len(h.environment.recorded) != 1 || h.cluster.Machines["i-1"] == nil {
 		t.Errorf("%d machines are recorded", len(h.environment.recorded))
 	}
@@ -112,15 +112,15 @@
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
 	h.Tick()
-	first := h.cloud.rentals[0]
-	first.done(RentResult{Outcome: NoCapacity})
+	first := h.cloud.creations[0]
+	first.done(CreateResult{Outcome: NoCapacity})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
-	if len(h.cloud.rentals) != 2 || h.cloud.rentals[1].request.Zone == first.request.Zone {
-		t.Errorf("requests %+v", h.cloud.rentals)
+	if len(h.cloud.creations) != 2 || h.cloud.creations[1].request.Zone == first.request.Zone {
+		t.Errorf("requests %+v", h.cloud.creations)
 	}
-	h.cloud.rentals[1].done(RentResult{Outcome: RentRejected, Detail: "a test"})
+	h.cloud.creations[1].done(CreateResult{Outcome: CreateRejected, Detail: "a test"})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	if h.schedule(); len(h.Demand) != 1 {
 		t.Errorf("%d jobs wait", len(h.Demand))
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -14,19 +14,19 @@
 // that asked has stepped down is dropped.
 type cloudClient struct{ l *leader }
 
-// RentMachines implements autoscaler.Cloud.
-func (c cloudClient) RentMachines(request protocol.Rental, done func(autoscaler.RentResult)) {
+// CreateMachines implements autoscaler.Cloud.
+func (c cloudClient) CreateMachines(request protocol.Rental, done func(autoscaler.CreateResult)) {
 	c.call(http.MethodPost, protocol.PathMachines, request, func(status int, body []byte) {
 		names, isNames := parse[protocol.MachineNames](body)
 		refusal, _ := parse[protocol.ErrorBody](body)
-		result := autoscaler.RentResult{Detail: fmt.Sprintf("status %d: %s", status, body)}
+		result := autoscaler.CreateResult{Detail: fmt.Sprintf("status %d: %s", status, body)}
 		switch {
 		case status == http.StatusOK && isNames:
-			result.Outcome, result.Machines = autoscaler.Rented, names.Machines
+			result.Outcome, result.Machines = autoscaler.Created, names.Machines
 		case status == http.StatusServiceUnavailable && refusal.Error == protocol.NoCapacity:
 			result.Outcome = autoscaler.NoCapacity
 		case status == http.StatusBadRequest:
-			result.Outcome = autoscaler.RentRejected
+			result.Outcome = autoscaler.CreateRejected
 		}
 		done(result)
 	})
--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -8,7 +8,7 @@
 	cluster *Cluster
 
 	InRecovery    bool                  // what Recovering answers
-	HeldJobs      map[*cluster.Job]bool // jobs that must not start anything
+	Withheld      map[*cluster.Job]bool // jobs that must not start anything
 	AwaitingSplit map[*cluster.Job]bool // gangs with a record to be split first
 
 	Placed    []*cluster.Attempt // places that were decided on, in order
@@ -22,8 +22,8 @@
 // Recovering implements scheduler.Environment.
 func (e *Environment) Recovering() bool { return e.InRecovery }
 
-// Held implements scheduler.Environment.
-func (e *Environment) Held(job *cluster.Job) bool { return e.HeldJobs[job] }
+// StartsWithheld implements scheduler.Environment.
+func (e *Environment) StartsWithheld(job *cluster.Job) bool { return e.Withheld[job] }
 
 // AwaitsRecordSplit implements scheduler.Environment.
 func (e *Environment) AwaitsRecordSplit(job *cluster.Job) bool { return e.AwaitingSplit[job] }
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -188,10 +188,10 @@
 	}
 }
 
-// Held says whether a job must not start anything yet: attempts that no record has may
-// run on workers that have yet to report. Until one of them has shown its token, nobody
+// StartsWithheld implements scheduler.Environment: attempts that no record has may run on
+// machines whose agents have yet to report. Until one of them has shown its token, nobody
 // knows.
-func (l *leader) Held(job *cluster.Job) bool {
+func (l *leader) StartsWithheld(job *cluster.Job) bool {
 	if !job.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -105,13 +105,13 @@
 	}
 }
 
-// TestHeldJobIsNotPlaced: a job that must not start anything yet keeps no place and asks
+// TestJobWhoseStartsAreWithheldIsNotPlaced: a job that must not start anything yet keeps no place and asks
 // for no machine.
-func TestHeldJobIsNotPlaced(t *testing.T) {
+func TestJobWhoseStartsAreWithheldIsNotPlaced(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
 	job := h.cluster.AddJob(clustertest.Gang(1, 1))
-	h.environment.HeldJobs = map[*cluster.Job]bool{job: true}
+	h.environment.Withheld = map[*cluster.Job]bool{job: true}
 	if demand := h.RunCycle(); len(demand) != 0 || len(job.Attempts) != 0 {
 		t.Errorf("%d jobs want machines, %d places", len(demand), len(job.Attempts))
 	}
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -68,5 +68,5 @@
 	case job.Records.Splitting, job.Records.Quarantined:
 		return false
 	}
-	return !sc.state.Now().Before(job.RetryAt) && !sc.env.Held(job)
+	return !sc.state.Now().Before(job.RetryAt) && !sc.env.StartsWithheld(job)
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -21,8 +21,8 @@
 	// Recovering says whether a recovery after a failover lasts, in which agents that the
 	// stored records name have yet to report.
 	Recovering() bool
-	// Held says whether a job must not start anything yet.
-	Held(job *cluster.Job) bool
+	// StartsWithheld says whether a job must not start anything yet.
+	StartsWithheld(job *cluster.Job) bool
 	// AwaitsRecordSplit says whether a gang has a record that must be split before its
 	// places are written, and sees to it.
 	AwaitsRecordSplit(job *cluster.Job) bool
