--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -75,7 +75,7 @@
 // newArrayChoice lists the machines for an array.
 func (sc *Scheduler) newArrayChoice(job *cluster.Job, image imageRequirement) arrayChoice {
 	zones := sc.state.ZoneLimits(job)
-	list := sc.candidates(job, zones.Only)
+	list := sc.currentCycle().candidates(job, zones.Only)
 	if image == imageLocalOnly {
 		list = slices.DeleteFunc(list, func(c candidate) bool { return !c.imageLocal })
 	}
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -23,19 +23,18 @@
 
 // candidates lists the machines that can take tasks of a job, in the machines' order; zone
 // "" stands for all zones.
-func (sc *Scheduler) candidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
+func (c *cycle) candidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
 	var list []candidate
-	cycle := sc.currentCycle()
-	machines := cycle.vacant
+	machines := c.vacant
 	if job.Spec.GPUs == 0 {
-		machines = cycle.schedulable // it may fit beside tasks that have all of a machine's GPUs
+		machines = c.schedulable // it may fit beside tasks that have all of a machine's GPUs
 	}
-	cycle.examined += len(machines)
+	c.examined += len(machines)
 	for _, machine := range machines {
-		if zone != "" && machine.Zone != zone || !sc.state.Suits(job, machine) {
+		if zone != "" && machine.Zone != zone || !c.state.Suits(job, machine) {
 			continue
 		}
-		tasks := sc.state.FreeResources(machine).Fit(job.Spec, len(job.Tasks))
+		tasks := c.state.FreeResources(machine).Fit(job.Spec, len(job.Tasks))
 		if tasks == 0 {
 			continue
 		}
@@ -46,7 +45,7 @@
 			suspected:     len(machine.FailedJobs) > 0,
 			survivor:      job.Survivors[machine.ID],
 			imageLocal:    machine.HasImage(job.Spec.Image),
-			price:         sc.state.PriceOf(machine),
+			price:         c.state.PriceOf(machine),
 		})
 	}
 	return list
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -20,10 +20,10 @@
 	sc.releaseReservations()
 	sc.cycle = sc.newCycle()
 	defer func() { sc.examined, sc.cycle = sc.cycle.examined, nil }()
-	sc.measureGPUNeeds()
+	sc.gpuNeeds.measure(sc.state.Jobs)
 	queue := sc.Queue()
-	sc.markWithinGuarantee(queue)
-	sc.markReclaimers(queue)
+	markWithinGuarantee(queue, sc.state.Quotas)
+	markReclaimers(queue)
 	var demand []Demand
 	for i, job := range queue {
 		if beginsArrays(queue, i) {
@@ -91,6 +91,7 @@
 // cycle is what one cycle knows of all machines. What every job would have to look up in
 // the whole fleet is looked up once; what no search can find is not searched for.
 type cycle struct {
+	state        *cluster.State
 	schedulable  []*cluster.Machine // machines that take tasks
 	vacant       []*cluster.Machine // those of them that can take a task with GPUs, if they have any
 	examined     int                // machines examined so far
@@ -104,7 +105,7 @@
 // newCycle examines every machine.
 func (sc *Scheduler) newCycle() *cycle {
 	machines := sc.state.OrderedMachines
-	c := &cycle{examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
+	c := &cycle{state: sc.state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
 	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -10,14 +10,14 @@
 
 // markWithinGuarantee tells the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
-func (sc *Scheduler) markWithinGuarantee(queue []*cluster.Job) {
+func markWithinGuarantee(queue []*cluster.Job, quotas map[protocol.TeamName]*cluster.Quota) {
 	byArrival := slices.Clone(queue)
 	slices.SortFunc(byArrival, func(a, b *cluster.Job) int {
 		return cmp.Or(cmp.Compare(a.ArrivalOrder, b.ArrivalOrder), cmp.Compare(a.ID, b.ID))
 	})
 	used := map[protocol.TeamName]cluster.Resources{}
 	for _, job := range byArrival {
-		quota := sc.state.Quotas[job.Spec.Team]
+		quota := quotas[job.Spec.Team]
 		if quota == nil || job.Cancelled {
 			continue
 		}
@@ -33,7 +33,7 @@
 // backlog is. A job that only comes within it while others of its team wait
 // behind takes its turn: else the teams of an overloaded deployment would
 // take the same machines from each other again and again.
-func (sc *Scheduler) markReclaimers(queue []*cluster.Job) {
+func markReclaimers(queue []*cluster.Job) {
 	over := map[protocol.TeamName]bool{}
 	for _, job := range queue {
 		if !job.Cancelled && !job.Queue.WithinGuarantee {
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -18,7 +18,8 @@
 	if sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.env.AwaitsRecordSplit(job) {
 		return false
 	}
-	places := sc.smallestDomain(job)
+	search := gangSearch{cycle: sc.currentCycle(), job: job}
+	places := search.smallestDomain()
 	if places == nil {
 		return false
 	}
@@ -33,49 +34,56 @@
 	return true
 }
 
-// smallestDomain finds machines for a whole gang within the smallest domain that holds it;
+// gangSearch looks for a place for a whole gang.
+type gangSearch struct {
+	cycle *cycle
+	job   *cluster.Job
+}
+
+// smallestDomain finds machines for the gang within the smallest domain that holds it;
 // nil if none does.
-func (sc *Scheduler) smallestDomain(job *cluster.Job) []candidate {
-	zones := sc.state.ZoneLimits(job)
+func (g gangSearch) smallestDomain() []candidate {
+	job := g.job
+	zones := g.cycle.state.ZoneLimits(job)
 	if !job.Spec.Spread || len(job.Tasks) == 1 {
-		if place := sc.placeOnMachine(job, zones.Only); place != nil {
+		if place := g.placeOnMachine(zones.Only); place != nil {
 			return place
 		}
-		if places := sc.placeInZone(job, zones.Only); places != nil {
+		if places := g.placeInZone(zones.Only); places != nil {
 			return places
 		}
 	}
 	if job.Spec.OneZone || job.Spec.Zone != "" {
 		return nil
 	}
-	return sc.placeInRegion(job, zones)
+	return g.placeInRegion(zones)
 }
 
-// placeOnMachine finds one machine for a whole gang, if possible one with an aligned block
+// placeOnMachine finds one machine for the gang, if possible one with an aligned block
 // of the gang's order.
-func (sc *Scheduler) placeOnMachine(job *cluster.Job, zone protocol.ZoneName) []candidate {
-	order := buddy.Order(len(job.Tasks) * cluster.TaskSlots(job.Spec))
+func (g gangSearch) placeOnMachine(zone protocol.ZoneName) []candidate {
+	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
 	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
-	if place := sc.bestMachine(job, zone, aligned); place != nil {
+	if place := g.bestMachine(zone, aligned); place != nil {
 		return place
 	}
-	return sc.bestMachine(job, zone, func(*cluster.Machine) bool { return true })
+	return g.bestMachine(zone, func(*cluster.Machine) bool { return true })
 }
 
-// bestMachine finds the best of the machines that hold a whole gang and that suit.
-func (sc *Scheduler) bestMachine(job *cluster.Job, zone protocol.ZoneName, suits func(*cluster.Machine) bool) []candidate {
-	list := sc.candidates(job, zone)
+// bestMachine finds the best of the machines that hold the gang and that suit.
+func (g gangSearch) bestMachine(zone protocol.ZoneName, suits func(*cluster.Machine) bool) []candidate {
+	list := g.cycle.candidates(g.job, zone)
 	var best *candidate
 	for i := range list {
 		c := &list[i]
-		if c.tasks >= len(job.Tasks) && suits(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
+		if c.tasks >= len(g.job.Tasks) && suits(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
 			best = c
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	best.tasks = len(job.Tasks)
+	best.tasks = len(g.job.Tasks)
 	return []candidate{*best}
 }
 
@@ -92,18 +100,18 @@
 // placeInZone finds the zone with a free block of the gang's order and the least
 // residual capacity; without one, the zone that holds the gang as a union of smaller
 // blocks.
-func (sc *Scheduler) placeInZone(job *cluster.Job, only protocol.ZoneName) []candidate {
+func (g gangSearch) placeInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
-	for _, zone := range sc.state.Config.Cluster.Zones {
+	for _, zone := range g.cycle.state.Config.Cluster.Zones {
 		if only != "" && zone != only {
 			continue
 		}
-		list := sc.candidates(job, zone)
+		list := g.cycle.candidates(g.job, zone)
 		fits := countTasks(list)
-		if fits < len(job.Tasks) {
+		if fits < len(g.job.Tasks) {
 			continue
 		}
-		placement := newZonePlacement(list, fits, len(job.Tasks))
+		placement := newZonePlacement(list, fits, len(g.job.Tasks))
 		if best.places == nil || comparePlacements(placement, best) < 0 {
 			best = placement
 		}
@@ -136,20 +144,20 @@
 		cmp.Compare(a.price, b.price))
 }
 
-// placeInRegion spreads a gang over the fewest zones that its limits allow.
-func (sc *Scheduler) placeInRegion(job *cluster.Job, limits cluster.ZoneLimits) []candidate {
+// placeInRegion spreads the gang over the fewest zones that its limits allow.
+func (g gangSearch) placeInRegion(limits cluster.ZoneLimits) []candidate {
 	type zoneCandidates struct {
 		list []candidate
 		fits int
 	}
 	var zones []zoneCandidates
-	for _, zone := range sc.state.Config.Cluster.Zones {
-		list := sc.candidates(job, zone)
+	for _, zone := range g.cycle.state.Config.Cluster.Zones {
+		list := g.cycle.candidates(g.job, zone)
 		zones = append(zones, zoneCandidates{list: list, fits: min(countTasks(list), limits.Remaining[zone])})
 	}
 	slices.SortStableFunc(zones, func(a, b zoneCandidates) int { return cmp.Compare(b.fits, a.fits) })
 	var places []candidate
-	left := len(job.Tasks)
+	left := len(g.job.Tasks)
 	for _, zone := range zones {
 		tasks := min(left, zone.fits)
 		places = append(places, pack(zone.list, tasks)...)
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -9,12 +9,12 @@
 // image had better wait a moment for machines that have it, which work of lower
 // priority can leave sooner than the image would arrive. That work is preempted then.
 func (sc *Scheduler) waitsForImageLocalMachines(job *cluster.Job) bool {
-	if sc.preempting(job) {
+	if preempting(job) {
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
 	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
-		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.preemptionIsHopeless(job, len(job.Tasks)) {
+		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.currentCycle().preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
 	if sc.fitsImageLocally(job) {
@@ -32,7 +32,7 @@
 // fitsImageLocally says whether all tasks of a job fit on free machines with its image.
 func (sc *Scheduler) fitsImageLocally(job *cluster.Job) bool {
 	tasks := 0
-	for _, c := range sc.candidates(job, "") {
+	for _, c := range sc.currentCycle().candidates(job, "") {
 		if c.imageLocal {
 			tasks += c.tasks
 		}
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
@@ -17,23 +18,22 @@
 }
 
 // mayPreempt says whether an attempt may be stopped to free capacity for the job.
-func (sc *Scheduler) mayPreempt(attempt *cluster.Attempt, job *cluster.Job) bool {
+func mayPreempt(attempt *cluster.Attempt, job *cluster.Job, quotas map[protocol.TeamName]*cluster.Quota) bool {
 	if attempt.Stopping || attempt.Job == job || attempt.Job.Finished || attempt.Job.Complete() {
 		return false
 	}
-	return attempt.Job.Priority < job.Priority || sc.mayReclaimFrom(attempt.Job, job)
+	return attempt.Job.Priority < job.Priority || mayReclaim(job, attempt.Job, quotas[attempt.Job.Spec.Team])
 }
 
-// mayReclaimFrom says whether a job may take back its team's guaranteed quota from
-// another team's job. What fits into its own team's guarantee is never preempted for
+// mayReclaim says whether a job may take back its team's guaranteed quota from another
+// team's job. What fits into its own team's guarantee is never preempted for
 // another's, and what has a higher priority never for a lower one, though it might: the
 // queue would give the machines back, and so in turn for ever.
-func (sc *Scheduler) mayReclaimFrom(victim, job *cluster.Job) bool {
+func mayReclaim(job, victim *cluster.Job, victimQuota *cluster.Quota) bool {
 	if !job.Queue.MayReclaim || victim.Spec.Team == job.Spec.Team {
 		return false
 	}
-	quota := sc.state.Quotas[victim.Spec.Team]
-	return quota != nil && quota.ExceedsGuarantee() && !victim.Queue.WithinGuarantee && victim.Priority <= job.Priority
+	return victimQuota != nil && victimQuota.ExceedsGuarantee() && !victim.Queue.WithinGuarantee && victim.Priority <= job.Priority
 }
 
 // preemption is what must stop on one machine so that some tasks fit there.
@@ -49,8 +49,8 @@
 // capacity for it, and reserves the capacity for it. A search that found nothing is not
 // repeated at once: it examines every machine.
 func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
-	if sc.preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() ||
-		sc.awaitsUnreportedCapacity(job, tasks) || sc.preemptionIsHopeless(job, tasks) {
+	if preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() ||
+		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionIsHopeless(job, tasks) {
 		return
 	}
 	plan := sc.findPreemptions(job, tasks, imageAnywhere)
@@ -61,7 +61,7 @@
 }
 
 // preempting says whether capacity is being freed for a job already.
-func (sc *Scheduler) preempting(job *cluster.Job) bool {
+func preempting(job *cluster.Job) bool {
 	for _, machine := range job.Reserved {
 		for _, attempt := range machine.Attempts {
 			if attempt.Stopping {
@@ -91,7 +91,8 @@
 
 // preemptionSearch looks for victims so that some tasks of a job fit.
 type preemptionSearch struct {
-	*Scheduler
+	state *cluster.State
+	cycle *cycle
 	job   *cluster.Job
 	tasks int
 	image imageRequirement
@@ -101,7 +102,10 @@
 // findPreemptions finds what to stop, and where, so that so many tasks of a job fit; for a
 // gang all of them or nothing.
 func (sc *Scheduler) findPreemptions(job *cluster.Job, tasks int, image imageRequirement) preemptionPlan {
-	search := preemptionSearch{Scheduler: sc, job: job, tasks: tasks, image: image, zones: sc.state.ZoneLimits(job)}
+	search := preemptionSearch{
+		state: sc.state, cycle: sc.currentCycle(),
+		job: job, tasks: tasks, image: image, zones: sc.state.ZoneLimits(job),
+	}
 	if !job.Spec.OneZone {
 		return search.choose(search.collect(""))
 	}
@@ -117,16 +121,15 @@
 
 // collect lists the machines on which some of the tasks could fit; zone "" stands for all.
 func (s *preemptionSearch) collect(zone protocol.ZoneName) (list []preemption) {
-	cycle := s.currentCycle()
-	cycle.examined += len(cycle.schedulable)
-	for _, machine := range cycle.schedulable {
+	s.cycle.examined += len(s.cycle.schedulable)
+	for _, machine := range s.cycle.schedulable {
 		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
 			continue
 		}
 		if s.image == imageLocalOnly && !machine.HasImage(s.job.Spec.Image) {
 			continue
 		}
-		if p := s.victimsOn(s.job, machine, s.tasks); p.tasks > 0 {
+		if p := s.victimsOn(machine, s.tasks); p.tasks > 0 {
 			list = append(list, p)
 		}
 	}
@@ -146,7 +149,7 @@
 		if tasks <= 0 {
 			continue
 		}
-		p := s.victimsOn(s.job, machine, tasks)
+		p := s.victimsOn(machine, tasks)
 		perZone[machine.Zone] += tasks
 		need -= p.tasks
 		plan.cost += p.cost
@@ -167,36 +170,37 @@
 }
 
 // victimsOn works out what to stop on a machine so that up to so many tasks fit.
-func (sc *Scheduler) victimsOn(job *cluster.Job, machine *cluster.Machine, tasks int) preemption {
-	free := sc.state.FreeResources(machine)
-	if free.Fit(job.Spec, 1) == 0 && !sc.hasPreemptible(machine, job) {
+func (s *preemptionSearch) victimsOn(machine *cluster.Machine, tasks int) preemption {
+	job := s.job
+	free := s.state.FreeResources(machine)
+	if free.Fit(job.Spec, 1) == 0 && !s.hasPreemptible(machine) {
 		return preemption{machine: machine} // most machines: nothing is sorted for them
 	}
 	var preemptible []*cluster.Attempt
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		if attempt.Stopping {
 			free.AddTasks(attempt.Job.Spec, 1) // about to be free
-		} else if sc.mayPreempt(attempt, job) {
+		} else if mayPreempt(attempt, s.job, s.state.Quotas) {
 			preemptible = append(preemptible, attempt)
 		}
 	}
-	sc.sortByLoss(preemptible)
+	s.sortByLoss(preemptible)
 	p := preemption{machine: machine, tasks: free.Fit(job.Spec, tasks)}
 	p.addVictims(job.Spec, tasks, preemptible, &free)
 	p.spareVictims(job.Spec, tasks, &free)
 	for _, victim := range p.victims {
-		p.cost += 1 + sc.workLost(victim)
+		p.cost += 1 + workLost(victim, s.state.Now())
 		p.priority = max(p.priority, victim.Job.Priority)
 	}
-	p.cost += sc.fetchCost(job.Spec, machine, p.tasks)
+	p.cost += fetchCost(job.Spec, machine, s.state.TypeOf(machine), p.tasks)
 	return p
 }
 
-// hasPreemptible says whether anything on a machine may be stopped for a job or is
+// hasPreemptible says whether anything on a machine may be stopped for the job or is
 // stopping.
-func (sc *Scheduler) hasPreemptible(machine *cluster.Machine, job *cluster.Job) bool {
+func (s *preemptionSearch) hasPreemptible(machine *cluster.Machine) bool {
 	for _, attempt := range machine.Attempts {
-		if attempt.Stopping || sc.mayPreempt(attempt, job) {
+		if attempt.Stopping || mayPreempt(attempt, s.job, s.state.Quotas) {
 			return true
 		}
 	}
@@ -205,9 +209,10 @@
 
 // sortByLoss sorts attempts that may be stopped: the lowest priority first, then what loses
 // least.
-func (sc *Scheduler) sortByLoss(attempts []*cluster.Attempt) {
+func (s *preemptionSearch) sortByLoss(attempts []*cluster.Attempt) {
+	now := s.state.Now()
 	slices.SortStableFunc(attempts, func(a, b *cluster.Attempt) int {
-		return cmp.Or(cmp.Compare(a.Job.Priority, b.Job.Priority), cmp.Compare(sc.workLost(a), sc.workLost(b)))
+		return cmp.Or(cmp.Compare(a.Job.Priority, b.Job.Priority), cmp.Compare(workLost(a, now), workLost(b, now)))
 	})
 }
 
@@ -237,8 +242,7 @@
 }
 
 // fetchCost is what tasks lose on a machine while their image is fetched, in GPU seconds.
-func (sc *Scheduler) fetchCost(spec *protocol.Job, machine *cluster.Machine, tasks int) float64 {
-	machineType := sc.state.TypeOf(machine)
+func fetchCost(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType, tasks int) float64 {
 	if machineType == nil || machineType.FetchGBPerS <= 0 || machine.HasImage(spec.Image) {
 		return 0
 	}
@@ -247,7 +251,7 @@
 
 // workLost is about how much work is lost when an attempt is stopped, in GPU seconds.
 // With one task of a gang all stop, save, and gather again.
-func (sc *Scheduler) workLost(attempt *cluster.Attempt) float64 {
+func workLost(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
 	gpus := max(1, spec.GPUs)
 	switch {
@@ -256,9 +260,9 @@
 	case attempt.RunningSince.IsZero():
 		return 0
 	case spec.Gang():
-		return sc.state.Now().Sub(attempt.RunningSince).Seconds() * gpus * float64(spec.Tasks)
+		return now.Sub(attempt.RunningSince).Seconds() * gpus * float64(spec.Tasks)
 	case spec.CheckpointS > 0:
 		return min(spec.SaveS, spec.CheckpointS/2) * gpus
 	}
-	return sc.state.Now().Sub(attempt.RunningSince).Seconds() * gpus
+	return now.Sub(attempt.RunningSince).Seconds() * gpus
 }
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -124,7 +124,7 @@
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.isLate(machine) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
 			continue
 		}
 		free := sc.capacityAfterPreemption(machine, job)
@@ -140,7 +140,7 @@
 func (sc *Scheduler) capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job) cluster.Resources {
 	free := sc.state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
-		if sc.mayPreempt(attempt, job) && !attempt.Job.Spec.Gang() {
+		if mayPreempt(attempt, job, sc.state.Quotas) && !attempt.Job.Spec.Gang() {
 			free.AddTasks(attempt.Job.Spec, 1)
 		}
 	}
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -11,7 +11,7 @@
 	var best []candidate
 	most := 0
 	for _, zone := range sc.state.Config.Cluster.Zones {
-		list := sc.candidates(job, zone)
+		list := sc.currentCycle().candidates(job, zone)
 		if tasks := countTasks(list); tasks > most {
 			best, most = list, tasks
 		}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -40,8 +40,8 @@
 	env   Environment
 	log   *slog.Logger
 
-	cycle    *cycle            // the cycle under way, nil between two
-	gpuNeeds cluster.Resources // what work on GPUs needs beside each of them
+	cycle    *cycle // the cycle under way, nil between two
+	gpuNeeds gpuNeeds
 
 	examined int // machines examined in the last cycle
 	waiting  int // jobs that waited for machines after the last cycle
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -70,17 +70,17 @@
 	c.tasks = sc.state.FreeResources(c.machine).Fit(job.Spec, 1)
 	c.siblingReplicas++
 	c.imageLocal = true
-	c.starvesGPUs = sc.starvesGPUs(job.Spec, c.machine)
+	c.starvesGPUs = sc.gpuNeeds.starved(job.Spec, c.machine, sc.state.TypeOf(c.machine))
 }
 
 // replicaCandidates lists the machines that can take a replica. One whose heartbeat is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
 func (sc *Scheduler) replicaCandidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
-	list := slices.DeleteFunc(sc.candidates(job, zone), func(c candidate) bool { return sc.isLate(c.machine) })
+	list := slices.DeleteFunc(sc.currentCycle().candidates(job, zone), func(c candidate) bool { return isLate(c.machine, sc.state) })
 	for i := range list {
 		c := &list[i]
-		c.starvesGPUs = sc.starvesGPUs(job.Spec, c.machine)
+		c.starvesGPUs = sc.gpuNeeds.starved(job.Spec, c.machine, sc.state.TypeOf(c.machine))
 		c.suspected = c.suspected || sc.lostMachineRecently(c.machine.Zone)
 		for _, attempt := range c.machine.Attempts {
 			if attempt.Job == job {
@@ -92,8 +92,8 @@
 }
 
 // isLate says whether a machine's heartbeat is later than a machine with replicas may be.
-func (sc *Scheduler) isLate(machine *cluster.Machine) bool {
-	return sc.state.Now().Sub(machine.Agent.LastHeartbeat) > sc.state.ReplicaSilenceTimeout()
+func isLate(machine *cluster.Machine, state *cluster.State) bool {
+	return state.Now().Sub(machine.Agent.LastHeartbeat) > state.ReplicaSilenceTimeout()
 }
 
 // lostMachineRecently says whether a machine of a zone was given up as silent a moment
@@ -116,35 +116,3 @@
 		cmp.Compare(a.residualSlots, b.residualSlots),
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
-
-// measureGPUNeeds finds what the work that takes GPUs needs beside each of them.
-func (sc *Scheduler) measureGPUNeeds() {
-	var need cluster.Resources
-	for _, job := range sc.state.Jobs {
-		if spec := job.Spec; spec.GPUs > 0 {
-			need.CPUs = max(need.CPUs, spec.CPUs/spec.GPUs)
-			need.MemoryGB = max(need.MemoryGB, spec.MemoryGB/spec.GPUs)
-		}
-	}
-	if need.CPUs > 0 || need.MemoryGB > 0 {
-		sc.gpuNeeds = need // else as it was: more such work may come
-	}
-}
-
-// starvesGPUs says whether one more task without GPUs would leave a machine's GPUs
-// without the processors or memory that work on them needs.
-func (sc *Scheduler) starvesGPUs(spec *protocol.Job, machine *cluster.Machine) bool {
-	machineType := sc.state.TypeOf(machine)
-	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
-		return false
-	}
-	rest := cluster.CapacityOf(machineType)
-	rest.AddTasks(spec, -1)
-	for _, attempt := range machine.Attempts {
-		if attempt.Job.Spec.GPUs == 0 {
-			rest.AddTasks(attempt.Job.Spec, -1)
-		}
-	}
-	return rest.CPUs+cluster.AmountTolerance < sc.gpuNeeds.CPUs*machineType.GPUs ||
-		rest.MemoryGB+cluster.AmountTolerance < sc.gpuNeeds.MemoryGB*machineType.GPUs
-}
--- a/internal/coordination/scheduler/supply.go
+++ b/internal/coordination/scheduler/supply.go
@@ -15,23 +15,22 @@
 	preemptible [protocol.PriorityCritical + 1]cluster.Resources
 }
 
-// supplies adds up what the zones could give, once in a cycle.
-func (sc *Scheduler) supplies() map[protocol.ZoneName]*zoneSupply {
-	cycle := sc.currentCycle()
-	if cycle.supply != nil {
-		return cycle.supply
+// supplies adds up what the zones could give, once in a c.
+func (c *cycle) supplies() map[protocol.ZoneName]*zoneSupply {
+	if c.supply != nil {
+		return c.supply
 	}
-	cycle.supply = map[protocol.ZoneName]*zoneSupply{}
-	cycle.examined += len(cycle.schedulable)
-	for _, machine := range cycle.schedulable {
-		supply := cycle.supply[machine.Zone]
+	c.supply = map[protocol.ZoneName]*zoneSupply{}
+	c.examined += len(c.schedulable)
+	for _, machine := range c.schedulable {
+		supply := c.supply[machine.Zone]
 		if supply == nil {
 			supply = &zoneSupply{}
-			cycle.supply[machine.Zone] = supply
+			c.supply[machine.Zone] = supply
 		}
-		supply.add(machine, sc.state.FreeResources(machine))
+		supply.add(machine, c.state.FreeResources(machine))
 	}
-	return cycle.supply
+	return c.supply
 }
 
 // add adds a machine and what is free there.
@@ -59,7 +58,7 @@
 // all that may be stopped for it, whoever runs it, and all that is free are not enough.
 // With the machines full of work that may not be preempted, which is when most jobs
 // wait, this spares examining every machine for each of them.
-func (sc *Scheduler) preemptionIsHopeless(job *cluster.Job, tasks int) bool {
+func (c *cycle) preemptionIsHopeless(job *cluster.Job, tasks int) bool {
 	if !job.Spec.Gang() {
 		tasks = 1
 	}
@@ -71,7 +70,7 @@
 		return true
 	}
 	var all cluster.Resources
-	for zone, supply := range sc.supplies() {
+	for zone, supply := range c.supplies() {
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
@@ -93,7 +92,7 @@
 		return false
 	}
 	var all cluster.Resources
-	for zone, free := range sc.unreportedCapacity() {
+	for zone, free := range sc.currentCycle().unreportedCapacity() {
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
@@ -106,22 +105,21 @@
 }
 
 // unreportedCapacity adds up what is free on machines that have yet to report, once in a
-// cycle.
-func (sc *Scheduler) unreportedCapacity() map[protocol.ZoneName]cluster.Resources {
-	cycle := sc.currentCycle()
-	if cycle.unreported != nil {
-		return cycle.unreported
+// c.
+func (c *cycle) unreportedCapacity() map[protocol.ZoneName]cluster.Resources {
+	if c.unreported != nil {
+		return c.unreported
 	}
-	cycle.unreported = map[protocol.ZoneName]cluster.Resources{}
-	cycle.examined += len(sc.state.OrderedMachines)
-	for _, machine := range sc.state.OrderedMachines {
+	c.unreported = map[protocol.ZoneName]cluster.Resources{}
+	c.examined += len(c.state.OrderedMachines)
+	for _, machine := range c.state.OrderedMachines {
 		if awaitsReport(machine) {
-			free := cycle.unreported[machine.Zone]
-			free.Add(sc.state.FreeResources(machine))
-			cycle.unreported[machine.Zone] = free
+			free := c.unreported[machine.Zone]
+			free.Add(c.state.FreeResources(machine))
+			c.unreported[machine.Zone] = free
 		}
 	}
-	return cycle.unreported
+	return c.unreported
 }
 
 // awaitsReport says whether a machine of a predecessor may yet report and take tasks.
