--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -93,10 +93,10 @@
 	return best.machine
 }
 
-// ReplicasHavePlacesElsewhere says whether a machine behind a suspected cut is better given up for
+// ReplicasHavePlacesElsewhere says whether a machine behind a suspected partition is better given up for
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
-// back only with the cut's end, and then where a machine is rented for them.
+// back only with the partition's end, and then where a machine boots for them.
 func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
 	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
 	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
@@ -124,7 +124,7 @@
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.isLate(machine) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
 			continue
 		}
 		free := sc.capacityAfterPreemption(machine, job)
@@ -140,7 +140,7 @@
 func (sc *Scheduler) capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job) cluster.Resources {
 	free := sc.state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
-		if sc.mayPreempt(attempt, job) && !attempt.Job.Spec.Gang() {
+		if mayPreempt(attempt, job, sc.state.Quotas) && !attempt.Job.Spec.Gang() {
 			free.AddTasks(attempt.Job.Spec, 1)
 		}
 	}
