--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -32,22 +32,28 @@
 	for _, c := range []struct {
 		name    string
 		prepare func(l *leader, heartbeat *protocol.Heartbeat)
+		outcome agents.HeartbeatOutcome
 		status  int
 	}{
-		{"accepted", func(*leader, *protocol.Heartbeat) {}, 200},
-		{"stale", func(_ *leader, heartbeat *protocol.Heartbeat) { heartbeat.Sequence = 0 }, 503},
-		{"higher token", func(l *leader, heartbeat *protocol.Heartbeat) { heartbeat.FencingToken = l.n.lease.term + 1 }, 503},
-		{"leadership unconfirmed", func(l *leader, _ *protocol.Heartbeat) { l.n.lease.unconfirmed = true }, 503},
-		{"not leading", func(l *leader, _ *protocol.Heartbeat) { l.n.stepDown("a test") }, 421},
+		{"accepted", func(*leader, *protocol.Heartbeat) {}, agents.Accepted, 200},
+		{"stale", func(_ *leader, heartbeat *protocol.Heartbeat) { heartbeat.Sequence = 0 }, agents.Stale, 503},
+		{"higher token", func(l *leader, heartbeat *protocol.Heartbeat) { heartbeat.FencingToken = l.n.election.Term() + 1 }, agents.HigherToken, 503},
+		{"leadership unconfirmed", func(l *leader, _ *protocol.Heartbeat) { l.n.election.ProcessPaused(time.Second) }, agents.LeadershipUnconfirmed, 503},
+		{"not leading", func(l *leader, _ *protocol.Heartbeat) { l.n.election.StepDown("a test") }, agents.NotLeading, 421},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := testLeader(time.Unix(1_800_000_000, 0))
 			machine := l.testMachine("i-1", "big", "a", false)
 			heartbeat := &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone,
-				Incarnation: 1, Sequence: 1, FencingToken: l.n.lease.term}
+				Incarnation: 1, Sequence: 1, FencingToken: l.n.election.Term()}
 			c.prepare(l, heartbeat)
-			if status, body := l.n.takeReport(heartbeat); status != c.status {
-				t.Errorf("answered %d %+v, want %d", status, body, c.status)
+			result := l.n.answerHeartbeat(heartbeat)
+			heartbeat.Sequence++ // so that what was accepted is not stale
+			if c.outcome == agents.Stale {
+				heartbeat.Sequence = 0
+			}
+			if reply := l.n.takeHeartbeat(heartbeat); result.Outcome != c.outcome || reply.status != c.status {
+				t.Errorf("%+v is answered %+v, want %d and %d", result, reply, c.outcome, c.status)
 			}
 		})
 	}
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -78,7 +78,7 @@
 func (l *testLeader) ConfirmationGrace() time.Duration                 { return testGrace }
 func (l *testLeader) CommandsPending(machine *cluster.Machine)         { l.Delivery.Enqueue(machine) }
 func (l *testLeader) Recovering() bool                                 { return false }
-func (l *testLeader) Held(*cluster.Job) bool                           { return false }
+func (l *testLeader) StartsWithheld(*cluster.Job) bool                 { return false }
 func (l *testLeader) AwaitsRecordSplit(*cluster.Job) bool              { return false }
 func (l *testLeader) TaskPlaced(attempt *cluster.Attempt)              { attempt.Job.Write.Dirty[0] = true }
 func (l *testLeader) Preempt(victim *cluster.Attempt)                  { l.lifecycle.Preempt(victim) }
@@ -92,7 +92,7 @@
 func (l *testLeader) machine(id protocol.MachineID, zone protocol.ZoneName) *cluster.Machine {
 	machine := l.state.EnsureMachine(id, "h:1", "big", zone, false)
 	machine.Record, machine.Recorded = &cluster.MachineRecord{}, true
-	machine.Agent = cluster.AgentSession{Heard: true, TokenConfirmed: true, Incarnation: 1, LastHeartbeat: l.now, AnsweredAt: l.now}
+	machine.Agent = cluster.AgentState{Heard: true, TokenConfirmed: true, Incarnation: 1, LastHeartbeat: l.now, AnsweredAt: l.now}
 	l.state.TypeOf(machine)
 	return machine
 }
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -59,13 +59,13 @@
 		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
 			continue // what a predecessor placed is stopped once a heartbeat shows it
 		}
-		if attempt.ReportedState == "" && (attempt.StartUnanswered || attempt.StartsInFlight > 0) {
+		if attempt.ReportedState == "" && attempt.StartMayArrive() {
 			// The lost start may yet arrive. Once the agent holds the attempt,
 			// a late copy of it does nothing: so start it and end it at once.
 			commands = append(commands, d.startCommand(attempt, via))
 		}
 		if via == inResponse || now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
-			attempt.StopSentAt = now
+			attempt.MarkStopSent(now)
 			commands = append(commands, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
 	}
@@ -108,9 +108,10 @@
 	if !attempt.StartSent {
 		d.env.TaskStarting(attempt)
 	}
-	attempt.StartSent = true
 	if via == inResponse {
-		attempt.StartInResponse = true
+		attempt.MarkStartInResponse()
+	} else {
+		attempt.MarkStartSent()
 	}
 	attempt.Machine.UseImage(attempt.Job.Spec, d.state.TypeOf(attempt.Machine))
 	return protocol.Command{Kind: protocol.CommandStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -91,12 +91,12 @@
 		machine.Delivery.InFlight = false
 		answered := result.Outcome == Answered || result.Outcome == Refused
 		for _, attempt := range starts {
-			attempt.StartsInFlight--
-			if !answered {
-				// It may arrive at any later time while incarnation and token match.
-				attempt.StartUnanswered = true
-				machine.Delivery.Pinned[attempt.ID()] = true
+			if answered {
+				attempt.EndDirectStart()
+				continue
 			}
+			attempt.LoseDirectStart()
+			machine.Delivery.Pinned[attempt.ID()] = true
 		}
 		if !answered {
 			d.retryUnanswered(machine)
@@ -118,8 +118,7 @@
 		}
 		id, index, _ := protocol.SplitTask(command.Task)
 		if attempt := machine.Attempts[cluster.AttemptID{Job: id, Index: index, Number: command.Attempt}]; attempt != nil {
-			attempt.StartsInFlight++
-			attempt.StartSentAt = d.state.Now()
+			attempt.BeginDirectStart(d.state.Now())
 			starts = append(starts, attempt)
 		}
 	}
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -54,7 +54,7 @@
 
 // undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
-	if !attempt.StartSent || attempt.StartsInFlight > 0 || attempt.StartUnanswered || attempt.StartInResponse && !s.startsAnswered {
+	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startsAnswered {
 		return true
 	}
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
@@ -105,10 +105,7 @@
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
-	attempt.ReportedState = state
-	attempt.StartSent = true
-	if state == protocol.TaskRunning && attempt.RunningSince.IsZero() {
-		attempt.RunningSince = h.state.Now()
+	if attempt.ObserveState(state, h.state.Now()) {
 		h.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
 	}
 }
@@ -131,7 +128,7 @@
 	attempt := machine.Attempts[key]
 	if attempt == nil {
 		attempt = h.state.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
-		attempt.Committed, attempt.StartSent, attempt.Recovered, attempt.Orphaned = true, true, true, true
+		attempt.MarkOrphaned()
 	}
 	h.observeState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
@@ -161,10 +158,10 @@
 	if attempt == nil {
 		return
 	}
-	if attempt.StartUnanswered || attempt.StartsInFlight > 0 {
+	if attempt.StartMayArrive() {
 		machine.Delivery.Pinned[key] = true
 	}
-	attempt.ReportedState = protocol.TaskExited
+	attempt.ObserveExit()
 	h.lifecycle.HandleExit(attempt, entry)
 	h.lifecycle.RemoveGone(attempt)
 }
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -35,45 +35,16 @@
 		by(n.askedAt.Add(tuning.StoreProbeInterval))
 	}
 	by(n.typesAt)
-	n.leaseDue(by)
-	by(n.beatAt)
-	if len(n.forwarded)+len(n.queuedReports)+len(n.delegated) > 0 {
-		by(n.expireAt)
-	}
-	for _, box := range n.outboxes {
-		if len(box.frames) > 0 && !box.sending {
-			by(box.sendAt)
-		}
-	}
-	if len(n.polls) > 0 {
-		by(n.pollAt)
-	}
+	n.election.Due(by)
+	n.peers.Due(by)
+	n.forwarder.Due(by, n.router.Queued())
+	n.api.Due(by)
 	if n.mayAct() {
 		n.lead.due(by)
 	}
 	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
 
-// leaseDue tells when the leader lease is to be renewed, given up or tried for.
-func (n *Node) leaseDue(by func(time.Time)) {
-	c := &n.lease
-	switch {
-	case c.term == 0:
-		if n.mayAcquireLease() {
-			by(c.retryAt)
-		}
-	case !c.renewing:
-		by(c.renewAt)
-		fallthrough
-	default:
-		if n.confirmedByPeers() {
-			by(n.confirmation.confirmedAt.Add(min(n.grace(), n.authority())))
-		} else {
-			by(n.authorityStart().Add(n.authority()))
-		}
-	}
-}
-
 // due tells when the leader has something to look after.
 func (l *leader) due(by func(time.Time)) {
 	by(l.watchAt)
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -60,7 +60,7 @@
 	if !place(l, job) {
 		t.Fatal("not placed")
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.commitNext()
@@ -70,23 +70,23 @@
 	for _, c := range txn.Conditions {
 		guards[c.Key] = c.Revision
 	}
-	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.lease.term), storage.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
+	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.election.Term()), storage.JobKey(job.ID): stamp, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToWorker); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
 	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
-	if got := ops(l.testReport(machine, l.n.lease.term)); got != "start start " {
+	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
 }
@@ -121,8 +121,8 @@
 	n.servedAt = n.now
 	for _, spent := range []bool{false, true} {
 		if spent {
-			n.userWrites.AllowN(n.now, n.userWrites.Burst()-1)
-			n.relayWrites.AllowN(n.now, n.relayWrites.Burst())
+			n.budgets.users.AllowN(n.now, n.budgets.users.Burst()-1)
+			n.budgets.relay.AllowN(n.now, n.budgets.relay.Burst())
 		}
 		s := gangOf(protocol.MaxTasks, 0)
 		s.ID, s.Priority, s.Shape = "run-000001", "normal", protocol.ShapeArray
@@ -177,7 +177,7 @@
 	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{machineEntry(machine)}})
 	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
 	l.n.now = l.n.now.Add(tuning.StaleMachineRecordDelay + time.Second)
-	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
+	l.n.keepAuthority()
 	l.commitNext()
 	var txn protocol.Transaction
 	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
@@ -204,30 +204,3 @@
 		}
 	}
 }
-
-// TestAnnouncements: what a peer knows counts for the link on which it said so:
-// a process that comes back as an older version says nothing, and a word that was
-// held back on an earlier link does not speak for it.
-func TestAnnouncements(t *testing.T) {
-	n := testLeader(time.Unix(1_800_000_000, 0)).n
-	n.peers["s"] = &peer{}
-	steps := []struct {
-		link uint64
-		m    protocol.PeerMessage
-		want bool
-	}{
-		{3, protocol.PeerHello{Node: "s"}, false},
-		{3, protocol.Announcement("n"), true},
-		{3, protocol.PeerStatus{}, true},
-		{4, protocol.PeerHello{Node: "s"}, false}, // back as an older version
-		{3, protocol.Announcement("n"), false},
-		{4, protocol.PeerStatus{}, false},
-		{4, protocol.Announcement("n"), true},
-	}
-	for i, s := range steps {
-		n.handle(PeerReceive{Peer: "s", Link: s.link, Message: s.m})
-		if got := n.allKnow(protocol.PeerLevel); got != s.want {
-			t.Errorf("step %d: %v", i, got)
-		}
-	}
-}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -21,14 +21,15 @@
 		clear(job.Write.Dirty)
 		job.SortedAttempts()[0].Committed = true
 		for range tuning.MaxIneffectiveResponses + 1 {
-			l.testReport(machine, l.n.lease.term)
+			l.testReport(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
 			t.Fatal("takes new work")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
-			l.n.lease.renewedAt, l.n.syncedAt, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now, l.n.now, l.n.now
+			l.n.keepAuthority()
+			machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
@@ -38,7 +39,7 @@
 				}
 				if answers {
 					l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
-						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.lease.term})})
+						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()})})
 				} else {
 					l.n.handle(Response{ID: r.ID})
 				}
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -29,11 +29,11 @@
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskStatus{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
-	if got := ops(l.testReport(other, l.n.lease.term, running)); got != "halt " {
+	if got := ops(l.testReport(other, l.n.election.Term(), running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
-	l.testReport(machine, l.n.lease.term)
-	l.testReport(other, l.n.lease.term)
+	l.testReport(machine, l.n.election.Term())
+	l.testReport(other, l.n.election.Term())
 	if n := job.Tasks[0].LiveAttempts; n != 0 || len(job.Attempts) != 0 {
 		t.Errorf("%d attempts after the proofs", n)
 	}
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -55,7 +55,7 @@
 		return
 	}
 	s.verifying = true
-	term := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.leads()}}
+	term := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.election.Condition()}}
 	s.leader.n.store.Transact(term, func(result kv.TransactionResult) {
 		if s.leader.n.lead != s.leader {
 			return
@@ -63,13 +63,13 @@
 		s.verifying = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
-			s.leader.n.stepDown("an agent has seen a higher token")
+			s.leader.n.election.StepDown("an agent has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
 			s.leader.n.log.Error("state service was restored to an older state: an agent holds a token that it never gave",
-				"machine", machineID, "token", s.highestToken, "revision", result.Revision, "term", s.leader.n.lease.term)
+				"machine", machineID, "token", s.highestToken, "revision", result.Revision, "term", s.leader.n.election.Term())
 			s.confirmed, s.revision = true, result.Revision
 		default:
-			s.highestToken = s.leader.n.lease.term // the next heartbeat asks again
+			s.highestToken = s.leader.n.election.Term() // the next heartbeat asks again
 		}
 	})
 }
@@ -108,10 +108,10 @@
 		s.raiseRevision()
 	default:
 		switch token := s.highestReachableToken(); {
-		case token <= s.leader.n.lease.term:
+		case token <= s.leader.n.election.Term():
 			s.returnUnreachable()
 		case protocol.Term(s.revision) >= token:
-			s.leader.n.stepDown("agents hold higher tokens, the next term is above them")
+			s.leader.n.election.StepDown("agents hold higher tokens, the next term is above them")
 		default:
 			s.raiseRevision()
 		}
@@ -123,7 +123,7 @@
 func (s *restoredStore) returnUnreachable() {
 	left := false
 	for _, machine := range s.leader.cluster.OrderedMachines {
-		if machine.Agent.HigherToken <= s.leader.n.lease.term {
+		if machine.Agent.HigherToken <= s.leader.n.election.Term() {
 			continue
 		}
 		left = true
@@ -132,17 +132,17 @@
 		}
 	}
 	if !left {
-		s.confirmed, s.highestToken = false, s.leader.n.lease.term
+		s.confirmed, s.highestToken = false, s.leader.n.election.Term()
 	}
 }
 
 // raiseRevision writes the marker, again and again as fast as half of the budget allows.
 func (s *restoredStore) raiseRevision() {
-	half := float64(s.leader.n.writes.Burst()) / 2
-	if s.writing || s.leader.n.writes.TokensAt(s.leader.n.now) < half {
+	half := float64(s.leader.n.budgets.writes.Burst()) / 2
+	if s.writing || s.leader.n.budgets.writes.TokensAt(s.leader.n.now) < half {
 		return
 	}
-	s.leader.n.writes.AllowN(s.leader.n.now, 1)
+	s.leader.n.budgets.writes.AllowN(s.leader.n.now, 1)
 	s.writing = true
 	marker := storage.Restored{Writer: s.leader.n.unique(), Token: s.highestToken}
 	s.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
@@ -153,7 +153,7 @@
 
 // removeMarker deletes the marker when a recovery has ended.
 func (s *restoredStore) removeMarker() {
-	if s.writing || !s.leader.n.writes.AllowN(s.leader.n.now, 1) {
+	if s.writing || !s.leader.n.budgets.writes.AllowN(s.leader.n.now, 1) {
 		return
 	}
 	s.writing = true
@@ -162,7 +162,7 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (s *restoredStore) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.leads()}, Changes: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{s.leader.n.election.Condition()}, Changes: []protocol.Change{change}}
 	s.leader.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if s.leader.n.lead != s.leader {
 			return
@@ -190,10 +190,10 @@
 	}
 }
 
-// Held implements scheduler.Environment. A job must not start anything yet while attempts
-// that no record has may run on machines whose agents have yet to report. Until one of them
-// has shown its token, nobody knows.
-func (l *leader) Held(job *cluster.Job) bool {
+// StartsWithheld implements scheduler.Environment: attempts that no record has may run on
+// machines whose agents have yet to report. Until one of them has shown its token, nobody
+// knows.
+func (l *leader) StartsWithheld(job *cluster.Job) bool {
 	if !job.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
 		return false
 	}
