--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -3,10 +3,12 @@
 import (
 	"bytes"
 	"context"
+	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"time"
+	"sync"
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination"
@@ -14,89 +16,145 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// clients carries out the node's requests to outside systems. Every request
-// ends in exactly one Response on the owner's queue.
+// statusLost stands for the status of an answer that did not come.
+const statusLost = 0
+
+// errTooLarge says that an answer was cut short; the same request's would be again.
+var errTooLarge = errors.New("the answer is larger than any may be")
+
+// endpoint is an outside system: where it is and the client that calls it.
+type endpoint struct {
+	base   string // of its URLs
+	client *http.Client
+}
+
+// clients carry out the node's requests to outside systems and to agents. Every request
+// ends in exactly one Response on the event loop's queue, unless the context ends.
 type clients struct {
-	state, cloud string
-	outside      *http.Client // state service and cloud
-	leaderLease  *http.Client // state service, renewals of the leader lease: they wait for no other request
-	workers      *http.Client
-	calls        chan struct{} // calls to workers under way
-	answers      chan<- coordination.Event
+	store       endpoint
+	leaderLease endpoint // the store: renewals of the leader lease wait for no other request
+	cloud       endpoint
+	agents      *http.Client
+	agentCalls  chan struct{} // one for each call to an agent under way
+	responses   chan<- coordination.Event
+	running     sync.WaitGroup // requests under way
 }
 
-func newClients(cfg *config.Config, answers chan<- coordination.Event) *clients {
-	client := func(idle int, perHost int) *http.Client {
-		return &http.Client{
-			Transport: &http.Transport{
-				DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}).DialContext,
-				MaxIdleConns:        idle,
-				MaxIdleConnsPerHost: perHost,
-				MaxConnsPerHost:     tuning.MaxConnectionsPerHost,
-				IdleConnTimeout:     tuning.ClientIdleTimeout,
-				DisableCompression:  true,
-			},
-			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		}
-	}
+func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
+	sockets := cfg.Cluster.Resources.FDLimit
+	outside := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
+	storeURL := "http://" + cfg.Endpoints.State
 	return &clients{
-		state: "http://" + cfg.Endpoints.State, cloud: "http://" + cfg.Endpoints.Cloud,
-		outside:     client(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost),
-		leaderLease: client(1, 1),
-		workers:     client(max(tuning.MinConnections, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.AgentIdleConnectionShare)), 1),
+		store:       endpoint{storeURL, outside},
+		leaderLease: endpoint{storeURL, newHTTPClient(1, 1)},
+		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, outside},
+		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(sockets)*tuning.AgentIdleConnectionShare)), 1),
 		// The node bounds its calls by the same share; this holds whatever it does.
-		calls:   make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(cfg.Cluster.Resources.FDLimit)*tuning.AgentCallConnectionShare))),
-		answers: answers,
+		agentCalls: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(sockets)*tuning.AgentCallConnectionShare))),
+		responses:  responses,
+	}
+}
+
+// newHTTPClient makes a client that keeps so many idle connections, and so many to one host.
+func newHTTPClient(idle, idlePerHost int) *http.Client {
+	return &http.Client{
+		Transport: &http.Transport{
+			DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}).DialContext,
+			MaxIdleConns:        idle,
+			MaxIdleConnsPerHost: idlePerHost,
+			MaxConnsPerHost:     tuning.MaxConnectionsPerHost,
+			IdleConnTimeout:     tuning.ClientIdleTimeout,
+			DisableCompression:  true,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+}
+
+// start carries out a request in a goroutine that ends with its answer, its time-out or
+// the context.
+func (c *clients) start(ctx context.Context, r coordination.Request) {
+	c.running.Go(func() { c.call(ctx, r) })
+}
+
+// close waits for the requests under way, whose context has ended, and closes all
+// connections.
+func (c *clients) close() {
+	c.running.Wait()
+	for _, client := range []*http.Client{c.store.client, c.leaderLease.client, c.cloud.client, c.agents} {
+		client.CloseIdleConnections()
 	}
 }
 
-func (c *clients) call(r coordination.Request) {
+// call carries out a request and hands in its response.
+func (c *clients) call(ctx context.Context, r coordination.Request) {
 	if r.To == coordination.ToWorker {
-		c.calls <- struct{}{}
-		defer func() { <-c.calls }()
+		select {
+		case c.agentCalls <- struct{}{}:
+			defer func() { <-c.agentCalls }()
+		case <-ctx.Done():
+			return
+		}
+	}
+	response := coordination.Response{ID: r.ID}
+	status, body, err := c.fetch(ctx, r)
+	switch {
+	case errors.Is(err, errTooLarge):
+		response.Status = http.StatusRequestEntityTooLarge
+	case err != nil:
+		response.Status = statusLost // it may have been carried out or not
+	default:
+		response.Status, response.Body = status, body
+	}
+	select {
+	case c.responses <- response:
+	case <-ctx.Done():
 	}
-	status, body := c.fetch(r)
-	c.answers <- coordination.Response{ID: r.ID, Status: status, Body: body}
 }
 
-func (c *clients) fetch(r coordination.Request) (status int, body []byte) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
-	defer cancel()
-	base, client := c.state, c.outside
+// endpoint is where a request goes.
+func (c *clients) endpoint(r coordination.Request) endpoint {
 	switch r.To {
 	case coordination.ToLeaderLease:
-		client = c.leaderLease
+		return c.leaderLease
 	case coordination.ToCloud:
-		base = c.cloud
+		return c.cloud
 	case coordination.ToWorker:
-		base, client = "http://"+r.Address, c.workers
+		return endpoint{"http://" + r.Address, c.agents}
 	}
+	return c.store
+}
+
+// fetch sends a request and reads its answer, whatever its status.
+func (c *clients) fetch(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
+	defer cancel()
+	to := c.endpoint(r)
 	var in io.Reader
 	if r.Body != nil {
 		in = bytes.NewReader(r.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, base+r.Path, in)
+	req, err := http.NewRequestWithContext(ctx, r.Method, to.base+r.Path, in)
 	if err != nil {
-		return 0, nil
+		return 0, nil, fmt.Errorf("make request %s %s: %w", r.Method, r.Path, err)
 	}
 	if r.Body != nil {
 		req.Header.Set("Content-Type", "application/json")
 		// Only requests that may be repeated are sent again by the client.
 		req.GetBody = nil
 	}
-	resp, err := client.Do(req)
+	resp, err := to.client.Do(req)
 	if err != nil {
-		return 0, nil
+		return 0, nil, fmt.Errorf("send request: %w", err)
 	}
 	defer resp.Body.Close()
 	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBody)
 	if err != nil {
-		return 0, nil
+		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
 	}
 	if len(body) == tuning.MaxResponseBytes {
-		return http.StatusRequestEntityTooLarge, nil // cut short; the same request would be again
+		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errTooLarge)
 	}
-	return resp.StatusCode, body
+	return resp.StatusCode, body, nil
 }
 
 // readAll reads a body of about the announced length, which is negative if none
@@ -108,6 +166,3 @@
 	_, err := b.ReadFrom(r)
 	return b.Bytes(), err
 }
-
-// retryAfter writes a pause as the header's whole seconds.
-func retryAfter(d time.Duration) int { return max(1, int((d+time.Second-1)/time.Second)) }
--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -25,7 +26,7 @@
 	defer server.Close()
 	cfg := &config.Config{Endpoints: config.Endpoints{State: server.Listener.Addr().String()}}
 	answers := make(chan coordination.Event, 1)
-	newClients(cfg, answers).call(coordination.Request{ID: 1, To: coordination.ToState, Method: "GET", Path: "/watch", Timeout: time.Minute})
+	newClients(cfg, answers).call(context.Background(), coordination.Request{ID: 1, To: coordination.ToState, Method: "GET", Path: "/watch", Timeout: time.Minute})
 	if r := (<-answers).(coordination.Response); r.Status != http.StatusRequestEntityTooLarge || r.Body != nil {
 		t.Errorf("status %d, %d bytes", r.Status, len(r.Body))
 	}
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -58,8 +58,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// take moves the node's counters into the registry. The owner calls it.
-func (m *metrics) take(n *coordination.Node, connections int, queues ...int) {
+// take moves the node's counters into the registry. The event loop calls it.
+func (m *metrics) take(n *coordination.Node, connections, queued int) {
 	now := n.TakeMetrics()
 	m.term.Set(float64(now.Term))
 	m.leading.Set(0)
@@ -69,11 +69,7 @@
 	m.machines.Set(float64(now.Machines))
 	m.waiting.Set(float64(now.Waiting))
 	m.conns.Set(float64(connections))
-	depth := 0
-	for _, q := range queues {
-		depth += q
-	}
-	m.queue.Set(float64(depth))
+	m.queue.Set(float64(queued))
 	add := func(c prometheus.Counter, now, last uint64) {
 		if now > last {
 			c.Add(float64(now - last))
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -29,23 +29,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range tuning.MinUserQueueLength {
-		go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-1"} })
+		go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-1"} })
 	}
-	eventually(t, "the queue is full", func() bool { return len(o.users) == tuning.MinUserQueueLength })
-	if r := o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
+	eventually(t, "the queue is full", func() bool { return len(o.loop.queues.users) == tuning.MinUserQueueLength })
+	if r := o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many gets %+v", r)
 	}
 	// A submission is then refused before its body is read.
 	body := &countingReader{}
 	w := httptest.NewRecorder()
-	o.handler().ServeHTTP(w, httptest.NewRequest("POST", protocol.PathJobs, body))
+	o.server.handler().ServeHTTP(w, httptest.NewRequest("POST", protocol.PathJobs, body))
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" || body.reads > 0 {
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
-	go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
+	go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, func(id uint64) coordination.Event {
 		return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
 	})
-	eventually(t, "the report is queued", func() bool { return len(o.urgent) == 1 })
+	eventually(t, "the report is queued", func() bool { return len(o.loop.queues.heartbeats) == 1 })
 }
 
 // TestFlood: stalled connections and a flood of polls for jobs that nobody knows
@@ -163,10 +163,10 @@
 	log := slog.New(slog.DiscardHandler)
 	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
-		o.urgent <- coordination.WorkerReport{Report: &protocol.Heartbeat{}}
+		o.loop.queues.heartbeats <- coordination.WorkerReport{Report: &protocol.Heartbeat{}}
 	}
-	o.clients.answers <- coordination.Response{ID: 1}
-	batch := o.next(nil)
+	o.loop.queues.responses <- coordination.Response{ID: 1}
+	batch := o.loop.next(nil)
 	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.MaxUrgentEventsPerBatch {
 		t.Errorf("a batch of %d begins with %T", len(batch), batch[0])
 	}
@@ -191,21 +191,22 @@
 	defer end()
 	for _, ctx := range []context.Context{gone, here} {
 		for range 3 {
-			go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
+			go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, func(id uint64) coordination.Event {
 				return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
 			})
-			go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} })
+			go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} })
 		}
 	}
-	o.answers <- coordination.Response{ID: 99}
-	eventually(t, "all are queued", func() bool { return len(o.urgent) == 6 && len(o.users) == 6 })
+	o.loop.queues.responses <- coordination.Response{ID: 99}
+	eventually(t, "all are queued", func() bool { return len(o.loop.queues.heartbeats) == 6 && len(o.loop.queues.users) == 6 })
 	leave()
 	eventually(t, "three of each have gone", func() bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		return len(o.waiting) == 6
+		pending := o.loop.pending
+		pending.mu.Lock()
+		defer pending.mu.Unlock()
+		return len(pending.replies) == 6
 	})
-	if batch := o.next(nil); len(batch) != 7 {
+	if batch := o.loop.next(nil); len(batch) != 7 {
 		t.Errorf("a batch of %d, want the answer and six requests", len(batch))
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -3,8 +3,12 @@
 import (
 	"context"
 	"errors"
+	"fmt"
+	"log/slog"
+	"net"
 	"net/http"
 	"strconv"
+	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
@@ -13,38 +17,61 @@
 	"golang.org/x/net/netutil"
 )
 
-// serve answers users, workers, the load balancer and operators.
-func (o *Owner) serve(ctx context.Context, failed chan<- error) error {
-	ln, err := listen(ctx, o.cfg.Listen)
+// maxHeaderBytes bounds the headers of one request.
+const maxHeaderBytes = 16 << 10
+
+// httpServer answers users, agents, the load balancer and operators.
+type httpServer struct {
+	address     string
+	log         *slog.Logger
+	queues      *eventQueues
+	pending     *pendingRequests
+	connections *connections
+	metrics     *metrics
+	ready       func() bool
+}
+
+// listen opens the server's listener, which has no more connections than it may.
+func (s *httpServer) listen(ctx context.Context) (net.Listener, error) {
+	listener, err := listen(ctx, s.address)
 	if err != nil {
-		return err
+		return nil, fmt.Errorf("listen for users and agents: %w", err)
 	}
-	if o.conns.most > 0 {
-		ln = netutil.LimitListener(ln, o.conns.most)
+	if s.connections.most > 0 {
+		listener = netutil.LimitListener(listener, s.connections.most)
 	}
+	return listener, nil
+}
+
+// serve answers until the context ends, which is no error, or the listener fails. Then it
+// closes the listener and all connections.
+func (s *httpServer) serve(ctx context.Context, listener net.Listener) error {
 	srv := &http.Server{
-		Handler:           o.handler(),
+		Handler:           s.handler(),
 		ReadHeaderTimeout: tuning.RequestReadTimeout,
 		ReadTimeout:       tuning.RequestReadTimeout,
 		WriteTimeout:      tuning.RequestReadTimeout + tuning.ReplyTimeout,
 		IdleTimeout:       tuning.ServerIdleTimeout,
-		MaxHeaderBytes:    16 << 10,
-		ErrorLog:          nil,
-		ConnState:         o.conns.track,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.connections.track,
+	}
+	defer srv.Close()
+	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	defer stop()
+	if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve users and agents: %w", err)
 	}
-	context.AfterFunc(ctx, func() { srv.Close() })
-	go func() { failed <- srv.Serve(ln) }()
 	return nil
 }
 
-func (o *Owner) handler() http.Handler {
+func (s *httpServer) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+protocol.PathJobs, o.handleSubmit)
-	mux.HandleFunc("GET "+protocol.PathJobs+"/{id}", o.handleQuery)
-	mux.HandleFunc("POST "+protocol.PathJobs+"/{id}/"+protocol.CancelAction, o.handleCancel)
-	mux.HandleFunc("POST "+protocol.PathHeartbeat, o.handleReport)
-	mux.HandleFunc("GET "+protocol.PathReady, o.handleReady)
-	mux.Handle("GET "+protocol.PathMetrics, o.metrics.handler())
+	mux.HandleFunc("POST "+protocol.PathJobs, s.handleSubmit)
+	mux.HandleFunc("GET "+protocol.PathJobs+"/{id}", s.handleQuery)
+	mux.HandleFunc("POST "+protocol.PathJobs+"/{id}/"+protocol.CancelAction, s.handleCancel)
+	mux.HandleFunc("POST "+protocol.PathHeartbeat, s.handleHeartbeat)
+	mux.HandleFunc("GET "+protocol.PathReady, s.handleReady)
+	mux.Handle("GET "+protocol.PathMetrics, s.metrics.handler())
 	return mux
 }
 
@@ -63,6 +90,7 @@
 	return body, true
 }
 
+// refuse answers a request that is not served, and why.
 func refuse(w http.ResponseWriter, status int, why string) {
 	writeJSON(w, status, storage.Encode(protocol.ErrorBody{Error: why}))
 }
@@ -74,6 +102,7 @@
 	w.Write(body)
 }
 
+// respond writes the node's reply.
 func respond(w http.ResponseWriter, r coordination.Reply) {
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(retryAfter(r.RetryAfter)))
@@ -85,10 +114,40 @@
 	writeJSON(w, r.Status, r.Body)
 }
 
-func (o *Owner) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	o.conns.bound(o.conns.keepUsers, w)
-	if len(o.users) == cap(o.users) {
-		respond(w, o.shed()) // before anything is spent on its body
+// retryAfter writes a pause as the header's whole seconds.
+func retryAfter(d time.Duration) int { return max(1, int((d+time.Second-1)/time.Second)) }
+
+// shed is the answer when there is too much to do.
+func (s *httpServer) shed() coordination.Reply {
+	s.metrics.sheds.Inc()
+	return coordination.Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
+}
+
+// ask hands a request to the event loop and waits for its reply: 503 if too many wait,
+// 504 if none comes in time.
+func (s *httpServer) ask(ctx context.Context, queue chan<- coordination.Event, limit time.Duration, event func(id uint64) coordination.Event) coordination.Reply {
+	id, reply := s.pending.open()
+	defer s.pending.forget(id)
+	select {
+	case queue <- event(id):
+	default:
+		return s.shed()
+	}
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
+	select {
+	case r := <-reply:
+		return r
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return coordination.Reply{Status: http.StatusGatewayTimeout}
+}
+
+func (s *httpServer) handleSubmit(w http.ResponseWriter, r *http.Request) {
+	s.connections.bound(s.connections.keepUsers, w)
+	if len(s.queues.users) == cap(s.queues.users) {
+		respond(w, s.shed()) // before anything is spent on its body
 		return
 	}
 	body, ok := readBody(w, r)
@@ -100,55 +159,55 @@
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, o.ask(r.Context(), o.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+	respond(w, s.ask(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return coordination.Submit{ID: id, Job: job}
 	}))
 }
 
 // askJob asks the owner about the job that the path names.
-func (o *Owner) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
-	o.conns.bound(o.conns.keepUsers, w)
+func (s *httpServer) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
+	s.connections.bound(s.connections.keepUsers, w)
 	jobID := protocol.JobID(r.PathValue("id"))
 	if !protocol.ValidID(jobID) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
-	respond(w, o.ask(r.Context(), o.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+	respond(w, s.ask(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return event(id, jobID)
 	}))
 }
 
-func (o *Owner) handleQuery(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+func (s *httpServer) handleQuery(w http.ResponseWriter, r *http.Request) {
+	s.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
 		return coordination.Query{ID: id, Job: jobID}
 	})
 }
 
-func (o *Owner) handleCancel(w http.ResponseWriter, r *http.Request) {
-	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+func (s *httpServer) handleCancel(w http.ResponseWriter, r *http.Request) {
+	s.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
 		return coordination.Cancel{ID: id, Job: jobID}
 	})
 }
 
-func (o *Owner) handleReport(w http.ResponseWriter, r *http.Request) {
-	o.conns.bound(o.conns.keepWorkers, w)
+func (s *httpServer) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	s.connections.bound(s.connections.keepWorkers, w)
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	report, err := protocol.ParseHeartbeat(body)
+	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
-		o.log.Error("report refused", "error", err)
+		s.log.Error("report refused", "error", err)
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, o.ask(r.Context(), o.urgent, tuning.ReplyTimeout, func(id uint64) coordination.Event {
-		return coordination.WorkerReport{ID: id, Report: report}
+	respond(w, s.ask(r.Context(), s.queues.heartbeats, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+		return coordination.WorkerReport{ID: id, Report: heartbeat}
 	}))
 }
 
-func (o *Owner) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if !o.ready.Load() {
+func (s *httpServer) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !s.ready() {
 		refuse(w, http.StatusServiceUnavailable, "not ready")
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -20,8 +20,12 @@
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
+	"go.uber.org/goleak"
 )
 
+// TestMain checks that no goroutine outlives the tests.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
 // stateStub is a scripted state service: it holds keys, grants every lease and
 // shows a watch what was set since.
 type stateStub struct {
@@ -120,6 +124,7 @@
 
 func startOwner(t testing.TB, up bool, sockets int) (*config.Config, *cloudStub) {
 	t.Helper()
+	before := goleak.IgnoreCurrent()
 	state := httptest.NewServer(&stateStub{keys: map[string]protocol.Entry{}, changed: make(chan struct{})})
 	stub := &cloudStub{up: up}
 	cloud := httptest.NewServer(stub)
@@ -136,10 +141,26 @@
 	go func() { ended <- NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")).Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		select {
+		case err := <-ended:
+			if err != nil {
+				t.Errorf("the owner ends with %v", err)
+			}
+		case <-time.After(tuning.ReplyTimeout):
+			t.Error("the owner waits for answers or peers when it should end")
+		}
 		cloud.Close()
 		state.CloseClientConnections()
 		state.Close()
+		http.DefaultClient.CloseIdleConnections()
+		// The HTTP server's goroutines linger for half a second on a request cut short.
+		var leaked error
+		for range 5 {
+			if leaked = goleak.Find(before); leaked == nil {
+				return
+			}
+		}
+		t.Errorf("goroutines outlive the owner: %v", leaked)
 	})
 	return cfg, stub
 }
