--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
@@ -27,7 +28,7 @@
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
 	for range 40 {
 		job := l.testJob(s)
-		l.scheduler.PlaceArray(job, false)
+		l.runSchedulingCycle()
 		for _, attempt := range job.Attempts {
 			attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 		}
@@ -62,7 +63,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, ok := l.report(r, true); !ok {
+		if l.agents.Heartbeats.Accept(r).Outcome != agents.Accepted {
 			b.Fatal("not taken")
 		}
 	}
@@ -80,7 +81,7 @@
 		}
 		l.runSchedulingCycle()
 	}
-	b.ReportMetric(float64(l.scheduler.Examined), "looks/op")
+	b.ReportMetric(float64(l.scheduler.Examined()), "machines-examined/op")
 }
 
 // TestBytesKept bounds what a leader keeps for each machine with its task and for
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -17,9 +17,8 @@
 // These tests hold one guard each that whole days break too rarely to show.
 
 func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
-	cmds, _ := l.report(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
-		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}, true)
-	return cmds
+	return l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}).Commands
 }
 
 func ops(cmds []protocol.Command) (s string) {
@@ -86,11 +85,12 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
 	job := l.testJob(gangOf(1, 1))
-	l.scheduler.PlaceGang(job)
+	l.runSchedulingCycle()
 	clear(job.Write.Dirty)
 	attempt := job.SortedAttempts()[0]
 	attempt.Committed = true
-	l.direct(machine, l.orders(machine, false))
+	l.agents.Delivery.Enqueue(machine)
+	l.agents.Delivery.SendPending()
 	r := l.n.lastRequest(t, ToWorker)
 	l.n.handle(Response{ID: r.ID})
 	l.testReport(machine, l.n.lease.term)
@@ -122,7 +122,7 @@
 	at := func(d time.Duration) {
 		l.n.now = start.Add(d)
 		l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-		l.tickMachines()
+		l.agents.Liveness.Tick()
 	}
 	at(lease + l.n.grace() - time.Second)
 	if len(job.Attempts) != 1 {
@@ -138,10 +138,10 @@
 // takes, and no start leaves before it is committed.
 func TestCommitFirst(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.scheduler.PlaceGang(job) })
+		commitFirst(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.placesAll(job) })
 	})
 	t.Run(string(protocol.ShapeArray), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeArray, func(l *leader, job *cluster.Job) bool { return l.scheduler.PlaceArray(job, false) == 0 })
+		commitFirst(t, protocol.ShapeArray, func(l *leader, job *cluster.Job) bool { return l.placesAll(job) })
 	})
 }
 
@@ -192,7 +192,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
 	job := l.testJob(gangOf(2, 1))
-	l.scheduler.PlaceGang(job)
+	l.runSchedulingCycle()
 	l.commitNext()
 	r := l.n.lastRequest(t, ToState)
 	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{storage.JobKey(job.ID)}})})
@@ -243,7 +243,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a", false)
 	job := l.testJob(gangOf(1, 1))
-	l.scheduler.PlaceGang(job)
+	l.runSchedulingCycle()
 	l.commitNext()
 	sent := l.n.lastRequest(t, ToState)
 	var txn protocol.Transaction
