--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,8 +65,8 @@
 	return kinds
 }
 
-// Workers are the timings that all workers share.
-type Workers struct {
+// AgentTimings are the timings that all workers share.
+type AgentTimings struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
 	GangWaitS float64 `toml:"gang_wait_s"`
@@ -74,19 +74,19 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// State holds the state service's limits.
-type State struct {
+// StoreLimits holds the state service's limits.
+type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next are the limits that the service will have some time after all
 	// controllers run this version, without notice; what is missing stays.
-	Next *NextState `toml:"next"`
+	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextState holds limits to come.
-type NextState struct {
+// NextStoreLimits holds limits to come.
+type NextStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -94,7 +94,7 @@
 }
 
 // Smallest are the limits that hold now and later: the smaller of each.
-func (s State) Smallest() State {
+func (s StoreLimits) Smallest() StoreLimits {
 	t := s
 	t.Next = nil
 	if n := s.Next; n != nil {
@@ -112,14 +112,14 @@
 	}
 }
 
-// Cloud holds the cloud's limits.
-type Cloud struct {
+// CloudLimits holds the cloud's limits.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Resources are the limits of this process.
-type Resources struct {
+// ProcessLimits are the limits of this process.
+type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
@@ -127,7 +127,7 @@
 
 // Pause is the pause between things that cost so much processor time each, for
 // them to take no more than a part of the process's share of a core.
-func (r Resources) Pause(cost time.Duration, part float64) time.Duration {
+func (r ProcessLimits) Pause(cost time.Duration, part float64) time.Duration {
 	if r.Cores <= 0 {
 		return 0
 	}
@@ -136,7 +136,7 @@
 
 // UserRequests bounds users' requests under way at one node: a part of the connections
 // that are kept for users, so that reports always find room.
-func (r Resources) UserRequests() int {
+func (r ProcessLimits) UserRequests() int {
 	return max(tuning.MinUserQueueLength, int(float64(r.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
 
@@ -147,13 +147,13 @@
 	SkewMs     float64             `toml:"skew_ms"`
 	Teams      []Team              `toml:"teams"`
 	Objectives []Objective         `toml:"objectives"`
-	Workers    Workers             `toml:"workers"`
+	Workers    AgentTimings        `toml:"workers"`
 	// State holds the tightest limits of the state service that are known; Present
 	// those that it has now, where they are others.
-	State     State     `toml:"state"`
-	Present   *State    `toml:"-"`
-	Cloud     Cloud     `toml:"cloud"`
-	Resources Resources `toml:"resources"`
+	State     StoreLimits   `toml:"state"`
+	Present   *StoreLimits  `toml:"-"`
+	Cloud     CloudLimits   `toml:"cloud"`
+	Resources ProcessLimits `toml:"resources"`
 }
 
 // Endpoints are the outside systems' addresses.
@@ -218,7 +218,7 @@
 }
 
 // StateNow holds the limits that the state service has before they are lowered.
-func (c *Cluster) StateNow() State {
+func (c *Cluster) StateNow() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -131,7 +131,7 @@
 // have, the smaller of each count; a part of them, larger ones or none at all are
 // valid, and what cannot be one is refused with its name.
 func TestNextLimits(t *testing.T) {
-	for next, want := range map[string]State{
+	for next, want := range map[string]StoreLimits{
 		"": {RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
 		"[cluster.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8": {RPS: 250, WriteRPS: 21, ValueKB: 2, TxnOps: 8},
 		"[cluster.state.next]\nvalue_kb = 64.0\nrps = 100.0\nnew = true":      {RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -52,7 +52,7 @@
 // NewLimiter paces the calls to agents by what they cost of the controller's share of a
 // core: a new leader that called every agent of a large fleet at once would not come to
 // renew its leader lease.
-func NewLimiter(resources config.Resources) *rate.Limiter {
+func NewLimiter(resources config.ProcessLimits) *rate.Limiter {
 	if resources.Cores <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // bigResources are those of a controller of two thousand machines.
-var bigResources = config.Resources{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
+var bigResources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 
 // fullFleet is a leader with two thousand machines, all taken by arrays of the
 // lowest priority, and jobs that wait.
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -20,8 +20,8 @@
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
-		Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6}}
+		Workers: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+		State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6}}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = now
 	n.types["big"], n.types["small"] = &bigType, &smallType
--- a/internal/coordination/record_split.go
+++ b/internal/coordination/record_split.go
@@ -39,7 +39,7 @@
 }
 
 // limits are those that a record must keep within now.
-func (l *leader) limits() config.State {
+func (l *leader) limits() config.StoreLimits {
 	if l.maySplit() {
 		return l.n.cfg.Cluster.State
 	}
@@ -47,7 +47,7 @@
 }
 
 // outgrown says whether a record must be split before it is written.
-func (l *leader) outgrown(job *cluster.Job, r int, limits config.State) bool {
+func (l *leader) outgrown(job *cluster.Job, r int, limits config.StoreLimits) bool {
 	list := job.TasksOf(r)
 	if len(list) < 2 {
 		return false
@@ -71,7 +71,7 @@
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
 // the limits.
-func (l *leader) splitDirty(job *cluster.Job, limits config.State) {
+func (l *leader) splitDirty(job *cluster.Job, limits config.StoreLimits) {
 	if len(job.Records.UnnamedParts) > 0 || !l.maySplit() {
 		return
 	}
@@ -113,7 +113,7 @@
 // splitUp splits a record until every part keeps within the limits. Unless parts may
 // be staged it stops at what one transaction can write; of a gang's parts the rest
 // may then be split in the next.
-func (l *leader) splitUp(job *cluster.Job, r int, limits config.State) {
+func (l *leader) splitUp(job *cluster.Job, r int, limits config.StoreLimits) {
 	most := limits.TxnOps - 2
 	if l.mayStage() {
 		most = len(job.Tasks)
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -21,7 +21,7 @@
 	n := l.n
 	present := n.cfg.Cluster.State
 	n.cfg.Cluster.Present = &present
-	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.peers["s"] = &peer{link: 1}
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -45,7 +45,7 @@
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	present := n.cfg.Cluster.State
 	n.cfg.Cluster.Present = &present
-	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.setBudgets()
 	n.peers["s"] = &peer{up: true, link: 1, level: level}
 	page := protocol.Entries{Revision: s.revision}
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -42,11 +42,11 @@
 	s := Small()
 	s.Machines, s.Capacity, s.Recovery = c.Machines, c.Machines, c.Recovery
 	s.Teams = []config.Team{{Name: "free"}}
-	s.Workers = config.Workers{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
+	s.Workers = config.AgentTimings{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
 	writes := max(40, float64(c.Machines)/4)
-	s.State = config.State{RPS: 10 * writes, WriteRPS: writes, ValueKB: 8, TxnOps: 24}
-	s.Cloud = config.Cloud{RPS: 20, ListLagS: 2}
-	s.Resources = config.Resources{FDLimit: 4 * c.Machines}
+	s.State = config.StoreLimits{RPS: 10 * writes, WriteRPS: writes, ValueKB: 8, TxnOps: 24}
+	s.Cloud = config.CloudLimits{RPS: 20, ListLagS: 2}
+	s.Resources = config.ProcessLimits{FDLimit: 4 * c.Machines}
 	return s
 }
 
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -18,9 +18,9 @@
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = 380, 1350
 	}
-	s.State = config.State{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
-	s.Cloud = config.Cloud{RPS: 9, ListLagS: 5}
-	s.Resources = config.Resources{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
+	s.State = config.StoreLimits{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
+	s.Cloud = config.CloudLimits{RPS: 9, ListLagS: 5}
+	s.Resources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 	return s
 }
 
@@ -32,9 +32,9 @@
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = 1000, 4000
 	}
-	s.State = config.State{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
-	s.Cloud = config.Cloud{RPS: 12, ListLagS: 5}
-	s.Resources = config.Resources{Cores: 0.5, MemoryMB: 540, FDLimit: 4200}
+	s.State = config.StoreLimits{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
+	s.Cloud = config.CloudLimits{RPS: 12, ListLagS: 5}
+	s.Resources = config.ProcessLimits{Cores: 0.5, MemoryMB: 540, FDLimit: 4200}
 	return s
 }
 
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -19,10 +19,10 @@
 	for i := range 8 {
 		s.Teams = append(s.Teams, config.Team{Name: protocol.TeamName(fmt.Sprint("team-", i)), GPUs: 200, MaxGPUs: 800})
 	}
-	s.Workers = config.Workers{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
-	s.State = config.State{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
-	s.Cloud = config.Cloud{RPS: 8, ListLagS: 5}
-	s.Resources = config.Resources{Cores: 0.24, MemoryMB: 234, FDLimit: 2000}
+	s.Workers = config.AgentTimings{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
+	s.State = config.StoreLimits{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
+	s.Cloud = config.CloudLimits{RPS: 8, ListLagS: 5}
+	s.Resources = config.ProcessLimits{Cores: 0.24, MemoryMB: 234, FDLimit: 2000}
 	return s
 }
 
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -197,7 +197,7 @@
 	t.Parallel()
 	shape := grown()
 	shape.Machines, shape.Capacity = 12, 60
-	shape.Resources = config.Resources{}
+	shape.Resources = config.ProcessLimits{}
 	var sums stageSums
 	for seed := range uint64(12) {
 		mean, again, missing := replicaLoss(t, 700+seed, shape)
@@ -216,7 +216,7 @@
 	t.Parallel()
 	shape := grown()
 	shape.Machines, shape.Capacity = 30, 60
-	shape.Resources = config.Resources{}
+	shape.Resources = config.ProcessLimits{}
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -48,7 +48,7 @@
 	lost     float64       // of transactions: this share gets no answer
 	atOnce   bool          // and is carried out at once, not 2 to 12 s later
 	blind    *controller   // no watch of this node is answered
-	limits   config.State
+	limits   config.StoreLimits
 	tooLarge int // transactions that are beyond them
 	calls    *rate.Limiter
 	writes   *rate.Limiter
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -13,7 +13,7 @@
 
 // lowered is the shape of a deployment whose state service will lower its limits.
 func lowered(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.State{RPS: s.State.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+	s.Lowered = &config.StoreLimits{RPS: s.State.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -26,12 +26,12 @@
 	Capacity  int // machines that the cloud has, those included
 	Type      protocol.MachineType
 	Teams     []config.Team
-	Workers   config.Workers
-	State     config.State
-	Cloud     config.Cloud
-	Resources config.Resources
+	Workers   config.AgentTimings
+	State     config.StoreLimits
+	Cloud     config.CloudLimits
+	Resources config.ProcessLimits
 	// Lowered are the state service's limits to come, which the settings announce.
-	Lowered *config.State
+	Lowered *config.StoreLimits
 	// Recovery has the controllers follow their recoveries, as operators may ask.
 	Recovery bool
 	// Slow controllers take time for what they do, by their share of a core.
@@ -46,10 +46,10 @@
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
 			Price: 10, SpotPrice: 3, BootS: 20, Zones: zones},
 		Teams:     []config.Team{{Name: "red", GPUs: 4, MaxGPUs: 10}, {Name: "blue", GPUs: 8, MaxGPUs: 16}, {Name: "free"}},
-		Workers:   config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-		State:     config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12},
-		Cloud:     config.Cloud{RPS: 6, ListLagS: 6},
-		Resources: config.Resources{Cores: 0.06, MemoryMB: 98, FDLimit: 800},
+		Workers:   config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+		State:     config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12},
+		Cloud:     config.CloudLimits{RPS: 6, ListLagS: 6},
+		Resources: config.ProcessLimits{Cores: 0.06, MemoryMB: 98, FDLimit: 800},
 	}
 }
 
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -60,7 +60,7 @@
 func TestZoneLossWithoutBoot(t *testing.T) {
 	t.Parallel()
 	three := grown()
-	three.Machines, three.Capacity, three.Resources = 9, 60, config.Resources{}
+	three.Machines, three.Capacity, three.Resources = 9, 60, config.ProcessLimits{}
 	two := Small()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -132,9 +132,9 @@
 		Peers:     []config.Peer{{Name: "n1", Addr: freeAddr(t)}},
 		Endpoints: config.Endpoints{State: state.Listener.Addr().String(), Cloud: cloud.Listener.Addr().String()},
 		Cluster: config.Cluster{Zones: []protocol.ZoneName{"a"}, Teams: []config.Team{{Name: "vision", MaxGPUs: 4}},
-			Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-			State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6},
-			Resources: config.Resources{FDLimit: sockets}}}
+			Workers: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+			State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6},
+			Resources: config.ProcessLimits{FDLimit: sockets}}}
 	log := slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
