--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,10 +1,10 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net"
+	"reflect"
 	"strconv"
 
 	"github.com/gappond/gappond/internal/protocol"
@@ -17,34 +17,60 @@
 	leastTxnOps  = 4
 )
 
-// checker collects what is wrong with the settings, each with the name of the setting.
-type checker struct{ errs []error }
+// Problems that several settings may have.
+const (
+	problemMissing   = "is missing"
+	problemEmpty     = "is empty"
+	problemNotUnique = "is empty or used twice"
+	problemNegative  = "must be 0 or more"
+)
+
+// checker collects what is wrong with the settings.
+type checker struct{ problems []error }
 
-func (c *checker) add(format string, args ...any) {
-	c.errs = append(c.errs, fmt.Errorf(format, args...))
+// add notes a problem of a setting that is there.
+func (c *checker) add(key string, value any, problem string) {
+	text := fmt.Sprint(value)
+	if reflect.ValueOf(value).Kind() == reflect.String {
+		text = fmt.Sprintf("%q", value)
+	}
+	c.problems = append(c.problems, &SettingError{Key: key, Value: text, Problem: problem})
+}
+
+// addMissing notes a setting that is not there.
+func (c *checker) addMissing(key, problem string) {
+	c.problems = append(c.problems, &SettingError{Key: key, Problem: problem})
+}
+
+// err is all that was found, nil if nothing was.
+func (c *checker) err() error {
+	if len(c.problems) == 0 {
+		return nil
+	}
+	return &InvalidError{Problems: c.problems}
 }
 
 // address checks an address with its port.
-func (c *checker) address(name, a string) {
+func (c *checker) address(key, a string) {
 	_, port, err := net.SplitHostPort(a)
 	if err != nil {
-		c.add("%s: %q is not host:port", name, a)
+		c.add(key, a, "is not host:port")
 		return
 	}
 	if p, err := strconv.Atoi(port); err != nil || p < 0 || p > 65535 {
-		c.add("%s: %q has no valid port", name, a)
+		c.add(key, a, "has no valid port")
 	}
 }
 
-func (c *checker) positive(name string, v float64) {
+func (c *checker) positive(key string, v float64) {
 	if !(v > 0) || math.IsInf(v, 0) {
-		c.add("%s: %v must be above 0", name, v)
+		c.add(key, v, "must be above 0")
 	}
 }
 
-func (c *checker) amount(name string, v float64) {
+func (c *checker) amount(key string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
-		c.add("%s: %v must be 0 or more", name, v)
+		c.add(key, v, problemNegative)
 	}
 }
 
@@ -53,7 +79,7 @@
 	seen := map[protocol.TeamName]bool{}
 	for i, t := range teams {
 		if t.Name == "" || seen[t.Name] {
-			c.add("cluster.teams[%d].name: %q is empty or used twice", i, t.Name)
+			c.add(fmt.Sprintf("cluster.teams[%d].name", i), t.Name, problemNotUnique)
 		}
 		seen[t.Name] = true
 		c.amount("cluster.teams["+string(t.Name)+"].cpus", t.CPUs)
@@ -71,38 +97,39 @@
 	c.positive("cluster.workers.gang_peer_s", w.GangPeerS)
 	c.positive("cluster.workers.cancel_s", w.CancelS)
 	if w.CancelS <= w.LeaseS {
-		c.add("cluster.workers.cancel_s: %v must be above lease_s (%v), or a cut-off worker outlives a cancellation", w.CancelS, w.LeaseS)
+		c.add("cluster.workers.cancel_s", w.CancelS,
+			fmt.Sprintf("must be above lease_s (%v), or a cut-off worker outlives a cancellation", w.LeaseS))
 	}
 }
 
 // storeLimits checks the limits of the state service.
-func (c *checker) storeLimits(name string, s StoreLimits) {
-	c.positive(name+".rps", s.RPS)
-	c.positive(name+".write_rps", s.WriteRPS)
+func (c *checker) storeLimits(key string, s StoreLimits) {
+	c.positive(key+".rps", s.RPS)
+	c.positive(key+".write_rps", s.WriteRPS)
 	if !(s.ValueKB >= leastValueKB) {
-		c.add("%s.value_kb: %v is too small for a job's record (%v at least)", name, s.ValueKB, leastValueKB)
+		c.add(key+".value_kb", s.ValueKB, fmt.Sprintf("is too small for a job's record (%v at least)", leastValueKB))
 	}
 	if s.TxnOps < leastTxnOps {
-		c.add("%s.txn_ops: %d is too small (%d at least)", name, s.TxnOps, leastTxnOps)
+		c.add(key+".txn_ops", s.TxnOps, fmt.Sprintf("is too small (%d at least)", leastTxnOps))
 	}
 }
 
 // nodes checks this controller's name and addresses and those of its peers.
 func (c *checker) nodes(cfg *Config) {
 	if cfg.Name == "" {
-		c.add("host_name is missing")
+		c.addMissing("host_name", problemMissing)
 	}
 	c.address("listen", cfg.Listen)
 	c.address("peer_bind", cfg.PeerListen)
 	c.address("endpoints.cloud", cfg.Endpoints.Cloud)
 	c.address("endpoints.state", cfg.Endpoints.State)
 	seen := map[protocol.NodeName]bool{cfg.Name: true}
-	for i, s := range cfg.Peers {
-		if s.Name == "" || seen[s.Name] {
-			c.add("siblings[%d].host_name: %q is empty or used twice", i, s.Name)
+	for i, peer := range cfg.Peers {
+		if peer.Name == "" || seen[peer.Name] {
+			c.add(fmt.Sprintf("siblings[%d].host_name", i), peer.Name, problemNotUnique)
 		}
-		seen[s.Name] = true
-		c.address(fmt.Sprintf("siblings[%d].addr", i), s.Addr)
+		seen[peer.Name] = true
+		c.address(fmt.Sprintf("siblings[%d].addr", i), peer.Addr)
 	}
 }
 
@@ -111,7 +138,7 @@
 	k, found := &c.Cluster, &checker{}
 	found.nodes(c)
 	if len(k.Zones) == 0 {
-		found.add("cluster.zones is empty")
+		found.addMissing("cluster.zones", problemEmpty)
 	}
 	found.amount("cluster.skew_ms", k.SkewMs)
 	found.teams(k.Teams)
@@ -125,7 +152,7 @@
 	found.amount("cluster.resources.cores", k.Resources.Cores)
 	found.amount("cluster.resources.memory_mb", k.Resources.MemoryMB)
 	if k.Resources.FDLimit < 0 {
-		found.add("cluster.resources.fd_limit: %d must be 0 or more", k.Resources.FDLimit)
+		found.add("cluster.resources.fd_limit", k.Resources.FDLimit, problemNegative)
 	}
-	return errors.Join(found.errs...)
+	return found.err()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,7 +4,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"slices"
 	"time"
@@ -184,7 +183,7 @@
 	}
 	c, err := Parse(data)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, &FileError{File: path, Err: err}
 	}
 	if propertiesPath != "" {
 		data, err := os.ReadFile(propertiesPath)
@@ -192,7 +191,7 @@
 			return nil, err
 		}
 		if c.Operator, err = ParseProperties(data); err != nil {
-			return nil, fmt.Errorf("%s: %w", propertiesPath, err)
+			return nil, &FileError{File: propertiesPath, Err: err}
 		}
 	}
 	return c, nil
@@ -202,9 +201,9 @@
 func Parse(data []byte) (*Config, error) {
 	c := &Config{Operator: tuning.Defaults()}
 	if err := toml.Unmarshal(data, c); err != nil {
-		var d *toml.DecodeError
-		if errors.As(err, &d) {
-			return nil, errors.New(d.String())
+		var cause *toml.DecodeError
+		if errors.As(err, &cause) {
+			return nil, newSyntaxError(cause)
 		}
 		return nil, err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,9 @@
 package config
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -170,3 +173,87 @@
 		t.Error(d)
 	}
 }
+
+// TestErrorTexts: all that is wrong with a file is told at once, with the keys, the values
+// and what is allowed, in the words of version 0.5.
+func TestErrorTexts(t *testing.T) {
+	bad := good
+	for _, c := range [][2]string{
+		{`host_name = "n0"`, ``}, {`listen = "127.0.0.1:8080"`, `listen = "here"`}, {`"127.0.0.4:2379"`, `"127.0.0.4:99999"`},
+		{`host_name = "n1"`, `host_name = ""`}, {`addr = "127.0.0.2:8081"`, ``}, {`zones = ["east", "west"]`, `zones = []`},
+		{`skew_ms = 5.0`, `skew_ms = -1.5`}, {`name = "red"`, ``}, {`gpus = 8.0`, `gpus = -1.0`}, {`report_s = 3.0`, `report_s = 0.0`},
+		{`cancel_s = 51.0`, `cancel_s = 30.0`}, {`value_kb = 8.0`, `value_kb = nan`}, {`txn_ops = 24`, `txn_ops = 1`},
+		{`fd_limit = 2000`, `fd_limit = -3`},
+	} {
+		if !strings.Contains(bad, c[0]) {
+			t.Fatalf("%q is not in the settings", c[0])
+		}
+		bad = strings.Replace(bad, c[0], c[1], 1)
+	}
+	file := filepath.Join(t.TempDir(), "settings.toml")
+	for text, want := range map[string]string{
+		bad: `host_name is missing
+listen: "here" is not host:port
+endpoints.state: "127.0.0.4:99999" has no valid port
+siblings[0].host_name: "" is empty or used twice
+siblings[0].addr: "" is not host:port
+cluster.zones is empty
+cluster.skew_ms: -1.5 must be 0 or more
+cluster.teams[0].name: "" is empty or used twice
+cluster.teams[].gpus: -1 must be 0 or more
+cluster.workers.report_s: 0 must be above 0
+cluster.workers.cancel_s: 30 must be above lease_s (31), or a cut-off worker outlives a cancellation
+cluster.state.value_kb: NaN is too small for a job's record (2 at least)
+cluster.state.txn_ops: 1 is too small (4 at least)
+cluster.resources.fd_limit: -3 must be 0 or more`,
+		"host_name = 7\n": "1| host_name = 7\n |             ~ cannot decode TOML integer into struct field config.Config.Name of type protocol.NodeName",
+	} {
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := Load(file, "")
+		if err == nil {
+			t.Fatal("bad settings are taken")
+		}
+		if d := cmp.Diff(file+": "+want, err.Error()); d != "" {
+			t.Error(d)
+		}
+	}
+	_, err := ParseProperties([]byte("fleet.idle = 3\nfleet.idle-return.seconds = soon\nfleet.spares-per-zone = 1.5\nworkers.direct-starts = perhaps\n"))
+	want := `fleet.idle: no such key; known are [fleet.idle-return.seconds fleet.spares-per-zone fleet.zone-reserve queue.bar-after.seconds recovery.phase workers.direct-starts]
+fleet.idle-return.seconds: "soon" is not a number of seconds from 0 to 86400
+fleet.spares-per-zone: "1.5" is not a number from 0 to 100000
+workers.direct-starts: "perhaps" is neither true nor false`
+	if err == nil {
+		t.Fatal("bad properties are taken")
+	}
+	if d := cmp.Diff(want, err.Error()); d != "" {
+		t.Error(d)
+	}
+}
+
+// TestErrorTypes: callers find the file, each setting and each unknown key in an error.
+func TestErrorTypes(t *testing.T) {
+	_, err := Parse([]byte(strings.NewReplacer("report_s = 3.0", "report_s = 0.0", `listen = "127.0.0.1:8080"`, `listen = "here"`).Replace(good)))
+	err = &FileError{File: "settings.toml", Err: err}
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("%T", err)
+	}
+	if d := cmp.Diff([]error{
+		&SettingError{Key: "listen", Value: `"here"`, Problem: "is not host:port"},
+		&SettingError{Key: "cluster.workers.report_s", Value: "0", Problem: "must be above 0"},
+	}, invalid.Problems); d != "" {
+		t.Error(d)
+	}
+	_, err = Parse([]byte(strings.Replace(good, "value_kb = 8.0", `value_kb = "big"`, 1)))
+	var syntax *SyntaxError
+	if !errors.As(err, &syntax) || syntax.Key != "cluster.state.value_kb" {
+		t.Errorf("%#v", err)
+	}
+	_, err = ParseProperties([]byte("fleet.idle = 3\n"))
+	var unknown *UnknownKeyError
+	if !errors.As(err, &unknown) || unknown.Key != "fleet.idle" {
+		t.Errorf("%#v", err)
+	}
+}
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -14,17 +14,20 @@
 // A property is one key of the operators' file.
 type property struct {
 	doc   string
-	apply func(o *tuning.Operator, value string) error
+	apply func(o *tuning.Operator, value string) error // the error says what is allowed
 	show  func(o *tuning.Operator) string
 }
 
+// maxSeconds bounds a span: a day.
+const maxSeconds = 86_400
+
 // seconds is a property that holds a span.
 func seconds(doc string, field func(*tuning.Operator) *time.Duration) property {
 	return property{doc,
 		func(o *tuning.Operator, value string) error {
 			v, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(v >= 0) || v > 86400 {
-				return fmt.Errorf("%q is not a number of seconds from 0 to 86400", value)
+			if err != nil || !(v >= 0) || v > maxSeconds {
+				return fmt.Errorf("is not a number of seconds from 0 to %d", maxSeconds)
 			}
 			*field(o) = time.Duration(v * float64(time.Second))
 			return nil
@@ -38,7 +41,7 @@
 		func(o *tuning.Operator, value string) error {
 			v, err := strconv.ParseBool(value)
 			if err != nil {
-				return fmt.Errorf("%q is neither true nor false", value)
+				return errors.New("is neither true nor false")
 			}
 			*field(o) = v
 			return nil
@@ -56,7 +59,7 @@
 		func(o *tuning.Operator, value string) error {
 			v, err := strconv.Atoi(value)
 			if err != nil || v < 0 || v > maxSpares {
-				return fmt.Errorf("%q is not a number from 0 to %d", value, maxSpares)
+				return fmt.Errorf("is not a number from 0 to %d", maxSpares)
 			}
 			o.SparesPerZone = v
 			return nil
@@ -80,19 +83,19 @@
 	if err != nil {
 		return o, err
 	}
-	var errs []error
+	found := &checker{}
 	for _, key := range p.Keys() {
 		k, ok := known[key]
 		if !ok {
-			errs = append(errs, fmt.Errorf("%s: no such key; known are %v", key, Keys()))
+			found.problems = append(found.problems, &UnknownKeyError{Key: key, Known: Keys()})
 			continue
 		}
 		value, _ := p.Get(key)
 		if err := k.apply(&o, value); err != nil {
-			errs = append(errs, fmt.Errorf("%s: %w", key, err))
+			found.add(key, value, err.Error())
 		}
 	}
-	return o, errors.Join(errs...)
+	return o, found.err()
 }
 
 // Keys lists the operators' keys in order.
