--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -1,4 +1,9 @@
-// Command gappond is a cluster scheduler: see README.md.
+// Command gappond is a cluster scheduler: see README.md. Its command serve runs a
+// controller until an interrupt or SIGTERM ends it, check-config checks the settings and
+// prints those that are in force, and version prints the version.
+//
+// It ends with code 0 when all is done, 1 when a command fails, for example because a
+// setting is wrong or an address is taken, and 80 for wrong arguments.
 package main
 
 import (
@@ -14,7 +19,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"github.com/alecthomas/kong"
+	"github.com/gappond/gappond/internal/cli"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/transport"
@@ -24,37 +29,41 @@
 // version is set by the release build.
 var version = "0.5.0"
 
+// settings are the files that a command reads.
 type settings struct {
 	Config     string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
 	Properties string `placeholder:"FILE" env:"GAPPOND_PROPERTIES" help:"The operators' settings (Java-style properties)."`
 }
 
-type serveCmd struct{ settings }
-type checkCmd struct{ settings }
-type versionCmd struct{}
+type (
+	serveCommand   struct{ settings }
+	checkCommand   struct{ settings }
+	versionCommand struct{}
+)
 
-var cli struct {
-	Serve       serveCmd   `cmd:"" help:"Run a controller."`
-	CheckConfig checkCmd   `cmd:"" help:"Check the settings and print what is in force."`
-	Version     versionCmd `cmd:"" help:"Print the version."`
+var commands struct {
+	Serve       serveCommand   `cmd:"" help:"Run a controller."`
+	CheckConfig checkCommand   `cmd:"" help:"Check the settings and print what is in force."`
+	Version     versionCommand `cmd:"" help:"Print the version."`
 }
 
 func main() {
-	ctx := kong.Parse(&cli, kong.Name("gappond"), kong.Description("A cluster scheduler that places gangs whole and repairs them."))
-	ctx.FatalIfErrorf(ctx.Run())
+	cli.Main(&commands, "gappond", "A cluster scheduler that places gangs whole and repairs them.")
 }
 
-func (versionCmd) Run() error {
+// Run prints the version.
+func (versionCommand) Run() error {
 	fmt.Println("gappond", version)
 	return nil
 }
 
-func (c checkCmd) Run() error {
+// Run checks the settings and prints those in force.
+func (c checkCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: sound: node %s in %s, %d siblings, %d teams\n", c.Config, cfg.Name, cfg.Zone, len(cfg.Peers), len(cfg.Cluster.Teams))
+	fmt.Printf("%s: sound: node %s in %s, %d peers (siblings), %d teams\n", c.Config, cfg.Name, cfg.Zone, len(cfg.Peers), len(cfg.Cluster.Teams))
 	if c.Properties != "" {
 		fmt.Printf("%s: sound\n", c.Properties)
 	}
@@ -64,7 +73,8 @@
 	return nil
 }
 
-func (c serveCmd) Run() error {
+// Run runs a controller until a signal ends it.
+func (c serveCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
 		return err
@@ -79,18 +89,27 @@
 	if mb := cfg.Cluster.Resources.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * tuning.GCMemoryShare * (1 << 20)))
 	}
-	var boot [16]byte
-	if _, err := crand.Read(boot[:]); err != nil {
+	seed, bootID, err := newBoot()
+	if err != nil {
 		return err
 	}
 	warnOfObjectives(log, cfg)
-	node := coordination.New(cfg, log, binary.LittleEndian.Uint64(boot[8:]), hex.EncodeToString(boot[:8]))
+	node := coordination.New(cfg, log, seed, bootID)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log.Info("serving", "node", cfg.Name, "listen", cfg.Listen, "version", version)
 	return transport.NewOwner(cfg, log, node).Run(ctx)
 }
 
+// newBoot makes the seed of a controller's random numbers and the name of this life of it.
+func newBoot() (seed uint64, id string, err error) {
+	var random [16]byte
+	if _, err := crand.Read(random[:]); err != nil {
+		return 0, "", fmt.Errorf("read random numbers: %w", err)
+	}
+	return binary.LittleEndian.Uint64(random[8:]), hex.EncodeToString(random[:8]), nil
+}
+
 // warnOfObjectives names the objectives that have no effect.
 func warnOfObjectives(log *slog.Logger, cfg *config.Config) {
 	if kinds := cfg.Cluster.UnknownObjectives(); len(kinds) > 0 {
--- a/cmd/recoverybench/main.go
+++ b/cmd/recoverybench/main.go
@@ -2,6 +2,9 @@
 // work and come back together. It plays them on loopback, with the program as processes,
 // or on a fake clock, and makes a report of what was measured. docs/cold-restart.md says
 // what the figures mean.
+//
+// It ends with code 0 when all is done, 1 when a command fails, and 80 for wrong
+// arguments. Rules of the simulation that a measurement breaks are figures in it, no failure.
 package main
 
 import (
@@ -11,19 +14,18 @@
 	"strings"
 	"time"
 
-	"github.com/alecthomas/kong"
+	"github.com/gappond/gappond/internal/cli"
 	"github.com/gappond/gappond/internal/simulation"
 )
 
-var cli struct {
-	Loopback  loopbackCmd  `cmd:"" help:"Real time, real processes on loopback, several programs in turn."`
-	Simulated simulatedCmd `cmd:"" help:"This program's own state machine on a fake clock."`
-	Report    reportCmd    `cmd:"" help:"An HTML page with tables and plots of measured files."`
+var commands struct {
+	Loopback  loopbackCommand  `cmd:"" help:"Real time, real processes on loopback, several programs in turn."`
+	Simulated simulatedCommand `cmd:"" help:"This program's own state machine on a fake clock."`
+	Report    reportCommand    `cmd:"" help:"An HTML page with tables and plots of measured files."`
 }
 
 func main() {
-	ctx := kong.Parse(&cli, kong.Name("recoverybench"), kong.Description("Measures cold restarts."))
-	ctx.FatalIfErrorf(ctx.Run())
+	cli.Main(&commands, "recoverybench", "Measures cold restarts of gappond's controllers.")
 }
 
 // Measurement is one cold restart.
@@ -45,6 +47,7 @@
 	Out      string        `required:"" placeholder:"FILE" help:"Measurements are appended to it, a JSON object a line."`
 }
 
+// coldRestart is the cold restart of so many machines.
 func (p *plan) coldRestart(machines int, recovery bool) simulation.ColdRestart {
 	return simulation.ColdRestart{Machines: machines, Before: p.Before, Away: p.Away, After: p.After, Recovery: recovery}
 }
@@ -67,49 +70,80 @@
 	return err
 }
 
-type loopbackCmd struct {
-	plan
-	Program []string `required:"" placeholder:"NAME=COMMAND" help:"A program to measure with its arguments, as often as there are; played in turn."`
-}
+// Kinds of measurements.
+const (
+	kindLoopback  = "loopback"
+	kindSimulated = "simulated"
+)
 
-func (c *loopbackCmd) Run() error {
-	for _, machines := range c.Machines {
-		for run := 1; run <= c.Runs; run++ {
-			for _, program := range c.Program {
-				name, command, ok := strings.Cut(program, "=")
-				if !ok || command == "" {
-					return fmt.Errorf("--program %s: not NAME=COMMAND", program)
-				}
-				result, err := measureProcesses(c.coldRestart(machines, false), uint64(run), strings.Fields(command))
-				if err != nil {
-					return fmt.Errorf("%s: %w", name, err)
-				}
-				if err := c.record(Measurement{name, "loopback", machines, run, result}); err != nil {
-					return err
-				}
+// each plays all sizes as often as the plan has it.
+func (p *plan) each(play func(machines, run int) error) error {
+	for _, machines := range p.Machines {
+		for run := 1; run <= p.Runs; run++ {
+			if err := play(machines, run); err != nil {
+				return fmt.Errorf("%d machines, run %d: %w", machines, run, err)
 			}
 		}
 	}
 	return nil
 }
 
-type simulatedCmd struct {
+type loopbackCommand struct {
 	plan
-	Name     string `required:"" help:"The name to give to this program."`
-	Recovery bool   `help:"Have recoveries followed."`
+	Program []string `required:"" placeholder:"NAME=COMMAND" help:"A program to measure with its arguments, as often as there are; played in turn."`
 }
 
-func (c *simulatedCmd) Run() error {
-	for _, machines := range c.Machines {
-		for run := 1; run <= c.Runs; run++ {
-			result, err := c.coldRestart(machines, c.Recovery).Simulate(uint64(run))
+// Run measures each program in turn.
+func (c *loopbackCommand) Run() error {
+	programs, err := parsePrograms(c.Program)
+	if err != nil {
+		return err
+	}
+	return c.each(func(machines, run int) error {
+		for _, p := range programs {
+			result, err := measureProcesses(c.coldRestart(machines, false), uint64(run), p.command)
 			if err != nil {
-				return err
+				return fmt.Errorf("%s: %w", p.name, err)
 			}
-			if err := c.record(Measurement{c.Name, "simulated", machines, run, result}); err != nil {
+			if err := c.record(Measurement{p.name, kindLoopback, machines, run, result}); err != nil {
 				return err
 			}
 		}
+		return nil
+	})
+}
+
+// program is a program to measure.
+type program struct {
+	name    string
+	command []string // with its arguments
+}
+
+// parsePrograms reads programs as they are given, NAME=COMMAND.
+func parsePrograms(given []string) (list []program, err error) {
+	for _, text := range given {
+		name, command, ok := strings.Cut(text, "=")
+		if !ok || command == "" {
+			return nil, fmt.Errorf("--program %s: not NAME=COMMAND", text)
+		}
+		list = append(list, program{name, strings.Fields(command)})
 	}
-	return nil
+	return list, nil
+}
+
+type simulatedCommand struct {
+	plan
+	Name     string `required:"" help:"The name to give to this program."`
+	Recovery bool   `help:"Have recoveries followed."`
+}
+
+// Run measures this program's state machine.
+func (c *simulatedCommand) Run() error {
+	return c.each(func(machines, run int) error {
+		result, err := c.coldRestart(machines, c.Recovery).Simulate(uint64(run))
+		if err != nil {
+			return err
+		}
+		return c.record(Measurement{c.Name, kindSimulated, machines, run, result})
+	})
 }
--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -19,13 +19,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-type reportCmd struct {
+type reportCommand struct {
 	In  []string `arg:"" type:"existingfile" help:"Measured files."`
 	Out string   `required:"" placeholder:"FILE" help:"The HTML page."`
 }
 
-// Run implements the command.
-func (c *reportCmd) Run() error {
+// Run makes the page.
+func (c *reportCommand) Run() error {
 	var all []Measurement
 	for _, name := range c.In {
 		list, err := readMeasurements(name)
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -28,12 +28,14 @@
 // that no file needs any more, so that the table can be read as the state of things.
 var allowedImports = map[string]dependencies{
 	"cmd/gappond": {imports: []string{
+		"internal/cli",
 		"internal/config",
 		"internal/coordination",
 		"internal/transport",
 		"internal/tuning",
 	}},
-	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
+	"cmd/recoverybench": {imports: []string{"internal/cli", "internal/simulation"}},
+	"internal/cli":      {},
 
 	"internal/transport": {imports: []string{
 		"internal/storage",
