--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -33,14 +33,19 @@
 	After(pause time.Duration, do func())
 }
 
+// surroundings are what every part of the autoscaler works with.
+type surroundings struct {
+	state *cluster.State
+	cloud Cloud
+	env   Environment
+	log   *slog.Logger
+	calls *rate.Limiter // calls to the cloud
+}
+
 // Autoscaler fits the number of machines to the work.
 type Autoscaler struct {
-	state     *cluster.State
+	surroundings
 	scheduler *scheduler.Scheduler
-	cloud     Cloud
-	env       Environment
-	log       *slog.Logger
-	calls     *rate.Limiter // calls to the cloud
 
 	// Demand is what waited for machines after the last scheduling cycle.
 	Demand []scheduler.Demand
@@ -50,13 +55,12 @@
 	lastSubmission, lastNonSpotSubmission time.Time
 
 	machinesPerZone map[protocol.ZoneName]int // at the last scale-out
-	requests        []*machineRequest         // under way
-	unavailable     map[Offer]time.Time       // offers that the cloud had no capacity for, and until when they rest
 	// zoneReserve are the idle machines that the replicas of a zone would need if it were lost.
 	zoneReserve map[*cluster.Machine]bool
 
-	list      machineList
+	requests  machineRequests
 	deletions deletions
+	list      machineList
 
 	scaleOutNotBefore    time.Time
 	reserveNotBefore     time.Time
@@ -66,12 +70,16 @@
 // New makes an autoscaler.
 func New(state *cluster.State, sched *scheduler.Scheduler, cloud Cloud, env Environment, log *slog.Logger) *Autoscaler {
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
+	calls := rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond)))
+	common := surroundings{state: state, cloud: cloud, env: env, log: log, calls: calls}
+	gone := map[protocol.MachineID]bool{}
 	return &Autoscaler{
-		state: state, scheduler: sched, cloud: cloud, env: env, log: log,
-		calls:           rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond))),
+		surroundings:    common,
+		scheduler:       sched,
 		machinesPerZone: map[protocol.ZoneName]int{},
-		unavailable:     map[Offer]time.Time{},
-		deletions:       deletions{gone: map[protocol.MachineID]bool{}},
+		requests:        machineRequests{surroundings: common, gone: gone, unavailable: map[Offer]time.Time{}},
+		deletions:       deletions{surroundings: common, gone: gone},
+		list:            machineList{surroundings: common, gone: gone},
 	}
 }
 
@@ -89,8 +97,8 @@
 	now := as.state.Now()
 	as.scheduler.MoveReplicas()
 	as.scaleIn()
-	as.sendDeletions()
-	as.refreshList()
+	as.deletions.send()
+	as.list.refresh()
 	if !now.Before(as.consolidateNotBefore) {
 		as.consolidateNotBefore = now.Add(tuning.ConsolidationInterval)
 		as.consolidate()
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -16,71 +16,73 @@
 
 // machineList is the reading of the cloud's machine list, page by page.
 type machineList struct {
+	surroundings
+	gone      map[protocol.MachineID]bool // machines that are gone for certain
 	inFlight  bool
 	pages     int // of the list under way, or of the last one
 	notBefore time.Time
 }
 
-// refreshList begins to read the machine list if that is due.
-func (as *Autoscaler) refreshList() {
-	now := as.state.Now()
-	if as.list.inFlight || now.Before(as.list.notBefore) || !as.calls.AllowN(now, 1) {
+// refresh begins to read the machine list if that is due.
+func (ml *machineList) refresh() {
+	now := ml.state.Now()
+	if ml.inFlight || now.Before(ml.notBefore) || !ml.calls.AllowN(now, 1) {
 		return
 	}
-	as.list.inFlight, as.list.pages = true, 0
-	as.requestPage("")
+	ml.inFlight, ml.pages = true, 0
+	ml.requestPage("")
 }
 
-// listInterval is the interval between two machine lists. The pages of a large fleet's
+// interval is the interval between two machine lists. The pages of a large fleet's
 // list take no more than their part of the calls.
-func (as *Autoscaler) listInterval() time.Duration {
-	perPage := config.Seconds(1 / (float64(as.calls.Limit()) * tuning.MachineListBudgetShare))
-	return max(tuning.MachineListInterval, time.Duration(as.list.pages)*perPage)
+func (ml *machineList) interval() time.Duration {
+	perPage := config.Seconds(1 / (float64(ml.calls.Limit()) * tuning.MachineListBudgetShare))
+	return max(tuning.MachineListInterval, time.Duration(ml.pages)*perPage)
 }
 
 // requestNextPage asks for the next page when the budget of calls allows it.
-func (as *Autoscaler) requestNextPage(after protocol.MachineID) {
-	pause := as.calls.ReserveN(as.state.Now(), 1).DelayFrom(as.state.Now())
+func (ml *machineList) requestNextPage(after protocol.MachineID) {
+	pause := ml.calls.ReserveN(ml.state.Now(), 1).DelayFrom(ml.state.Now())
 	if pause == 0 {
-		as.requestPage(after)
+		ml.requestPage(after)
 		return
 	}
-	as.env.After(pause, func() { as.requestPage(after) })
+	ml.env.After(pause, func() { ml.requestPage(after) })
 }
 
 // requestPage asks for the page after a machine.
-func (as *Autoscaler) requestPage(after protocol.MachineID) {
-	as.list.pages++
-	as.cloud.ListMachines(after, as.handlePage)
+func (ml *machineList) requestPage(after protocol.MachineID) {
+	ml.pages++
+	ml.cloud.ListMachines(after, ml.handlePage)
 }
 
 // handlePage takes a page of the list; nil if it could not be read.
-func (as *Autoscaler) handlePage(page *protocol.MachineList) {
+func (ml *machineList) handlePage(page *protocol.MachineList) {
 	if page == nil {
-		as.list.inFlight, as.list.notBefore = false, as.state.Now().Add(time.Second)
+		ml.inFlight, ml.notBefore = false, ml.state.Now().Add(time.Second)
 		return
 	}
 	last := protocol.MachineID("")
 	for i := range page.Machines {
-		as.observeListed(&page.Machines[i])
+		ml.observeListed(&page.Machines[i])
 		last = page.Machines[i].ID
 	}
 	if page.More && last != "" {
-		as.requestNextPage(last)
+		ml.requestNextPage(last)
 		return
 	}
-	as.list.inFlight, as.list.notBefore = false, as.state.Now().Add(as.listInterval())
+	ml.inFlight, ml.notBefore = false, ml.state.Now().Add(ml.interval())
 }
 
 // observeListed takes one machine of the list. Machines that nobody expected are
 // used like any other, and deleted when they are idle.
-func (as *Autoscaler) observeListed(listed *protocol.Machine) {
-	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || as.Deleted(listed.ID) {
+func (ml *machineList) observeListed(listed *protocol.Machine) {
+	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || ml.gone[listed.ID] {
 		return
 	}
-	machine := as.state.Machines[listed.ID]
+	machine := ml.state.Machines[listed.ID]
 	if machine == nil {
-		machine = as.enterListed(listed)
+		machine = ml.enterListed(listed)
 	}
 	if machine.Address == "" {
 		machine.Address = listed.Address
@@ -89,13 +91,13 @@
 }
 
 // enterListed enters a machine that only the list names.
-func (as *Autoscaler) enterListed(listed *protocol.Machine) *cluster.Machine {
-	machine := as.state.EnsureMachine(listed.ID, listed.Address, listed.Type, listed.Zone, listed.Spot)
+func (ml *machineList) enterListed(listed *protocol.Machine) *cluster.Machine {
+	machine := ml.state.EnsureMachine(listed.ID, listed.Address, listed.Type, listed.Zone, listed.Spot)
 	if listed.Phase == protocol.MachineRunning {
 		// It is up but has yet to report to this leader: it gets its time.
-		machine.CreatedAt = as.state.Now()
+		machine.CreatedAt = ml.state.Now()
 	} else {
-		machine.CreatedAt = as.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), longestAgeS)))
+		machine.CreatedAt = ml.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), longestAgeS)))
 	}
 	return machine
 }
@@ -110,6 +112,6 @@
 	if !machine.Recovered || machine.Phase == protocol.MachineBooting {
 		return true
 	}
-	lag := 2*config.Seconds(as.state.Config.Cluster.Cloud.ListLagS) + as.listInterval()
+	lag := 2*config.Seconds(as.state.Config.Cluster.Cloud.ListLagS) + as.list.interval()
 	return as.state.Now().Sub(as.state.LeadingSince) < as.state.SilenceTimeout()+lag
 }
--- a/internal/coordination/autoscaler/offer.go
+++ b/internal/coordination/autoscaler/offer.go
@@ -70,7 +70,7 @@
 	tasks := float64(max(1, cluster.CapacityOf(machineType).Fit(job.Spec, len(job.Tasks))))
 	for _, spot := range []bool{true, false} {
 		offer := Offer{TypeName: machineType.Name, Zone: zone, Spot: spot}
-		if spot && !job.Spec.Spot || as.state.Now().Before(as.unavailable[offer]) {
+		if spot && !job.Spec.Spot || as.state.Now().Before(as.requests.unavailable[offer]) {
 			continue
 		}
 		price := machineType.Price
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -1,8 +1,6 @@
 package autoscaler
 
 import (
-	"time"
-
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
@@ -81,51 +79,3 @@
 	spares[machine.Zone]--
 	return false
 }
-
-// deletions are the calls that delete machines.
-type deletions struct {
-	gone      map[protocol.MachineID]bool // machines that are gone for certain
-	inFlight  bool
-	notBefore time.Time
-}
-
-// DeleteMachine marks a machine to be deleted.
-func (as *Autoscaler) DeleteMachine(machine *cluster.Machine, reason string) {
-	if !machine.MarkDeleting() {
-		return
-	}
-	as.log.Info("deleting machine", "machine", machine.ID, "reason", reason)
-}
-
-// MachineDeleted notes that a machine is gone for certain.
-func (as *Autoscaler) MachineDeleted(machineID protocol.MachineID) {
-	as.deletions.gone[machineID] = true
-}
-
-// Deleted says whether a machine is gone for certain.
-func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool { return as.deletions.gone[machineID] }
-
-// sendDeletions has the cloud delete machines that are marked, several with one call.
-func (as *Autoscaler) sendDeletions() {
-	if as.deletions.inFlight || as.state.Now().Before(as.deletions.notBefore) {
-		return
-	}
-	var names []protocol.MachineID
-	for _, machine := range as.state.OrderedMachines {
-		if machine.Deleting && len(names) < tuning.MaxMachinesPerDeletion {
-			names = append(names, machine.ID)
-		}
-	}
-	if len(names) == 0 || !as.calls.AllowN(as.state.Now(), 1) {
-		return
-	}
-	as.deletions.inFlight = true
-	as.cloud.DeleteMachines(names, func(deleted bool) {
-		as.deletions.inFlight = false
-		if !deleted {
-			as.deletions.notBefore = as.state.Now().Add(time.Second)
-			return
-		}
-		as.env.MachinesDeleted(names...)
-	})
-}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -31,7 +31,7 @@
 		as.reserveNotBefore = as.state.Now().Add(tuning.ZoneReserveInterval)
 		as.planZoneReserve(plan.want)
 	}
-	as.requestAll(plan.want)
+	as.requests.addAll(plan.want)
 }
 
 // newScaleOutPlan begins with the capacity that is there and on its way.
@@ -49,7 +49,7 @@
 			plan.add(&capacitySlot{machine: machine, offer: offerOf(machine), free: as.freeSoon(machine)})
 		}
 	}
-	for _, request := range as.requests {
+	for _, request := range as.requests.inFlight {
 		for range request.body.Count {
 			plan.add(&capacitySlot{offer: request.offer, free: as.capacityOf(request.offer)})
 		}
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -117,7 +117,7 @@
 	slices.SortStableFunc(p.slots, func(a, b *reserveSlot) int {
 		return cluster.TrueFirst(len(a.machine.Attempts) > 0, len(b.machine.Attempts) > 0)
 	})
-	for _, request := range p.autoscaler.requests {
+	for _, request := range p.autoscaler.requests.inFlight {
 		for range request.body.Count {
 			p.addRequested(request.offer)
 		}
