--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -28,7 +28,7 @@
 // placeArray places each waiting task on the best machine with free capacity; it returns
 // how many still wait.
 func (sc *Scheduler) placeArray(job *cluster.Job, image imageRequirement) (waiting int) {
-	quota := sc.arrayQuota(job)
+	quota := arrayQuota(job, sc.state)
 	var choice arrayChoice
 	for index := range job.Tasks {
 		task := &job.Tasks[index]
@@ -40,7 +40,7 @@
 			continue
 		}
 		if choice.list == nil {
-			choice = sc.newArrayChoice(job, image)
+			choice = sc.currentCycle().newArrayChoice(job, image)
 		}
 		best := choice.best()
 		if best == nil {
@@ -57,9 +57,9 @@
 
 // arrayQuota is how many tasks an array may place now: an overdue one goes first with one
 // task, then takes its turn again.
-func (sc *Scheduler) arrayQuota(job *cluster.Job) int {
-	quota := sc.state.TasksWithinLimit(job)
-	if job.Overdue(sc.state.Now()) {
+func arrayQuota(job *cluster.Job, state *cluster.State) int {
+	quota := state.TasksWithinLimit(job)
+	if job.Overdue(state.Now()) {
 		return min(quota, 1)
 	}
 	return quota
@@ -73,11 +73,11 @@
 }
 
 // newArrayChoice lists the machines for an array.
-func (sc *Scheduler) newArrayChoice(job *cluster.Job, image imageRequirement) arrayChoice {
-	zones := sc.state.ZoneLimits(job)
-	list := sc.currentCycle().candidates(job, zones.Only)
+func (c *cycle) newArrayChoice(job *cluster.Job, image imageRequirement) arrayChoice {
+	zones := c.state.ZoneLimits(job)
+	list := c.candidates(job, zones.Only)
 	if image == imageLocalOnly {
-		list = slices.DeleteFunc(list, func(c candidate) bool { return !c.imageLocal })
+		list = slices.DeleteFunc(list, func(place candidate) bool { return !place.imageLocal })
 	}
 	slices.SortFunc(list, compareByImage)
 	return arrayChoice{list: list, zones: zones}
@@ -106,7 +106,7 @@
 		if sc.WaitingTasks(job) == 0 {
 			continue
 		}
-		if sc.canWaitForImage(job) {
+		if canWaitForImage(job, sc.state) {
 			sc.placeTasks(job, imageLocalOnly)
 		} else {
 			sc.placeTasks(job, imageAnywhere)
@@ -115,12 +115,12 @@
 }
 
 // canWaitForImage says whether an array can wait for machines that have its image.
-func (sc *Scheduler) canWaitForImage(job *cluster.Job) bool {
+func canWaitForImage(job *cluster.Job, state *cluster.State) bool {
 	if job.Spec.Service() {
 		return false
 	}
-	now := sc.state.Now()
-	fetch := config.Seconds(sc.state.ImageFetchSeconds(job.Spec) * tuning.ImageLocalWaitFactor)
+	now := state.Now()
+	fetch := config.Seconds(state.ImageFetchSeconds(job.Spec) * tuning.ImageLocalWaitFactor)
 	for _, deadline := range job.StartDeadlines {
 		if !now.After(deadline) {
 			return now.Before(deadline.Add(-fetch))
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -18,7 +18,7 @@
 // within the teams' limits. What it returns waits for machines.
 func (sc *Scheduler) RunCycle() []Demand {
 	sc.releaseReservations()
-	sc.cycle = sc.newCycle()
+	sc.cycle = newCycle(sc.state)
 	defer func() { sc.examined, sc.cycle = sc.cycle.examined, nil }()
 	sc.gpuNeeds.measure(sc.state.Jobs)
 	queue := sc.Queue()
@@ -76,7 +76,7 @@
 func (sc *Scheduler) freeCapacityFor(job *cluster.Job, tasks int) {
 	sc.preemptFor(job, tasks)
 	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.BackfillBarrierDelay {
-		sc.reserveMachines(job)
+		sc.currentCycle().reserveMachines(job)
 	}
 }
 
@@ -103,18 +103,18 @@
 }
 
 // newCycle examines every machine.
-func (sc *Scheduler) newCycle() *cycle {
-	machines := sc.state.OrderedMachines
-	c := &cycle{state: sc.state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
-	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
+func newCycle(state *cluster.State) *cycle {
+	machines := state.OrderedMachines
+	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
+	if cores := state.Config.Cluster.Resources.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range machines {
-		if !sc.state.Schedulable(machine) {
+		if !state.Schedulable(machine) {
 			continue
 		}
 		c.schedulable = append(c.schedulable, machine)
-		if machine.HasFree(sc.state.TypeOf(machine)) {
+		if machine.HasFree(state.TypeOf(machine)) {
 			c.vacant = append(c.vacant, machine)
 		}
 	}
@@ -126,7 +126,7 @@
 	if sc.cycle != nil {
 		return sc.cycle
 	}
-	return sc.newCycle()
+	return newCycle(sc.state)
 }
 
 // exhausted says whether the cycle has examined so much that the rest of the queue takes
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -17,11 +17,11 @@
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.currentCycle().preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
-	if sc.fitsImageLocally(job) {
+	if sc.currentCycle().fitsImageLocally(job) {
 		return false // the placement finds the machines
 	}
 	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
-	plan := sc.findPreemptions(job, len(job.Tasks), imageLocalOnly)
+	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageLocalOnly)
 	if len(plan.machines) == 0 || !fasterThanFetch(job, plan, fetch) {
 		return false
 	}
@@ -30,11 +30,11 @@
 }
 
 // fitsImageLocally says whether all tasks of a job fit on free machines with its image.
-func (sc *Scheduler) fitsImageLocally(job *cluster.Job) bool {
+func (c *cycle) fitsImageLocally(job *cluster.Job) bool {
 	tasks := 0
-	for _, c := range sc.currentCycle().candidates(job, "") {
-		if c.imageLocal {
-			tasks += c.tasks
+	for _, place := range c.candidates(job, "") {
+		if place.imageLocal {
+			tasks += place.tasks
 		}
 	}
 	return tasks >= len(job.Tasks)
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -53,7 +53,7 @@
 		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionIsHopeless(job, tasks) {
 		return
 	}
-	plan := sc.findPreemptions(job, tasks, imageAnywhere)
+	plan := sc.currentCycle().findPreemptions(job, tasks, imageAnywhere)
 	if len(plan.machines) == 0 {
 		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
@@ -101,16 +101,16 @@
 
 // findPreemptions finds what to stop, and where, so that so many tasks of a job fit; for a
 // gang all of them or nothing.
-func (sc *Scheduler) findPreemptions(job *cluster.Job, tasks int, image imageRequirement) preemptionPlan {
+func (c *cycle) findPreemptions(job *cluster.Job, tasks int, image imageRequirement) preemptionPlan {
 	search := preemptionSearch{
-		state: sc.state, cycle: sc.currentCycle(),
-		job: job, tasks: tasks, image: image, zones: sc.state.ZoneLimits(job),
+		state: c.state, cycle: c,
+		job: job, tasks: tasks, image: image, zones: c.state.ZoneLimits(job),
 	}
 	if !job.Spec.OneZone {
 		return search.choose(search.collect(""))
 	}
 	var best preemptionPlan
-	for _, zone := range sc.state.Config.Cluster.Zones {
+	for _, zone := range c.state.Config.Cluster.Zones {
 		plan := search.choose(search.collect(zone))
 		if plan.machines != nil && (best.machines == nil || plan.cost < best.cost) {
 			best = plan
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -14,7 +14,7 @@
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
-		if !sc.mustLoseReplicas(machine) {
+		if !mustLoseReplicas(machine, sc.state) {
 			continue
 		}
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
@@ -27,8 +27,8 @@
 
 // mustLoseReplicas says whether the replicas on a machine should go elsewhere while it can
 // still end them in good order.
-func (sc *Scheduler) mustLoseReplicas(machine *cluster.Machine) bool {
-	return (machine.Cordoned || sc.state.NotReporting(machine)) && !machine.Deleting && sc.state.ConfirmedAlive(machine)
+func mustLoseReplicas(machine *cluster.Machine, state *cluster.State) bool {
+	return (machine.Cordoned || state.NotReporting(machine)) && !machine.Deleting && state.ConfirmedAlive(machine)
 }
 
 // mayMove says whether an attempt is a replica that may be moved now.
@@ -127,7 +127,7 @@
 		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
 			continue
 		}
-		free := sc.capacityAfterPreemption(machine, job)
+		free := capacityAfterPreemption(machine, job, sc.state)
 		if free.Fit(job.Spec, 1) > 0 {
 			return true
 		}
@@ -137,10 +137,10 @@
 
 // capacityAfterPreemption is a machine's free capacity once all has stopped that may be
 // preempted for a job and can stop alone, which a task of a gang cannot.
-func (sc *Scheduler) capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job) cluster.Resources {
-	free := sc.state.FreeResources(machine)
+func capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job, state *cluster.State) cluster.Resources {
+	free := state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
-		if mayPreempt(attempt, job, sc.state.Quotas) && !attempt.Job.Spec.Gang() {
+		if mayPreempt(attempt, job, state.Quotas) && !attempt.Job.Spec.Gang() {
 			free.AddTasks(attempt.Job.Spec, 1)
 		}
 	}
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -7,18 +7,18 @@
 
 // reserveMachines keeps the free machines of the zone where the gang lacks least from
 // jobs behind it in the queue, no more of them than it needs.
-func (sc *Scheduler) reserveMachines(job *cluster.Job) {
+func (c *cycle) reserveMachines(job *cluster.Job) {
 	var best []candidate
 	most := 0
-	for _, zone := range sc.state.Config.Cluster.Zones {
-		list := sc.currentCycle().candidates(job, zone)
+	for _, zone := range c.state.Config.Cluster.Zones {
+		list := c.candidates(job, zone)
 		if tasks := countTasks(list); tasks > most {
 			best, most = list, tasks
 		}
 	}
 	for _, place := range pack(best, len(job.Tasks)) {
 		if place.machine.ReservedFor == nil {
-			place.machine.ReserveFor(job, sc.state.Now().Add(2*tuning.MaxSchedulingInterval))
+			place.machine.ReserveFor(job, c.state.Now().Add(2*tuning.MaxSchedulingInterval))
 		}
 	}
 }
