--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -1,9 +1,12 @@
 package coordination
 
 import (
+	"encoding/json"
+	"strings"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/coordination/membership"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -60,7 +63,7 @@
 // the leader lease: the watch may hang, and somebody may have confirmed cancellations.
 func (n *Node) fetchRevision() {
 	sent := n.now
-	txn := protocol.Transaction{Conditions: []protocol.Condition{n.leads()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{n.election.Condition()}}
 	n.store.Transact(txn, func(result kv.TransactionResult) {
 		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
 		if answered && !result.Malformed && result.Revision != 0 {
@@ -106,7 +109,7 @@
 	case result.Outcome == kv.Compacted:
 		// Too far behind, or by more than one answer may hold: read everything again. A
 		// leader cannot tell what it missed, so it leads no further on this mirror.
-		n.stepDown("watch too old")
+		n.election.StepDown("watch too old")
 		n.mirror = storage.Mirror{}
 		return
 	case result.Outcome != kv.Done || result.Malformed:
@@ -116,7 +119,7 @@
 	if w.Revision < after {
 		// The state service was restored to an older state.
 		n.log.Error("state service has gone back", "revision", w.Revision, "known", after)
-		n.stepDown("state service has gone back")
+		n.election.StepDown("state service has gone back")
 		n.mirror, n.awaited = storage.Mirror{}, observedRevision{}
 		return
 	}
@@ -124,7 +127,7 @@
 		ev := &w.Events[i]
 		if n.mirror.Apply(ev) {
 			if ev.Set != "" && !n.isOwnWrite(ev.Value) {
-				n.countWrite()
+				n.budgets.countWrite(n.now)
 			}
 			n.changed(ev)
 		}
@@ -136,16 +139,15 @@
 	}
 	pause := tuning.MinWatchDelay // the leader's: jobs wait for it
 	if n.lead == nil {
-		pause = n.requestPause(pause, tuning.WatchCPUShare)
+		pause = n.cfg.Cluster.Resources.RequestPause(pause, tuning.WatchCPUShare)
 	}
 	n.watchAt = n.now.Add(pause)
 	n.tickMirror()
 }
 
-// requestPause is the pause before a request that can wait, longer the smaller the
-// share of a core is.
-func (n *Node) requestPause(least time.Duration, share float64) time.Duration {
-	return max(least, min(n.cfg.Cluster.Resources.Pause(tuning.StoreRequestCPUCost, share), tuning.MaxRequestDelay))
+// isOwnWrite says whether a record was written by this life of this node.
+func (n *Node) isOwnWrite(value json.RawMessage) bool {
+	return strings.HasPrefix(storage.Writer(value), n.boot+"-")
 }
 
 // mirrorLoaded looks at the leader lease after a full load.
@@ -157,10 +159,10 @@
 	}
 	e, ok := n.mirror.Get(storage.LeaderKey)
 	if !ok {
-		n.leaseReleased()
+		n.election.ObserveRelease()
 		return
 	}
-	n.leaseObserved(e.Value, e.Revision)
+	n.election.ObserveLease(e.Value, e.Revision)
 }
 
 // changed passes on one change that the mirror took.
@@ -168,14 +170,14 @@
 	key := ev.Set + ev.Delete
 	if key == storage.LeaderKey {
 		if ev.Set == "" {
-			n.leaseReleased()
+			n.election.ObserveRelease()
 		} else {
-			n.leaseObserved(ev.Value, ev.Revision)
+			n.election.ObserveLease(ev.Value, ev.Revision)
 		}
 		return
 	}
-	if isRelayKey(key) {
-		n.receiveRelayed(ev)
+	if membership.IsRelayKey(key) {
+		n.peers.ReceiveRelayed(ev)
 		return
 	}
 	if n.lead != nil {
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -56,7 +56,7 @@
 		return
 	}
 	s.asking = true
-	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}}
+	term := protocol.Transaction{Conditions: []protocol.Condition{l.n.election.Condition()}}
 	l.n.store.Transact(term, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
@@ -64,13 +64,13 @@
 		s.asking = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
-			l.n.stepDown("a worker has seen a higher token")
+			l.n.election.StepDown("a worker has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
 			l.n.log.Error("state service was restored to an older state: a worker holds a token that it never gave",
-				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.lease.term)
+				"machine", machineID, "token", s.highest, "revision", result.Revision, "term", l.n.election.Term())
 			s.proven, s.revision = true, result.Revision
 		default:
-			s.highest = l.n.lease.term // the next report asks again
+			s.highest = l.n.election.Term() // the next report asks again
 		}
 	})
 }
@@ -110,10 +110,10 @@
 		l.raiseRevision()
 	default:
 		switch token := l.reachableToken(); {
-		case token <= l.n.lease.term:
+		case token <= l.n.election.Term():
 			l.returnUnreachable()
 		case protocol.Term(s.revision) >= token:
-			l.n.stepDown("workers hold higher tokens, the next term is above them")
+			l.n.election.StepDown("workers hold higher tokens, the next term is above them")
 		default:
 			l.raiseRevision()
 		}
@@ -125,7 +125,7 @@
 func (l *leader) returnUnreachable() {
 	left := false
 	for _, machine := range l.cluster.OrderedMachines {
-		if machine.Agent.HigherToken <= l.n.lease.term {
+		if machine.Agent.HigherToken <= l.n.election.Term() {
 			continue
 		}
 		left = true
@@ -134,18 +134,18 @@
 		}
 	}
 	if !left {
-		l.restored.proven, l.restored.highest = false, l.n.lease.term
+		l.restored.proven, l.restored.highest = false, l.n.election.Term()
 	}
 }
 
 // raiseRevision writes the marker, again and again as fast as half of the budget allows.
 func (l *leader) raiseRevision() {
 	s := &l.restored
-	half := float64(l.n.writes.Burst()) / 2
-	if s.writing || l.n.writes.TokensAt(l.n.now) < half {
+	half := float64(l.n.budgets.writes.Burst()) / 2
+	if s.writing || l.n.budgets.writes.TokensAt(l.n.now) < half {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, 1)
+	l.n.budgets.writes.AllowN(l.n.now, 1)
 	s.writing = true
 	marker := storage.Restored{Writer: l.n.unique(), Token: s.highest}
 	l.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
@@ -156,7 +156,7 @@
 
 // removeRestoredMarker deletes the marker when a recovery has ended.
 func (l *leader) removeRestoredMarker() {
-	if l.restored.writing || !l.n.writes.AllowN(l.n.now, 1) {
+	if l.restored.writing || !l.n.budgets.writes.AllowN(l.n.now, 1) {
 		return
 	}
 	l.restored.writing = true
@@ -165,7 +165,7 @@
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (l *leader) writeMarker(change protocol.Change, done func()) {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.leads()}, Changes: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{l.n.election.Condition()}, Changes: []protocol.Change{change}}
 	l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if l.n.lead != l {
 			return
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -24,11 +24,11 @@
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
 	l.agents = agents.New(agents.Dependencies{
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
-		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
+		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
 	n.lead = l
-	n.beatAt = n.now  // the peers learn how many workers it keeps
-	n.typesAt = n.now // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
+	n.typesAt = n.now       // today's prices, and a record of the types if there is none
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
@@ -43,7 +43,7 @@
 	for _, job := range l.scheduler.Queue() {
 		l.lifecycle.CheckEnded(job)
 	}
-	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
+	n.log.Info("leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
 
 // loadMachineRecords takes the machines; false if some record cannot be read.
