--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -8,7 +8,7 @@
 	cluster *Cluster
 
 	InRecovery    bool                  // what Recovering answers
-	HeldJobs      map[*cluster.Job]bool // jobs that must not start anything
+	Withheld      map[*cluster.Job]bool // jobs that must not start anything
 	AwaitingSplit map[*cluster.Job]bool // gangs with a record to be split first
 
 	Placed    []*cluster.Attempt // places that were decided on, in order
@@ -22,8 +22,8 @@
 // Recovering implements scheduler.Environment.
 func (e *Environment) Recovering() bool { return e.InRecovery }
 
-// Held implements scheduler.Environment.
-func (e *Environment) Held(job *cluster.Job) bool { return e.HeldJobs[job] }
+// StartsWithheld implements scheduler.Environment.
+func (e *Environment) StartsWithheld(job *cluster.Job) bool { return e.Withheld[job] }
 
 // AwaitsRecordSplit implements scheduler.Environment.
 func (e *Environment) AwaitsRecordSplit(job *cluster.Job) bool { return e.AwaitingSplit[job] }
@@ -41,7 +41,7 @@
 	for _, attempt := range victim.Job.SortedAttempts() {
 		e.end(attempt)
 	}
-	victim.Job.Stopping = len(victim.Job.Attempts) > 0
+	victim.Job.BeginStop()
 }
 
 // Stop implements scheduler.Environment.
@@ -56,5 +56,5 @@
 		e.cluster.RemoveAttempt(attempt)
 		return
 	}
-	attempt.Stopping = true
+	attempt.RequestStop(0)
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -33,15 +33,15 @@
 	if l.inFlight != nil || l.n.now.Before(l.commitAt) {
 		return
 	}
-	burst := float64(l.n.writes.Burst())
+	burst := float64(l.n.budgets.writes.Burst())
 	// The end of a job takes two changes, however few a second there are.
-	tokens := l.n.writes.TokensAt(l.n.now) - min(burst*tuning.UserBurstReserve, burst-2)
+	tokens := l.n.budgets.writes.TokensAt(l.n.now) - min(burst*tuning.UserBurstReserve, burst-2)
 	if tokens < 1 {
 		return
 	}
 	tx := &commit{writer: l.n.unique(), sent: l.n.now}
 	b := &batch{l: l, tx: tx, guarded: map[*cluster.MachineRecord]bool{}, maxChanges: min(l.n.cfg.Cluster.State.TxnOps, int(tokens))}
-	b.guard(storage.LeaderKey, protocol.Revision(l.n.lease.term))
+	b.guard(storage.LeaderKey, protocol.Revision(l.n.election.Term()))
 	b.addMachineRecords(func(r *cluster.MachineRecord) bool { return r.Queued })
 	var later []*cluster.Job
 	list, urgent, ready := l.byUrgency()
@@ -70,7 +70,7 @@
 	if len(b.txn.Changes) == 0 {
 		return
 	}
-	l.n.writes.AllowN(l.n.now, len(b.txn.Changes))
+	l.n.budgets.writes.AllowN(l.n.now, len(b.txn.Changes))
 	tx.body, tx.changes = storage.Encode(b.txn), len(b.txn.Changes)
 	l.inFlight = tx
 	l.send(tx)
@@ -140,7 +140,7 @@
 			tx.lost = true
 			l.resend(tx, tuning.StoreRetryDelay)
 		case outcome == kv.Throttled:
-			l.resend(tx, l.n.throttled(tx.changes))
+			l.resend(tx, l.n.budgets.throttled(l.n.now, tx.changes))
 		case outcome == kv.Rejected:
 			l.n.log.Error("transaction rejected", "detail", result.Detail)
 			l.n.limitsLowered = l.n.limitsLowered || l.n.cfg.Cluster.Present != nil
@@ -212,7 +212,7 @@
 			if job.Attempts[attempt.Key] != attempt {
 				continue
 			}
-			attempt.Committed = true
+			attempt.MarkCommitted()
 			l.CommandsPending(attempt.Machine)
 		}
 		for _, attempt := range w.placed {
@@ -231,10 +231,9 @@
 
 // finish forgets a job whose final record is committed.
 func (l *leader) finish(job *cluster.Job, f storage.Final) {
-	job.Finished = true
-	clear(job.Write.Dirty)
+	job.Finish()
 	delete(l.cluster.Jobs, job.ID)
-	l.n.cacheFinal(job.ID, f)
+	l.n.api.JobFinished(job.ID, f)
 	for r := 1; r < len(job.Records.Revisions); r++ {
 		if job.Records.Revisions[r] != 0 {
 			l.cleanup = append(l.cleanup, storage.TaskRecordKey(job.ID, r))
@@ -254,7 +253,7 @@
 	l.n.metrics.CommitConflicts++
 	for _, k := range failed {
 		if k == storage.LeaderKey {
-			l.n.stepDown("leader lease is no longer ours")
+			l.n.election.StepDown("leader lease is no longer ours")
 			return
 		}
 	}
