--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -107,7 +107,7 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}, tests: []string{"internal/coordination/agents"}},
+	}, tests: []string{"internal/coordination/agents", "internal/coordination/clustertest"}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/reconcile",
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -9,6 +9,7 @@
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/clustertest"
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
@@ -18,15 +19,11 @@
 
 const testTerm protocol.Term = 7
 
-var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, BootS: 30,
-	Zones: []protocol.ZoneName{"a", "b", "c"}}
-
 // testLeader stands for the leader: it is the Environment of all parts, rents machines, and
 // keeps the calls to agents until a test answers them.
 type testLeader struct {
 	*agents.Manager
-	now       time.Time
-	state     *cluster.State
+	state     *clustertest.Cluster
 	lifecycle *lifecycle.Manager
 	scheduler *scheduler.Scheduler
 	calls     []testCall
@@ -40,15 +37,12 @@
 }
 
 func newTestLeader() *testLeader {
-	l := &testLeader{now: time.Unix(1_800_000_000, 0), logged: map[string]bool{}}
-	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
-	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}},
-		Workers: config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}}
+	l := &testLeader{state: clustertest.New(), logged: map[string]bool{}}
 	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewPhase()
-	l.state = cluster.NewState(cfg, map[protocol.MachineTypeName]*protocol.MachineType{"big": &bigType}, func() time.Time { return l.now })
-	l.lifecycle = lifecycle.New(l.state, recovery, l, log)
-	l.scheduler = scheduler.New(l.state, l, log)
-	l.Manager = agents.New(agents.Dependencies{State: l.state, Lifecycle: l.lifecycle, Recovery: recovery, Scheduler: l.scheduler,
+	state := l.state.State
+	l.lifecycle = lifecycle.New(state, recovery, l, log)
+	l.scheduler = scheduler.New(state, l, log)
+	l.Manager = agents.New(agents.Dependencies{State: state, Lifecycle: l.lifecycle, Recovery: recovery, Scheduler: l.scheduler,
 		Fleet: l, Client: l, Environment: l, Log: log, Term: testTerm})
 	return l
 }
@@ -90,25 +84,16 @@
 
 // machine is a machine whose agent has shown the token and was answered just now.
 func (l *testLeader) machine(id protocol.MachineID, zone protocol.ZoneName) *cluster.Machine {
-	machine := l.state.EnsureMachine(id, "h:1", "big", zone, false)
-	machine.Record, machine.Recorded = &cluster.MachineRecord{}, true
-	machine.Agent = cluster.AgentState{Heard: true, TokenConfirmed: true, Incarnation: 1, LastHeartbeat: l.now, AnsweredAt: l.now}
-	l.state.TypeOf(machine)
+	machine := l.state.AddMachine(id, "big", zone)
+	machine.Record = &cluster.MachineRecord{}
 	return machine
 }
 
 // job is a job of one shape that waits.
 func (l *testLeader) job(shape protocol.Shape, tasks int) *cluster.Job {
-	spec := &protocol.Job{ID: "run-000077", Team: "free", Priority: "normal", Shape: shape, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "x"}
-	job := &cluster.Job{ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: 5, SubmittedAt: l.now,
-		Tasks:    make([]cluster.Task, tasks),
-		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
-		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
-		Records:  cluster.RecordLayout{TasksPerRecord: 60, Revisions: make([]protocol.Revision, 1)},
-		Write:    cluster.WriteState{Dirty: map[int]bool{}},
-	}
-	l.state.Jobs[job.ID] = job
-	return job
+	spec := clustertest.Gang(tasks, 1)
+	spec.Shape = shape
+	return l.state.AddJob(spec)
 }
 
 // recorded is an attempt that a predecessor's record places on a machine.
@@ -232,16 +217,16 @@
 // end of its grace, so its lease expires that much later.
 func TestLeaseExpiryCountsPredecessorsGrace(t *testing.T) {
 	l := newTestLeader()
-	start := l.now
+	start := l.state.Now()
 	machine, job := l.state.EnsureMachine("i-1", "h:1", "big", "a", false), l.job(protocol.ShapeGang, 1)
 	l.recorded(job, machine)
 	lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
-	l.now = start.Add(lease + testGrace - time.Second)
+	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 1 {
 		t.Fatal("presumed gone within the predecessor's grace")
 	}
-	l.now = start.Add(lease + testGrace + 3*time.Second)
+	l.state.Advance(start.Add(lease + testGrace + 3*time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 0 {
 		t.Error("not gone after grace and lease")
@@ -254,13 +239,13 @@
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
 	for range 6 {
-		l.now = l.now.Add(4 * time.Second)
+		l.state.Advance(4 * time.Second)
 		l.accept(t, heartbeat(machine, testTerm))
 	}
 	if !l.state.Schedulable(machine) {
 		t.Fatal("takes no work")
 	}
-	l.now = l.now.Add(4 * time.Second)
+	l.state.Advance(4 * time.Second)
 	restarted := heartbeat(machine, testTerm)
 	restarted.Incarnation, restarted.Sequence = 2, 1
 	l.accept(t, restarted)
@@ -276,7 +261,7 @@
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
 	for range int(config.Seconds(l.state.Config.Cluster.Workers.LeaseS) / time.Second) {
-		l.now = l.now.Add(time.Second)
+		l.state.Advance(time.Second)
 		l.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: heartbeat(machine, testTerm)})
 	}
 	if !l.state.ConfirmedAlive(machine) || l.state.Schedulable(machine) {
@@ -294,15 +279,15 @@
 func TestSilentZoneIsReturnedAfterItsLeases(t *testing.T) {
 	for _, c := range []struct{ silent, returned int }{{2, 2}, {8, 0}} {
 		l := newTestLeader()
-		start := l.now
+		start := l.state.Now()
 		for i := range 24 {
 			l.machine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), []protocol.ZoneName{"a", "b", "c"}[i/8])
 		}
 		returned := func(till time.Duration) (n int) {
-			for ; l.now.Sub(start) < till; l.now = l.now.Add(tuning.MachineSweepInterval) {
+			for ; l.state.Now().Sub(start) < till; l.state.Advance(tuning.MachineSweepInterval) {
 				for i, machine := range l.state.OrderedMachines {
 					if i >= c.silent {
-						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.now, l.now
+						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.state.Now(), l.state.Now()
 					}
 				}
 				l.Liveness.Tick()
@@ -319,7 +304,7 @@
 		if n := returned(lease); n != c.returned {
 			t.Errorf("%d silent: %d returned within the lease", c.silent, n)
 		}
-		if n := returned(3*lease + config.Seconds(bigType.BootS)); n != c.silent {
+		if n := returned(3*lease + config.Seconds(clustertest.BigType.BootS)); n != c.silent {
 			t.Errorf("%d silent: %d returned in the end", c.silent, n)
 		}
 	}
@@ -337,7 +322,7 @@
 		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
 			t.Fatalf("%d attempts, deleting %v, %d logged", len(job.Attempts), machine.Deleting, len(l.logged))
 		}
-		l.now = l.now.Add(config.Seconds(l.state.Config.Cluster.Workers.LeaseS / 4.9))
+		l.state.Advance(config.Seconds(l.state.Config.Cluster.Workers.LeaseS / 4.9))
 	}
 	l.accept(t, heartbeat(machine, testTerm, nonsense))
 	if !machine.Deleting {
