--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -114,7 +114,7 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/clustertest", "internal/coordination/lifecycle"}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/clustertest": {pure: true, imports: []string{
 		"internal/config",
--- /dev/null
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -0,0 +1,205 @@
+package lifecycle_test
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// testLeader is a cluster and the notes of what lifecycle asked the leader for.
+type testLeader struct {
+	*clustertest.Cluster
+	*lifecycle.Manager
+	scheduling bool
+	changed    map[*cluster.Job]bool
+	recorded   map[*cluster.Machine]bool
+	pending    map[*cluster.Machine]bool
+	unreadable map[protocol.JobID]bool
+}
+
+func newTestLeader() *testLeader {
+	l := &testLeader{Cluster: clustertest.New(), changed: map[*cluster.Job]bool{}, recorded: map[*cluster.Machine]bool{},
+		pending: map[*cluster.Machine]bool{}, unreadable: map[protocol.JobID]bool{}}
+	l.Manager = lifecycle.New(l.State, reconcile.NewPhase(), l, slog.New(slog.DiscardHandler))
+	return l
+}
+
+func (l *testLeader) RequestScheduling()                       { l.scheduling = true }
+func (l *testLeader) RecordChanged(job *cluster.Job, _ int)    { l.changed[job] = true }
+func (l *testLeader) RecordMachine(machine *cluster.Machine)   { l.recorded[machine] = true }
+func (l *testLeader) CommandsPending(machine *cluster.Machine) { l.pending[machine] = true }
+func (l *testLeader) Unreadable(id protocol.JobID) bool        { return l.unreadable[id] }
+
+// running is a job whose tasks all run on a machine.
+func (l *testLeader) running(spec protocol.Job, machine *cluster.Machine) *cluster.Job {
+	job := l.AddJob(spec)
+	l.PlaceAll(job, machine)
+	l.Run(job)
+	return job
+}
+
+// TestGangStopsAsAWhole: if one task of a gang is proven gone, all others stop at once, and
+// their machines are reserved for its next attempt. Once they are gone it can start again.
+func TestGangStopsAsAWhole(t *testing.T) {
+	l := newTestLeader()
+	machine := l.AddMachine("i-1", "big", "a")
+	job := l.running(clustertest.Gang(3, 1), machine)
+	l.RemoveGone(job.SortedAttempts()[0])
+	if len(job.Attempts) != 2 || clustertest.Stopping(job) != 2 || !job.Stopping || !l.pending[machine] || !l.scheduling {
+		t.Errorf("%d attempts, %d stopping, commands pending %v", len(job.Attempts), clustertest.Stopping(job), l.pending[machine])
+	}
+	if !job.Survivors[machine.ID] || machine.ReservedFor != job {
+		t.Errorf("survivors %v, reserved for %v", job.Survivors, machine.ReservedFor)
+	}
+	for _, attempt := range job.SortedAttempts() {
+		l.RemoveGone(attempt)
+	}
+	if job.Stopping || len(job.Attempts) != 0 {
+		t.Errorf("stopping %v with %d attempts", job.Stopping, len(job.Attempts))
+	}
+}
+
+// TestGangCompletesAsAWhole: if one task of a gang is done, every one is, and the job's
+// record is written.
+func TestGangCompletesAsAWhole(t *testing.T) {
+	l := newTestLeader()
+	machine := l.AddMachine("i-1", "big", "a")
+	gang, array, service := l.running(clustertest.Gang(2, 1), machine), l.running(clustertest.Array(2), machine), l.running(clustertest.Service(1, 1), machine)
+	for _, job := range []*cluster.Job{gang, array, service} {
+		l.MarkDone(job, 0)
+	}
+	if !gang.Complete() || !l.changed[gang] {
+		t.Errorf("%d tasks of the gang are done", gang.DoneTasks)
+	}
+	if array.DoneTasks != 1 || !l.changed[array] {
+		t.Errorf("%d tasks of the array are done", array.DoneTasks)
+	}
+	if service.DoneTasks != 0 || l.changed[service] {
+		t.Error("a replica is done")
+	}
+}
+
+// TestStopBeforeStart: an attempt whose start never left is gone at once, but for one whose
+// place is in a transaction in flight; any other is told to stop, and never with more time
+// than before.
+func TestStopBeforeStart(t *testing.T) {
+	l := newTestLeader()
+	machine := l.AddMachine("i-1", "big", "a")
+	planned, inFlight := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Array(1))
+	l.PlaceAll(planned, machine)
+	l.PlaceAll(inFlight, machine)
+	inFlight.Write.InFlight = true
+	for _, job := range []*cluster.Job{planned, inFlight} {
+		l.Stop(job.Tasks[0].Active, 0)
+	}
+	if len(planned.Attempts) != 0 || len(inFlight.Attempts) != 1 || clustertest.Stopping(inFlight) != 1 {
+		t.Errorf("%d and %d attempts are left", len(planned.Attempts), len(inFlight.Attempts))
+	}
+	attempt := l.running(clustertest.Array(1), machine).Tasks[0].Active
+	for _, c := range []struct{ graceS, want float64 }{{20, 20}, {30, 20}, {5, 5}} {
+		if l.Stop(attempt, c.graceS); attempt.GraceS != c.want || !l.pending[machine] {
+			t.Errorf("stopped with %v s: %v s are left", c.graceS, attempt.GraceS)
+		}
+	}
+}
+
+// TestDrainLeavesWhatCannotSave: a machine that is to go takes no more tasks; what can save
+// its progress stops, what cannot and replicas go on, but on a quarantined machine only
+// replicas do.
+func TestDrainLeavesWhatCannotSave(t *testing.T) {
+	for _, quarantined := range []bool{false, true} {
+		l := newTestLeader()
+		machine := l.AddMachine("i-1", "big", "a")
+		saves := clustertest.Array(1)
+		saves.CheckpointS, saves.SaveS = 60, 7
+		saving, plain, service := l.running(saves, machine), l.running(clustertest.Array(1), machine), l.running(clustertest.Service(1, 1), machine)
+		machine.Quarantined = quarantined
+		l.Drain(machine)
+		if !machine.Cordoned || !l.recorded[machine] || !l.scheduling {
+			t.Error("the machine takes more tasks")
+		}
+		attempt := saving.Tasks[0].Active
+		if !attempt.Stopping || attempt.GraceS != 7+tuning.StopGraceSeconds {
+			t.Errorf("saving: stopping %v with %v s", attempt.Stopping, attempt.GraceS)
+		}
+		if plain.Tasks[0].Active.Stopping != quarantined || service.Tasks[0].Active.Stopping {
+			t.Errorf("quarantined %v: plain stops %v, replica %v", quarantined, plain.Tasks[0].Active.Stopping, service.Tasks[0].Active.Stopping)
+		}
+	}
+}
+
+// TestFailuresAreAttributed: different jobs that fail on a machine quarantine it; a job that
+// fails on machine after machine waits ever longer, and is held against none of them.
+func TestFailuresAreAttributed(t *testing.T) {
+	l := newTestLeader()
+	failed := &protocol.TaskStatus{State: protocol.TaskExited, Cause: protocol.CauseError}
+	machine := l.AddMachine("i-1", "big", "a")
+	for i := range tuning.MaxMachineFailures {
+		if machine.Quarantined {
+			t.Fatalf("quarantined after %d jobs", i)
+		}
+		job := l.running(clustertest.Array(1), machine)
+		l.HandleExit(job.Tasks[0].Active, failed)
+		if !l.Avoids(job, machine) {
+			t.Error("the job may return to the machine at once")
+		}
+	}
+	if !machine.Quarantined || !machine.Cordoned {
+		t.Errorf("quarantined %v, cordoned %v", machine.Quarantined, machine.Cordoned)
+	}
+	job := l.AddJob(clustertest.Array(1))
+	for i := range tuning.MaxJobFailures {
+		other := l.AddMachine(protocol.MachineID("i-1"+string(rune('0'+i))), "small", "b")
+		l.HandleExit(l.AddAttempt(job, 0, protocol.AttemptNumber(i+1), other, 1), failed)
+	}
+	if job.Failures.Attributed != 1 || !job.RetryAt.Equal(l.Now().Add(tuning.FailureBackoff)) || len(job.Failures.AvoidUntil) != 0 {
+		t.Errorf("attributed %d times, retried at %v", job.Failures.Attributed, job.RetryAt)
+	}
+	for _, other := range l.OrderedMachines {
+		if other.FailedJobs[job.ID] || other != machine && other.Quarantined {
+			t.Errorf("%s: the job is held against it, quarantined %v", other.ID, other.Quarantined)
+		}
+	}
+}
+
+// TestReplicaBackoff: a replica that ends soon after its start again and again starts again
+// ever later; one that ran for a while is stable.
+func TestReplicaBackoff(t *testing.T) {
+	l := newTestLeader()
+	machine := l.AddMachine("i-1", "big", "a")
+	job := l.running(clustertest.Service(1, 1), machine)
+	task, exit := &job.Tasks[0], &protocol.TaskStatus{State: protocol.TaskExited, Cause: protocol.CauseDone}
+	for i, want := range []time.Duration{0, tuning.ReplicaRestartBackoff, 2 * tuning.ReplicaRestartBackoff} {
+		l.HandleExit(task.Active, exit)
+		if got := max(0, task.RetryAt.Sub(l.Now())); got != want {
+			t.Errorf("early exit %d: starts again after %v, want %v", i+1, got, want)
+		}
+	}
+	l.Advance(tuning.ReplicaStableTime)
+	if l.HandleExit(task.Active, exit); task.EarlyExits != 0 {
+		t.Errorf("%d early exits of one that was stable", task.EarlyExits)
+	}
+}
+
+// TestUnreadableJobIsLeftAlone: a gang that looks incomplete is not stopped while a record of
+// it cannot be read, unless its user cancels it.
+func TestUnreadableJobIsLeftAlone(t *testing.T) {
+	l := newTestLeader()
+	job := l.running(clustertest.Gang(2, 1), l.AddMachine("i-1", "big", "a"))
+	l.unreadable[job.ID] = true
+	l.State.RemoveAttempt(job.SortedAttempts()[0])
+	if l.CheckEnded(job); clustertest.Stopping(job) != 0 || l.changed[job] {
+		t.Errorf("%d stopping, record changed %v", clustertest.Stopping(job), l.changed[job])
+	}
+	job.Cancelled = true
+	if l.CheckEnded(job); clustertest.Stopping(job) != 1 {
+		t.Errorf("%d stopping after the cancellation", clustertest.Stopping(job))
+	}
+}
