--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -48,6 +48,7 @@
 		"internal/config",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
+		"internal/coordination/commit",
 		"internal/coordination/kv",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
@@ -63,6 +64,14 @@
 		"internal/protocol",
 		"internal/tuning",
 	}},
+	"internal/coordination/commit": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
--- a/internal/coordination/attempts.go
+++ b/internal/coordination/attempts.go
@@ -46,10 +46,10 @@
 			l.Stop(attempt, 0)
 		}
 		if len(job.Attempts) == 0 {
-			l.touch(job, 0)
+			l.committer.MarkDirty(job, 0)
 		}
 	case job.Complete():
-		l.touch(job, 0)
+		l.committer.MarkDirty(job, 0)
 	case job.Spec.Gang() && len(job.Attempts) > 0 && !job.Stopping && l.isBroken(job):
 		l.endIncomplete(job)
 	}
@@ -118,7 +118,7 @@
 		if !job.Tasks[i].Done {
 			job.Tasks[i].Done = true
 			job.DoneTasks++
-			l.touch(job, job.RecordOf(i))
+			l.committer.MarkDirty(job, job.RecordOf(i))
 		}
 	}
 	if job.Spec.Gang() {
--- /dev/null
+++ b/internal/coordination/commit/budget.go
@@ -0,0 +1,30 @@
+package commit
+
+import (
+	"time"
+
+	"github.com/gappond/gappond/internal/tuning"
+	"golang.org/x/time/rate"
+)
+
+// writeBudget is what the store's limit on changes allows a transaction now.
+type writeBudget struct {
+	free  float64 // changes
+	burst float64 // changes that are free after a long rest
+}
+
+// availableBudget is what a transaction may spend, after what is kept for users' requests.
+func availableBudget(limiter *rate.Limiter, now time.Time) writeBudget {
+	burst := float64(limiter.Burst())
+	// The end of a job takes two changes, however few a second there are.
+	return writeBudget{free: limiter.TokensAt(now) - min(burst*tuning.UserFloor, burst-2), burst: burst}
+}
+
+// allowsOrdinary says whether a transaction of so many changes may have further ones that
+// are not urgent: a part of the budget is kept for those that are.
+func (wb writeBudget) allowsOrdinary(changes int) bool {
+	return float64(changes+2) <= wb.free-wb.burst*tuning.GangReserve
+}
+
+// plenty says whether there is time for what does not matter soon.
+func (wb writeBudget) plenty() bool { return wb.free >= wb.burst/2 }
--- /dev/null
+++ b/internal/coordination/commit/job_records.go
@@ -0,0 +1,262 @@
+package commit
+
+import (
+	"encoding/json"
+	"slices"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// addJob adds as much of a job as fits. A job's own record goes last, so that
+// a gang's new epoch shows only when every task's place is written.
+func (b *transactionBuilder) addJob(job *cluster.Job) {
+	if phase := job.FinalPhase(); phase != "" {
+		b.addFinal(job, phase)
+		return
+	}
+	if job.Records.Quarantined {
+		return
+	}
+	write := &jobWrite{job: job}
+	if split := b.splitter.pendingSplit(job); split != nil {
+		b.addSplit(write, split)
+	} else {
+		b.addDirtyRecords(write)
+	}
+	if len(write.records) > 0 {
+		if write.records[len(write.records)-1] != 0 {
+			job.Write.Dirty[0] = true
+		}
+		job.Write.InFlight = true
+		b.tx.jobs = append(b.tx.jobs, write)
+	}
+}
+
+// addFinal replaces the own record of a job that has ended by its final record.
+func (b *transactionBuilder) addFinal(job *cluster.Job, phase protocol.Phase) {
+	final := &storage.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
+	if !b.fits(2, 2, finalRecordBytes) {
+		return
+	}
+	b.guard(storage.JobKey(job.ID), job.Records.Revisions[0])
+	b.guard(storage.FinalKey(job.ID), 0)
+	b.set(storage.FinalKey(job.ID), storage.Encode(final))
+	b.remove(storage.JobKey(job.ID))
+	clear(job.Write.Dirty)
+	job.Write.InFlight = true
+	b.tx.jobs = append(b.tx.jobs, &jobWrite{job: job, final: final})
+}
+
+// recordWrite is one of a job's records on its way into a transaction.
+type recordWrite struct {
+	record         int
+	value          json.RawMessage
+	placed         []*cluster.Attempt // that it places
+	machineRecords map[*cluster.MachineRecord]bool
+}
+
+// recordWrite makes one. An array's places in more machine records than a transaction has
+// conditions for are given up, and planned again.
+func (b *transactionBuilder) recordWrite(job *cluster.Job, r int) recordWrite {
+	tasks, placed := recordContent(job, r)
+	write := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
+	maxMachineRecords, dropped := storage.GangRecordTasks(b.limits.TxnOps), false
+	for _, attempt := range placed {
+		if attempt.Machine.Record == nil || write.machineRecords[attempt.Machine.Record] {
+			continue
+		}
+		if len(write.machineRecords) >= maxMachineRecords && !job.Spec.Gang() {
+			b.outcomes.DropAttempt(attempt)
+			dropped = true
+			continue
+		}
+		write.machineRecords[attempt.Machine.Record] = true
+	}
+	if dropped {
+		tasks, write.placed = recordContent(job, r)
+	}
+	if r == 0 {
+		write.value = storage.Encode(jobRecord(job, b.tx.writer, tasks))
+	} else {
+		write.value = storage.Encode(storage.TaskRecord{Writer: b.tx.writer, Tasks: tasks})
+	}
+	return write
+}
+
+// conditions is how many conditions the writes add.
+func (b *transactionBuilder) conditions(writes []recordWrite) int {
+	added := map[*cluster.MachineRecord]bool{}
+	for _, write := range writes {
+		for record := range write.machineRecords {
+			if !b.guarded[record] {
+				added[record] = true
+			}
+		}
+	}
+	return len(writes) + len(added)
+}
+
+// addRecordWrites adds writes of a job's records; false if they do not fit, and nothing
+// is added.
+func (b *transactionBuilder) addRecordWrites(write *jobWrite, records ...recordWrite) bool {
+	conditions, bytes := b.conditions(records), 0
+	for _, r := range records {
+		if b.splitter.limits.rejects(len(r.value)) {
+			b.postpone(write.job, r.record)
+			return false
+		}
+		bytes += len(r.value)
+	}
+	if !b.fits(len(records), conditions, bytes+conditions*tuning.ConditionBytes) {
+		return false
+	}
+	job := write.job
+	for _, r := range records {
+		key := recordKey(job.ID, r.record)
+		b.guard(key, job.Records.Revisions[r.record])
+		b.set(key, r.value)
+		for _, attempt := range r.placed {
+			if attempt.Machine.Record != nil {
+				b.guardMachineRecord(attempt.Machine.Record)
+			}
+		}
+		write.records = append(write.records, r.record)
+		write.placed = append(write.placed, r.placed...)
+		delete(job.Write.Dirty, r.record)
+	}
+	return true
+}
+
+// postpone gives up the places of a job whose record the store would refuse: it waits
+// until it may be split. One that cannot be split further, because of its description, is
+// quarantined: never written again. What is stored stays readable, and the job can still
+// end.
+func (b *transactionBuilder) postpone(job *cluster.Job, record int) {
+	b.outcomes.DropUncommitted(job)
+	if len(job.TasksOf(record)) < 2 && !job.Records.Quarantined {
+		job.Records.Quarantined = true
+		b.splitter.log.Error("record cannot be brought under the limits of the state service", "job", job.ID, "record", record)
+	}
+}
+
+// addDirtyRecords adds as many of a job's changed records as fit.
+func (b *transactionBuilder) addDirtyRecords(write *jobWrite) {
+	job := write.job
+	var records []int
+	for r := range job.Write.Dirty {
+		records = append(records, r)
+	}
+	slices.Sort(records)
+	// The first record carries the counts: it is always written, and last.
+	if records[0] == 0 {
+		records = records[1:]
+	}
+	for _, r := range records {
+		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
+			return // further records first
+		}
+	}
+	b.addRecordWrites(write, b.recordWrite(job, 0))
+}
+
+// addSplit adds the records that complete a split, or as many of the new parts as
+// fit if one transaction cannot hold all of them.
+func (b *transactionBuilder) addSplit(write *jobWrite, records []int) {
+	job := write.job
+	alone := b.changes() == 0
+	var writes []recordWrite
+	for _, r := range records {
+		writes = append(writes, b.recordWrite(job, r))
+	}
+	if b.addRecordWrites(write, writes...) {
+		return
+	}
+	for _, r := range records {
+		job.Write.Dirty[r] = true
+	}
+	switch {
+	case b.fitsOneTransaction(writes):
+		if alone && b.remainingChanges() >= len(writes) {
+			b.outcomes.DropUncommitted(job) // too many conditions: its places wait until it is split
+		}
+	case b.splitter.mayStage():
+		b.stage(write, records)
+	case alone:
+		b.outcomes.DropUncommitted(job)
+	}
+}
+
+// fitsOneTransaction says whether writes of one job would fit a transaction that
+// holds nothing else.
+func (b *transactionBuilder) fitsOneTransaction(writes []recordWrite) bool {
+	bytes := 0
+	for _, write := range writes {
+		bytes += len(write.value) + tuning.ConditionBytes
+	}
+	return len(writes) <= b.limits.TxnOps && bytes <= tuning.TxnBytes-tuning.ConditionBytes
+}
+
+// stage writes new parts that the job's own record does not name yet. Until that
+// record is written, last, what the old records say holds, and whoever reads them
+// passes over the parts. So nothing is placed meanwhile.
+func (b *transactionBuilder) stage(write *jobWrite, records []int) {
+	job := write.job
+	job.Records.Splitting = true
+	b.outcomes.DropUncommitted(job)
+	for _, r := range records {
+		if _, isPart := job.Records.UnnamedParts[r]; !isPart {
+			continue
+		}
+		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
+			break
+		}
+		delete(job.Records.Staged, r)
+	}
+	write.staging = len(write.records) > 0
+}
+
+// recordKey is the key of one of a job's records.
+func recordKey(id protocol.JobID, r int) string {
+	if r == 0 {
+		return storage.JobKey(id)
+	}
+	return storage.TaskRecordKey(id, r)
+}
+
+// recordContent lists the tasks of one of a job's records and the attempts that it places.
+func recordContent(job *cluster.Job, r int) (tasks []storage.Task, placed []*cluster.Attempt) {
+	for _, i := range job.TasksOf(r) {
+		task := &job.Tasks[i]
+		if task.LastAttempt == 0 && !task.Done {
+			continue
+		}
+		entry := storage.Task{Index: i, Attempt: task.LastAttempt, Done: task.Done}
+		if attempt := task.Active; attempt != nil && !task.Done {
+			entry.Machine, entry.Incarnation = attempt.Machine.ID, attempt.Incarnation
+			if !attempt.Committed {
+				placed = append(placed, attempt)
+			}
+		}
+		tasks = append(tasks, entry)
+	}
+	return tasks, placed
+}
+
+// jobRecord is the content of a job's own record.
+func jobRecord(job *cluster.Job, writer string, tasks []storage.Task) storage.Job {
+	placed := 0
+	for i := range job.Tasks {
+		if job.Tasks[i].Active != nil && !job.Tasks[i].Done {
+			placed++
+		}
+	}
+	parts := 0
+	if len(job.Records.ExtraParts) > 0 {
+		parts = len(job.Records.Revisions)
+	}
+	return storage.Job{Writer: writer, Spec: job.Spec, AtMs: job.SubmittedAt.UnixMilli(), Seq: job.ArrivalOrder, Attempt: job.Epoch,
+		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, RecordTasks: job.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
+}
--- /dev/null
+++ b/internal/coordination/commit/outcome.go
@@ -0,0 +1,269 @@
+package commit
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// send sends the transaction in flight, the first time or again.
+func (c *Committer) send(tx *transaction) {
+	c.store.TransactEncoded(tx.body, func(result kv.TransactionResult) {
+		if c.inFlight == tx { // otherwise the watch has shown it meanwhile
+			c.handleResult(tx, result)
+		}
+	})
+}
+
+// handleResult takes the answer to a transaction.
+func (c *Committer) handleResult(tx *transaction, result kv.TransactionResult) {
+	switch outcome := result.Outcome; {
+	case outcome == kv.Done && !result.Malformed:
+		c.handleCommit(tx, result.Revision)
+	case outcome == kv.ConditionFailed && !result.Malformed && tx.answerLost && tx.probe != "":
+		c.resolveLostAnswer(tx)
+	case outcome == kv.ConditionFailed && !result.Malformed:
+		c.handleConflict(tx, result.Failed)
+	case outcome == kv.Unknown:
+		// The transaction may have been applied, or may be yet. The same one again can be
+		// applied only once.
+		tx.answerLost = true
+		c.resend(tx, tuning.RetryPause)
+	case outcome == kv.Throttled:
+		c.resend(tx, c.store.NoteThrottled(tx.changes))
+	case outcome == kv.Rejected:
+		c.log.Error("transaction rejected", "detail", result.Detail)
+		c.limits.NoteRejection()
+		c.handleConflict(tx, nil)
+		c.notBefore = c.state.Now().Add(rejectionPause)
+	default:
+		c.resend(tx, tuning.RetryPause)
+	}
+}
+
+// rejectionPause is how long nothing is sent after a rejected transaction: whatever the
+// store found wrong with it may be wrong with the next.
+const rejectionPause = time.Second
+
+// resend sends the same transaction again after a pause.
+func (c *Committer) resend(tx *transaction, pause time.Duration) {
+	c.afterWhileInFlight(tx, pause, c.send)
+}
+
+// afterWhileInFlight does something about a transaction after a pause, if it is in flight
+// still.
+func (c *Committer) afterWhileInFlight(tx *transaction, pause time.Duration, do func(*transaction)) {
+	c.env.After(pause, func() {
+		if c.inFlight == tx {
+			do(tx)
+		}
+	})
+}
+
+// resolveLostAnswer reads back whether a transaction whose answer was lost was applied.
+func (c *Committer) resolveLostAnswer(tx *transaction) {
+	c.store.Get(tx.probe, func(result kv.GetResult) {
+		if c.inFlight != tx {
+			return
+		}
+		switch result.Outcome {
+		case kv.Done:
+			if !result.Malformed && writtenBy(result.Entry.Value, tx.writer) {
+				c.handleCommit(tx, result.Entry.Revision)
+				return
+			}
+			c.handleConflict(tx, nil)
+		case kv.NotFound:
+			c.handleConflict(tx, nil)
+		default:
+			c.afterWhileInFlight(tx, tuning.RetryPause, c.resolveLostAnswer)
+		}
+	})
+}
+
+// writtenBy says whether a record names the writer.
+func writtenBy(value json.RawMessage, writer string) bool {
+	var record struct {
+		Writer string `json:"w"`
+	}
+	return json.Unmarshal(value, &record) == nil && record.Writer == writer
+}
+
+// ObserveChange takes a change that the watch shows, and says whether it is of no further
+// concern: it confirms the transaction in flight, whose answer may be lost, or it is of a
+// machine record.
+func (c *Committer) ObserveChange(change *protocol.WatchEvent) (handled bool) {
+	if tx := c.inFlight; tx != nil && change.Set != "" && change.Set == tx.probe && c.Wrote(change.Value) {
+		c.handleCommit(tx, change.Revision)
+		return true
+	}
+	if !strings.HasPrefix(change.Set, storage.MachinePrefix) {
+		return false
+	}
+	if !c.Machines.has(change.Set) && !c.Wrote(change.Value) {
+		c.Machines.deleteOrphaned(change.Set, change.Revision)
+	}
+	return true
+}
+
+// Wrote says whether a record was written by the transaction in flight, whose answer is on
+// its way.
+func (c *Committer) Wrote(value json.RawMessage) bool {
+	return c.inFlight != nil && storage.Writer(value) == c.inFlight.writer
+}
+
+// handleCommit takes it that a transaction was applied.
+func (c *Committer) handleCommit(tx *transaction, revision protocol.Revision) {
+	c.inFlight = nil
+	for _, write := range tx.machineRecords {
+		c.Machines.noteCommitted(write, revision)
+		c.env.RequestScheduling()
+	}
+	for _, write := range tx.jobs {
+		job := write.job
+		job.Write.InFlight = false
+		if write.final != nil {
+			c.finish(job, *write.final)
+			continue
+		}
+		for _, r := range write.records {
+			job.Records.Revisions[r] = max(job.Records.Revisions[r], revision)
+		}
+		noteWritten(job, write)
+		c.outcomes.JobCommitted(job, write.placed)
+	}
+	c.outcomes.TransactionCommitted(c.state.Now().Sub(tx.sentAt))
+	c.Commit()
+}
+
+// finish forgets a job whose final record is committed.
+func (c *Committer) finish(job *cluster.Job, final storage.Final) {
+	job.Finished = true
+	clear(job.Write.Dirty)
+	delete(c.state.Jobs, job.ID)
+	c.outcomes.JobFinished(job.ID, final)
+	for r := 1; r < len(job.Records.Revisions); r++ {
+		if job.Records.Revisions[r] != 0 {
+			c.DeleteLater(storage.TaskRecordKey(job.ID, r))
+		}
+	}
+	for _, r := range slices.Sorted(maps.Keys(job.Records.Abandoned)) {
+		if r >= len(job.Records.Revisions) {
+			c.DeleteLater(storage.TaskRecordKey(job.ID, r))
+		}
+	}
+	c.env.RequestScheduling()
+}
+
+// handleConflict undoes a transaction that was refused: the loser plans again. failed are
+// the keys whose guards do not hold, as far as the store says.
+func (c *Committer) handleConflict(tx *transaction, failed []string) {
+	c.inFlight = nil
+	c.outcomes.TransactionConflicted()
+	if slices.Contains(failed, storage.LeaderKey) {
+		c.env.StepDown("leader lease is no longer ours")
+		return
+	}
+	c.DeleteLater(tx.deletions...)
+	for _, write := range tx.machineRecords {
+		write.record.Queued = true
+		if len(failed) == 0 {
+			c.rereadRevision(write.record.Key) // which key was in the way is not known
+		}
+	}
+	for _, key := range failed {
+		if strings.HasPrefix(key, storage.MachinePrefix) {
+			c.rereadRevision(key)
+		}
+	}
+	for _, write := range tx.jobs {
+		c.undo(write)
+	}
+	c.notBefore = c.state.Now().Add(tuning.ConflictPause)
+	c.env.RequestScheduling()
+}
+
+// undo marks the records of a refused write as dirty again, drops the attempts that it
+// would have committed and looks up the revisions.
+func (c *Committer) undo(write *jobWrite) {
+	job := write.job
+	job.Write.InFlight = false
+	if write.final != nil {
+		write.records = []int{0}
+	}
+	for _, r := range write.records {
+		c.MarkDirty(job, r)
+	}
+	for _, attempt := range write.placed {
+		if job.Attempts[attempt.Key] == attempt && !attempt.Committed {
+			c.outcomes.DropAttempt(attempt)
+		}
+	}
+	c.rereadRevision(storage.JobKey(job.ID))
+	for _, r := range write.records {
+		if r > 0 {
+			c.rereadRevision(storage.TaskRecordKey(job.ID, r))
+		}
+	}
+}
+
+// rereadRevision looks up the present revision of a key whose guard may have failed.
+func (c *Committer) rereadRevision(key string) {
+	c.store.Get(key, func(result kv.GetResult) {
+		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
+			return
+		}
+		id, r, isTaskRecord := storage.ParseTaskRecordKey(key)
+		switch {
+		case isTaskRecord:
+			if job := c.state.Jobs[id]; job != nil && r < len(job.Records.Revisions) {
+				job.Records.Revisions[r] = result.Entry.Revision
+			}
+		case strings.HasPrefix(key, storage.MachinePrefix):
+			c.Machines.setRevision(key, result.Entry.Revision)
+		default:
+			c.rereadJob(key, result)
+		}
+	})
+}
+
+// rereadJob takes a job's own record as it is now.
+func (c *Committer) rereadJob(key string, result kv.GetResult) {
+	id, _ := storage.ParseJobKey(key)
+	job := c.state.Jobs[id]
+	if job == nil {
+		return
+	}
+	if result.Outcome == kv.NotFound {
+		// Its final record was written by a transaction thought lost.
+		c.lookUpFinal(job)
+		return
+	}
+	record, err := storage.DecodeJob(result.Entry.Value)
+	if err != nil {
+		c.outcomes.QuarantineJob(id, err)
+		return
+	}
+	c.outcomes.MergeRecord(job, record, result.Entry.Revision)
+}
+
+// lookUpFinal finishes a job whose record has turned out to be gone.
+func (c *Committer) lookUpFinal(job *cluster.Job) {
+	c.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
+		if result.Outcome != kv.Done || result.Malformed || job.Finished {
+			return
+		}
+		var final storage.Final
+		if json.Unmarshal(result.Entry.Value, &final) == nil && final.Phase != "" {
+			c.finish(job, final)
+		}
+	})
+}
--- /dev/null
+++ b/internal/coordination/commit/urgency.go
@@ -0,0 +1,78 @@
+package commit
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// urgency says how soon a job's changes are to be written.
+type urgency int
+
+// Classes of urgency, the most urgent first.
+const (
+	// urgent changes are new places of gangs and services, record splits under way, and
+	// what has waited long. A part of the write budget is kept for them.
+	urgent urgency = iota
+	// ordinary changes are new places of arrays and ends of jobs.
+	ordinary
+	// marks of single tasks that are done, which their agents go on reporting until they
+	// are stored.
+	marks
+	// notDue are marks that can wait: the tasks of an array end one after the other, and
+	// mostly their record is written with the next place anyway.
+	notDue
+)
+
+// dirtyJob is a job with unwritten changes.
+type dirtyJob struct {
+	job     *cluster.Job
+	urgency urgency
+}
+
+// urgencyOf classifies the unwritten changes of a job.
+func urgencyOf(job *cluster.Job, now time.Time) urgency {
+	age := now.Sub(job.Write.DirtySince)
+	switch {
+	case job.Records.Splitting, age > tuning.MarkLate:
+		return urgent
+	case job.HasUncommitted():
+		if job.Spec.Gang() || job.Spec.Service() || age > tuning.WriteWait {
+			return urgent
+		}
+		return ordinary
+	case job.FinalPhase() != "":
+		if age > tuning.WriteWait {
+			return urgent
+		}
+		return ordinary
+	case age > tuning.MarkWait:
+		return marks
+	}
+	return notDue
+}
+
+// dirtyByUrgency orders the jobs with unwritten changes: the urgent ones by priority, the
+// others in the order that they came.
+func (c *Committer) dirtyByUrgency() []dirtyJob {
+	var entries []dirtyJob
+	now := c.state.Now()
+	for _, job := range c.dirty {
+		if job.Finished || len(job.Write.Dirty) == 0 {
+			job.Write.Queued = false
+			continue
+		}
+		entries = append(entries, dirtyJob{job, urgencyOf(job, now)})
+	}
+	slices.SortStableFunc(entries, func(a, b dirtyJob) int {
+		byPriority := 0
+		if a.urgency == urgent {
+			byPriority = cmp.Compare(b.job.Priority, a.job.Priority)
+		}
+		return cmp.Or(cmp.Compare(a.urgency, b.urgency), byPriority, a.job.Write.DirtySince.Compare(b.job.Write.DirtySince))
+	})
+	return entries
+}
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -81,8 +81,8 @@
 		by(l.planAt)
 	}
 	by(l.planAt.Add(tuning.PlanIdle))
-	if l.inFlight == nil && len(l.dirty) > 0 {
-		by(l.commitAt)
+	if at, due := l.committer.NextCommit(); due {
+		by(at)
 	}
 	if len(l.directQueue) > 0 {
 		by(l.n.now)
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -158,7 +158,7 @@
 	if got := ops(l.testReport(machine, l.n.lease.term)); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
-	l.commitNext()
+	l.committer.Commit()
 	r := l.n.lastRequest(t, ToState)
 	txn, _ := parse[protocol.Txn](r.Body)
 	guards := map[string]protocol.Revision{}
@@ -193,7 +193,7 @@
 	l.testMachine("i-1", "big", "a", false)
 	job := l.testJob(gangOf(2, 1))
 	l.scheduler.PlaceGang(job)
-	l.commitNext()
+	l.committer.Commit()
 	r := l.n.lastRequest(t, ToState)
 	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{storage.JobKey(job.ID)}})})
 	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
@@ -244,7 +244,7 @@
 	l.testMachine("i-1", "big", "a", false)
 	job := l.testJob(gangOf(1, 1))
 	l.scheduler.PlaceGang(job)
-	l.commitNext()
+	l.committer.Commit()
 	sent := l.n.lastRequest(t, ToState)
 	var txn protocol.Txn
 	if err := json.Unmarshal(sent.Body, &txn); err != nil {
@@ -252,7 +252,7 @@
 	}
 	last := txn.Then[len(txn.Then)-1]
 	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
-	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.inFlight != nil {
+	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.committer.InFlight() {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
 	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TxnAnswer{Failed: []string{last.Set}})})
@@ -261,26 +261,27 @@
 	}
 }
 
-// TestStrayMachineRecord: the creation of a machine record is carried out late, after
+// TestOrphanedMachineRecordIsDeleted: the creation of a machine record is carried out late, after
 // the record was deleted: the machines that it names must not come back with it.
-func TestStrayMachineRecord(t *testing.T) {
+func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
-	r := machine.Record
-	l.MachinesDeleted(machine.ID)
-	l.machineRecordWritten(machineRecordWrite{record: r}, 50)
-	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{machineEntry(machine)}})
-	l.changed(&protocol.WatchEvent{Set: r.Key, Value: value, Revision: 60})
-	l.n.now = l.n.now.Add(tuning.StaleWait + time.Second)
-	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-	l.commitNext()
-	var txn protocol.Txn
-	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
-		t.Fatal(err)
-	}
-	if len(txn.Then) != 1 || txn.Then[0].Delete != r.Key || txn.If[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
-		t.Errorf("%+v", txn)
+	key := machine.Record.Key
+	deleted := func(revision protocol.Revision) Request {
+		t.Helper()
+		l.commitLater(tuning.StaleWait + time.Second)
+		txn, r := l.sentTxn(t)
+		if len(txn.Then) != 1 || txn.Then[0].Delete != key || txn.If[1] != (protocol.Condition{Key: key, Revision: revision}) {
+			t.Fatalf("%+v", txn)
+		}
+		return r
 	}
+	l.MachinesDeleted(machine.ID)
+	r := deleted(1)
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: 50})})
+	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{{ID: machine.ID, Address: "h:1", Type: "big", Zone: "a"}}})
+	l.changed(&protocol.WatchEvent{Set: key, Value: value, Revision: 60})
+	deleted(60)
 }
 
 // TestAnswersToAnEarlierLife: a process that is back at once numbers its requests
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -20,7 +20,7 @@
 		}
 		machine.ReleaseReservation()
 		delete(l.cluster.Machines, id)
-		l.leaveMachineRecord(machine)
+		l.committer.Machines.Remove(machine)
 		l.recovery.Known(id)
 		l.plan = true
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -113,9 +113,10 @@
 	l.setDone(job, 0)
 	for range 30 {
 		n.now = n.now.Add(tuning.Tick)
-		l.commitNext()
+		l.committer.Commit()
 	}
-	if _, writes := sentTo(n.out, ToState, protocol.PathTxn); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
+	_, writes := sentTo(n.out, ToState, protocol.PathTxn)
+	if txn, _ := l.sentTxn(t); writes != 1 || !l.committer.InFlight() || txn.Then[0].Set != storage.FinalKey(job.ID) {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -1,11 +1,11 @@
 package coordination
 
 import (
-	"strings"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/commit"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -28,20 +28,15 @@
 	recovery   *reconcile.Phase
 	restored   restoredStore
 
-	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
-	machineRecords []*cluster.MachineRecord // the machines' machine records
-	cleanup        []string                 // keys to delete when there is time
-	inFlight       *commit
-	commitAt       time.Time
-	directQueue    []*cluster.Machine // have orders that should not wait for a report
-	calls          *rate.Limiter      // calls to workers: direct orders and probes
-	calling        int                // calls to workers under way
-	proxying       bool               // the peers answer a part of the workers
-	plan           bool               // something changed that placement may depend on
-	planAt         time.Time
-	watchAt        time.Time // when the machines are looked over again
-	autoscaler     *autoscaler.Autoscaler
-	splitSearched  bool // all records that had outgrown the limits were found
+	committer   *commit.Committer
+	directQueue []*cluster.Machine // have orders that should not wait for a report
+	calls       *rate.Limiter      // calls to workers: direct orders and probes
+	calling     int                // calls to workers under way
+	proxying    bool               // the peers answer a part of the workers
+	plan        bool               // something changed that placement may depend on
+	planAt      time.Time
+	watchAt     time.Time // when the machines are looked over again
+	autoscaler  *autoscaler.Autoscaler
 }
 
 // runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
@@ -53,30 +48,12 @@
 	if attempt.Key.Number > 1 {
 		l.n.metrics.Repairs++
 	}
-	l.touch(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
-}
-
-// touch marks one of a job's records as to be written.
-func (l *leader) touch(job *cluster.Job, record int) {
-	if job.Finished {
-		return
-	}
-	job.Write.Dirty[record] = true
-	if !job.Write.Queued {
-		job.Write.Queued, job.Write.DirtySince = true, l.n.now
-		l.dirty = append(l.dirty, job)
-	}
+	l.committer.MarkDirty(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
 }
 
 // changed takes a change of a record that the watch saw.
 func (l *leader) changed(ev *protocol.WatchEvent) {
-	if tx := l.inFlight; tx != nil && ev.Set != "" && ev.Set == tx.probe && storage.Writer(ev.Value) == tx.writer {
-		// The transaction under way is done, though its answer may be lost.
-		l.committed(tx, ev.Revision)
-		return
-	}
-	if strings.HasPrefix(ev.Set, storage.MachinePrefix) {
-		l.deleteStrayRecord(ev)
+	if l.committer.ObserveChange(ev) {
 		return
 	}
 	id, ok := storage.ParseJobKey(ev.Set)
@@ -87,7 +64,7 @@
 	if job != nil && ev.Revision <= job.Records.Revisions[0] {
 		return
 	}
-	if job != nil && l.inFlight != nil && storage.Writer(ev.Value) == l.inFlight.writer {
+	if job != nil && l.committer.Wrote(ev.Value) {
 		return // our own write, whose answer is on its way
 	}
 	rec, err := storage.DecodeJob(ev.Value)
@@ -101,15 +78,7 @@
 		l.plan = true
 		return
 	}
-	l.merge(job, rec, ev.Revision)
-}
-
-// merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(job *cluster.Job, rec *storage.Job, revision protocol.Revision) {
-	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
-	if rec.Cancelled {
-		l.cancelJob(job)
-	}
+	l.MergeRecord(job, rec, ev.Revision)
 }
 
 // cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
@@ -148,7 +117,13 @@
 		l.runSchedulingCycle()
 		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
 	}
-	l.splitOutgrown()
-	l.commitNext()
+	l.committer.SplitOutgrown(l.scheduler)
+	l.committer.Commit()
 	l.sendDirect()
 }
+
+// RecordMachine implements autoscaler.Environment.
+func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.Record(machine) }
+
+// AwaitsRecordSplit implements scheduler.Environment.
+func (l *leader) AwaitsRecordSplit(job *cluster.Job) bool { return l.committer.AwaitsRecordSplit(job) }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -21,7 +21,7 @@
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
 	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
-	l.commitNext()
+	l.committer.Commit()
 	r := l.n.lastRequest(t, ToState)
 	txn, _ := parse[protocol.Txn](r.Body)
 	if len(txn.Then) > 2 {
@@ -35,7 +35,7 @@
 			t.Errorf("a record of %d bytes", n)
 		}
 		rec, _ := parse[storage.MachineRecord](c.Value)
-		next.loadMachineRecord(c.Set, 99, &rec)
+		next.committer.Machines.Load(c.Set, 99, &rec)
 	}
 	for _, id := range names {
 		if machine := next.cluster.Machines[id]; machine == nil || !machine.Recorded || !l.cluster.Machines[id].Recorded {
@@ -47,7 +47,7 @@
 		next.MachinesDeleted(id)
 	}
 	next.n.now = next.n.now.Add(time.Minute)
-	next.commitNext()
+	next.committer.Commit()
 	r = next.n.lastRequest(t, ToState)
 	txn, _ = parse[protocol.Txn](r.Body)
 	next.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":100}`)})
@@ -56,8 +56,8 @@
 			t.Errorf("%s is written again", c.Set)
 		}
 	}
-	if len(next.machineRecords) != 0 {
-		t.Errorf("%d racks are left", len(next.machineRecords))
+	if !next.committer.Machines.Empty() {
+		t.Error("machine records are left")
 	}
 }
 
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/commit"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
@@ -57,7 +58,7 @@
 	// when the state service last served this node, and when it was last asked
 	servedAt, askedAt time.Time
 	unanswered        bool // it did not answer the last request
-	limitsLowered     bool // it has refused what its limits used to allow
+	storeLimits       *commit.StoreLimits
 
 	finals map[protocol.JobID]storage.Final
 	polls  []poll
@@ -86,7 +87,7 @@
 // the process from earlier ones.
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
-		cfg: cfg, log: log, boot: boot,
+		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewStoreLimits(cfg),
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		pending:          map[uint64]func(int, []byte){},
 		types:            map[protocol.MachineTypeName]*protocol.MachineType{},
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -51,7 +51,7 @@
 	if len(n.polls) == 0 {
 		return
 	}
-	limit := n.cfg.Cluster.State.TxnOps * conditionsPerChange
+	limit := n.cfg.Cluster.State.TxnOps * storage.ConditionsPerChange
 	if n.now.Before(n.pollAt) && len(n.polls) < limit {
 		return
 	}
@@ -73,10 +73,6 @@
 	})
 }
 
-// conditionsPerChange is how many conditions a transaction may have for each change
-// that it may have.
-const conditionsPerChange = 4
-
 // pollBatch is a number of polls that are checked together.
 type pollBatch struct {
 	polls   []poll
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -55,9 +56,14 @@
 		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
 		l.dropAttempt(attempt)
 	}
-	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
+	if l.cluster.Schedulable(machine) || !machine.Record.Queued {
 		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
 	}
+	l.committer.Commit()
+	txn, _ := l.sentTxn(t)
+	if rec, _ := parse[storage.MachineRecord](txn.Then[0].Value); txn.Then[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
+		t.Errorf("the machine record does not say so: %s", txn.Then[0].Value)
+	}
 	l.autoscaler.EvaluateScaleIn(machine, l.autoscaler.Spares())
 	if !machine.Deleting {
 		t.Error("not returned once it is empty")
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -39,7 +39,7 @@
 func (l *leader) commitLater(d time.Duration) {
 	l.n.now = l.n.now.Add(d)
 	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
-	l.commitNext()
+	l.committer.Commit()
 }
 
 // sentTxn is the transaction that the leader sent last.
@@ -59,7 +59,7 @@
 // same.
 func TestSplitRecord(t *testing.T) {
 	l, job := lowering(t)
-	l.touch(job, 0)
+	l.committer.MarkDirty(job, 0)
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r := l.sentTxn(t)
 	if len(txn.Then) != 1 || len(txn.Then[0].Value) <= 2048 {
@@ -67,7 +67,7 @@
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: 20})})
 	l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
-	l.splitOutgrown()
+	l.committer.SplitOutgrown(l.scheduler)
 	l.commitLater(tuning.MarkLate + time.Second)
 	txn, r = l.sentTxn(t)
 	if len(txn.Then) < 2 || len(txn.Then) > 4 || txn.Then[len(txn.Then)-1].Set != storage.JobKey(job.ID) {
@@ -118,13 +118,13 @@
 	for _, up := range []bool{false, true} {
 		l, job := lowering(t)
 		l.n.peers["s"].up = up
-		l.touch(job, 0)
+		l.committer.MarkDirty(job, 0)
 		l.commitLater(tuning.MarkLate + time.Second)
 		_, r := l.sentTxn(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
 		l.commitLater(tuning.MarkLate + time.Second)
 		if up {
-			if l.inFlight != nil {
+			if l.committer.InFlight() {
 				t.Error("sent again beside a peer that may be of version 0.2")
 			}
 			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
@@ -144,9 +144,9 @@
 	for i := range 90 {
 		rec.Machines = append(rec.Machines, storage.MachineEntry{ID: protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26))), Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 	}
-	l.loadMachineRecord("g/m/old", 9, &rec)
-	l.splitMachineRecords()
-	old := l.machineRecords[0]
+	l.committer.Machines.Load("g/m/old", 9, &rec)
+	old := l.cluster.Machines[rec.Machines[0].ID].Record
+	l.committer.Machines.SplitOutgrown()
 	l.RecordMachine(old.Members[0]) // it is to be written at once
 	named := map[protocol.MachineID]string{}
 	for _, m := range rec.Machines {
@@ -154,7 +154,7 @@
 	}
 	for range 10 {
 		l.commitLater(time.Second)
-		if l.inFlight == nil {
+		if !l.committer.InFlight() {
 			break
 		}
 		txn, r := l.sentTxn(t)
@@ -182,7 +182,9 @@
 		}
 		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: protocol.Revision(l.n.lease.term) + protocol.Revision(l.n.now.Unix()%1000)})})
 	}
-	if len(old.MovedOut) > 0 && !l.movesRecorded(old) {
-		t.Error("the old record is never written")
+	for _, machine := range old.MovedOut {
+		if !machine.Recorded && l.cluster.Machines[machine.ID] == machine {
+			t.Error("the old record is never written")
+		}
 	}
 }
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"bytes"
 	"encoding/json"
 	"slices"
 	"strings"
@@ -104,16 +103,16 @@
 // nothing.
 func (l *leader) nextTxn(t *testing.T) (*protocol.Txn, Request) {
 	t.Helper()
-	if l.inFlight == nil {
-		l.splitOutgrown()
+	if !l.committer.InFlight() {
+		l.committer.SplitOutgrown(l.scheduler)
 		l.commitLater(tuning.MarkLate + time.Second)
 	}
-	if l.inFlight == nil {
+	if !l.committer.InFlight() {
 		return nil, Request{}
 	}
 	for _, a := range slices.Backward(l.n.out) {
 		r, ok := a.(Request)
-		if !ok || !bytes.Equal(r.Body, l.inFlight.body) {
+		if !ok || r.To != ToState || r.Path != protocol.PathTxn {
 			continue
 		}
 		var txn protocol.Txn
@@ -245,7 +244,7 @@
 	rec := wideJob(protocol.ShapeArray)
 	s := stored(rec)
 	l := s.leader(protocol.PeerKnowsCancelled)
-	l.n.limitsLowered = true
+	l.n.storeLimits.NoteRejection()
 	for range 5 {
 		txn, r := l.nextTxn(t)
 		if txn == nil {
@@ -284,7 +283,11 @@
 		s.answer(t, l, txn, r) // refused if the leftover's revision was not taken
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
-	l.finish(l.cluster.Jobs[rec.Spec.ID], storage.Final{Phase: protocol.PhaseDone})
+	job := l.cluster.Jobs[rec.Spec.ID]
+	l.cancelJob(job)
+	for _, attempt := range job.SortedAttempts() {
+		l.dropAttempt(attempt)
+	}
 	var txn protocol.Txn
 	for range 5 {
 		next, r := l.nextTxn(t)
@@ -310,7 +313,7 @@
 	rec.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
 	s := stored(rec)
 	l := s.leader(protocol.PeerLevel)
-	l.n.limitsLowered = true
+	l.n.storeLimits.NoteRejection()
 	for range 3 {
 		txn, r := l.nextTxn(t)
 		if txn == nil {
--- a/internal/coordination/restored_store.go
+++ b/internal/coordination/restored_store.go
@@ -193,7 +193,7 @@
 // run on workers that have yet to report. Until one of them has shown its token, nobody
 // knows.
 func (l *leader) Held(job *cluster.Job) bool {
-	if !job.Recovered || !l.Recovering() || len(l.machineRecords) == 0 {
+	if !job.Recovered || !l.Recovering() || l.committer.Machines.Empty() {
 		return false
 	}
 	return l.restored.proven || l.restored.marked || !l.restored.tokensChecked && l.n.now.Sub(l.cluster.LeadingSince) < l.cluster.SilenceTimeout()
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -28,7 +28,7 @@
 	}
 	l.calls.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
 	l.calls.SetLimit(1)
-	l.committed(&commit{jobs: []*jobWrite{{j: job, records: []int{0}}}}, 20)
+	l.JobCommitted(job, nil)
 	var want []*cluster.Machine
 	for _, attempt := range job.SortedAttempts() {
 		want = append(want, attempt.Machine)
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -8,6 +8,7 @@
 
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/commit"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -20,6 +21,7 @@
 		calls: n.workerCalls()}
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
+	l.committer = commit.New(n.lease.term, l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
 	l.stored.l = l
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
@@ -27,7 +29,7 @@
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
-	l.splitMachineRecords()
+	l.committer.Machines.SplitOutgrown()
 	if allRead {
 		l.forgetUnrecorded()
 	}
@@ -68,7 +70,7 @@
 		l.cluster.EnsureMachine(id, "", "", "", false)
 	}
 	for _, e := range entries {
-		l.loadMachineRecord(e.Key, e.Revision, &e.record)
+		l.committer.Machines.Load(e.Key, e.Revision, &e.record)
 	}
 	return allRead
 }
@@ -88,6 +90,7 @@
 
 // loadTaskRecords takes the further records of the jobs.
 func (l *leader) loadTaskRecords() {
+	var orphaned []string
 	l.n.mirror.Each(storage.TaskPrefix, func(e protocol.Entry) {
 		id, num, ok := storage.ParseTaskRecordKey(e.Key)
 		if ok && l.unreadable[id] {
@@ -95,7 +98,7 @@
 		}
 		job := l.cluster.Jobs[id]
 		if !ok || job == nil {
-			l.cleanup = append(l.cleanup, e.Key) // left by a finished job
+			orphaned = append(orphaned, e.Key) // left by a finished job
 			return
 		}
 		if num >= len(job.Records.Revisions) {
@@ -113,7 +116,8 @@
 		job.Records.Revisions[num] = e.Revision
 		l.addTasks(job, num, rec.Tasks)
 	})
-	slices.Sort(l.cleanup)
+	slices.Sort(orphaned)
+	l.committer.DeleteLater(orphaned...)
 }
 
 // forgetUnrecorded forgets the machines that only jobs' records name. Places are
@@ -167,7 +171,7 @@
 	l.n.log.Error("record cannot be read, job is left alone", "job", id, "error", err)
 	if job := l.cluster.Jobs[id]; job != nil {
 		job.Records.Quarantined = true
-		l.dropUncommitted(job)
+		l.DropUncommitted(job)
 	}
 }
 
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -304,7 +304,11 @@
 // GangRecordTasks is how many tasks of a gang a record may have: with every one on
 // another machine, in another machine record, the transaction that places them keeps within
 // its conditions, four for every change, the leader lease and two records among them.
-func GangRecordTasks(txnOps int) int { return 4*txnOps - 4 }
+func GangRecordTasks(txnOps int) int { return ConditionsPerChange*txnOps - 4 }
+
+// ConditionsPerChange is how many conditions a transaction may have for each change that
+// it may have.
+const ConditionsPerChange = 4
 
 // Storable says whether a job's description leaves room for a task.
 func Storable(valueKB float64, spec *protocol.Job) bool {
