--- a/internal/coordination/commit/budget.go
+++ b/internal/coordination/commit/budget.go
@@ -17,13 +17,13 @@
 func availableBudget(limiter *rate.Limiter, now time.Time) writeBudget {
 	burst := float64(limiter.Burst())
 	// The end of a job takes two changes, however few a second there are.
-	return writeBudget{free: limiter.TokensAt(now) - min(burst*tuning.UserFloor, burst-2), burst: burst}
+	return writeBudget{free: limiter.TokensAt(now) - min(burst*tuning.UserBurstReserve, burst-2), burst: burst}
 }
 
 // allowsOrdinary says whether a transaction of so many changes may have further ones that
 // are not urgent: a part of the budget is kept for those that are.
 func (wb writeBudget) allowsOrdinary(changes int) bool {
-	return float64(changes+2) <= wb.free-wb.burst*tuning.GangReserve
+	return float64(changes+2) <= wb.free-wb.burst*tuning.GangBurstReserve
 }
 
 // plenty says whether there is time for what does not matter soon.
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -110,7 +110,7 @@
 		}
 		bytes += len(r.value)
 	}
-	if !b.fits(len(records), conditions, bytes+conditions*tuning.ConditionBytes) {
+	if !b.fits(len(records), conditions, bytes+conditions*tuning.BytesPerCondition) {
 		return false
 	}
 	job := write.job
@@ -194,9 +194,9 @@
 func (b *transactionBuilder) fitsOneTransaction(writes []recordWrite) bool {
 	bytes := 0
 	for _, write := range writes {
-		bytes += len(write.value) + tuning.ConditionBytes
+		bytes += len(write.value) + tuning.BytesPerCondition
 	}
-	return len(writes) <= b.limits.TxnOps && bytes <= tuning.TxnBytes-tuning.ConditionBytes
+	return len(writes) <= b.limits.TxnOps && bytes <= tuning.MaxTransactionBytes-tuning.BytesPerCondition
 }
 
 // stage writes new parts that the job's own record does not name yet. Until that
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -37,7 +37,7 @@
 
 // isStale selects the machine records that have long named machines that are gone.
 func (mr *MachineRecords) isStale(record *cluster.MachineRecord) bool {
-	return !record.StaleSince.IsZero() && mr.state.Now().Sub(record.StaleSince) > tuning.StaleWait
+	return !record.StaleSince.IsZero() && mr.state.Now().Sub(record.StaleSince) > tuning.StaleMachineRecordDelay
 }
 
 // Empty says whether there are none.
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -36,7 +36,7 @@
 		// The transaction may have been applied, or may be yet. The same one again can be
 		// applied only once.
 		tx.answerLost = true
-		c.resend(tx, tuning.RetryPause)
+		c.resend(tx, tuning.StoreRetryDelay)
 	case outcome == kv.Throttled:
 		c.resend(tx, c.store.NoteThrottled(tx.changes))
 	case outcome == kv.Rejected:
@@ -45,7 +45,7 @@
 		c.handleConflict(tx, nil)
 		c.notBefore = c.state.Now().Add(rejectionPause)
 	default:
-		c.resend(tx, tuning.RetryPause)
+		c.resend(tx, tuning.StoreRetryDelay)
 	}
 }
 
@@ -84,7 +84,7 @@
 		case kv.NotFound:
 			c.handleConflict(tx, nil)
 		default:
-			c.afterWhileInFlight(tx, tuning.RetryPause, c.resolveLostAnswer)
+			c.afterWhileInFlight(tx, tuning.StoreRetryDelay, c.resolveLostAnswer)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 	for _, write := range tx.jobs {
 		c.undo(write)
 	}
-	c.notBefore = c.state.Now().Add(tuning.ConflictPause)
+	c.notBefore = c.state.Now().Add(tuning.ConflictRetryDelay)
 	c.env.RequestScheduling()
 }
 
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -56,11 +56,11 @@
 		}
 		capacity -= job.Records.SpecSize
 	}
-	if len(list)*tuning.TaskBytes+tuning.HeaderBytes <= capacity {
+	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
 		return false // with entries of any size
 	}
 	tasks, _ := recordContent(job, r)
-	return len(storage.Encode(tasks))+tuning.HeaderBytes > capacity
+	return len(storage.Encode(tasks))+tuning.RecordHeaderBytes > capacity
 }
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -46,7 +46,7 @@
 	limits     config.State // that records and transactions must keep now
 	outcomes   Outcomes
 	tx         *transaction
-	txn        protocol.Txn
+	txn        protocol.Transaction
 	bytes      int
 	guarded    map[*cluster.MachineRecord]bool
 	maxChanges int // that the write budget allows
@@ -62,7 +62,7 @@
 }
 
 // changes is the number of changes that the transaction has.
-func (b *transactionBuilder) changes() int { return len(b.txn.Then) }
+func (b *transactionBuilder) changes() int { return len(b.txn.Changes) }
 
 // remainingChanges is how many it may have yet.
 func (b *transactionBuilder) remainingChanges() int { return b.maxChanges - b.changes() }
@@ -70,19 +70,19 @@
 // fits says whether the transaction may have so much more.
 func (b *transactionBuilder) fits(changes, conditions, bytes int) bool {
 	return b.remainingChanges() >= changes &&
-		len(b.txn.If)+conditions <= storage.ConditionsPerChange*b.limits.TxnOps &&
-		b.bytes+bytes <= tuning.TxnBytes
+		len(b.txn.Conditions)+conditions <= storage.ConditionsPerChange*b.limits.TxnOps &&
+		b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
 // guard demands that a key has a revision: the compare-and-swap guard.
 func (b *transactionBuilder) guard(key string, revision protocol.Revision) {
-	b.txn.If = append(b.txn.If, protocol.Condition{Key: key, Revision: revision})
+	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Revision: revision})
 	b.bytes += len(key) + overheadBytes
 }
 
 // set writes a key.
 func (b *transactionBuilder) set(key string, value json.RawMessage) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Set: key, Value: value})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
 	b.bytes += len(key) + len(value) + overheadBytes
 	if b.tx.probe == "" {
 		b.tx.probe = key
@@ -91,6 +91,6 @@
 
 // remove deletes a key.
 func (b *transactionBuilder) remove(key string) {
-	b.txn.Then = append(b.txn.Then, protocol.Change{Delete: key})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
 	b.bytes += len(key) + overheadBytes
 }
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -37,19 +37,19 @@
 func urgencyOf(job *cluster.Job, now time.Time) urgency {
 	age := now.Sub(job.Write.DirtySince)
 	switch {
-	case job.Records.Splitting, age > tuning.MarkLate:
+	case job.Records.Splitting, age > tuning.MaxDoneMarkDelay:
 		return urgent
 	case job.HasUncommitted():
-		if job.Spec.Gang() || job.Spec.Service() || age > tuning.WriteWait {
+		if job.Spec.Gang() || job.Spec.Service() || age > tuning.MaxWriteDelay {
 			return urgent
 		}
 		return ordinary
 	case job.FinalPhase() != "":
-		if age > tuning.WriteWait {
+		if age > tuning.MaxWriteDelay {
 			return urgent
 		}
 		return ordinary
-	case age > tuning.MarkWait:
+	case age > tuning.DoneMarkDelay:
 		return marks
 	}
 	return notDue
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -15,7 +15,7 @@
 type leaderStore struct{ l *leader }
 
 // Transact carries out a transaction on conditions.
-func (s leaderStore) Transact(txn protocol.Txn, done func(kv.TransactionResult)) {
+func (s leaderStore) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
 	s.l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if s.l.n.lead == s.l {
 			done(result)
@@ -63,13 +63,13 @@
 func (l *leader) StepDown(reason string) { l.n.stepDown(reason) }
 
 // DropAttempt implements commit.Outcomes.
-func (l *leader) DropAttempt(attempt *cluster.Attempt) { l.dropAttempt(attempt) }
+func (l *leader) DropAttempt(attempt *cluster.Attempt) { l.lifecycle.RemoveGone(attempt) }
 
 // DropUncommitted implements commit.Outcomes: the places are planned again.
 func (l *leader) DropUncommitted(job *cluster.Job) {
 	for _, attempt := range job.SortedAttempts() {
 		if !attempt.Committed {
-			l.dropAttempt(attempt)
+			l.lifecycle.RemoveGone(attempt)
 		}
 	}
 }
@@ -81,17 +81,17 @@
 			continue
 		}
 		attempt.Committed = true
-		l.sendSoon(attempt.Machine)
+		l.CommandsPending(attempt.Machine)
 	}
 	for _, attempt := range placed {
 		if attempt.Stopping && !attempt.StartSent {
-			l.dropAttempt(attempt) // stopped before its start could leave
+			l.lifecycle.RemoveGone(attempt) // stopped before its start could leave
 		}
 	}
 	for _, attempt := range job.SortedAttempts() {
-		l.sendSoon(attempt.Machine) // a gang's starts wait for all of its records
+		l.CommandsPending(attempt.Machine) // a gang's starts wait for all of its records
 	}
-	l.checkEnded(job)
+	l.lifecycle.CheckEnded(job)
 }
 
 // JobFinished implements commit.Outcomes.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -6,6 +6,7 @@
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/commit"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -26,6 +27,7 @@
 	stored     storedState     // all of this as package reconcile sees it
 	reconciler reconcile.Reconciler
 	recovery   *reconcile.Phase
+	lifecycle  *lifecycle.Manager
 	restored   restoredStore
 
 	committer   *commit.Committer
@@ -51,6 +53,24 @@
 	l.committer.MarkDirty(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
 }
 
+// Preempt implements scheduler.Environment.
+func (l *leader) Preempt(victim *cluster.Attempt) {
+	l.n.metrics.Preemptions++
+	l.lifecycle.Preempt(victim)
+}
+
+// Stop implements scheduler.Environment.
+func (l *leader) Stop(attempt *cluster.Attempt, graceS float64) { l.lifecycle.Stop(attempt, graceS) }
+
+// Drain implements autoscaler.Environment.
+func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
+
+// Unreadable implements lifecycle.Environment.
+func (l *leader) Unreadable(job protocol.JobID) bool { return l.unreadable[job] }
+
+// RecordChanged implements lifecycle.Environment.
+func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
+
 // changed takes a change of a record that the watch saw.
 func (l *leader) changed(ev *protocol.WatchEvent) {
 	if l.committer.ObserveChange(ev) {
@@ -74,7 +94,7 @@
 	}
 	if job == nil {
 		l.addJob(rec, ev.Revision)
-		l.checkEnded(l.cluster.Jobs[id])
+		l.lifecycle.CheckEnded(l.cluster.Jobs[id])
 		l.plan = true
 		return
 	}
@@ -94,13 +114,13 @@
 	if !job.Cancelled {
 		job.Cancelled = true
 		l.plan = true
-		l.checkEnded(job)
+		l.lifecycle.CheckEnded(job)
 	}
 }
 
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
-		l.watchAt = l.n.now.Add(tuning.WatchMachines)
+		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.tickMachines()
 		if l.n.lead != l {
 			return
@@ -112,7 +132,7 @@
 			return
 		}
 	}
-	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.PlanIdle {
+	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.MaxSchedulingInterval {
 		l.plan = false
 		l.runSchedulingCycle()
 		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -50,19 +50,19 @@
 func TestDistrust(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a", false)
-	for range tuning.MachineErrors {
+	for range tuning.MaxMachineFailures {
 		job := l.testJob(gangOf(1, 1))
 		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(attempt)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
 	}
 	if l.cluster.Schedulable(machine) || !machine.Record.Queued {
 		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
 	}
 	l.committer.Commit()
 	txn, _ := l.sentTxn(t)
-	if rec, _ := parse[storage.MachineRecord](txn.Then[0].Value); txn.Then[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
-		t.Errorf("the machine record does not say so: %s", txn.Then[0].Value)
+	if rec, _ := parse[storage.MachineRecord](txn.Changes[0].Value); txn.Changes[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
+		t.Errorf("the machine record does not say so: %s", txn.Changes[0].Value)
 	}
 	l.autoscaler.EvaluateScaleIn(machine, l.autoscaler.Spares())
 	if !machine.Deleting {
@@ -81,17 +81,17 @@
 	high := gangOf(1, 2)
 	high.Priority = "high"
 	job := l.testJob(high)
-	for i := range tuning.JobErrors {
+	for i := range tuning.MaxJobFailures {
 		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
 		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
-		l.exited(machine, attempt, protocol.TaskReport{Cause: protocol.CauseError})
-		l.dropAttempt(attempt)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
 		machine.Cordoned = true
 		if machine.Quarantined {
 			t.Errorf("%s is distrusted for a job that fails everywhere", machine.ID)
 		}
 	}
-	l.n.now = l.n.now.Add(tuning.ErrorPause)
+	l.n.now = l.n.now.Add(tuning.FailureBackoff)
 	l.runSchedulingCycle()
 	if n := stopping(low); n != 0 || len(l.autoscaler.Demand) != 0 {
 		t.Errorf("%d tasks yield, %d jobs want machines", n, len(l.autoscaler.Demand))
@@ -173,7 +173,7 @@
 	big.OneZone = true
 	job := l.testJob(big)
 	l.runSchedulingCycle()
-	l.n.now = now.Add(l.n.cfg.Operator.ReserveAfter + time.Second)
+	l.n.now = now.Add(l.n.cfg.Operator.BackfillBarrierDelay + time.Second)
 	for _, machine := range l.cluster.Machines {
 		machine.Agent.LastHeartbeat = l.n.now
 	}
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -21,14 +21,14 @@
 }
 
 // apply carries a transaction out if its conditions hold.
-func (s *storedRecords) apply(txn protocol.Txn) bool {
-	for _, c := range txn.If {
+func (s *storedRecords) apply(txn protocol.Transaction) bool {
+	for _, c := range txn.Conditions {
 		if c.Key != storage.LeaderKey && s.entries[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		if c.Delete != "" {
 			delete(s.entries, c.Delete)
 			continue
@@ -101,21 +101,21 @@
 
 // nextTxn lets a leader commit and returns what is under way then, nil if that is
 // nothing.
-func (l *leader) nextTxn(t *testing.T) (*protocol.Txn, Request) {
+func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.SplitOutgrown(l.scheduler)
-		l.commitLater(tuning.MarkLate + time.Second)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil, Request{}
 	}
 	for _, a := range slices.Backward(l.n.out) {
 		r, ok := a.(Request)
-		if !ok || r.To != ToState || r.Path != protocol.PathTxn {
+		if !ok || r.To != ToState || r.Path != protocol.PathTransactions {
 			continue
 		}
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if err := json.Unmarshal(r.Body, &txn); err != nil {
 			t.Fatal(err)
 		}
@@ -126,12 +126,12 @@
 }
 
 // answer carries out what a leader has sent and answers it.
-func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Txn, r Request) {
+func (s *storedRecords) answer(t *testing.T, l *leader, txn *protocol.Transaction, r Request) {
 	t.Helper()
 	if !s.apply(*txn) {
 		t.Fatal("refused")
 	}
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision})})
+	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision})})
 }
 
 // TestSplitInSteps: a record that needs more parts than one transaction has changes
@@ -156,10 +156,10 @@
 					break
 				}
 				steps++
-				if len(txn.Then) > 4 || len(txn.If) > 16 {
-					t.Fatalf("%d changes, %d conditions", len(txn.Then), len(txn.If))
+				if len(txn.Changes) > 4 || len(txn.Conditions) > 16 {
+					t.Fatalf("%d changes, %d conditions", len(txn.Changes), len(txn.Conditions))
 				}
-				for _, c := range txn.Then {
+				for _, c := range txn.Changes {
 					if len(c.Value) > 2048 {
 						t.Fatalf("%s: %d bytes under %s", shape, len(c.Value), c.Set)
 					}
@@ -211,9 +211,9 @@
 		if attempt == nil || d == nil {
 			t.Fatal("the tasks do not run")
 		}
-		l.setDone(job, ended)
-		l.dropAttempt(attempt)
-		l.dropAttempt(d)
+		l.lifecycle.MarkDone(job, ended)
+		l.lifecycle.RemoveGone(attempt)
+		l.lifecycle.RemoveGone(d)
 		if l.scheduler.WaitingTasks(job) != 0 {
 			t.Error("tasks are wanted while the record is split")
 		}
@@ -250,7 +250,7 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if _, num, ok := storage.ParseTaskRecordKey(c.Set); ok && !strings.Contains(string(r.Body), storage.JobKey(rec.Spec.ID)+`","data"`) {
 				t.Errorf("part %d is staged", num)
 			}
@@ -275,7 +275,7 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if c.Delete == key {
 				t.Error("deleted while the job is there")
 			}
@@ -286,19 +286,19 @@
 	job := l.cluster.Jobs[rec.Spec.ID]
 	l.cancelJob(job)
 	for _, attempt := range job.SortedAttempts() {
-		l.dropAttempt(attempt)
+		l.lifecycle.RemoveGone(attempt)
 	}
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	for range 5 {
 		next, r := l.nextTxn(t)
 		if next == nil {
 			break
 		}
-		txn.Then = append(txn.Then, next.Then...)
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		txn.Changes = append(txn.Changes, next.Changes...)
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	deleted := false
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		deleted = deleted || c.Delete == key
 	}
 	if !deleted {
@@ -319,12 +319,12 @@
 		if txn == nil {
 			break
 		}
-		for _, c := range txn.Then {
+		for _, c := range txn.Changes {
 			if len(c.Value) > 2048 {
 				t.Errorf("%d bytes under %s", len(c.Value), c.Set)
 			}
 		}
-		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TxnAnswer{Revision: s.revision + 1})})
+		l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: s.revision + 1})})
 	}
 	if job := l.cluster.Jobs[rec.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("unwritable %v, wants %d", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
@@ -345,7 +345,7 @@
 		t.Errorf("%v writes are left", tokens)
 	}
 	l.n.out = nil
-	l.n.now = l.n.now.Add(tuning.RetryPause)
+	l.n.now = l.n.now.Add(tuning.StoreRetryDelay)
 	l.n.tickTimers()
 	if len(l.n.out) > 0 {
 		t.Error("sent again at once")
--- a/internal/coordination/zone_reserve_test.go
+++ b/internal/coordination/zone_reserve_test.go
@@ -69,7 +69,7 @@
 			t.Errorf("%s: %d rented, kept %v", c.name, rented, l.autoscaler.KeptForZoneLoss(other))
 		}
 		if c.kept {
-			l.n.now = l.n.now.Add(l.n.cfg.Operator.IdleReturn + time.Second)
+			l.n.now = l.n.now.Add(l.n.cfg.Operator.MachineIdleTimeout + time.Second)
 			other.Agent.LastHeartbeat = l.n.now
 			l.autoscaler.EvaluateScaleIn(other, map[protocol.ZoneName]int{})
 			if other.Deleting {
@@ -104,7 +104,7 @@
 	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != far {
 		t.Errorf("placed on %v", job.Tasks[0].Active)
 	}
-	l.dropAttempt(job.Tasks[0].Active)
+	l.lifecycle.RemoveGone(job.Tasks[0].Active)
 	far.Cordoned = true
 	if l.scheduler.PlaceService(job) != 0 || job.Tasks[0].Active.Machine != same {
 		t.Error("no place though there is one")
