--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -51,6 +51,7 @@
 		"internal/coordination/commit",
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
+		"internal/coordination/loader",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
@@ -73,6 +74,13 @@
 		"internal/storage",
 		"internal/tuning",
 	}},
+	"internal/coordination/loader": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/commit",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -97,16 +97,13 @@
 // JobFinished implements commit.Outcomes.
 func (l *leader) JobFinished(id protocol.JobID, final storage.Final) { l.n.cacheFinal(id, final) }
 
-// MergeRecord implements commit.Outcomes. What a peer may have written is a cancellation.
+// MergeRecord implements commit.Outcomes.
 func (l *leader) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
-	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
-	if record.Cancelled {
-		l.cancelJob(job)
-	}
+	l.loader.Merge(job, record, revision)
 }
 
 // QuarantineJob implements commit.Outcomes.
-func (l *leader) QuarantineJob(id protocol.JobID, err error) { l.leaveAlone(id, err) }
+func (l *leader) QuarantineJob(id protocol.JobID, err error) { l.loader.Quarantine(id, err) }
 
 // TransactionCommitted implements commit.Outcomes.
 func (l *leader) TransactionCommitted(latency time.Duration) {
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -45,7 +45,7 @@
 func (l *leader) recorded(machine *cluster.Machine) (*cluster.Job, *cluster.Attempt) {
 	s := gangOf(1, 1)
 	s.ID, s.Priority = "run-000077", "normal"
-	job := l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
+	job := l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, Attempt: 3, RecordTasks: 60,
 		Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}}}, 9)
 	return job, job.SortedAttempts()[0]
 }
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	last := txn.Changes[len(txn.Changes)-1]
-	l.changed(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
+	l.loader.ObserveChange(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
 	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.committer.InFlight() {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
@@ -280,7 +280,7 @@
 	r := deleted(1)
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: 50})})
 	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{{ID: machine.ID, Address: "h:1", Type: "big", Zone: "a"}}})
-	l.changed(&protocol.WatchEvent{Set: key, Value: value, Revision: 60})
+	l.loader.ObserveChange(&protocol.WatchEvent{Set: key, Value: value, Revision: 60})
 	deleted(60)
 }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -7,10 +7,10 @@
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/commit"
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
+	"github.com/gappond/gappond/internal/coordination/loader"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -18,11 +18,9 @@
 // leader is everything that only the leading controller knows. It is rebuilt
 // from the records at every takeover and dropped when the node steps down.
 type leader struct {
-	n         *Node
-	cluster   *cluster.State
-	scheduler *scheduler.Scheduler
-	// jobs with a record that cannot be read, which are left alone
-	unreadable map[protocol.JobID]bool
+	n          *Node
+	cluster    *cluster.State
+	scheduler  *scheduler.Scheduler
 	logged     map[string]bool // keys of bad input that was logged
 	stored     storedState     // all of this as package reconcile sees it
 	reconciler reconcile.Reconciler
@@ -31,6 +29,7 @@
 	restored   restoredStore
 
 	committer   *commit.Committer
+	loader      *loader.Loader
 	directQueue []*cluster.Machine // have orders that should not wait for a report
 	calls       *rate.Limiter      // calls to workers: direct orders and probes
 	calling     int                // calls to workers under way
@@ -66,51 +65,22 @@
 func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
 
 // Unreadable implements lifecycle.Environment.
-func (l *leader) Unreadable(job protocol.JobID) bool { return l.unreadable[job] }
+func (l *leader) Unreadable(job protocol.JobID) bool { return l.loader.Quarantined(job) }
 
 // RecordChanged implements lifecycle.Environment.
 func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
 
-// changed takes a change of a record that the watch saw.
-func (l *leader) changed(ev *protocol.WatchEvent) {
-	if l.committer.ObserveChange(ev) {
-		return
-	}
-	id, ok := storage.ParseJobKey(ev.Set)
-	if !ok {
-		return
-	}
-	job := l.cluster.Jobs[id]
-	if job != nil && ev.Revision <= job.Records.Revisions[0] {
-		return
-	}
-	if job != nil && l.committer.Wrote(ev.Value) {
-		return // our own write, whose answer is on its way
-	}
-	rec, err := storage.DecodeJob(ev.Value)
-	if err != nil {
-		l.leaveAlone(id, err)
-		return
-	}
-	if job == nil {
-		l.addJob(rec, ev.Revision)
-		l.lifecycle.CheckEnded(l.cluster.Jobs[id])
-		l.plan = true
-		return
-	}
-	l.MergeRecord(job, rec, ev.Revision)
-}
-
 // cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
 func (l *leader) cancelFromPeer(id protocol.JobID) {
 	if job := l.cluster.Jobs[id]; job != nil {
-		l.cancelJob(job)
+		l.CancelJob(job)
 	}
 }
 
-func (l *leader) cancelJob(job *cluster.Job) {
+// CancelJob implements loader.Environment.
+func (l *leader) CancelJob(job *cluster.Job) {
 	if !job.Cancelled {
 		job.Cancelled = true
 		l.plan = true
@@ -147,3 +117,9 @@
 
 // AwaitsRecordSplit implements scheduler.Environment.
 func (l *leader) AwaitsRecordSplit(job *cluster.Job) bool { return l.committer.AwaitsRecordSplit(job) }
+
+// JobLoaded implements loader.Environment.
+func (l *leader) JobLoaded(spec *protocol.Job) { l.autoscaler.JobSubmitted(spec) }
+
+// CheckEnded implements loader.Environment.
+func (l *leader) CheckEnded(job *cluster.Job) { l.lifecycle.CheckEnded(job) }
--- /dev/null
+++ b/internal/coordination/loader/jobs.go
@@ -0,0 +1,87 @@
+package loader
+
+import (
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+)
+
+// AddJob enters a job from its own record.
+func (ld *Loader) AddJob(record *storage.Job, revision protocol.Revision) *cluster.Job {
+	spec := record.Spec
+	job := &cluster.Job{
+		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: record.Seq, SubmittedAt: time.UnixMilli(record.AtMs),
+		Epoch: record.Attempt, Cancelled: record.Cancelled,
+		Tasks:    make([]cluster.Task, spec.Tasks),
+		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
+		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
+		Queue:    cluster.QueueState{WaitingSince: ld.state.Now()},
+		Records: cluster.RecordLayout{TasksPerRecord: record.RecordTasks, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.Parts)),
+			Abandoned: map[int]protocol.Revision{}},
+		Write: cluster.WriteState{Dirty: map[int]bool{}},
+	}
+	if job.ArrivalOrder == 0 {
+		job.ArrivalOrder = revision // never written since its submission
+	}
+	job.Records.Revisions[0] = revision
+	job.Records.ExtraParts = make([][]int, len(job.Records.Revisions)-record.BaseRecords())
+	job.StartDeadlines = ld.state.StartDeadlines(job)
+	ld.log.Debug("job", "job", job.ID, "class", spec.Class, "shape", spec.Shape, "tasks", spec.Tasks, "gpus", spec.GPUs, "team", spec.Team, "estimate", spec.EstimateS, "deadline", spec.DeadlineS, "age", ld.state.Now().Sub(job.SubmittedAt).Seconds())
+	ld.state.Jobs[job.ID] = job
+	ld.env.JobLoaded(spec)
+	ld.AddTasks(job, 0, record.Tasks)
+	return job
+}
+
+// AddTasks enters the tasks of one of a job's records.
+func (ld *Loader) AddTasks(job *cluster.Job, record int, tasks []storage.Task) {
+	for _, stored := range tasks {
+		if stored.Index < 0 || stored.Index >= len(job.Tasks) {
+			ld.logMalformed("record names a task that its job does not have", job, stored.Index)
+			continue
+		}
+		if record >= job.BaseRecords() {
+			job.MoveTask(stored.Index, record)
+		}
+		task := &job.Tasks[stored.Index]
+		task.LastAttempt = max(task.LastAttempt, stored.Attempt)
+		job.EverPlaced = true
+		if stored.Done && !task.Done {
+			task.Done = true
+			job.DoneTasks++
+		}
+		if stored.Machine != "" && !stored.Done {
+			ld.addAttempt(job, &stored)
+		}
+	}
+}
+
+// addAttempt enters the attempt that a record places on a machine.
+func (ld *Loader) addAttempt(job *cluster.Job, stored *storage.Task) {
+	machine := ld.state.EnsureMachine(stored.Machine, "", "", "", false)
+	if machine.Attempts[cluster.AttemptID{Job: job.ID, Index: stored.Index, Number: stored.Attempt}] != nil {
+		ld.logMalformed("record places an attempt twice", job, stored.Index)
+		return
+	}
+	attempt := ld.state.AddAttempt(job, stored.Index, stored.Attempt, machine, stored.Incarnation)
+	attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
+	ld.activate(job, &job.Tasks[stored.Index], attempt)
+	machine.UseImage(job.Spec, nil)
+	machine.Agent.Incarnation = max(machine.Agent.Incarnation, stored.Incarnation)
+}
+
+// activate makes an attempt its task's own. Of two in damaged records it is the later one:
+// the other counts as there until it is gone, and is stopped when an agent shows it.
+func (ld *Loader) activate(job *cluster.Job, task *cluster.Task, attempt *cluster.Attempt) {
+	older := task.Active
+	if older != nil && older.Key.Number > attempt.Key.Number {
+		older, attempt = attempt, older
+	}
+	task.Active = attempt
+	if older != nil {
+		older.Orphaned = true
+		ld.logMalformed("record places a task twice", job, attempt.Key.Index)
+	}
+}
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -179,6 +179,6 @@
 		return
 	}
 	if n.lead != nil {
-		n.lead.changed(ev)
+		n.lead.loader.ObserveChange(ev)
 	}
 }
--- a/internal/coordination/orders.go
+++ b/internal/coordination/orders.go
@@ -91,7 +91,7 @@
 func (l *leader) reapable(machine *cluster.Machine, t protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(t.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: t.Attempt}
-	if machine.Delivery.Pinned[key] || machine.Attempts[key] != nil || l.unreadable[id] {
+	if machine.Delivery.Pinned[key] || machine.Attempts[key] != nil || l.loader.Quarantined(id) {
 		return false
 	}
 	job := l.cluster.Jobs[id]
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -45,7 +45,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -24,9 +24,9 @@
 func (s *storedState) Job(id protocol.JobID) (reconcile.Job, bool) {
 	job := s.l.cluster.Jobs[id]
 	if job == nil {
-		return reconcile.Job{Unreadable: s.l.unreadable[id]}, false
+		return reconcile.Job{Unreadable: s.l.loader.Quarantined(id)}, false
 	}
-	return reconcile.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.l.unreadable[id]}, true
+	return reconcile.Job{Tasks: len(job.Tasks), Gang: job.Spec.Gang(), Service: job.Spec.Service(), Epoch: job.Epoch, Unreadable: s.l.loader.Quarantined(id)}, true
 }
 
 // Task implements reconcile.Records.
@@ -178,7 +178,7 @@
 // and name; named is false if it does not even name a task.
 func (l *leader) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
-	if named && l.unreadable[id] {
+	if named && l.loader.Quarantined(id) {
 		machine.IdleSince = l.n.now // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -16,7 +16,7 @@
 func (l *leader) placed(tasks ...storage.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
-	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
+	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
 }
 
 // TestRecordPlacesTwice: a damaged record that names an attempt twice, or a task in two
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -32,7 +32,7 @@
 		}
 		rec.Tasks = append(rec.Tasks, task)
 	}
-	return l, l.addJob(rec, 9)
+	return l, l.loader.AddJob(rec, 9)
 }
 
 // commitLater sends what there is to write after a while.
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := next.addJob(head, 21)
+	again := next.loader.AddJob(head, 21)
 	for _, c := range txn.Changes[:len(txn.Changes)-1] {
 		var chunk storage.TaskRecord
 		if err := json.Unmarshal(c.Value, &chunk); err != nil {
@@ -93,7 +93,7 @@
 		if num >= len(again.Records.Revisions) {
 			t.Fatalf("%s is not among the %d records", c.Set, len(again.Records.Revisions))
 		}
-		next.addTasks(again, num, chunk.Tasks)
+		next.loader.AddTasks(again, num, chunk.Tasks)
 	}
 	for i := range job.Tasks {
 		a, b := &job.Tasks[i], &again.Tasks[i]
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -284,7 +284,7 @@
 	}
 	sameTasks(t, s.leader(protocol.PeerLevel), rec)
 	job := l.cluster.Jobs[rec.Spec.ID]
-	l.cancelJob(job)
+	l.CancelJob(job)
 	for _, attempt := range job.SortedAttempts() {
 		l.lifecycle.RemoveGone(attempt)
 	}
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -63,7 +63,7 @@
 			t.Fatalf("%s: known %v", name, job != nil)
 		}
 		if job != nil {
-			l.cancelJob(job)
+			l.CancelJob(job)
 			if cmds := l.testReport(machine, l.n.lease.term, tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
