--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -73,6 +73,13 @@
 		"internal/protocol",
 		"internal/storage",
 		"internal/tuning",
+	}, tests: []string{
+		"internal/coordination/clustertest",
+		"internal/coordination/commit",
+		"internal/coordination/lifecycle",
+		"internal/coordination/loader",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
 	}},
 	"internal/coordination/loader": {pure: true, imports: []string{
 		"internal/coordination/cluster",
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"encoding/json"
 	"log/slog"
 	"strings"
 	"testing"
@@ -186,27 +185,6 @@
 	}
 }
 
-// TestLoserPlansAgain: a refused transaction leaves nothing of its plan behind,
-// and a cancellation that came first is kept.
-func TestLoserPlansAgain(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.testMachine("i-1", "big", "a", false)
-	job := l.testJob(gangOf(2, 1))
-	l.runSchedulingCycle()
-	l.committer.Commit()
-	r := l.n.lastRequest(t, ToState)
-	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{storage.JobKey(job.ID)}})})
-	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
-		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
-	}
-	read := l.n.lastRequest(t, ToState)
-	rec := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
-	l.n.handle(Response{ID: read.ID, Status: 200, Body: storage.Encode(protocol.Entry{Key: storage.JobKey(job.ID), Value: storage.Encode(rec), Revision: 50})})
-	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
-		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
-	}
-}
-
 // TestSpentBudget: a submission of the largest job for which the budget has no
 // room is refused at once, with a time to come back, and not held.
 func TestSpentBudget(t *testing.T) {
@@ -237,53 +215,6 @@
 	}
 }
 
-// TestOwnWriteSeen: a transaction whose answer is lost is done once the watch
-// shows it; the answer to its repetition then means nothing.
-func TestOwnWriteSeen(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.testMachine("i-1", "big", "a", false)
-	job := l.testJob(gangOf(1, 1))
-	l.runSchedulingCycle()
-	l.committer.Commit()
-	sent := l.n.lastRequest(t, ToState)
-	var txn protocol.Transaction
-	if err := json.Unmarshal(sent.Body, &txn); err != nil {
-		t.Fatal(err)
-	}
-	last := txn.Changes[len(txn.Changes)-1]
-	l.loader.ObserveChange(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
-	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.committer.InFlight() {
-		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
-	}
-	l.n.handle(Response{ID: sent.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{last.Set}})})
-	if len(job.Attempts) != 1 {
-		t.Error("the place is dropped by a late answer")
-	}
-}
-
-// TestOrphanedMachineRecordIsDeleted: the creation of a machine record is carried out late, after
-// the record was deleted: the machines that it names must not come back with it.
-func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
-	key := machine.Record.Key
-	deleted := func(revision protocol.Revision) Request {
-		t.Helper()
-		l.commitLater(tuning.StaleMachineRecordDelay + time.Second)
-		txn, r := l.sentTxn(t)
-		if len(txn.Changes) != 1 || txn.Changes[0].Delete != key || txn.Conditions[1] != (protocol.Condition{Key: key, Revision: revision}) {
-			t.Fatalf("%+v", txn)
-		}
-		return r
-	}
-	l.MachinesDeleted(machine.ID)
-	r := deleted(1)
-	l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.TransactionResponse{Revision: 50})})
-	value := storage.Encode(storage.MachineRecord{Writer: l.n.unique(), Machines: []storage.MachineEntry{{ID: machine.ID, Address: "h:1", Type: "big", Zone: "a"}}})
-	l.loader.ObserveChange(&protocol.WatchEvent{Set: key, Value: value, Revision: 60})
-	deleted(60)
-}
-
 // TestAnswersToAnEarlierLife: a process that is back at once numbers its requests
 // apart from those of its earlier life, whose answers may still come.
 func TestAnswersToAnEarlierLife(t *testing.T) {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -10,10 +10,10 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestRacks: machines that are rented at once share a few records, each within
+// TestMachinesOfOneRentalShareRecords: machines that are rented at once share a few records, each within
 // the value limit; a new leader reads every one of them back, and those that
 // are gone leave the records in time.
-func TestRacks(t *testing.T) {
+func TestMachinesOfOneRentalShareRecords(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.autoscaler.RequestMachines(autoscaler.Offer{TypeName: "big", Zone: "a", Spot: true}, 100)
 	var names []protocol.MachineID
@@ -79,7 +79,7 @@
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
 		n.takeOver()
 		if got := len(n.lead.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
-			t.Errorf("recorded %v: %d copies", recorded, got)
+			t.Errorf("recorded %v: %d attempts", recorded, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordination/store_limits_test.go
@@ -0,0 +1,112 @@
+package coordination
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/config"
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// lowering is a leader whose state service will lower its limits, with a peer
+// that has yet to say what it knows, and a job of an earlier version whose record
+// has outgrown the new limits.
+func lowering(t *testing.T) (*leader, *cluster.Job) {
+	t.Helper()
+	l := testLeader(time.Unix(1_800_000_000, 0))
+	n := l.n
+	present := n.cfg.Cluster.State
+	n.cfg.Cluster.Present = &present
+	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.peers["s"] = &peer{link: 1}
+	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
+	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
+	for i := range s.Tasks {
+		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
+		if i%5 == 0 {
+			task = storage.Task{Index: i, Attempt: 1, Done: true}
+		}
+		rec.Tasks = append(rec.Tasks, task)
+	}
+	return l, l.loader.AddJob(rec, 9)
+}
+
+// commitLater sends what there is to write after a while.
+func (l *leader) commitLater(d time.Duration) {
+	l.n.now = l.n.now.Add(d)
+	l.n.lease.renewedAt, l.n.syncedAt = l.n.now, l.n.now
+	l.committer.Commit()
+}
+
+// sentTxn is the transaction that the leader sent last.
+func (l *leader) sentTxn(t *testing.T) (protocol.Transaction, Request) {
+	t.Helper()
+	r := l.n.lastRequest(t, ToState)
+	var txn protocol.Transaction
+	if err := json.Unmarshal(r.Body, &txn); err != nil {
+		t.Fatal(err)
+	}
+	return txn, r
+}
+
+// TestRejectionShowsLoweredLimits: a state service that refuses a value has lowered its limits,
+// which it does only once all controllers have the new version: the record is split
+// and not sent again as it was, whatever the leader has heard of a peer that is down.
+// While one is up that may be of version 0.2, which would delete the parts, the record
+// waits, and is not sent again either.
+func TestRejectionShowsLoweredLimits(t *testing.T) {
+	for _, up := range []bool{false, true} {
+		l, job := lowering(t)
+		l.n.peers["s"].up = up
+		l.committer.MarkDirty(job, 0)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		_, r := l.sentTxn(t)
+		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		if up {
+			if l.committer.InFlight() {
+				t.Error("sent again beside a peer that may be of version 0.2")
+			}
+			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
+			l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		}
+		if txn, _ := l.sentTxn(t); len(txn.Changes) < 2 {
+			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
+		}
+	}
+}
+
+// TestThrottledTransactionWaitsForTheBudget: after a 429 the budget begins from nothing, whatever it had, and the
+// same transaction is sent again when its changes may be.
+func TestThrottledTransactionWaitsForTheBudget(t *testing.T) {
+	l := testLeader(time.Unix(1_800_000_000, 0))
+	l.n.writes.SetLimit(1)
+	machine := l.testMachine(hostName, "big", "a", false)
+	l.writeForTest(machine)
+	_, r := l.sentTxn(t)
+	l.n.handle(Response{ID: r.ID, Status: 429})
+	if tokens := l.n.writes.TokensAt(l.n.now); tokens >= 1 {
+		t.Errorf("%v writes are left", tokens)
+	}
+	l.n.out = nil
+	l.n.now = l.n.now.Add(tuning.StoreRetryDelay)
+	l.n.tickTimers()
+	if len(l.n.out) > 0 {
+		t.Error("sent again at once")
+	}
+	l.n.now = l.n.now.Add(time.Second)
+	l.n.tickTimers()
+	if again := l.n.lastRequest(t, ToState); string(again.Body) != string(r.Body) {
+		t.Error("another transaction is sent")
+	}
+}
+
+// writeForTest has a machine's record written.
+func (l *leader) writeForTest(machine *cluster.Machine) {
+	l.RecordMachine(machine)
+	l.commitLater(time.Second)
+}
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -2,11 +2,15 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"strings"
 	"testing"
+	"time"
 
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
 )
 
 // TestUnreadableRecords: a job of which a record cannot be read, because a later
@@ -70,3 +74,81 @@
 		}
 	}
 }
+
+// storedRecords is what a state service holds, for leaders that begin from it.
+type storedRecords struct {
+	entries  map[string]protocol.Entry
+	revision protocol.Revision
+}
+
+// leader begins to lead from the stored records, in a deployment whose limits will
+// be, or are, lowered to a sixteenth.
+func (s *storedRecords) leader(level uint64) *leader {
+	n := testLeader(time.Unix(1_800_000_000, 0)).n
+	present := n.cfg.Cluster.State
+	n.cfg.Cluster.Present = &present
+	n.cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.setBudgets()
+	n.peers["s"] = &peer{up: true, link: 1, level: level}
+	page := protocol.Entries{Revision: s.revision}
+	for _, e := range s.entries {
+		page.Items = append(page.Items, e)
+	}
+	n.mirror.BeginLoad()
+	n.mirror.LoadPage(&page)
+	n.takeOver()
+	return n.lead
+}
+
+// hostName is the name of the machine that has all tasks; a long one, so that a record
+// of 98 tasks needs many parts.
+var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
+
+// wideJob is a job whose description leaves room for few tasks in its first record.
+func wideJob(shape protocol.Shape) *storage.Job {
+	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
+		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
+	rec := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	for i := range spec.Tasks {
+		task := storage.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
+		if shape == protocol.ShapeArray && i%5 == 0 {
+			task = storage.Task{Index: i, Attempt: 1, Done: true}
+		}
+		rec.Tasks = append(rec.Tasks, task)
+	}
+	return rec
+}
+
+func stored(rec *storage.Job) *storedRecords {
+	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
+	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
+	machines := storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
+	s.entries["g/m/one"] = protocol.Entry{Key: "g/m/one", Value: storage.Encode(machines), Revision: 8}
+	return s
+}
+
+// nextTxn lets a leader commit and returns what is under way then, nil if that is
+// nothing.
+func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
+	t.Helper()
+	if !l.committer.InFlight() {
+		l.committer.SplitOutgrown(l.scheduler)
+		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+	}
+	if !l.committer.InFlight() {
+		return nil, Request{}
+	}
+	for _, a := range slices.Backward(l.n.out) {
+		r, ok := a.(Request)
+		if !ok || r.To != ToState || r.Path != protocol.PathTransactions {
+			continue
+		}
+		var txn protocol.Transaction
+		if err := json.Unmarshal(r.Body, &txn); err != nil {
+			t.Fatal(err)
+		}
+		return &txn, r
+	}
+	t.Fatal("what is under way was not sent")
+	return nil, Request{}
+}
