--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -109,7 +109,7 @@
 func (l *leader) TransactionCommitted(latency time.Duration) {
 	l.n.metrics.Commits++
 	l.n.metrics.CommitSeconds = append(l.n.metrics.CommitSeconds, latency.Seconds())
-	l.sendDirect()
+	l.agents.Delivery.SendPending()
 }
 
 // TransactionConflicted implements commit.Outcomes.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/commit"
@@ -12,32 +13,27 @@
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
-	"golang.org/x/time/rate"
 )
 
 // leader is everything that only the leading controller knows. It is rebuilt
 // from the records at every takeover and dropped when the node steps down.
 type leader struct {
-	n          *Node
-	cluster    *cluster.State
-	scheduler  *scheduler.Scheduler
-	logged     map[string]bool // keys of bad input that was logged
-	stored     storedState     // all of this as package reconcile sees it
-	reconciler reconcile.Reconciler
-	recovery   *reconcile.Phase
-	lifecycle  *lifecycle.Manager
-	restored   restoredStore
-
-	committer   *commit.Committer
-	loader      *loader.Loader
-	directQueue []*cluster.Machine // have orders that should not wait for a report
-	calls       *rate.Limiter      // calls to workers: direct orders and probes
-	calling     int                // calls to workers under way
-	proxying    bool               // the peers answer a part of the workers
-	plan        bool               // something changed that placement may depend on
-	planAt      time.Time
-	watchAt     time.Time // when the machines are looked over again
-	autoscaler  *autoscaler.Autoscaler
+	n         *Node
+	cluster   *cluster.State
+	scheduler *scheduler.Scheduler
+	logged    map[string]bool // keys of bad input that was logged
+	recovery  *reconcile.Phase
+	lifecycle *lifecycle.Manager
+	agents    *agents.Manager
+	restored  restoredStore
+
+	committer  *commit.Committer
+	loader     *loader.Loader
+	autoscaler *autoscaler.Autoscaler
+	proxying   bool // the peers answer a part of the workers
+	plan       bool // something changed that placement may depend on
+	planAt     time.Time
+	watchAt    time.Time // when the machines are looked over again
 }
 
 // runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
@@ -64,12 +60,24 @@
 // Drain implements autoscaler.Environment.
 func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
 
-// Unreadable implements lifecycle.Environment.
+// Unreadable implements lifecycle.Environment and agents.Environment.
 func (l *leader) Unreadable(job protocol.JobID) bool { return l.loader.Quarantined(job) }
 
 // RecordChanged implements lifecycle.Environment.
 func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
 
+// LogOnce implements agents.HeartbeatEnvironment.
+func (l *leader) LogOnce(message, key string, attributes ...any) {
+	if l.logged[key] {
+		return
+	}
+	if len(l.logged) >= tuning.MaxRememberedLogKeys {
+		clear(l.logged)
+	}
+	l.logged[key] = true
+	l.n.log.Error(message, attributes...)
+}
+
 // cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
@@ -91,7 +99,7 @@
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
 		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
-		l.tickMachines()
+		l.agents.Liveness.Tick()
 		if l.n.lead != l {
 			return
 		}
@@ -109,7 +117,7 @@
 	}
 	l.committer.SplitOutgrown(l.scheduler)
 	l.committer.Commit()
-	l.sendDirect()
+	l.agents.Delivery.SendPending()
 }
 
 // RecordMachine implements autoscaler.Environment.
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/coordination/commit"
@@ -14,14 +15,16 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true,
-		calls: n.workerCalls()}
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
+	l.agents = agents.New(agents.Dependencies{
+		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
+		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
+	})
 	l.committer = commit.New(n.lease.term, l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
 	l.loader = loader.New(l.cluster, l.committer, l, n.log)
-	l.stored.l = l
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
 	n.typesAt = n.now // today's prices, and a record of the types if there is none
