--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -54,6 +54,7 @@
 		"internal/coordination/lifecycle",
 		"internal/coordination/loader",
 		"internal/coordination/reconcile",
+		"internal/coordination/restore",
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/storage",
@@ -82,6 +83,13 @@
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 	}},
+	"internal/coordination/restore": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/loader": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/commit",
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,6 +10,7 @@
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/loader"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/coordination/restore"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
@@ -25,7 +26,7 @@
 	recovery  *reconcile.Phase
 	lifecycle *lifecycle.Manager
 	agents    *agents.Manager
-	restored  restoredStore
+	restored  *restore.Monitor
 
 	committer  *commit.Committer
 	loader     *loader.Loader
@@ -105,7 +106,7 @@
 		}
 		l.autoscaler.Tick()
 		l.tickRecovery()
-		l.tickRestored()
+		l.restored.Tick()
 		if l.n.lead != l {
 			return
 		}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -10,7 +10,9 @@
 	"github.com/gappond/gappond/internal/coordination/lifecycle"
 	"github.com/gappond/gappond/internal/coordination/loader"
 	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/coordination/restore"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // takeOver begins to lead with what the records say.
@@ -24,12 +26,15 @@
 		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
 	})
 	l.committer = commit.New(n.lease.term, l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
+	l.restored = restore.NewMonitor(n.lease.term, l.cluster, leaderStore{l}, l, n.log)
 	l.loader = loader.New(l.cluster, l.committer, l, n.log)
 	n.lead = l
 	n.beatAt = n.now  // the peers learn how many workers it keeps
 	n.typesAt = n.now // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror)
-	l.loadRestoredMarker()
+	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
+		l.restored.LoadMarker(marker)
+	}
 	l.beginRecovery()
 	// Jobs and machines come out of the mirror in no order; what follows must
 	// not depend on that.
