--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -89,6 +89,9 @@
 		"internal/protocol",
 		"internal/storage",
 		"internal/tuning",
+	}, tests: []string{
+		"internal/config",
+		"internal/coordination/clustertest",
 	}},
 	"internal/coordination/loader": {pure: true, imports: []string{
 		"internal/coordination/cluster",
@@ -96,6 +99,9 @@
 		"internal/protocol",
 		"internal/storage",
 		"internal/tuning",
+	}, tests: []string{
+		"internal/coordination/clustertest",
+		"internal/coordination/loader",
 	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
--- /dev/null
+++ b/internal/coordination/loader/loader_test.go
@@ -0,0 +1,185 @@
+package loader_test
+
+import (
+	"log/slog"
+	"strings"
+	"testing"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/clustertest"
+	"github.com/gappond/gappond/internal/coordination/commit"
+	"github.com/gappond/gappond/internal/coordination/loader"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+)
+
+// records are stored records by key.
+type records map[string]any
+
+// Each implements loader.Mirror.
+func (r records) Each(prefix string, do func(protocol.Entry)) {
+	for key, record := range r {
+		if strings.HasPrefix(key, prefix) {
+			do(protocol.Entry{Key: key, Value: storage.Encode(record), Revision: 9})
+		}
+	}
+}
+
+// testLeader stands for the leader: it notes what it is told.
+type testLeader struct {
+	*clustertest.Cluster
+	committer *commit.Committer
+	loader    *loader.Loader
+	checked   []protocol.JobID
+	dropped   []protocol.JobID
+	forgotten []protocol.MachineID
+}
+
+func newTestLeader() *testLeader {
+	l := &testLeader{Cluster: clustertest.New()}
+	l.Config.Cluster.State.ValueKB = 8
+	log := slog.New(slog.DiscardHandler)
+	l.committer = commit.New(7, l.State, nil, commit.NewStoreLimits(l.Config), nil, nil, log)
+	l.loader = loader.New(l.State, l.committer, l, log)
+	return l
+}
+
+func (l *testLeader) JobLoaded(*protocol.Job)          {}
+func (l *testLeader) RequestScheduling()               {}
+func (l *testLeader) CheckEnded(job *cluster.Job)      { l.checked = append(l.checked, job.ID) }
+func (l *testLeader) CancelJob(job *cluster.Job)       { job.Cancelled = true }
+func (l *testLeader) DropUncommitted(job *cluster.Job) { l.dropped = append(l.dropped, job.ID) }
+func (l *testLeader) MachinesDeleted(ids ...protocol.MachineID) {
+	l.forgotten = append(l.forgotten, ids...)
+}
+
+const testJob protocol.JobID = "run-000077"
+
+// jobRecord is a job of two tasks with a record for each; tasks are those of the first.
+func jobRecord(tasks ...storage.Task) storage.Job {
+	spec := clustertest.Array(2)
+	spec.ID, spec.Priority = testJob, "normal"
+	return storage.Job{Writer: "w-1", Spec: &spec, Seq: 5, Attempt: 1, RecordTasks: 1, Tasks: tasks}
+}
+
+func placed(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
+	return storage.Task{Index: index, Attempt: number, Machine: machine, Incarnation: 1}
+}
+
+func machines(ids ...protocol.MachineID) storage.MachineRecord {
+	record := storage.MachineRecord{Writer: "w-2"}
+	for _, id := range ids {
+		record.Machines = append(record.Machines, storage.MachineEntry{ID: id, Address: "h:1", Type: "big", Zone: "a"})
+	}
+	return record
+}
+
+// TestLoadAll: what a new leader takes from the records.
+func TestLoadAll(t *testing.T) {
+	jobKey, partKey := storage.JobKey(testJob), storage.TaskRecordKey(testJob, 1)
+	for name, test := range map[string]struct {
+		stored      records
+		attempts    int // -1: the job is unknown
+		quarantined bool
+		forgotten   int
+	}{
+		"both tasks placed": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1", "i-2")},
+			attempts: 2,
+		},
+		"one on a machine that no record has": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1")},
+			attempts: 2, forgotten: 1,
+		},
+		"the same, but a machine record cannot be read": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), "g/m/x": machines(), "g/m/y": machines("i-2")},
+			attempts: 1,
+		},
+		"job record of a later version": {
+			stored:   records{jobKey: map[string]any{"w": "w-1", "v": 99}, partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}},
+			attempts: -1, quarantined: true,
+		},
+		"damaged task record": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: map[string]any{"tasks": 7}, "g/m/x": machines("i-1")},
+			attempts: 1, quarantined: true,
+		},
+		"a task that the job does not have": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(2, 1, "i-1")), "g/m/x": machines("i-1")},
+			attempts: 1,
+		},
+		"an attempt twice": {
+			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(0, 1, "i-1")), "g/m/x": machines("i-1")},
+			attempts: 1,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := newTestLeader()
+			l.loader.LoadAll(test.stored)
+			attempts := -1
+			if job := l.Jobs[testJob]; job != nil {
+				attempts = len(job.Attempts)
+				if !job.Recovered || job.Records.Quarantined != test.quarantined {
+					t.Errorf("recovered %v, quarantined %v", job.Recovered, job.Records.Quarantined)
+				}
+			}
+			if attempts != test.attempts || len(l.forgotten) != test.forgotten || l.loader.Quarantined(testJob) != test.quarantined {
+				t.Errorf("%d attempts, %v forgotten, quarantined %v", attempts, l.forgotten, l.loader.Quarantined(testJob))
+			}
+		})
+	}
+}
+
+// TestLaterOfTwoAttemptsIsTheTasksOwn: of two attempts that damaged records give a task the
+// later one is its own, in whatever order they stand; the other is orphaned.
+func TestLaterOfTwoAttemptsIsTheTasksOwn(t *testing.T) {
+	for _, tasks := range [][]storage.Task{
+		{placed(0, 1, "i-1"), placed(0, 2, "i-2")},
+		{placed(0, 2, "i-2"), placed(0, 1, "i-1")},
+	} {
+		l := newTestLeader()
+		l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(tasks...), "g/m/x": machines("i-1", "i-2")})
+		job := l.Jobs[testJob]
+		if own := job.Tasks[0].Active; own.Key.Number != 2 || own.Orphaned {
+			t.Errorf("attempt %d is the task's own", own.Key.Number)
+		}
+		for _, attempt := range job.SortedAttempts() {
+			if attempt.Orphaned != (attempt.Key.Number == 1) {
+				t.Errorf("attempt %d: orphaned %v", attempt.Key.Number, attempt.Orphaned)
+			}
+		}
+	}
+}
+
+// TestObserveChange: what the watch shows of a job.
+func TestObserveChange(t *testing.T) {
+	cancelled := jobRecord(placed(0, 1, "i-1"))
+	cancelled.Cancelled = true
+	for name, test := range map[string]struct {
+		known       bool
+		record      any
+		revision    protocol.Revision
+		checked     bool
+		cancelled   bool
+		quarantined bool
+	}{
+		"a new job":                   {record: jobRecord(), revision: 20, checked: true},
+		"a cancellation":              {known: true, record: cancelled, revision: 20, cancelled: true},
+		"an old cancellation":         {known: true, record: cancelled, revision: 9},
+		"a record of a later version": {known: true, record: map[string]any{"w": "w-1", "v": 99}, revision: 20, quarantined: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := newTestLeader()
+			if test.known {
+				l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(placed(0, 1, "i-1")), "g/m/x": machines("i-1")})
+			}
+			l.loader.ObserveChange(&protocol.WatchEvent{Set: storage.JobKey(testJob), Value: storage.Encode(test.record), Revision: test.revision})
+			job := l.Jobs[testJob]
+			if job == nil {
+				t.Fatal("the job is unknown")
+			}
+			if (len(l.checked) == 1) != test.checked || job.Cancelled != test.cancelled || l.loader.Quarantined(testJob) != test.quarantined || (len(l.dropped) == 1) != test.quarantined {
+				t.Errorf("checked %v, cancelled %v, quarantined %v, dropped %v", l.checked, job.Cancelled, l.loader.Quarantined(testJob), l.dropped)
+			}
+		})
+	}
+}
