--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -36,23 +36,26 @@
 	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
 
 	"internal/transport": {imports: []string{
+		"internal/storage",
 		"internal/config",
 		"internal/coordination",
 		"internal/coordination/reconcile",
 		"internal/protocol",
-		"internal/storage",
 		"internal/tuning",
 	}},
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/config",
 		"internal/coordination/agents",
+		"internal/coordination/api",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
 		"internal/coordination/commit",
+		"internal/coordination/election",
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
 		"internal/coordination/loader",
+		"internal/coordination/membership",
 		"internal/coordination/reconcile",
 		"internal/coordination/restore",
 		"internal/coordination/scheduler",
@@ -61,6 +64,14 @@
 		"internal/tuning",
 	}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/coordination/api": {pure: true, imports: []string{
+		"internal/storage",
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config",
 		"internal/coordination/cluster",
@@ -68,6 +79,20 @@
 		"internal/protocol",
 		"internal/tuning",
 	}, tests: []string{"internal/coordination/clustertest"}},
+	"internal/coordination/membership": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
+	"internal/coordination/election": {pure: true, imports: []string{
+		"internal/storage",
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/commit": {pure: true, imports: []string{
 		"internal/config",
 		"internal/coordination/cluster",
@@ -83,25 +108,25 @@
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 	}},
-	"internal/coordination/restore": {pure: true, imports: []string{
+	"internal/coordination/loader": {pure: true, imports: []string{
 		"internal/coordination/cluster",
-		"internal/coordination/kv",
+		"internal/coordination/commit",
 		"internal/protocol",
 		"internal/storage",
 		"internal/tuning",
 	}, tests: []string{
-		"internal/config",
 		"internal/coordination/clustertest",
+		"internal/coordination/loader",
 	}},
-	"internal/coordination/loader": {pure: true, imports: []string{
+	"internal/coordination/restore": {pure: true, imports: []string{
 		"internal/coordination/cluster",
-		"internal/coordination/commit",
+		"internal/coordination/kv",
 		"internal/protocol",
 		"internal/storage",
 		"internal/tuning",
 	}, tests: []string{
+		"internal/config",
 		"internal/coordination/clustertest",
-		"internal/coordination/loader",
 	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
@@ -138,7 +163,7 @@
 		"internal/config",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/cluster", "internal/coordination/clustertest"}},
 
 	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
@@ -154,10 +179,10 @@
 
 	"internal/simulation": {
 		imports: []string{
+			"internal/storage",
 			"internal/config",
 			"internal/coordination",
 			"internal/protocol",
-			"internal/storage",
 			"internal/tuning",
 		},
 		tests: []string{
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -146,8 +146,7 @@
 
 // finish forgets a job whose final record is committed.
 func (c *Committer) finish(job *cluster.Job, final storage.Final) {
-	job.Finished = true
-	clear(job.Write.Dirty)
+	job.Finish()
 	delete(c.state.Jobs, job.ID)
 	c.outcomes.JobFinished(job.ID, final)
 	for r := 1; r < len(job.Records.Revisions); r++ {
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -6,6 +6,7 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -70,7 +71,7 @@
 // fits says whether the transaction may have so much more.
 func (b *transactionBuilder) fits(changes, conditions, bytes int) bool {
 	return b.remainingChanges() >= changes &&
-		len(b.txn.Conditions)+conditions <= storage.ConditionsPerChange*b.limits.TxnOps &&
+		len(b.txn.Conditions)+conditions <= kv.ConditionsPerChange*b.limits.TxnOps &&
 		b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -42,25 +42,25 @@
 }
 
 // WriteBudget implements commit.Store.
-func (s leaderStore) WriteBudget() *rate.Limiter { return s.l.n.writes }
+func (s leaderStore) WriteBudget() *rate.Limiter { return s.l.n.budgets.writes }
 
 // NoteThrottled implements commit.Store.
-func (s leaderStore) NoteThrottled(changes int) time.Duration { return s.l.n.throttled(changes) }
+func (s leaderStore) NoteThrottled(changes int) time.Duration {
+	return s.l.n.budgets.throttled(s.l.n.now, changes)
+}
 
 // PeersKnow implements commit.Environment. Once the store's limits are known to be lowered,
 // which happens after the upgrade, a peer that is down does not count: a job must not wait
 // for its return.
 func (l *leader) PeersKnow(level uint64) bool {
-	for _, p := range l.n.peers {
-		if p.level < level && (p.up || !l.n.storeLimits.Lowered()) {
-			return false
-		}
+	if l.n.storeLimits.Lowered() {
+		return l.n.peers.AllLinkedKnow(level)
 	}
-	return true
+	return l.n.peers.AllKnow(level)
 }
 
 // StepDown implements commit.Environment.
-func (l *leader) StepDown(reason string) { l.n.stepDown(reason) }
+func (l *leader) StepDown(reason string) { l.n.election.StepDown(reason) }
 
 // DropAttempt implements commit.Outcomes.
 func (l *leader) DropAttempt(attempt *cluster.Attempt) { l.lifecycle.RemoveGone(attempt) }
@@ -80,7 +80,7 @@
 		if job.Attempts[attempt.Key] != attempt {
 			continue
 		}
-		attempt.Committed = true
+		attempt.MarkCommitted()
 		l.CommandsPending(attempt.Machine)
 	}
 	for _, attempt := range placed {
@@ -95,7 +95,7 @@
 }
 
 // JobFinished implements commit.Outcomes.
-func (l *leader) JobFinished(id protocol.JobID, final storage.Final) { l.n.cacheFinal(id, final) }
+func (l *leader) JobFinished(id protocol.JobID, final storage.Final) { l.n.api.JobFinished(id, final) }
 
 // MergeRecord implements commit.Outcomes.
 func (l *leader) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -90,8 +90,7 @@
 
 // CancelJob implements loader.Environment.
 func (l *leader) CancelJob(job *cluster.Job) {
-	if !job.Cancelled {
-		job.Cancelled = true
+	if job.Cancel() {
 		l.plan = true
 		l.lifecycle.CheckEnded(job)
 	}
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -48,9 +48,8 @@
 		task := &job.Tasks[stored.Index]
 		task.LastAttempt = max(task.LastAttempt, stored.Attempt)
 		job.EverPlaced = true
-		if stored.Done && !task.Done {
-			task.Done = true
-			job.DoneTasks++
+		if stored.Done {
+			job.CompleteTask(stored.Index)
 		}
 		if stored.Machine != "" && !stored.Done {
 			ld.addAttempt(job, &stored)
@@ -66,7 +65,7 @@
 		return
 	}
 	attempt := ld.state.AddAttempt(job, stored.Index, stored.Attempt, machine, stored.Incarnation)
-	attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
+	attempt.MarkRecovered()
 	ld.activate(job, &job.Tasks[stored.Index], attempt)
 	machine.UseImage(job.Spec, nil)
 	machine.Agent.Incarnation = max(machine.Agent.Incarnation, stored.Incarnation)
@@ -81,7 +80,7 @@
 	}
 	task.Active = attempt
 	if older != nil {
-		older.Orphaned = true
+		older.MarkOrphaned()
 		ld.logMalformed("record places a task twice", job, attempt.Key.Index)
 	}
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/kv"
-	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -44,7 +43,7 @@
 		to = ToLeaderLease
 	}
 	n.askedAt = n.now
-	n.stateCalls.AllowN(n.now, 1) // counted in any case; users' requests look first
+	n.budgets.countCall(n.now)
 	n.request(to, "", call.Method, call.Path, call.Body, tuning.StoreRequestTimeout, func(status int, body []byte) {
 		n.unanswered = status == 0
 		if status != 0 && status != http.StatusServiceUnavailable {
@@ -54,27 +53,15 @@
 	})
 }
 
-func (n *Node) reply(id uint64, status int, body any) {
-	n.noteConfirmedCancel(body)
-	n.answer(Reply{ID: id, Status: status, Body: storage.Encode(body)})
-}
-
 // answer gives a reply to whoever asked: a connection of this node, or a
 // peer that forwarded the request here.
 func (n *Node) answer(r Reply) {
-	if from, ok := n.received[r.ID]; ok {
-		delete(n.received, r.ID)
-		n.sendTo(from.origin, protocol.PeerResponse{ID: from.id, Target: from.origin, Status: uint64(r.Status), Body: r.Body})
+	if n.forwarder.Respond(r.ID, r.Status, r.Body) {
 		return
 	}
 	n.out = append(n.out, r)
 }
 
-// refuse answers at once that the request cannot be taken now.
-func (n *Node) refuse(id uint64, why string) {
-	n.answer(Reply{ID: id, Status: 503, Body: storage.Encode(protocol.ErrorBody{Error: why}), RetryAfter: time.Second})
-}
-
 // parse reads a JSON answer.
 func parse[T any](body []byte) (T, bool) {
 	var v T
--- a/internal/coordination/restore_environment.go
+++ b/internal/coordination/restore_environment.go
@@ -30,5 +30,5 @@
 	l.restored.ObserveConfirmedToken(machine)
 }
 
-// Held implements scheduler.Environment.
-func (l *leader) Held(job *cluster.Job) bool { return l.restored.Holds(job) }
+// StartsWithheld implements scheduler.Environment.
+func (l *leader) StartsWithheld(job *cluster.Job) bool { return l.restored.Holds(job) }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -23,14 +23,14 @@
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
 	l.agents = agents.New(agents.Dependencies{
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
-		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
+		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
-	l.committer = commit.New(n.lease.term, l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
-	l.restored = restore.NewMonitor(n.lease.term, l.cluster, leaderStore{l}, l, n.log)
+	l.committer = commit.New(n.election.Term(), l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
+	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, l, n.log)
 	l.loader = loader.New(l.cluster, l.committer, l, n.log)
 	n.lead = l
-	n.beatAt = n.now  // the peers learn how many workers it keeps
-	n.typesAt = n.now // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
+	n.typesAt = n.now       // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
 		l.restored.LoadMarker(marker)
@@ -41,5 +41,5 @@
 	for _, job := range l.scheduler.Queue() {
 		l.lifecycle.CheckEnded(job)
 	}
-	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
+	n.log.Info("leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
