--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Cloud.
+// Calls to the cloud.
 const (
 	// CloudTimeout bounds a call; answers take some hundred milliseconds.
 	CloudTimeout = 5 * time.Second
@@ -21,31 +21,31 @@
 	MaxMachinesPerRental = 50
 	// MaxMachinesPerDeletion is the most names one deletion may carry.
 	MaxMachinesPerDeletion = 100
-	// NoCapacityBackoff is how long a refused type, zone and kind is left alone.
+	// NoCapacityBackoff is how long a refused type, zone and kind is not asked for.
 	NoCapacityBackoff = 12 * time.Second
 	// BootTimeoutFactor is how many nominal boot times a machine may take before
 	// another is rented in its place.
 	BootTimeoutFactor = 2.2
-	// BootTimeoutSlack is added to BootPatience.
+	// BootTimeoutSlack is added to BootTimeoutFactor.
 	BootTimeoutSlack = 5 * time.Second
 )
 
-// Renting.
+// Scaling out and in.
 const (
 	// CloudBudgetShare is the part of the cloud's call budget that the leader uses;
 	// the peers only ask for prices now and then.
 	CloudBudgetShare = 0.8
-	// ScaleOutInterval is the pause between two reckonings of demand.
+	// ScaleOutInterval is the pause between two evaluations of demand.
 	ScaleOutInterval = time.Second
 	// ScaleOutDelayAfterTakeover leaves a new leader time to hear which machines it has.
 	ScaleOutDelayAfterTakeover = 2 * time.Second
 	// SpareRetention is how long spares are kept after the last job came: a few
 	// boot times, within which the next one would miss them.
 	SpareRetention = 100 * time.Second
-	// ZoneReserveInterval is the pause between two reckonings of the room that is kept for
+	// ZoneReserveInterval is the pause between two evaluations of the capacity that is reserved for
 	// the loss of a zone: well below a boot time.
 	ZoneReserveInterval = 5 * time.Second
-	// MaxZoneReserveMachines bounds the machines that such a reckoning considers, those that
+	// MaxZoneReserveMachines bounds the machines that such an evaluation considers, those that
 	// it would rent included.
 	MaxZoneReserveMachines = 20_000
 	// EstimateSlackFactor stretches an owner's estimate, often wrong by half.
@@ -54,9 +54,9 @@
 	BootTimeSlackFactor = 1.2
 	// ConsolidationInterval is the pause between two machines that are emptied to save money.
 	ConsolidationInterval = 5 * time.Second
-	// MaxConsolidationCandidates is how many machines are looked at for one to empty.
+	// MaxConsolidationCandidates is how many machines are examined for one to empty.
 	MaxConsolidationCandidates = 8
-	// PackFleet: one in so many machines may be emptied at once.
+	// ConsolidationFleetDivisor has no more than one in so many machines emptied at once.
 	ConsolidationFleetDivisor = 20
 	// MaxConsolidationUtilization is the share of its GPUs in use from which on a machine stays.
 	MaxConsolidationUtilization = 0.5
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// Planning.
+// The scheduler.
 const (
-	// MinSchedulingInterval is the least pause between two passes over the queue.
+	// MinSchedulingInterval is the least pause between two scheduling cycles.
 	MinSchedulingInterval = 100 * time.Millisecond
-	// MaxSchedulingInterval is the longest pause between two passes: time-outs have no event.
+	// MaxSchedulingInterval is the longest pause between two cycles: time-outs have no event.
 	MaxSchedulingInterval = time.Second
-	// CandidateCPUCost is about what a look at one machine for one job costs of a core.
+	// CandidateCPUCost is about what examining one machine for one job costs of a core.
 	CandidateCPUCost = 100 * time.Nanosecond
-	// MaxSchedulingCycle is how long one pass over the queue may go on making room: a
-	// leader lease must be renewed, and reports answered, between two passes.
+	// MaxSchedulingCycle is how long one scheduling cycle may go on preempting: a
+	// leader lease must be renewed, and heartbeats answered, between two cycles.
 	MaxSchedulingCycle = 100 * time.Millisecond
-	// MinExaminedMachines is the number of looks that a pass may take however small the
+	// MinExaminedMachines is the number of machines that a cycle may examine however small the
 	// controller's share of a core: a few jobs' searches on a small fleet.
 	MinExaminedMachines = 5000
-	// SchedulingCPUShare is the part of the controller's processor time that passes over
-	// the queue may take; reports, commits and users need the rest.
+	// SchedulingCPUShare is the part of the controller's processor time that scheduling cycles
+	// may take; heartbeats, commits and users need the rest.
 	SchedulingCPUShare = 0.25
 	// PreemptionSearchBackoff is the pause after a search for work to stop found nothing.
 	PreemptionSearchBackoff = time.Second
-	// MachineSweepInterval is how often all machines are looked over for silence,
-	// lapse and return: finer than any time-out that depends on it.
+	// MachineSweepInterval is how often all machines are examined for silence,
+	// lease expiry and return: finer than any time-out that depends on it.
 	MachineSweepInterval = 500 * time.Millisecond
 	// CPUsPerSlot is the share of processors that makes a slot on machines
 	// without GPUs; memory follows in the machine's own proportion.
@@ -33,7 +33,7 @@
 	MachineRefusalBackoff = 15 * time.Second
 	// MachineFailureBackoff is how long a job avoids a machine on which its task failed:
 	// long enough for another job to show whether the machine is to blame, well below
-	// the 90 s that no job may wait beside room for it.
+	// the 90 s that no job may wait beside free capacity for it.
 	MachineFailureBackoff = time.Minute
 	// ImageLocalFetchSeconds is the fetch time, in seconds, from which a gang would rather
 	// take machines that have its image.
@@ -63,6 +63,6 @@
 	// RemainingTaskPenalty is how much later than by its aims alone an array's turn comes for
 	// every task that is not done: when not all can be in time, small ones can.
 	RemainingTaskPenalty = 1500 * time.Millisecond
-	// ReservationTimeout is how long room freed by preemption is held for its job.
+	// ReservationTimeout is how long capacity freed by preemption is reserved for its job.
 	ReservationTimeout = 25 * time.Second
 )
