--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -42,7 +42,7 @@
 
 func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *cluster.Machine {
 	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, spot)
-	l.assignMachineRecord(machine)
+	l.committer.Machines.Assign(machine)
 	machine.Record.Revision = 1
 	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
 	l.cluster.TypeOf(machine)
@@ -54,7 +54,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // placesAll runs a scheduling cycle and says whether it has left a job with a place for
