--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -39,8 +39,8 @@
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"},
 		Teams:   []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
-		Workers: config.Workers{CancelS: 49},
-		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}}
+		Workers: config.AgentTimings{CancelS: 49},
+		State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}}
 	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 	c := &controller{now: time.Unix(1_800_000_000, 0)}
 	mirror := &storage.Mirror{}
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -27,8 +27,8 @@
 const testTerm = 7
 
 var (
-	wideLimits    = config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
-	loweredLimits = config.State{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	wideLimits    = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
+	loweredLimits = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 )
 
 // loweredValueBytes is the largest value that the lowered limits allow.
@@ -89,7 +89,7 @@
 type leader struct {
 	*clustertest.Cluster
 	store     *testStore
-	limits    *commit.StoreLimits
+	limits    *commit.KnownLimits
 	budget    *rate.Limiter
 	committer *commit.Committer
 	loader    *loader.Loader
@@ -107,7 +107,7 @@
 }
 
 // newLeader makes a leader that begins from what the store holds, within the given limits.
-func newLeader(store *testStore, limits config.State, peerLevel uint64) *leader {
+func newLeader(store *testStore, limits config.StoreLimits, peerLevel uint64) *leader {
 	l := &leader{Cluster: clustertest.New(), store: store, peerLevel: peerLevel, peerUp: true, reads: map[string]func(kv.GetResult){}}
 	settings := &l.Config.Cluster
 	settings.State = limits
@@ -116,12 +116,12 @@
 		settings.Present = &present
 	}
 	log := slog.New(slog.DiscardHandler)
-	l.limits = commit.NewStoreLimits(l.Config)
+	l.limits = commit.NewKnownLimits(l.Config)
 	writes := limits.WriteRPS * tuning.WriteBudgetShare
 	l.budget = rate.NewLimiter(rate.Limit(writes), int(writes))
 	l.lifecycle = lifecycle.New(l.State, reconcile.NewPhase(), l, log)
 	l.scheduler = scheduler.New(l.State, l, log)
-	l.committer = commit.New(testTerm, l.State, l, l.limits, l, l, log)
+	l.committer = commit.New(commit.Dependencies{State: l.State, Store: l, Limits: l.limits, Environment: l, Outcomes: l, Log: log, Term: testTerm})
 	l.loader = loader.New(l.State, l.committer, l, log)
 	l.loader.LoadAll(store)
 	return l
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -18,7 +18,7 @@
 // record, whose tasks are named in it; both and the job's own record, which has the number
 // of all, are written by one guarded transaction, or the new parts are staged before.
 type recordSplitter struct {
-	limits *StoreLimits
+	limits *KnownLimits
 	env    Environment
 	log    *slog.Logger
 }
@@ -33,7 +33,7 @@
 func (s *recordSplitter) mayStage() bool { return s.env.PeersKnow(protocol.PeerKnowsStaged) }
 
 // currentLimits are those that a record must keep within now.
-func (s *recordSplitter) currentLimits() config.State {
+func (s *recordSplitter) currentLimits() config.StoreLimits {
 	if s.maySplit() {
 		return s.limits.configured()
 	}
@@ -41,7 +41,7 @@
 }
 
 // outgrown says whether a record must be split before it is written.
-func (s *recordSplitter) outgrown(job *cluster.Job, r int, limits config.State) bool {
+func (s *recordSplitter) outgrown(job *cluster.Job, r int, limits config.StoreLimits) bool {
 	list := job.TasksOf(r)
 	if len(list) < 2 {
 		return false
@@ -65,7 +65,7 @@
 
 // splitDirty starts the split of one of a job's changed records that has outgrown
 // the limits.
-func (s *recordSplitter) splitDirty(job *cluster.Job, limits config.State) {
+func (s *recordSplitter) splitDirty(job *cluster.Job, limits config.StoreLimits) {
 	if len(job.Records.UnnamedParts) > 0 || !s.maySplit() {
 		return
 	}
@@ -107,7 +107,7 @@
 // split splits a record until every part keeps within the limits. Unless parts may
 // be staged it stops at what one transaction can write; of a gang's parts the rest
 // may then be split in the next.
-func (s *recordSplitter) split(job *cluster.Job, r int, limits config.State) {
+func (s *recordSplitter) split(job *cluster.Job, r int, limits config.StoreLimits) {
 	maxParts := limits.TxnOps - 2
 	if s.mayStage() {
 		maxParts = len(job.Tasks)
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -44,7 +44,7 @@
 // transactionBuilder builds a transaction within the store's limits.
 type transactionBuilder struct {
 	splitter   *recordSplitter
-	limits     config.State // that records and transactions must keep now
+	limits     config.StoreLimits // that records and transactions must keep now
 	outcomes   Outcomes
 	tx         *transaction
 	txn        protocol.Transaction
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -39,7 +39,7 @@
 	l := &testLeader{Cluster: clustertest.New()}
 	l.Config.Cluster.State.ValueKB = 8
 	log := slog.New(slog.DiscardHandler)
-	l.committer = commit.New(7, l.State, nil, commit.NewStoreLimits(l.Config), nil, nil, log)
+	l.committer = commit.New(commit.Dependencies{State: l.State, Limits: commit.NewKnownLimits(l.Config), Log: log})
 	l.loader = loader.New(l.State, l.committer, l, log)
 	return l
 }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -53,7 +53,7 @@
 	// when the state service last served this node, and when it was last asked
 	servedAt, askedAt time.Time
 	unanswered        bool // it did not answer the last request
-	storeLimits       *commit.StoreLimits
+	storeLimits       *commit.KnownLimits
 
 	api *api.Service
 
@@ -71,7 +71,7 @@
 // the process from earlier ones.
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
-		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewStoreLimits(cfg),
+		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewKnownLimits(cfg),
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		pending: map[uint64]func(int, []byte){},
 		types:   map[protocol.MachineTypeName]*protocol.MachineType{},
