--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -25,7 +25,10 @@
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
 		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
-	l.committer = commit.New(n.election.Term(), l.cluster, leaderStore{l}, n.storeLimits, l, l, n.log)
+	l.committer = commit.New(commit.Dependencies{
+		State: l.cluster, Store: leaderStore{l}, Limits: n.storeLimits, Environment: l, Outcomes: l, Log: n.log,
+		Term: n.election.Term(),
+	})
 	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, l, n.log)
 	l.loader = loader.New(l.cluster, l.committer, l, n.log)
 	n.lead = l
