--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -72,11 +72,11 @@
 type Committer struct {
 	state    *cluster.State
 	store    Store
-	limits   *StoreLimits
+	limits   *KnownLimits
 	env      Environment
 	outcomes Outcomes
 	log      *slog.Logger
-	term     protocol.Term // that every transaction is guarded on
+	term     protocol.Term
 
 	// Machines are the records of the machines.
 	Machines *MachineRecords
@@ -90,12 +90,23 @@
 	notBefore time.Time // no transaction is sent earlier
 }
 
+// Dependencies are what a committer works with.
+type Dependencies struct {
+	State       *cluster.State
+	Store       Store
+	Limits      *KnownLimits
+	Environment Environment
+	Outcomes    Outcomes
+	Log         *slog.Logger
+	Term        protocol.Term // that every transaction is guarded on
+}
+
 // New makes the committer of a term.
-func New(term protocol.Term, state *cluster.State, store Store, limits *StoreLimits, env Environment, outcomes Outcomes, log *slog.Logger) *Committer {
+func New(d Dependencies) *Committer {
 	return &Committer{
-		state: state, store: store, limits: limits, env: env, outcomes: outcomes, log: log, term: term,
-		Machines: &MachineRecords{state: state, env: env, log: log},
-		splitter: &recordSplitter{limits: limits, env: env, log: log},
+		state: d.State, store: d.Store, limits: d.Limits, env: d.Environment, outcomes: d.Outcomes, log: d.Log, term: d.Term,
+		Machines: &MachineRecords{state: d.State, env: d.Environment, log: d.Log},
+		splitter: &recordSplitter{limits: d.Limits, env: d.Environment, log: d.Log},
 	}
 }
 
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -89,7 +89,7 @@
 type leader struct {
 	*clustertest.Cluster
 	store     *testStore
-	limits    *commit.StoreLimits
+	limits    *commit.KnownLimits
 	budget    *rate.Limiter
 	committer *commit.Committer
 	loader    *loader.Loader
@@ -116,12 +116,12 @@
 		settings.Present = &present
 	}
 	log := slog.New(slog.DiscardHandler)
-	l.limits = commit.NewStoreLimits(l.Config)
+	l.limits = commit.NewKnownLimits(l.Config)
 	writes := limits.WriteRPS * tuning.WriteBudgetShare
 	l.budget = rate.NewLimiter(rate.Limit(writes), int(writes))
 	l.lifecycle = lifecycle.New(l.State, reconcile.NewPhase(), l, log)
 	l.scheduler = scheduler.New(l.State, l, log)
-	l.committer = commit.New(testTerm, l.State, l, l.limits, l, l, log)
+	l.committer = commit.New(commit.Dependencies{State: l.State, Store: l, Limits: l.limits, Environment: l, Outcomes: l, Log: log, Term: testTerm})
 	l.loader = loader.New(l.State, l.committer, l, log)
 	l.loader.LoadAll(store)
 	return l
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -18,7 +18,7 @@
 // record, whose tasks are named in it; both and the job's own record, which has the number
 // of all, are written by one guarded transaction, or the new parts are staged before.
 type recordSplitter struct {
-	limits *StoreLimits
+	limits *KnownLimits
 	env    Environment
 	log    *slog.Logger
 }
