--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -25,7 +25,7 @@
 }
 
 // Liveness judges which agents are there: it probes those that are silent, takes the tasks
-// of those whose lease has surely expired for gone, and has machines returned that answer
+// of those whose lease has surely expired for gone, and has machines deleted that answer
 // nothing, unless the network is suspected and not they.
 type Liveness struct {
 	state      *cluster.State
@@ -53,8 +53,8 @@
 	return from.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
 }
 
-// suspectedCuts are the zones in which the network is suspected.
-type suspectedCuts struct {
+// suspectedPartitions are the zones in which the network is suspected to be partitioned.
+type suspectedPartitions struct {
 	suspected map[protocol.ZoneName]bool
 	// The same as soon as a machine with replicas may be missing, and the zones most of whose
 	// machines report as ever; nil until they are needed.
@@ -64,7 +64,7 @@
 // Tick looks for agents that are silent, whose lease has expired, or that are gone.
 func (l *Liveness) Tick() {
 	suspected, _ := l.state.SuspectedZones(l.state.SilenceTimeout())
-	cuts := suspectedCuts{suspected: suspected}
+	partitions := suspectedPartitions{suspected: suspected}
 	for _, machine := range l.state.OrderedMachines {
 		if !l.env.Leads() {
 			return
@@ -83,10 +83,10 @@
 			continue
 		}
 		switch {
-		case !missing && l.mayReturnSilent(machine, &cuts):
-			l.ReturnSilent(machine, "silent")
-		case missing && l.mayReturnReplicaHost(machine, &cuts):
-			l.ReturnSilent(machine, "silent, with replicas")
+		case !missing && l.maydeleteSilent(machine, &partitions):
+			l.deleteSilent(machine, "silent")
+		case missing && l.mayDeleteReplicaHost(machine, &partitions):
+			l.deleteSilent(machine, "silent, with replicas")
 		}
 	}
 }
@@ -117,19 +117,19 @@
 }
 
 // isUnresponsive says whether an agent answers neither probes nor has sent a heartbeat for
-// so long that its machine is taken for dead, but for suspected cuts.
+// so long that its machine is taken for dead, but for suspected partitions.
 func (l *Liveness) isUnresponsive(machine *cluster.Machine, hasReplicas bool) bool {
 	if machine.Agent.FailedProbes < tuning.MaxUnansweredProbes {
 		return false
 	}
-	// With a peer out of reach the agent may be behind the same cut and on its way to a
+	// With a peer out of reach the agent may be behind the same partition and on its way to a
 	// controller that forwards its heartbeats. Nor is one not receiving then because it does
 	// not answer this controller's calls.
 	whole := l.env.AllPeersReachable()
 	if whole && l.state.NotReceiving(machine) {
 		return true
 	}
-	patience := l.patienceBehindCut(hasReplicas)
+	patience := l.patienceBehindPartition(hasReplicas)
 	if whole {
 		patience = l.patience(hasReplicas)
 	}
@@ -144,9 +144,9 @@
 	return l.state.SilenceTimeout()
 }
 
-// patienceBehindCut is the same while a peer is out of reach: a machine with replicas is
+// patienceBehindPartition is the same while a peer is out of reach: a machine with replicas is
 // given no more time than the way to a controller that forwards its heartbeats takes.
-func (l *Liveness) patienceBehindCut(hasReplicas bool) time.Duration {
+func (l *Liveness) patienceBehindPartition(hasReplicas bool) time.Duration {
 	if hasReplicas {
 		interval := config.Seconds(l.state.Config.Cluster.Workers.ReportS * tuning.MaxHeartbeatIntervalFactor)
 		return max(l.state.ReplicaSilenceTimeout(), interval+tuning.HeartbeatRerouteTime)
@@ -154,23 +154,23 @@
 	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
 }
 
-// mayReturnSilent says whether a machine, not the network, is at fault, or has been gone for
+// maydeleteSilent says whether a machine, not the network, is at fault, or has been gone for
 // longer than another takes to boot.
-func (l *Liveness) mayReturnSilent(machine *cluster.Machine, cuts *suspectedCuts) bool {
-	return !cuts.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
+func (l *Liveness) maydeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
+	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
 }
 
-// mayReturnReplicaHost says the same of a machine with replicas, or that these have places
+// mayDeleteReplicaHost says the same of a machine with replicas, or that these have places
 // in zones that are heard of.
-func (l *Liveness) mayReturnReplicaHost(machine *cluster.Machine, cuts *suspectedCuts) bool {
-	if cuts.early == nil {
-		cuts.early, cuts.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
+func (l *Liveness) mayDeleteReplicaHost(machine *cluster.Machine, partitions *suspectedPartitions) bool {
+	if partitions.early == nil {
+		partitions.early, partitions.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !cuts.early[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, cuts.heard)
+	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.heard)
 }
 
-// ReturnSilent returns a machine that does not answer.
-func (l *Liveness) ReturnSilent(machine *cluster.Machine, reason string) {
+// deleteSilent has a machine deleted that does not answer.
+func (l *Liveness) deleteSilent(machine *cluster.Machine, reason string) {
 	l.scheduler.MachineLost(machine)
 	l.fleet.DeleteMachine(machine, reason)
 }
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -97,7 +97,7 @@
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
-	h.returnIfUnreadable(machine, unnamed, unproven)
+	h.deleteIfUnreadable(machine, unnamed, unproven)
 }
 
 // observeState notes the state of an attempt that an agent has.
@@ -178,9 +178,9 @@
 	return named
 }
 
-// returnIfUnreadable returns a machine whose heartbeats have had entries that name no task for
-// a lease, if they keep it from proving something gone: its deletion does.
-func (h *Heartbeats) returnIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
+// deleteIfUnreadable has a machine deleted whose heartbeats have had entries that name no
+// task for a lease, if they keep it from proving something gone: its deletion does.
+func (h *Heartbeats) deleteIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
 	switch {
 	case !unnamed:
 		machine.Agent.UnreadableSince = time.Time{}
