--- /dev/null
+++ b/internal/coordination/failures_test.go
@@ -0,0 +1,104 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// TestMachineOnWhichJobsFailIsQuarantined: a machine on which two jobs failed takes no more tasks, and its
+// machine record says so to every later leader.
+func TestMachineOnWhichJobsFailIsQuarantined(t *testing.T) {
+	l := testLeader(time.Unix(1_800_000_000, 0))
+	machine := l.testMachine("i-1", "big", "a", false)
+	for range tuning.MaxMachineFailures {
+		job := l.testJob(gangOf(1, 1))
+		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
+	}
+	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
+		t.Errorf("schedulable %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
+	}
+	l.autoscaler.Tick()
+	if !machine.Deleting {
+		t.Error("not deleted once it is empty")
+	}
+}
+
+// TestJobThatFailsEverywherePreemptsNothing: a job that failed on several machines is tried on what
+// is free, but nothing is stopped for it and no machine wanted any more.
+func TestJobThatFailsEverywherePreemptsNothing(t *testing.T) {
+	l := testLeader(time.Unix(1_800_000_000, 0))
+	l.testMachine("i-1", "big", "a", false)
+	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
+	low := l.testJob(s)
+	l.runSchedulingCycle()
+	high := gangOf(1, 2)
+	high.Priority = "high"
+	job := l.testJob(high)
+	for i := range tuning.MaxJobFailures {
+		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
+		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
+		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
+		l.lifecycle.RemoveGone(attempt)
+		machine.Cordoned = true
+		if machine.Quarantined {
+			t.Errorf("%s is quarantined for a job that fails everywhere", machine.ID)
+		}
+	}
+	l.n.now = l.n.now.Add(tuning.FailureBackoff)
+	l.runSchedulingCycle()
+	if n := stopping(low); n != 0 || len(low.Attempts) != 4 || len(l.autoscaler.Demand) != 0 {
+		t.Errorf("%d tasks of %d stop, %d jobs want machines", n, len(low.Attempts), len(l.autoscaler.Demand))
+	}
+}
+
+func stopping(job *cluster.Job) (n int) {
+	for _, attempt := range job.Attempts {
+		if attempt.Stopping {
+			n++
+		}
+	}
+	return n
+}
+
+// TestRepairReturnsToSurvivorsMachines: a gang that lost a machine goes back to the machines
+// of its other tasks and takes its zone's spare for the lost one, though
+// another zone could hold it whole.
+func TestRepairReturnsToSurvivorsMachines(t *testing.T) {
+	l := testLeader(time.Unix(1_800_000_000, 0))
+	dead, survivor := l.testMachine("i-1", "big", "b", false), l.testMachine("i-2", "big", "b", false)
+	s := gangOf(2, 4)
+	s.OneZone, s.Priority = true, "normal"
+	job := l.testJob(s)
+	l.runSchedulingCycle()
+	for _, attempt := range job.Attempts {
+		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
+	}
+	epoch := job.Epoch
+	l.testMachine("i-3", "big", "a", false)
+	l.testMachine("i-4", "big", "a", false)
+	spare := l.testMachine("i-5", "big", "b", false)
+	l.MachinesDeleted(dead.ID)
+	l.runSchedulingCycle()
+	if len(job.Attempts) != 1 || !job.Stopping {
+		t.Fatalf("%d attempts, stopping %v: the survivor has yet to exit", len(job.Attempts), job.Stopping)
+	}
+	if survivor.ReservedFor != job {
+		t.Error("the survivor's machine is not reserved")
+	}
+	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
+	l.runSchedulingCycle()
+	on := map[*cluster.Machine]bool{}
+	for _, attempt := range job.Attempts {
+		on[attempt.Machine] = true
+	}
+	if !on[survivor] || !on[spare] || job.Epoch != epoch+1 {
+		t.Errorf("repaired on %v at epoch %d", job.SortedAttempts(), job.Epoch)
+	}
+}
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/leader_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
@@ -67,39 +66,3 @@
 func gangOf(tasks int, gpus float64) protocol.Job {
 	return protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: tasks, CPUs: 2, GPUs: gpus, MemoryGB: 8, Image: "x"}
 }
-
-// TestRepairPinsSurvivors: a gang that lost a machine goes back to the machines
-// of its other tasks and takes its zone's spare for the lost one, though
-// another zone could hold it whole.
-func TestRepairPinsSurvivors(t *testing.T) {
-	l := testLeader(time.Unix(1_800_000_000, 0))
-	dead, survivor := l.testMachine("i-1", "big", "b", false), l.testMachine("i-2", "big", "b", false)
-	s := gangOf(2, 4)
-	s.OneZone, s.Priority = true, "normal"
-	job := l.testJob(s)
-	l.runSchedulingCycle()
-	for _, attempt := range job.Attempts {
-		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
-	}
-	epoch := job.Epoch
-	l.testMachine("i-3", "big", "a", false)
-	l.testMachine("i-4", "big", "a", false)
-	spare := l.testMachine("i-5", "big", "b", false)
-	l.MachinesDeleted(dead.ID)
-	l.runSchedulingCycle()
-	if len(job.Attempts) != 1 || !job.Stopping {
-		t.Fatalf("%d copies, stopping %v: the survivor has yet to exit", len(job.Attempts), job.Stopping)
-	}
-	if survivor.ReservedFor != job {
-		t.Error("the survivor's room is not held")
-	}
-	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
-	l.runSchedulingCycle()
-	on := map[*cluster.Machine]bool{}
-	for _, attempt := range job.Attempts {
-		on[attempt.Machine] = true
-	}
-	if !on[survivor] || !on[spare] || job.Epoch != epoch+1 {
-		t.Errorf("repaired on %v at epoch %d", job.SortedAttempts(), job.Epoch)
-	}
-}
