--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -39,7 +39,7 @@
 func newController(t *testing.T, cores float64, peers int) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
-	cfg.Cluster.Workers = config.Workers{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}
+	cfg.Cluster.Workers = config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}
 	cfg.Cluster.Resources.Cores = cores
 	c := &controller{now: time.Unix(1_800_000_000, 0), peerCount: peers}
 	c.Election = New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)), kv.New(c), c, c, c)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
 	cfg.Cluster.Resources.Cores = cores
-	cfg.Cluster.State = config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
+	cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	for _, peer := range []protocol.NodeName{"a", "b", "c"} {
 		if peer != name {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: peer})
@@ -245,7 +245,7 @@
 			more++
 		}
 	}
-	pause := config.Resources{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
+	pause := config.ProcessLimits{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
 	if want := int(5 / pause.Seconds()); more < want-1 || more > want+1 {
 		t.Errorf("%d agents are redirected in 5 s, want %d", more, want)
 	}
