--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -7,6 +7,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
+// AmountTolerance absorbs rounding in sums of decimal amounts.
+const AmountTolerance = 1e-6
+
 // MachineSlots is the number of slots on a machine: one a GPU or, without
 // GPUs, one a fixed share of processors.
 func MachineSlots(machineType *protocol.MachineType) int {
@@ -56,17 +59,3 @@
 func CapacityOf(machineType *protocol.MachineType) Resources {
 	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
-
-// TrueFirst compares two Booleans for a sort that puts true first.
-func TrueFirst(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return -1
-	}
-	return 1
-}
-
-// AmountTolerance absorbs rounding in sums of decimal amounts.
-const AmountTolerance = 1e-6
