--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,7 +10,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// The least limits of the state service that the records keep within: the
+// The least limits of the store that the records keep within: the
 // description of a job in one value, the parts of a record in one transaction.
 const (
 	leastValueKB = 2.0
@@ -89,7 +89,7 @@
 	}
 }
 
-// agentTimings checks the workers' timings.
+// agentTimings checks the agents' timings.
 func (c *checker) agentTimings(w AgentTimings) {
 	c.positive("cluster.workers.report_s", w.ReportS)
 	c.positive("cluster.workers.lease_s", w.LeaseS)
@@ -102,7 +102,7 @@
 	}
 }
 
-// storeLimits checks the limits of the state service.
+// storeLimits checks the limits of the store.
 func (c *checker) storeLimits(key string, s StoreLimits) {
 	c.positive(key+".rps", s.RPS)
 	c.positive(key+".write_rps", s.WriteRPS)
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -6,6 +6,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
+// Seconds is a span that the settings give as a number of seconds.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // WithClockDrift stretches a span by the largest disagreement of two clocks.
--- a/internal/protocol/identifiers_test.go
+++ b/internal/protocol/identifiers_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestReportRefusalWords: an agent is told of a field of a wrong type in the types of JSON,
+// TestHeartbeatRefusalWords: an agent is told of a field of a wrong type in the types of JSON,
 // to the byte as before identifiers had types of their own.
-func TestReportRefusalWords(t *testing.T) {
+func TestHeartbeatRefusalWords(t *testing.T) {
 	for field, want := range map[string]string{
 		"berth":   "of type string",
 		"address": "of type string",
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -134,7 +134,7 @@
 	return b
 }
 
-func TestParseReportTolerates(t *testing.T) {
+func TestParseHeartbeatTolerates(t *testing.T) {
 	r, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
 		"pieces":[{"piece":"run-1/0","try":1,"phase":"napping","cause":"bored","x":1}]}`))
 	if err != nil {
@@ -259,7 +259,7 @@
 	})
 }
 
-func FuzzParseReport(f *testing.F) {
+func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"berth":"i-1","tenure":1,"tally":2,"pieces":[{"piece":"run-1/0","try":1,"phase":"running"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := ParseHeartbeat(b); err == nil {
