--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -21,9 +22,14 @@
 		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
 		l.lifecycle.RemoveGone(attempt)
 	}
-	if l.cluster.Schedulable(machine) || !machine.Record.Queued || !machineEntry(machine).Cordoned {
+	if l.cluster.Schedulable(machine) || !machine.Record.Queued {
 		t.Errorf("open %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
 	}
+	l.committer.Commit()
+	txn, _ := l.sentTxn(t)
+	if rec, _ := parse[storage.MachineRecord](txn.Changes[0].Value); txn.Changes[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
+		t.Errorf("the machine record does not say so: %s", txn.Changes[0].Value)
+	}
 	l.autoscaler.Tick()
 	if !machine.Deleting {
 		t.Error("not returned once it is empty")
