--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -11,7 +11,7 @@
 )
 
 // MaxSpec is the largest description of a job, in bytes as JSON: it must leave
-// room for tasks in a record of the state service.
+// room for tasks in a record of the store.
 const MaxSpec = 2 << 10
 
 // MaxTasks is the largest number of tasks a job may have.
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -16,7 +16,7 @@
 	CancelAction = "withdraw"
 )
 
-// Paths of a worker.
+// Paths of an agent.
 const (
 	PathCommands = "/orders"
 	PathInspect  = "/inspect"
@@ -29,7 +29,7 @@
 	PathDeleteMachines = "/hosts/delete"
 )
 
-// Paths of the state service.
+// Paths of the key-value store.
 const (
 	PathTransactions = "/txn"
 	PathLeases       = "/grants"
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,5 +1,5 @@
 // Package protocol holds the messages that gappond exchanges with users,
-// workers, the cloud, the state service and its own peers: their wire
+// agents, the cloud, the key-value store and its own peers: their wire
 // names, their validation and their encodings. It does no I/O. Wire names
 // appear here and nowhere else; the rest of the program uses the field's
 // ordinary terms.
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -17,7 +17,7 @@
 	pending     *pendingRequests
 	clients     *clients
 	peers       *peerLinks
-	connections *connections
+	connections *connectionLimits
 	metrics     *metrics
 	ready       atomic.Bool
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -26,7 +26,7 @@
 	log         *slog.Logger
 	queues      *eventQueues
 	pending     *pendingRequests
-	connections *connections
+	connections *connectionLimits
 	metrics     *metrics
 	ready       func() bool
 }
@@ -37,8 +37,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for users and agents: %w", err)
 	}
-	if s.connections.most > 0 {
-		listener = netutil.LimitListener(listener, s.connections.most)
+	if s.connections.maxOpen > 0 {
+		listener = netutil.LimitListener(listener, s.connections.maxOpen)
 	}
 	return listener, nil
 }
@@ -145,7 +145,7 @@
 }
 
 func (s *httpServer) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	s.connections.bound(s.connections.keepUsers, w)
+	s.connections.closeBeyond(s.connections.keepUsers, w)
 	if len(s.queues.users) == cap(s.queues.users) {
 		respond(w, s.shed()) // before anything is spent on its body
 		return
@@ -166,7 +166,7 @@
 
 // askJob asks the owner about the job that the path names.
 func (s *httpServer) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
-	s.connections.bound(s.connections.keepUsers, w)
+	s.connections.closeBeyond(s.connections.keepUsers, w)
 	jobID := protocol.JobID(r.PathValue("id"))
 	if !protocol.ValidID(jobID) {
 		refuse(w, http.StatusNotFound, "no such job")
@@ -190,7 +190,7 @@
 }
 
 func (s *httpServer) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	s.connections.bound(s.connections.keepWorkers, w)
+	s.connections.closeBeyond(s.connections.keepAgents, w)
 	body, ok := readBody(w, r)
 	if !ok {
 		return
