--- a/internal/architecture/events_test.go
+++ b/internal/architecture/events_test.go
@@ -71,10 +71,18 @@
 	return r.events
 }
 
-// readAll goes through the files three times: for constants and literals, for functions that
-// log a parameter, and for the messages themselves.
+// readAll goes through the files for constants and literals, for functions that log a
+// parameter, directly or by another such function, and for the messages themselves.
 func (r *eventReader) readAll() {
 	r.inspect(r.addConstants)
+	for known := -1; known < len(r.functions); { // until none hands a message on to a new one
+		known = len(r.functions)
+		r.addLoggingFunctions()
+	}
+	r.inspect(r.addEvent)
+}
+
+func (r *eventReader) addLoggingFunctions() {
 	for _, file := range r.files {
 		for _, declaration := range file.Decls {
 			if function, ok := declaration.(*ast.FuncDecl); ok && function.Body != nil {
@@ -82,7 +90,6 @@
 			}
 		}
 	}
-	r.inspect(r.addEvent)
 }
 
 func (r *eventReader) inspect(visit func(ast.Node)) {
@@ -114,7 +121,11 @@
 func (r *eventReader) addLoggingFunction(function *ast.FuncDecl) {
 	parameters := parameterNames(function)
 	ast.Inspect(function.Body, func(node ast.Node) bool {
-		if message, byDefault, ok := loggedMessage(node); ok {
+		message, byDefault, ok := loggedMessage(node)
+		if !ok {
+			message, byDefault, ok = r.handedOnMessage(node)
+		}
+		if ok {
 			if name, isName := message.(*ast.Ident); isName {
 				if i := slices.Index(parameters, name.Name); i >= 0 {
 					r.functions[function.Name.Name] = loggingFunction{i, byDefault}
@@ -279,7 +290,9 @@
 	a.logger.InfoContext(ctx, "with a context")
 	a.once("handed on", 1)
 	a.errors.Error("of no logger")
+	a.twice("handed on twice")
 }
+func (a *a) twice(text string) { a.once(text, 2) }
 func (a *a) once(text string, n int) { a.log.Warn(text) }
 `
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, parser.SkipObjectResolution)
@@ -292,7 +305,8 @@
 	}
 	r.readAll()
 	for event, byDefault := range map[string]bool{
-		"by a constant": true, "by a literal": true, "with a context": true, "handed on": true, "only for debugging": false,
+		"by a constant": true, "by a literal": true, "with a context": true, "handed on": true, "handed on twice": true,
+		"only for debugging": false,
 	} {
 		if !r.events.all[event] || r.events.byDefault[event] != byDefault {
 			t.Errorf("%q: logged %v, by default %v", event, r.events.all[event], r.events.byDefault[event])
