--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -81,11 +81,12 @@
 	// Machines are the records of the machines.
 	Machines *MachineRecords
 
+	reader         *recordReader
 	splitter       *recordSplitter
 	outgrownMarked bool // all records that had outgrown the limits are marked
 
-	dirty     []*cluster.Job // jobs with unwritten changes, in the order they came
-	obsolete  []string       // keys to delete when there is time
+	dirty     dirtyJobs
+	obsolete  []string // keys to delete when there is time
 	inFlight  *transaction
 	notBefore time.Time // no transaction is sent earlier
 }
@@ -103,11 +104,13 @@
 
 // New makes the committer of a term.
 func New(d Dependencies) *Committer {
-	return &Committer{
+	c := &Committer{
 		state: d.State, store: d.Store, limits: d.Limits, env: d.Environment, outcomes: d.Outcomes, log: d.Log, term: d.Term,
 		Machines: &MachineRecords{state: d.State, env: d.Environment, log: d.Log},
 		splitter: &recordSplitter{limits: d.Limits, env: d.Environment, log: d.Log},
 	}
+	c.reader = &recordReader{state: d.State, store: d.Store, machines: c.Machines, outcomes: d.Outcomes, finish: c.finish}
+	return c
 }
 
 // MarkDirty marks one of a job's records as to be written.
@@ -167,8 +170,8 @@
 // addDirtyJobs adds the jobs with unwritten changes by urgency, as far as the budget and
 // the store's limits allow.
 func (c *Committer) addDirtyJobs(b *transactionBuilder, budget writeBudget) {
-	var later []*cluster.Job
-	for _, entry := range c.dirtyByUrgency() {
+	var later dirtyJobs
+	for _, entry := range c.dirty.byUrgency(c.state.Now()) {
 		job := entry.job
 		job.Write.Queued = false
 		if entry.urgency == urgent || entry.urgency != notDue && budget.allowsOrdinary(b.changes()) {
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -158,6 +158,36 @@
 	}
 }
 
+// TestJobWhoseRecordIsGoneTakesItsStoredEnd: a conflict may come from an earlier copy of the
+// transaction that ended the job: what is stored of its end holds.
+func TestJobWhoseRecordIsGoneTakesItsStoredEnd(t *testing.T) {
+	for name, test := range map[string]struct {
+		final    kv.GetResult
+		finished bool
+	}{
+		"final record":          {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})}}, finished: true},
+		"no final record":       {final: kv.GetResult{Outcome: kv.NotFound}},
+		"malformed answer":      {final: kv.GetResult{Outcome: kv.Done, Malformed: true}},
+		"final without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{})}}},
+		"no answer":             {final: kv.GetResult{Outcome: kv.Unknown}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, id, txn := placedGang(t, 1)
+			job := l.Jobs[id]
+			txn.answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
+			l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.NotFound})
+			read := l.reads[storage.FinalKey(id)]
+			if read == nil {
+				t.Fatal("the final record is not looked up")
+			}
+			read(test.final)
+			if job.Finished != test.finished || (l.Jobs[id] == nil) != test.finished {
+				t.Errorf("finished %v", job.Finished)
+			}
+		})
+	}
+}
+
 // TestUrgentChangesUseTheReservedBudget: with little of the write budget left the place of
 // a gang is written, and that of an array when there is more.
 func TestUrgentChangesUseTheReservedBudget(t *testing.T) {
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -36,16 +36,16 @@
 		// The transaction may have been applied, or may be yet. The same one again can be
 		// applied only once.
 		tx.answerLost = true
-		c.resend(tx, tuning.StoreRetryDelay)
+		c.retryAfter(tx, tuning.StoreRetryDelay, c.send)
 	case outcome == kv.Throttled:
-		c.resend(tx, c.store.NoteThrottled(tx.changes))
+		c.retryAfter(tx, c.store.NoteThrottled(tx.changes), c.send)
 	case outcome == kv.Rejected:
 		c.log.Error("transaction rejected", "detail", result.Detail)
 		c.limits.NoteRejection()
 		c.handleConflict(tx, nil)
 		c.notBefore = c.state.Now().Add(rejectionPause)
 	default:
-		c.resend(tx, tuning.StoreRetryDelay)
+		c.retryAfter(tx, tuning.StoreRetryDelay, c.send)
 	}
 }
 
@@ -53,17 +53,11 @@
 // store found wrong with it may be wrong with the next.
 const rejectionPause = time.Second
 
-// resend sends the same transaction again after a pause.
-func (c *Committer) resend(tx *transaction, pause time.Duration) {
-	c.afterWhileInFlight(tx, pause, c.send)
-}
-
-// afterWhileInFlight does something about a transaction after a pause, if it is in flight
-// still.
-func (c *Committer) afterWhileInFlight(tx *transaction, pause time.Duration, do func(*transaction)) {
+// retryAfter tries something with a transaction after a pause, if it is in flight still.
+func (c *Committer) retryAfter(tx *transaction, pause time.Duration, try func(*transaction)) {
 	c.env.After(pause, func() {
 		if c.inFlight == tx {
-			do(tx)
+			try(tx)
 		}
 	})
 }
@@ -84,7 +78,7 @@
 		case kv.NotFound:
 			c.handleConflict(tx, nil)
 		default:
-			c.afterWhileInFlight(tx, tuning.StoreRetryDelay, c.resolveLostAnswer)
+			c.retryAfter(tx, tuning.StoreRetryDelay, c.resolveLostAnswer)
 		}
 	})
 }
@@ -175,12 +169,12 @@
 	for _, write := range tx.machineRecords {
 		write.record.Queued = true
 		if len(failed) == 0 {
-			c.rereadRevision(write.record.Key) // which key was in the way is not known
+			c.reader.reread(write.record.Key) // which key was in the way is not known
 		}
 	}
 	for _, key := range failed {
 		if strings.HasPrefix(key, storage.MachinePrefix) {
-			c.rereadRevision(key)
+			c.reader.reread(key)
 		}
 	}
 	for _, write := range tx.jobs {
@@ -206,63 +200,10 @@
 			c.outcomes.DropAttempt(attempt)
 		}
 	}
-	c.rereadRevision(storage.JobKey(job.ID))
+	c.reader.reread(storage.JobKey(job.ID))
 	for _, r := range write.records {
 		if r > 0 {
-			c.rereadRevision(storage.TaskRecordKey(job.ID, r))
-		}
-	}
-}
-
-// rereadRevision looks up the present revision of a key whose guard may have failed.
-func (c *Committer) rereadRevision(key string) {
-	c.store.Get(key, func(result kv.GetResult) {
-		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
-			return
-		}
-		id, r, isTaskRecord := storage.ParseTaskRecordKey(key)
-		switch {
-		case isTaskRecord:
-			if job := c.state.Jobs[id]; job != nil && r < len(job.Records.Revisions) {
-				job.Records.Revisions[r] = result.Entry.Revision
-			}
-		case strings.HasPrefix(key, storage.MachinePrefix):
-			c.Machines.setRevision(key, result.Entry.Revision)
-		default:
-			c.rereadJob(key, result)
+			c.reader.reread(storage.TaskRecordKey(job.ID, r))
 		}
-	})
-}
-
-// rereadJob takes a job's own record as it is now.
-func (c *Committer) rereadJob(key string, result kv.GetResult) {
-	id, _ := storage.ParseJobKey(key)
-	job := c.state.Jobs[id]
-	if job == nil {
-		return
-	}
-	if result.Outcome == kv.NotFound {
-		// Its final record was written by a transaction thought lost.
-		c.lookUpFinal(job)
-		return
-	}
-	record, err := storage.DecodeJob(result.Entry.Value)
-	if err != nil {
-		c.outcomes.QuarantineJob(id, err)
-		return
 	}
-	c.outcomes.MergeRecord(job, record, result.Entry.Revision)
-}
-
-// lookUpFinal finishes a job whose record has turned out to be gone.
-func (c *Committer) lookUpFinal(job *cluster.Job) {
-	c.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
-		if result.Outcome != kv.Done || result.Malformed || job.Finished {
-			return
-		}
-		var final storage.Final
-		if json.Unmarshal(result.Entry.Value, &final) == nil && final.Phase != "" {
-			c.finish(job, final)
-		}
-	})
 }
--- /dev/null
+++ b/internal/coordination/commit/record_reader.go
@@ -0,0 +1,72 @@
+package commit
+
+import (
+	"encoding/json"
+	"strings"
+
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
+	"github.com/gappond/gappond/internal/storage"
+)
+
+// recordReader looks up what is stored where a transaction met something unexpected.
+type recordReader struct {
+	state    *cluster.State
+	store    Store
+	machines *MachineRecords
+	outcomes Outcomes
+	finish   func(*cluster.Job, storage.Final) // takes a job whose final record is stored
+}
+
+// reread looks up the present revision of a key whose guard may have failed.
+func (rr *recordReader) reread(key string) {
+	rr.store.Get(key, func(result kv.GetResult) {
+		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
+			return
+		}
+		id, r, isTaskRecord := storage.ParseTaskRecordKey(key)
+		switch {
+		case isTaskRecord:
+			if job := rr.state.Jobs[id]; job != nil && r < len(job.Records.Revisions) {
+				job.Records.Revisions[r] = result.Entry.Revision
+			}
+		case strings.HasPrefix(key, storage.MachinePrefix):
+			rr.machines.setRevision(key, result.Entry.Revision)
+		default:
+			rr.rereadJob(key, result)
+		}
+	})
+}
+
+// rereadJob takes a job's own record as it is now.
+func (rr *recordReader) rereadJob(key string, result kv.GetResult) {
+	id, _ := storage.ParseJobKey(key)
+	job := rr.state.Jobs[id]
+	if job == nil {
+		return
+	}
+	if result.Outcome == kv.NotFound {
+		// Its final record was written by a transaction thought lost.
+		rr.lookUpFinal(job)
+		return
+	}
+	record, err := storage.DecodeJob(result.Entry.Value)
+	if err != nil {
+		rr.outcomes.QuarantineJob(id, err)
+		return
+	}
+	rr.outcomes.MergeRecord(job, record, result.Entry.Revision)
+}
+
+// lookUpFinal finishes a job whose record has turned out to be gone.
+func (rr *recordReader) lookUpFinal(job *cluster.Job) {
+	rr.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
+		if result.Outcome != kv.Done || result.Malformed || job.Finished {
+			return
+		}
+		var final storage.Final
+		if json.Unmarshal(result.Entry.Value, &final) == nil && final.Phase != "" {
+			rr.finish(job, final)
+		}
+	})
+}
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -27,8 +27,11 @@
 	notDue
 )
 
-// dirtyJob is a job with unwritten changes.
-type dirtyJob struct {
+// dirtyJobs are jobs with unwritten changes, in the order that they came.
+type dirtyJobs []*cluster.Job
+
+// rankedJob is a job with unwritten changes of some urgency.
+type rankedJob struct {
 	job     *cluster.Job
 	urgency urgency
 }
@@ -55,24 +58,23 @@
 	return notDue
 }
 
-// dirtyByUrgency orders the jobs with unwritten changes: the urgent ones by priority, the
-// others in the order that they came.
-func (c *Committer) dirtyByUrgency() []dirtyJob {
-	var entries []dirtyJob
-	now := c.state.Now()
-	for _, job := range c.dirty {
+// byUrgency orders the jobs: the urgent ones by priority, the others in the order that they
+// came.
+func (dj dirtyJobs) byUrgency(now time.Time) []rankedJob {
+	var ranked []rankedJob
+	for _, job := range dj {
 		if job.Finished || len(job.Write.Dirty) == 0 {
 			job.Write.Queued = false
 			continue
 		}
-		entries = append(entries, dirtyJob{job, urgencyOf(job, now)})
+		ranked = append(ranked, rankedJob{job, urgencyOf(job, now)})
 	}
-	slices.SortStableFunc(entries, func(a, b dirtyJob) int {
+	slices.SortStableFunc(ranked, func(a, b rankedJob) int {
 		byPriority := 0
 		if a.urgency == urgent {
 			byPriority = cmp.Compare(b.job.Priority, a.job.Priority)
 		}
 		return cmp.Or(cmp.Compare(a.urgency, b.urgency), byPriority, a.job.Write.DirtySince.Compare(b.job.Write.DirtySince))
 	})
-	return entries
+	return ranked
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -17,7 +17,7 @@
 )
 
 // leader is everything that only the leading controller knows. It is rebuilt
-// from the records at every takeover and dropped when the node steps down.
+// from the records at every failover and dropped when the node steps down.
 type leader struct {
 	n         *Node
 	cluster   *cluster.State
