--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -201,12 +201,13 @@
 // brokenBy: the first task of a gang's attempt to end otherwise than done has the others
 // stopped, those that do not end by themselves.
 func (a *Audit) brokenBy(id string, k instance, j *auditedJob) {
-	for i := range j.tasks {
-		name := protocol.TaskName(id, i)
-		for other, on := range a.here {
-			if on && other.task == name && other.attempt == k.attempt && a.need[needStop][name] == 0 {
-				a.need[needStop][name] = 1
-			}
+	for other, on := range a.here {
+		if !on || other.attempt != k.attempt {
+			continue
+		}
+		job, index, ok := protocol.SplitTask(other.task)
+		if ok && job == id && index < j.tasks && a.need[needStop][other.task] == 0 {
+			a.need[needStop][other.task] = 1
 		}
 	}
 }
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -82,7 +82,7 @@
 func (v *Live) Do(do func(w *World)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.w.Run(time.Since(v.began) - v.w.Now.Sub(time.Unix(1_800_000_000, 0)))
+	v.w.Run(time.Since(v.began) - v.w.elapsed())
 	do(v.w)
 }
 
