--- a/internal/simulation/cloud_service.go
+++ b/internal/simulation/cloud_service.go
@@ -86,11 +86,16 @@
 func (c *cloudService) destroy(h *host) {
 	h.gone = true
 	if k := c.w.workers[h.ID]; k != nil {
-		k.kill()
-		delete(c.w.workers, h.ID)
+		c.w.loseWorker(k)
 	}
 }
 
+// loseWorker ends a machine's worker and its tasks; the cloud goes on listing the machine.
+func (w *World) loseWorker(k *worker) {
+	k.kill()
+	delete(w.workers, k.h.ID)
+}
+
 // serve answers a call as the protocol says, within the budget.
 func (c *cloudService) serve(method, path string, body []byte, answer func(int, []byte)) {
 	c.requests++
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -154,8 +154,7 @@
 	for _, h := range w.cloud.hosts {
 		if k := w.workers[h.ID]; n > 0 && k != nil && len(k.tasks) > 0 {
 			n--
-			k.kill()
-			delete(w.workers, h.ID)
+			w.loseWorker(k)
 		}
 	}
 }
@@ -178,7 +177,7 @@
 		if i%5 == 1 { // about to end
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
 		}
-		users = append(users, w.submit(w.between(0, c.Before), spec, run, 0, false))
+		users = append(users, w.submit(arrival{after: w.between(0, c.Before), job: spec, run: run}))
 	}
 	return users
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -33,12 +33,11 @@
 // newColdWorld has a gang over two machines and an array run.
 func newColdWorld(t *testing.T, seed uint64, shape Shape) *coldWorld {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
-	w.Run(6 * time.Second)
+	w := startWorld(seed, shape, 6*time.Second)
 	g := gangJob("run-000001", 6)
-	g.CheckpointS, g.SaveS = 10, 2
-	c := &coldWorld{World: w, t: t, gang: w.submit(0, g, 150, 0, false), array: w.submit(0, array("run-000002", 5), 150, 0, false)}
-	w.waitFor(t, 40*time.Second, "both run", func() bool { return w.running(c.gang) && w.running(c.array) })
+	checkpointed(g, 10, 2)
+	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, run: 150}), array: w.submit(arrival{job: array("run-000002", 5), run: 150})}
+	w.waitUntilRunning(t, 40*time.Second, c.gang, c.array)
 	w.Run(4 * time.Second)
 	c.mark()
 	return c
@@ -71,9 +70,7 @@
 // expectKept checks that nothing was started, stopped or ordered in vain since the mark.
 func (c *coldWorld) expectKept(what string) {
 	c.t.Helper()
-	if n := c.rules.started - c.starts; n != 0 {
-		c.t.Errorf("%s: %d tasks were started", what, n)
-	}
+	c.expectStarts(c.t, c.starts, 0, what)
 	if starts, stops := c.ordered(needStart), c.ordered(needStop); starts+stops > 0 {
 		c.t.Errorf("%s: %d starts and %d stops were ordered", what, starts, stops)
 	}
@@ -101,7 +98,7 @@
 // finishBoth waits until both jobs are done and checks the rules.
 func (c *coldWorld) finishBoth() {
 	c.t.Helper()
-	c.waitFor(c.t, 400*time.Second, "both are done", func() bool { return c.gang.over && c.array.over })
+	c.waitUntilOver(c.t, 400*time.Second, c.gang, c.array)
 	c.Run(5 * time.Second)
 	c.check(c.t)
 }
@@ -146,10 +143,8 @@
 	c := newColdWorld(t, 42, recovering())
 	c.loseAll(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
 	c.Run(secs(c.shape.Workers.LeaseS) + 9*time.Second)
-	c.waitFor(t, 60*time.Second, "both run again", func() bool { return c.running(c.gang) && c.running(c.array) })
-	if n := c.rules.started - c.starts; n != 11 {
-		t.Errorf("%d starts for 11 tasks", n)
-	}
+	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
+	c.expectStarts(t, c.starts, 11, "for 11 tasks")
 	if n := c.ordered(needStop); n != 0 {
 		t.Errorf("%d stops", n)
 	}
@@ -162,7 +157,7 @@
 	t.Parallel()
 	c := newColdWorld(t, 43, recovering())
 	c.loseAll(time.Second, 0)
-	late := c.rules.onAt["run-000001/0"].k
+	late := c.workerOf("run-000001", 0)
 	late.mute = true
 	c.after(14*time.Second, func() { late.mute = false })
 	c.Run(25 * time.Second)
@@ -174,22 +169,26 @@
 // transaction of its, is recorded once; the task is not started again.
 func TestColdRestartEndOfTask(t *testing.T) {
 	t.Parallel()
-	for _, lost := range []bool{true, false} {
-		c := newColdWorld(t, 44, recovering())
-		short := c.submit(0, array("run-000003", 2), 6, 0, false)
-		c.waitFor(t, 20*time.Second, "it runs", func() bool { return c.running(short) })
-		if lost {
-			c.state.lose(1, false, 20*time.Second) // transactions are carried out late
-		} else {
-			c.state.outage(9 * time.Second)
-		}
-		c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.j.done[0] && short.j.done[1] })
-		c.Run(700 * time.Millisecond) // the leader has the reports
-		c.mark()
-		c.loseAll(2*time.Second, 0)
-		c.waitFor(t, 40*time.Second, "it is called done", func() bool { return short.over })
-		c.expectKept(fmt.Sprint("late transactions ", lost))
-		c.finishBoth()
+	for _, late := range []bool{true, false} {
+		t.Run(fmt.Sprint("late transactions ", late), func(t *testing.T) {
+			t.Parallel()
+			c := newColdWorld(t, 44, recovering())
+			short := c.submitRunning(t, 20*time.Second, array("run-000003", 2), 6)
+			if late {
+				c.state.lose(1, false, 20*time.Second)
+			} else {
+				c.state.outage(9 * time.Second)
+			}
+			c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.j.done[0] && short.j.done[1] })
+			c.Run(700 * time.Millisecond) // the leader has the reports
+			c.mark()
+
+			c.loseAll(2*time.Second, 0)
+
+			c.waitUntilOver(t, 40*time.Second, short)
+			c.expectKept("end of a task")
+			c.finishBoth()
+		})
 	}
 }
 
@@ -199,7 +198,7 @@
 	t.Parallel()
 	c := newColdWorld(t, 45, recovering())
 	c.array.cancel()
-	c.waitFor(t, 5*time.Second, "confirmed", func() bool { return c.array.over })
+	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.loseAll(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Workers.CancelS) + time.Second)
 	if c.rules.late > 0 {
@@ -216,8 +215,8 @@
 	w := NewShaped(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
-	waves.Team = "red" // whose limit has room for ten tasks at once
-	u := w.submit(0, waves, 25, 0, false)
+	waves.Team = "red" // whose limit allows ten tasks at once
+	u := w.submit(arrival{job: waves, run: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.use["red"] == 10 })
 	w.Run(10 * time.Second)
 	w.keep = true
@@ -229,7 +228,7 @@
 	c := &coldWorld{World: w, t: t, gang: u, array: u}
 	c.mark()
 	c.loseAll(time.Second, 0)
-	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
+	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
 		w.copyReport(w.leader(), body)
 	}
@@ -248,7 +247,8 @@
 	t.Parallel()
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
-	c.rules.jobs[ghost.ID] = &simJob{spec: ghost, run: 500, progress: []float64{0}, done: []bool{false}, gangs: map[protocol.AttemptNumber]*gang{}}
+	c.rules.jobs[ghost.ID] = newSimJob(ghost)
+	c.rules.jobs[ghost.ID].run = 500
 	c.loseAll(4*time.Second, 0)
 	c.idleWorker().execute([]protocol.Command{{Op: protocol.OpStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
@@ -260,9 +260,7 @@
 	if n := c.ordered(needStop); n != 1 {
 		t.Errorf("%d stops for one unknown attempt", n)
 	}
-	if n := c.rules.started - c.starts; n != 0 {
-		t.Errorf("%d starts", n)
-	}
+	c.expectStarts(t, c.starts, 0, "beside the unknown attempt")
 	c.finishBoth()
 }
 
@@ -301,12 +299,12 @@
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
 	c.loseAll(time.Second, 0)
-	c.interrupt(130*time.Second, false, func(a, b string) bool { return (c.zoneOf[a] == "west") != (c.zoneOf[b] == "west") })
+	c.interrupt(130*time.Second, false, c.aroundZone("west"))
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
-	u := c.submit(0, fresh, 10, 0, false)
-	if took := c.waitFor(t, 15*time.Second, "a new job runs", func() bool { return c.running(u) }); took > 8*time.Second {
+	u := c.submit(arrival{job: fresh, run: 10})
+	if took := c.waitUntilRunning(t, 15*time.Second, u); took > 8*time.Second {
 		t.Errorf("a new job waits %v", took)
 	}
 	s := c.recovered(90 * time.Second)
@@ -314,76 +312,48 @@
 	c.finishBoth()
 }
 
-// TestRestoredStore: the state service comes back with the controllers in a state of some
+// storeRestore is a return of the key-value store to an earlier state.
+type storeRestore struct {
+	name  string
+	lacks protocol.Revision // revisions beyond those of the last seconds
+	hangs bool              // a worker with attempts that are on no record
+	wild  bool              // a worker holds a token beyond reason
+	keeps bool              // the workers go on
+}
+
+var storeRestores = []storeRestore{
+	{name: "seconds old", keeps: true},
+	{name: "a little more", lacks: 60, keeps: true},
+	{name: "long ago", lacks: 1_000_000},
+	{name: "a worker is silent", hangs: true},
+	{name: "a wild token", wild: true},
+}
+
+// TestRestoredStore: the key-value store comes back with the controllers in a state of some
 // seconds or of long before. Workers hold tokens that it never gave, and attempts that it
 // does not have. If the revision can be raised above the tokens in time all goes on, but
 // for what is on no record, which is stopped once; else the workers are returned and the
 // work starts on others. Nothing runs twice, and it is logged by name.
 func TestRestoredStore(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]struct {
-		lacks protocol.Revision // revisions beyond those of the last seconds
-		hangs bool              // a worker with attempts that are on no record
-		wild  bool              // a worker holds a token beyond reason
-		keeps bool              // the workers go on
-	}{
-		"seconds old":        {keeps: true},
-		"a little more":      {lacks: 60, keeps: true},
-		"long ago":           {lacks: 1_000_000},
-		"a worker is silent": {hangs: true},
-		"a wild token":       {wild: true},
-	} {
-		t.Run(name, func(t *testing.T) {
+	for _, restore := range storeRestores {
+		t.Run(restore.name, func(t *testing.T) {
 			t.Parallel()
 			shape := recovering()
 			shape.Capacity = 24
 			c := newColdWorld(t, 50, shape)
-			old := c.state.backup()
-			lost := c.submit(0, array("run-000008", 3), 60, 0, false)
-			later := c.submit(0, array("run-000007", 3), 60, 0, false)
-			c.waitFor(t, 30*time.Second, "later jobs run", func() bool { return c.running(lost) && c.running(later) })
-			c.Run(5 * time.Second)
-			c.state.revision += play.lacks
-			c.leader().crash(time.Second) // workers get the token of the next leader
-			c.Run(12 * time.Second)
-			c.loseAll(2*time.Second, 0)
-			c.Run(time.Second)
-			// The record of the later job was there before its places were.
-			e := old.keys["g/j/run-000002"]
-			e.Value = encode(pendingRecord(later.j.spec, c.Now))
-			e.Key = "g/j/run-000007"
-			old.keys[e.Key] = e
-			c.state.restore(old)
-			lost.left, later.left = true, true // what they were told is lost
-			c.mark()
+			later := c.restoreOlder(restore.lacks)
 			due := 3 // starts of the job whose places are lost
-			if play.wild {
-				k := c.rules.onAt["run-000008/0"].k
-				k.token = 1 << 60
-				due += c.tasksLostWith(k)
-				for _, other := range c.workers {
-					if other != k {
-						other.hang(6 * time.Second) // so that it is heard first
-					}
-				}
-				c.after(4*time.Second, func() { k.changed = true })
+			if restore.wild {
+				due += c.giveWildToken(c.workerOf("run-000008", 0))
 			}
-			if play.hangs {
-				c.rules.onAt["run-000007/0"].k.hang(20 * time.Second)
+			if restore.hangs {
+				c.workerOf("run-000007", 0).hang(20 * time.Second)
 			}
+
 			c.Run(90 * time.Second)
-			if n := c.rules.started - c.starts; (play.keeps || play.wild) && n != due {
-				t.Errorf("%d starts, of which %d are due", n, due)
-			}
-			if n := c.ordered(needStop); play.keeps && n != 6 {
-				t.Errorf("%d stops for six attempts on no record", n)
-			}
-			if c.rules.onAt["run-000008/0"] != nil {
-				t.Error("a job that no record has runs on")
-			}
-			if c.leader() == nil {
-				t.Error("nobody leads")
-			}
+
+			c.expectRestored(restore, due)
 			c.Run(200 * time.Second)
 			for i, done := range later.j.done {
 				if !done {
@@ -398,13 +368,69 @@
 	}
 }
 
+// restoreOlder puts the store back while all controllers are away. Of the two jobs
+// submitted since, run-000008 is on no record then, and run-000007, which it returns,
+// has its record and no places.
+func (c *coldWorld) restoreOlder(lacks protocol.Revision) (later *user) {
+	c.t.Helper()
+	old := c.state.backup()
+	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
+	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
+	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
+	c.Run(5 * time.Second)
+	c.state.revision += lacks
+	c.leader().crash(time.Second) // workers get the token of the next leader
+	c.Run(12 * time.Second)
+	c.loseAll(2*time.Second, 0)
+	c.Run(time.Second)
+	// The record of the later job was there before its places were.
+	e := old.keys["g/j/run-000002"]
+	e.Value = encode(pendingRecord(later.j.spec, c.Now))
+	e.Key = "g/j/run-000007"
+	old.keys[e.Key] = e
+	c.state.restore(old)
+	lost.left, later.left = true, true // what they were told is lost
+	c.mark()
+	return later
+}
+
+// giveWildToken has a worker hold a token beyond reason, and be heard before all others. It
+// returns how many tasks of recorded jobs start again for it.
+func (c *coldWorld) giveWildToken(k *worker) int {
+	k.token = 1 << 60
+	for _, other := range c.workersInOrder() {
+		if other != k {
+			other.hang(6 * time.Second)
+		}
+	}
+	c.after(4*time.Second, func() { k.changed = true })
+	return c.tasksLostWith(k)
+}
+
+// expectRestored checks what was started and stopped after the store came back.
+func (c *coldWorld) expectRestored(restore storeRestore, due int) {
+	c.t.Helper()
+	if restore.keeps || restore.wild {
+		c.expectStarts(c.t, c.starts, due, "after the return of the store")
+	}
+	if n := c.ordered(needStop); restore.keeps && n != 6 {
+		c.t.Errorf("%d stops for six attempts on no record", n)
+	}
+	if c.rules.onAt["run-000008/0"] != nil {
+		c.t.Error("a job that no record has runs on")
+	}
+	if c.leader() == nil {
+		c.t.Error("nobody leads")
+	}
+}
+
 // tasksLostWith counts the tasks of the recorded jobs that start again if a worker is lost: a
 // gang's all together.
 func (c *coldWorld) tasksLostWith(k *worker) (n int) {
 	for _, u := range []*user{c.gang, c.array} {
 		on := 0
 		for i := range u.j.spec.Tasks {
-			if c.rules.onAt[protocol.TaskName(u.j.spec.ID, i)].k == k {
+			if c.workerOf(u.j.spec.ID, i) == k {
 				on++
 			}
 		}
@@ -437,8 +463,8 @@
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
 			c.Run(4 * time.Second)
-			u := c.submit(0, array("run-000006", 2), 10, 0, false)
-			c.waitFor(t, 30*time.Second, "a new job is done", func() bool { return u.over })
+			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
+			c.waitUntilOver(t, 30*time.Second, u)
 			if s := c.recovered(60 * time.Second); s.Classes[recovery.Unreadable] != 6 || s.Orders.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
+	"fmt"
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -18,47 +17,62 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		for _, blindFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
-			w := New(600+seed, logs())
-			w.Run(6 * time.Second)
-			u := w.submit(0, array("run-000001", 8), 500, 0, false)
-			w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-			c := w.leader()
-			w.state.blind = c
-			w.Run(400 * time.Millisecond)
-			for _, o := range w.nodes { // no word over the links
-				if o != c {
-					w.interrupt(100*time.Second, false, func(a, b string) bool { return a == c.name && b == o.name })
+			t.Run(fmt.Sprintf("seed %d, blind for %v", seed, blindFor), func(t *testing.T) {
+				t.Parallel()
+				w, u, c := blindLeader(t, 600+seed, 8)
+				for _, o := range w.others(c) { // no word over the links
+					w.interrupt(100*time.Second, false, oneWay(c, o))
 				}
-			}
-			for !u.over {
-				u.cancel()
-				w.Run(100 * time.Millisecond)
-			}
-			w.Run(blindFor)
-			w.state.outage(61 * time.Second)
-			w.Run(100 * time.Second)
-			for _, f := range w.rules.failures {
-				t.Errorf("seed %d, blind for %v: %s", seed, blindFor, f)
-			}
+
+				w.cancelUntilConfirmed(u)
+				w.Run(blindFor)
+				w.state.outage(61 * time.Second)
+				w.Run(100 * time.Second)
+
+				w.check(t)
+			})
 		}
 	}
 }
 
+// blindLeader has an array run under a leader whose watches have hung for a moment.
+func blindLeader(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
+	t.Helper()
+	w := startWorld(seed, Small(), 6*time.Second)
+	u := w.submitRunning(t, 20*time.Second, array("run-000001", tasks), 500)
+	c := w.leader()
+	w.state.blind = c
+	w.Run(400 * time.Millisecond)
+	return w, u, c
+}
+
+// cancelUntilConfirmed has a user ask for a cancellation until it is confirmed.
+func (w *World) cancelUntilConfirmed(u *user) {
+	for !u.over {
+		u.cancel()
+		w.Run(100 * time.Millisecond)
+	}
+}
+
+// oneWay matches packets from one node to another.
+func oneWay(from, to *controller) func(a, b string) bool {
+	return func(a, b string) bool { return a == from.name && b == to.name }
+}
+
 // TestLeaderToldOfCancellation: a leader that the state service refuses stops a job's
 // tasks as soon as a peer that has confirmed the cancellation tells it.
 func TestLeaderToldOfCancellation(t *testing.T) {
 	t.Parallel()
-	w := New(610, logs())
-	w.Run(6 * time.Second)
-	u := w.submit(0, array("run-000001", 4), 500, 0, false)
-	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
+	w := startWorld(610, Small(), 6*time.Second)
+	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
 	w.state.blind = c
 	w.state.refuse(c, 60*time.Second)
-	at := slices.IndexFunc(w.nodes, func(o *controller) bool { return o != c })
+
 	status := 0
 	u.asked = true
-	w.nodes[at].ask(func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: u.j.spec.ID} }, func(s int, _ []byte) { status = s })
+	w.others(c)[0].ask(cancellation(u.j.spec.ID), func(s int, _ []byte) { status = s })
+
 	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.onAt["run-000001/0"] == nil && w.rules.onAt["run-000001/3"] == nil })
 	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
 	if status != 200 {
@@ -73,31 +87,30 @@
 func TestLongOutage(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{false, true} {
-		w := New(620, logs())
-		w.Run(6 * time.Second)
-		u := w.submit(0, array("run-000001", 6), 200, 0, false)
-		v := w.submit(0, array("run-000002", 2), 500, 0, false)
-		w.waitFor(t, 20*time.Second, "they run", func() bool { return w.running(u) && w.running(v) })
-		c, starts := w.leader(), w.rules.started
-		if refused {
-			w.state.refuse(c, 100*time.Second)
-			w.state.blind = c
-			// The message about the cancellation is lost: only the confirmation names it.
-			w.interrupt(1500*time.Millisecond, false, func(a, b string) bool { return a == c.name && b != "state" && w.workers[protocol.MachineID(b)] == nil })
-			w.Run(200 * time.Millisecond)
-		}
-		for !v.over {
-			v.cancel()
-			w.Run(100 * time.Millisecond)
-		}
-		w.state.outage(80 * time.Second)
-		w.Run(85 * time.Second)
-		w.state.blind = nil
-		w.waitFor(t, 200*time.Second, "it is done", func() bool { return u.over })
-		if n := w.rules.started - starts; n > 0 {
-			t.Errorf("refused %v: %d tasks were started again", refused, n)
-		}
-		w.check(t)
+		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
+			t.Parallel()
+			w := startWorld(620, Small(), 6*time.Second)
+			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
+			cancelled := w.submit(arrival{job: array("run-000002", 2), run: 500})
+			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
+			c, starts := w.leader(), w.rules.started
+			if refused {
+				w.state.refuse(c, 100*time.Second)
+				w.state.blind = c
+				// The message about the cancellation is lost: only the confirmation names it.
+				w.interrupt(1500*time.Millisecond, false, func(a, b string) bool { return a == c.name && b != "state" && w.workers[protocol.MachineID(b)] == nil })
+				w.Run(200 * time.Millisecond)
+			}
+
+			w.cancelUntilConfirmed(cancelled)
+			w.state.outage(80 * time.Second)
+			w.Run(85 * time.Second)
+			w.state.blind = nil
+
+			w.waitUntilOver(t, 200*time.Second, u)
+			w.expectStarts(t, starts, 0, "across the outage")
+			w.check(t)
+		})
 	}
 }
 
@@ -108,40 +121,38 @@
 func TestConfirmationOfRestartedPeer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := New(630+seed, logs())
-		w.Run(6 * time.Second)
-		u := w.submit(0, array("run-000001", 6), 500, 0, false)
-		w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-		c := w.leader()
-		w.state.blind = c
-		w.Run(400 * time.Millisecond)
-		var s *controller
-		for _, o := range w.nodes {
-			if o != c {
-				s = o
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			w, u, c := blindLeader(t, 630+seed, 6)
+			peer := w.others(c)[1]
+			cutOff := &cut{match: oneWay(peer, c)}
+			w.cuts = append(w.cuts, cutOff)
+
+			w.cancelAt(peer, u)
+			w.state.outage(100 * time.Second)
+			peer.crash(200 * time.Millisecond)
+			w.Run(100 * time.Millisecond)
+			w.mend(cutOff)
+			w.Run(60 * time.Second)
+
+			if c.node.Leading() {
+				t.Error("it still leads")
 			}
-		}
-		cutOff := &cut{match: func(a, b string) bool { return a == s.name && b == c.name }}
-		w.cuts = append(w.cuts, cutOff)
-		status := 0
-		u.asked = true
-		for status != 200 {
-			s.ask(func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: u.j.spec.ID} }, func(got int, body []byte) {
-				if status = got; got == 200 && !u.over {
-					u.takeAnswer(body)
-				}
-			})
-			w.Run(30 * time.Millisecond)
-		}
-		w.state.outage(100 * time.Second)
-		s.crash(200 * time.Millisecond)
-		w.Run(100 * time.Millisecond)
-		w.mend(cutOff)
-		w.Run(60 * time.Second)
-		if c.node.Leading() {
-			t.Errorf("seed %d: it still leads", seed)
-		}
-		w.Run(60 * time.Second)
-		w.check(t)
+			w.Run(60 * time.Second)
+			w.check(t)
+		})
+	}
+}
+
+// cancelAt has a user ask one node for a cancellation until it confirms.
+func (w *World) cancelAt(c *controller, u *user) {
+	u.asked = true
+	for status := 0; status != 200; {
+		c.ask(cancellation(u.j.spec.ID), func(got int, body []byte) {
+			if status = got; got == 200 && !u.over {
+				u.takeAnswer(body)
+			}
+		})
+		w.Run(30 * time.Millisecond)
 	}
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -80,6 +80,13 @@
 	c.w.after(back, c.boot)
 }
 
+// crashAll ends all controllers without a signal; they are back after a while.
+func (w *World) crashAll(back time.Duration) {
+	for _, c := range w.nodes {
+		c.crash(back)
+	}
+}
+
 // links finds out which peers have a link.
 func (c *controller) links() {
 	for _, o := range c.w.nodes {
@@ -102,7 +109,7 @@
 }
 
 // ask hands the node a request from outside.
-func (c *controller) ask(event func(id uint64) coordination.Event, answer func(status int, body []byte)) {
+func (c *controller) ask(event request, answer func(status int, body []byte)) {
 	if !c.alive {
 		return
 	}
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
@@ -38,22 +37,18 @@
 		requests++
 		switch i % 3 {
 		case 0:
-			d.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(accepted)} })
+			d.ask(2*time.Second, statusQuery(protocol.JobID(accepted)))
 		case 1:
-			d.ask(5*time.Second, func(id uint64) coordination.Event {
-				return coordination.Submit{ID: id, Job: array(protocol.JobID(fmt.Sprintf("run-7%05d", requests)), 1)}
-			})
+			d.ask(5*time.Second, submission(array(jobID(700000+requests), 1)))
 		case 2:
-			d.ask(5*time.Second, func(id uint64) coordination.Event {
-				return coordination.Cancel{ID: id, Job: protocol.JobID(fmt.Sprintf("run-7%05d", requests-1))}
-			})
+			d.ask(5*time.Second, cancellation(jobID(700000+requests-1)))
 		}
 	})
 	return d
 }
 
 // ask sends one request to a node that is up and ready, if there is one.
-func (d *downtime) ask(limit time.Duration, event func(id uint64) coordination.Event) {
+func (d *downtime) ask(limit time.Duration, event request) {
 	var up []*controller
 	for _, c := range d.w.nodes {
 		if c.alive && c.node.Ready() {
@@ -167,9 +162,9 @@
 	w.Run(5 * time.Second)
 	g := gangJob("run-000001", 4)
 	g.OneZone = true
-	gang := w.submit(0, g, 300, 0, false)
-	services := []*user{w.submit(0, service("run-000002", 4), 0, 0, false), w.submit(0, service("run-000003", 3), 0, 0, false)}
-	w.waitFor(t, 40*time.Second, "all runs", func() bool { return w.running(gang) && w.running(services[0]) && w.running(services[1]) })
+	gang := w.submit(arrival{job: g, run: 300})
+	services := []*user{w.submit(arrival{job: service("run-000002", 4)}), w.submit(arrival{job: service("run-000003", 3)})}
+	w.waitUntilRunning(t, 40*time.Second, gang, services[0], services[1])
 	w.Run(10 * time.Second)
 	starts := map[protocol.JobID]int{}
 	for _, u := range append(services, gang) {
@@ -224,58 +219,69 @@
 func TestRequestsInMixedVersions(t *testing.T) {
 	t.Parallel()
 	for mixture := range 8 {
-		w := NewShaped(uint64(520+mixture), logs(), lowered(Small(), 15, 4))
-		for i, c := range w.nodes {
-			if mixture>>i&1 == 1 {
-				w.release[c.name] = release03
-			}
-			c.crash(time.Millisecond)
-		}
-		w.Run(6 * time.Second)
-		ask := func(c *controller, event func(id uint64) coordination.Event) (status int, phase protocol.Phase) {
-			c.ask(event, func(s int, body []byte) {
-				var a protocol.Accepted
-				if status = s; s < 300 {
-					decode(body, &a)
-				}
-				phase = a.Phase
-			})
-			w.Run(500 * time.Millisecond)
-			return status, phase
-		}
-		for i, c := range w.nodes {
-			spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 3)
-			w.rules.jobs[spec.ID] = &simJob{spec: spec, progress: make([]float64, 3), done: make([]bool, 3), gangs: map[protocol.AttemptNumber]*gang{}}
-			submit := func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }
-			tooLarge := service("run-000099", 3)
-			tooLarge.Team, tooLarge.GPUs = "red", 4
-			if status, _ := ask(c, func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: tooLarge} }); status != 422 {
-				t.Errorf("mixture %d: beyond its team's limit: %d", mixture, status)
-			}
-			if status, phase := ask(c, submit); status != 201 || phase != protocol.PhasePending {
-				t.Errorf("mixture %d: submitted: %d %s", mixture, status, phase)
-			}
-			w.Run(8 * time.Second)
-			for _, o := range w.nodes {
-				if status, phase := ask(o, submit); status != 200 || phase != protocol.PhaseRunning {
-					t.Errorf("mixture %d: repeated: %d %s", mixture, status, phase)
+		t.Run(fmt.Sprint("mixture ", mixture), func(t *testing.T) {
+			t.Parallel()
+			w := NewShaped(uint64(520+mixture), logs(), lowered(Small(), 15, 4))
+			for i, c := range w.nodes {
+				if mixture>>i&1 == 1 {
+					w.release[c.name] = release03
 				}
+				c.crash(time.Millisecond)
 			}
-			at := w.nodes[(i+1)%3]
-			cancel := func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: spec.ID} }
-			if status, phase := ask(at, cancel); status != 200 || phase != protocol.PhaseCancelled {
-				t.Errorf("mixture %d: cancelled: %d %s", mixture, status, phase)
-			}
-			w.rules.jobs[spec.ID].cancelled = w.Now
-			for _, o := range w.nodes {
-				for _, event := range []func(id uint64) coordination.Event{submit, cancel, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: spec.ID} }} {
-					if status, phase := ask(o, event); status != 200 || phase != protocol.PhaseCancelled {
-						t.Errorf("mixture %d: after its cancellation: %d %s", mixture, status, phase)
-					}
-				}
+			w.Run(6 * time.Second)
+			for i := range w.nodes {
+				w.expectServiceServed(t, i)
 			}
+			w.Run(60 * time.Second)
+			w.check(t)
+		})
+	}
+}
+
+// expectServiceServed checks the answers of all nodes about a service that is submitted to
+// one and cancelled at the next.
+func (w *World) expectServiceServed(t *testing.T, node int) {
+	t.Helper()
+	job := service(jobID(10+node), 3)
+	w.rules.jobs[job.ID] = newSimJob(job)
+	submit, cancel := submission(job), cancellation(job.ID)
+	tooLarge := service("run-000099", 3)
+	tooLarge.Team, tooLarge.GPUs = "red", 4
+	if status, _ := w.phaseAt(w.nodes[node], submission(tooLarge)); status != 422 {
+		t.Errorf("beyond its team's limit: %d", status)
+	}
+	w.expectPhase(t, w.nodes[node], "submitted", submit, 201, protocol.PhasePending)
+	w.Run(8 * time.Second)
+	for _, c := range w.nodes {
+		w.expectPhase(t, c, "repeated", submit, 200, protocol.PhaseRunning)
+	}
+	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancelled", cancel, 200, protocol.PhaseCancelled)
+	w.rules.jobs[job.ID].cancelled = w.Now
+	for _, c := range w.nodes {
+		for _, r := range []request{submit, cancel, statusQuery(job.ID)} {
+			w.expectPhase(t, c, "after its cancellation", r, 200, protocol.PhaseCancelled)
 		}
-		w.Run(60 * time.Second)
-		w.check(t)
 	}
 }
+
+// expectPhase checks a node's answer to a request about a job.
+func (w *World) expectPhase(t *testing.T, c *controller, what string, r request, status int, phase protocol.Phase) {
+	t.Helper()
+	if gotStatus, gotPhase := w.phaseAt(c, r); gotStatus != status || gotPhase != phase {
+		t.Errorf("%s at %s: %d %s, want %d %s", what, c.name, gotStatus, gotPhase, status, phase)
+	}
+}
+
+// phaseAt has a node take a request about a job and returns its answer of half a second
+// later.
+func (w *World) phaseAt(c *controller, r request) (status int, phase protocol.Phase) {
+	c.ask(r, func(s int, body []byte) {
+		var a protocol.Accepted
+		if status = s; s < 300 {
+			decode(body, &a)
+		}
+		phase = a.Phase
+	})
+	w.Run(500 * time.Millisecond)
+	return status, phase
+}
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -24,17 +23,16 @@
 var faultCombinations = []faultCombination{
 	{name: "jobs bound to a zone lose machines", play: func(w *World) {
 		for i := range 6 {
-			s := array(protocol.JobID(fmt.Sprintf("run-80001%d", i)), 4)
+			s := array(jobID(800010+i), 4)
 			s.OneZone = true
 			if i%2 == 0 {
 				s.Shape = protocol.ShapeGang
 			}
-			w.submit(time.Duration(i)*time.Second, s, 40, 0, false)
+			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, run: 40})
 		}
 		w.every(6*time.Second, 6, func(int) {
 			for _, k := range w.someWorkers(1) {
-				k.kill()
-				delete(w.workers, k.h.ID)
+				w.loseWorker(k)
 			}
 		})
 		w.after(15*time.Second, func() { w.replace(time.Second) })
@@ -54,7 +52,7 @@
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
 				id := k.h.ID
-				w.interrupt(18*time.Second, i%2 == 0, func(a, _ string) bool { return a == string(id) })
+				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.replace(time.Second) })
 			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
@@ -64,7 +62,7 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.h.ID
-				held := &cut{hold: true, match: func(a, _ string) bool { return a == string(id) }}
+				held := &cut{hold: true, match: fromHost(string(id))}
 				w.cuts = append(w.cuts, held)
 				w.after(12*time.Second, func() { w.mend(held) })
 			}
@@ -90,7 +88,7 @@
 			if i%3 == 0 {
 				cancel = w.between(time.Millisecond, 80*time.Millisecond)
 			}
-			w.submit(0, array(protocol.JobID(fmt.Sprintf("run-8002%02d", i)), 1), 3, cancel, false)
+			w.submit(arrival{job: array(jobID(800200+i), 1), run: 3, cancelAfter: cancel})
 		})
 		w.every(30*time.Second, 3, func(int) { w.replace(400 * time.Millisecond) })
 	}, most: 2},
@@ -150,7 +148,7 @@
 	}},
 	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
 		for i := range 8 {
-			u := w.submit(time.Duration(i)*time.Second, array(protocol.JobID(fmt.Sprintf("run-80003%d", i)), 2+i%2), 60, 0, false)
+			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
 			u.j.progress[0], u.j.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.replace(1500 * time.Millisecond) })
@@ -181,7 +179,7 @@
 					w.blockInbound(string(k.h.ID), 35*time.Second, i%2 == 0)
 				} else {
 					id := k.h.ID
-					w.interrupt(15*time.Second, true, func(a, _ string) bool { return a == string(id) })
+					w.interrupt(15*time.Second, true, fromHost(string(id)))
 				}
 			}
 			w.after(2*time.Second, func() { w.replace(3 * time.Second) })
@@ -200,8 +198,7 @@
 			w.forNext(24 * time.Second)
 			w.after(15*time.Second, func() {
 				for _, k := range w.someWorkers(1) {
-					k.kill()
-					delete(w.workers, k.h.ID)
+					w.loseWorker(k)
 				}
 				w.cancelNow(2, 0)
 				w.replace(time.Duration(i) * 400 * time.Millisecond)
@@ -231,15 +228,15 @@
 	}, most: 2},
 	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", play: func(w *World) {
 		for i := range 10 {
-			s := array(protocol.JobID(fmt.Sprintf("run-80004%d", i)), 6)
+			s := array(jobID(800040+i), 6)
 			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
-			w.submit(0, s, 45, 0, false)
+			w.submit(arrival{job: s, run: 45})
 		}
 		w.every(22*time.Second, 5, func(i int) {
 			w.cancelNow(5, 20*time.Second)
 			for _, k := range w.someWorkers(1) {
 				id := k.h.ID
-				w.interrupt(20*time.Second, i%2 == 0, func(a, _ string) bool { return a == string(id) })
+				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.replace(2 * time.Second) })
 		})
@@ -264,7 +261,7 @@
 			if i%4 == 0 {
 				cancel = w.between(10*time.Millisecond, 8*time.Second)
 			}
-			w.submit(0, array(protocol.JobID(fmt.Sprintf("run-81%04d", i)), 1), 4, cancel, false)
+			w.submit(arrival{job: array(jobID(810000+i), 1), run: 4, cancelAfter: cancel})
 		})
 	}, most: 10},
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -1,20 +1,14 @@
 package simulation
 
 import (
-	"fmt"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
 // someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) (list []*worker) {
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil {
-			list = append(list, k)
-		}
-	}
+func (w *World) someWorkers(n int) []*worker {
+	list := w.workersInOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
@@ -90,7 +84,7 @@
 				u.look()
 				if u.over {
 					told := u.phase
-					c.ask(func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
+					c.ask(cancellation(u.j.spec.ID), func(status int, body []byte) {
 						var a protocol.Accepted
 						if decode(body, &a); status == 200 && a.Phase != told {
 							w.rules.violated("went_back", "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
@@ -98,7 +92,7 @@
 					})
 				}
 			}
-			spec := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
+			spec := array(jobID(900000+w.rng.IntN(100_000)), 2)
 			switch w.rng.IntN(5) {
 			case 0:
 				spec.CPUs = 1000
@@ -111,7 +105,7 @@
 			case 4:
 				spec.Shape, spec.OneZone, spec.Spread = protocol.ShapeGang, true, true
 			}
-			c.ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }, func(status int, _ []byte) {
+			c.ask(submission(spec), func(status int, _ []byte) {
 				if status == 200 || status == 201 {
 					w.rules.violated("accepted", "%+v can never run", *spec)
 				}
@@ -252,7 +246,7 @@
 
 // end lets a day come to its end: every job but a mistaken one must be over.
 func (w *World) end() {
-	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !w.over(); {
+	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !over(w.users...); {
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -12,20 +12,15 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// over says whether every user has had a final answer.
-func (w *World) over() bool {
-	return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over })
-}
-
 // finish lets a day come to its end and checks whom it served.
 func (w *World) finish(t *testing.T, limit time.Duration) {
 	t.Helper()
-	for end := w.Now.Add(limit); !w.over() && w.Now.Before(end); {
+	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
 	}
 	w.served(largestWithin)
 	w.check(t)
-	if !w.over() {
+	if !over(w.users...) {
 		t.Errorf("not all is over within %v", limit)
 	}
 }
@@ -37,30 +32,34 @@
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
-			shape := Small()
-			shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
-			w := NewShaped(21, logs(), shape)
-			w.Run(6 * time.Second)
-			id := w.cloud.hosts[0].ID
-			if busy {
-				spec := array("run-000001", 2)
-				spec.Zone = w.zoneOf[string(id)]
-				u := w.submit(0, spec, 500, 0, false)
-				w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-				w.after(time.Second+time.Millisecond, u.cancel)
-			}
-			w.blockInbound(string(id), 600*time.Second, hold)
-			w.Run(time.Second)
-			spec := gangJob("run-000010", 4) // takes a whole machine of that zone
-			spec.Zone = w.zoneOf[string(id)]
-			u := w.submit(0, spec, 15, 0, false)
-			took := w.waitFor(t, 100*time.Second, "the gang is done", func() bool { return u.over })
-			t.Logf("busy %v, hold %v: done after %v", busy, hold, took)
-			if w.workers[id] != nil {
-				t.Errorf("busy %v, hold %v: the deaf machine is still rented", busy, hold)
-			}
-			w.Run(secs(w.shape.Workers.CancelS))
-			w.check(t)
+			t.Run(fmt.Sprintf("busy %v, hold %v", busy, hold), func(t *testing.T) {
+				t.Parallel()
+				shape := Small()
+				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
+				w := startWorld(21, shape, 6*time.Second)
+				id := w.cloud.hosts[0].ID
+				zone := w.zoneOf[string(id)]
+				if busy {
+					job := array("run-000001", 2)
+					job.Zone = zone
+					u := w.submitRunning(t, 20*time.Second, job, 500)
+					w.after(time.Second+time.Millisecond, u.cancel)
+				}
+
+				w.blockInbound(string(id), 600*time.Second, hold)
+				w.Run(time.Second)
+				wholeMachine := gangJob("run-000010", 4)
+				wholeMachine.Zone = zone
+				u := w.submit(arrival{job: wholeMachine, run: 15})
+
+				took := w.waitUntilOver(t, 100*time.Second, u)
+				t.Logf("busy %v, hold %v: done after %v", busy, hold, took)
+				if w.workers[id] != nil {
+					t.Error("the machine that receives nothing is still rented")
+				}
+				w.Run(secs(w.shape.Workers.CancelS))
+				w.check(t)
+			})
 		}
 	}
 }
@@ -69,20 +68,20 @@
 // newer session or its deletion, and a job that waits is started elsewhere.
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
 	t.Parallel()
-	w := New(22, logs())
-	w.Run(6 * time.Second)
-	spec := gangJob("run-000001", 4)
-	spec.CheckpointS, spec.SaveS, spec.OneZone = 10, 2, true
-	u := w.submit(0, spec, 80, 0, false)
-	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-	id := w.rules.onAt["run-000001/0"].k.h.ID
+	w := startWorld(22, Small(), 6*time.Second)
+	job := checkpointed(gangJob("run-000001", 4), 10, 2)
+	job.OneZone = true
+	u := w.submitRunning(t, 20*time.Second, job, 80)
+	id := w.workerOf("run-000001", 0).h.ID
+
 	w.blockInbound(string(id), 400*time.Second, false)
 	w.Run(secs(w.shape.Workers.LeaseS) + 2*time.Second)
+
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
-		return w.running(u) && w.rules.onAt["run-000001/0"].k.h.ID != id
+		return w.running(u) && w.workerOf("run-000001", 0).h.ID != id
 	})
 	t.Logf("repaired %v after the lease ran out", took)
-	w.waitFor(t, 120*time.Second, "it is done", func() bool { return u.over })
+	w.waitUntilOver(t, 120*time.Second, u)
 	w.check(t)
 }
 
@@ -93,18 +92,17 @@
 	w := New(23, logs())
 	w.copies = 4 * secs(w.shape.Workers.LeaseS)
 	w.load(24, 120*time.Second)
+
 	for range 5 {
 		w.Run(25 * time.Second)
 		if c := w.leader(); c != nil {
 			c.crash(time.Second)
 		}
-		for _, h := range w.cloud.hosts {
-			if w.workers[h.ID] != nil {
-				w.cloud.destroy(h)
-				break
-			}
+		if list := w.workersInOrder(); len(list) > 0 {
+			w.cloud.destroy(list[0].h)
 		}
 	}
+
 	w.waitFor(t, 500*time.Second, "all is over", func() bool {
 		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.j.mistaken })
 	})
@@ -116,75 +114,88 @@
 // that means anything, no record, no work, and does not keep the name alive.
 func TestCopyOfDeletedMachine(t *testing.T) {
 	t.Parallel()
-	w := New(24, logs())
-	w.Run(6 * time.Second)
-	u := w.submit(0, array("run-000001", 4), 10, 0, false)
-	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-	k := w.rules.onAt["run-000001/0"].k
+	w := startWorld(24, Small(), 6*time.Second)
+	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	k := w.workerOf("run-000001", 0)
 	old := encode(k.report())
-	w.waitFor(t, 60*time.Second, "it is done", func() bool { return u.over })
+	w.waitUntilOver(t, 60*time.Second, u)
 	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.workers[k.h.ID] == nil })
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
-	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
+	w.waitForLeader(t, 10*time.Second)
 	starts, rented := w.rules.started, len(w.cloud.rented)
+
 	for _, c := range w.nodes {
-		r, _ := protocol.ParseReport(old)
-		c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
-			var a protocol.ReportAnswer
-			if status == 200 {
-				decode(body, &a)
-			}
-			for _, o := range a.Commands {
-				if o.Op != protocol.OpStop {
-					t.Errorf("%s answers the copy with %s", c.name, o.Op)
-				}
-			}
-		})
+		w.expectOnlyStops(t, c, old)
 	}
 	w.Run(2 * time.Second)
-	for key, e := range w.state.keys {
-		if strings.HasPrefix(key, bookkeeping.MachinePrefix) && containsName(e.Value, k.h.ID) {
-			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
-		}
-	}
-	again := w.submit(time.Second, array("run-000002", 2), 10, 0, false)
-	w.waitFor(t, 120*time.Second, "the next job is done", func() bool { return again.over })
-	if w.rules.started-starts != 2 {
-		t.Errorf("%d starts for 2 tasks", w.rules.started-starts)
-	}
+
+	w.expectNotRecorded(t, k.h.ID)
+	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
+	w.waitUntilOver(t, 120*time.Second, next)
+	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
 	if n := len(w.cloud.rented) - rented; n > 2 {
 		t.Errorf("%d rentals", n)
 	}
 	w.check(t)
 }
 
-func containsName(value []byte, id protocol.MachineID) bool {
-	var rack bookkeeping.MachineRecord
-	decode(value, &rack)
-	return slices.ContainsFunc(rack.Machines, func(r bookkeeping.MachineEntry) bool { return r.ID == id })
+// expectOnlyStops shows a node a copy of a report and checks that its answer orders nothing
+// but stops.
+func (w *World) expectOnlyStops(t *testing.T, c *controller, copied []byte) {
+	t.Helper()
+	r, err := protocol.ParseReport(copied)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
+		var a protocol.ReportAnswer
+		if status == 200 {
+			decode(body, &a)
+		}
+		for _, o := range a.Commands {
+			if o.Op != protocol.OpStop {
+				t.Errorf("%s answers the copy with %s", c.name, o.Op)
+			}
+		}
+	})
+}
+
+// expectNotRecorded checks that no record of machines names one.
+func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
+	t.Helper()
+	for key, e := range w.state.keys {
+		if strings.HasPrefix(key, bookkeeping.MachinePrefix) && namesMachine(e.Value, id) {
+			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
+		}
+	}
+}
+
+// namesMachine says whether a record of machines names one.
+func namesMachine(value []byte, id protocol.MachineID) bool {
+	var record bookkeeping.MachineRecord
+	decode(value, &record)
+	return slices.ContainsFunc(record.Machines, func(m bookkeeping.MachineEntry) bool { return m.ID == id })
 }
 
 // TestCopyOfDeadMachine: a machine dies with its leader, and the next leader's
 // first sign of it is a late duplicate of an old report. It gets no work.
 func TestCopyOfDeadMachine(t *testing.T) {
 	t.Parallel()
-	w := New(26, logs())
-	w.Run(6 * time.Second)
-	u := w.submit(0, array("run-000001", 4), 10, 0, false)
-	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-	k := w.rules.onAt["run-000001/0"].k
-	w.waitFor(t, 60*time.Second, "it is done", func() bool { return u.over })
+	w := startWorld(26, Small(), 6*time.Second)
+	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	k := w.workerOf("run-000001", 0)
+	w.waitUntilOver(t, 60*time.Second, u)
 	old := encode(k.report())
-	k.kill()
-	delete(w.workers, k.h.ID)
+
+	w.loseWorker(k)
 	w.leader().crash(time.Second)
-	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
+	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
 	w.copyReport(w.leader(), old)
+
 	// Its image is there, so it would be the first choice.
-	again := w.submit(0, array("run-000002", 4), 10, 0, false)
-	w.waitFor(t, 5*time.Second, "the next job runs", func() bool { return w.running(again) })
+	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.check(t)
 }
 
@@ -194,73 +205,90 @@
 func TestIsolatedLeader(t *testing.T) {
 	t.Parallel()
 	for _, hold := range []bool{true, false} {
-		w := New(25, logs())
-		w.Run(6 * time.Second)
-		u := w.submit(0, array("run-000001", 6), 100, 0, false)
-		w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
-		c, starts := w.leader(), w.rules.started
-		w.isolate(c, 100*time.Second, hold)
-		w.waitFor(t, 10*time.Second, "another leads", func() bool {
-			return slices.ContainsFunc(w.nodes, func(o *controller) bool { return o != c && o.node.Leading() })
+		t.Run(fmt.Sprint("hold ", hold), func(t *testing.T) {
+			t.Parallel()
+			w := startWorld(25, Small(), 6*time.Second)
+			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
+			c, starts := w.leader(), w.rules.started
+
+			w.isolate(c, 100*time.Second, hold)
+
+			w.waitFor(t, 10*time.Second, "another leads", func() bool {
+				return slices.ContainsFunc(w.others(c), func(o *controller) bool { return o.node.Leading() })
+			})
+			w.expectRefusals(t, c)
+			w.waitUntilOver(t, 200*time.Second, u)
+			w.expectStarts(t, starts, 0, "across the isolation")
+			w.check(t)
 		})
-		w.Run(8 * time.Second)
-		if c.node.Ready() {
-			t.Errorf("hold %v: the isolated node says it is ready", hold)
-		}
-		status := 0
-		began := w.Now
-		c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-000001"} }, func(s int, _ []byte) { status = s })
-		w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
-		if status != 503 {
-			t.Errorf("hold %v: answered %d after %v", hold, status, w.Now.Sub(began))
-		}
-		w.Run(secs(w.shape.Workers.CancelS) - secs(w.shape.Workers.LeaseS))
-		if c.node.Leading() {
-			t.Errorf("hold %v: it still leads", hold)
-		}
-		c.ask(func(id uint64) coordination.Event {
-			k := w.rules.onAt["run-000001/0"].k
-			return coordination.WorkerReport{ID: id, Report: k.report()}
-		}, func(s int, _ []byte) { status = s })
-		w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
-		w.waitFor(t, 200*time.Second, "it is done", func() bool { return u.over })
-		if n := w.rules.started - starts; n > 0 {
-			t.Errorf("hold %v: %d tasks were started again", hold, n)
-		}
-		w.check(t)
 	}
 }
 
+// expectRefusals checks that an isolated leader refuses users at once, and once its
+// authority is over its workers.
+func (w *World) expectRefusals(t *testing.T, c *controller) {
+	t.Helper()
+	w.Run(8 * time.Second)
+	if c.node.Ready() {
+		t.Error("the isolated node says it is ready")
+	}
+	status, began := 0, w.Now
+	note := func(s int, _ []byte) { status = s }
+	c.ask(statusQuery("run-000001"), note)
+	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
+	if status != 503 {
+		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
+	}
+	w.Run(secs(w.shape.Workers.CancelS) - secs(w.shape.Workers.LeaseS))
+	if c.node.Leading() {
+		t.Error("it still leads")
+	}
+	status = 0
+	report := w.workerOf("run-000001", 0).report()
+	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: report} }, note)
+	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
+}
+
 // TestBackAtOnce: processes that are back within a fraction of a second, in the
 // middle of an election, of a transaction, and several at once.
 func TestBackAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := New(30+seed, logs())
-		w.copies = 5 * time.Second // reports of their former lives come late
-		w.Run(5 * time.Second)
-		for i := range 8 {
-			w.submit(time.Duration(i)*2*time.Second, array(protocol.JobID(fmt.Sprintf("run-%06d", i)), 3), 10, 0, false)
-		}
-		for i := range 12 {
-			if c := w.leader(); c != nil && i%3 == 0 {
-				c.crash(w.between(5*time.Millisecond, 300*time.Millisecond)) // mid-transaction
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			w := New(30+seed, logs())
+			w.copies = 5 * time.Second // reports of their former lives come late
+			w.Run(5 * time.Second)
+			for i := range 8 {
+				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
-			w.Run(w.between(time.Millisecond, 60*time.Millisecond))
-			for _, c := range w.nodes[:1+i%3] {
-				c.crash(w.between(5*time.Millisecond, 400*time.Millisecond)) // mid-election
+
+			w.restartOften(12)
+			w.copies = 0
+			w.faultsOver = w.Now
+
+			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
+				t.Errorf("a leader after %v", took)
 			}
-			w.Run(w.between(100*time.Millisecond, 3*time.Second))
+			w.waitUntilOver(t, 200*time.Second, w.users...)
+			w.served(largestWithin)
+			w.check(t)
+		})
+	}
+}
+
+// restartOften ends leaders in the middle of transactions and other nodes in the middle of
+// elections; all are back within a fraction of a second.
+func (w *World) restartOften(times int) {
+	for i := range times {
+		if c := w.leader(); c != nil && i%3 == 0 {
+			c.crash(w.between(5*time.Millisecond, 300*time.Millisecond))
 		}
-		w.copies = 0
-		w.faultsOver = w.Now
-		took := w.waitFor(t, 15*time.Second, "somebody leads", func() bool { return w.leader() != nil })
-		if took > 6*time.Second {
-			t.Errorf("seed %d: a leader after %v", seed, took)
+		w.Run(w.between(time.Millisecond, 60*time.Millisecond))
+		for _, c := range w.nodes[:1+i%3] {
+			c.crash(w.between(5*time.Millisecond, 400*time.Millisecond))
 		}
-		w.waitFor(t, 200*time.Second, "all is done", w.over)
-		w.served(largestWithin)
-		w.check(t)
+		w.Run(w.between(100*time.Millisecond, 3*time.Second))
 	}
 }
 
@@ -271,18 +299,11 @@
 	w := NewShaped(3, logs(), grown())
 	w.crowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
-	lost := 0
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil && lost < len(w.cloud.hosts)/3 {
-			lost++
-			k.kill()
-			delete(w.workers, h.ID)
-		}
-	}
+
+	w.loseOldest(len(w.cloud.hosts) / 3)
 	for i := range 12 {
-		spec := gangJob(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 32)
-		spec.Class, spec.Team, spec.Priority, spec.GPUs, spec.CPUs, spec.MemoryGB, spec.OneZone = "gang", "team-0", "high", 2, 20, 110, true
-		w.submit(time.Duration(i)*time.Second, spec, 60, 0, false)
+		job := queued(largeGang(jobID(900+i)), "gang", "team-0", "high")
+		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, run: 60})
 	}
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -181,9 +181,7 @@
 	w.Run(3 * time.Second)
 	w.crowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
-		w.nodes[i%len(w.nodes)].ask(func(id uint64) coordination.Event {
-			return coordination.Query{ID: id, Job: protocol.JobID(fmt.Sprintf("run-%06d", 900_000+i))}
-		}, func(int, []byte) {})
+		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
 	w.randomFaults(7*time.Second, 8)
@@ -215,12 +213,12 @@
 func servicesDay(seed uint64, f *fingerprint) {
 	w := f.watch(New(seed, logs()))
 	w.Run(6 * time.Second)
-	u := w.submit(0, service("run-000001", 4), 0, 150*time.Second, false)
+	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 150 * time.Second})
 	w.Run(10 * time.Second)
 	for i := range 3 {
-		spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 1+w.rng.IntN(6))
+		spec := service(jobID(10+i), 1+w.rng.IntN(6))
 		spec.Spread, spec.GPUs = i%2 == 0, float64(w.rng.IntN(2))
-		w.submit(w.between(0, 20*time.Second), spec, 0, w.between(100*time.Second, 200*time.Second), false)
+		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, cancelAfter: w.between(100*time.Second, 200*time.Second)})
 	}
 	w.load(8, 60*time.Second)
 	w.Run(4 * time.Second)
@@ -255,9 +253,7 @@
 	}
 	w.replace(time.Second)
 	w.Run(12 * time.Second)
-	for _, c := range w.nodes {
-		c.crash(2 * time.Second)
-	}
+	w.crashAll(2 * time.Second)
 	w.Run(time.Second)
 	w.state.restore(old)
 	w.Run(100 * time.Second)
@@ -270,13 +266,11 @@
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(6 * time.Second)
-	w.submit(0, array("run-000001", 5), 150, 0, false)
-	w.submit(0, gangJob("run-000002", 6), 150, 0, false)
+	w.submit(arrival{job: array("run-000001", 5), run: 150})
+	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
 	w.load(8, 60*time.Second)
 	w.Run(30 * time.Second)
-	for _, c := range w.nodes {
-		c.crash(3 * time.Second)
-	}
+	w.crashAll(3 * time.Second)
 	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
 	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
 	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
@@ -295,12 +289,10 @@
 	w.crowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
-	w.interrupt(30*time.Second, true, func(a, b string) bool { return (w.zoneOf[a] == dark) != (w.zoneOf[b] == dark) })
+	w.interrupt(30*time.Second, true, w.aroundZone(dark))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
-	for _, c := range w.nodes {
-		c.crash(4 * time.Second)
-	}
+	w.crashAll(4 * time.Second)
 	w.Run(20 * time.Second)
 	w.randomFaults(8*time.Second, 6)
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,12 +1,10 @@
 package simulation
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/config"
-	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -59,9 +57,9 @@
 	w := NewShaped(1, logs(), fleet4000())
 	w.crowd(300, 70*time.Second)
 	for i := range 8 {
-		spec := array(protocol.JobID(fmt.Sprintf("run-%06d", 900+i)), 1300)
-		spec.Class, spec.Team, spec.Priority, spec.Spot, spec.EstimateS = "array", w.shape.Teams[i].Name, "idle", true, 40
-		w.submit(w.between(0, 20*time.Second), spec, 30+20*w.rng.Float64(), 0, false)
+		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec.Spot, spec.EstimateS = true, 40
+		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
 	w.fallsTogether(t, 1400)
 }
@@ -71,59 +69,46 @@
 // holds, everybody is served, and what is done and asked keeps within bounds that are
 // counted, not timed.
 func (w *World) fallsTogether(t *testing.T, die int) {
+	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
-	dark := shape.Zones[2]
-	w.interrupt(40*time.Second, true, func(a, b string) bool {
-		return (w.zoneOf[a] == dark) != (w.zoneOf[b] == dark)
-	})
+	w.interrupt(40*time.Second, true, w.aroundZone(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := 0
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil && lost < die {
-			lost++
-			k.kill()
-			delete(w.workers, h.ID)
-		}
-	}
+	lost := w.loseOldest(die)
 	w.Run(10 * time.Second)
 	w.state.outage(25 * time.Second)
 	w.Run(24 * time.Second)
-	for _, c := range w.nodes {
-		c.crash(4 * time.Second)
-	}
-	before := w.steps
-	calls, requests, changed := w.calls, w.state.requests, w.state.changed
-	returned := w.Now
-	accepted := w.submit(0, array("run-000001", 1), 10, 0, false)
-	accepted.j.spec.Team = shape.Teams[0].Name
-	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return accepted.accepted })
-	t.Logf("%d machines of %d lost, then all controllers: a submission is accepted after %v", lost, len(w.workers)+lost, w.Now.Sub(returned))
-	starts := w.rules.started
-	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
-	t.Logf("a task starts after %v", w.Now.Sub(returned))
-	w.Run(returned.Add(20 * time.Second).Sub(w.Now))
-	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-before, w.calls-calls, w.state.requests-requests, w.state.changed-changed)
-	if n, limit := w.calls-calls, int(21*shape.Resources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds()); n > limit {
-		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
-	}
+	w.crashAll(4 * time.Second)
+	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.workers)+lost)
+
+	w.expectQuickReturn(t)
 	w.faultsOver = w.Now
 	w.finish(t, 700*time.Second)
-	span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused; at most %d calls to workers at once", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused, w.most)
+
+	t.Logf("at most %d calls to workers at once", w.most)
 	if limit := int(float64(shape.Resources.FDLimit) * tuning.WorkerSockets); w.most > limit {
 		t.Errorf("%d calls to workers under way at once", w.most)
 	}
-	if w.state.refused > 40 {
-		t.Errorf("the state service refuses %d requests beyond its budget", w.state.refused)
-	}
-	if limit := int(span * shape.State.WriteRPS); w.state.changed > limit {
-		t.Errorf("%d changes in %.0f s", w.state.changed, span)
-	}
-	if limit := 40_000 * jobs; w.state.bytes > limit {
-		t.Errorf("%d bytes for %d jobs", w.state.bytes, jobs)
-	}
-	if limit := int(span) * (30 + shape.Capacity/2); w.steps > limit {
-		t.Errorf("%d steps in %.0f s", w.steps, span)
+	changes := int(w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds() * shape.State.WriteRPS)
+	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
+}
+
+// expectQuickReturn checks that controllers that were all lost just now take a submission
+// and start a task soon, and that their calls to workers keep within their share.
+func (w *World) expectQuickReturn(t *testing.T) {
+	t.Helper()
+	steps, calls, requests, changed := w.steps, w.calls, w.state.requests, w.state.changed
+	lost := w.Now
+	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
+	u.j.spec.Team = w.shape.Teams[0].Name
+	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
+	t.Logf("a submission is accepted after %v", w.Now.Sub(lost))
+	starts := w.rules.started
+	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
+	t.Logf("a task starts after %v", w.Now.Sub(lost))
+	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
+	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.state.requests-requests, w.state.changed-changed)
+	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds()); n > limit {
+		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
 }
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -29,16 +29,16 @@
 // crowd makes gangs and arrays of many sizes come for a while.
 func (w *World) crowd(jobs int, span time.Duration) {
 	for i := range jobs {
-		spec := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
-		spec.Class, spec.Team, spec.Priority, spec.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
+		spec := array(jobID(100+i), 1+w.rng.IntN(40))
+		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			spec.GPUs, spec.CPUs, spec.MemoryGB, spec.OneZone, spec.Spot, spec.DeadlineS = w.shape.Type.GPUs, 20, 110, true, false, 0
-			spec.CheckpointS, spec.SaveS, spec.EstimateS = 45, 4, 120
+			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
-		w.submit(w.between(0, span), spec, spec.EstimateS*(0.5+w.rng.Float64()), 0, false)
+		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
 	}
 }
 
@@ -56,30 +56,45 @@
 // state service keeps within bounds, counted, not timed.
 func TestSizes(t *testing.T) {
 	t.Parallel()
-	for name, day := range map[string]struct {
+	for _, day := range []struct {
+		name  string
 		shape Shape
 		jobs  int
-	}{"thousand": {grown(), 200}, "weakest": {weakest(), 60}} {
-		t.Run(name, func(t *testing.T) {
+	}{{"thousand", grown(), 200}, {"weakest", weakest(), 60}} {
+		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			w := NewShaped(1, logs(), day.shape)
 			w.crowd(day.jobs, 120*time.Second)
 			w.finish(t, 600*time.Second)
-			span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
-			t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused)
-			if w.state.refused > 20 {
-				t.Errorf("the state service refuses %d requests beyond its budget", w.state.refused)
-			}
-			if limit := 25 * day.jobs; w.state.changed > limit {
-				t.Errorf("%d changes for %d jobs", w.state.changed, day.jobs)
-			}
-			if limit := 40_000 * day.jobs; w.state.bytes > limit {
-				t.Errorf("%d bytes for %d jobs", w.state.bytes, day.jobs)
-			}
-			// Ten ticks a second at each of three nodes, and the events.
-			if limit := int(span) * (30 + day.shape.Capacity/2); w.steps > limit {
-				t.Errorf("%d steps in %.0f s", w.steps, span)
-			}
+			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
 	}
 }
+
+// workBounds are bounds of what the controllers ask of the key-value store.
+type workBounds struct {
+	refused int // requests beyond its budget
+	changes int // of keys
+	bytes   int // of requests
+}
+
+// expectWithin checks that what the controllers have done and asked since the start keeps
+// within bounds.
+func (w *World) expectWithin(t *testing.T, bounds workBounds) {
+	t.Helper()
+	span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
+	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused)
+	if w.state.refused > bounds.refused {
+		t.Errorf("the key-value store refuses %d requests beyond its budget", w.state.refused)
+	}
+	if w.state.changed > bounds.changes {
+		t.Errorf("%d changes, at most %d are due", w.state.changed, bounds.changes)
+	}
+	if w.state.bytes > bounds.bytes {
+		t.Errorf("%d bytes, at most %d are due", w.state.bytes, bounds.bytes)
+	}
+	// Ten ticks a second at each of three nodes, and the events.
+	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
+		t.Errorf("%d steps in %.0f s", w.steps, span)
+	}
+}
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -13,8 +13,7 @@
 	shape.Machines = 0
 	for _, cores := range []float64{0.018, 0.24} {
 		shape.Resources.Cores = cores
-		w := NewShaped(1, logs(), shape)
-		w.Run(10 * time.Second)
+		w := startWorld(1, shape, 10*time.Second)
 		steps, requests := w.steps, w.state.requests
 		w.Run(60 * time.Second)
 		perNode := float64(w.steps-steps) / 60 / float64(len(w.nodes))
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -83,7 +82,7 @@
 }
 
 // reach makes a request of a worker or user to a controller.
-func (w *World) reach(from string, node int, timeout time.Duration, event func(id uint64) coordination.Event, done func(status int, body []byte)) {
+func (w *World) reach(from string, node int, timeout time.Duration, event request, done func(status int, body []byte)) {
 	if w.live != nil {
 		w.live.ask(node, timeout, event(0), done)
 		return
@@ -95,3 +94,18 @@
 		}
 	}, done)
 }
+
+// inDifferentZones matches packets between hosts of two zones.
+func (w *World) inDifferentZones(a, b string) bool {
+	return w.zoneOf[a] != w.zoneOf[b] && w.zoneOf[a] != "" && w.zoneOf[b] != ""
+}
+
+// aroundZone matches packets between a zone and everything outside it.
+func (w *World) aroundZone(zone protocol.ZoneName) func(a, b string) bool {
+	return func(a, b string) bool { return (w.zoneOf[a] == zone) != (w.zoneOf[b] == zone) }
+}
+
+// fromHost matches packets that a host sends.
+func fromHost(host string) func(a, b string) bool {
+	return func(a, _ string) bool { return a == host }
+}
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -1,9 +1,7 @@
 package simulation
 
 import (
-	"fmt"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -114,17 +112,15 @@
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
-		spec := service(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 6)
+		spec := service(jobID(i), 6)
 		spec.Team = shape.Teams[0].Name
-		users = append(users, w.submit(0, spec, 0, 0, false))
+		users = append(users, w.submit(arrival{job: spec}))
 	}
-	w.waitFor(t, 60*time.Second, "all run", func() bool {
-		return !slices.ContainsFunc(users, func(u *user) bool { return !w.running(u) })
-	})
+	w.waitUntilRunning(t, 60*time.Second, users...)
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	at := w.Now
 	s.w = w
-	s.lose(w.rules.onAt["run-000000/1"].k)
+	s.lose(w.workerOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
 		s.look()
@@ -140,8 +136,7 @@
 			s.lost[name] = string(k.h.ID)
 		}
 	}
-	k.kill()
-	delete(s.w.workers, k.h.ID)
+	s.w.loseWorker(k)
 }
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
@@ -226,7 +221,7 @@
 		spec := service("run-000000", 6)
 		spec.Team = shape.Teams[0].Name
 		at := w.Now
-		w.submit(0, spec, 0, 0, false)
+		w.submit(arrival{job: spec})
 		for i := range spec.Tasks {
 			s.lost[protocol.TaskName(spec.ID, i)] = ""
 		}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -35,6 +35,11 @@
 	ends      time.Duration // a service's replicas end by themselves after about this, 0: never
 }
 
+// newSimJob is a job none of whose tasks has run.
+func newSimJob(spec *protocol.Job) *simJob {
+	return &simJob{spec: spec, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}}
+}
+
 func newRules(w *World) *rules {
 	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, onAt: map[string]*workerTask{}, use: map[protocol.TeamName]float64{}}
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -2,83 +2,29 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// leader is the node that leads, nil while none does.
-func (w *World) leader() *controller {
-	for _, c := range w.nodes {
-		if c.alive && c.node.Leading() {
-			return c
-		}
-	}
-	return nil
-}
-
-// waitFor runs the world until something holds and returns how long it took.
-func (w *World) waitFor(t *testing.T, limit time.Duration, what string, holds func() bool) time.Duration {
-	t.Helper()
-	from := w.Now
-	for !holds() {
-		if w.Now.Sub(from) > limit {
-			t.Fatalf("%s: not within %v", what, limit)
-		}
-		w.Run(20 * time.Millisecond)
-	}
-	return w.Now.Sub(from)
-}
-
-func (w *World) check(t *testing.T) {
-	t.Helper()
-	for _, f := range w.rules.failures {
-		t.Error(f)
-	}
-}
-
-func array(id protocol.JobID, tasks int) *protocol.Job {
-	return &protocol.Job{ID: id, Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks,
-		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 20}
-}
-
-func gangJob(id protocol.JobID, tasks int) *protocol.Job {
-	spec := array(id, tasks)
-	spec.Shape = protocol.ShapeGang
-	return spec
-}
-
-func (w *World) running(u *user) bool {
-	for i := range u.j.spec.Tasks {
-		t := w.rules.onAt[protocol.TaskName(u.j.spec.ID, i)]
-		if t == nil || t.state != protocol.TaskRunning {
-			return false
-		}
-	}
-	return true
-}
-
 // TestCrashedLeader: a crashed leader is replaced soon after its leader lease lapses,
 // and what runs goes on running.
 func TestCrashedLeader(t *testing.T) {
 	t.Parallel()
-	w := New(1, logs())
-	w.Run(5 * time.Second)
-	u := w.submit(0, gangJob("run-000001", 3), 60, 0, false)
-	w.waitFor(t, 10*time.Second, "the gang runs", func() bool { return w.running(u) })
+	w := startWorld(1, Small(), 5*time.Second)
+	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	starts := w.rules.started
+
 	w.leader().crash(time.Minute)
-	took := w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
-	if took > tuning.LeaderLeaseTTL+time.Second {
-		t.Errorf("takeover after %v", took)
-	}
-	w.waitFor(t, 90*time.Second, "the gang is done", func() bool { return u.over })
-	if w.rules.started != starts {
-		t.Errorf("%d tasks were started again", w.rules.started-starts)
+
+	if took := w.waitForLeader(t, 10*time.Second); took > tuning.LeaderLeaseTTL+time.Second {
+		t.Errorf("failover after %v", took)
 	}
+	w.waitUntilOver(t, 90*time.Second, u)
+	w.expectStarts(t, starts, 0, "across the failover")
 	w.check(t)
 }
 
@@ -86,12 +32,13 @@
 // replaces its predecessor's leader lease without waiting for it to lapse.
 func TestReturnsAtOnce(t *testing.T) {
 	t.Parallel()
-	w := New(2, logs())
-	w.Run(5 * time.Second)
+	w := startWorld(2, Small(), 5*time.Second)
 	c := w.leader()
+
 	c.crash(200 * time.Millisecond)
 	w.Run(250 * time.Millisecond)
-	if took := w.waitFor(t, 5*time.Second, "it leads again", func() bool { return w.leader() != nil }); took > time.Second {
+
+	if took := w.waitForLeader(t, 5*time.Second); took > time.Second {
 		t.Errorf("after %v", took)
 	}
 	if w.leader() != c {
@@ -104,17 +51,16 @@
 // must not start its task again after it is done and forgotten.
 func TestLateDirectStart(t *testing.T) {
 	t.Parallel()
-	w := New(3, logs())
-	w.Run(6 * time.Second)
+	w := startWorld(3, Small(), 6*time.Second)
 	c := w.leader()
 	w.interrupt(60*time.Second, true, func(a, b string) bool { return a == c.name && w.workers[protocol.MachineID(b)] != nil })
-	u := w.submit(0, array("run-000001", 4), 5, 0, false)
-	w.waitFor(t, 50*time.Second, "done across the cut", func() bool { return u.over })
+	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
+	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
+
 	w.Run(60 * time.Second)
-	if w.rules.started != starts {
-		t.Errorf("%d late starts", w.rules.started-starts)
-	}
+
+	w.expectStarts(t, starts, 0, "after the job was done")
 	w.check(t)
 }
 
@@ -122,12 +68,12 @@
 // takes no node out of the load balancer and changes no leader.
 func TestStateOutage(t *testing.T) {
 	t.Parallel()
-	w := New(4, logs())
-	w.Run(5 * time.Second)
-	u := w.submit(0, gangJob("run-000001", 3), 60, 0, false)
-	w.waitFor(t, 10*time.Second, "the gang runs", func() bool { return w.running(u) })
+	w := startWorld(4, Small(), 5*time.Second)
+	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
+
 	w.state.outage(14 * time.Second)
+
 	for range 13 {
 		w.Run(time.Second)
 		for _, n := range w.nodes {
@@ -136,9 +82,10 @@
 			}
 		}
 	}
-	w.waitFor(t, 90*time.Second, "the gang is done", func() bool { return u.over })
-	if w.rules.started != starts || w.leader() != c {
-		t.Errorf("%d starts again, %s leads", w.rules.started-starts, w.leader().name)
+	w.waitUntilOver(t, 90*time.Second, u)
+	w.expectStarts(t, starts, 0, "across the outage")
+	if w.leader() != c {
+		t.Errorf("%s leads", w.leader().name)
 	}
 	w.check(t)
 }
@@ -147,33 +94,26 @@
 // is not ready.
 func TestAloneRefused(t *testing.T) {
 	t.Parallel()
-	w := New(5, logs())
-	w.Run(5 * time.Second)
-	var c *controller
-	for _, n := range w.nodes {
-		if n != w.leader() {
-			c = n
-		}
-	}
+	w := startWorld(5, Small(), 5*time.Second)
+	c := w.others(w.leader())[1]
+
 	c.refused = true
 	w.Run(8 * time.Second)
+
 	if c.node.Ready() {
 		t.Error("ready")
 	}
 	// Users whose connections it still has are answered by a peer.
-	got := 0
-	c.ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: array("run-000009", 1)} }, func(status int, _ []byte) { got = status })
-	w.Run(time.Second)
-	if got != 201 {
+	if got := w.statusOf(c, submission(array("run-000009", 1))); got != 201 {
 		t.Errorf("a submission is answered %d", got)
 	}
-	c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-000009"} }, func(status int, _ []byte) { got = status })
-	w.Run(time.Second)
-	if got != 200 {
-		t.Errorf("a poll is answered %d", got)
+	if got := w.statusOf(c, statusQuery("run-000009")); got != 200 {
+		t.Errorf("a status query is answered %d", got)
 	}
+
 	c.refused = false
 	w.Run(2 * time.Second)
+
 	if !c.node.Ready() {
 		t.Error("not ready once it is served again")
 	}
@@ -183,24 +123,18 @@
 // its answers are lost for a while. Nothing is applied twice or forgotten.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
-	w := New(6, logs())
-	w.Run(5 * time.Second)
+	w := startWorld(6, Small(), 5*time.Second)
 	c := w.leader()
 	for i := range 6 {
-		w.submit(time.Duration(i)*time.Second, array(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 2), 8, 0, false)
+		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
 	}
+
 	lossy := &cut{match: func(a, b string) bool { return a == "state" && b == c.name && w.rng.IntN(2) == 0 }}
 	w.cuts = append(w.cuts, lossy)
 	w.Run(12 * time.Second)
 	w.cuts = nil
-	w.waitFor(t, 120*time.Second, "all are done", func() bool {
-		for _, u := range w.users {
-			if !u.over {
-				return false
-			}
-		}
-		return true
-	})
+
+	w.waitUntilOver(t, 120*time.Second, w.users...)
 	w.check(t)
 }
 
@@ -208,20 +142,19 @@
 // the machine types from the records and take submissions.
 func TestCloudOutageAtStart(t *testing.T) {
 	t.Parallel()
-	w := New(12, logs())
-	w.Run(5 * time.Second)
+	w := startWorld(12, Small(), 5*time.Second)
+
 	w.cloud.down = true
-	for _, c := range w.nodes {
-		c.crash(time.Second)
-	}
+	w.crashAll(time.Second)
 	w.Run(3 * time.Second)
+
 	for _, c := range w.nodes {
 		if !c.node.Ready() {
 			t.Errorf("%s is not ready", c.name)
 		}
 	}
-	w.submit(0, array("run-000001", 2), 5, 0, false)
-	w.waitFor(t, 5*time.Second, "accepted", func() bool { return w.users[0].accepted })
+	u := w.submit(arrival{job: array("run-000001", 2), run: 5})
+	w.waitFor(t, 5*time.Second, "the submission is accepted", func() bool { return u.accepted })
 	w.check(t)
 }
 
@@ -229,31 +162,30 @@
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
 func TestManyPolls(t *testing.T) {
 	t.Parallel()
-	w := New(13, logs())
-	w.Run(5 * time.Second)
-	u := w.submit(0, array("run-000001", 2), 60, 0, false)
-	w.waitFor(t, 10*time.Second, "it runs", func() bool { return w.running(u) })
+	w := startWorld(13, Small(), 5*time.Second)
+	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.state.requests
+
 	answers, asked := 0, 0
-	for range 400 { // 20 s of 600 polls a second, half for jobs that nobody knows
+	for range 400 { // 20 s of 600 queries a second, half for jobs that nobody knows
 		for i, n := range w.nodes {
 			for k := range 10 {
 				asked++
-				job := fmt.Sprintf("run-%06d", 1+(i+k)%2)
-				n.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(int, []byte) { answers++ })
+				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { answers++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
 	}
 	w.Run(5 * time.Second)
+
 	if answers != asked {
-		t.Errorf("%d answers to %d polls", answers, asked)
+		t.Errorf("%d answers to %d status queries", answers, asked)
 	}
 	if rate := float64(w.state.requests-before) / 25; rate > 80 {
 		t.Errorf("%.0f requests a second", rate)
 	}
 	if w.leader() != c {
-		t.Error("the leader lost its claim")
+		t.Error("the leader lost its lease")
 	}
 	w.check(t)
 }
@@ -262,23 +194,20 @@
 // not know of a cancellation; its grace ends before the cancellation must hold.
 func TestCancelWhileCutOff(t *testing.T) {
 	t.Parallel()
-	w := New(7, logs())
-	w.Run(5 * time.Second)
-	u := w.submit(0, array("run-000001", 8), 500, 0, false)
-	w.waitFor(t, 20*time.Second, "it runs", func() bool { return w.running(u) })
+	w := startWorld(7, Small(), 5*time.Second)
+	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
-	mine := map[protocol.MachineID]bool{}
+	inside := map[string]bool{c.name: true}
 	for i := range 8 {
-		mine[w.rules.onAt[protocol.TaskName("run-000001", i)].k.h.ID] = true
+		inside[string(w.workerOf("run-000001", i).h.ID)] = true
 	}
-	w.interrupt(100*time.Second, true, func(a, b string) bool {
-		inside := func(h string) bool { return h == c.name || mine[protocol.MachineID(h)] }
-		return inside(a) != inside(b)
-	})
+
+	w.interrupt(100*time.Second, true, func(a, b string) bool { return inside[a] != inside[b] })
 	w.Run(2 * time.Second)
 	w.waitFor(t, 20*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
 	w.Run(150 * time.Second)
+
 	if !u.over {
 		t.Error("not cancelled")
 	}
@@ -289,26 +218,17 @@
 // reach the leader through the controllers, and nothing is lost.
 func TestRelay(t *testing.T) {
 	t.Parallel()
-	w := New(8, logs())
-	w.Run(5 * time.Second)
-	u := w.submit(0, array("run-000001", 12), 120, 0, false)
-	w.waitFor(t, 60*time.Second, "it runs", func() bool { return w.running(u) })
+	w := startWorld(8, Small(), 5*time.Second)
+	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
-	// The third controller, wherever it is, still reaches everybody.
-	var bridge string
-	for _, n := range w.nodes {
-		if n != c {
-			bridge = n.name
-			break
-		}
-	}
+	bridge := w.others(c)[0].name // reaches everybody, wherever it is
+
 	w.interrupt(60*time.Second, false, func(a, b string) bool {
-		return a != bridge && b != bridge && w.zoneOf[a] != w.zoneOf[b] && w.zoneOf[a] != "" && w.zoneOf[b] != ""
+		return a != bridge && b != bridge && w.inDifferentZones(a, b)
 	})
-	w.waitFor(t, 200*time.Second, "it is done", func() bool { return u.over })
-	if w.rules.started != starts {
-		t.Errorf("%d tasks were started again", w.rules.started-starts)
-	}
+
+	w.waitUntilOver(t, 200*time.Second, u)
+	w.expectStarts(t, starts, 0, "across the cut")
 	w.check(t)
 }
 
@@ -316,17 +236,16 @@
 // service's limits and survives a change of leader.
 func TestLargeArray(t *testing.T) {
 	t.Parallel()
-	w := New(9, logs())
-	w.Run(5 * time.Second)
-	spec := array("run-000001", 700)
-	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.2, 0, 0.5
-	u := w.submit(0, spec, 10, 0, false)
+	w := startWorld(9, Small(), 5*time.Second)
+	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
+
 	w.leader().crash(2 * time.Second)
-	w.waitFor(t, 240*time.Second, "it is done", func() bool { return u.over })
+
+	w.waitUntilOver(t, 240*time.Second, u)
 	w.Run(20 * time.Second)
 	for k := range w.state.keys {
-		if k == "g/j/run-000001" || len(k) > 4 && k[:4] == "g/t/" {
+		if k == "g/j/run-000001" || strings.HasPrefix(k, "g/t/") {
 			t.Errorf("%s is left", k)
 		}
 	}
@@ -337,18 +256,18 @@
 // state service, survives a change of leader and is cancelled in time.
 func TestLargestJob(t *testing.T) {
 	t.Parallel()
-	w := New(14, logs())
-	w.Run(5 * time.Second)
-	spec := array("run-000001", 100_000)
-	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.2, 0, 0.5
-	u := w.submit(0, spec, 10, 30*time.Second, false)
+	w := startWorld(14, Small(), 5*time.Second)
+	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
+	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
 		t.Error("nothing starts")
 	}
+
 	w.leader().crash(2 * time.Second)
 	w.Run(15 * time.Second)
-	w.waitFor(t, 30*time.Second, "it is cancelled", func() bool { return u.over })
+
+	w.waitUntilOver(t, 30*time.Second, u)
 	w.Run(60 * time.Second)
 	if _, ok := w.state.keys["g/j/run-000001"]; ok {
 		t.Error("its record is still among the unfinished")
@@ -360,25 +279,22 @@
 // that is there, keeping its checkpoint.
 func TestSpareRepair(t *testing.T) {
 	t.Parallel()
-	w := New(10, logs())
-	w.Run(6 * time.Second)
-	spec := gangJob("run-000001", 2)
-	spec.GPUs, spec.OneZone, spec.CheckpointS, spec.SaveS = 2, true, 10, 2
-	u := w.submit(0, spec, 60, 0, false)
-	w.waitFor(t, 10*time.Second, "it runs", func() bool { return w.running(u) })
+	w := startWorld(10, Small(), 6*time.Second)
+	job := checkpointed(gangJob("run-000001", 2), 10, 2)
+	job.GPUs, job.OneZone = 2, true
+	u := w.submitRunning(t, 10*time.Second, job, 60)
 	w.Run(25 * time.Second)
-	k := w.rules.onAt["run-000001/0"].k
-	k.kill()
-	delete(w.workers, k.h.ID)
+
+	w.loseWorker(w.workerOf("run-000001", 0))
+
 	// Silence, two probes and a deletion: well before the lease would lapse.
-	took := w.waitFor(t, 24*time.Second, "it runs again", func() bool { return w.running(u) })
-	if took > 18*time.Second {
+	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
 		t.Errorf("repaired after %v", took)
 	}
 	if u.j.progress[0] < 20 {
 		t.Errorf("progress %v", u.j.progress[0])
 	}
-	w.waitFor(t, 120*time.Second, "it is done", func() bool { return u.over })
+	w.waitUntilOver(t, 120*time.Second, u)
 	w.check(t)
 }
 
@@ -388,21 +304,20 @@
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
 	for _, hold := range []bool{true, false} {
-		w := New(11, logs())
-		w.Run(5 * time.Second)
-		u := w.submit(0, array("run-000001", 12), 150, 0, false)
-		w.waitFor(t, 60*time.Second, "it runs", func() bool { return w.running(u) })
-		starts := w.rules.started
-		w.interrupt(90*time.Second, hold, func(a, b string) bool {
-			return w.zoneOf[a] != w.zoneOf[b] && w.zoneOf[a] != "" && w.zoneOf[b] != ""
+		t.Run(fmt.Sprint("hold ", hold), func(t *testing.T) {
+			t.Parallel()
+			w := startWorld(11, Small(), 5*time.Second)
+			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
+			starts := w.rules.started
+
+			w.interrupt(90*time.Second, hold, w.inDifferentZones)
+			w.Run(20 * time.Second)
+			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
+
+			w.waitUntilOver(t, 60*time.Second, needsBothZones)
+			w.waitUntilOver(t, 200*time.Second, u)
+			w.expectStarts(t, starts, 16, "across the cut")
+			w.check(t)
 		})
-		w.Run(20 * time.Second)
-		far := w.submit(0, array("run-000002", 16), 10, 0, false)
-		w.waitFor(t, 60*time.Second, "a job that needs both zones is done", func() bool { return far.over })
-		w.waitFor(t, 200*time.Second, "the first is done", func() bool { return u.over })
-		if w.rules.started != starts+16 {
-			t.Errorf("hold %v: %d tasks were started again", hold, w.rules.started-starts-16)
-		}
-		w.check(t)
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -2,20 +2,18 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"strconv"
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
 // load makes users with jobs of every shape.
 func (w *World) load(jobs int, span time.Duration) {
 	for range jobs {
-		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+len(w.users)*7)), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
+		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
 			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
@@ -33,13 +31,13 @@
 		}
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
-			spec.Class, spec.Shape, spec.Priority, spec.GPUs, spec.CPUs, spec.MemoryGB = "service", protocol.ShapeService, "critical", 0, 1, 4
-			spec.EstimateS, spec.CheckpointS, spec.SaveS = 0, 0, 0
+			spec.Class, spec.Shape, spec.Priority = "service", protocol.ShapeService, "critical"
+			checkpointed(perTask(spec, 1, 0, 4), 0, 0).EstimateS = 0
 			cancel = w.between(150*time.Second, 320*time.Second)
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(w.between(0, span), spec, 5+40*w.rng.Float64(), cancel, cancel > 0 && w.rng.IntN(3) == 0)
+		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, mistaken: cancel > 0 && w.rng.IntN(3) == 0})
 	}
 }
 
@@ -48,8 +46,8 @@
 	node := w.nodes[w.rng.IntN(len(w.nodes))]
 	hold := w.rng.IntN(2) == 0
 	var someone *worker
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil && (someone == nil || w.rng.IntN(3) == 0) {
+	for _, k := range w.workersInOrder() {
+		if someone == nil || w.rng.IntN(3) == 0 {
 			someone = k
 		}
 	}
@@ -72,9 +70,7 @@
 			return "crash all"
 		},
 		func() string {
-			w.interrupt(span, hold, func(a, b string) bool {
-				return w.zoneOf[a] != w.zoneOf[b] && w.zoneOf[a] != "" && w.zoneOf[b] != ""
-			})
+			w.interrupt(span, hold, w.inDifferentZones)
 			return fmt.Sprint("zones cut, hold ", hold)
 		},
 		func() string {
@@ -104,7 +100,7 @@
 		func() string {
 			if someone != nil {
 				id := someone.h.ID
-				w.interrupt(span, hold, func(a, _ string) bool { return a == string(id) })
+				w.interrupt(span, hold, fromHost(string(id)))
 			}
 			return fmt.Sprint("machine cut, hold ", hold)
 		},
@@ -116,8 +112,7 @@
 		},
 		func() string {
 			if someone != nil {
-				someone.kill()
-				delete(w.workers, someone.h.ID)
+				w.loseWorker(someone)
 			}
 			return "machine dies"
 		},
@@ -171,14 +166,6 @@
 	}
 }
 
-// logs is where a run's log goes: nowhere, unless SIMULATION_LOG asks for it.
-func logs() io.Writer {
-	if os.Getenv("SIMULATION_LOG") != "" {
-		return os.Stderr
-	}
-	return nil
-}
-
 // tiny is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
 func tiny() Shape {
@@ -274,10 +261,7 @@
 	w := New(1, nil)
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
-		got := 0
-		c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-999999"} }, func(status int, _ []byte) { got = status })
-		w.Run(time.Second)
-		if got != 404 {
+		if got := w.statusOf(c, statusQuery("run-999999")); got != 404 {
 			t.Errorf("%s answers %d", c.name, got)
 		}
 	}
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/bookkeeping"
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -24,8 +23,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(seed, logs(), shape)
-			w.Run(3 * time.Second)
+			w := startWorld(seed, shape, 3*time.Second)
 			terms := w.terms()
 			w.crowd(60, 100*time.Second)
 			// Users ask about jobs that nobody submitted, fifty a second.
@@ -33,7 +31,7 @@
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
 					job := fmt.Sprintf("run-%06d", 900_000+i)
-					c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(status int, _ []byte) {
+					c.ask(statusQuery(protocol.JobID(job)), func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
@@ -46,9 +44,7 @@
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
-			for _, c := range w.nodes {
-				c.crash(4 * time.Second)
-			}
+			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
 			terms = w.terms()
 			w.faultsOver = w.Now
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -71,12 +70,12 @@
 func (w *World) playUpgrade(faults bool) {
 	w.load(12, 100*time.Second)
 	for i := range 4 {
-		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 60+w.rng.IntN(90))
-		spec.GPUs, spec.CPUs, spec.MemoryGB, spec.Spot = 0.25, 1, 5, true
-		w.submit(w.between(0, 50*time.Second), spec, 20+60*w.rng.Float64(), 0, false)
-		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 16+w.rng.IntN(8))
-		g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
-		w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
+		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
+		perTask(spec, 1, 0.25, 5).Spot = true
+		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, run: 20 + 60*w.rng.Float64()})
+		g := gangJob(jobID(600010+i), 16+w.rng.IntN(8))
+		checkpointed(g, 10, 2).OneZone = true
+		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, run: 30})
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
@@ -117,12 +116,10 @@
 	w.Run(5 * time.Second)
 	w.crowd(60, 30*time.Second)
 	for i := range 5 {
-		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 150)
-		spec.Team, spec.Class, spec.Priority = "team-0", "array", "idle"
-		w.submit(0, spec, 150, 0, false)
-		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 32)
-		g.Team, g.Class, g.Priority, g.GPUs, g.CPUs, g.MemoryGB, g.OneZone = "team-1", "gang", "high", 2, 20, 110, true
-		w.submit(0, g, 100, 0, false)
+		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
+		w.submit(arrival{job: spec, run: 150})
+		g := queued(largeGang(jobID(600010+i)), "gang", "team-1", "high")
+		w.submit(arrival{job: g, run: 100})
 	}
 	w.Run(60 * time.Second)
 	starts, before := w.rules.started, w.gangTasksStartedAgain()
@@ -138,9 +135,7 @@
 		}
 	}
 	w.state.lower()
-	for _, c := range w.nodes {
-		c.crash(time.Second)
-	}
+	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
 	w.finish(t, 500*time.Second)
@@ -177,18 +172,18 @@
 	}
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
-	spec.GPUs, spec.CPUs, spec.MemoryGB = 0.5, 2, 10
-	u := w.submit(0, spec, 60, 0, false)
+	perTask(spec, 2, 0.5, 10)
+	u := w.submit(arrival{job: spec, run: 60})
 	g := gangJob("run-600001", 20)
-	v := w.submit(5*time.Second, g, 40, 0, false)
-	off := w.submit(5*time.Second, func() *protocol.Job { spec := array("run-600002", 120); spec.GPUs, spec.CPUs = 0.25, 1; return spec }(), 500, 55*time.Second, false)
+	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
+	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
 	w.state.lower()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
 	}
-	w.waitFor(t, 300*time.Second, "all are over", func() bool { return u.over && v.over && off.over })
+	w.waitUntilOver(t, 300*time.Second, u, v, cancelled)
 	w.Run(80 * time.Second)
 	w.check(t)
 }
@@ -276,7 +271,7 @@
 	c.play(w)
 	w.Run(60 * time.Second)
 	w.faultsOver = w.Now
-	w.waitFor(t, 400*time.Second, "all are over", func() bool { return !slices.ContainsFunc(users, func(u *user) bool { return !u.over }) })
+	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
 	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.state.tooLarge, w.rules.started)
 	w.check(t)
@@ -299,12 +294,12 @@
 func (w *World) submitWide() (users []*user) {
 	w.Run(5 * time.Second)
 	for i := range 3 {
-		a := wide(array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 98))
-		a.GPUs, a.CPUs, a.MemoryGB = 0, 1, 0.5
-		users = append(users, w.submit(0, a, 60+30*w.rng.Float64(), 0, false))
-		g := wide(gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 40))
-		g.GPUs, g.CPUs, g.MemoryGB, g.CheckpointS, g.SaveS = 0, 1, 0.5, 20, 2
-		users = append(users, w.submit(0, g, 50+30*w.rng.Float64(), 0, false))
+		a := wide(array(jobID(600000+i), 98))
+		perTask(a, 1, 0, 0.5)
+		users = append(users, w.submit(arrival{job: a, run: 60 + 30*w.rng.Float64()}))
+		g := wide(gangJob(jobID(600010+i), 40))
+		checkpointed(perTask(g, 1, 0, 0.5), 20, 2)
+		users = append(users, w.submit(arrival{job: g, run: 50 + 30*w.rng.Float64()}))
 	}
 	w.Run(30 * time.Second)
 	return users
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -16,25 +16,35 @@
 	since    time.Time      // of the first attempt to submit
 	answered time.Time      // of the newest answer about the job
 	phase    protocol.Phase // the newest answer
-	cancelAt time.Duration
-	asked    bool // has asked to cancel
+	asked    bool           // has asked to cancel
 	over     bool
 	left     bool          // asks nothing any more
 	up, away time.Duration // replica time that was served and that was not, from 5 s on
 }
 
-// submit lets a user come after a while. A user gives up polls after 2 s and
-// submissions after 5 s.
-func (w *World) submit(after time.Duration, spec *protocol.Job, run float64, cancel time.Duration, mistaken bool) *user {
-	j := &simJob{spec: spec, run: run, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}, mistaken: mistaken}
-	u := &user{w: w, j: j, cancelAt: cancel}
+// arrival is a job that a user submits.
+type arrival struct {
+	after       time.Duration // until the first attempt
+	job         *protocol.Job
+	run         float64       // seconds for which its tasks run
+	cancelAfter time.Duration // the user cancels it so long after, 0: not
+	mistaken    bool          // every task ends with an error
+}
+
+// submit lets a user come. A user gives up status queries after 2 s and submissions after
+// 5 s.
+func (w *World) submit(a arrival) *user {
+	spec := a.job
+	j := newSimJob(spec)
+	j.run, j.mistaken = a.run, a.mistaken
+	u := &user{w: w, j: j}
 	w.users = append(w.users, u)
 	j.last = func() {
 		if w.rng.Float64() < w.atEnd {
 			u.cancel()
 		}
 	}
-	w.after(after, func() {
+	w.after(a.after, func() {
 		w.rules.jobs[spec.ID] = j
 		u.since = w.Now
 		w.Audit.submitted(spec)
@@ -42,14 +52,34 @@
 		if spec.Service() {
 			u.count()
 		}
-		if cancel > 0 {
-			w.after(cancel, u.cancel)
+		if a.cancelAfter > 0 {
+			w.after(a.cancelAfter, u.cancel)
 		}
 	})
 	return u
 }
 
-func (u *user) ask(limit time.Duration, event func(id uint64) coordination.Event, done func(status int, body []byte)) {
+// request makes the event of a request from outside under the number that its answer will
+// have.
+type request func(id uint64) coordination.Event
+
+// submission is the request to run a job.
+func submission(job *protocol.Job) request {
+	return func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: job} }
+}
+
+// statusQuery is the question how far a job is.
+func statusQuery(job protocol.JobID) request {
+	return func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: job} }
+}
+
+// cancellation is the request to cancel a job.
+func cancellation(job protocol.JobID) request {
+	return func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: job} }
+}
+
+// ask sends a request to a node drawn by lot, unless the user has left.
+func (u *user) ask(limit time.Duration, event request, done func(status int, body []byte)) {
 	if u.left {
 		return
 	}
@@ -57,7 +87,7 @@
 }
 
 func (u *user) try() {
-	u.ask(5*time.Second, func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: u.j.spec} }, func(status int, body []byte) {
+	u.ask(5*time.Second, submission(u.j.spec), func(status int, body []byte) {
 		switch status {
 		case 200, 201:
 			u.takeAnswer(body)
@@ -121,7 +151,7 @@
 
 func (u *user) poll() {
 	before := u.phase
-	u.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
+	u.ask(2*time.Second, statusQuery(u.j.spec.ID), func(status int, body []byte) {
 		switch {
 		case status == 200 && u.phase == before:
 			u.takeAnswer(body)
@@ -146,9 +176,9 @@
 		c := w.nodes[i%len(w.nodes)]
 		w.after(w.between(0, 8*time.Millisecond), func() {
 			told := u.phase
-			event := func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: u.j.spec.ID} }
+			event := statusQuery(u.j.spec.ID)
 			if i >= 2*len(w.nodes) {
-				event = func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: u.j.spec} }
+				event = submission(u.j.spec)
 			}
 			w.call("users", c.name, 2*time.Second, func(answer func(int, []byte)) { c.ask(event, answer) }, func(status int, body []byte) {
 				switch status {
@@ -247,7 +277,7 @@
 	}
 	u.asked = true
 	u.w.Audit.cancelled(u.j.spec.ID)
-	u.ask(5*time.Second, func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
+	u.ask(5*time.Second, cancellation(u.j.spec.ID), func(status int, body []byte) {
 		switch status {
 		case 200:
 			u.takeAnswer(body)
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -14,14 +13,13 @@
 // allow ran again, and the machines that were up before.
 func zoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
-	w.Run(6 * time.Second)
+	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
 	for i := range services {
-		spec := service(protocol.JobID(fmt.Sprintf("run-0000%02d", i)), replicas)
+		spec := service(jobID(i), replicas)
 		spec.Team, spec.CPUs, spec.MemoryGB = shape.Teams[0].Name, 4, 20
 		spec.Spread = i%2 == 0
-		users = append(users, w.submit(w.between(0, 10*time.Second), spec, 0, 0, false))
+		users = append(users, w.submit(arrival{after: w.between(0, 10*time.Second), job: spec}))
 	}
 	running := func() (n int) {
 		for _, u := range users {
@@ -35,20 +33,17 @@
 	}
 	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
 	w.Run(quiet)
-	zone := w.rules.onAt["run-000000/1"].k.h.Zone
+	zone := w.workerOf("run-000000", 1).h.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.j.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
 		}
 	}
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil {
-			machines++
-			if h.Zone == zone {
-				k.kill()
-				delete(w.workers, h.ID)
-			}
+	for _, k := range w.workersInOrder() {
+		machines++
+		if k.h.Zone == zone {
+			w.loseWorker(k)
 		}
 	}
 	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
