--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -195,7 +195,7 @@
 	}, most: 6},
 	{name: "old reports reach every controller as a new leader begins", play: func(w *World) {
 		w.every(25*time.Second, 5, func(i int) {
-			w.forNext(24 * time.Second)
+			w.keepCopiesForNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
 				for _, k := range w.someWorkers(1) {
 					w.loseWorker(k)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -13,7 +13,7 @@
 	return list[:min(n, len(list))]
 }
 
-// not reporting lets machines reach no controller for a while, though calls reach them.
+// blockReports lets machines reach no controller for a while, though calls reach them.
 func (w *World) blockReports(n int, d time.Duration) {
 	for _, k := range w.someWorkers(n) {
 		k.mute = true
@@ -21,9 +21,9 @@
 	}
 }
 
-// forNext keeps copies of the reports of a while; every controller gets them just
+// keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
-func (w *World) forNext(d time.Duration) {
+func (w *World) keepCopiesForNextLeader(d time.Duration) {
 	w.keep, w.kept = true, nil
 	was := w.leader()
 	var look func()
@@ -114,55 +114,6 @@
 	}
 }
 
-// combinedFaults are further kinds for random days, which so meet all others.
-func (w *World) combinedFaults(node *controller, span time.Duration) []func() string {
-	return []func() string{
-		func() string { w.state.lose(0.3, false, span); return "transactions late" },
-		func() string { w.state.lose(0.3, true, span); return "answers to transactions lost" },
-		func() string { w.blockReports(2, span); return "machines mute" },
-		func() string {
-			for _, c := range w.nodes {
-				c.crash(w.between(span/2, span))
-			}
-			return "cold restart"
-		},
-		func() string {
-			for _, c := range w.nodes {
-				c.crash(w.between(time.Second, 8*time.Second))
-			}
-			w.forNext(2 * span)
-			w.blockReports(2, span/2)
-			return "cold restart, copies and machines late"
-		},
-		func() string { w.forNext(2 * span); return "copies kept for the next leader" },
-		func() string { w.cancelNow(4, span); return "jobs called off, machines hang" },
-		func() string {
-			w.atEnd = 0.5
-			w.after(span, func() { w.atEnd = 0 })
-			return "jobs called off at their end"
-		},
-		func() string {
-			w.close = true
-			w.after(span, func() { w.close = false })
-			return "users look closely"
-		},
-		func() string { w.oddRequests(min(span, 10*time.Second)); return "odd requests" },
-		func() string {
-			w.state.blind = node
-			w.after(span, func() { w.state.blind = nil })
-			return "watches of " + node.name + " hang"
-		},
-		func() string {
-			if c := w.leader(); c != nil {
-				w.state.refuse(c, 3*time.Second)
-				w.cancelNow(3, 0)
-				w.after(w.between(time.Second, 4*time.Second), func() { w.state.outage(span) })
-			}
-			return "the leader is refused, then all are"
-		},
-	}
-}
-
 // left checks, from calm on, that no job waits beside room for it.
 func (w *World) left() {
 	since := map[*user]time.Time{}
--- /dev/null
+++ b/internal/simulation/fault_kinds_test.go
@@ -0,0 +1,188 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// faultDraw is what the lot has drawn for a fault.
+type faultDraw struct {
+	node    *controller
+	machine *worker // nil if none is up
+	span    time.Duration
+	hold    bool // packets are held by a cut, not lost
+}
+
+// faultKind is a kind of fault that random days inject.
+type faultKind struct {
+	name   string
+	inject func(w *World, d faultDraw)
+}
+
+// onMachine makes a fault of a machine one that does nothing if no machine is up.
+func onMachine(inject func(w *World, k *worker, d faultDraw)) func(*World, faultDraw) {
+	return func(w *World, d faultDraw) {
+		if d.machine != nil {
+			inject(w, d.machine, d)
+		}
+	}
+}
+
+// faultKinds are all kinds, equally likely. Their order and number decide what a seed draws:
+// a new kind changes every random day.
+var faultKinds = []faultKind{
+	// A controller's process ends without a signal and is back within seconds.
+	{"controller crashes", func(w *World, d faultDraw) { d.node.crash(w.crashTime()) }},
+	// All controllers end at once and are back one after the other.
+	{"all controllers crash", func(w *World, _ faultDraw) {
+		for _, c := range w.nodes {
+			c.crash(w.crashTime())
+		}
+	}},
+	// Nothing passes between the zones.
+	{"zones cut off from each other", func(w *World, d faultDraw) { w.interrupt(d.span, d.hold, w.inDifferentZones) }},
+	// A controller reaches neither the key-value store nor any other host.
+	{"controller cut off", func(w *World, d faultDraw) {
+		w.interrupt(d.span, d.hold, func(a, b string) bool { return a == d.node.name && (b == "state" || w.zoneOf[b] != "") })
+	}},
+	// A controller reaches everything but the key-value store.
+	{"controller cut off from the store", func(w *World, d faultDraw) {
+		w.interrupt(d.span, d.hold, func(a, b string) bool { return a == d.node.name && b == "state" })
+	}},
+	// The key-value store refuses every request.
+	{"store outage", func(w *World, d faultDraw) { w.state.outage(d.span) }},
+	// The key-value store refuses one controller alone.
+	{"store refuses a controller", func(w *World, d faultDraw) { w.state.refuse(d.node, d.span) }},
+	// The cloud refuses every request.
+	{"cloud outage", func(w *World, d faultDraw) {
+		w.cloud.down = true
+		w.after(d.span, func() { w.cloud.down = false })
+	}},
+	// A machine reaches nobody and nobody reaches it.
+	{"machine cut off", onMachine(func(w *World, k *worker, d faultDraw) {
+		w.interrupt(d.span, d.hold, fromHost(string(k.h.ID)))
+	})},
+	// A machine stands still and goes on.
+	{"machine hangs", onMachine(func(_ *World, k *worker, d faultDraw) { k.hang(d.span) })},
+	// A machine's worker ends with its tasks; the cloud goes on listing the machine.
+	{"machine dies", onMachine(func(w *World, k *worker, _ faultDraw) { w.loseWorker(k) })},
+	// Every task that starts on a machine ends with an error.
+	{"machine fails every task", onMachine(func(_ *World, k *worker, _ faultDraw) { k.sick = true })},
+	// A machine's reports arrive, but no answer and no order reaches it.
+	{"machine receives nothing", onMachine(func(w *World, k *worker, d faultDraw) {
+		w.blockInbound(string(k.h.ID), 2*d.span, d.hold)
+	})},
+	// Copies of reports arrive late, at any controller.
+	{"copies of reports come late", func(w *World, d faultDraw) {
+		w.copies = w.between(2*time.Second, 90*time.Second)
+		w.after(d.span, func() { w.copies = 0 })
+	}},
+	// A controller reaches its workers, but neither the store nor its peers.
+	{"controller isolated", func(w *World, d faultDraw) { w.isolate(d.node, d.span, d.hold) }},
+	// Controllers end one after the other and are back within a fraction of a second.
+	{"controllers restart at once", func(w *World, _ faultDraw) {
+		for i := range 3 {
+			w.after(time.Duration(i)*w.between(100*time.Millisecond, 2*time.Second), func() {
+				w.nodes[w.rng.IntN(len(w.nodes))].crash(w.between(10*time.Millisecond, 400*time.Millisecond))
+			})
+		}
+	}},
+	// Every answer of the key-value store takes long.
+	{"store slow", func(w *World, d faultDraw) {
+		w.state.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
+		w.after(d.span, func() { w.state.slow = 0 })
+	}},
+	// The cloud takes a spot instance back, with notice.
+	{"spot instance reclaimed", onMachine(func(w *World, k *worker, _ faultDraw) {
+		if k.h.Spot {
+			k.giveNotice(20)
+			w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(k.h) })
+		}
+	})},
+	// Some transactions are carried out late, after newer ones, and get no answer.
+	{"transactions late", func(w *World, d faultDraw) { w.state.lose(0.3, false, d.span) }},
+	// Some transactions are carried out at once and get no answer.
+	{"answers to transactions lost", func(w *World, d faultDraw) { w.state.lose(0.3, true, d.span) }},
+	// Two machines open no connection; calls reach them.
+	{"machines cannot report", func(w *World, d faultDraw) { w.blockReports(2, d.span) }},
+	// All controllers are away for long.
+	{"cold restart", func(w *World, d faultDraw) {
+		for _, c := range w.nodes {
+			c.crash(w.between(d.span/2, d.span))
+		}
+	}},
+	// All controllers end; the next leader gets copies of old reports, and some machines
+	// report late.
+	{"cold restart, copies and machines late", func(w *World, d faultDraw) {
+		for _, c := range w.nodes {
+			c.crash(w.between(time.Second, 8*time.Second))
+		}
+		w.keepCopiesForNextLeader(2 * d.span)
+		w.blockReports(2, d.span/2)
+	}},
+	// The next leader gets copies of old reports as it begins.
+	{"copies kept for the next leader", func(w *World, d faultDraw) { w.keepCopiesForNextLeader(2 * d.span) }},
+	// Jobs are cancelled whose machines hang.
+	{"jobs cancelled, machines hang", func(w *World, d faultDraw) { w.cancelNow(4, d.span) }},
+	// Half of the jobs are cancelled at the moment of their end.
+	{"jobs cancelled at their end", func(w *World, d faultDraw) {
+		w.atEnd = 0.5
+		w.after(d.span, func() { w.atEnd = 0 })
+	}},
+	// Users ask every node after every answer.
+	{"users ask all nodes", func(w *World, d faultDraw) {
+		w.close = true
+		w.after(d.span, func() { w.close = false })
+	}},
+	// Users repeat submissions, cancel what is over and submit what can never run.
+	{"odd requests", func(w *World, d faultDraw) { w.oddRequests(min(d.span, 10*time.Second)) }},
+	// No watch of a controller is answered, while its other requests are.
+	{"watches of a controller hang", func(w *World, d faultDraw) {
+		w.state.blind = d.node
+		w.after(d.span, func() { w.state.blind = nil })
+	}},
+	// The store refuses the leader alone, jobs are cancelled, and then it refuses everybody.
+	{"the leader is refused, then all are", func(w *World, d faultDraw) {
+		if c := w.leader(); c != nil {
+			w.state.refuse(c, 3*time.Second)
+			w.cancelNow(3, 0)
+			w.after(w.between(time.Second, 4*time.Second), func() { w.state.outage(d.span) })
+		}
+	}},
+}
+
+// crashTime draws how long a crashed controller is away.
+func (w *World) crashTime() time.Duration { return w.between(200*time.Millisecond, 6*time.Second) }
+
+// injectFault injects one fault of a kind drawn by lot, and says which.
+func (w *World) injectFault() string {
+	d := w.drawFault()
+	kind := faultKinds[w.rng.IntN(len(faultKinds))]
+	kind.inject(w, d)
+	var machine protocol.MachineID
+	if d.machine != nil {
+		machine = d.machine.h.ID
+	}
+	what := fmt.Sprintf("%s (of %s or %s, %v, hold %v)", kind.name, d.node.name, machine, d.span, d.hold)
+	w.log.Info("fault injected", "fault", what)
+	return what
+}
+
+// drawFault draws what a fault may need: a controller, a machine, its time.
+func (w *World) drawFault() faultDraw {
+	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], hold: w.rng.IntN(2) == 0}
+	for _, k := range w.workersInOrder() {
+		if d.machine == nil || w.rng.IntN(3) == 0 {
+			d.machine = k
+		}
+	}
+	d.span = w.between(time.Second, 45*time.Second)
+	return d
+}
+
+// giveNotice has a machine report that it is taken away after some seconds.
+func (k *worker) giveNotice(seconds float64) {
+	k.notice, k.changed = &seconds, true
+}
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -165,7 +165,7 @@
 
 // randomFaults injects faults of kinds drawn by lot for a while.
 func (w *World) randomFaults(apart time.Duration, times int) {
-	w.every(apart, times, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+	w.every(apart, times, func(int) { w.injectFault() })
 	w.Run(time.Duration(times) * apart)
 	w.Run(40 * time.Second)
 	w.faultsOver = w.Now
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -29,8 +29,7 @@
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
 		k := w.workerOf(u.j.spec.ID, 1)
-		n := 20.0
-		k.notice, k.changed = &n, true
+		k.giveNotice(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(k.h) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -41,131 +41,6 @@
 	}
 }
 
-// injectFault injects one fault of a kind drawn by lot.
-func (w *World) injectFault() string {
-	node := w.nodes[w.rng.IntN(len(w.nodes))]
-	hold := w.rng.IntN(2) == 0
-	var someone *worker
-	for _, k := range w.workersInOrder() {
-		if someone == nil || w.rng.IntN(3) == 0 {
-			someone = k
-		}
-	}
-	span := w.between(time.Second, 45*time.Second)
-	kinds := w.serviceFaults(node, span, hold)
-	kinds = append(kinds, w.machineFaults(someone, span, hold)...)
-	kinds = append(kinds, w.lateFaults(node, someone, span, hold)...)
-	kinds = append(kinds, w.combinedFaults(node, span)...)
-	return kinds[w.rng.IntN(len(kinds))]()
-}
-
-// serviceFaults are faults of controllers, zones and outside systems.
-func (w *World) serviceFaults(node *controller, span time.Duration, hold bool) []func() string {
-	return []func() string{
-		func() string { node.crash(w.between(200*time.Millisecond, 6*time.Second)); return "crash " + node.name },
-		func() string {
-			for _, c := range w.nodes {
-				c.crash(w.between(200*time.Millisecond, 6*time.Second))
-			}
-			return "crash all"
-		},
-		func() string {
-			w.interrupt(span, hold, w.inDifferentZones)
-			return fmt.Sprint("zones cut, hold ", hold)
-		},
-		func() string {
-			w.interrupt(span, hold, func(a, b string) bool { return a == node.name && (b == "state" || w.zoneOf[b] != "") })
-			return fmt.Sprint("node cut ", node.name, " hold ", hold)
-		},
-		func() string {
-			w.interrupt(span, hold, func(a, b string) bool { return a == node.name && b == "state" })
-			return fmt.Sprint("node cut from state ", node.name, " hold ", hold)
-		},
-		func() string { w.state.outage(span); return "state outage" },
-		func() string {
-			w.state.refuse(node, span)
-			return "state refuses " + node.name
-		},
-		func() string {
-			w.cloud.down = true
-			w.after(span, func() { w.cloud.down = false })
-			return "cloud outage"
-		},
-	}
-}
-
-// machineFaults are faults of one machine, if there is one.
-func (w *World) machineFaults(someone *worker, span time.Duration, hold bool) []func() string {
-	return []func() string{
-		func() string {
-			if someone != nil {
-				id := someone.h.ID
-				w.interrupt(span, hold, fromHost(string(id)))
-			}
-			return fmt.Sprint("machine cut, hold ", hold)
-		},
-		func() string {
-			if someone != nil {
-				someone.hang(span)
-			}
-			return "machine hangs"
-		},
-		func() string {
-			if someone != nil {
-				w.loseWorker(someone)
-			}
-			return "machine dies"
-		},
-		func() string {
-			if someone != nil {
-				someone.sick = true
-			}
-			return "machine sick"
-		},
-		func() string {
-			if someone != nil {
-				w.blockInbound(string(someone.h.ID), 2*span, hold)
-			}
-			return fmt.Sprint("machine not receiving, hold ", hold)
-		},
-	}
-}
-
-// lateFaults are messages that come late, processes that are back at once, slow answers
-// and notices.
-func (w *World) lateFaults(node *controller, someone *worker, span time.Duration, hold bool) []func() string {
-	return []func() string{
-		func() string {
-			w.copies = w.between(2*time.Second, 90*time.Second)
-			w.after(span, func() { w.copies = 0 })
-			return "copies of reports late"
-		},
-		func() string { w.isolate(node, span, hold); return fmt.Sprint("isolated ", node.name, " hold ", hold) },
-		func() string {
-			for i := range 3 {
-				w.after(time.Duration(i)*w.between(100*time.Millisecond, 2*time.Second), func() {
-					w.nodes[w.rng.IntN(len(w.nodes))].crash(w.between(10*time.Millisecond, 400*time.Millisecond))
-				})
-			}
-			return "back at once"
-		},
-		func() string {
-			w.state.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
-			w.after(span, func() { w.state.slow = 0 })
-			return "state slow"
-		},
-		func() string {
-			if someone != nil && someone.h.Spot {
-				n := 20.0
-				someone.notice, someone.changed = &n, true
-				h := someone.h
-				w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(h) })
-			}
-			return "spot notice"
-		},
-	}
-}
-
 // tiny is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
 func tiny() Shape {
@@ -207,7 +82,7 @@
 		t.Error("nothing ran")
 	}
 	if len(w.rules.failures) > 0 {
-		t.Errorf("troubles: %v", history)
+		t.Errorf("faults: %v", history)
 		for _, f := range w.rules.failures {
 			t.Error(f)
 		}
@@ -219,9 +94,7 @@
 	w.load(24, 150*time.Second)
 	for w.Now.Sub(time.Unix(1_800_000_000, 0)) < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
-		what := w.clock() + " " + w.injectFault()
-		w.log.Info("trouble", "what", what)
-		history = append(history, what)
+		history = append(history, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
 	w.faultsOver = w.Now
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -40,7 +40,7 @@
 			}
 			w.Run(60 * time.Second)
 			if got := w.terms(); got != terms {
-				t.Errorf("the claim was lost to load: revision %d, then %d", terms, got)
+				t.Errorf("the leader lease was lost to load: revision %d, then %d", terms, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
@@ -50,7 +50,7 @@
 			w.faultsOver = w.Now
 			w.finish(t, 700*time.Second)
 			if got := w.terms(); got != terms {
-				t.Errorf("the claim was lost after the troubles: revision %d, then %d", terms, got)
+				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
 			for _, c := range w.nodes {
 				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -79,7 +79,7 @@
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
-		w.every(9*time.Second, 8, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+		w.every(9*time.Second, 8, func(int) { w.injectFault() })
 	}
 	w.upgrade(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
