--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,12 +4,13 @@
 	"strings"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/lifecycle"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/coordination/scheduler"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -23,9 +24,10 @@
 	// jobs with a record that cannot be read, which are left alone
 	unreadable map[protocol.JobID]bool
 	logged     map[string]bool // keys of bad input that was logged
-	stored     storedState     // all of this as package recovery sees it
-	reconciler recovery.Reconciler
-	recovery   recoveryPhase
+	stored     storedState     // all of this as package reconcile sees it
+	reconciler reconcile.Reconciler
+	recovery   *reconcile.Phase
+	lifecycle  *lifecycle.Manager
 	restored   restoredStore
 
 	dirty          []*cluster.Job           // jobs with unwritten changes, in the order they came
@@ -53,11 +55,26 @@
 	if attempt.Key.Number > 1 {
 		l.n.metrics.Repairs++
 	}
-	l.touch(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
+	l.RecordChanged(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
 }
 
-// touch marks one of a job's records as to be written.
-func (l *leader) touch(job *cluster.Job, record int) {
+// Preempt implements scheduler.Environment.
+func (l *leader) Preempt(victim *cluster.Attempt) {
+	l.n.metrics.Preemptions++
+	l.lifecycle.Preempt(victim)
+}
+
+// Stop implements scheduler.Environment.
+func (l *leader) Stop(attempt *cluster.Attempt, graceS float64) { l.lifecycle.Stop(attempt, graceS) }
+
+// Drain implements autoscaler.Environment.
+func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
+
+// Unreadable implements lifecycle.Environment.
+func (l *leader) Unreadable(job protocol.JobID) bool { return l.unreadable[job] }
+
+// RecordChanged marks one of a job's records as to be written.
+func (l *leader) RecordChanged(job *cluster.Job, record int) {
 	if job.Finished {
 		return
 	}
@@ -70,16 +87,16 @@
 
 // changed takes a change of a record that the watch saw.
 func (l *leader) changed(ev *protocol.WatchEvent) {
-	if tx := l.inFlight; tx != nil && ev.Set != "" && ev.Set == tx.probe && bookkeeping.Writer(ev.Value) == tx.writer {
+	if tx := l.inFlight; tx != nil && ev.Set != "" && ev.Set == tx.probe && storage.Writer(ev.Value) == tx.writer {
 		// The transaction under way is done, though its answer may be lost.
 		l.committed(tx, ev.Revision)
 		return
 	}
-	if strings.HasPrefix(ev.Set, bookkeeping.MachinePrefix) {
+	if strings.HasPrefix(ev.Set, storage.MachinePrefix) {
 		l.deleteStrayRecord(ev)
 		return
 	}
-	id, ok := bookkeeping.ParseJobKey(ev.Set)
+	id, ok := storage.ParseJobKey(ev.Set)
 	if !ok {
 		return
 	}
@@ -87,17 +104,17 @@
 	if job != nil && ev.Revision <= job.Records.Revisions[0] {
 		return
 	}
-	if job != nil && l.inFlight != nil && bookkeeping.Writer(ev.Value) == l.inFlight.writer {
+	if job != nil && l.inFlight != nil && storage.Writer(ev.Value) == l.inFlight.writer {
 		return // our own write, whose answer is on its way
 	}
-	rec, err := bookkeeping.DecodeJob(ev.Value)
+	rec, err := storage.DecodeJob(ev.Value)
 	if err != nil {
 		l.leaveAlone(id, err)
 		return
 	}
 	if job == nil {
 		l.addJob(rec, ev.Revision)
-		l.checkEnded(l.cluster.Jobs[id])
+		l.lifecycle.CheckEnded(l.cluster.Jobs[id])
 		l.plan = true
 		return
 	}
@@ -105,7 +122,7 @@
 }
 
 // merge takes what a peer may have written: a cancellation.
-func (l *leader) merge(job *cluster.Job, rec *bookkeeping.Job, revision protocol.Revision) {
+func (l *leader) merge(job *cluster.Job, rec *storage.Job, revision protocol.Revision) {
 	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
 	if rec.Cancelled {
 		l.cancelJob(job)
@@ -125,13 +142,13 @@
 	if !job.Cancelled {
 		job.Cancelled = true
 		l.plan = true
-		l.checkEnded(job)
+		l.lifecycle.CheckEnded(job)
 	}
 }
 
 func (l *leader) tick() {
 	if !l.n.now.Before(l.watchAt) {
-		l.watchAt = l.n.now.Add(tuning.WatchMachines)
+		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.tickMachines()
 		if l.n.lead != l {
 			return
@@ -143,7 +160,7 @@
 			return
 		}
 	}
-	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.PlanIdle {
+	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.MaxSchedulingInterval {
 		l.plan = false
 		l.runSchedulingCycle()
 		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 	"golang.org/x/time/rate"
 )
@@ -45,7 +45,7 @@
 	typesAt time.Time
 
 	store     kv.Client
-	mirror    bookkeeping.Mirror
+	mirror    storage.Mirror
 	syncedAt  time.Time        // every change made before then is in the mirror
 	awaited   observedRevision // a revision that the mirror has yet to reach
 	loading   bool
@@ -59,7 +59,7 @@
 	unanswered        bool // it did not answer the last request
 	limitsLowered     bool // it has refused what its limits used to allow
 
-	finals map[protocol.JobID]bookkeeping.Final
+	finals map[protocol.JobID]storage.Final
 	polls  []poll
 	pollAt time.Time
 
@@ -90,7 +90,7 @@
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		pending:          map[uint64]func(int, []byte){},
 		types:            map[protocol.MachineTypeName]*protocol.MachineType{},
-		finals:           map[protocol.JobID]bookkeeping.Final{},
+		finals:           map[protocol.JobID]storage.Final{},
 		confirmedCancels: map[protocol.JobID]time.Time{},
 		peers:            map[protocol.NodeName]*peer{},
 		forwarded:        map[uint64]forwardedRequest{},
@@ -107,9 +107,9 @@
 	}
 	slices.Sort(n.names)
 	n.redirects, n.leaderRedirects = rate.NewLimiter(rate.Inf, 0), rate.NewLimiter(rate.Inf, 0)
-	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCost, tuning.RedirectShare); pause > 0 {
-		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.RedirectsAtOnce)
-		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.RedirectsAtOnce)
+	if pause := cfg.Cluster.Resources.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
+		n.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxConcurrentRedirects)
+		n.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxConcurrentRedirects)
 	}
 	n.setBudgets()
 	// Answers name the request by its number and may come late, after the process
@@ -128,7 +128,7 @@
 		gap, n.began = 0, now
 	}
 	n.now, n.out = now, nil
-	if gap >= tuning.ProcessPause {
+	if gap >= tuning.ProcessPauseThreshold {
 		n.resume(gap)
 	}
 	for _, e := range events {
@@ -150,11 +150,11 @@
 			n.submit(e.ID, e.Job)
 		}
 	case Query:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbQuery, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
 			n.query(e.ID, e.Job)
 		}
 	case Cancel:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerRequest{Verb: verbCancel, Job: e.Job}) {
+		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
 			n.cancel(e.ID, e.Job)
 		}
 	case WorkerReport:
@@ -190,7 +190,7 @@
 	if !n.mirror.Ready() || len(n.types) == 0 {
 		return false
 	}
-	if n.now.Sub(n.servedAt) < tuning.AloneAfter {
+	if n.now.Sub(n.servedAt) < tuning.IsolationTimeout {
 		return true
 	}
 	alone := len(n.peers) > 0
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -45,7 +45,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.addJob(&bookkeeping.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.addJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // TestPlacementConstraints places generated jobs on generated fleets. Every
@@ -225,7 +225,7 @@
 	if w := l.scheduler.PlaceArray(job, false); w != 2 {
 		t.Errorf("%d wait", w)
 	}
-	l.dropAttempt(old)
+	l.lifecycle.RemoveGone(old)
 	if w := l.scheduler.PlaceArray(job, false); w != 0 {
 		t.Errorf("%d wait once the other zone's copy is gone", w)
 	}
@@ -257,7 +257,7 @@
 	if survivor.ReservedFor != job {
 		t.Error("the survivor's room is not held")
 	}
-	l.dropAttempt(job.SortedAttempts()[0])
+	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
 	l.runSchedulingCycle()
 	on := map[*cluster.Machine]bool{}
 	for _, attempt := range job.Attempts {
--- a/internal/coordination/polls.go
+++ b/internal/coordination/polls.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -39,9 +39,9 @@
 		return
 	}
 	if len(n.polls) == 0 {
-		n.pollAt = n.now.Add(n.requestPause(tuning.PollBatch, tuning.PollShare))
+		n.pollAt = n.now.Add(n.requestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
-	p.expire = n.now.Add(tuning.UserDeadline)
+	p.expire = n.now.Add(tuning.UserRequestTimeout)
 	n.polls = append(n.polls, p)
 }
 
@@ -80,7 +80,7 @@
 // pollBatch is a number of polls that are checked together.
 type pollBatch struct {
 	polls   []poll
-	compare protocol.Txn
+	compare protocol.Transaction
 	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
 	stale   map[string]bool                    // keys whose records have changed since
 }
@@ -94,13 +94,13 @@
 		if _, ok := b.status[p.job]; ok {
 			continue
 		}
-		key := bookkeeping.JobKey(p.job)
+		key := storage.JobKey(p.job)
 		s, revision, ok := n.mirror.Status(key)
 		if !ok {
 			continue
 		}
 		b.status[p.job] = s
-		b.compare.If = append(b.compare.If, protocol.Condition{Key: key, Revision: revision})
+		b.compare.Conditions = append(b.compare.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return b
 }
@@ -126,7 +126,7 @@
 // another look.
 func (n *Node) answerPoll(p poll, b *pollBatch) {
 	s, ok := b.status[p.job]
-	fresh := ok && !b.stale[bookkeeping.JobKey(p.job)]
+	fresh := ok && !b.stale[storage.JobKey(p.job)]
 	switch {
 	case !fresh && p.short:
 		n.answerRepeated(p.id, p.job, p.expire)
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
+	"github.com/gappond/gappond/internal/coordination/reconcile"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/recovery"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // These tests lose all controllers at once while workers go on, and bring them back:
@@ -77,17 +77,17 @@
 }
 
 // summary is what the leader's recovery has found.
-func (c *coldWorld) summary() recovery.Summary {
+func (c *coldWorld) summary() reconcile.Summary {
 	if n := c.leader(); n != nil {
 		return n.node.TakeMetrics().Recovery
 	}
-	return recovery.Summary{}
+	return reconcile.Summary{}
 }
 
 // recovered waits for the end of the leader's recovery.
-func (c *coldWorld) recovered(limit time.Duration) recovery.Summary {
+func (c *coldWorld) recovered(limit time.Duration) reconcile.Summary {
 	c.t.Helper()
-	var s recovery.Summary
+	var s reconcile.Summary
 	c.waitFor(c.t, limit, "the recovery ends", func() bool {
 		s = c.summary()
 		return !s.Began.IsZero() && !s.Active()
@@ -126,7 +126,7 @@
 			c.loseAll(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
-			if s.Reason != recovery.EndAllKnown || s.Classes[recovery.Matching] != 11 || s.Stored != 11 {
+			if s.Reason != reconcile.EndAllKnown || s.Classes[reconcile.Matching] != 11 || s.Stored != 11 {
 				t.Errorf("%+v", s)
 			}
 			c.Run(15 * time.Second)
@@ -250,7 +250,7 @@
 	c.rules.jobs[ghost.ID] = newSimJob(ghost)
 	c.rules.jobs[ghost.ID].run = 500
 	c.loseAll(4*time.Second, 0)
-	c.idleWorker().execute([]protocol.Command{{Op: protocol.OpStart, Task: "run-000077/0", Attempt: 4}})
+	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.mark()
 	c.Run(20 * time.Second)
@@ -360,7 +360,7 @@
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.state.keys[bookkeeping.RestoredKey]; stays {
+			if _, stays := c.state.keys[storage.RestoredKey]; stays {
 				t.Error("the marker stays")
 			}
 			c.check(t)
@@ -443,8 +443,8 @@
 }
 
 // pendingRecord is a job's record before any place.
-func pendingRecord(spec *protocol.Job, now time.Time) bookkeeping.Job {
-	return bookkeeping.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
+func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
+	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
 }
 
 // TestColdRestartBadRecords: a job's record that cannot be read, one of a later version, and a
@@ -465,7 +465,7 @@
 			c.Run(4 * time.Second)
 			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
 			c.waitUntilOver(t, 30*time.Second, u)
-			if s := c.recovered(60 * time.Second); s.Classes[recovery.Unreadable] != 6 || s.Orders.Stops > 0 {
+			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Orders.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // finish lets a day come to its end and checks whom it served.
@@ -144,18 +144,18 @@
 // but stops.
 func (w *World) expectOnlyStops(t *testing.T, c *controller, copied []byte) {
 	t.Helper()
-	r, err := protocol.ParseReport(copied)
+	r, err := protocol.ParseHeartbeat(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
-		var a protocol.ReportAnswer
+		var a protocol.HeartbeatResponse
 		if status == 200 {
 			decode(body, &a)
 		}
 		for _, o := range a.Commands {
-			if o.Op != protocol.OpStop {
-				t.Errorf("%s answers the copy with %s", c.name, o.Op)
+			if o.Kind != protocol.CommandStop {
+				t.Errorf("%s answers the copy with %s", c.name, o.Kind)
 			}
 		}
 	})
@@ -165,7 +165,7 @@
 func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
 	t.Helper()
 	for key, e := range w.state.keys {
-		if strings.HasPrefix(key, bookkeeping.MachinePrefix) && namesMachine(e.Value, id) {
+		if strings.HasPrefix(key, storage.MachinePrefix) && namesMachine(e.Value, id) {
 			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
 		}
 	}
@@ -173,9 +173,9 @@
 
 // namesMachine says whether a record of machines names one.
 func namesMachine(value []byte, id protocol.MachineID) bool {
-	var record bookkeeping.MachineRecord
+	var record storage.MachineRecord
 	decode(value, &record)
-	return slices.ContainsFunc(record.Machines, func(m bookkeeping.MachineEntry) bool { return m.ID == id })
+	return slices.ContainsFunc(record.Machines, func(m storage.MachineEntry) bool { return m.ID == id })
 }
 
 // TestCopyOfDeadMachine: a machine dies with its leader, and the next leader's
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -86,7 +86,7 @@
 	w.finish(t, 700*time.Second)
 
 	t.Logf("at most %d calls to workers at once", w.most)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.WorkerSockets); w.most > limit {
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.most > limit {
 		t.Errorf("%d calls to workers under way at once", w.most)
 	}
 	changes := int(w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds() * shape.State.WriteRPS)
@@ -108,7 +108,7 @@
 	t.Logf("a task starts after %v", w.Now.Sub(lost))
 	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.state.requests-requests, w.state.changed-changed)
-	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.OrderShare/tuning.OrderCost.Seconds()); n > limit {
+	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
 }
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/bookkeeping"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // TestSlowControllers plays days of controllers that take time for what they do,
@@ -30,8 +30,7 @@
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
-					job := fmt.Sprintf("run-%06d", 900_000+i)
-					c.ask(statusQuery(protocol.JobID(job)), func(status int, _ []byte) {
+					c.ask(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
@@ -60,4 +59,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() protocol.Revision { return w.state.keys[bookkeeping.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.state.keys[storage.LeaderKey].Revision }
