--- a/internal/simulation/cloud_service.go
+++ b/internal/simulation/cloud.go
@@ -12,8 +12,8 @@
 	"golang.org/x/time/rate"
 )
 
-// cloudService is a stand-in for the cloud.
-type cloudService struct {
+// cloudProvider is a stand-in for the cloud.
+type cloudProvider struct {
 	w        *World
 	hosts    []*host
 	rented   map[string][]protocol.MachineID
@@ -37,8 +37,8 @@
 	list []protocol.Machine
 }
 
-func newCloudService(w *World) *cloudService {
-	c := &cloudService{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
+func newCloudProvider(w *World) *cloudProvider {
+	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	var tick func()
 	tick = func() {
@@ -63,7 +63,7 @@
 	return c
 }
 
-func (c *cloudService) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
+func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
 	address := string(id)
@@ -83,7 +83,7 @@
 }
 
 // destroy takes a machine and everything on it away at once.
-func (c *cloudService) destroy(h *host) {
+func (c *cloudProvider) destroy(h *host) {
 	h.gone = true
 	if k := c.w.workers[h.ID]; k != nil {
 		c.w.loseWorker(k)
@@ -97,7 +97,7 @@
 }
 
 // serve answers a call as the protocol says, within the budget.
-func (c *cloudService) serve(method, path string, body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) serve(method, path string, body []byte, answer answerFunc) {
 	c.requests++
 	if c.down {
 		answer(503, encode(protocol.ErrorBody{Error: "trouble"}))
@@ -121,7 +121,7 @@
 }
 
 // list answers with a page of the machine list as it was a while ago.
-func (c *cloudService) list(q url.Values, answer func(int, []byte)) {
+func (c *cloudProvider) list(q url.Values, answer answerFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
 	for _, s := range c.history {
@@ -139,7 +139,7 @@
 }
 
 // rent rents machines as far as there are any.
-func (c *cloudService) rent(body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) rent(body []byte, answer answerFunc) {
 	var r protocol.Rental
 	decode(body, &r)
 	if names, ok := c.rented[r.Request]; ok {
@@ -165,7 +165,7 @@
 }
 
 // bootTime is how long a machine takes to come up; one in twenty never does.
-func (c *cloudService) bootTime() time.Duration {
+func (c *cloudProvider) bootTime() time.Duration {
 	boot := c.w.between(12*time.Second, 30*time.Second)
 	if c.w.rng.IntN(20) == 0 {
 		boot = time.Hour
@@ -177,7 +177,7 @@
 }
 
 // remove deletes machines.
-func (c *cloudService) remove(body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) remove(body []byte, answer answerFunc) {
 	var r protocol.MachineNames
 	decode(body, &r)
 	for _, h := range c.hosts {
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -175,7 +175,7 @@
 			c := newColdWorld(t, 44, recovering())
 			short := c.submitRunning(t, 20*time.Second, array("run-000003", 2), 6)
 			if late {
-				c.state.lose(1, false, 20*time.Second)
+				c.state.delayTransactions(1, 20*time.Second)
 			} else {
 				c.state.outage(9 * time.Second)
 			}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -18,7 +18,7 @@
 	alive   bool
 	peers   map[string]bool
 	nextID  uint64
-	waiting map[uint64]func(status int, body []byte)
+	waiting map[uint64]answerFunc
 	refused bool      // the state service refuses this node alone
 	wakeAt  time.Time // when the node is to be stepped by its timer
 	timerAt time.Time // when that is looked at, zero while it is not
@@ -31,7 +31,7 @@
 	c.life++
 	c.alive = true
 	c.peers = map[string]bool{}
-	c.waiting = map[uint64]func(int, []byte){}
+	c.waiting = map[uint64]answerFunc{}
 	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
 	life := c.life
 	var look func()
@@ -109,7 +109,7 @@
 }
 
 // ask hands the node a request from outside.
-func (c *controller) ask(event request, answer func(status int, body []byte)) {
+func (c *controller) ask(event request, answer answerFunc) {
 	if !c.alive {
 		return
 	}
@@ -168,8 +168,8 @@
 	}
 }
 
-func (c *controller) request(a coordination.Request, done func(status int, body []byte)) {
-	to, handle := "state", func(answer func(int, []byte)) {
+func (c *controller) request(a coordination.Request, done answerFunc) {
+	to, handle := "state", func(answer answerFunc) {
 		if c.w.release[c.name] == release02 {
 			whole := answer
 			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
@@ -178,7 +178,7 @@
 	}
 	switch a.To {
 	case coordination.ToCloud:
-		to, handle = "cloud", func(answer func(int, []byte)) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }
+		to, handle = "cloud", func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }
 	case coordination.ToWorker:
 		c.w.calls++
 		c.calling++
@@ -190,7 +190,7 @@
 			}
 			answered(status, body)
 		}
-		to, handle = a.Address, func(answer func(int, []byte)) {
+		to, handle = a.Address, func(answer answerFunc) {
 			if k := c.w.workers[protocol.MachineID(a.Address)]; k != nil {
 				k.serve(a.Method, a.Path, a.Body, answer)
 			}
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -60,7 +60,7 @@
 	}
 	c := up[d.w.rng.IntN(len(up))]
 	life := c.life
-	d.w.call("users", c.name, limit, func(answer func(int, []byte)) { c.ask(event, answer) }, func(status int, _ []byte) {
+	d.w.call("users", c.name, limit, func(answer answerFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
 		if status == 0 && (!c.alive || c.life != life) {
 			return // it was killed under the request: the connection tells the user
 		}
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -70,14 +70,18 @@
 		})
 	}},
 	{name: "transactions are carried out late, after newer ones", play: func(w *World) {
-		w.state.lose(0.3, false, 100*time.Second)
+		w.state.delayTransactions(0.3, 100*time.Second)
 		w.after(40*time.Second, func() { w.replace(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.replace(5 * time.Second) })
 	}, most: 2},
 	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, play: func(w *World) {
 		w.cloud.quick = true
 		w.every(15*time.Second, 6, func(i int) {
-			w.state.lose(0.4, i%2 == 0, 10*time.Second)
+			if i%2 == 0 {
+				w.state.loseAnswers(0.4, 10*time.Second)
+			} else {
+				w.state.delayTransactions(0.4, 10*time.Second)
+			}
 			w.after(w.between(time.Second, 6*time.Second), func() { w.replace(500 * time.Millisecond) })
 		})
 	}},
@@ -213,7 +217,7 @@
 	}, most: 4},
 	{name: "transactions are carried out at once and their answers lost", play: func(w *World) {
 		w.close = true
-		w.state.lose(0.4, true, 110*time.Second)
+		w.state.loseAnswers(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.replace(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -102,9 +102,9 @@
 		}
 	})},
 	// Some transactions are carried out late, after newer ones, and get no answer.
-	{"transactions late", func(w *World, d faultDraw) { w.state.lose(0.3, false, d.span) }},
+	{"transactions late", func(w *World, d faultDraw) { w.state.delayTransactions(0.3, d.span) }},
 	// Some transactions are carried out at once and get no answer.
-	{"answers to transactions lost", func(w *World, d faultDraw) { w.state.lose(0.3, true, d.span) }},
+	{"answers to transactions lost", func(w *World, d faultDraw) { w.state.loseAnswers(0.3, d.span) }},
 	// Two machines open no connection; calls reach them.
 	{"machines cannot report", func(w *World, d faultDraw) { w.blockReports(2, d.span) }},
 	// All controllers are away for long.
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -38,10 +38,10 @@
 // NewLive makes a world whose controllers are elsewhere. Its workers are logged.
 func NewLive(seed uint64, shape Shape) *Live {
 	v := &Live{peers: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.state = v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
+	v.state = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		v.w.state.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
 	})
-	v.cloud = v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
+	v.cloud = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, answer)
 	})
 	v.w = newWorld(seed, nil, shape, v)
@@ -101,7 +101,7 @@
 
 // serve starts a server on loopback whose requests are answered by a stand-in, at once
 // or later.
-func (v *Live) serve(handle func(r *http.Request, body []byte, answer func(int, []byte))) *httptest.Server {
+func (v *Live) serve(handle func(r *http.Request, body []byte, answer answerFunc)) *httptest.Server {
 	type reply struct {
 		status int
 		body   []byte
@@ -133,7 +133,7 @@
 
 // address gives a machine its worker's address.
 func (v *Live) address(id protocol.MachineID) string {
-	s := v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
+	s := v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		if k := v.w.workers[id]; k != nil {
 			k.serve(r.Method, r.URL.Path, body, answer)
 		}
@@ -142,7 +142,7 @@
 }
 
 // ask sends a user's or worker's request to a controller.
-func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done func(status int, body []byte)) {
+func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done answerFunc) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
 	case coordination.WorkerReport:
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,6 +7,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
+// answerFunc takes the answer to a request: its HTTP status, 0 if none came in time, and its
+// body.
+type answerFunc func(status int, body []byte)
+
 // cut is an interruption between hosts. Packets are held and delivered in
 // order at its end, or lost.
 type cut struct {
@@ -65,7 +69,7 @@
 
 // call makes a request from one host to another. handle gets it whenever it
 // arrives, even if the caller has given up; done gets one answer.
-func (w *World) call(from, to string, timeout time.Duration, handle func(answer func(status int, body []byte)), done func(status int, body []byte)) {
+func (w *World) call(from, to string, timeout time.Duration, handle func(answer answerFunc), done answerFunc) {
 	answered := false
 	finish := func(status int, body []byte) {
 		if !answered {
@@ -82,13 +86,13 @@
 }
 
 // reach makes a request of a worker or user to a controller.
-func (w *World) reach(from string, node int, timeout time.Duration, event request, done func(status int, body []byte)) {
+func (w *World) reach(from string, node int, timeout time.Duration, event request, done answerFunc) {
 	if w.live != nil {
 		w.live.ask(node, timeout, event(0), done)
 		return
 	}
 	c := w.nodes[node]
-	w.call(from, c.name, timeout, func(answer func(int, []byte)) {
+	w.call(from, c.name, timeout, func(answer answerFunc) {
 		if k := w.workers[protocol.MachineID(from)]; k == nil || !k.mute {
 			c.ask(event, answer)
 		}
--- /dev/null
+++ b/internal/simulation/store_leases.go
@@ -0,0 +1,54 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// leaseTable are the leases that the key-value store has granted.
+type leaseTable struct {
+	leases map[protocol.LeaseID]*lease
+	nextID protocol.LeaseID
+}
+
+type lease struct {
+	ttl     time.Duration
+	expires time.Time
+}
+
+// grant gives a lease.
+func (l *leaseTable) grant(now time.Time, ttl time.Duration) protocol.LeaseID {
+	l.nextID++
+	l.leases[l.nextID] = &lease{ttl, now.Add(ttl)}
+	return l.nextID
+}
+
+// renew gives a lease its full time again; false: there is none.
+func (l *leaseTable) renew(now time.Time, id protocol.LeaseID) bool {
+	held := l.leases[id]
+	if held == nil {
+		return false
+	}
+	held.expires = now.Add(held.ttl)
+	return true
+}
+
+// renewAll gives every lease its full time again.
+func (l *leaseTable) renewAll(now time.Time) {
+	for _, held := range l.leases {
+		held.expires = now.Add(held.ttl)
+	}
+}
+
+// expired lists the leases that are over.
+func (l *leaseTable) expired(now time.Time) (ids []protocol.LeaseID) {
+	for id, held := range l.leases {
+		if now.After(held.expires) {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -244,7 +244,7 @@
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.state.lower()
-		w.state.lose(0.3, true, 20*time.Second)
+		w.state.loseAnswers(0.3, 20*time.Second)
 	}},
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -79,7 +79,7 @@
 }
 
 // ask sends a request to a node drawn by lot, unless the user has left.
-func (u *user) ask(limit time.Duration, event request, done func(status int, body []byte)) {
+func (u *user) ask(limit time.Duration, event request, done answerFunc) {
 	if u.left {
 		return
 	}
@@ -180,7 +180,7 @@
 			if i >= 2*len(w.nodes) {
 				event = submission(u.j.spec)
 			}
-			w.call("users", c.name, 2*time.Second, func(answer func(int, []byte)) { c.ask(event, answer) }, func(status int, body []byte) {
+			w.call("users", c.name, 2*time.Second, func(answer answerFunc) { c.ask(event, answer) }, func(status int, body []byte) {
 				switch status {
 				case 200, 201:
 					var a protocol.Accepted
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -90,8 +90,8 @@
 	zoneOf     map[string]protocol.ZoneName
 	cuts       []*cut
 	nodes      []*controller
-	state      *stateService
-	cloud      *cloudService
+	state      *keyValueStore
+	cloud      *cloudProvider
 	workers    map[protocol.MachineID]*worker
 	users      []*user
 	rules      *rules
@@ -144,8 +144,8 @@
 		w.log = slog.New(slog.DiscardHandler)
 	}
 	w.rules = newRules(w)
-	w.state = newStateService(w)
-	w.cloud = newCloudService(w)
+	w.state = newKeyValueStore(w)
+	w.cloud = newCloudProvider(w)
 	for i := range 3 {
 		c := &controller{w: w, name: "node-" + strconv.Itoa(i), peers: map[string]bool{}}
 		w.zoneOf[c.name] = shape.Zones[i%len(shape.Zones)]
