--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -127,14 +127,14 @@
 
 // workerOf is the machine that a task of a job is on.
 func (w *World) workerOf(job protocol.JobID, task int) *worker {
-	return w.rules.onAt[protocol.TaskName(job, task)].k
+	return w.rules.placed[protocol.TaskName(job, task)].k
 }
 
 // running says whether all tasks of some users' jobs run.
 func (w *World) running(users ...*user) bool {
 	for _, u := range users {
-		for i := range u.j.spec.Tasks {
-			t := w.rules.onAt[protocol.TaskName(u.j.spec.ID, i)]
+		for i := range u.job.spec.Tasks {
+			t := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]
 			if t == nil || t.state != protocol.TaskRunning {
 				return false
 			}
@@ -187,7 +187,7 @@
 // jobsOf lists the names of some users' jobs.
 func jobsOf(users []*user) (jobs []protocol.JobID) {
 	for _, u := range users {
-		jobs = append(jobs, u.j.spec.ID)
+		jobs = append(jobs, u.job.spec.ID)
 	}
 	return jobs
 }
@@ -208,8 +208,8 @@
 	}
 }
 
-// check reports every rule of the protocol that was broken.
-func (w *World) check(t *testing.T) {
+// expectRulesHeld reports every rule of the protocol that was broken.
+func (w *World) expectRulesHeld(t *testing.T) {
 	t.Helper()
 	for _, f := range w.rules.failures {
 		t.Error(f)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -23,13 +23,13 @@
 	calls    *rate.Limiter
 	requests int
 	history  []snapshot
-	quick    bool // machines are up within two seconds
+	fastBoot bool // machines are up within two seconds
 }
 
 type host struct {
 	protocol.Machine
-	born time.Time
-	gone bool
+	createdAt time.Time
+	gone      bool
 }
 
 type snapshot struct {
@@ -46,7 +46,7 @@
 		for _, h := range c.hosts {
 			if !h.gone {
 				m := h.Machine
-				m.AgeS = w.Now.Sub(h.born).Seconds()
+				m.AgeS = w.Now.Sub(h.createdAt).Seconds()
 				list = append(list, m)
 			}
 		}
@@ -70,7 +70,7 @@
 	if c.w.live != nil {
 		address = c.w.live.address(id)
 	}
-	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, born: c.w.Now}
+	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
 	c.hosts = append(c.hosts, h)
 	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
@@ -170,7 +170,7 @@
 	if c.w.rng.IntN(20) == 0 {
 		boot = time.Hour
 	}
-	if c.quick {
+	if c.fastBoot {
 		boot = c.w.between(100*time.Millisecond, 2*time.Second)
 	}
 	return boot
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -129,7 +129,7 @@
 	var requests, changes int
 	d.do(func(w *World) {
 		w.Audit.Judge(w.Now)
-		requests, changes = w.state.requests, w.state.changed
+		requests, changes = w.store.requests, w.store.changed
 	})
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
@@ -137,9 +137,9 @@
 	d.pass(c.After)
 	var result ColdResult
 	d.do(func(w *World) {
-		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.state.requests - requests, Changes: w.state.changed - changes, Rules: w.rules.failures}
+		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.store.requests - requests, Changes: w.store.changed - changes, Rules: w.rules.failures}
 		for _, u := range users {
-			result.Tasks += u.j.spec.Tasks
+			result.Tasks += u.job.spec.Tasks
 		}
 	})
 	d.kill()
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -46,8 +46,8 @@
 // mark has orders and starts count from now on.
 func (c *coldWorld) mark() { c.before, c.starts = c.Audit.Orders, c.rules.started }
 
-// loseAll ends all controllers; they are back some time later, one after the other.
-func (c *coldWorld) loseAll(away, apart time.Duration) {
+// crashAllApart ends all controllers; they are back some time later, one after the other.
+func (c *coldWorld) crashAllApart(away, apart time.Duration) {
 	for i, n := range c.nodes {
 		n.crash(away + time.Duration(i)*apart)
 	}
@@ -100,7 +100,7 @@
 	c.t.Helper()
 	c.waitUntilOver(c.t, 400*time.Second, c.gang, c.array)
 	c.Run(5 * time.Second)
-	c.check(c.t)
+	c.expectRulesHeld(c.t)
 }
 
 // TestColdRestartKeepsWork: all controllers are lost and back within the workers' lease,
@@ -123,7 +123,7 @@
 			for i, r := range play.earlier {
 				c.release[c.nodes[i].name] = r
 			}
-			c.loseAll(play.away, play.apart)
+			c.crashAllApart(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
 			if s.Reason != reconcile.EndAllKnown || s.Classes[reconcile.Matching] != 11 || s.Stored != 11 {
@@ -141,7 +141,7 @@
 func TestColdRestartNewSessions(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
-	c.loseAll(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
+	c.crashAllApart(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
 	c.Run(secs(c.shape.Workers.LeaseS) + 9*time.Second)
 	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
 	c.expectStarts(t, c.starts, 11, "for 11 tasks")
@@ -156,7 +156,7 @@
 func TestColdRestartHalfReported(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 43, recovering())
-	c.loseAll(time.Second, 0)
+	c.crashAllApart(time.Second, 0)
 	late := c.workerOf("run-000001", 0)
 	late.mute = true
 	c.after(14*time.Second, func() { late.mute = false })
@@ -175,15 +175,15 @@
 			c := newColdWorld(t, 44, recovering())
 			short := c.submitRunning(t, 20*time.Second, array("run-000003", 2), 6)
 			if late {
-				c.state.delayTransactions(1, 20*time.Second)
+				c.store.delayTransactions(1, 20*time.Second)
 			} else {
-				c.state.outage(9 * time.Second)
+				c.store.outage(9 * time.Second)
 			}
-			c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.j.done[0] && short.j.done[1] })
+			c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.job.done[0] && short.job.done[1] })
 			c.Run(700 * time.Millisecond) // the leader has the reports
 			c.mark()
 
-			c.loseAll(2*time.Second, 0)
+			c.crashAllApart(2*time.Second, 0)
 
 			c.waitUntilOver(t, 40*time.Second, short)
 			c.expectKept("end of a task")
@@ -199,10 +199,10 @@
 	c := newColdWorld(t, 45, recovering())
 	c.array.cancel()
 	c.waitUntilOver(t, 5*time.Second, c.array)
-	c.loseAll(3*time.Second, time.Second)
+	c.crashAllApart(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Workers.CancelS) + time.Second)
-	if c.rules.late > 0 {
-		t.Errorf("%d starts after the cancellation", c.rules.late)
+	if c.rules.lateStarts > 0 {
+		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
 	}
 	c.finishBoth()
 }
@@ -217,17 +217,17 @@
 	waves := array("run-000009", 12)
 	waves.Team = "red" // whose limit allows ten tasks at once
 	u := w.submit(arrival{job: waves, run: 25})
-	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.use["red"] == 10 })
+	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
 	w.keep = true
 	w.Run(4 * time.Second)
 	w.keep = false
 	copies := w.kept
-	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.onAt["run-000009/11"] != nil && w.rules.use["red"] == 2 })
+	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldWorld{World: w, t: t, gang: u, array: u}
 	c.mark()
-	c.loseAll(time.Second, 0)
+	c.crashAllApart(time.Second, 0)
 	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
 		w.copyReport(w.leader(), body)
@@ -249,12 +249,12 @@
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = newSimJob(ghost)
 	c.rules.jobs[ghost.ID].run = 500
-	c.loseAll(4*time.Second, 0)
+	c.crashAllApart(4*time.Second, 0)
 	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.mark()
 	c.Run(20 * time.Second)
-	if c.rules.onAt["run-000077/0"] != nil {
+	if c.rules.placed["run-000077/0"] != nil {
 		t.Error("the unknown job runs on")
 	}
 	if n := c.ordered(needStop); n != 1 {
@@ -273,10 +273,10 @@
 			t.Run(fmt.Sprint("after ", i*400, " ms, state service ", state), func(t *testing.T) {
 				t.Parallel()
 				c := newColdWorld(t, uint64(48+i), recovering())
-				c.loseAll(time.Second, 300*time.Millisecond)
+				c.crashAllApart(time.Second, 300*time.Millisecond)
 				c.Run(time.Second + time.Duration(i)*400*time.Millisecond)
 				if state {
-					c.state.outage(4 * time.Second)
+					c.store.outage(4 * time.Second)
 				} else if n := c.leader(); n != nil {
 					n.crash(time.Second)
 				} else {
@@ -298,8 +298,8 @@
 	shape := recovering()
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
-	c.loseAll(time.Second, 0)
-	c.interrupt(130*time.Second, false, c.aroundZone("west"))
+	c.crashAllApart(time.Second, 0)
+	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
@@ -355,15 +355,15 @@
 
 			c.expectRestored(restore, due)
 			c.Run(200 * time.Second)
-			for i, done := range later.j.done {
+			for i, done := range later.job.done {
 				if !done {
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.state.keys[storage.RestoredKey]; stays {
+			if _, stays := c.store.keys[storage.RestoredKey]; stays {
 				t.Error("the marker stays")
 			}
-			c.check(t)
+			c.expectRulesHeld(t)
 		})
 	}
 }
@@ -373,23 +373,23 @@
 // has its record and no places.
 func (c *coldWorld) restoreOlder(lacks protocol.Revision) (later *user) {
 	c.t.Helper()
-	old := c.state.backup()
+	old := c.store.backup()
 	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
 	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
 	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
 	c.Run(5 * time.Second)
-	c.state.revision += lacks
+	c.store.revision += lacks
 	c.leader().crash(time.Second) // workers get the token of the next leader
 	c.Run(12 * time.Second)
-	c.loseAll(2*time.Second, 0)
+	c.crashAllApart(2*time.Second, 0)
 	c.Run(time.Second)
 	// The record of the later job was there before its places were.
 	e := old.keys["g/j/run-000002"]
-	e.Value = encode(pendingRecord(later.j.spec, c.Now))
+	e.Value = encode(pendingRecord(later.job.spec, c.Now))
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
-	c.state.restore(old)
-	lost.left, later.left = true, true // what they were told is lost
+	c.store.restore(old)
+	lost.silent, later.silent = true, true // what they were told is lost
 	c.mark()
 	return later
 }
@@ -416,7 +416,7 @@
 	if n := c.ordered(needStop); restore.keeps && n != 6 {
 		c.t.Errorf("%d stops for six attempts on no record", n)
 	}
-	if c.rules.onAt["run-000008/0"] != nil {
+	if c.rules.placed["run-000008/0"] != nil {
 		c.t.Error("a job that no record has runs on")
 	}
 	if c.leader() == nil {
@@ -429,13 +429,13 @@
 func (c *coldWorld) tasksLostWith(k *worker) (n int) {
 	for _, u := range []*user{c.gang, c.array} {
 		on := 0
-		for i := range u.j.spec.Tasks {
-			if c.workerOf(u.j.spec.ID, i) == k {
+		for i := range u.job.spec.Tasks {
+			if c.workerOf(u.job.spec.ID, i) == k {
 				on++
 			}
 		}
 		if on > 0 && u == c.gang {
-			on = u.j.spec.Tasks
+			on = u.job.spec.Tasks
 		}
 		n += on
 	}
@@ -458,8 +458,8 @@
 			shape := recovering()
 			shape.Machines = 8
 			c := newColdWorld(t, 51, shape)
-			c.gang.left = true // its user would get no answer
-			c.loseAll(3*time.Second, 0)
+			c.gang.silent = true // its user would get no answer
+			c.crashAllApart(3*time.Second, 0)
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
 			c.Run(4 * time.Second)
@@ -471,12 +471,12 @@
 			if !c.running(c.gang) || !c.running(c.array) {
 				t.Error("what ran does not go on")
 			}
-			c.check(t)
+			c.expectRulesHeld(t)
 		})
 	}
 }
 
 // damage writes a value that makes no sense under a key.
 func (w *World) damage(key, value string) {
-	w.state.apply([]protocol.Change{{Set: key, Value: []byte(value)}})
+	w.store.apply([]protocol.Change{{Set: key, Value: []byte(value)}})
 }
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -21,15 +21,15 @@
 				t.Parallel()
 				w, u, c := blindLeader(t, 600+seed, 8)
 				for _, o := range w.others(c) { // no word over the links
-					w.interrupt(100*time.Second, false, oneWay(c, o))
+					w.interrupt(100*time.Second, packetsLost, oneWay(c, o))
 				}
 
 				w.cancelUntilConfirmed(u)
 				w.Run(blindFor)
-				w.state.outage(61 * time.Second)
+				w.store.outage(61 * time.Second)
 				w.Run(100 * time.Second)
 
-				w.check(t)
+				w.expectRulesHeld(t)
 			})
 		}
 	}
@@ -41,7 +41,7 @@
 	w := startWorld(seed, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", tasks), 500)
 	c := w.leader()
-	w.state.blind = c
+	w.store.blind = c
 	w.Run(400 * time.Millisecond)
 	return w, u, c
 }
@@ -66,19 +66,19 @@
 	w := startWorld(610, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
-	w.state.blind = c
-	w.state.refuse(c, 60*time.Second)
+	w.store.blind = c
+	w.store.refuse(c, 60*time.Second)
 
 	status := 0
-	u.asked = true
-	w.others(c)[0].ask(cancellation(u.j.spec.ID), func(s int, _ []byte) { status = s })
+	u.cancelRequested = true
+	w.others(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
 
-	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.onAt["run-000001/0"] == nil && w.rules.onAt["run-000001/3"] == nil })
+	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
 	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
 	if status != 200 {
 		t.Errorf("the cancellation is answered %d", status)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestLongOutage: the state service is out for far longer than a leader's
@@ -95,21 +95,23 @@
 			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
 			c, starts := w.leader(), w.rules.started
 			if refused {
-				w.state.refuse(c, 100*time.Second)
-				w.state.blind = c
+				w.store.refuse(c, 100*time.Second)
+				w.store.blind = c
 				// The message about the cancellation is lost: only the confirmation names it.
-				w.interrupt(1500*time.Millisecond, false, func(a, b string) bool { return a == c.name && b != "state" && w.workers[protocol.MachineID(b)] == nil })
+				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
+					return a == c.name && b != storeHost && w.workers[protocol.MachineID(b)] == nil
+				})
 				w.Run(200 * time.Millisecond)
 			}
 
 			w.cancelUntilConfirmed(cancelled)
-			w.state.outage(80 * time.Second)
+			w.store.outage(80 * time.Second)
 			w.Run(85 * time.Second)
-			w.state.blind = nil
+			w.store.blind = nil
 
 			w.waitUntilOver(t, 200*time.Second, u)
 			w.expectStarts(t, starts, 0, "across the outage")
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
@@ -129,28 +131,28 @@
 			w.cuts = append(w.cuts, cutOff)
 
 			w.cancelAt(peer, u)
-			w.state.outage(100 * time.Second)
+			w.store.outage(100 * time.Second)
 			peer.crash(200 * time.Millisecond)
 			w.Run(100 * time.Millisecond)
-			w.mend(cutOff)
+			w.heal(cutOff)
 			w.Run(60 * time.Second)
 
 			if c.node.Leading() {
 				t.Error("it still leads")
 			}
 			w.Run(60 * time.Second)
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
 
 // cancelAt has a user ask one node for a cancellation until it confirms.
 func (w *World) cancelAt(c *controller, u *user) {
-	u.asked = true
+	u.cancelRequested = true
 	for status := 0; status != 200; {
-		c.ask(cancellation(u.j.spec.ID), func(got int, body []byte) {
+		c.ask(cancellation(u.job.spec.ID), func(got int, body []byte) {
 			if status = got; got == 200 && !u.over {
-				u.takeAnswer(body)
+				u.handleAnswer(body)
 			}
 		})
 		w.Run(30 * time.Millisecond)
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -16,7 +16,7 @@
 	node    *coordination.Node
 	life    int
 	alive   bool
-	peers   map[string]bool
+	linked  map[string]bool
 	nextID  uint64
 	waiting map[uint64]answerFunc
 	refused bool      // the state service refuses this node alone
@@ -30,40 +30,40 @@
 func (c *controller) boot() {
 	c.life++
 	c.alive = true
-	c.peers = map[string]bool{}
+	c.linked = map[string]bool{}
 	c.waiting = map[uint64]answerFunc{}
 	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
 	life := c.life
 	var look func()
 	look = func() {
 		if c.alive && c.life == life {
-			c.links()
+			c.updateLinks()
 			c.w.after(tuning.MinTimerInterval, look)
 		}
 	}
 	c.w.after(c.w.between(0, tuning.MinTimerInterval), look)
 	c.timerAt = time.Time{}
 	c.backlog, c.working, c.calling = backlog{}, false, 0
-	c.wake(c.w.between(0, tuning.MinTimerInterval))
+	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
-// wake has the node stepped after a while, unless something happens before: a
+// setTimer has the node stepped after a while, unless something happens before: a
 // timer that is set anew at every step, as the owner's is.
-func (c *controller) wake(d time.Duration) {
+func (c *controller) setTimer(d time.Duration) {
 	c.wakeAt = c.w.Now.Add(d)
 	if c.timerAt.IsZero() || c.wakeAt.Before(c.timerAt) {
-		c.await()
+		c.armTimer()
 	}
 }
 
-func (c *controller) await() {
+func (c *controller) armTimer() {
 	life, at := c.life, c.wakeAt
 	c.timerAt = at
 	c.w.after(at.Sub(c.w.Now), func() {
 		switch {
 		case !c.alive || c.life != life || !c.timerAt.Equal(at):
 		case c.w.Now.Before(c.wakeAt):
-			c.await()
+			c.armTimer()
 		default:
 			c.timerAt = time.Time{}
 			c.step()
@@ -87,8 +87,8 @@
 	}
 }
 
-// links finds out which peers have a link.
-func (c *controller) links() {
+// updateLinks finds out which peers have a link.
+func (c *controller) updateLinks() {
 	for _, o := range c.w.nodes {
 		if o == c {
 			continue
@@ -97,8 +97,8 @@
 		for _, k := range c.w.cuts {
 			up = up && !k.match(c.name, o.name)
 		}
-		if up != c.peers[o.name] {
-			c.peers[o.name] = up
+		if up != c.linked[o.name] {
+			c.linked[o.name] = up
 			if up {
 				c.step(coordination.PeerUp{Peer: protocol.NodeName(o.name)})
 			} else {
@@ -122,11 +122,11 @@
 func (c *controller) step(events ...coordination.Event) {
 	if c.w.shape.Slow {
 		c.backlog.add(events)
-		c.work()
+		c.takeBatch()
 		return
 	}
 	c.carryOut(c.node.Step(c.w.Now, events))
-	c.wake(c.node.Due())
+	c.setTimer(c.node.Due())
 }
 
 // carryOut does what the node wants done.
@@ -148,7 +148,7 @@
 				continue
 			}
 			for _, o := range c.w.nodes {
-				if o.name == string(a.Peer) && c.peers[o.name] {
+				if o.name == string(a.Peer) && c.linked[o.name] {
 					to := o.life
 					m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
 					c.w.carry(c.name, o.name, func() {
@@ -169,12 +169,12 @@
 }
 
 func (c *controller) request(a coordination.Request, done answerFunc) {
-	to, handle := "state", func(answer answerFunc) {
+	to, handle := storeHost, func(answer answerFunc) {
 		if c.w.release[c.name] == release02 {
 			whole := answer
 			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
 		}
-		c.w.state.serve(a.Method, a.Path, a.Body, c, answer)
+		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
 	}
 	switch a.To {
 	case coordination.ToCloud:
@@ -182,7 +182,7 @@
 	case coordination.ToWorker:
 		c.w.calls++
 		c.calling++
-		c.w.most = max(c.w.most, c.calling)
+		c.w.mostCalls = max(c.w.mostCalls, c.calling)
 		answered, life := done, c.life
 		done = func(status int, body []byte) {
 			if c.life == life {
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -168,8 +168,8 @@
 	w.Run(10 * time.Second)
 	starts := map[protocol.JobID]int{}
 	for _, u := range append(services, gang) {
-		u.up, u.away = 0, 0
-		starts[u.j.spec.ID] = sum(u.j.starts)
+		u.served, u.unserved = 0, 0
+		starts[u.job.spec.ID] = sum(u.job.starts)
 	}
 	d := w.watchDowntime("run-000001", 50*time.Second)
 	order.replace(w, func(c *controller) {
@@ -179,11 +179,11 @@
 	w.Run(55 * time.Second)
 	d.check(t, order.away)
 	for _, u := range append(services, gang) {
-		if again := sum(u.j.starts) - starts[u.j.spec.ID]; again > 0 || u.away > 0 || !w.running(u) {
-			t.Errorf("%s: %d tasks are started again, %v are not served", u.j.spec.ID, again, u.away)
+		if again := sum(u.job.starts) - starts[u.job.spec.ID]; again > 0 || u.unserved > 0 || !w.running(u) {
+			t.Errorf("%s: %d tasks are started again, %v are not served", u.job.spec.ID, again, u.unserved)
 		}
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // check reports what must not be noticed: requests without an answer, a time without
@@ -233,7 +233,7 @@
 				w.expectServiceServed(t, i)
 			}
 			w.Run(60 * time.Second)
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -7,9 +7,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// waitBeside is how long a job may wait beside room for it once all faults are
+// maxWaitBesideCapacity is how long a job may wait beside room for it once all faults are
 // over.
-const waitBeside = 90 * time.Second
+const maxWaitBesideCapacity = 90 * time.Second
 
 // faultCombination is a pair or more of faults that fall together, in a deployment that
 // works at its limit.
@@ -35,16 +35,16 @@
 				w.loseWorker(k)
 			}
 		})
-		w.after(15*time.Second, func() { w.replace(time.Second) })
+		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
 	{name: "a cancellation, a question and a repeated submission meet the end", play: func(w *World) {
-		w.atEnd, w.close = 0.7, true
-		w.after(60*time.Second, func() { w.replace(300 * time.Millisecond) })
-		w.after(110*time.Second, func() { w.atEnd = 0 })
+		w.cancelAtEnd, w.askAllNodes = 0.7, true
+		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
+		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
 	}},
 	{name: "jobs are cancelled while the lead changes hands", play: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
-			w.replace(time.Duration(100+i*700) * time.Millisecond)
+			w.crashLeader(time.Duration(100+i*700) * time.Millisecond)
 			w.every(700*time.Millisecond, 6, func(int) { w.cancelNow(1, 0) })
 		})
 	}, most: 4},
@@ -54,7 +54,7 @@
 				id := k.h.ID
 				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
-			w.after(2*time.Second, func() { w.replace(time.Second) })
+			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
 			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
 		})
 	}, most: 8},
@@ -62,31 +62,31 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.h.ID
-				held := &cut{hold: true, match: fromHost(string(id))}
+				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
 				w.cuts = append(w.cuts, held)
-				w.after(12*time.Second, func() { w.mend(held) })
+				w.after(12*time.Second, func() { w.heal(held) })
 			}
-			w.after(time.Second, func() { w.replace(20 * time.Second) })
+			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
 		})
 	}},
 	{name: "transactions are carried out late, after newer ones", play: func(w *World) {
-		w.state.delayTransactions(0.3, 100*time.Second)
-		w.after(40*time.Second, func() { w.replace(200 * time.Millisecond) })
-		w.after(70*time.Second, func() { w.replace(5 * time.Second) })
+		w.store.delayTransactions(0.3, 100*time.Second)
+		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
+		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, most: 2},
 	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, play: func(w *World) {
-		w.cloud.quick = true
+		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
-				w.state.loseAnswers(0.4, 10*time.Second)
+				w.store.loseAnswers(0.4, 10*time.Second)
 			} else {
-				w.state.delayTransactions(0.4, 10*time.Second)
+				w.store.delayTransactions(0.4, 10*time.Second)
 			}
-			w.after(w.between(time.Second, 6*time.Second), func() { w.replace(500 * time.Millisecond) })
+			w.after(w.between(time.Second, 6*time.Second), func() { w.crashLeader(500 * time.Millisecond) })
 		})
 	}},
 	{name: "users ask all nodes within milliseconds, some cancel at once", play: func(w *World) {
-		w.close = true
+		w.askAllNodes = true
 		w.every(time.Second, 100, func(i int) {
 			var cancel time.Duration
 			if i%3 == 0 {
@@ -94,12 +94,12 @@
 			}
 			w.submit(arrival{job: array(jobID(800200+i), 1), run: 3, cancelAfter: cancel})
 		})
-		w.every(30*time.Second, 3, func(int) { w.replace(400 * time.Millisecond) })
+		w.every(30*time.Second, 3, func(int) { w.crashLeader(400 * time.Millisecond) })
 	}, most: 2},
 	{name: "controllers hand over and back, all end, one returns within a second", play: func(w *World) {
 		w.every(10*time.Second, 9, func(i int) {
 			if i%3 < 2 {
-				w.replace(w.between(50*time.Millisecond, 900*time.Millisecond))
+				w.crashLeader(w.between(50*time.Millisecond, 900*time.Millisecond))
 				return
 			}
 			for k, c := range w.nodes {
@@ -111,19 +111,19 @@
 		w.every(100*time.Second, 2, func(int) {
 			if c := w.leader(); c != nil {
 				// Its watches hang while renewals pass: it knows of no cancellation.
-				w.state.blind = c
+				w.store.blind = c
 				w.after(500*time.Millisecond, func() { w.cancelNow(20, 0) })
-				w.after(9*time.Second, func() { w.state.outage(61 * time.Second) })
-				w.after(75*time.Second, func() { w.state.blind = nil })
+				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
+				w.after(75*time.Second, func() { w.store.blind = nil })
 			}
 		})
 	}, most: 20},
 	{name: "the leader alone is refused, then everybody", play: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
-				w.state.refuse(c, 14*time.Second)
+				w.store.refuse(c, 14*time.Second)
 				w.cancelNow(20, 0)
-				w.after(time.Duration(1+i)*time.Second, func() { w.state.outage(58 * time.Second) })
+				w.after(time.Duration(1+i)*time.Second, func() { w.store.outage(58 * time.Second) })
 			}
 		})
 	}, most: 4},
@@ -140,7 +140,7 @@
 		w.every(45*time.Second, 3, func(i int) {
 			w.blockReports([]int{1, 3, 99}[i], 35*time.Second)
 			w.after(10*time.Second, func() { w.cancelNow(4, 0) })
-			w.after(14*time.Second, func() { w.replace(2 * time.Second) })
+			w.after(14*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, most: 4},
 	{name: "all controllers are away for longer than a lease", play: func(w *World) {
@@ -153,9 +153,9 @@
 	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
 		for i := range 8 {
 			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
-			u.j.progress[0], u.j.progress[1] = 55, 25
+			u.job.progress[0], u.job.progress[1] = 55, 25
 		}
-		w.every(13*time.Second, 6, func(int) { w.replace(1500 * time.Millisecond) })
+		w.every(13*time.Second, 6, func(int) { w.crashLeader(1500 * time.Millisecond) })
 	}},
 	{name: "commands and answers are held up and the machine goes on", play: func(w *World) {
 		w.every(12*time.Second, 8, func(i int) {
@@ -164,15 +164,15 @@
 			}
 			w.after(time.Second, func() { w.cancelNow(1, 0) })
 			if i%3 == 1 {
-				w.replace(time.Second)
+				w.crashLeader(time.Second)
 			}
 		})
 	}, most: 6},
 	{name: "leaders change ten times in two minutes, also in an outage", play: func(w *World) {
 		w.every(12*time.Second, 10, func(i int) {
-			w.replace(w.between(100*time.Millisecond, 5*time.Second))
+			w.crashLeader(w.between(100*time.Millisecond, 5*time.Second))
 			if i == 4 {
-				w.state.outage(15 * time.Second)
+				w.store.outage(15 * time.Second)
 			}
 		})
 	}},
@@ -180,19 +180,19 @@
 		w.every(40*time.Second, 3, func(i int) {
 			for n, k := range w.someWorkers(3) {
 				if n == 0 {
-					w.blockInbound(string(k.h.ID), 35*time.Second, i%2 == 0)
+					w.blockInbound(k.h.ID, 35*time.Second, i%2 == 0)
 				} else {
 					id := k.h.ID
-					w.interrupt(15*time.Second, true, fromHost(string(id)))
+					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
-			w.after(2*time.Second, func() { w.replace(3 * time.Second) })
+			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than a lease", play: func(w *World) {
-		for i, hold := range []bool{true, false} {
+		for i, fate := range []packetFate{packetsHeld, packetsLost} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.interrupt(45*time.Second, hold, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelNow(6, 0) })
 			})
 		}
@@ -205,29 +205,29 @@
 					w.loseWorker(k)
 				}
 				w.cancelNow(2, 0)
-				w.replace(time.Duration(i) * 400 * time.Millisecond)
+				w.crashLeader(time.Duration(i) * 400 * time.Millisecond)
 			})
 		})
 	}, most: 2},
 	{name: "more work than room, urgent and not, over slow links", play: func(w *World) {
-		w.load(30, 40*time.Second)
-		w.state.slow = 150 * time.Millisecond
-		w.after(100*time.Second, func() { w.state.slow = 0 })
-		w.after(50*time.Second, func() { w.replace(2 * time.Second) })
+		w.submitMixedJobs(30, 40*time.Second)
+		w.store.slow = 150 * time.Millisecond
+		w.after(100*time.Second, func() { w.store.slow = 0 })
+		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
 	}, most: 4},
 	{name: "transactions are carried out at once and their answers lost", play: func(w *World) {
-		w.close = true
-		w.state.loseAnswers(0.4, 110*time.Second)
-		w.after(50*time.Second, func() { w.replace(time.Second) })
+		w.askAllNodes = true
+		w.store.loseAnswers(0.4, 110*time.Second)
+		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
 		w.copies = 3 * secs(w.shape.Workers.LeaseS)
 		w.after(110*time.Second, func() { w.copies = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				w.blockInbound(string(k.h.ID), secs(w.shape.Workers.LeaseS)+3*time.Second, i%2 == 0)
+				w.blockInbound(k.h.ID, secs(w.shape.Workers.LeaseS)+3*time.Second, i%2 == 0)
 			}
-			w.after(10*time.Second, func() { w.replace(time.Second) })
+			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
 	}, most: 2},
 	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", play: func(w *World) {
@@ -242,20 +242,20 @@
 				id := k.h.ID
 				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
-			w.after(time.Duration(i)*time.Second, func() { w.replace(2 * time.Second) })
+			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, most: 10},
 	{name: "the state service is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
-		w.close = true
-		w.state.slow = 300 * time.Millisecond
+		w.askAllNodes = true
+		w.store.slow = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelNow(1, 0) })
 		w.after(20*time.Second, func() {
 			if c := w.leader(); c != nil {
-				w.state.refuse(c, 20*time.Second)
+				w.store.refuse(c, 20*time.Second)
 			}
 		})
-		w.after(26*time.Second, func() { w.state.outage(secs(w.shape.Workers.CancelS) + 6*time.Second) })
-		w.after(95*time.Second, func() { w.state.slow = 0 })
+		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Workers.CancelS) + 6*time.Second) })
+		w.after(95*time.Second, func() { w.store.slow = 0 })
 	}, most: 4},
 	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
 		s.State.RPS, s.State.WriteRPS, s.State.TxnOps, s.Capacity = 300, 50, 12, 30
@@ -304,19 +304,19 @@
 func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
 	t.Helper()
 	w := NewShaped(seed, logs(), shape)
-	w.load(16, 60*time.Second)
+	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
 	m.play(w)
 	w.Run(200 * time.Second)
-	w.atEnd, w.close, w.cloud.quick = 0, false, false
+	w.cancelAtEnd, w.askAllNodes, w.cloud.fastBoot = 0, false, false
 	w.faultsOver = w.Now
-	w.left()
-	w.end()
+	w.watchWaitingJobs()
+	w.runUntilOver()
 	if w.rules.started == 0 {
 		t.Errorf("seed %d: nothing ran", seed)
 	}
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
-	return w.rules.late
+	return w.rules.lateStarts
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -55,8 +55,8 @@
 		if n == 0 {
 			return
 		}
-		task := w.rules.onAt[protocol.TaskName(u.j.spec.ID, 0)]
-		if !u.accepted || u.asked || u.over || task == nil {
+		task := w.rules.placed[protocol.TaskName(u.job.spec.ID, 0)]
+		if !u.accepted || u.cancelRequested || u.over || task == nil {
 			continue
 		}
 		n--
@@ -67,8 +67,8 @@
 	}
 }
 
-// replace ends the leader; it is back after a while.
-func (w *World) replace(back time.Duration) {
+// crashLeader ends the leader; it is back after a while.
+func (w *World) crashLeader(back time.Duration) {
 	if c := w.leader(); c != nil {
 		c.crash(back)
 	}
@@ -81,13 +81,13 @@
 		w.after(time.Duration(i)*500*time.Millisecond, func() {
 			c := w.nodes[w.rng.IntN(len(w.nodes))]
 			if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
-				u.look()
+				u.askAllNodes()
 				if u.over {
 					told := u.phase
-					c.ask(cancellation(u.j.spec.ID), func(status int, body []byte) {
+					c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 						var a protocol.Accepted
 						if decode(body, &a); status == 200 && a.Phase != told {
-							w.rules.violated("went_back", "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
+							w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
 						}
 					})
 				}
@@ -107,28 +107,28 @@
 			}
 			c.ask(submission(spec), func(status int, _ []byte) {
 				if status == 200 || status == 201 {
-					w.rules.violated("accepted", "%+v can never run", *spec)
+					w.rules.violated(ruleAccepted, "%+v can never run", *spec)
 				}
 			})
 		})
 	}
 }
 
-// left checks, from calm on, that no job waits beside room for it.
-func (w *World) left() {
+// watchWaitingJobs checks, from calm on, that no job waits beside room for it.
+func (w *World) watchWaitingJobs() {
 	since := map[*user]time.Time{}
 	var look func()
 	look = func() {
 		for _, u := range w.users {
-			if !w.waitsBeside(u) {
+			if !w.waitsBesideCapacity(u) {
 				delete(since, u)
 				continue
 			}
 			if since[u].IsZero() {
 				since[u] = w.Now
 			}
-			if w.Now.Sub(since[u]) > waitBeside {
-				w.rules.violated("left", "%s waits beside room for %v", u.j.spec.ID, w.Now.Sub(since[u]))
+			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
+				w.rules.violated(ruleLeftWaiting, "%s waits beside room for %v", u.job.spec.ID, w.Now.Sub(since[u]))
 				since[u] = w.Now
 			}
 		}
@@ -137,16 +137,16 @@
 	look()
 }
 
-// waitsBeside says whether an accepted job has a task nowhere while machines have
+// waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
 // room for it, a gang for all, and its team is under its limit.
-func (w *World) waitsBeside(u *user) bool {
-	spec := u.j.spec
-	if !u.accepted || u.asked || u.over || u.j.mistaken {
+func (w *World) waitsBesideCapacity(u *user) bool {
+	spec := u.job.spec
+	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
 		return false
 	}
 	want := 0
 	for i := range spec.Tasks {
-		if w.rules.onAt[protocol.TaskName(spec.ID, i)] == nil && !u.j.done[i] {
+		if w.rules.placed[protocol.TaskName(spec.ID, i)] == nil && !u.job.done[i] {
 			want++
 		}
 	}
@@ -157,7 +157,7 @@
 		want = 1
 	}
 	for _, team := range w.shape.Teams {
-		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.use[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
+		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
 			return false
 		}
 	}
@@ -195,14 +195,14 @@
 	}
 }
 
-// end lets a day come to its end: every job but a mistaken one must be over.
-func (w *World) end() {
+// runUntilOver lets a day come to its end: every job but a mistaken one must be over.
+func (w *World) runUntilOver() {
 	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !over(w.users...); {
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.j.mistaken {
-			w.rules.violated("liveness", "%s %s of %d tasks is still %q: done %v", u.j.spec.ID, u.j.spec.Shape, u.j.spec.Tasks, u.phase, u.j.done)
+		if !u.over && !u.job.mistaken {
+			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
 }
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -12,7 +12,7 @@
 	node    *controller
 	machine *worker // nil if none is up
 	span    time.Duration
-	hold    bool // packets are held by a cut, not lost
+	fate    packetFate // at a cut
 }
 
 // faultKind is a kind of fault that random days inject.
@@ -42,19 +42,19 @@
 		}
 	}},
 	// Nothing passes between the zones.
-	{"zones cut off from each other", func(w *World, d faultDraw) { w.interrupt(d.span, d.hold, w.inDifferentZones) }},
+	{"zones cut off from each other", func(w *World, d faultDraw) { w.interrupt(d.span, d.fate, w.inDifferentZones) }},
 	// A controller reaches neither the key-value store nor any other host.
 	{"controller cut off", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.hold, func(a, b string) bool { return a == d.node.name && (b == "state" || w.zoneOf[b] != "") })
+		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
 	// A controller reaches everything but the key-value store.
 	{"controller cut off from the store", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.hold, func(a, b string) bool { return a == d.node.name && b == "state" })
+		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
 	// The key-value store refuses every request.
-	{"store outage", func(w *World, d faultDraw) { w.state.outage(d.span) }},
+	{"store outage", func(w *World, d faultDraw) { w.store.outage(d.span) }},
 	// The key-value store refuses one controller alone.
-	{"store refuses a controller", func(w *World, d faultDraw) { w.state.refuse(d.node, d.span) }},
+	{"store refuses a controller", func(w *World, d faultDraw) { w.store.refuse(d.node, d.span) }},
 	// The cloud refuses every request.
 	{"cloud outage", func(w *World, d faultDraw) {
 		w.cloud.down = true
@@ -62,7 +62,7 @@
 	}},
 	// A machine reaches nobody and nobody reaches it.
 	{"machine cut off", onMachine(func(w *World, k *worker, d faultDraw) {
-		w.interrupt(d.span, d.hold, fromHost(string(k.h.ID)))
+		w.interrupt(d.span, d.fate, fromHost(string(k.h.ID)))
 	})},
 	// A machine stands still and goes on.
 	{"machine hangs", onMachine(func(_ *World, k *worker, d faultDraw) { k.hang(d.span) })},
@@ -72,7 +72,7 @@
 	{"machine fails every task", onMachine(func(_ *World, k *worker, _ faultDraw) { k.sick = true })},
 	// A machine's reports arrive, but no answer and no order reaches it.
 	{"machine receives nothing", onMachine(func(w *World, k *worker, d faultDraw) {
-		w.blockInbound(string(k.h.ID), 2*d.span, d.hold)
+		w.blockInbound(k.h.ID, 2*d.span, d.fate)
 	})},
 	// Copies of reports arrive late, at any controller.
 	{"copies of reports come late", func(w *World, d faultDraw) {
@@ -80,7 +80,7 @@
 		w.after(d.span, func() { w.copies = 0 })
 	}},
 	// A controller reaches its workers, but neither the store nor its peers.
-	{"controller isolated", func(w *World, d faultDraw) { w.isolate(d.node, d.span, d.hold) }},
+	{"controller isolated", func(w *World, d faultDraw) { w.isolate(d.node, d.span, d.fate) }},
 	// Controllers end one after the other and are back within a fraction of a second.
 	{"controllers restart at once", func(w *World, _ faultDraw) {
 		for i := range 3 {
@@ -91,8 +91,8 @@
 	}},
 	// Every answer of the key-value store takes long.
 	{"store slow", func(w *World, d faultDraw) {
-		w.state.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
-		w.after(d.span, func() { w.state.slow = 0 })
+		w.store.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
+		w.after(d.span, func() { w.store.slow = 0 })
 	}},
 	// The cloud takes a spot instance back, with notice.
 	{"spot instance reclaimed", onMachine(func(w *World, k *worker, _ faultDraw) {
@@ -102,9 +102,9 @@
 		}
 	})},
 	// Some transactions are carried out late, after newer ones, and get no answer.
-	{"transactions late", func(w *World, d faultDraw) { w.state.delayTransactions(0.3, d.span) }},
+	{"transactions late", func(w *World, d faultDraw) { w.store.delayTransactions(0.3, d.span) }},
 	// Some transactions are carried out at once and get no answer.
-	{"answers to transactions lost", func(w *World, d faultDraw) { w.state.loseAnswers(0.3, d.span) }},
+	{"answers to transactions lost", func(w *World, d faultDraw) { w.store.loseAnswers(0.3, d.span) }},
 	// Two machines open no connection; calls reach them.
 	{"machines cannot report", func(w *World, d faultDraw) { w.blockReports(2, d.span) }},
 	// All controllers are away for long.
@@ -128,27 +128,27 @@
 	{"jobs cancelled, machines hang", func(w *World, d faultDraw) { w.cancelNow(4, d.span) }},
 	// Half of the jobs are cancelled at the moment of their end.
 	{"jobs cancelled at their end", func(w *World, d faultDraw) {
-		w.atEnd = 0.5
-		w.after(d.span, func() { w.atEnd = 0 })
+		w.cancelAtEnd = 0.5
+		w.after(d.span, func() { w.cancelAtEnd = 0 })
 	}},
 	// Users ask every node after every answer.
 	{"users ask all nodes", func(w *World, d faultDraw) {
-		w.close = true
-		w.after(d.span, func() { w.close = false })
+		w.askAllNodes = true
+		w.after(d.span, func() { w.askAllNodes = false })
 	}},
 	// Users repeat submissions, cancel what is over and submit what can never run.
 	{"odd requests", func(w *World, d faultDraw) { w.oddRequests(min(d.span, 10*time.Second)) }},
 	// No watch of a controller is answered, while its other requests are.
 	{"watches of a controller hang", func(w *World, d faultDraw) {
-		w.state.blind = d.node
-		w.after(d.span, func() { w.state.blind = nil })
+		w.store.blind = d.node
+		w.after(d.span, func() { w.store.blind = nil })
 	}},
 	// The store refuses the leader alone, jobs are cancelled, and then it refuses everybody.
 	{"the leader is refused, then all are", func(w *World, d faultDraw) {
 		if c := w.leader(); c != nil {
-			w.state.refuse(c, 3*time.Second)
+			w.store.refuse(c, 3*time.Second)
 			w.cancelNow(3, 0)
-			w.after(w.between(time.Second, 4*time.Second), func() { w.state.outage(d.span) })
+			w.after(w.between(time.Second, 4*time.Second), func() { w.store.outage(d.span) })
 		}
 	}},
 }
@@ -165,14 +165,14 @@
 	if d.machine != nil {
 		machine = d.machine.h.ID
 	}
-	what := fmt.Sprintf("%s (of %s or %s, %v, hold %v)", kind.name, d.node.name, machine, d.span, d.hold)
+	what := fmt.Sprintf("%s (of %s or %s, %v, %v)", kind.name, d.node.name, machine, d.span, d.fate)
 	w.log.Info("fault injected", "fault", what)
 	return what
 }
 
 // drawFault draws what a fault may need: a controller, a machine, its time.
 func (w *World) drawFault() faultDraw {
-	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], hold: w.rng.IntN(2) == 0}
+	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
 	for _, k := range w.workersInOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
 			d.machine = k
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -12,14 +12,14 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// finish lets a day come to its end and checks whom it served.
-func (w *World) finish(t *testing.T, limit time.Duration) {
+// finishDay lets a day come to its end and checks whom it served.
+func (w *World) finishDay(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
 	}
-	w.served(largestWithin)
-	w.check(t)
+	w.checkServed(largestStartWithin)
+	w.expectRulesHeld(t)
 	if !over(w.users...) {
 		t.Errorf("not all is over within %v", limit)
 	}
@@ -31,8 +31,8 @@
 func TestMachineNotReceiving(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, hold := range []bool{true, false} {
-			t.Run(fmt.Sprintf("busy %v, hold %v", busy, hold), func(t *testing.T) {
+		for _, fate := range []packetFate{packetsHeld, packetsLost} {
+			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
 				shape := Small()
 				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
@@ -46,19 +46,19 @@
 					w.after(time.Second+time.Millisecond, u.cancel)
 				}
 
-				w.blockInbound(string(id), 600*time.Second, hold)
+				w.blockInbound(id, 600*time.Second, fate)
 				w.Run(time.Second)
 				wholeMachine := gangJob("run-000010", 4)
 				wholeMachine.Zone = zone
 				u := w.submit(arrival{job: wholeMachine, run: 15})
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
-				t.Logf("busy %v, hold %v: done after %v", busy, hold, took)
+				t.Logf("done after %v", took)
 				if w.workers[id] != nil {
 					t.Error("the machine that receives nothing is still rented")
 				}
 				w.Run(secs(w.shape.Workers.CancelS))
-				w.check(t)
+				w.expectRulesHeld(t)
 			})
 		}
 	}
@@ -74,7 +74,7 @@
 	u := w.submitRunning(t, 20*time.Second, job, 80)
 	id := w.workerOf("run-000001", 0).h.ID
 
-	w.blockInbound(string(id), 400*time.Second, false)
+	w.blockInbound(id, 400*time.Second, packetsLost)
 	w.Run(secs(w.shape.Workers.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
@@ -82,7 +82,7 @@
 	})
 	t.Logf("repaired %v after the lease ran out", took)
 	w.waitUntilOver(t, 120*time.Second, u)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestLateCopies: copies of reports, late by up to four leases, reach every
@@ -91,7 +91,7 @@
 	t.Parallel()
 	w := New(23, logs())
 	w.copies = 4 * secs(w.shape.Workers.LeaseS)
-	w.load(24, 120*time.Second)
+	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
 		w.Run(25 * time.Second)
@@ -104,9 +104,9 @@
 	}
 
 	w.waitFor(t, 500*time.Second, "all is over", func() bool {
-		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.j.mistaken })
+		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.mistaken })
 	})
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestCopyOfDeletedMachine: a copy of a report of a machine that was returned
@@ -137,7 +137,7 @@
 	if n := len(w.cloud.rented) - rented; n > 2 {
 		t.Errorf("%d rentals", n)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // expectOnlyStops shows a node a copy of a report and checks that its answer orders nothing
@@ -164,7 +164,7 @@
 // expectNotRecorded checks that no record of machines names one.
 func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
 	t.Helper()
-	for key, e := range w.state.keys {
+	for key, e := range w.store.keys {
 		if strings.HasPrefix(key, storage.MachinePrefix) && namesMachine(e.Value, id) {
 			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
 		}
@@ -196,7 +196,7 @@
 
 	// Its image is there, so it would be the first choice.
 	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestIsolatedLeader: a leader without the state service and the other
@@ -204,14 +204,14 @@
 // sends them away; users who ask it are told at once to come back elsewhere.
 func TestIsolatedLeader(t *testing.T) {
 	t.Parallel()
-	for _, hold := range []bool{true, false} {
-		t.Run(fmt.Sprint("hold ", hold), func(t *testing.T) {
+	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(25, Small(), 6*time.Second)
 			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
-			w.isolate(c, 100*time.Second, hold)
+			w.isolate(c, 100*time.Second, fate)
 
 			w.waitFor(t, 10*time.Second, "another leads", func() bool {
 				return slices.ContainsFunc(w.others(c), func(o *controller) bool { return o.node.Leading() })
@@ -219,7 +219,7 @@
 			w.expectRefusals(t, c)
 			w.waitUntilOver(t, 200*time.Second, u)
 			w.expectStarts(t, starts, 0, "across the isolation")
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
@@ -271,8 +271,8 @@
 				t.Errorf("a leader after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
-			w.served(largestWithin)
-			w.check(t)
+			w.checkServed(largestStartWithin)
+			w.expectRulesHeld(t)
 		})
 	}
 }
@@ -296,8 +296,8 @@
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestMassLoss(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(3, logs(), grown())
-	w.crowd(120, 60*time.Second)
+	w := NewShaped(3, logs(), thousandMachines())
+	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
 	w.loseOldest(len(w.cloud.hosts) / 3)
@@ -309,5 +309,5 @@
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
-	w.finish(t, 500*time.Second)
+	w.finishDay(t, 500*time.Second)
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -174,12 +174,12 @@
 
 // slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
 func slowCrowdDay(seed uint64, f *fingerprint) {
-	shape := weakest()
+	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(3 * time.Second)
-	w.crowd(60, 60*time.Second)
+	w.submitCrowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
@@ -220,7 +220,7 @@
 		spec.Spread, spec.GPUs = i%2 == 0, float64(w.rng.IntN(2))
 		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, cancelAfter: w.between(100*time.Second, 200*time.Second)})
 	}
-	w.load(8, 60*time.Second)
+	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(4 * time.Second)
 	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
 	w.Run(40 * time.Second)
@@ -244,18 +244,18 @@
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(6 * time.Second)
-	w.load(10, 60*time.Second)
+	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
-	old := w.state.backup()
+	old := w.store.backup()
 	w.Run(w.between(5*time.Second, 20*time.Second))
 	if seed%3 == 1 {
-		w.state.revision += 1_000_000
+		w.store.revision += 1_000_000
 	}
-	w.replace(time.Second)
+	w.crashLeader(time.Second)
 	w.Run(12 * time.Second)
 	w.crashAll(2 * time.Second)
 	w.Run(time.Second)
-	w.state.restore(old)
+	w.store.restore(old)
 	w.Run(100 * time.Second)
 	w.randomFaults(9*time.Second, 4)
 }
@@ -268,7 +268,7 @@
 	w.Run(6 * time.Second)
 	w.submit(arrival{job: array("run-000001", 5), run: 150})
 	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
-	w.load(8, 60*time.Second)
+	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
 	w.crashAll(3 * time.Second)
 	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
@@ -283,13 +283,13 @@
 // fleetDay is a day of some three hundred machines with random faults, the loss of a zone
 // and of all controllers.
 func fleetDay(seed uint64, f *fingerprint) {
-	shape := grown()
+	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
 	w := f.watch(NewShaped(seed, logs(), shape))
-	w.crowd(70, 60*time.Second)
+	w.submitCrowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
-	w.interrupt(30*time.Second, true, w.aroundZone(dark))
+	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(dark))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
 	w.crashAll(4 * time.Second)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -11,7 +11,7 @@
 // fleet is a deployment of two thousand machines on controllers and budgets not
 // much larger than those of a thousand.
 func fleet() Shape {
-	s := grown()
+	s := thousandMachines()
 	s.Machines, s.Capacity = 420, 2000
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = 380, 1350
@@ -43,7 +43,7 @@
 	}
 	t.Parallel()
 	w := NewShaped(1, logs(), fleet())
-	w.crowd(200, 70*time.Second)
+	w.submitCrowd(200, 70*time.Second)
 	w.fallsTogether(t, 150)
 }
 
@@ -55,7 +55,7 @@
 	}
 	t.Parallel()
 	w := NewShaped(1, logs(), fleet4000())
-	w.crowd(300, 70*time.Second)
+	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
 		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
@@ -72,22 +72,22 @@
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
-	w.interrupt(40*time.Second, true, w.aroundZone(shape.Zones[2]))
+	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
 	w.Run(42 * time.Second)
 	lost := w.loseOldest(die)
 	w.Run(10 * time.Second)
-	w.state.outage(25 * time.Second)
+	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
 	w.crashAll(4 * time.Second)
 	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.workers)+lost)
 
 	w.expectQuickReturn(t)
 	w.faultsOver = w.Now
-	w.finish(t, 700*time.Second)
+	w.finishDay(t, 700*time.Second)
 
-	t.Logf("at most %d calls to workers at once", w.most)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.most > limit {
-		t.Errorf("%d calls to workers under way at once", w.most)
+	t.Logf("at most %d calls to workers at once", w.mostCalls)
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
+		t.Errorf("%d calls to workers under way at once", w.mostCalls)
 	}
 	changes := int(w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds() * shape.State.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
@@ -97,17 +97,17 @@
 // and start a task soon, and that their calls to workers keep within their share.
 func (w *World) expectQuickReturn(t *testing.T) {
 	t.Helper()
-	steps, calls, requests, changed := w.steps, w.calls, w.state.requests, w.state.changed
+	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
 	lost := w.Now
 	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
-	u.j.spec.Team = w.shape.Teams[0].Name
+	u.job.spec.Team = w.shape.Teams[0].Name
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
 	t.Logf("a submission is accepted after %v", w.Now.Sub(lost))
 	starts := w.rules.started
 	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
 	t.Logf("a task starts after %v", w.Now.Sub(lost))
 	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
-	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.state.requests-requests, w.state.changed-changed)
+	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -10,7 +10,7 @@
 )
 
 // Grown is a deployment of a thousand machines and three zones.
-func grown() Shape {
+func thousandMachines() Shape {
 	s := Small()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
@@ -26,8 +26,8 @@
 	return s
 }
 
-// crowd makes gangs and arrays of many sizes come for a while.
-func (w *World) crowd(jobs int, span time.Duration) {
+// submitCrowd makes gangs and arrays of many sizes come for a while.
+func (w *World) submitCrowd(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
 		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
@@ -42,8 +42,8 @@
 	}
 }
 
-// weakest is a deployment of two hundred machines behind the smallest budgets.
-func weakest() Shape {
+// smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
+func smallestBudgets() Shape {
 	s := Small()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
@@ -60,12 +60,12 @@
 		name  string
 		shape Shape
 		jobs  int
-	}{{"thousand", grown(), 200}, {"weakest", weakest(), 60}} {
+	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			w := NewShaped(1, logs(), day.shape)
-			w.crowd(day.jobs, 120*time.Second)
-			w.finish(t, 600*time.Second)
+			w.submitCrowd(day.jobs, 120*time.Second)
+			w.finishDay(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
 	}
@@ -83,15 +83,15 @@
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
 	span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused)
-	if w.state.refused > bounds.refused {
-		t.Errorf("the key-value store refuses %d requests beyond its budget", w.state.refused)
+	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
+	if w.store.refused > bounds.refused {
+		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
 	}
-	if w.state.changed > bounds.changes {
-		t.Errorf("%d changes, at most %d are due", w.state.changed, bounds.changes)
+	if w.store.changed > bounds.changes {
+		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
 	}
-	if w.state.bytes > bounds.bytes {
-		t.Errorf("%d bytes, at most %d are due", w.state.bytes, bounds.bytes)
+	if w.store.bytes > bounds.bytes {
+		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
 	}
 	// Ten ticks a second at each of three nodes, and the events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -187,7 +187,7 @@
 	if excess := s.beyondLimits(t, size); excess != "" {
 		s.tooLarge++
 		if s.limits == s.w.shape.State || s.tooLarge > 20 { // they were lowered without notice
-			s.w.rules.violated("limits", "%s", excess)
+			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
 	}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -39,7 +39,7 @@
 func NewLive(seed uint64, shape Shape) *Live {
 	v := &Live{peers: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
 	v.state = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
-		v.w.state.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
+		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
 	})
 	v.cloud = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, answer)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -11,24 +11,51 @@
 // body.
 type answerFunc func(status int, body []byte)
 
-// cut is an interruption between hosts. Packets are held and delivered in
-// order at its end, or lost.
+// storeHost is the key-value store's name in the network.
+const storeHost = "state"
+
+// packetFate is what becomes of the packets that a cut keeps from passing.
+type packetFate bool
+
+// Packets at a cut are lost, or held and delivered in order at its end.
+const (
+	packetsLost packetFate = false
+	packetsHeld packetFate = true
+)
+
+func (f packetFate) String() string {
+	if f == packetsHeld {
+		return "packets held"
+	}
+	return "packets lost"
+}
+
+// cut is an interruption between hosts.
 type cut struct {
-	match func(a, b string) bool
-	hold  bool
+	match func(from, to string) bool
+	fate  packetFate
 	held  []func()
 }
 
+// network carries packets between hosts, each after a random time, and lets none through a
+// cut.
+type network struct {
+	w      *World
+	zoneOf map[string]protocol.ZoneName // of hosts
+	cuts   []*cut
+}
+
 // carry takes a packet from one host to another.
-func (w *World) carry(from, to string, deliver func()) {
-	w.after(w.between(200*time.Microsecond, 4*time.Millisecond), func() { w.arrive(from, to, deliver) })
+func (n *network) carry(from, to string, deliver func()) {
+	n.w.after(n.w.between(200*time.Microsecond, 4*time.Millisecond), func() { n.arrive(from, to, deliver) })
 }
 
-func (w *World) arrive(from, to string, deliver func()) {
-	for _, c := range w.cuts {
+// arrive delivers a packet unless a cut keeps it from passing.
+func (n *network) arrive(from, to string, deliver func()) {
+	for _, c := range n.cuts {
 		if c.match(from, to) {
-			if c.hold {
-				c.held = append(c.held, func() { w.arrive(from, to, deliver) })
+			if c.fate == packetsHeld {
+				c.held = append(c.held, func() { n.arrive(from, to, deliver) })
 			}
 			return
 		}
@@ -37,39 +64,48 @@
 }
 
 // interrupt cuts hosts off from each other for a while.
-func (w *World) interrupt(d time.Duration, hold bool, match func(a, b string) bool) {
-	c := &cut{hold: hold, match: func(a, b string) bool { return match(a, b) || match(b, a) }}
-	w.cuts = append(w.cuts, c)
-	w.after(d, func() { w.mend(c) })
+func (n *network) interrupt(d time.Duration, fate packetFate, match func(a, b string) bool) {
+	n.cutFor(d, &cut{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
 }
 
 // blockInbound lets nothing through to a machine for a while, though what it sends
 // arrives.
-func (w *World) blockInbound(id string, d time.Duration, hold bool) {
-	c := &cut{hold: hold, match: func(_, b string) bool { return b == id }}
-	w.cuts = append(w.cuts, c)
-	w.after(d, func() { w.mend(c) })
+func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetFate) {
+	n.cutFor(d, &cut{fate: fate, match: func(_, to string) bool { return to == string(id) }})
 }
 
-// mend ends a cut; what was held is delivered in order.
-func (w *World) mend(c *cut) {
-	w.cuts = slices.DeleteFunc(slices.Clone(w.cuts), func(o *cut) bool { return o == c })
+// cutFor has a cut stand for a while.
+func (n *network) cutFor(d time.Duration, c *cut) {
+	n.cuts = append(n.cuts, c)
+	n.w.after(d, func() { n.heal(c) })
+}
+
+// heal ends a cut; what was held is delivered in order.
+func (n *network) heal(c *cut) {
+	n.cuts = slices.DeleteFunc(slices.Clone(n.cuts), func(o *cut) bool { return o == c })
 	for _, deliver := range c.held {
 		deliver()
 	}
 }
 
-// isolate cuts a controller off from the state service and the other
-// controllers, but not from its workers.
-func (w *World) isolate(c *controller, d time.Duration, hold bool) {
-	w.interrupt(d, hold, func(a, b string) bool {
-		return a == c.name && (b == "state" || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
-	})
+// inDifferentZones matches packets between hosts of two zones.
+func (n *network) inDifferentZones(a, b string) bool {
+	return n.zoneOf[a] != n.zoneOf[b] && n.zoneOf[a] != "" && n.zoneOf[b] != ""
+}
+
+// aroundZone matches packets between a zone and everything outside it.
+func (n *network) aroundZone(zone protocol.ZoneName) func(a, b string) bool {
+	return func(a, b string) bool { return (n.zoneOf[a] == zone) != (n.zoneOf[b] == zone) }
+}
+
+// fromHost matches packets that a host sends.
+func fromHost(host string) func(a, b string) bool {
+	return func(a, _ string) bool { return a == host }
 }
 
 // call makes a request from one host to another. handle gets it whenever it
 // arrives, even if the caller has given up; done gets one answer.
-func (w *World) call(from, to string, timeout time.Duration, handle func(answer answerFunc), done answerFunc) {
+func (n *network) call(from, to string, timeout time.Duration, handle func(answer answerFunc), done answerFunc) {
 	answered := false
 	finish := func(status int, body []byte) {
 		if !answered {
@@ -77,12 +113,20 @@
 			done(status, body)
 		}
 	}
-	w.carry(from, to, func() {
+	n.carry(from, to, func() {
 		handle(func(status int, body []byte) {
-			w.carry(to, from, func() { finish(status, body) })
+			n.carry(to, from, func() { finish(status, body) })
 		})
 	})
-	w.after(timeout, func() { finish(0, nil) })
+	n.w.after(timeout, func() { finish(0, nil) })
+}
+
+// isolate cuts a controller off from the key-value store and the other
+// controllers, but not from its workers.
+func (w *World) isolate(c *controller, d time.Duration, fate packetFate) {
+	w.interrupt(d, fate, func(a, b string) bool {
+		return a == c.name && (b == storeHost || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
+	})
 }
 
 // reach makes a request of a worker or user to a controller.
@@ -98,18 +142,3 @@
 		}
 	}, done)
 }
-
-// inDifferentZones matches packets between hosts of two zones.
-func (w *World) inDifferentZones(a, b string) bool {
-	return w.zoneOf[a] != w.zoneOf[b] && w.zoneOf[a] != "" && w.zoneOf[b] != ""
-}
-
-// aroundZone matches packets between a zone and everything outside it.
-func (w *World) aroundZone(zone protocol.ZoneName) func(a, b string) bool {
-	return func(a, b string) bool { return (w.zoneOf[a] == zone) != (w.zoneOf[b] == zone) }
-}
-
-// fromHost matches packets that a host sends.
-func fromHost(host string) func(a, b string) bool {
-	return func(a, _ string) bool { return a == host }
-}
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -52,7 +52,7 @@
 		added = true
 	}
 	if added && c.w.release[string(a.Peer)] == release02 {
-		c.w.rules.violated("compatibility", "%s sends %T to %s", c.name, a.Message, a.Peer)
+		c.w.rules.violated(ruleCompatibility, "%s sends %T to %s", c.name, a.Message, a.Peer)
 	}
 	return c.w.release[c.name] != release02 || !announces && !added
 }
@@ -79,14 +79,14 @@
 		if !ok {
 			continue
 		}
-		rec, err := storage.DecodeJob(r.w.state.keys[storage.JobKey(id)].Value)
+		rec, err := storage.DecodeJob(r.w.store.keys[storage.JobKey(id)].Value)
 		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
 			continue
 		}
 		r.staged++
 		for _, n := range r.w.nodes {
 			if n.alive && r.w.release[n.name] != current {
-				r.violated("compatibility", "%s is staged beside %s of an earlier release", c.Set, n.name)
+				r.violated(ruleCompatibility, "%s is staged beside %s of an earlier release", c.Set, n.name)
 			}
 		}
 	}
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// look notes what the workers have.
-func (s *stageLog) look() {
+// observe notes what the workers have.
+func (s *stageLog) observe() {
 	for task, machine := range s.lost {
 		id, index, _ := strings.Cut(task, "/")
 		for _, k := range s.w.workers {
@@ -123,15 +123,15 @@
 	s.lose(w.workerOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
-		s.look()
+		s.observe()
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 	return s.mean(at, detection)
 }
 
 // lose lets a machine die and notes the replicas that it had.
 func (s *stageLog) lose(k *worker) {
-	for name, t := range s.w.rules.onAt {
+	for name, t := range s.w.rules.placed {
 		if t.k == k {
 			s.lost[name] = string(k.h.ID)
 		}
@@ -190,7 +190,7 @@
 // machine are away, and keeps each part within its bound.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
-	shape := grown()
+	shape := thousandMachines()
 	shape.Machines, shape.Capacity = 12, 60
 	shape.Resources = config.Resources{}
 	var sums stageSums
@@ -209,7 +209,7 @@
 // its replicas run, on machines that are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
-	shape := grown()
+	shape := thousandMachines()
 	shape.Machines, shape.Capacity = 30, 60
 	shape.Resources = config.Resources{}
 	var sums stageSums
@@ -227,14 +227,14 @@
 		}
 		for range 800 {
 			w.Run(10 * time.Millisecond)
-			s.look()
+			s.observe()
 		}
 		mean, again, missing := s.mean(at, placement)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run", seed, missing)
 		}
 		sums.add(mean, again)
-		w.check(t)
+		w.expectRulesHeld(t)
 	}
 	sums.check(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
 }
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -8,7 +8,7 @@
 )
 
 // share is the part of a service's replica time that was served.
-func (u *user) share() float64 { return float64(u.up) / float64(u.up+u.away) }
+func (u *user) share() float64 { return float64(u.served) / float64(u.served+u.unserved) }
 
 // serviceFault is something that happens to a service's machines or to the controllers.
 type serviceFault struct {
@@ -19,32 +19,32 @@
 
 var serviceFaults = []serviceFault{
 	{"nothing", func(*World, *user) {}, 1},
-	{"the leader ends", func(w *World, _ *user) { w.replace(4 * time.Second) }, 1},
+	{"the leader ends", func(w *World, _ *user) { w.crashLeader(4 * time.Second) }, 1},
 	{"all controllers end", func(w *World, _ *user) {
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		k := w.workerOf(u.j.spec.ID, 1)
+		k := w.workerOf(u.job.spec.ID, 1)
 		w.loseWorker(k)
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
-		k := w.workerOf(u.j.spec.ID, 1)
+		k := w.workerOf(u.job.spec.ID, 1)
 		k.giveNotice(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(k.h) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.workerOf(u.j.spec.ID, 1).sick = true
+		w.workerOf(u.job.spec.ID, 1).sick = true
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
-		k := w.workerOf(u.j.spec.ID, 1)
+		k := w.workerOf(u.job.spec.ID, 1)
 		k.mute = true
 		w.after(100*time.Second, func() { k.mute = false })
 	}, 0.98},
-	{"the state service is down", func(w *World, _ *user) { w.state.outage(15 * time.Second) }, 1},
+	{"the state service is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is cut off", func(w *World, _ *user) {
-		w.interrupt(25*time.Second, false, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+		w.interrupt(25*time.Second, packetsLost, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 	}, 0.9},
 }
 
@@ -75,7 +75,7 @@
 	if !u.over || u.phase != protocol.PhaseCancelled {
 		t.Errorf("it is %s", u.phase)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestReplicaEnds: a replica that ends by itself, whatever its cause, runs again;
@@ -85,17 +85,17 @@
 	t.Parallel()
 	w := startWorld(71, Small(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4)})
-	u.j.ends = 60 * time.Second
+	u.job.ends = 60 * time.Second
 	w.Run(200 * time.Second)
 	if got := u.share(); got < 0.95 {
 		t.Errorf("%.4f of the replica time is served", got)
 	}
-	u.asked = false
+	u.cancelRequested = false
 	for i, ends := range []time.Duration{200 * time.Millisecond, 0} {
 		v := w.submit(arrival{job: service(jobID(10+i), 6), mistaken: ends == 0})
-		v.j.ends = ends
+		v.job.ends = ends
 		w.Run(150 * time.Second)
-		n := sum(v.j.starts)
+		n := sum(v.job.starts)
 		t.Logf("%d starts in 150 s", n)
 		if n > 6*12 || n < 6*4 {
 			t.Errorf("%d starts of six replicas in 150 s", n)
@@ -105,7 +105,7 @@
 	}
 	a := w.submit(arrival{job: array("run-000020", 4), run: 10})
 	w.waitUntilOver(t, 60*time.Second, a)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestServiceLimit: a service needs room for all its tasks within its team's limit.
@@ -148,5 +148,5 @@
 	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
 		w.submitRunning(t, 10*time.Second, wholeMachines(jobID(20+i)), 20)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,15 +7,37 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
+// rule names a rule of the protocol that was broken.
+type rule string
+
+// The rules.
+const (
+	ruleRanTwice      rule = "ran_twice"     // a task is on one machine at most
+	ruleQuota         rule = "quota"         // a team keeps within its limit
+	ruleWrongPlace    rule = "wrong_place"   // zones and spot instances are as the job asks
+	ruleRanCancelled  rule = "ran_cancelled" // a cancelled job is gone within cancel_s
+	ruleWentBack      rule = "went_back"     // no answer is older than one before
+	ruleNotDone       rule = "not_done"      // a job that is called done is
+	ruleForgotten     rule = "forgotten"     // an accepted job stays known and is answered for
+	ruleRefused       rule = "refused"       // a valid job is accepted
+	ruleAccepted      rule = "accepted"      // a job that can never run is refused
+	ruleLate          rule = "late"          // the largest jobs begin in time
+	ruleUnserved      rule = "unserved"      // half of every class and team is served
+	ruleLeftWaiting   rule = "left"          // no job waits for long beside capacity for it
+	ruleLiveness      rule = "liveness"      // every job is over in the end
+	ruleLimits        rule = "limits"        // transactions keep within the store's limits
+	ruleCompatibility rule = "compatibility" // earlier releases see nothing that they don't know
+)
+
 // rules checks the protocol's rules at every step.
 type rules struct {
 	w           *World
 	jobs        map[protocol.JobID]*simJob
-	onAt        map[string]*workerTask        // where a task is
-	use         map[protocol.TeamName]float64 // GPUs by team
+	placed      map[string]*workerTask        // where a task is
+	gpusInUse   map[protocol.TeamName]float64 // GPUs by team
 	failures    []string
 	started     int
-	late        int // starts after a confirmed cancellation
+	lateStarts  int // starts after a confirmed cancellation
 	lowerTokens int // answers and orders with a lower token than the worker had seen
 	staged      int // parts of records written before they were named
 }
@@ -28,10 +50,10 @@
 	done      []bool
 	gangs     map[protocol.AttemptNumber]*gang
 	mistaken  bool
-	cancelled time.Time // when its user was told
-	began     time.Time // when it first ran, a gang as a whole
-	last      func()    // what happens when the last task has completed
-	starts    map[int]int
+	cancelled time.Time     // when its user was told
+	began     time.Time     // when it first ran, a gang as a whole
+	last      func()        // what happens when the last task has completed
+	starts    map[int]int   // of each task
 	ends      time.Duration // a service's replicas end by themselves after about this, 0: never
 }
 
@@ -40,16 +62,21 @@
 	return &simJob{spec: spec, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}}
 }
 
+// maxFailures is how many broken rules are kept: the first ones tell the cause.
+const maxFailures = 20
+
 func newRules(w *World) *rules {
-	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, onAt: map[string]*workerTask{}, use: map[protocol.TeamName]float64{}}
+	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, placed: map[string]*workerTask{}, gpusInUse: map[protocol.TeamName]float64{}}
 }
 
-func (r *rules) violated(rule, format string, args ...any) {
-	if len(r.failures) < 20 {
-		r.failures = append(r.failures, r.w.clock()+" "+rule+": "+fmt.Sprintf(format, args...))
+// violated notes that a rule was broken.
+func (r *rules) violated(broken rule, format string, args ...any) {
+	if len(r.failures) < maxFailures {
+		r.failures = append(r.failures, fmt.Sprintf("%s %s: ", r.w.clock(), broken)+fmt.Sprintf(format, args...))
 	}
 }
 
+// starts checks a task that has come to be on a machine.
 func (r *rules) starts(t *workerTask) {
 	r.started++
 	spec := t.job
@@ -59,49 +86,63 @@
 		j.starts[t.index]++
 	}
 	if !r.jobs[spec.ID].cancelled.IsZero() {
-		r.late++
+		r.lateStarts++
 	}
-	if o := r.onAt[t.name]; o != nil {
-		r.violated("ran_twice", "%s starts on %s while on %s", t.name, t.k.h.ID, o.k.h.ID)
+	if o := r.placed[t.name]; o != nil {
+		r.violated(ruleRanTwice, "%s starts on %s while on %s", t.name, t.k.h.ID, o.k.h.ID)
 	}
-	r.onAt[t.name] = t
-	r.use[spec.Team] += spec.GPUs
+	r.placed[t.name] = t
+	r.gpusInUse[spec.Team] += spec.GPUs
+	r.checkQuota(spec.Team)
+	r.checkPlace(t)
+	r.checkCancelled(t)
+}
+
+// checkQuota checks that a team keeps within its limit.
+func (r *rules) checkQuota(name protocol.TeamName) {
 	for _, team := range r.w.shape.Teams {
-		if team.Name == spec.Team && team.MaxGPUs > 0 && r.use[spec.Team] > team.MaxGPUs+1e-6 {
-			r.violated("quota", "%s uses %v GPUs", spec.Team, r.use[spec.Team])
+		if team.Name == name && team.MaxGPUs > 0 && r.gpusInUse[name] > team.MaxGPUs+1e-6 {
+			r.violated(ruleQuota, "%s uses %v GPUs", name, r.gpusInUse[name])
 		}
 	}
+}
+
+// checkPlace checks that a task is where its job may be.
+func (r *rules) checkPlace(t *workerTask) {
+	spec := t.job
 	if spec.Zone != "" && spec.Zone != t.k.h.Zone || t.k.h.Spot && !spec.Spot {
-		r.violated("wrong_place", "%s on %s", t.name, t.k.h.ID)
+		r.violated(ruleWrongPlace, "%s on %s", t.name, t.k.h.ID)
+	}
+	if !spec.OneZone && !spec.Spread {
+		return
 	}
 	zones := map[protocol.ZoneName]int{}
-	if spec.OneZone || spec.Spread {
-		for i := range spec.Tasks {
-			if o := r.onAt[protocol.TaskName(spec.ID, i)]; o != nil {
-				zones[o.k.h.Zone]++
-			}
+	for i := range spec.Tasks {
+		if o := r.placed[protocol.TaskName(spec.ID, i)]; o != nil {
+			zones[o.k.h.Zone]++
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
-		r.violated("wrong_place", "%s in more zones than one: %v", spec.ID, zones)
+		r.violated(ruleWrongPlace, "%s in more zones than one: %v", spec.ID, zones)
 	}
 	if spec.Spread && zones[t.k.h.Zone] > (spec.Tasks+1)/2 {
-		r.violated("wrong_place", "%s has %v", spec.ID, zones)
+		r.violated(ruleWrongPlace, "%s has %v", spec.ID, zones)
 	}
-	r.checkCancelled(t)
 }
 
+// checkCancelled checks that a task's job was not cancelled too long ago.
 func (r *rules) checkCancelled(t *workerTask) {
 	j := r.jobs[t.job.ID]
 	if !j.cancelled.IsZero() && r.w.Now.Sub(j.cancelled) > secs(r.w.shape.Workers.CancelS) {
-		r.violated("ran_cancelled", "%s is on %s %v after", t.name, t.k.h.ID, r.w.Now.Sub(j.cancelled))
+		r.violated(ruleRanCancelled, "%s is on %s %v after", t.name, t.k.h.ID, r.w.Now.Sub(j.cancelled))
 	}
 }
 
+// leaves notes that a task is off its machine.
 func (r *rules) leaves(t *workerTask) {
 	r.checkCancelled(t)
-	if r.onAt[t.name] == t {
-		delete(r.onAt, t.name)
+	if r.placed[t.name] == t {
+		delete(r.placed, t.name)
 	}
-	r.use[t.job.Team] -= t.job.GPUs
+	r.gpusInUse[t.job.Team] -= t.job.GPUs
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -25,7 +24,7 @@
 	}
 	w.waitUntilOver(t, 90*time.Second, u)
 	w.expectStarts(t, starts, 0, "across the failover")
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestReturnsAtOnce: a process that is back within a fraction of a second
@@ -44,7 +43,7 @@
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestLateDirectStart: a direct start that is held in the network for a minute
@@ -53,7 +52,7 @@
 	t.Parallel()
 	w := startWorld(3, Small(), 6*time.Second)
 	c := w.leader()
-	w.interrupt(60*time.Second, true, func(a, b string) bool { return a == c.name && w.workers[protocol.MachineID(b)] != nil })
+	w.interrupt(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.workers[protocol.MachineID(b)] != nil })
 	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
 	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
@@ -61,7 +60,7 @@
 	w.Run(60 * time.Second)
 
 	w.expectStarts(t, starts, 0, "after the job was done")
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestStateOutage: an outage shorter than the leader's grace costs no task,
@@ -72,7 +71,7 @@
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
 
-	w.state.outage(14 * time.Second)
+	w.store.outage(14 * time.Second)
 
 	for range 13 {
 		w.Run(time.Second)
@@ -87,7 +86,7 @@
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestAloneRefused: a node that alone is refused by the state service says it
@@ -129,13 +128,13 @@
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
 	}
 
-	lossy := &cut{match: func(a, b string) bool { return a == "state" && b == c.name && w.rng.IntN(2) == 0 }}
+	lossy := &cut{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
 	w.cuts = append(w.cuts, lossy)
 	w.Run(12 * time.Second)
 	w.cuts = nil
 
 	w.waitUntilOver(t, 120*time.Second, w.users...)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestCloudOutageAtStart: nodes that start while the cloud does not answer know
@@ -155,7 +154,7 @@
 	}
 	u := w.submit(arrival{job: array("run-000001", 2), run: 5})
 	w.waitFor(t, 5*time.Second, "the submission is accepted", func() bool { return u.accepted })
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestManyPolls: far more polls than the state service's budget allows neither
@@ -164,7 +163,7 @@
 	t.Parallel()
 	w := startWorld(13, Small(), 5*time.Second)
 	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
-	c, before := w.leader(), w.state.requests
+	c, before := w.leader(), w.store.requests
 
 	answers, asked := 0, 0
 	for range 400 { // 20 s of 600 queries a second, half for jobs that nobody knows
@@ -181,13 +180,13 @@
 	if answers != asked {
 		t.Errorf("%d answers to %d status queries", answers, asked)
 	}
-	if rate := float64(w.state.requests-before) / 25; rate > 80 {
+	if rate := float64(w.store.requests-before) / 25; rate > 80 {
 		t.Errorf("%.0f requests a second", rate)
 	}
 	if w.leader() != c {
 		t.Error("the leader lost its lease")
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestCancelWhileCutOff: a leader cut off from everything but some workers does
@@ -202,7 +201,7 @@
 		inside[string(w.workerOf("run-000001", i).h.ID)] = true
 	}
 
-	w.interrupt(100*time.Second, true, func(a, b string) bool { return inside[a] != inside[b] })
+	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
 	w.Run(2 * time.Second)
 	w.waitFor(t, 20*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
@@ -211,7 +210,7 @@
 	if !u.over {
 		t.Error("not cancelled")
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestRelay: across a cut between two zones, reports of the far zone's workers
@@ -223,13 +222,13 @@
 	c, starts := w.leader(), w.rules.started
 	bridge := w.others(c)[0].name // reaches everybody, wherever it is
 
-	w.interrupt(60*time.Second, false, func(a, b string) bool {
+	w.interrupt(60*time.Second, packetsLost, func(a, b string) bool {
 		return a != bridge && b != bridge && w.inDifferentZones(a, b)
 	})
 
 	w.waitUntilOver(t, 200*time.Second, u)
 	w.expectStarts(t, starts, 0, "across the cut")
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestLargeArray: a job whose tasks fill many records keeps the state
@@ -244,12 +243,12 @@
 
 	w.waitUntilOver(t, 240*time.Second, u)
 	w.Run(20 * time.Second)
-	for k := range w.state.keys {
+	for k := range w.store.keys {
 		if k == "g/j/run-000001" || strings.HasPrefix(k, "g/t/") {
 			t.Errorf("%s is left", k)
 		}
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestLargestJob: a job of the largest size is taken, keeps every limit of the
@@ -269,10 +268,10 @@
 
 	w.waitUntilOver(t, 30*time.Second, u)
 	w.Run(60 * time.Second)
-	if _, ok := w.state.keys["g/j/run-000001"]; ok {
+	if _, ok := w.store.keys["g/j/run-000001"]; ok {
 		t.Error("its record is still among the unfinished")
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestSpareRepair: a gang that loses a machine runs again at once on a machine
@@ -291,11 +290,11 @@
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
 		t.Errorf("repaired after %v", took)
 	}
-	if u.j.progress[0] < 20 {
-		t.Errorf("progress %v", u.j.progress[0])
+	if u.job.progress[0] < 20 {
+		t.Errorf("progress %v", u.job.progress[0])
 	}
 	w.waitUntilOver(t, 120*time.Second, u)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // TestZoneCutOff: a cut between two zones that leaves no path between their
@@ -303,21 +302,21 @@
 // leader by way of the state service, and so do its answers.
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
-	for _, hold := range []bool{true, false} {
-		t.Run(fmt.Sprint("hold ", hold), func(t *testing.T) {
+	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(11, Small(), 5*time.Second)
 			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
-			w.interrupt(90*time.Second, hold, w.inDifferentZones)
+			w.interrupt(90*time.Second, fate, w.inDifferentZones)
 			w.Run(20 * time.Second)
 			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
 			w.waitUntilOver(t, 60*time.Second, needsBothZones)
 			w.waitUntilOver(t, 200*time.Second, u)
 			w.expectStarts(t, starts, 16, "across the cut")
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// load makes users with jobs of every shape.
-func (w *World) load(jobs int, span time.Duration) {
+// submitMixedJobs makes users with jobs of every shape.
+func (w *World) submitMixedJobs(jobs int, span time.Duration) {
 	for range jobs {
 		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
@@ -77,7 +77,7 @@
 func day(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
 	history := w.playDay()
-	w.served(2 * largestWithin) // with a fault every few seconds for four minutes
+	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
 		t.Error("nothing ran")
 	}
@@ -91,7 +91,7 @@
 
 // playDay lets a day with overlapping faults pass until all is over, and lists the faults.
 func (w *World) playDay() (history []string) {
-	w.load(24, 150*time.Second)
+	w.submitMixedJobs(24, 150*time.Second)
 	for w.Now.Sub(time.Unix(1_800_000_000, 0)) < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
 		history = append(history, w.clock()+" "+w.injectFault())
@@ -101,8 +101,8 @@
 	for _, k := range w.workers {
 		k.sick = false
 	}
-	w.left()
-	w.end()
+	w.watchWaitingJobs()
+	w.runUntilOver()
 	return history
 }
 
@@ -112,13 +112,13 @@
 	t.Parallel()
 	run := func() (uint64, int) {
 		w := New(5, nil)
-		w.load(16, 60*time.Second)
+		w.submitMixedJobs(16, 60*time.Second)
 		for range 8 {
 			w.Run(10 * time.Second)
 			w.injectFault()
 		}
 		w.Run(60 * time.Second)
-		return uint64(w.state.revision), w.rules.started
+		return uint64(w.store.revision), w.rules.started
 	}
 	rev, started := run()
 	for range 3 {
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -53,9 +53,9 @@
 	return batch, cost
 }
 
-// work has a slow node take a batch, unless it is still busy with the last one.
+// takeBatch has a slow node take a batch, unless it is still busy with the last one.
 // What it does leaves when its share of a core has paid for it.
-func (c *controller) work() {
+func (c *controller) takeBatch() {
 	if c.working || !c.alive {
 		return
 	}
@@ -75,9 +75,9 @@
 		c.carryOut(actions)
 		c.working = false
 		if waiting := &c.backlog.ranks; len(waiting[0])+len(waiting[1])+len(waiting[2]) > 0 {
-			c.work()
+			c.takeBatch()
 			return
 		}
-		c.wake(c.node.Due())
+		c.setTimer(c.node.Due())
 	})
 }
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -16,7 +16,7 @@
 // leader loses its leader lease to nothing but its own end.
 func TestSlowControllers(t *testing.T) {
 	t.Parallel()
-	shape := weakest()
+	shape := smallestBudgets()
 	shape.Slow = true
 	shape.Capacity = 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
@@ -25,7 +25,7 @@
 			t.Parallel()
 			w := startWorld(seed, shape, 3*time.Second)
 			terms := w.terms()
-			w.crowd(60, 100*time.Second)
+			w.submitCrowd(60, 100*time.Second)
 			// Users ask about jobs that nobody submitted, fifty a second.
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
@@ -47,7 +47,7 @@
 			w.Run(20 * time.Second)
 			terms = w.terms()
 			w.faultsOver = w.Now
-			w.finish(t, 700*time.Second)
+			w.finishDay(t, 700*time.Second)
 			if got := w.terms(); got != terms {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
@@ -59,4 +59,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() protocol.Revision { return w.state.keys[storage.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.store.keys[storage.LeaderKey].Revision }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -44,7 +44,7 @@
 			t.Parallel()
 			w := newUpgradeWorld(seed)
 			w.playUpgrade(seed%3 > 0)
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
@@ -68,7 +68,7 @@
 // playUpgrade lets the controllers be replaced amid work, with faults or without, and the
 // limits be lowered, until all is over.
 func (w *World) playUpgrade(faults bool) {
-	w.load(12, 100*time.Second)
+	w.submitMixedJobs(12, 100*time.Second)
 	for i := range 4 {
 		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
 		perTask(spec, 1, 0.25, 5).Spot = true
@@ -83,14 +83,14 @@
 	}
 	w.upgrade(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.state.lower()
+	w.store.lower()
 	w.Run(40 * time.Second)
-	w.replace(300 * time.Millisecond)
+	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
 	w.faultsOver = w.Now
 	w.healWorkers()
-	w.left()
-	w.end()
+	w.watchWaitingJobs()
+	w.runUntilOver()
 }
 
 // healWorkers lets sick machines work again.
@@ -106,7 +106,7 @@
 // records are as well, and no machine is forgotten on the way.
 func TestLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := lowered(grown(), 21, 8)
+	shape := lowered(thousandMachines(), 21, 8)
 	shape.State.TxnOps = 24
 	w := NewShaped(77, logs(), shape)
 	for _, c := range w.nodes {
@@ -114,7 +114,7 @@
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	w.crowd(60, 30*time.Second)
+	w.submitCrowd(60, 30*time.Second)
 	for i := range 5 {
 		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
 		w.submit(arrival{job: spec, run: 150})
@@ -129,16 +129,16 @@
 		w.Run(9 * time.Second)
 	}
 	w.Run(12 * time.Second)
-	for key, e := range w.state.keys {
+	for key, e := range w.store.keys {
 		if len(e.Value) > 2048 {
 			t.Errorf("%s still has %d bytes", key, len(e.Value))
 		}
 	}
-	w.state.lower()
+	w.store.lower()
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
-	w.finish(t, 500*time.Second)
+	w.finishDay(t, 500*time.Second)
 	again := w.gangTasksStartedAgain() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
 	if again > 0 {
@@ -178,14 +178,14 @@
 	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
 	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.state.lower()
+	w.store.lower()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
 	}
 	w.waitUntilOver(t, 300*time.Second, u, v, cancelled)
 	w.Run(80 * time.Second)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // wide is a job whose description takes most of a record's lowered size.
@@ -205,46 +205,46 @@
 	{"after the upgrade", release02, func(w *World) {
 		w.upgrade(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.state.lower()
+		w.store.lower()
 	}},
 	{"after the upgrade, all records untouched", release03, func(w *World) {
 		w.upgrade(time.Second)
-		w.state.lower()
+		w.store.lower()
 	}},
 	{"in the middle of the upgrade", release03, func(w *World) {
 		w.upgrade(10 * time.Second)
-		w.after(14*time.Second, w.state.lower)
+		w.after(14*time.Second, w.store.lower)
 	}},
 	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
 		w.upgrade(5 * time.Second)
-		w.after(6*time.Second, w.state.lower)
+		w.after(6*time.Second, w.store.lower)
 	}},
 	{"in a takeover", release02, func(w *World) {
 		w.upgrade(time.Second)
 		w.Run(8 * time.Second)
-		w.state.lower()
-		w.replace(300 * time.Millisecond)
-		w.after(3*time.Second, func() { w.replace(200 * time.Millisecond) })
-		w.after(4*time.Second, func() { w.replace(200 * time.Millisecond) })
+		w.store.lower()
+		w.crashLeader(300 * time.Millisecond)
+		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
+		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 	}},
 	{"while the state service is slow", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.state.slow = 400 * time.Millisecond
-		w.state.lower()
-		w.after(25*time.Second, func() { w.state.slow = 0 })
+		w.store.slow = 400 * time.Millisecond
+		w.store.lower()
+		w.after(25*time.Second, func() { w.store.slow = 0 })
 	}},
 	{"in an outage", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.state.outage(12 * time.Second)
-		w.after(6*time.Second, w.state.lower)
+		w.store.outage(12 * time.Second)
+		w.after(6*time.Second, w.store.lower)
 	}},
 	{"answers are lost", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.state.lower()
-		w.state.loseAnswers(0.3, 20*time.Second)
+		w.store.lower()
+		w.store.loseAnswers(0.3, 20*time.Second)
 	}},
 }
 
@@ -273,8 +273,8 @@
 	w.faultsOver = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.state.tooLarge, w.rules.started)
-	w.check(t)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	w.expectRulesHeld(t)
 }
 
 // newWorld is a world of the earlier version whose records may be large.
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -2,26 +2,41 @@
 
 import (
 	"cmp"
+	"maps"
+	"net/http"
+	"slices"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
+// userBehaviour is what users do beyond submitting jobs and asking for them.
+type userBehaviour struct {
+	askAllNodes bool    // they ask every node after every answer
+	cancelAtEnd float64 // this share of the jobs is cancelled at the moment of their end
+}
+
 // user submits one job and asks for it until it is over.
 type user struct {
-	w        *World
-	j        *simJob
-	accepted bool
-	since    time.Time      // of the first attempt to submit
-	answered time.Time      // of the newest answer about the job
-	phase    protocol.Phase // the newest answer
-	asked    bool           // has asked to cancel
-	over     bool
-	left     bool          // asks nothing any more
-	up, away time.Duration // replica time that was served and that was not, from 5 s on
+	w                *World
+	job              *simJob
+	accepted         bool
+	submittedAt      time.Time      // of the first attempt to submit
+	answeredAt       time.Time      // of the newest answer about the job
+	phase            protocol.Phase // the newest answer
+	cancelRequested  bool           // has asked to cancel
+	over             bool
+	silent           bool          // asks nothing any more
+	served, unserved time.Duration // replica time that was served and that was not, from 5 s on
 }
 
+// How long users wait for an answer.
+const (
+	submitTimeout = 5 * time.Second // also to a cancellation
+	queryTimeout  = 2 * time.Second
+)
+
 // arrival is a job that a user submits.
 type arrival struct {
 	after       time.Duration // until the first attempt
@@ -31,26 +46,25 @@
 	mistaken    bool          // every task ends with an error
 }
 
-// submit lets a user come. A user gives up status queries after 2 s and submissions after
-// 5 s.
+// submit lets a user come.
 func (w *World) submit(a arrival) *user {
 	spec := a.job
 	j := newSimJob(spec)
 	j.run, j.mistaken = a.run, a.mistaken
-	u := &user{w: w, j: j}
+	u := &user{w: w, job: j}
 	w.users = append(w.users, u)
 	j.last = func() {
-		if w.rng.Float64() < w.atEnd {
+		if w.rng.Float64() < w.cancelAtEnd {
 			u.cancel()
 		}
 	}
 	w.after(a.after, func() {
 		w.rules.jobs[spec.ID] = j
-		u.since = w.Now
+		u.submittedAt = w.Now
 		w.Audit.submitted(spec)
-		u.try()
+		u.submit()
 		if spec.Service() {
-			u.count()
+			u.measureService()
 		}
 		if a.cancelAfter > 0 {
 			w.after(a.cancelAfter, u.cancel)
@@ -79,88 +93,101 @@
 }
 
 // ask sends a request to a node drawn by lot, unless the user has left.
-func (u *user) ask(limit time.Duration, event request, done answerFunc) {
-	if u.left {
+func (u *user) ask(limit time.Duration, r request, done answerFunc) {
+	if u.silent {
 		return
 	}
-	u.w.reach("users", u.w.rng.IntN(len(u.w.nodes)), limit, event, done)
+	u.w.reach("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
 }
 
-func (u *user) try() {
-	u.ask(5*time.Second, submission(u.j.spec), func(status int, body []byte) {
+// submit asks for the job to be run until it is accepted, and sometimes once more.
+func (u *user) submit() {
+	u.ask(submitTimeout, submission(u.job.spec), func(status int, body []byte) {
 		switch status {
-		case 200, 201:
-			u.takeAnswer(body)
+		case http.StatusOK, http.StatusCreated:
+			u.handleAnswer(body)
 			if !u.accepted {
 				u.accepted = true
 				u.w.after(5*time.Second, u.poll)
 			}
 			if u.w.rng.IntN(4) == 0 { // a retry may come at any later time
-				u.w.after(u.w.between(0, 200*time.Second), u.try)
+				u.w.after(u.w.between(0, 200*time.Second), u.submit)
 			}
-		case 400, 422:
-			u.w.rules.violated("refused", "%s: %d %s", u.j.spec.ID, status, body)
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			u.w.rules.violated(ruleRefused, "%s: %d %s", u.job.spec.ID, status, body)
 		default:
-			u.w.after(time.Second, u.try)
+			u.w.after(time.Second, u.submit)
 		}
 	})
 }
 
-// takeAnswer checks an answer against what this user was told before.
-func (u *user) takeAnswer(body []byte) {
-	u.answered = u.w.Now
+// final says whether a phase is the last one of a job.
+func final(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
+
+// handleAnswer checks an answer against what this user was told before.
+func (u *user) handleAnswer(body []byte) {
+	u.answeredAt = u.w.Now
 	var a protocol.Accepted
 	decode(body, &a)
-	final := func(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
-	if final(u.phase) && a.Phase != u.phase {
-		u.w.rules.violated("went_back", "%s was %s and is %s", a.ID, u.phase, a.Phase)
-	}
-	if a.Phase == protocol.PhaseCancelled && !u.asked {
-		u.w.rules.violated("went_back", "%s is cancelled by nobody", a.ID)
-	}
-	if a.Phase == protocol.PhaseDone {
-		if u.j.spec.Service() {
-			u.w.rules.violated("not_done", "the service %s is called done", a.ID)
-		}
-		for i, d := range u.j.done {
-			if !d {
-				u.w.rules.violated("not_done", "%s is called done without task %d", a.ID, i)
-				break
-			}
-		}
-	}
+	u.checkPhase(a)
 	news := a.Phase != u.phase
 	u.phase = a.Phase
-	if news && u.w.close {
-		u.look()
+	if news && u.w.askAllNodes {
+		u.askAllNodes()
 	}
 	if final(a.Phase) {
 		u.over = true
-		if a.Phase == protocol.PhaseCancelled && u.j.cancelled.IsZero() {
-			u.j.cancelled = u.w.Now
-			u.w.after(secs(u.w.shape.Workers.CancelS)+time.Millisecond, func() {
-				for i := range u.j.spec.Tasks {
-					if t := u.w.rules.onAt[protocol.TaskName(u.j.spec.ID, i)]; t != nil {
-						u.w.rules.checkCancelled(t)
-					}
-				}
-			})
+		if a.Phase == protocol.PhaseCancelled && u.job.cancelled.IsZero() {
+			u.noteCancelled()
 		}
 	}
 }
 
+// checkPhase checks that a job's phase does not go back, and that a job that is called
+// cancelled or done is so.
+func (u *user) checkPhase(a protocol.Accepted) {
+	if final(u.phase) && a.Phase != u.phase {
+		u.w.rules.violated(ruleWentBack, "%s was %s and is %s", a.ID, u.phase, a.Phase)
+	}
+	if a.Phase == protocol.PhaseCancelled && !u.cancelRequested {
+		u.w.rules.violated(ruleWentBack, "%s is cancelled by nobody", a.ID)
+	}
+	if a.Phase != protocol.PhaseDone {
+		return
+	}
+	if u.job.spec.Service() {
+		u.w.rules.violated(ruleNotDone, "the service %s is called done", a.ID)
+	}
+	if i := slices.Index(u.job.done, false); i >= 0 {
+		u.w.rules.violated(ruleNotDone, "%s is called done without task %d", a.ID, i)
+	}
+}
+
+// noteCancelled has the job's tasks checked once its cancellation must hold.
+func (u *user) noteCancelled() {
+	u.job.cancelled = u.w.Now
+	u.w.after(secs(u.w.shape.Workers.CancelS)+time.Millisecond, func() {
+		for i := range u.job.spec.Tasks {
+			if t := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; t != nil {
+				u.w.rules.checkCancelled(t)
+			}
+		}
+	})
+}
+
+// poll asks for the job again and again until it is over, and a few times more.
 func (u *user) poll() {
 	before := u.phase
-	u.ask(2*time.Second, statusQuery(u.j.spec.ID), func(status int, body []byte) {
+	u.ask(queryTimeout, statusQuery(u.job.spec.ID), func(status int, body []byte) {
 		switch {
-		case status == 200 && u.phase == before:
-			u.takeAnswer(body)
-		case status == 200:
-			u.answered = u.w.Now
-		case status == 404:
-			u.w.rules.violated("forgotten", "%s is unknown", u.j.spec.ID)
+		case status == http.StatusOK && u.phase == before:
+			u.handleAnswer(body)
+		case status == http.StatusOK:
+			u.answeredAt = u.w.Now
+		case status == http.StatusNotFound:
+			u.w.rules.violated(ruleForgotten, "%s is unknown", u.job.spec.ID)
 		default:
-			u.unanswered()
+			u.checkAnswered()
 		}
 		if !u.over || u.w.rng.IntN(3) == 0 {
 			u.w.after(5*time.Second, u.poll)
@@ -168,93 +195,94 @@
 	})
 }
 
-// look asks all nodes again within milliseconds and repeats the submission: no
+// askAllNodes asks all nodes again within milliseconds and repeats the submission: no
 // answer may be older than the newest that any node had given before the question.
-func (u *user) look() {
+func (u *user) askAllNodes() {
 	w := u.w
 	for i := range 3 * len(w.nodes) {
 		c := w.nodes[i%len(w.nodes)]
 		w.after(w.between(0, 8*time.Millisecond), func() {
 			told := u.phase
-			event := statusQuery(u.j.spec.ID)
+			question := statusQuery(u.job.spec.ID)
 			if i >= 2*len(w.nodes) {
-				event = submission(u.j.spec)
+				question = submission(u.job.spec)
 			}
-			w.call("users", c.name, 2*time.Second, func(answer answerFunc) { c.ask(event, answer) }, func(status int, body []byte) {
-				switch status {
-				case 200, 201:
-					var a protocol.Accepted
-					decode(body, &a)
-					if (told == protocol.PhaseDone || told == protocol.PhaseCancelled) && a.Phase != told {
-						w.rules.violated("went_back", "%s was %s and is %s at %s", a.ID, told, a.Phase, c.name)
-					}
-					if status == 201 {
-						w.rules.violated("forgotten", "%s is accepted anew by %s", a.ID, c.name)
-					}
-				case 400, 404, 422:
-					w.rules.violated("forgotten", "%s is answered %d by %s", u.j.spec.ID, status, c.name)
-				}
-			})
+			w.call("users", c.name, queryTimeout, func(answer answerFunc) { c.ask(question, answer) },
+				func(status int, body []byte) { u.checkRepeated(c, told, status, body) })
 		})
 	}
 }
 
-// count adds up the replica time of a service that was served and that was not.
-func (u *user) count() {
+// checkRepeated checks a node's answer to a question about a job that is accepted.
+func (u *user) checkRepeated(c *controller, told protocol.Phase, status int, body []byte) {
+	switch status {
+	case http.StatusOK, http.StatusCreated:
+		var a protocol.Accepted
+		decode(body, &a)
+		if final(told) && a.Phase != told {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s at %s", a.ID, told, a.Phase, c.name)
+		}
+		if status == http.StatusCreated {
+			u.w.rules.violated(ruleForgotten, "%s is accepted anew by %s", a.ID, c.name)
+		}
+	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
+		u.w.rules.violated(ruleForgotten, "%s is answered %d by %s", u.job.spec.ID, status, c.name)
+	}
+}
+
+// measureService adds up the replica time of a service that was served and that was not.
+func (u *user) measureService() {
 	const step = 50 * time.Millisecond
-	if u.asked {
+	if u.cancelRequested {
 		return
 	}
-	if u.w.Now.Sub(u.since) >= 5*time.Second {
-		for i := range u.j.spec.Tasks {
-			if t := u.w.rules.onAt[protocol.TaskName(u.j.spec.ID, i)]; t != nil && t.state == protocol.TaskRunning && !t.k.hung {
-				u.up += step
+	if u.w.Now.Sub(u.submittedAt) >= 5*time.Second {
+		for i := range u.job.spec.Tasks {
+			if t := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; t != nil && t.state == protocol.TaskRunning && !t.k.hung {
+				u.served += step
 			} else {
-				u.away += step
+				u.unserved += step
 			}
 		}
 	}
-	u.w.after(step, u.count)
+	u.w.after(step, u.measureService)
 }
 
-// unanswered checks that no job goes without an answer for long once all
+// checkAnswered checks that no job goes without an answer for long once all
 // faults are over, however other jobs fare.
-func (u *user) unanswered() {
+func (u *user) checkAnswered() {
 	from := u.w.faultsOver
-	if u.answered.After(from) {
-		from = u.answered
+	if u.answeredAt.After(from) {
+		from = u.answeredAt
 	}
 	if !u.w.faultsOver.IsZero() && u.w.Now.Sub(from) > forgottenAfter {
-		u.w.rules.violated("forgotten", "no question about %s is answered for %v", u.j.spec.ID, u.w.Now.Sub(from))
+		u.w.rules.violated(ruleForgotten, "no question about %s is answered for %v", u.job.spec.ID, u.w.Now.Sub(from))
 	}
 }
 
 // Bounds of the rules about jobs.
 const (
-	forgottenAfter = 75 * time.Second
-	largestWithin  = 4 * time.Minute
+	forgottenAfter     = 75 * time.Second
+	largestStartWithin = 4 * time.Minute
 )
 
-// served checks at the end of a day that at least half of every class, of every
+// checkServed checks at the end of a day that at least half of every class, of every
 // team and of every class's largest jobs was served, and that the largest
 // began within a while.
-func (w *World) served(within time.Duration) {
+func (w *World) checkServed(within time.Duration) {
+	counted := w.countedUsers()
 	largest := map[string]int{}
-	var counted []*user
-	for _, u := range w.users {
-		if !u.asked && !u.j.mistaken && !u.since.IsZero() && !u.j.spec.Service() {
-			counted = append(counted, u)
-			largest[u.j.spec.Class] = max(largest[u.j.spec.Class], u.j.spec.Tasks)
-		}
+	for _, u := range counted {
+		largest[u.job.spec.Class] = max(largest[u.job.spec.Class], u.job.spec.Tasks)
 	}
 	all, done := map[string]int{}, map[string]int{}
 	for _, u := range counted {
-		spec := u.j.spec
+		spec := u.job.spec
 		groups := []string{"class " + spec.Class, "team " + string(spec.Team)}
 		if spec.Tasks == largest[spec.Class] {
 			groups = append(groups, "the largest of "+spec.Class)
-			if late := cmp.Or(u.j.began, w.Now).Sub(u.since); late > within {
-				w.rules.violated("late", "%s of %d tasks began after %v", spec.ID, spec.Tasks, late)
+			if wait := cmp.Or(u.job.began, w.Now).Sub(u.submittedAt); wait > within {
+				w.rules.violated(ruleLate, "%s of %d tasks began after %v", spec.ID, spec.Tasks, wait)
 			}
 		}
 		for _, g := range groups {
@@ -264,25 +292,36 @@
 			}
 		}
 	}
-	for g, n := range all {
-		if 2*done[g] < n {
-			w.rules.violated("unserved", "%d of %d of %s", done[g], n, g)
+	for _, g := range slices.Sorted(maps.Keys(all)) {
+		if 2*done[g] < all[g] {
+			w.rules.violated(ruleUnserved, "%d of %d of %s", done[g], all[g], g)
+		}
+	}
+}
+
+// countedUsers are the users whose jobs were to be done.
+func (w *World) countedUsers() (counted []*user) {
+	for _, u := range w.users {
+		if !u.cancelRequested && !u.job.mistaken && !u.submittedAt.IsZero() && !u.job.spec.Service() {
+			counted = append(counted, u)
 		}
 	}
+	return counted
 }
 
+// cancel asks for a cancellation until it is confirmed.
 func (u *user) cancel() {
 	if !u.accepted || u.phase == protocol.PhaseDone {
 		return
 	}
-	u.asked = true
-	u.w.Audit.cancelled(u.j.spec.ID)
-	u.ask(5*time.Second, cancellation(u.j.spec.ID), func(status int, body []byte) {
+	u.cancelRequested = true
+	u.w.Audit.cancelled(u.job.spec.ID)
+	u.ask(submitTimeout, cancellation(u.job.spec.ID), func(status int, body []byte) {
 		switch status {
-		case 200:
-			u.takeAnswer(body)
-		case 404:
-			u.w.rules.violated("forgotten", "%s cannot be cancelled", u.j.spec.ID)
+		case http.StatusOK:
+			u.handleAnswer(body)
+		case http.StatusNotFound:
+			u.w.rules.violated(ruleForgotten, "%s cannot be cancelled", u.job.spec.ID)
 		default:
 			u.w.after(time.Second, u.cancel)
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,5 +1,5 @@
 // Package simulation is a whole deployment on a fake clock: several
-// controllers' state machines among stand-ins for the state service, the
+// controllers' state machines among stand-ins for the key-value store, the
 // cloud, workers and users, written from the protocol, and a network that
 // holds or drops what it carries. Every rule of the protocol is checked at
 // every step. The same seed gives the same run.
@@ -20,12 +20,15 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
+// event is something that happens at a moment; of two at one moment the one scheduled first
+// comes first.
 type event struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
+// eventQueue is a heap of events.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -52,7 +55,7 @@
 	State     config.State
 	Cloud     config.Cloud
 	Resources config.Resources
-	// Lowered are the state service's limits to come, which the settings announce.
+	// Lowered are the key-value store's limits to come, which the settings announce.
 	Lowered *config.State
 	// Recovery has the controllers follow their recoveries, as operators may ask.
 	Recovery bool
@@ -75,8 +78,14 @@
 	}
 }
 
-// World is the deployment.
+// World is the deployment: a clock with its queue of events, a network, controllers among
+// stand-ins, and the rules that are checked.
 type World struct {
+	network
+	userBehaviour
+	reportCopies
+	activity
+
 	shape Shape
 	live  *Live // where the controllers are elsewhere
 	Audit *Audit
@@ -87,28 +96,32 @@
 	seq   int
 	log   *slog.Logger
 
-	zoneOf     map[string]protocol.ZoneName
-	cuts       []*cut
 	nodes      []*controller
-	state      *keyValueStore
+	store      *keyValueStore
 	cloud      *cloudProvider
 	workers    map[protocol.MachineID]*worker
 	users      []*user
 	rules      *rules
-	steps      int           // of all controllers
-	calls      int           // to workers
-	most       int           // of them under way at once at one controller
-	faultsOver time.Time     // when all faults were over
-	copies     time.Duration // for so long copies of reports may be late, 0: there are none
-	keep       bool          // copies of reports are kept for the next leader
-	kept       [][]byte
+	faultsOver time.Time          // when all faults were over
 	release    map[string]release // of every controller
-	close      bool               // users look closely: they ask every node after every answer
-	atEnd      float64            // this share of the jobs is called off at the moment of their end
 	// recorder, if there is one, is shown every action of every controller as it is carried out.
 	recorder func(controller string, action coordination.Action)
 }
 
+// reportCopies are copies of workers' reports, as a network may deliver them.
+type reportCopies struct {
+	copies time.Duration // for so long copies may be late, 0: there are none
+	keep   bool          // copies are kept for the next leader
+	kept   [][]byte
+}
+
+// activity counts what the controllers do.
+type activity struct {
+	steps     int // of all controllers
+	calls     int // to workers
+	mostCalls int // of them under way at once at one controller
+}
+
 // New makes a small world of three controllers.
 func New(seed uint64, logs io.Writer) *World { return NewShaped(seed, logs, Small()) }
 
@@ -129,10 +142,10 @@
 		Audit:   newAudit(),
 		Now:     time.Unix(1_800_000_000, 0),
 		rng:     rand.New(rand.NewPCG(seed, 7)),
-		zoneOf:  map[string]protocol.ZoneName{},
 		workers: map[protocol.MachineID]*worker{},
 		release: map[string]release{},
 	}
+	w.network = network{w: w, zoneOf: map[string]protocol.ZoneName{}}
 	if logs != nil {
 		w.log = slog.New(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
@@ -144,20 +157,22 @@
 		w.log = slog.New(slog.DiscardHandler)
 	}
 	w.rules = newRules(w)
-	w.state = newKeyValueStore(w)
+	w.store = newKeyValueStore(w)
 	w.cloud = newCloudProvider(w)
 	for i := range 3 {
-		c := &controller{w: w, name: "node-" + strconv.Itoa(i), peers: map[string]bool{}}
+		c := &controller{w: w, name: "node-" + strconv.Itoa(i), linked: map[string]bool{}}
 		w.zoneOf[c.name] = shape.Zones[i%len(shape.Zones)]
 		w.nodes = append(w.nodes, c)
 	}
 	return w
 }
 
+// clock is the time since the start, in seconds.
 func (w *World) clock() string {
 	return fmt.Sprintf("%.3f", w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds())
 }
 
+// config is the settings of a controller.
 func (w *World) config(name string) *config.Config {
 	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
 	c.Operator.RecoveryPhase = w.shape.Recovery
@@ -193,8 +208,10 @@
 	w.Now = end
 }
 
+// between draws a time.
 func (w *World) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
+// secs is a time that the settings give in seconds.
 func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -23,8 +23,8 @@
 	}
 	running := func() (n int) {
 		for _, u := range users {
-			for i := range u.j.spec.Tasks {
-				if a := w.rules.onAt[protocol.TaskName(u.j.spec.ID, i)]; a != nil && a.state == protocol.TaskRunning {
+			for i := range u.job.spec.Tasks {
+				if a := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; a != nil && a.state == protocol.TaskRunning {
 					n++
 				}
 			}
@@ -36,7 +36,7 @@
 	zone := w.workerOf("run-000000", 1).h.Zone
 	allowed := services * replicas
 	for _, u := range users {
-		if u.j.spec.Spread && len(shape.Zones) == 2 {
+		if u.job.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
 		}
 	}
@@ -54,7 +54,7 @@
 // when nothing but services has run for a long while.
 func TestZoneLossWithoutBoot(t *testing.T) {
 	t.Parallel()
-	three := grown()
+	three := thousandMachines()
 	three.Machines, three.Capacity, three.Resources = 9, 60, config.Resources{}
 	two := Small()
 	two.Machines, two.Capacity = 8, 40
