--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -26,12 +27,14 @@
 	fastBoot bool // machines are up within two seconds
 }
 
+// host is a machine in the cloud.
 type host struct {
 	protocol.Machine
 	createdAt time.Time
 	gone      bool
 }
 
+// snapshot is the machine list of a moment.
 type snapshot struct {
 	at   time.Time
 	list []protocol.Machine
@@ -40,29 +43,38 @@
 func newCloudProvider(w *World) *cloudProvider {
 	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
-	var tick func()
-	tick = func() {
-		var list []protocol.Machine
-		for _, h := range c.hosts {
-			if !h.gone {
-				m := h.Machine
-				m.AgeS = w.Now.Sub(h.createdAt).Seconds()
-				list = append(list, m)
-			}
-		}
-		c.history = append(c.history, snapshot{w.Now, list})
-		if len(c.history) > 30 {
-			c.history = c.history[1:]
-		}
-		w.after(500*time.Millisecond, tick)
-	}
-	w.after(0, tick)
+	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
 		c.add(w.shape.Zones[i%len(w.shape.Zones)], false, 0)
 	}
 	return c
 }
 
+// A snapshot of the machine list is taken every so often, and so many are kept: more than
+// the longest lag of a list.
+const (
+	snapshotInterval = 500 * time.Millisecond
+	snapshotsKept    = 30
+)
+
+// recordSnapshot takes snapshots of the machine list, again and again.
+func (c *cloudProvider) recordSnapshot() {
+	var list []protocol.Machine
+	for _, h := range c.hosts {
+		if !h.gone {
+			m := h.Machine
+			m.AgeS = c.w.Now.Sub(h.createdAt).Seconds()
+			list = append(list, m)
+		}
+	}
+	c.history = append(c.history, snapshot{c.w.Now, list})
+	if len(c.history) > snapshotsKept {
+		c.history = c.history[1:]
+	}
+	c.w.after(snapshotInterval, c.recordSnapshot)
+}
+
+// add makes a machine that is up after a while.
 func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
@@ -100,18 +112,18 @@
 func (c *cloudProvider) serve(method, path string, body []byte, answer answerFunc) {
 	c.requests++
 	if c.down {
-		answer(503, encode(protocol.ErrorBody{Error: "trouble"}))
+		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
 	if !c.calls.AllowN(c.w.Now, 1) {
-		answer(429, nil)
+		answer(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	switch {
 	case u.Path == protocol.PathMachineTypes:
-		answer(200, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
-	case u.Path == protocol.PathMachines && method == "GET":
+		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
+	case u.Path == protocol.PathMachines && method == http.MethodGet:
 		c.list(u.Query(), answer)
 	case u.Path == protocol.PathMachines:
 		c.rent(body, answer)
@@ -135,7 +147,7 @@
 	}
 	limit, _ := strconv.Atoi(q.Get("page"))
 	list = list[from:]
-	answer(200, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
+	answer(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
 // rent rents machines as far as there are any.
@@ -143,7 +155,7 @@
 	var r protocol.Rental
 	decode(body, &r)
 	if names, ok := c.rented[r.Request]; ok {
-		answer(200, encode(protocol.MachineNames{Machines: names}))
+		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 		return
 	}
 	up := 0
@@ -153,7 +165,7 @@
 		}
 	}
 	if up >= c.capacity {
-		answer(503, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
+		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
 	var names []protocol.MachineID
@@ -161,7 +173,7 @@
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
 	c.rented[r.Request] = names
-	answer(200, encode(protocol.MachineNames{Machines: names}))
+	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
 // bootTime is how long a machine takes to come up; one in twenty never does.
@@ -185,5 +197,5 @@
 			c.destroy(h)
 		}
 	}
-	answer(200, encode(struct{}{}))
+	answer(http.StatusOK, encode(struct{}{}))
 }
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -23,7 +23,7 @@
 type ColdResult struct {
 	Verdict
 	Tasks    int // of all jobs
-	Requests int // to the state service, since the return
+	Requests int // to the key-value store, since the return
 	Changes  int
 	Rules    []string // that were broken
 }
@@ -162,8 +162,8 @@
 // coldJobs submits gangs and arrays for three quarters of the machines, the last of them
 // so late that they are half-way when the controllers are lost.
 func (w *World) coldJobs(c ColdRestart) (users []*user) {
-	room := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
-	for i := 0; room > 0; i++ {
+	unsubmitted := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
+	for i := 0; unsubmitted > 0; i++ {
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
 			Tasks: 2 + w.rng.IntN(12), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", w.rng.IntN(6)), ImageGB: 1 + 2*w.rng.Float64(), EstimateS: 60}
 		if i%2 == 0 {
@@ -172,7 +172,7 @@
 		if c.Equal {
 			spec.Priority = "normal"
 		}
-		room -= spec.Tasks
+		unsubmitted -= spec.Tasks
 		run := 300.0
 		if i%5 == 1 { // about to end
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -241,8 +241,8 @@
 }
 
 // TestColdRestartNeverRecorded: a worker runs an attempt of a job that the records never
-// had. It is stopped, once, and takes room and place from nothing that is recorded. An
-// attempt that is on no record of a known job comes with a restored state service alone.
+// had. It is stopped, once, and takes capacity and place from nothing that is recorded. An
+// attempt that is on no record of a known job comes with a restored key-value store alone.
 func TestColdRestartNeverRecorded(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 47, recovering())
@@ -264,18 +264,18 @@
 	c.finishBoth()
 }
 
-// TestColdRestartSecondLoss: the new leader, or the state service, is lost at every stage
+// TestColdRestartSecondLoss: the new leader, or the key-value store, is lost at every stage
 // of the recovery. Nothing is started or stopped.
 func TestColdRestartSecondLoss(t *testing.T) {
 	t.Parallel()
 	for i := range 12 {
-		for _, state := range []bool{false, true} {
-			t.Run(fmt.Sprint("after ", i*400, " ms, state service ", state), func(t *testing.T) {
+		for _, loseStore := range []bool{false, true} {
+			t.Run(fmt.Sprint("after ", i*400, " ms, key-value store ", loseStore), func(t *testing.T) {
 				t.Parallel()
 				c := newColdWorld(t, uint64(48+i), recovering())
 				c.crashAllApart(time.Second, 300*time.Millisecond)
 				c.Run(time.Second + time.Duration(i)*400*time.Millisecond)
-				if state {
+				if loseStore {
 					c.store.outage(4 * time.Second)
 				} else if n := c.leader(); n != nil {
 					n.crash(time.Second)
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestUnseenCancellationThenOutage: the leader's watches hang while its renewals pass, others confirm
-// cancellations, and the state service is then away for longer than cancel_s. The
+// cancellations, and the key-value store is then away for longer than cancel_s. The
 // leader's workers must be without those tasks in time all the same: its authority
 // counts from when it last knew all cancellations, not from its renewal.
 func TestUnseenCancellationThenOutage(t *testing.T) {
@@ -59,7 +59,7 @@
 	return func(a, b string) bool { return a == from.name && b == to.name }
 }
 
-// TestLeaderToldOfCancellation: a leader that the state service refuses stops a job's
+// TestLeaderToldOfCancellation: a leader that the key-value store refuses stops a job's
 // tasks as soon as a peer that has confirmed the cancellation tells it.
 func TestLeaderToldOfCancellation(t *testing.T) {
 	t.Parallel()
@@ -81,7 +81,7 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLongOutage: the state service is out for far longer than a leader's
+// TestLongOutage: the key-value store is out for far longer than a leader's
 // authority. All controllers are there and confirm for one another, so nothing that
 // runs is lost, and what was cancelled a moment before is gone in time.
 func TestLongOutage(t *testing.T) {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -14,19 +14,20 @@
 	w       *World
 	name    string
 	node    *coordination.Node
-	life    int
+	life    int // counts the processes
 	alive   bool
-	linked  map[string]bool
-	nextID  uint64
+	linked  map[string]bool // peers to which there is a link
+	nextID  uint64          // of requests from outside
 	waiting map[uint64]answerFunc
-	refused bool      // the state service refuses this node alone
+	refused bool      // the key-value store refuses this node alone
 	wakeAt  time.Time // when the node is to be stepped by its timer
-	timerAt time.Time // when that is looked at, zero while it is not
+	timerAt time.Time // when the timer goes off, zero while it is not set
 	backlog backlog   // of a slow node
-	working bool
-	calling int // calls to workers that this life of the process has under way
+	working bool      // a slow node takes time for a batch
+	calling int       // calls to workers that this life of the process has under way
 }
 
+// boot starts the process anew.
 func (c *controller) boot() {
 	c.life++
 	c.alive = true
@@ -34,14 +35,14 @@
 	c.waiting = map[uint64]answerFunc{}
 	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
 	life := c.life
-	var look func()
-	look = func() {
+	var pollLinks func()
+	pollLinks = func() {
 		if c.alive && c.life == life {
 			c.updateLinks()
-			c.w.after(tuning.MinTimerInterval, look)
+			c.w.after(tuning.MinTimerInterval, pollLinks)
 		}
 	}
-	c.w.after(c.w.between(0, tuning.MinTimerInterval), look)
+	c.w.after(c.w.between(0, tuning.MinTimerInterval), pollLinks)
 	c.timerAt = time.Time{}
 	c.backlog, c.working, c.calling = backlog{}, false, 0
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
@@ -56,6 +57,7 @@
 	}
 }
 
+// armTimer has the timer go off when the node is to be stepped.
 func (c *controller) armTimer() {
 	life, at := c.life, c.wakeAt
 	c.timerAt = at
@@ -109,13 +111,13 @@
 }
 
 // ask hands the node a request from outside.
-func (c *controller) ask(event request, answer answerFunc) {
+func (c *controller) ask(r request, answer answerFunc) {
 	if !c.alive {
 		return
 	}
 	c.nextID++
 	c.waiting[c.nextID] = answer
-	c.step(event(c.nextID))
+	c.step(r(c.nextID))
 }
 
 // step has the node take events. A slow node takes them when it has time.
@@ -131,7 +133,6 @@
 
 // carryOut does what the node wants done.
 func (c *controller) carryOut(actions []coordination.Action) {
-	life := c.life
 	c.w.steps++
 	for _, a := range actions {
 		if c.w.recorder != nil {
@@ -144,57 +145,77 @@
 				answer(a.Status, a.Body)
 			}
 		case coordination.PeerSend:
-			if !c.maySend(a) {
-				continue
-			}
-			for _, o := range c.w.nodes {
-				if o.name == string(a.Peer) && c.linked[o.name] {
-					to := o.life
-					m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
-					c.w.carry(c.name, o.name, func() {
-						if o.alive && o.life == to {
-							o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
-						}
-					})
-				}
-			}
+			c.send(a)
 		case coordination.Request:
-			c.request(a, func(status int, body []byte) {
-				if c.alive && c.life == life {
-					c.step(coordination.Response{ID: a.ID, Status: status, Body: body})
-				}
-			})
+			c.request(a)
 		}
 	}
 }
 
-func (c *controller) request(a coordination.Request, done answerFunc) {
-	to, handle := storeHost, func(answer answerFunc) {
-		if c.w.release[c.name] == release02 {
-			whole := answer
-			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
+// send sends a message to a peer, if there is a link and both releases know the message.
+func (c *controller) send(a coordination.PeerSend) {
+	if !c.maySend(a) {
+		return
+	}
+	life := c.life
+	for _, o := range c.w.nodes {
+		if o.name != string(a.Peer) || !c.linked[o.name] {
+			continue
+		}
+		to := o.life
+		m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
+		c.w.carry(c.name, o.name, func() {
+			if o.alive && o.life == to {
+				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
+			}
+		})
+	}
+}
+
+// request makes a request of an outside system.
+func (c *controller) request(a coordination.Request) {
+	life := c.life
+	done := func(status int, body []byte) {
+		if c.alive && c.life == life {
+			c.step(coordination.Response{ID: a.ID, Status: status, Body: body})
 		}
-		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
 	}
 	switch a.To {
 	case coordination.ToCloud:
-		to, handle = "cloud", func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }
+		c.w.call(c.name, cloudHost, a.Timeout, func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
 	case coordination.ToWorker:
-		c.w.calls++
-		c.calling++
-		c.w.mostCalls = max(c.w.mostCalls, c.calling)
-		answered, life := done, c.life
-		done = func(status int, body []byte) {
-			if c.life == life {
-				c.calling--
-			}
-			answered(status, body)
+		c.callWorker(a, done)
+	default:
+		c.callStore(a, done)
+	}
+}
+
+// callStore makes a request of the key-value store; version 0.2 drops new fields of what it
+// reads.
+func (c *controller) callStore(a coordination.Request, done answerFunc) {
+	c.w.call(c.name, storeHost, a.Timeout, func(answer answerFunc) {
+		if c.w.release[c.name] == release02 {
+			whole := answer
+			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
 		}
-		to, handle = a.Address, func(answer answerFunc) {
-			if k := c.w.workers[protocol.MachineID(a.Address)]; k != nil {
-				k.serve(a.Method, a.Path, a.Body, answer)
-			}
+		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
+	}, done)
+}
+
+// callWorker calls a worker and counts the calls under way.
+func (c *controller) callWorker(a coordination.Request, done answerFunc) {
+	c.w.calls++
+	c.calling++
+	c.w.mostCalls = max(c.w.mostCalls, c.calling)
+	life := c.life
+	c.w.call(c.name, a.Address, a.Timeout, func(answer answerFunc) {
+		if k := c.w.workers[protocol.MachineID(a.Address)]; k != nil {
+			k.serve(a.Method, a.Path, a.Body, answer)
 		}
-	}
-	c.w.call(c.name, to, a.Timeout, handle, done)
+	}, func(status int, body []byte) {
+		if c.life == life {
+			c.calling--
+		}
+		done(status, body)
+	})
 }
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -7,7 +7,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// maxWaitBesideCapacity is how long a job may wait beside room for it once all faults are
+// maxWaitBesideCapacity is how long a job may wait beside capacity for it once all faults are
 // over.
 const maxWaitBesideCapacity = 90 * time.Second
 
@@ -127,7 +127,7 @@
 			}
 		})
 	}, most: 4},
-	{name: "a leader without state service and siblings keeps workers and users", play: func(w *World) {
+	{name: "a leader without key-value store and peers keeps workers and users", play: func(w *World) {
 		w.every(60*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.isolate(c, 40*time.Second, i == 0)
@@ -176,7 +176,7 @@
 			}
 		})
 	}},
-	{name: "a leader ends while machines with long tasks are cut off or deaf", play: func(w *World) {
+	{name: "a leader ends while machines with long tasks are cut off or receive nothing", play: func(w *World) {
 		w.every(40*time.Second, 3, func(i int) {
 			for n, k := range w.someWorkers(3) {
 				if n == 0 {
@@ -209,7 +209,7 @@
 			})
 		})
 	}, most: 2},
-	{name: "more work than room, urgent and not, over slow links", play: func(w *World) {
+	{name: "more work than capacity, urgent and not, over slow links", play: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
 		w.store.slow = 150 * time.Millisecond
 		w.after(100*time.Second, func() { w.store.slow = 0 })
@@ -245,7 +245,7 @@
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, most: 10},
-	{name: "the state service is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
+	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
 		w.askAllNodes = true
 		w.store.slow = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelNow(1, 0) })
@@ -273,7 +273,7 @@
 // TestFaultCombinations plays every combination of faults on a few seeds, over work of every
 // shape, with reports going to the leader and by way of the other controllers. All
 // rules are checked at every step, and once the faults are over that no job is
-// forgotten, none waits beside room for it and all end.
+// forgotten, none waits beside capacity for it and all end.
 func TestFaultCombinations(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/gappond/gappond/internal/protocol"
@@ -26,8 +27,8 @@
 func (w *World) keepCopiesForNextLeader(d time.Duration) {
 	w.keep, w.kept = true, nil
 	was := w.leader()
-	var look func()
-	look = func() {
+	var awaitLeader func()
+	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != was {
 			w.keep = false
 			for _, body := range w.kept {
@@ -40,15 +41,15 @@
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
-			w.after(5*time.Millisecond, look)
+			w.after(5*time.Millisecond, awaitLeader)
 		} else {
 			w.keep, w.kept = false, nil
 		}
 	}
-	look()
+	awaitLeader()
 }
 
-// cancelNow has users call off up to n jobs that run, within a fifth of a second;
+// cancelNow has users cancel up to n jobs that run, within a fifth of a second;
 // the machines of some hang.
 func (w *World) cancelNow(n int, hang time.Duration) {
 	for _, u := range w.users {
@@ -77,48 +78,58 @@
 // oddRequests has users repeat submissions, cancel what is over and send what can
 // never run.
 func (w *World) oddRequests(d time.Duration) {
-	for i := range int(d / (500 * time.Millisecond)) {
-		w.after(time.Duration(i)*500*time.Millisecond, func() {
-			c := w.nodes[w.rng.IntN(len(w.nodes))]
-			if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
-				u.askAllNodes()
-				if u.over {
-					told := u.phase
-					c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
-						var a protocol.Accepted
-						if decode(body, &a); status == 200 && a.Phase != told {
-							w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
-						}
-					})
-				}
+	const apart = 500 * time.Millisecond
+	w.every(apart, int(d/apart), func(int) {
+		c := w.nodes[w.rng.IntN(len(w.nodes))]
+		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
+			u.askAllNodes()
+			if u.over {
+				u.cancelTooLate(c)
 			}
-			spec := array(jobID(900000+w.rng.IntN(100_000)), 2)
-			switch w.rng.IntN(5) {
-			case 0:
-				spec.CPUs = 1000
-			case 1:
-				spec.Team = "nobody"
-			case 2:
-				spec.Team, spec.GPUs, spec.Shape, spec.Tasks = "red", 4, protocol.ShapeGang, 3
-			case 3:
-				spec.Zone = "nowhere"
-			case 4:
-				spec.Shape, spec.OneZone, spec.Spread = protocol.ShapeGang, true, true
+		}
+		job := w.impossibleJob()
+		c.ask(submission(job), func(status int, _ []byte) {
+			if status == http.StatusOK || status == http.StatusCreated {
+				w.rules.violated(ruleAccepted, "%+v can never run", *job)
 			}
-			c.ask(submission(spec), func(status int, _ []byte) {
-				if status == 200 || status == 201 {
-					w.rules.violated(ruleAccepted, "%+v can never run", *spec)
-				}
-			})
 		})
-	}
+	})
+}
+
+// cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
+func (u *user) cancelTooLate(c *controller) {
+	told := u.phase
+	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
+		var a protocol.Accepted
+		if decode(body, &a); status == http.StatusOK && a.Phase != told {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
+		}
+	})
+}
+
+// impossibleJob is a job that can never run.
+func (w *World) impossibleJob() *protocol.Job {
+	job := array(jobID(900_000+w.rng.IntN(100_000)), 2)
+	switch w.rng.IntN(5) {
+	case 0:
+		job.CPUs = 1000
+	case 1:
+		job.Team = "nobody"
+	case 2:
+		job.Team, job.GPUs, job.Shape, job.Tasks = "red", 4, protocol.ShapeGang, 3
+	case 3:
+		job.Zone = "nowhere"
+	case 4:
+		job.Shape, job.OneZone, job.Spread = protocol.ShapeGang, true, true
+	}
+	return job
 }
 
-// watchWaitingJobs checks, from calm on, that no job waits beside room for it.
+// watchWaitingJobs checks, from calm on, that no job waits beside capacity for it.
 func (w *World) watchWaitingJobs() {
 	since := map[*user]time.Time{}
-	var look func()
-	look = func() {
+	var inspect func()
+	inspect = func() {
 		for _, u := range w.users {
 			if !w.waitsBesideCapacity(u) {
 				delete(since, u)
@@ -128,28 +139,23 @@
 				since[u] = w.Now
 			}
 			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
-				w.rules.violated(ruleLeftWaiting, "%s waits beside room for %v", u.job.spec.ID, w.Now.Sub(since[u]))
+				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(since[u]))
 				since[u] = w.Now
 			}
 		}
-		w.after(time.Second, look)
+		w.after(time.Second, inspect)
 	}
-	look()
+	inspect()
 }
 
 // waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
-// room for it, a gang for all, and its team is under its limit.
+// capacity for it, a gang for all, and its team is under its limit.
 func (w *World) waitsBesideCapacity(u *user) bool {
 	spec := u.job.spec
 	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
 		return false
 	}
-	want := 0
-	for i := range spec.Tasks {
-		if w.rules.placed[protocol.TaskName(spec.ID, i)] == nil && !u.job.done[i] {
-			want++
-		}
-	}
+	want := w.unplaced(u)
 	if want == 0 || spec.Gang() && want < spec.Tasks {
 		return false
 	}
@@ -161,7 +167,31 @@
 			return false
 		}
 	}
-	room := map[protocol.ZoneName]int{}
+	if spec.Spread && spec.Tasks > 1 {
+		return false // what it may have of a zone depends on the others
+	}
+	for _, n := range w.tasksThatFit(spec) {
+		if n >= want {
+			return true
+		}
+	}
+	return false
+}
+
+// unplaced counts the tasks of a user's job that are neither done nor on a machine.
+func (w *World) unplaced(u *user) (n int) {
+	for i := range u.job.spec.Tasks {
+		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
+			n++
+		}
+	}
+	return n
+}
+
+// tasksThatFit counts how many more tasks of a job the machines of each zone have capacity
+// for.
+func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
+	fit := map[protocol.ZoneName]int{}
 	for _, k := range w.workers {
 		if k.hung || k.notice != nil || spec.Zone != "" && spec.Zone != k.h.Zone || k.h.Spot && !spec.Spot {
 			continue
@@ -172,20 +202,12 @@
 				cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 			}
 		}
-		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && room[k.h.Zone] < want {
-			room[k.h.Zone]++
+		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && fit[k.h.Zone] < spec.Tasks {
+			fit[k.h.Zone]++
 			cpus, gpus, memory = cpus-spec.CPUs, gpus-spec.GPUs, memory-spec.MemoryGB
 		}
 	}
-	if spec.Spread && spec.Tasks > 1 {
-		return false // what it may have of a zone depends on the others
-	}
-	for _, n := range room {
-		if n >= want {
-			return true
-		}
-	}
-	return false
+	return fit
 }
 
 // every does something again and again.
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -199,7 +199,7 @@
 	w.expectRulesHeld(t)
 }
 
-// TestIsolatedLeader: a leader without the state service and the other
+// TestIsolatedLeader: a leader without the key-value store and the other
 // controllers, but with its workers, stops answering them within its bound and
 // sends them away; users who ask it are told at once to come back elsewhere.
 func TestIsolatedLeader(t *testing.T) {
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// restoredStoreDay has the state service come back without its newest records while no
+// restoredStoreDay has the key-value store come back without its newest records while no
 // controller is up.
 func restoredStoreDay(seed uint64, f *fingerprint) {
 	shape := Small()
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -65,7 +65,7 @@
 }
 
 // fallsTogether goes on with a day: a zone goes dark, many machines die together, the
-// state service is out for 25 s and all controllers are lost at its end. Every rule
+// key-value store is out for 25 s and all controllers are lost at its end. Every rule
 // holds, everybody is served, and what is done and asked keeps within bounds that are
 // counted, not timed.
 func (w *World) fallsTogether(t *testing.T, die int) {
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -53,7 +53,7 @@
 
 // TestSizes plays a day of a thousand machines and one behind the smallest
 // budgets: everything is served, and the work that is done and asked of the
-// state service keeps within bounds, counted, not timed.
+// key-value store keeps within bounds, counted, not timed.
 func TestSizes(t *testing.T) {
 	t.Parallel()
 	for _, day := range []struct {
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestIdle: controllers that nothing happens to are woken a few times a second at
-// most, whatever their share of a core, and ask the state service for little.
+// most, whatever their share of a core, and ask the key-value store for little.
 func TestIdle(t *testing.T) {
 	t.Parallel()
 	shape := Small()
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -18,7 +18,7 @@
 
 // Live runs a world's stand-ins in real time on loopback, for controllers that are
 // processes or owners of their own: every worker has an address, reports by HTTP and is
-// called by HTTP, as the state service, the cloud and the users are.
+// called by HTTP, as the key-value store, the cloud and the users are.
 type Live struct {
 	mu      sync.Mutex
 	w       *World
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -11,8 +11,11 @@
 // body.
 type answerFunc func(status int, body []byte)
 
-// storeHost is the key-value store's name in the network.
-const storeHost = "state"
+// Names in the network of the outside systems.
+const (
+	storeHost = "state"
+	cloudHost = "cloud"
+)
 
 // packetFate is what becomes of the packets that a cut keeps from passing.
 type packetFate bool
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -42,7 +42,7 @@
 		k.mute = true
 		w.after(100*time.Second, func() { k.mute = false })
 	}, 0.98},
-	{"the state service is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
+	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is cut off", func(w *World, _ *user) {
 		w.interrupt(25*time.Second, packetsLost, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 	}, 0.9},
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -89,7 +89,7 @@
 	w.expectRulesHeld(t)
 }
 
-// TestAloneRefused: a node that alone is refused by the state service says it
+// TestAloneRefused: a node that alone is refused by the key-value store says it
 // is not ready.
 func TestAloneRefused(t *testing.T) {
 	t.Parallel()
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestLostAnswers: the state service carries out what the leader sends, but
+// TestLostAnswers: the key-value store carries out what the leader sends, but
 // its answers are lost for a while. Nothing is applied twice or forgotten.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
@@ -157,7 +157,7 @@
 	w.expectRulesHeld(t)
 }
 
-// TestManyPolls: far more polls than the state service's budget allows neither
+// TestManyPolls: far more polls than the key-value store's budget allows neither
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
 func TestManyPolls(t *testing.T) {
 	t.Parallel()
@@ -252,7 +252,7 @@
 }
 
 // TestLargestJob: a job of the largest size is taken, keeps every limit of the
-// state service, survives a change of leader and is cancelled in time.
+// key-value store, survives a change of leader and is cancelled in time.
 func TestLargestJob(t *testing.T) {
 	t.Parallel()
 	w := startWorld(14, Small(), 5*time.Second)
@@ -299,7 +299,7 @@
 
 // TestZoneCutOff: a cut between two zones that leaves no path between their
 // controllers costs nothing that runs: the reports of the far zone reach the
-// leader by way of the state service, and so do its answers.
+// leader by way of the key-value store, and so do its answers.
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -10,7 +10,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// lowered is the shape of a deployment whose state service will lower its limits.
+// lowered is the shape of a deployment whose key-value store will lower its limits.
 func lowered(s Shape, writes float64, ops int) Shape {
 	s.Lowered = &config.State{RPS: s.State.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
@@ -227,7 +227,7 @@
 		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 	}},
-	{"while the state service is slow", release02, func(w *World) {
+	{"while the key-value store is slow", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(10 * time.Second)
 		w.store.slow = 400 * time.Millisecond
@@ -250,7 +250,7 @@
 
 // TestLimitsLoweredFar: the limits fall to a sixteenth at a stroke, so that a record
 // needs more parts than a transaction has changes. They fall in the middle of an
-// upgrade, in a takeover, or while the state service is slow or absent. Every rule
+// upgrade, in a takeover, or while the key-value store is slow or absent. Every rule
 // holds, nothing is refused twice, and all that is there runs to its end.
 func TestLimitsLoweredFar(t *testing.T) {
 	t.Parallel()
