--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -24,6 +24,7 @@
 	Verdict Verdict
 }
 
+// auditedJob is a job as its user submitted it and as workers have done it.
 type auditedJob struct {
 	tasks     int
 	gang      bool
@@ -31,6 +32,7 @@
 	done      map[string]bool
 }
 
+// instance is an attempt of a task on a machine.
 type instance struct {
 	machine protocol.MachineID
 	task    string
@@ -80,6 +82,7 @@
 	}
 }
 
+// stopAll notes that whatever is there of a job is to be stopped.
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -63,6 +63,7 @@
 
 func (s *simulated) pass(d time.Duration) { s.w.Run(d) }
 
+// start starts all controllers.
 func (s *simulated) start() error {
 	for _, c := range s.w.nodes {
 		c.boot()
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// kill ends all controllers for good.
 func (s *simulated) kill() {
 	for _, c := range s.w.nodes {
 		c.alive = false
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -301,6 +301,7 @@
 	}
 }
 
+// run plays a combination on a seed and returns the starts after a confirmed cancellation.
 func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
 	t.Helper()
 	w := NewShaped(seed, logs(), shape)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -366,6 +366,7 @@
 	})
 }
 
+// readFingerprints reads the golden file.
 func readFingerprints(t *testing.T) map[string]string {
 	golden := map[string]string{}
 	data, err := os.ReadFile(fingerprintsFile)
@@ -379,6 +380,7 @@
 	return golden
 }
 
+// writeFingerprints writes the golden file anew.
 func writeFingerprints(t *testing.T, names []string, found map[string]string) {
 	var out strings.Builder
 	for _, name := range names {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -13,9 +13,7 @@
 func fleet() Shape {
 	s := thousandMachines()
 	s.Machines, s.Capacity = 420, 2000
-	for i := range s.Teams {
-		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = 380, 1350
-	}
+	s.setQuotas(380, 1350)
 	s.State = config.State{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.Cloud{RPS: 9, ListLagS: 5}
 	s.Resources = config.Resources{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
@@ -27,15 +25,20 @@
 func fleet4000() Shape {
 	s := fleet()
 	s.Machines, s.Capacity = 4000, 6000
-	for i := range s.Teams {
-		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = 1000, 4000
-	}
+	s.setQuotas(1000, 4000)
 	s.State = config.State{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.Cloud{RPS: 12, ListLagS: 5}
 	s.Resources = config.Resources{Cores: 0.5, MemoryMB: 540, FDLimit: 4200}
 	return s
 }
 
+// setQuotas gives every team the same quota.
+func (s *Shape) setQuotas(guaranteed, limit float64) {
+	for i := range s.Teams {
+		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = guaranteed, limit
+	}
+}
+
 // TestFleetFallsTogether plays a day of two thousand machines.
 func TestFleetFallsTogether(t *testing.T) {
 	if testing.Short() {
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Grown is a deployment of a thousand machines and three zones.
+// thousandMachines is a deployment of a thousand machines and three zones.
 func thousandMachines() Shape {
 	s := Small()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
@@ -26,6 +26,14 @@
 	return s
 }
 
+// threeZones is a deployment of a few machines in three zones, whose controllers have all the
+// resources that they want.
+func threeZones(machines int) Shape {
+	s := thousandMachines()
+	s.Machines, s.Capacity, s.Resources = machines, 60, config.Resources{}
+	return s
+}
+
 // submitCrowd makes gangs and arrays of many sizes come for a while.
 func (w *World) submitCrowd(jobs int, span time.Duration) {
 	for i := range jobs {
--- a/internal/simulation/keyspace.go
+++ b/internal/simulation/keyspace.go
@@ -104,6 +104,7 @@
 	keys     map[string]protocol.Entry
 }
 
+// backup is a copy of the content.
 func (k *keyspace) backup() backup { return backup{k.revision, maps.Clone(k.keys)} }
 
 // restore puts the content back to an earlier one, less the keys under leases, for no lease
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -86,6 +86,7 @@
 	do(v.w)
 }
 
+// run carries out what is due until the world is closed.
 func (v *Live) run(ctx context.Context) {
 	tick := time.NewTicker(liveTick)
 	defer tick.Stop()
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -167,6 +166,7 @@
 	total int
 }
 
+// add takes in the means of a seed, by the number of replicas that they are of.
 func (s *stageSums) add(mean [stages]time.Duration, again int) {
 	for x := range mean {
 		s.sum[x] += mean[x] * time.Duration(again)
@@ -190,9 +190,7 @@
 // machine are away, and keeps each part within its bound.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
-	shape := thousandMachines()
-	shape.Machines, shape.Capacity = 12, 60
-	shape.Resources = config.Resources{}
+	shape := threeZones(12)
 	var sums stageSums
 	for seed := range uint64(12) {
 		mean, again, missing := replicaLoss(t, 700+seed, shape)
@@ -209,9 +207,7 @@
 // its replicas run, on machines that are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
-	shape := thousandMachines()
-	shape.Machines, shape.Capacity = 30, 60
-	shape.Resources = config.Resources{}
+	shape := threeZones(30)
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -74,6 +74,7 @@
 	}
 }
 
+// day plays a random day and reports every rule that was broken, with the faults of the day.
 func day(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
 	history := w.playDay()
--- a/internal/simulation/store_leases.go
+++ b/internal/simulation/store_leases.go
@@ -13,6 +13,7 @@
 	nextID protocol.LeaseID
 }
 
+// lease is a lease of the key-value store, which is over unless it is renewed in time.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -4,7 +4,6 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -54,8 +53,7 @@
 // when nothing but services has run for a long while.
 func TestZoneLossWithoutBoot(t *testing.T) {
 	t.Parallel()
-	three := thousandMachines()
-	three.Machines, three.Capacity, three.Resources = 9, 60, config.Resources{}
+	three := threeZones(9)
 	two := Small()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
