--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -47,6 +47,7 @@
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/storage",
 		"internal/config",
+		"internal/coordination/agents",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
 		"internal/coordination/kv",
@@ -63,13 +64,22 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/clustertest"}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
 		"internal/coordination/cluster",
 		"internal/protocol",
 		"internal/tuning",
+	}, tests: []string{"internal/coordination/clustertest"}},
+	"internal/coordination/agents": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/lifecycle",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+		"internal/protocol",
+		"internal/tuning",
 	}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
@@ -79,6 +89,12 @@
 		"internal/tuning",
 	}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/coordination/clustertest": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/cluster": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -403,7 +403,7 @@
 			other.hang(6 * time.Second)
 		}
 	}
-	c.after(4*time.Second, func() { k.changed = true })
+	c.after(4*time.Second, k.noteChange)
 	return c.tasksLostWith(k)
 }
 
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -184,5 +184,6 @@
 
 // giveNotice has a machine report that it is taken away after some seconds.
 func (k *worker) giveNotice(seconds float64) {
-	k.notice, k.changed = &seconds, true
+	k.notice = &seconds
+	k.noteChange()
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -92,7 +92,7 @@
 	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
 		t.Errorf("%d calls to workers under way at once", w.mostCalls)
 	}
-	changes := int(w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds() * shape.State.WriteRPS)
+	changes := int(w.elapsed().Seconds() * shape.State.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
 }
 
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -90,7 +90,7 @@
 // within bounds.
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
-	span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
+	span := w.elapsed().Seconds()
 	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
 	if w.store.refused > bounds.refused {
 		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -93,7 +93,7 @@
 // playDay lets a day with overlapping faults pass until all is over, and lists the faults.
 func (w *World) playDay() (history []string) {
 	w.submitMixedJobs(24, 150*time.Second)
-	for w.Now.Sub(time.Unix(1_800_000_000, 0)) < 240*time.Second {
+	for w.elapsed() < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
 		history = append(history, w.clock()+" "+w.injectFault())
 	}
