--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestColdRestartNewSessions: the controllers are away for longer than the workers' lease.
+// TestColdRestartBeyondLeaseStartsEachTaskOnce: the controllers are away for longer than the workers' lease.
 // Every task is started once again, and nothing is stopped.
-func TestColdRestartNewSessions(t *testing.T) {
+func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
 	c.crashAllApart(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
@@ -151,9 +151,9 @@
 	c.finishBoth()
 }
 
-// TestColdRestartHalfReported: half of a gang's machines report much later than the
+// TestColdRestartHalfReportedGangIsNotBroken: half of a gang's machines report much later than the
 // others. It is not taken for broken.
-func TestColdRestartHalfReported(t *testing.T) {
+func TestColdRestartHalfReportedGangIsNotBroken(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 43, recovering())
 	c.crashAllApart(time.Second, 0)
@@ -165,9 +165,9 @@
 	c.finishBoth()
 }
 
-// TestColdRestartEndOfTask: an end that only the dead leader was told, or that was in a
+// TestColdRestartRecordsEndOfTaskOnce: an end that only the dead leader was told, or that was in a
 // transaction of its, is recorded once; the task is not started again.
-func TestColdRestartEndOfTask(t *testing.T) {
+func TestColdRestartRecordsEndOfTaskOnce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late transactions ", late), func(t *testing.T) {
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestColdRestartCancelled: a cancellation that was confirmed the moment before the loss
+// TestColdRestartHoldsConfirmedCancellation: a cancellation that was confirmed the moment before the loss
 // takes effect in time, and nothing of the job starts again.
-func TestColdRestartCancelled(t *testing.T) {
+func TestColdRestartHoldsConfirmedCancellation(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 45, recovering())
 	c.array.cancel()
@@ -207,10 +207,10 @@
 	c.finishBoth()
 }
 
-// TestColdRestartLateCopies: copies of reports from before reach the new leader before the
+// TestColdRestartLateCopiesStopNothing: copies of reports from before reach the new leader before the
 // workers do: they show tasks that have ended since, and lack those that run. They stop
 // nothing and prove nothing.
-func TestColdRestartLateCopies(t *testing.T) {
+func TestColdRestartLateCopiesStopNothing(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(46, logs(), recovering())
 	w.Run(6 * time.Second)
@@ -240,10 +240,10 @@
 	c.finishBoth()
 }
 
-// TestColdRestartNeverRecorded: a worker runs an attempt of a job that the records never
+// TestColdRestartStopsUnrecordedAttemptOnce: a worker runs an attempt of a job that the records never
 // had. It is stopped, once, and takes capacity and place from nothing that is recorded. An
 // attempt that is on no record of a known job comes with a restored key-value store alone.
-func TestColdRestartNeverRecorded(t *testing.T) {
+func TestColdRestartStopsUnrecordedAttemptOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
@@ -264,9 +264,9 @@
 	c.finishBoth()
 }
 
-// TestColdRestartSecondLoss: the new leader, or the key-value store, is lost at every stage
+// TestColdRestartSecondLossStartsNothing: the new leader, or the key-value store, is lost at every stage
 // of the recovery. Nothing is started or stopped.
-func TestColdRestartSecondLoss(t *testing.T) {
+func TestColdRestartSecondLossStartsNothing(t *testing.T) {
 	t.Parallel()
 	for i := range 12 {
 		for _, loseStore := range []bool{false, true} {
@@ -290,10 +290,10 @@
 	}
 }
 
-// TestColdRestartDarkZone: a zone stays dark after the restart. New jobs start at once
+// TestColdRestartWithDarkZoneEndsAfterLeases: a zone stays dark after the restart. New jobs start at once
 // elsewhere, the recovery ends when its workers' leases have lapsed, and what ran there
 // starts again after that.
-func TestColdRestartDarkZone(t *testing.T) {
+func TestColdRestartWithDarkZoneEndsAfterLeases(t *testing.T) {
 	t.Parallel()
 	shape := recovering()
 	shape.Machines = 8
@@ -447,10 +447,10 @@
 	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
 }
 
-// TestColdRestartBadRecords: a job's record that cannot be read, one of a later version, and a
+// TestColdRestartLeavesBadRecordsAlone: a job's record that cannot be read, one of a later version, and a
 // damaged machine record leave what they name alone: it runs on, the rest goes its way, a
 // new job starts and the recovery ends.
-func TestColdRestartBadRecords(t *testing.T) {
+func TestColdRestartLeavesBadRecordsAlone(t *testing.T) {
 	t.Parallel()
 	for name, value := range map[string]string{"damaged": `{"w":"x","spec":7}`, "later version": `{"w":"x","v":9}`, "empty": `null`} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -59,9 +59,9 @@
 	return func(a, b string) bool { return a == from.name && b == to.name }
 }
 
-// TestLeaderToldOfCancellation: a leader that the key-value store refuses stops a job's
+// TestRefusedLeaderStopsTasksToldByPeer: a leader that the key-value store refuses stops a job's
 // tasks as soon as a peer that has confirmed the cancellation tells it.
-func TestLeaderToldOfCancellation(t *testing.T) {
+func TestRefusedLeaderStopsTasksToldByPeer(t *testing.T) {
 	t.Parallel()
 	w := startWorld(610, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
@@ -81,10 +81,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLongOutage: the key-value store is out for far longer than a leader's
+// TestOutageBeyondAuthorityKeepsConfirmedLeadersWork: the key-value store is out for far longer than a leader's
 // authority. All controllers are there and confirm for one another, so nothing that
 // runs is lost, and what was cancelled a moment before is gone in time.
-func TestLongOutage(t *testing.T) {
+func TestOutageBeyondAuthorityKeepsConfirmedLeadersWork(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
@@ -116,11 +116,11 @@
 	}
 }
 
-// TestConfirmationOfRestartedPeer: a peer confirms a cancellation that the leader does
+// TestRestartedPeerCannotConfirm: a peer confirms a cancellation that the leader does
 // not hear of, ends, and is back in an outage that all share. It can't confirm for its
 // earlier life: the leader gives up within its authority, and the cancelled tasks
 // are gone in time.
-func TestConfirmationOfRestartedPeer(t *testing.T) {
+func TestRestartedPeerCannotConfirm(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// TestMachineNotReceiving: a machine whose reports arrive, but which no answer and no
+// TestMachineNotReceivingIsReturned: a machine whose reports arrive, but which no answer and no
 // order reaches, keeps neither a gang nor a cancellation waiting. Its lease
 // runs out again and again; it is noticed, takes no work and is returned.
-func TestMachineNotReceiving(t *testing.T) {
+func TestMachineNotReceivingIsReturned(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
 		for _, fate := range []packetFate{packetsHeld, packetsLost} {
@@ -85,9 +85,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLateCopies: copies of reports, late by up to four leases, reach every
+// TestLateCopiesOfReportsBreakNoRule: copies of reports, late by up to four leases, reach every
 // controller while leaders change and machines are lost and returned.
-func TestLateCopies(t *testing.T) {
+func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
 	w.copies = 4 * secs(w.shape.Workers.LeaseS)
@@ -109,10 +109,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCopyOfDeletedMachine: a copy of a report of a machine that was returned
+// TestCopyOfDeletedMachineIsNoSignOfLife: a copy of a report of a machine that was returned
 // under an earlier leader is no sign of life to a later one: it gets no order
 // that means anything, no record, no work, and does not keep the name alive.
-func TestCopyOfDeletedMachine(t *testing.T) {
+func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
@@ -178,9 +178,9 @@
 	return slices.ContainsFunc(record.Machines, func(m storage.MachineEntry) bool { return m.ID == id })
 }
 
-// TestCopyOfDeadMachine: a machine dies with its leader, and the next leader's
+// TestCopyOfDeadMachineGetsNoWork: a machine dies with its leader, and the next leader's
 // first sign of it is a late duplicate of an old report. It gets no work.
-func TestCopyOfDeadMachine(t *testing.T) {
+func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
 	w := startWorld(26, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
@@ -199,10 +199,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestIsolatedLeader: a leader without the key-value store and the other
+// TestIsolatedLeaderRefusesUsersAndWorkers: a leader without the key-value store and the other
 // controllers, but with its workers, stops answering them within its bound and
 // sends them away; users who ask it are told at once to come back elsewhere.
-func TestIsolatedLeader(t *testing.T) {
+func TestIsolatedLeaderRefusesUsersAndWorkers(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
 		t.Run(fate.String(), func(t *testing.T) {
@@ -249,9 +249,9 @@
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
 
-// TestBackAtOnce: processes that are back within a fraction of a second, in the
+// TestInstantRestartsElectLeaderInTime: processes that are back within a fraction of a second, in the
 // middle of an election, of a transaction, and several at once.
-func TestBackAtOnce(t *testing.T) {
+func TestInstantRestartsElectLeaderInTime(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -292,9 +292,9 @@
 	}
 }
 
-// TestMassLoss: a third of a thousand machines dies at once while a burst of
+// TestLargestGangsBeginAfterLossOfThirdOfMachines: a third of a thousand machines dies at once while a burst of
 // gangs comes; the largest gangs begin in time, nobody starves.
-func TestMassLoss(t *testing.T) {
+func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -208,7 +208,7 @@
 	w.Run(60 * time.Second)
 }
 
-// servicesDay has services beside other work, one of the faults of TestServices and others
+// servicesDay has services beside other work, one of the faults of TestServicesServeThroughFaults and others
 // after.
 func servicesDay(seed uint64, f *fingerprint) {
 	w := f.watch(New(seed, logs()))
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -59,10 +59,10 @@
 	return s
 }
 
-// TestSizes plays a day of a thousand machines and one behind the smallest
+// TestDaysKeepWithinCountedBounds plays a day of a thousand machines and one behind the smallest
 // budgets: everything is served, and the work that is done and asked of the
 // key-value store keeps within bounds, counted, not timed.
-func TestSizes(t *testing.T) {
+func TestDaysKeepWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, day := range []struct {
 		name  string
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestIdle: controllers that nothing happens to are woken a few times a second at
+// TestIdleControllersRarelyWake: controllers that nothing happens to are woken a few times a second at
 // most, whatever their share of a core, and ask the key-value store for little.
-func TestIdle(t *testing.T) {
+func TestIdleControllersRarelyWake(t *testing.T) {
 	t.Parallel()
 	shape := Small()
 	shape.Machines = 0
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -48,9 +48,9 @@
 	}, 0.9},
 }
 
-// TestServices: what a service's replicas lose under each fault is no more than
+// TestServicesServeThroughFaults: what a service's replicas lose under each fault is no more than
 // the time that proof of their end and another start take; only its user ends it.
-func TestServices(t *testing.T) {
+func TestServicesServeThroughFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range serviceFaults {
 		t.Run(c.name, c.run)
@@ -78,10 +78,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestReplicaEnds: a replica that ends by itself, whatever its cause, runs again;
+// TestEndedReplicasRestartWithoutStorm: a replica that ends by itself, whatever its cause, runs again;
 // a service whose replicas end at once makes no storm of starts, also when it
 // fails on every machine, and takes no machine from others.
-func TestReplicaEnds(t *testing.T) {
+func TestEndedReplicasRestartWithoutStorm(t *testing.T) {
 	t.Parallel()
 	w := startWorld(71, Small(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4)})
@@ -108,8 +108,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestServiceLimit: a service needs room for all its tasks within its team's limit.
-func TestServiceLimit(t *testing.T) {
+// TestServiceBeyondTeamLimitIsRefused: a service needs room for all its tasks within its team's limit.
+func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	w := startWorld(72, Small(), 6*time.Second)
 	for _, c := range []struct{ replicas, status int }{{2, 201}, {3, 422}} {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestCrashedLeader: a crashed leader is replaced soon after its leader lease lapses,
+// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease lapses,
 // and what runs goes on running.
-func TestCrashedLeader(t *testing.T) {
+func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, Small(), 5*time.Second)
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
@@ -27,9 +27,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestReturnsAtOnce: a process that is back within a fraction of a second
+// TestRestartedLeaderReplacesItsOwnLease: a process that is back within a fraction of a second
 // replaces its predecessor's leader lease without waiting for it to lapse.
-func TestReturnsAtOnce(t *testing.T) {
+func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(2, Small(), 5*time.Second)
 	c := w.leader()
@@ -46,9 +46,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLateDirectStart: a direct start that is held in the network for a minute
+// TestHeldBackStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
 // must not start its task again after it is done and forgotten.
-func TestLateDirectStart(t *testing.T) {
+func TestHeldBackStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
 	w := startWorld(3, Small(), 6*time.Second)
 	c := w.leader()
@@ -63,9 +63,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestStateOutage: an outage shorter than the leader's grace costs no task,
+// TestShortStoreOutageCostsNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
 // takes no node out of the load balancer and changes no leader.
-func TestStateOutage(t *testing.T) {
+func TestShortStoreOutageCostsNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, Small(), 5*time.Second)
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
@@ -89,9 +89,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestAloneRefused: a node that alone is refused by the key-value store says it
+// TestNodeRefusedByStoreAloneIsNotReady: a node that alone is refused by the key-value store says it
 // is not ready.
-func TestAloneRefused(t *testing.T) {
+func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := startWorld(5, Small(), 5*time.Second)
 	c := w.others(w.leader())[1]
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestLostAnswers: the key-value store carries out what the leader sends, but
+// TestLostStoreAnswersApplyNothingTwice: the key-value store carries out what the leader sends, but
 // its answers are lost for a while. Nothing is applied twice or forgotten.
-func TestLostAnswers(t *testing.T) {
+func TestLostStoreAnswersApplyNothingTwice(t *testing.T) {
 	t.Parallel()
 	w := startWorld(6, Small(), 5*time.Second)
 	c := w.leader()
@@ -137,9 +137,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCloudOutageAtStart: nodes that start while the cloud does not answer know
+// TestNodesStartWithoutCloud: nodes that start while the cloud does not answer know
 // the machine types from the records and take submissions.
-func TestCloudOutageAtStart(t *testing.T) {
+func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
 	w := startWorld(12, Small(), 5*time.Second)
 
@@ -157,9 +157,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestManyPolls: far more polls than the key-value store's budget allows neither
+// TestStatusQueriesKeepWithinStoreBudget: far more polls than the key-value store's budget allows neither
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
-func TestManyPolls(t *testing.T) {
+func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
 	w := startWorld(13, Small(), 5*time.Second)
 	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
@@ -189,9 +189,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCancelWhileCutOff: a leader cut off from everything but some workers does
+// TestCutOffLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
 // not know of a cancellation; its grace ends before the cancellation must hold.
-func TestCancelWhileCutOff(t *testing.T) {
+func TestCutOffLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, Small(), 5*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
@@ -213,9 +213,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestRelay: across a cut between two zones, reports of the far zone's workers
+// TestPeersRelayReportsAcrossZoneCut: across a cut between two zones, reports of the far zone's workers
 // reach the leader through the controllers, and nothing is lost.
-func TestRelay(t *testing.T) {
+func TestPeersRelayReportsAcrossZoneCut(t *testing.T) {
 	t.Parallel()
 	w := startWorld(8, Small(), 5*time.Second)
 	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
@@ -231,9 +231,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLargeArray: a job whose tasks fill many records keeps the state
+// TestArrayOfManyRecordsSurvivesFailover: a job whose tasks fill many records keeps the state
 // service's limits and survives a change of leader.
-func TestLargeArray(t *testing.T) {
+func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	w := startWorld(9, Small(), 5*time.Second)
 	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
@@ -251,9 +251,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLargestJob: a job of the largest size is taken, keeps every limit of the
+// TestLargestJobSurvivesFailoverAndIsCancelled: a job of the largest size is taken, keeps every limit of the
 // key-value store, survives a change of leader and is cancelled in time.
-func TestLargestJob(t *testing.T) {
+func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
 	w := startWorld(14, Small(), 5*time.Second)
 	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
@@ -274,9 +274,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestSpareRepair: a gang that loses a machine runs again at once on a machine
+// TestGangRestartsOnSpareFromCheckpoint: a gang that loses a machine runs again at once on a machine
 // that is there, keeping its checkpoint.
-func TestSpareRepair(t *testing.T) {
+func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
 	w := startWorld(10, Small(), 6*time.Second)
 	job := checkpointed(gangJob("run-000001", 2), 10, 2)
@@ -297,10 +297,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestZoneCutOff: a cut between two zones that leaves no path between their
+// TestZoneCutOffFromAllPeersCostsNoTask: a cut between two zones that leaves no path between their
 // controllers costs nothing that runs: the reports of the far zone reach the
 // leader by way of the key-value store, and so do its answers.
-func TestZoneCutOff(t *testing.T) {
+func TestZoneCutOffFromAllPeersCostsNoTask(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
 		t.Run(fate.String(), func(t *testing.T) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestNobodySubmitted asks for a job that was never submitted.
-func TestNobodySubmitted(t *testing.T) {
+// TestUnknownJobIsNotFound asks for a job that was never submitted.
+func TestUnknownJobIsNotFound(t *testing.T) {
 	t.Parallel()
 	w := New(1, nil)
 	w.Run(5 * time.Second)
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -9,12 +9,12 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestSlowControllers plays days of controllers that take time for what they do,
+// TestSlowControllersKeepLeaseUnderLoad plays days of controllers that take time for what they do,
 // on 1.8% of a core each and with half as many machines again as the deployment
 // of such controllers has: a crowd of jobs, a flood of questions, and the loss of
 // one controller and then of all. Every rule holds, everybody is served, and a
 // leader loses its leader lease to nothing but its own end.
-func TestSlowControllers(t *testing.T) {
+func TestSlowControllersKeepLeaseUnderLoad(t *testing.T) {
 	t.Parallel()
 	shape := smallestBudgets()
 	shape.Slow = true
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -100,11 +100,11 @@
 	}
 }
 
-// TestLoweredLimits: records that version 0.2 wrote are split once all know
+// TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all know
 // the new form, by transactions within the lowered limits, also when these come
 // while a new leader has yet to hear from its peers; a thousand machines' room
 // records are as well, and no machine is forgotten on the way.
-func TestLoweredLimits(t *testing.T) {
+func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
 	shape := lowered(thousandMachines(), 21, 8)
 	shape.State.TxnOps = 24
