--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -1,6 +1,10 @@
 package simulation
 
-import "time"
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
 
 // position is the place of an event in the order of all events: by the instant at which
 // it happens, at the same instant by the one at which it was scheduled, then by the order
@@ -117,27 +121,49 @@
 // worldStart is the time at which every world starts.
 var worldStart = time.Unix(1_800_000_000, 0)
 
+// timeline is a world's clock with the events to come, and its random numbers.
+type timeline struct {
+	Now       time.Time
+	rng       *rand.Rand
+	queue     eventQueue
+	scheduled int      // events so far
+	reached   position // of the newest event that has happened
+}
+
+// newTimeline is a timeline at its start.
+func newTimeline(seed uint64) timeline {
+	return timeline{Now: worldStart, rng: rand.New(rand.NewPCG(seed, 7))}
+}
+
 // elapsed is how long the world has run.
-func (w *World) elapsed() time.Duration { return w.Now.Sub(worldStart) }
+func (t *timeline) elapsed() time.Duration { return t.Now.Sub(worldStart) }
+
+// clock is the time since the start for logs, in seconds.
+func (t *timeline) clock() string { return fmt.Sprintf("%.3f", t.elapsed().Seconds()) }
+
+// between draws a time.
+func (t *timeline) between(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(t.rng.Int64N(int64(hi-lo)+1))
+}
 
 // after does something once the time has passed.
-func (w *World) after(d time.Duration, do func()) {
-	w.queue.push(event{w.reached.following(d, w.nextNumber()), do})
+func (t *timeline) after(d time.Duration, do func()) {
+	t.queue.push(event{t.reached.following(d, t.nextNumber()), do})
 }
 
 // nextNumber numbers events in the order in which they are scheduled.
-func (w *World) nextNumber() int {
-	w.scheduled++
-	return w.scheduled
+func (t *timeline) nextNumber() int {
+	t.scheduled++
+	return t.scheduled
 }
 
 // Run lets the world go on for a while.
-func (w *World) Run(d time.Duration) {
-	end := w.elapsed() + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := w.queue.pop()
-		w.Now, w.reached = worldStart.Add(e.at), e.position
+func (t *timeline) Run(d time.Duration) {
+	end := t.elapsed() + d
+	for len(t.queue) > 0 && t.queue[0].at <= end {
+		e := t.queue.pop()
+		t.Now, t.reached = worldStart.Add(e.at), e.position
 		e.do()
 	}
-	w.Now, w.reached = worldStart.Add(end), position{at: end, scheduled: end, number: w.scheduled}
+	t.Now, t.reached = worldStart.Add(end), position{at: end, scheduled: end, number: t.scheduled}
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -43,14 +43,14 @@
 // network carries packets between hosts, each after a random time, and lets none through a
 // cut.
 type network struct {
-	w      *World
+	time   *timeline
 	zoneOf map[string]protocol.ZoneName // of hosts
 	cuts   []*cut
 }
 
 // carry takes a packet from one host to another.
 func (n *network) carry(from, to string, deliver func()) {
-	n.w.after(n.w.between(200*time.Microsecond, 4*time.Millisecond), func() { n.arrive(from, to, deliver) })
+	n.time.after(n.time.between(200*time.Microsecond, 4*time.Millisecond), func() { n.arrive(from, to, deliver) })
 }
 
 // arrive delivers a packet unless a cut keeps it from passing.
@@ -80,7 +80,7 @@
 // cutFor has a cut stand for a while.
 func (n *network) cutFor(d time.Duration, c *cut) {
 	n.cuts = append(n.cuts, c)
-	n.w.after(d, func() { n.heal(c) })
+	n.time.after(d, func() { n.heal(c) })
 }
 
 // heal ends a cut; what was held is delivered in order.
@@ -121,7 +121,7 @@
 			n.carry(to, from, func() { finish(status, body) })
 		})
 	})
-	n.w.after(timeout, func() { finish(0, nil) })
+	n.time.after(timeout, func() { finish(0, nil) })
 }
 
 // isolate cuts a controller off from the key-value store and the other
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -6,10 +6,8 @@
 package simulation
 
 import (
-	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"strconv"
 	"time"
 
@@ -56,6 +54,7 @@
 // World is the deployment: a clock with its queue of events, a network, controllers among
 // stand-ins, and the rules that are checked.
 type World struct {
+	timeline
 	network
 	userBehaviour
 	reportCopies
@@ -65,12 +64,7 @@
 	live  *Live // where the controllers are elsewhere
 	Audit *Audit
 
-	Now       time.Time
-	rng       *rand.Rand
-	queue     eventQueue
-	scheduled int      // events so far
-	reached   position // of the newest event that has happened
-	log       *slog.Logger
+	log *slog.Logger
 
 	nodes      []*controller
 	store      *keyValueStore
@@ -113,15 +107,14 @@
 // newWorld makes a world whose controllers have yet to be started, or are elsewhere.
 func newWorld(seed uint64, logs io.Writer, shape Shape, live *Live) *World {
 	w := &World{
-		shape:   shape,
-		live:    live,
-		Audit:   newAudit(),
-		Now:     worldStart,
-		rng:     rand.New(rand.NewPCG(seed, 7)),
-		workers: map[protocol.MachineID]*worker{},
-		release: map[string]release{},
+		timeline: newTimeline(seed),
+		shape:    shape,
+		live:     live,
+		Audit:    newAudit(),
+		workers:  map[protocol.MachineID]*worker{},
+		release:  map[string]release{},
 	}
-	w.network = network{w: w, zoneOf: map[string]protocol.ZoneName{}}
+	w.network = network{time: &w.timeline, zoneOf: map[string]protocol.ZoneName{}}
 	if logs != nil {
 		w.log = slog.New(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
@@ -143,11 +136,6 @@
 	return w
 }
 
-// clock is the time since the start, in seconds.
-func (w *World) clock() string {
-	return fmt.Sprintf("%.3f", w.elapsed().Seconds())
-}
-
 // config is the settings of a controller.
 func (w *World) config(name string) *config.Config {
 	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
