--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -28,12 +28,14 @@
 // that no file needs any more, so that the table can be read as the state of things.
 var allowedImports = map[string]dependencies{
 	"cmd/gappond": {imports: []string{
+		"internal/cli",
 		"internal/config",
 		"internal/coordination",
 		"internal/transport",
 		"internal/tuning",
 	}},
-	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
+	"cmd/recoverybench": {imports: []string{"internal/cli", "internal/simulation"}},
+	"internal/cli":      {},
 
 	"internal/transport": {imports: []string{
 		"internal/storage",
@@ -48,16 +50,27 @@
 		"internal/storage",
 		"internal/config",
 		"internal/coordination/agents",
+		"internal/coordination/api",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
+		"internal/coordination/election",
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
+		"internal/coordination/membership",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
 	}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
+	"internal/coordination/api": {pure: true, imports: []string{
+		"internal/storage",
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/autoscaler": {pure: true, imports: []string{
 		"internal/config",
 		"internal/coordination/cluster",
@@ -65,6 +78,20 @@
 		"internal/protocol",
 		"internal/tuning",
 	}, tests: []string{"internal/coordination/clustertest"}},
+	"internal/coordination/membership": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
+	"internal/coordination/election": {pure: true, imports: []string{
+		"internal/storage",
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/tuning",
+	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
@@ -100,7 +127,7 @@
 		"internal/config",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/cluster", "internal/coordination/clustertest"}},
 
 	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -13,7 +13,7 @@
 // machine to boot. So for every zone the others together keep what its replicas would
 // need there: free capacity, or that of work of lower priority, which leaves at once.
 // Only one zone is lost at a time. The reserve is what it takes beyond the capacity that
-// is there anyway: idle machines that are not returned, and machines that are rented.
+// is there anyway: idle machines that are not scaled in, and machines that are asked for.
 
 // zoneReservePlan works the reserve out.
 type zoneReservePlan struct {
@@ -117,7 +117,7 @@
 	slices.SortStableFunc(p.slots, func(a, b *reserveSlot) int {
 		return cluster.TrueFirst(len(a.machine.Attempts) > 0, len(b.machine.Attempts) > 0)
 	})
-	for _, request := range p.autoscaler.requests {
+	for _, request := range p.autoscaler.requests.inFlight {
 		for range request.body.Count {
 			p.addRequested(request.offer)
 		}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -32,7 +33,7 @@
 func (b *batch) remainingChanges() int { return b.maxChanges - len(b.txn.Changes) }
 
 func (b *batch) fits(ops, conditions, bytes int) bool {
-	return b.remainingChanges() >= ops && len(b.txn.Conditions)+conditions <= conditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.MaxTransactionBytes
+	return b.remainingChanges() >= ops && len(b.txn.Conditions)+conditions <= kv.ConditionsPerChange*b.l.limits().TxnOps && b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
 func (b *batch) guard(key string, revision protocol.Revision) {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // bigResources are those of a controller of two thousand machines.
-var bigResources = config.Resources{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
+var bigResources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 
 // fullFleet is a leader with two thousand machines, all taken by arrays of the
 // lowest priority, and jobs that wait.
@@ -51,7 +51,7 @@
 	for i := range b.N {
 		machine := bodies[i%len(bodies)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
-			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.lease.term)
+			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.election.Term())
 		for k, attempt := range cluster.SortedAttemptsOn(machine) {
 			if k > 0 {
 				body = append(body, ',')
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -9,6 +9,7 @@
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/cluster"
 	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
 )
 
 // These tests hold the bounds that a fleet of some thousand machines once met.
@@ -40,13 +41,15 @@
 // thousand names them all, as far as a frame holds them.
 func TestManyConfirmedCancels(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.n.peers["p"] = &peer{}
+	l.n.peers.Add("p")
 	tell := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
-			l.n.noteCancel(protocol.JobID(fmt.Sprintf("run-%06d", i)))
+			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
+			l.n.api.JobFinished(jobID, storage.Final{Phase: protocol.PhaseCancelled})
+			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
-		l.n.confirm("p", protocol.PeerConfirmRequest{ID: 1})
+		l.n.receive("p", 1, protocol.PeerConfirmRequest{ID: 1})
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
 	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -14,7 +14,7 @@
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
-		if !sc.mustLoseReplicas(machine) {
+		if !mustLoseReplicas(machine, sc.state) {
 			continue
 		}
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
@@ -27,8 +27,8 @@
 
 // mustLoseReplicas says whether the replicas on a machine should go elsewhere while it can
 // still end them in good order.
-func (sc *Scheduler) mustLoseReplicas(machine *cluster.Machine) bool {
-	return (machine.Cordoned || sc.state.NotReporting(machine)) && !machine.Deleting && sc.state.ConfirmedAlive(machine)
+func mustLoseReplicas(machine *cluster.Machine, state *cluster.State) bool {
+	return (machine.Cordoned || state.NotReporting(machine)) && !machine.Deleting && state.ConfirmedAlive(machine)
 }
 
 // mayMove says whether an attempt is a replica that may be moved now.
@@ -93,10 +93,10 @@
 	return best.machine
 }
 
-// ReplicasHavePlacesElsewhere says whether a machine behind a suspected cut is better given up for
+// ReplicasHavePlacesElsewhere says whether a machine behind a suspected partition is better given up for
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
-// back only with the cut's end, and then where a machine is rented for them.
+// back only with the partition's end, and then where a machine boots for them.
 func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
 	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
 	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
@@ -124,10 +124,10 @@
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || sc.isLate(machine) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
 			continue
 		}
-		free := sc.capacityAfterPreemption(machine, job)
+		free := capacityAfterPreemption(machine, job, sc.state)
 		if free.Fit(job.Spec, 1) > 0 {
 			return true
 		}
@@ -137,10 +137,10 @@
 
 // capacityAfterPreemption is a machine's free capacity once all has stopped that may be
 // preempted for a job and can stop alone, which a task of a gang cannot.
-func (sc *Scheduler) capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job) cluster.Resources {
-	free := sc.state.FreeResources(machine)
+func capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job, state *cluster.State) cluster.Resources {
+	free := state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
-		if sc.mayPreempt(attempt, job) && !attempt.Job.Spec.Gang() {
+		if mayPreempt(attempt, job, state.Quotas) && !attempt.Job.Spec.Gang() {
 			free.AddTasks(attempt.Job.Spec, 1)
 		}
 	}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -24,11 +24,11 @@
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
 	l.agents = agents.New(agents.Dependencies{
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
-		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.lease.term,
+		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
 	n.lead = l
-	n.beatAt = n.now  // the peers learn how many workers it keeps
-	n.typesAt = n.now // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
+	n.typesAt = n.now       // today's prices, and a record of the types if there is none
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
@@ -43,7 +43,7 @@
 	for _, job := range l.scheduler.Queue() {
 		l.lifecycle.CheckEnded(job)
 	}
-	n.log.Info("leading", "term", n.lease.term, "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
+	n.log.Info("leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
 
 // loadMachineRecords takes the machines; false if some record cannot be read.
@@ -189,9 +189,8 @@
 		jt := &job.Tasks[t.Index]
 		jt.LastAttempt = max(jt.LastAttempt, t.Attempt)
 		job.EverPlaced = true
-		if t.Done && !jt.Done {
-			jt.Done = true
-			job.DoneTasks++
+		if t.Done {
+			job.CompleteTask(t.Index)
 		}
 		if t.Machine == "" || t.Done {
 			continue
@@ -202,7 +201,7 @@
 			continue
 		}
 		attempt := l.cluster.AddAttempt(job, t.Index, t.Attempt, machine, t.Incarnation)
-		attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
+		attempt.MarkRecovered()
 		l.activate(job, jt, attempt)
 		machine.UseImage(job.Spec, nil)
 		machine.Agent.Incarnation = max(machine.Agent.Incarnation, t.Incarnation)
@@ -218,7 +217,7 @@
 	}
 	task.Active = attempt
 	if older != nil {
-		older.Orphaned = true
+		older.MarkOrphaned()
 		l.LogOnce("record places a task twice", string(job.ID), "job", job.ID, "task", attempt.Key.Index)
 	}
 }
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -27,7 +27,7 @@
 
 	w       *World
 	watches []*watch
-	limits  config.State
+	limits  config.StoreLimits
 	calls   *rate.Limiter
 	writes  *rate.Limiter
 }
