--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -1,25 +1,20 @@
 package simulation
 
 import (
-	"fmt"
+	"net/http"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
 // someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) (list []*worker) {
-	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil {
-			list = append(list, k)
-		}
-	}
+func (w *World) someWorkers(n int) []*worker {
+	list := w.workersInOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// not reporting lets machines reach no controller for a while, though calls reach them.
+// blockReports lets machines reach no controller for a while, though calls reach them.
 func (w *World) blockReports(n int, d time.Duration) {
 	for _, k := range w.someWorkers(n) {
 		k.mute = true
@@ -27,13 +22,13 @@
 	}
 }
 
-// forNext keeps copies of the reports of a while; every controller gets them just
+// keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
-func (w *World) forNext(d time.Duration) {
+func (w *World) keepCopiesForNextLeader(d time.Duration) {
 	w.keep, w.kept = true, nil
 	was := w.leader()
-	var look func()
-	look = func() {
+	var awaitLeader func()
+	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != was {
 			w.keep = false
 			for _, body := range w.kept {
@@ -46,23 +41,23 @@
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
-			w.after(5*time.Millisecond, look)
+			w.after(5*time.Millisecond, awaitLeader)
 		} else {
 			w.keep, w.kept = false, nil
 		}
 	}
-	look()
+	awaitLeader()
 }
 
-// cancelNow has users call off up to n jobs that run, within a fifth of a second;
+// cancelNow has users cancel up to n jobs that run, within a fifth of a second;
 // the machines of some hang.
 func (w *World) cancelNow(n int, hang time.Duration) {
 	for _, u := range w.users {
 		if n == 0 {
 			return
 		}
-		task := w.rules.onAt[protocol.TaskName(u.j.spec.ID, 0)]
-		if !u.accepted || u.asked || u.over || task == nil {
+		task := w.rules.placed[protocol.TaskName(u.job.spec.ID, 0)]
+		if !u.accepted || u.cancelRequested || u.over || task == nil {
 			continue
 		}
 		n--
@@ -73,8 +68,8 @@
 	}
 }
 
-// replace ends the leader; it is back after a while.
-func (w *World) replace(back time.Duration) {
+// crashLeader ends the leader; it is back after a while.
+func (w *World) crashLeader(back time.Duration) {
 	if c := w.leader(); c != nil {
 		c.crash(back)
 	}
@@ -83,128 +78,84 @@
 // oddRequests has users repeat submissions, cancel what is over and send what can
 // never run.
 func (w *World) oddRequests(d time.Duration) {
-	for i := range int(d / (500 * time.Millisecond)) {
-		w.after(time.Duration(i)*500*time.Millisecond, func() {
-			c := w.nodes[w.rng.IntN(len(w.nodes))]
-			if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
-				u.look()
-				if u.over {
-					told := u.phase
-					c.ask(func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
-						var a protocol.Accepted
-						if decode(body, &a); status == 200 && a.Phase != told {
-							w.rules.violated("went_back", "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
-						}
-					})
-				}
+	const apart = 500 * time.Millisecond
+	w.every(apart, int(d/apart), func(int) {
+		c := w.nodes[w.rng.IntN(len(w.nodes))]
+		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
+			u.askAllNodes()
+			if u.over {
+				u.cancelTooLate(c)
 			}
-			spec := array(protocol.JobID(fmt.Sprintf("run-9%05d", w.rng.IntN(100_000))), 2)
-			switch w.rng.IntN(5) {
-			case 0:
-				spec.CPUs = 1000
-			case 1:
-				spec.Team = "nobody"
-			case 2:
-				spec.Team, spec.GPUs, spec.Shape, spec.Tasks = "red", 4, protocol.ShapeGang, 3
-			case 3:
-				spec.Zone = "nowhere"
-			case 4:
-				spec.Shape, spec.OneZone, spec.Spread = protocol.ShapeGang, true, true
+		}
+		job := w.impossibleJob()
+		c.ask(submission(job), func(status int, _ []byte) {
+			if status == http.StatusOK || status == http.StatusCreated {
+				w.rules.violated(ruleAccepted, "%+v can never run", *job)
 			}
-			c.ask(func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: spec} }, func(status int, _ []byte) {
-				if status == 200 || status == 201 {
-					w.rules.violated("accepted", "%+v can never run", *spec)
-				}
-			})
 		})
-	}
+	})
 }
 
-// combinedFaults are further kinds for random days, which so meet all others.
-func (w *World) combinedFaults(node *controller, span time.Duration) []func() string {
-	return []func() string{
-		func() string { w.state.lose(0.3, false, span); return "transactions late" },
-		func() string { w.state.lose(0.3, true, span); return "answers to transactions lost" },
-		func() string { w.blockReports(2, span); return "machines mute" },
-		func() string {
-			for _, c := range w.nodes {
-				c.crash(w.between(span/2, span))
-			}
-			return "cold restart"
-		},
-		func() string {
-			for _, c := range w.nodes {
-				c.crash(w.between(time.Second, 8*time.Second))
-			}
-			w.forNext(2 * span)
-			w.blockReports(2, span/2)
-			return "cold restart, copies and machines late"
-		},
-		func() string { w.forNext(2 * span); return "copies kept for the next leader" },
-		func() string { w.cancelNow(4, span); return "jobs called off, machines hang" },
-		func() string {
-			w.atEnd = 0.5
-			w.after(span, func() { w.atEnd = 0 })
-			return "jobs called off at their end"
-		},
-		func() string {
-			w.close = true
-			w.after(span, func() { w.close = false })
-			return "users look closely"
-		},
-		func() string { w.oddRequests(min(span, 10*time.Second)); return "odd requests" },
-		func() string {
-			w.state.blind = node
-			w.after(span, func() { w.state.blind = nil })
-			return "watches of " + node.name + " hang"
-		},
-		func() string {
-			if c := w.leader(); c != nil {
-				w.state.refuse(c, 3*time.Second)
-				w.cancelNow(3, 0)
-				w.after(w.between(time.Second, 4*time.Second), func() { w.state.outage(span) })
-			}
-			return "the leader is refused, then all are"
-		},
-	}
+// cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
+func (u *user) cancelTooLate(c *controller) {
+	told := u.phase
+	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
+		var a protocol.Accepted
+		if decode(body, &a); status == http.StatusOK && a.Phase != told {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
+		}
+	})
+}
+
+// impossibleJob is a job that can never run.
+func (w *World) impossibleJob() *protocol.Job {
+	job := array(jobID(900_000+w.rng.IntN(100_000)), 2)
+	switch w.rng.IntN(5) {
+	case 0:
+		job.CPUs = 1000
+	case 1:
+		job.Team = "nobody"
+	case 2:
+		job.Team, job.GPUs, job.Shape, job.Tasks = "red", 4, protocol.ShapeGang, 3
+	case 3:
+		job.Zone = "nowhere"
+	case 4:
+		job.Shape, job.OneZone, job.Spread = protocol.ShapeGang, true, true
+	}
+	return job
 }
 
-// left checks, from calm on, that no job waits beside room for it.
-func (w *World) left() {
+// watchWaitingJobs checks, from calm on, that no job waits beside capacity for it.
+func (w *World) watchWaitingJobs() {
 	since := map[*user]time.Time{}
-	var look func()
-	look = func() {
+	var inspect func()
+	inspect = func() {
 		for _, u := range w.users {
-			if !w.waitsBeside(u) {
+			if !w.waitsBesideCapacity(u) {
 				delete(since, u)
 				continue
 			}
 			if since[u].IsZero() {
 				since[u] = w.Now
 			}
-			if w.Now.Sub(since[u]) > waitBeside {
-				w.rules.violated("left", "%s waits beside room for %v", u.j.spec.ID, w.Now.Sub(since[u]))
+			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
+				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(since[u]))
 				since[u] = w.Now
 			}
 		}
-		w.after(time.Second, look)
+		w.after(time.Second, inspect)
 	}
-	look()
+	inspect()
 }
 
-// waitsBeside says whether an accepted job has a task nowhere while machines have
-// room for it, a gang for all, and its team is under its limit.
-func (w *World) waitsBeside(u *user) bool {
-	spec := u.j.spec
-	if !u.accepted || u.asked || u.over || u.j.mistaken {
+// waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
+// capacity for it, a gang for all, and its team is under its limit.
+func (w *World) waitsBesideCapacity(u *user) bool {
+	spec := u.job.spec
+	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
 		return false
 	}
-	want := 0
-	for i := range spec.Tasks {
-		if w.rules.onAt[protocol.TaskName(spec.ID, i)] == nil && !u.j.done[i] {
-			want++
-		}
-	}
+	want := w.unplaced(u)
 	if want == 0 || spec.Gang() && want < spec.Tasks {
 		return false
 	}
@@ -212,11 +163,35 @@
 		want = 1
 	}
 	for _, team := range w.shape.Teams {
-		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.use[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
+		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
 			return false
 		}
 	}
-	room := map[protocol.ZoneName]int{}
+	if spec.Spread && spec.Tasks > 1 {
+		return false // what it may have of a zone depends on the others
+	}
+	for _, n := range w.tasksThatFit(spec) {
+		if n >= want {
+			return true
+		}
+	}
+	return false
+}
+
+// unplaced counts the tasks of a user's job that are neither done nor on a machine.
+func (w *World) unplaced(u *user) (n int) {
+	for i := range u.job.spec.Tasks {
+		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
+			n++
+		}
+	}
+	return n
+}
+
+// tasksThatFit counts how many more tasks of a job the machines of each zone have capacity
+// for.
+func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
+	fit := map[protocol.ZoneName]int{}
 	for _, k := range w.workers {
 		if k.hung || k.notice != nil || spec.Zone != "" && spec.Zone != k.h.Zone || k.h.Spot && !spec.Spot {
 			continue
@@ -227,20 +202,12 @@
 				cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 			}
 		}
-		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && room[k.h.Zone] < want {
-			room[k.h.Zone]++
+		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && fit[k.h.Zone] < spec.Tasks {
+			fit[k.h.Zone]++
 			cpus, gpus, memory = cpus-spec.CPUs, gpus-spec.GPUs, memory-spec.MemoryGB
 		}
 	}
-	if spec.Spread && spec.Tasks > 1 {
-		return false // what it may have of a zone depends on the others
-	}
-	for _, n := range room {
-		if n >= want {
-			return true
-		}
-	}
-	return false
+	return fit
 }
 
 // every does something again and again.
@@ -250,14 +217,14 @@
 	}
 }
 
-// end lets a day come to its end: every job but a mistaken one must be over.
-func (w *World) end() {
-	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !w.over(); {
+// runUntilOver lets a day come to its end: every job but a mistaken one must be over.
+func (w *World) runUntilOver() {
+	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !over(w.users...); {
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.j.mistaken {
-			w.rules.violated("liveness", "%s %s of %d tasks is still %q: done %v", u.j.spec.ID, u.j.spec.Shape, u.j.spec.Tasks, u.phase, u.j.done)
+		if !u.over && !u.job.mistaken {
+			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -165,7 +165,7 @@
 
 // randomFaults injects faults of kinds drawn by lot for a while.
 func (w *World) randomFaults(apart time.Duration, times int) {
-	w.every(apart, times, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+	w.every(apart, times, func(int) { w.injectFault() })
 	w.Run(time.Duration(times) * apart)
 	w.Run(40 * time.Second)
 	w.faultsOver = w.Now
@@ -174,16 +174,14 @@
 
 // slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
 func slowCrowdDay(seed uint64, f *fingerprint) {
-	shape := weakest()
+	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(3 * time.Second)
-	w.crowd(60, 60*time.Second)
+	w.submitCrowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
-		w.nodes[i%len(w.nodes)].ask(func(id uint64) coordination.Event {
-			return coordination.Query{ID: id, Job: protocol.JobID(fmt.Sprintf("run-%06d", 900_000+i))}
-		}, func(int, []byte) {})
+		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
 	w.randomFaults(7*time.Second, 8)
@@ -210,19 +208,19 @@
 	w.Run(60 * time.Second)
 }
 
-// servicesDay has services beside other work, one of the faults of TestServices and others
+// servicesDay has services beside other work, one of the faults of TestServicesServeThroughFaults and others
 // after.
 func servicesDay(seed uint64, f *fingerprint) {
 	w := f.watch(New(seed, logs()))
 	w.Run(6 * time.Second)
-	u := w.submit(0, service("run-000001", 4), 0, 150*time.Second, false)
+	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 150 * time.Second})
 	w.Run(10 * time.Second)
 	for i := range 3 {
-		spec := service(protocol.JobID(fmt.Sprintf("run-00001%d", i)), 1+w.rng.IntN(6))
+		spec := service(jobID(10+i), 1+w.rng.IntN(6))
 		spec.Spread, spec.GPUs = i%2 == 0, float64(w.rng.IntN(2))
-		w.submit(w.between(0, 20*time.Second), spec, 0, w.between(100*time.Second, 200*time.Second), false)
+		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, cancelAfter: w.between(100*time.Second, 200*time.Second)})
 	}
-	w.load(8, 60*time.Second)
+	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(4 * time.Second)
 	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
 	w.Run(40 * time.Second)
@@ -239,27 +237,25 @@
 	}
 }
 
-// restoredStoreDay has the state service come back without its newest records while no
+// restoredStoreDay has the key-value store come back without its newest records while no
 // controller is up.
 func restoredStoreDay(seed uint64, f *fingerprint) {
 	shape := Small()
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(6 * time.Second)
-	w.load(10, 60*time.Second)
+	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
-	old := w.state.backup()
+	old := w.store.backup()
 	w.Run(w.between(5*time.Second, 20*time.Second))
 	if seed%3 == 1 {
-		w.state.revision += 1_000_000
+		w.store.revision += 1_000_000
 	}
-	w.replace(time.Second)
+	w.crashLeader(time.Second)
 	w.Run(12 * time.Second)
-	for _, c := range w.nodes {
-		c.crash(2 * time.Second)
-	}
+	w.crashAll(2 * time.Second)
 	w.Run(time.Second)
-	w.state.restore(old)
+	w.store.restore(old)
 	w.Run(100 * time.Second)
 	w.randomFaults(9*time.Second, 4)
 }
@@ -270,13 +266,11 @@
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(6 * time.Second)
-	w.submit(0, array("run-000001", 5), 150, 0, false)
-	w.submit(0, gangJob("run-000002", 6), 150, 0, false)
-	w.load(8, 60*time.Second)
+	w.submit(arrival{job: array("run-000001", 5), run: 150})
+	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
+	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
-	for _, c := range w.nodes {
-		c.crash(3 * time.Second)
-	}
+	w.crashAll(3 * time.Second)
 	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
 	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
 	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
@@ -289,18 +283,16 @@
 // fleetDay is a day of some three hundred machines with random faults, the loss of a zone
 // and of all controllers.
 func fleetDay(seed uint64, f *fingerprint) {
-	shape := grown()
+	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
 	w := f.watch(NewShaped(seed, logs(), shape))
-	w.crowd(70, 60*time.Second)
+	w.submitCrowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
-	w.interrupt(30*time.Second, true, func(a, b string) bool { return (w.zoneOf[a] == dark) != (w.zoneOf[b] == dark) })
+	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(dark))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
-	for _, c := range w.nodes {
-		c.crash(4 * time.Second)
-	}
+	w.crashAll(4 * time.Second)
 	w.Run(20 * time.Second)
 	w.randomFaults(8*time.Second, 6)
 }
@@ -374,6 +366,7 @@
 	})
 }
 
+// readFingerprints reads the golden file.
 func readFingerprints(t *testing.T) map[string]string {
 	golden := map[string]string{}
 	data, err := os.ReadFile(fingerprintsFile)
@@ -387,6 +380,7 @@
 	return golden
 }
 
+// writeFingerprints writes the golden file anew.
 func writeFingerprints(t *testing.T, names []string, found map[string]string) {
 	var out strings.Builder
 	for _, name := range names {
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Grown is a deployment of a thousand machines and three zones.
-func grown() Shape {
+// thousandMachines is a deployment of a thousand machines and three zones.
+func thousandMachines() Shape {
 	s := Small()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
@@ -26,24 +26,32 @@
 	return s
 }
 
-// crowd makes gangs and arrays of many sizes come for a while.
-func (w *World) crowd(jobs int, span time.Duration) {
+// threeZones is a deployment of a few machines in three zones, whose controllers have all the
+// resources that they want.
+func threeZones(machines int) Shape {
+	s := thousandMachines()
+	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
+	return s
+}
+
+// submitCrowd makes gangs and arrays of many sizes come for a while.
+func (w *World) submitCrowd(jobs int, span time.Duration) {
 	for i := range jobs {
-		spec := array(protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), 1+w.rng.IntN(40))
-		spec.Class, spec.Team, spec.Priority, spec.Spot = "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle", true
+		spec := array(jobID(100+i), 1+w.rng.IntN(40))
+		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			spec.GPUs, spec.CPUs, spec.MemoryGB, spec.OneZone, spec.Spot, spec.DeadlineS = w.shape.Type.GPUs, 20, 110, true, false, 0
-			spec.CheckpointS, spec.SaveS, spec.EstimateS = 45, 4, 120
+			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
-		w.submit(w.between(0, span), spec, spec.EstimateS*(0.5+w.rng.Float64()), 0, false)
+		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
 	}
 }
 
-// weakest is a deployment of two hundred machines behind the smallest budgets.
-func weakest() Shape {
+// smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
+func smallestBudgets() Shape {
 	s := Small()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
@@ -51,35 +59,50 @@
 	return s
 }
 
-// TestSizes plays a day of a thousand machines and one behind the smallest
+// TestDaysKeepWithinCountedBounds plays a day of a thousand machines and one behind the smallest
 // budgets: everything is served, and the work that is done and asked of the
-// state service keeps within bounds, counted, not timed.
-func TestSizes(t *testing.T) {
+// key-value store keeps within bounds, counted, not timed.
+func TestDaysKeepWithinCountedBounds(t *testing.T) {
 	t.Parallel()
-	for name, day := range map[string]struct {
+	for _, day := range []struct {
+		name  string
 		shape Shape
 		jobs  int
-	}{"thousand": {grown(), 200}, "weakest": {weakest(), 60}} {
-		t.Run(name, func(t *testing.T) {
+	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
+		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			w := NewShaped(1, logs(), day.shape)
-			w.crowd(day.jobs, 120*time.Second)
-			w.finish(t, 600*time.Second)
-			span := w.Now.Sub(time.Unix(1_800_000_000, 0)).Seconds()
-			t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.state.requests, w.state.changed, w.state.bytes, w.state.refused)
-			if w.state.refused > 20 {
-				t.Errorf("the state service refuses %d requests beyond its budget", w.state.refused)
-			}
-			if limit := 25 * day.jobs; w.state.changed > limit {
-				t.Errorf("%d changes for %d jobs", w.state.changed, day.jobs)
-			}
-			if limit := 40_000 * day.jobs; w.state.bytes > limit {
-				t.Errorf("%d bytes for %d jobs", w.state.bytes, day.jobs)
-			}
-			// Ten ticks a second at each of three nodes, and the events.
-			if limit := int(span) * (30 + day.shape.Capacity/2); w.steps > limit {
-				t.Errorf("%d steps in %.0f s", w.steps, span)
-			}
+			w.submitCrowd(day.jobs, 120*time.Second)
+			w.finishDay(t, 600*time.Second)
+			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
 	}
 }
+
+// workBounds are bounds of what the controllers ask of the key-value store.
+type workBounds struct {
+	refused int // requests beyond its budget
+	changes int // of keys
+	bytes   int // of requests
+}
+
+// expectWithin checks that what the controllers have done and asked since the start keeps
+// within bounds.
+func (w *World) expectWithin(t *testing.T, bounds workBounds) {
+	t.Helper()
+	span := w.elapsed().Seconds()
+	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
+	if w.store.refused > bounds.refused {
+		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
+	}
+	if w.store.changed > bounds.changes {
+		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
+	}
+	if w.store.bytes > bounds.bytes {
+		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
+	}
+	// Ten ticks a second at each of three nodes, and the events.
+	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
+		t.Errorf("%d steps in %.0f s", w.steps, span)
+	}
+}
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -1,15 +1,12 @@
 package simulation
 
 import (
-	"fmt"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
@@ -84,8 +81,8 @@
 	}
 }
 
-// look notes what the workers have.
-func (s *stageLog) look() {
+// observe notes what the workers have.
+func (s *stageLog) observe() {
 	for task, machine := range s.lost {
 		id, index, _ := strings.Cut(task, "/")
 		for _, k := range s.w.workers {
@@ -114,34 +111,31 @@
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
-		spec := service(protocol.JobID(fmt.Sprintf("run-00000%d", i)), 6)
+		spec := service(jobID(i), 6)
 		spec.Team = shape.Teams[0].Name
-		users = append(users, w.submit(0, spec, 0, 0, false))
+		users = append(users, w.submit(arrival{job: spec}))
 	}
-	w.waitFor(t, 60*time.Second, "all run", func() bool {
-		return !slices.ContainsFunc(users, func(u *user) bool { return !w.running(u) })
-	})
+	w.waitUntilRunning(t, 60*time.Second, users...)
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	at := w.Now
 	s.w = w
-	s.lose(w.rules.onAt["run-000000/1"].k)
+	s.lose(w.workerOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
-		s.look()
+		s.observe()
 	}
-	w.check(t)
+	w.expectRulesHeld(t)
 	return s.mean(at, detection)
 }
 
 // lose lets a machine die and notes the replicas that it had.
 func (s *stageLog) lose(k *worker) {
-	for name, t := range s.w.rules.onAt {
+	for name, t := range s.w.rules.placed {
 		if t.k == k {
 			s.lost[name] = string(k.h.ID)
 		}
 	}
-	k.kill()
-	delete(s.w.workers, k.h.ID)
+	s.w.loseWorker(k)
 }
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
@@ -172,6 +166,7 @@
 	total int
 }
 
+// add takes in the means of a seed, by the number of replicas that they are of.
 func (s *stageSums) add(mean [stages]time.Duration, again int) {
 	for x := range mean {
 		s.sum[x] += mean[x] * time.Duration(again)
@@ -195,9 +190,7 @@
 // machine are away, and keeps each part within its bound.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
-	shape := grown()
-	shape.Machines, shape.Capacity = 12, 60
-	shape.Resources = config.ProcessLimits{}
+	shape := threeZones(12)
 	var sums stageSums
 	for seed := range uint64(12) {
 		mean, again, missing := replicaLoss(t, 700+seed, shape)
@@ -214,9 +207,7 @@
 // its replicas run, on machines that are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
-	shape := grown()
-	shape.Machines, shape.Capacity = 30, 60
-	shape.Resources = config.ProcessLimits{}
+	shape := threeZones(30)
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
@@ -226,20 +217,20 @@
 		spec := service("run-000000", 6)
 		spec.Team = shape.Teams[0].Name
 		at := w.Now
-		w.submit(0, spec, 0, 0, false)
+		w.submit(arrival{job: spec})
 		for i := range spec.Tasks {
 			s.lost[protocol.TaskName(spec.ID, i)] = ""
 		}
 		for range 800 {
 			w.Run(10 * time.Millisecond)
-			s.look()
+			s.observe()
 		}
 		mean, again, missing := s.mean(at, placement)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run", seed, missing)
 		}
 		sums.add(mean, again)
-		w.check(t)
+		w.expectRulesHeld(t)
 	}
 	sums.check(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
 }
