--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -55,6 +55,7 @@
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
 		"internal/coordination/membership",
+		"internal/coordination/mirror",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
@@ -83,6 +84,13 @@
 		"internal/storage",
 		"internal/tuning",
 	}},
+	"internal/coordination/mirror": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/election": {pure: true, imports: []string{
 		"internal/storage",
 		"internal/config",
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/tuning"
 )
 
 // apiEnvironment implements api.Environment.
@@ -18,7 +17,7 @@
 
 // StoreUnreachable implements api.Environment.
 func (ae apiEnvironment) StoreUnreachable() bool {
-	return ae.n.unanswered && ae.n.now.Sub(ae.n.servedAt) >= tuning.StoreUnreachableTimeout
+	return ae.n.storeContact.unreachable(ae.n.now)
 }
 
 // ForwardSubmission implements api.Environment.
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -21,20 +21,11 @@
 	for _, t := range n.timers {
 		by(t.at)
 	}
-	switch {
-	case !n.mirror.Ready():
-		if !n.loading {
-			by(n.loadAt)
-		}
-	case !n.watching:
-		by(n.watchAt)
-	case n.awaited.revision > n.mirror.Revision:
-		by(n.awaited.sentAt.Add(tuning.WatchStallTimeout))
-	}
+	n.mirror.Due(by)
 	if n.mirror.Ready() {
-		by(n.askedAt.Add(tuning.StoreProbeInterval))
+		by(n.storeContact.probeAt())
 	}
-	by(n.typesAt)
+	n.machineTypes.due(by)
 	n.election.Due(by)
 	n.peers.Due(by)
 	n.forwarder.Due(by, n.router.Queued())
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -6,7 +6,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// electionEnvironment implements election.Environment, election.Mirror and election.Peers.
+// electionEnvironment implements election.Environment and election.Peers.
 type electionEnvironment struct{ n *Node }
 
 // Now implements election.Environment.
@@ -26,18 +26,6 @@
 	ee.n.lead.cancelFromPeer(jobID)
 }
 
-// Ready implements election.Mirror.
-func (ee electionEnvironment) Ready() bool { return ee.n.mirror.Ready() }
-
-// SyncedAt implements election.Mirror.
-func (ee electionEnvironment) SyncedAt() time.Time { return ee.n.syncedAt }
-
-// MarkSynced implements election.Mirror.
-func (ee electionEnvironment) MarkSynced(at time.Time) { ee.n.markSynced(at) }
-
-// FetchRevision implements election.Mirror.
-func (ee electionEnvironment) FetchRevision() { ee.n.fetchRevision() }
-
 // Count implements election.Peers.
 func (ee electionEnvironment) Count() int { return ee.n.peers.Count() }
 
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -213,7 +213,7 @@
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 1})
-	n.servedAt = n.now
+	n.storeContact.servedAt = n.now
 	for _, spent := range []bool{false, true} {
 		if spent {
 			n.budgets.users.AllowN(n.now, n.budgets.users.Burst()-1)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
-	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
@@ -137,7 +136,8 @@
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
-	n.watched(n.now, 70, kv.WatchResult{Outcome: kv.Done, Changes: watch})
+	n.mirror.Tick()
+	n.handle(Response{ID: n.lastRequest(t, ToState).ID, Status: 200, Body: storage.Encode(watch)})
 	if got := before - free(); got != 2 {
 		t.Errorf("%d writes counted of two by others and one of its own", got)
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -12,48 +12,70 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// tickTypes keeps the price list: every node needs the types to judge
-// submissions, the leader the prices too.
-func (n *Node) tickTypes() {
-	every := tuning.MachineTypesInterval
-	if n.lead == nil && len(n.types) > 0 {
-		every *= 4
+// machineTypes are the cloud's machine types: every node needs them to judge submissions,
+// the leader their prices too.
+type machineTypes struct {
+	n         *Node
+	byName    map[protocol.MachineTypeName]*protocol.MachineType
+	refreshAt time.Time
+}
+
+// refreshNow has the cloud asked in the next step.
+func (mt *machineTypes) refreshNow() { mt.refreshAt = mt.n.now }
+
+// due tells when the cloud is to be asked.
+func (mt *machineTypes) due(by func(time.Time)) { by(mt.refreshAt) }
+
+// tick keeps the machine types up to date.
+func (mt *machineTypes) tick() {
+	n, interval := mt.n, tuning.MachineTypesInterval
+	if n.lead == nil && len(mt.byName) > 0 {
+		interval *= 4
 	}
-	if !n.typesAt.IsZero() && n.now.Before(n.typesAt) {
+	if !mt.refreshAt.IsZero() && n.now.Before(mt.refreshAt) {
 		return
 	}
-	n.typesAt = n.now.Add(tuning.CloudTimeout + time.Second)
+	mt.refreshAt = n.now.Add(tuning.CloudTimeout + time.Second)
 	n.request(ToCloud, "", http.MethodGet, protocol.PathMachineTypes, nil, tuning.CloudTimeout, func(status int, body []byte) {
 		var list protocol.MachineTypes
 		if status != http.StatusOK || json.Unmarshal(body, &list) != nil || len(list.Types) == 0 {
-			n.typesAt = n.now.Add(time.Second)
+			mt.refreshAt = n.now.Add(time.Second)
 			return
 		}
-		n.typesAt = n.now.Add(every)
-		n.takeTypes(&list)
-		n.recordTypes(&list)
+		mt.refreshAt = n.now.Add(interval)
+		mt.take(&list)
+		if n.lead != nil {
+			mt.record(&list)
+		}
 	})
 }
 
-func (n *Node) takeTypes(list *protocol.MachineTypes) {
+func (mt *machineTypes) take(list *protocol.MachineTypes) {
 	for i := range list.Types {
 		machineType := &list.Types[i]
-		if old := n.types[machineType.Name]; old != nil {
-			*old = *machineType // machines point to their type
+		if known := mt.byName[machineType.Name]; known != nil {
+			*known = *machineType // machines point to their type
 		} else {
-			n.types[machineType.Name] = machineType
+			mt.byName[machineType.Name] = machineType
 		}
 	}
 }
 
-// recordTypes records the machine types, so that a node that starts while the
-// cloud does not answer can judge submissions all the same.
-func (n *Node) recordTypes(list *protocol.MachineTypes) {
-	if n.lead == nil {
-		return
+// loadRecorded takes the machine types that the records name, while none are known.
+func (mt *machineTypes) loadRecorded() {
+	if entry, ok := mt.n.mirror.Get(storage.TypesKey); ok && len(mt.byName) == 0 {
+		if list, ok := parse[protocol.MachineTypes](entry.Value); ok {
+			mt.take(&list)
+		}
 	}
-	e, _ := n.mirror.Get(storage.TypesKey)
-	if known, ok := parse[protocol.MachineTypes](e.Value); ok && slices.EqualFunc(known.Types, list.Types, sameType) {
+}
+
+// record records the machine types, so that a node that starts while the
+// cloud does not answer can judge submissions all the same.
+func (mt *machineTypes) record(list *protocol.MachineTypes) {
+	n := mt.n
+	entry, _ := n.mirror.Get(storage.TypesKey)
+	if known, ok := parse[protocol.MachineTypes](entry.Value); ok && slices.EqualFunc(known.Types, list.Types, sameType) {
 		return
 	}
 	value := storage.Encode(list)
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -31,7 +31,7 @@
 }
 
 // StoreServedAt implements membership.Environment.
-func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.servedAt }
+func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeContact.servedAt }
 
 // TakeRelayWrite implements membership.Environment.
 func (pe peerEnvironment) TakeRelayWrite() bool { return pe.n.budgets.takeRelayWrite(pe.n.now) }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -15,8 +15,8 @@
 	"github.com/gappond/gappond/internal/coordination/election"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/coordination/membership"
+	"github.com/gappond/gappond/internal/coordination/mirror"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
@@ -36,23 +36,11 @@
 	budgets storeBudgets
 	metrics Metrics
 
-	types   map[protocol.MachineTypeName]*protocol.MachineType
-	typesAt time.Time
-
-	store     kv.Client
-	mirror    storage.Mirror
-	syncedAt  time.Time        // every change made before then is in the mirror
-	awaited   observedRevision // a revision that the mirror has yet to reach
-	loading   bool
-	loadSent  time.Time // when the first page was asked for
-	watching  bool
-	watchAt   time.Time // when the watch may be opened again
-	watchSent time.Time // when it was opened
-	loadAt    time.Time
-	// when the state service last served this node, and when it was last asked
-	servedAt, askedAt time.Time
-	unanswered        bool // it did not answer the last request
-	limitsLowered     bool // it has refused what its limits used to allow
+	store         kv.Client
+	mirror        *mirror.Mirror
+	machineTypes  machineTypes
+	storeContact  storeContact
+	limitsLowered bool // it has refused what its limits used to allow
 
 	api *api.Service
 
@@ -73,17 +61,18 @@
 		cfg: cfg, log: log, boot: boot,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		pending: map[uint64]func(int, []byte){},
-		types:   map[protocol.MachineTypeName]*protocol.MachineType{},
 	}
 	n.store = kv.New(n)
+	n.mirror = mirror.New(cfg.Cluster.Resources, log, n.store, mirrorEnvironment{n})
+	n.machineTypes = machineTypes{n: n, byName: map[protocol.MachineTypeName]*protocol.MachineType{}}
 	n.budgets = newStoreBudgets(cfg)
-	n.api = api.New(cfg, n.types, &n.mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
+	n.api = api.New(cfg, n.machineTypes.byName, &n.mirror.Mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
 	peerEnv := peerEnvironment{n, userReplies{n}}
 	n.peers = membership.NewPeers(cfg, log, n.store, peerEnv)
 	n.forwarder = membership.NewForwarder(cfg.Name, n.peers, peerEnv)
 	n.router = membership.NewHeartbeatRouter(cfg, n.peers, n.forwarder, leadership{n}, heartbeatReplies{n})
 	electionEnv := electionEnvironment{n}
-	n.election = election.New(cfg, log, n.rng, n.store, electionEnv, electionEnv, electionEnv)
+	n.election = election.New(cfg, log, n.rng, n.store, electionEnv, n.mirror, electionEnv)
 	// Answers name the request by its number and may come late, after the process
 	// has ended and begun again: numbers of different lives must not meet.
 	n.nextID = n.rng.Uint64() >> 24
@@ -145,9 +134,9 @@
 
 func (n *Node) tick() {
 	n.tickTimers()
-	n.tickMirror()
-	n.tickState()
-	n.tickTypes()
+	n.mirror.Tick()
+	n.probeStore()
+	n.machineTypes.tick()
 	n.election.Tick()
 	n.tickPeers()
 	n.peers.WriteRelayed()
@@ -164,10 +153,10 @@
 // service that all nodes share makes none of them unready: they answer at
 // once that the user should come back.
 func (n *Node) Ready() bool {
-	if !n.mirror.Ready() || len(n.types) == 0 {
+	if !n.mirror.Ready() || len(n.machineTypes.byName) == 0 {
 		return false
 	}
-	if n.now.Sub(n.servedAt) < tuning.IsolationTimeout {
+	if n.storeContact.servedWithin(n.now, tuning.IsolationTimeout) {
 		return true
 	}
 	if len(n.peers.ServedNames()) > 0 {
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -22,7 +22,7 @@
 // keepAuthority renews the leader lease and has the mirror know every change.
 func (n *Node) keepAuthority() {
 	n.election.Renewed(n.now)
-	n.markSynced(n.now)
+	n.mirror.MarkSynced(n.now)
 }
 
 // testLeader is a leader that never had to be elected.
@@ -33,7 +33,7 @@
 		State:   config.State{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 6, ListLagS: 6}}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = now
-	n.types["big"], n.types["small"] = &bigType, &smallType
+	n.machineTypes.byName["big"], n.machineTypes.byName["small"] = &bigType, &smallType
 	n.election.Acquired(7, testLease, now)
 	n.keepAuthority()
 	n.takeOver()
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -18,7 +18,7 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }), unreadable: map[protocol.JobID]bool{}, logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
@@ -27,8 +27,8 @@
 		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
 	})
 	n.lead = l
-	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
-	n.typesAt = n.now       // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon()     // the peers learn how many workers it keeps
+	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
 	allRead := l.loadMachineRecords()
 	l.loadJobs()
 	l.loadTaskRecords()
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -31,8 +31,8 @@
 		}
 	}
 	// With the types known too, only a job that nobody knows is refused.
-	n.types["big"] = &bigType
-	n.servedAt = n.now
+	n.machineTypes.byName["big"] = &bigType
+	n.storeContact.servedAt = n.now
 	n.out = nil
 	n.api.Submit(8, &bad)
 	for _, status := range []int{404, 200} {
