--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -21,12 +21,12 @@
 	if c.l.usesProxies() && c.l.n.forwarder.Delegate(machine.ID, machine.Address, body, answered) {
 		return
 	}
-	c.l.n.request(ToWorker, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, answered)
+	c.l.n.request(ToAgent, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, answered)
 }
 
 // RequestHeartbeat implements agents.Client.
 func (c agentClient) RequestHeartbeat(machine *cluster.Machine, done func(agents.CallResult)) {
-	c.l.n.request(ToWorker, machine.Address, http.MethodGet, protocol.PathInspect, nil, tuning.ProbeTimeout, c.whileLeading(done))
+	c.l.n.request(ToAgent, machine.Address, http.MethodGet, protocol.PathInspect, nil, tuning.ProbeTimeout, c.whileLeading(done))
 }
 
 func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
@@ -56,7 +56,7 @@
 
 // callFor sends commands to an agent for the leader.
 func (n *Node) callFor(c protocol.PeerAgentCall) {
-	n.request(ToWorker, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
+	n.request(ToAgent, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
 }
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -11,10 +11,10 @@
 
 // The outside systems.
 const (
-	ToState       Target = iota
-	ToLeaderLease        // the state service, on a connection kept for renewals of the leader lease
+	ToStore       Target = iota
+	ToLeaderLease        // the key-value store, on a connection kept for renewals of the leader lease
 	ToCloud
-	ToWorker
+	ToAgent
 )
 
 // Action is something the owner must do for the node.
@@ -24,14 +24,14 @@
 type Request struct {
 	ID      uint64
 	To      Target
-	Address string // of a worker
+	Address string // of an agent
 	Method  string
 	Path    string
 	Body    []byte
 	Timeout time.Duration
 }
 
-// Reply answers a user or a worker.
+// Reply answers a user or an agent.
 type Reply struct {
 	ID         uint64
 	Status     int
@@ -73,8 +73,8 @@
 	Job *protocol.Job
 }
 
-// Query is a user's poll.
-type Query struct {
+// StatusQuery asks for the status of a job.
+type StatusQuery struct {
 	ID  uint64
 	Job protocol.JobID
 }
@@ -85,10 +85,10 @@
 	Job protocol.JobID
 }
 
-// WorkerReport is a worker's report that this node was sent.
-type WorkerReport struct {
-	ID     uint64
-	Report *protocol.Heartbeat
+// AgentHeartbeat is an agent's heartbeat that this node was sent.
+type AgentHeartbeat struct {
+	ID        uint64
+	Heartbeat *protocol.Heartbeat
 }
 
 // PeerUp and PeerDown say that a link to a peer exists or no longer does.
@@ -109,11 +109,11 @@
 
 func (Submit) event() {}
 
-func (Query) event() {}
+func (StatusQuery) event() {}
 
 func (Cancel) event() {}
 
-func (WorkerReport) event() {}
+func (AgentHeartbeat) event() {}
 
 func (PeerUp) event() {}
 
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -91,7 +91,7 @@
 	attempt.Committed = true
 	l.agents.Delivery.Enqueue(machine)
 	l.agents.Delivery.SendPending()
-	r := l.n.lastRequest(t, ToWorker)
+	r := l.n.lastRequest(t, ToAgent)
 	l.n.handle(Response{ID: r.ID})
 	l.testReport(machine, l.n.election.Term())
 	l.testReport(machine, l.n.election.Term())
@@ -159,7 +159,7 @@
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.commitNext()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
 	guards := map[string]protocol.Revision{}
 	for _, c := range txn.Conditions {
@@ -174,7 +174,7 @@
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
-	if direct := l.n.lastRequest(t, ToWorker); strings.Count(string(direct.Body), `"start"`) != 2 {
+	if direct := l.n.lastRequest(t, ToAgent); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
 	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
@@ -194,12 +194,12 @@
 	job := l.testJob(gangOf(2, 1))
 	l.runSchedulingCycle()
 	l.commitNext()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	l.n.handle(Response{ID: r.ID, Status: 409, Body: storage.Encode(protocol.TransactionResponse{Failed: []string{storage.JobKey(job.ID)}})})
 	if len(job.Attempts) != 0 || l.cluster.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d copies of the plan are left", len(job.Attempts))
 	}
-	read := l.n.lastRequest(t, ToState)
+	read := l.n.lastRequest(t, ToStore)
 	rec := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
 	l.n.handle(Response{ID: read.ID, Status: 200, Body: storage.Encode(protocol.Entry{Key: storage.JobKey(job.ID), Value: storage.Encode(rec), Revision: 50})})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
@@ -224,7 +224,7 @@
 		n.out = nil
 		n.handle(Submit{ID: 5, Job: &s})
 		if !spent {
-			n.lastRequest(t, ToState)
+			n.lastRequest(t, ToStore)
 			continue
 		}
 		if len(n.out) != 1 {
@@ -245,7 +245,7 @@
 	job := l.testJob(gangOf(1, 1))
 	l.runSchedulingCycle()
 	l.commitNext()
-	sent := l.n.lastRequest(t, ToState)
+	sent := l.n.lastRequest(t, ToStore)
 	var txn protocol.Transaction
 	if err := json.Unmarshal(sent.Body, &txn); err != nil {
 		t.Fatal(err)
@@ -275,7 +275,7 @@
 	l.n.keepAuthority()
 	l.commitNext()
 	var txn protocol.Transaction
-	if err := json.Unmarshal(l.n.lastRequest(t, ToState).Body, &txn); err != nil {
+	if err := json.Unmarshal(l.n.lastRequest(t, ToStore).Body, &txn); err != nil {
 		t.Fatal(err)
 	}
 	if len(txn.Changes) != 1 || txn.Changes[0].Delete != r.Key || txn.Conditions[1] != (protocol.Condition{Key: r.Key, Revision: 60}) {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -53,7 +53,7 @@
 		for _, a := range out {
 			r, ok := a.(Request)
 			switch {
-			case ok && r.To == ToWorker:
+			case ok && r.To == ToAgent:
 				calls++
 				open[r.ID] = n.now
 			case ok && r.Path == protocol.RenewPath(testLease):
@@ -85,7 +85,7 @@
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.agents.Liveness.Tick()
-	probes, _ := sentTo(l.n.out, ToWorker, protocol.PathInspect)
+	probes, _ := sentTo(l.n.out, ToAgent, protocol.PathInspect)
 	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
@@ -93,7 +93,7 @@
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.agents.Delivery.SendPending()
-	if _, orders := sentTo(l.n.out, ToWorker, protocol.PathCommands); orders != 1 {
+	if _, orders := sentTo(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
 }
@@ -114,7 +114,7 @@
 		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.commitNext()
 	}
-	if _, writes := sentTo(n.out, ToState, protocol.PathTransactions); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
+	if _, writes := sentTo(n.out, ToStore, protocol.PathTransactions); writes != 1 || l.inFlight == nil || l.inFlight.jobs[0].final == nil {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
@@ -137,7 +137,7 @@
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
 	n.mirror.Tick()
-	n.handle(Response{ID: n.lastRequest(t, ToState).ID, Status: 200, Body: storage.Encode(watch)})
+	n.handle(Response{ID: n.lastRequest(t, ToStore).ID, Status: 200, Body: storage.Encode(watch)})
 	if got := before - free(); got != 2 {
 		t.Errorf("%d writes counted of two by others and one of its own", got)
 	}
@@ -152,7 +152,7 @@
 	machine := l.testMachine("i-1", "big", "a", false)
 	report := func(id uint64) Event {
 		machine.Agent.Sequence++
-		return WorkerReport{ID: id, Report: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.election.Term()}}
+		return AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.election.Term()}}
 	}
 	status := func(out []Action, id uint64) int {
 		for _, a := range out {
@@ -169,8 +169,8 @@
 	if got := status(out, 1); got != 503 {
 		t.Errorf("the report that waited is answered %d", got)
 	}
-	if calls, _ := sentTo(out, ToWorker, ""); calls > 0 {
-		t.Errorf("%d calls to workers", calls)
+	if calls, _ := sentTo(out, ToAgent, ""); calls > 0 {
+		t.Errorf("%d calls to agents", calls)
 	}
 	// It may ask how far the records have come: that changes nothing.
 	for _, a := range out {
@@ -224,7 +224,7 @@
 			events = append(events, PeerUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
 				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
-		out := n.Step(n.now.Add(after), append(events, WorkerReport{ID: seq, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
+		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: seq, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
@@ -233,7 +233,7 @@
 				}
 			case PeerSend:
 				if _, ok := a.Message.(protocol.PeerForwardedHeartbeat); ok {
-					return string("carried to " + a.Peer)
+					return string("forwarded to " + a.Peer)
 				}
 			}
 		}
@@ -244,8 +244,8 @@
 		after time.Duration
 		want  string
 	}{
-		{time.Second, "421"}, {5 * time.Second, "carried to first"}, {5 * time.Second, "carried to first"},
-		{tuning.RedirectRetention, "421"}, {5 * time.Second, "carried to first"},
+		{time.Second, "421"}, {5 * time.Second, "forwarded to first"}, {5 * time.Second, "forwarded to first"},
+		{tuning.RedirectRetention, "421"}, {5 * time.Second, "forwarded to first"},
 	} {
 		if got := send(step.after); got != step.want {
 			t.Errorf("report %d: %s, want %s", i, got, step.want)
@@ -288,7 +288,7 @@
 	if n.Leading() {
 		t.Fatal("leads before its claim was renewed")
 	}
-	out = n.Step(n.now, []Event{WorkerReport{ID: 77, Report: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
+	out = n.Step(n.now, []Event{AgentHeartbeat{ID: 77, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
 			t.Fatalf("a report is answered %d meanwhile", r.Status)
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -22,7 +22,7 @@
 	}
 	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
 	l.commitNext()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
 	if len(txn.Changes) > 2 {
 		t.Errorf("%d changes for 100 machines of one rental", len(txn.Changes))
@@ -48,7 +48,7 @@
 	}
 	next.n.now = next.n.now.Add(time.Minute)
 	next.commitNext()
-	r = next.n.lastRequest(t, ToState)
+	r = next.n.lastRequest(t, ToStore)
 	txn, _ = parse[protocol.Transaction](r.Body)
 	next.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":100}`)})
 	for _, c := range txn.Changes {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -1,5 +1,6 @@
-// Package coordination is the state machine at the heart of every controller:
-// election, users' requests, workers' sessions, placement, repair and fleet.
+// Package coordination is the state machine at the heart of every controller. It composes
+// the packages below it: Node owns election, mirror, peers, users' requests and, while it
+// leads, a leader with scheduler, autoscaler and agents; it hands them events and steps them.
 // It is deterministic: time and events go in, actions come out. It starts no
 // goroutine, reads no clock and does no I/O.
 package coordination
@@ -113,7 +114,7 @@
 		if !n.forwardIfUnserved(e.ID, submission(e.Job)) {
 			n.api.Submit(e.ID, e.Job)
 		}
-	case Query:
+	case StatusQuery:
 		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
 			n.api.Query(e.ID, e.Job)
 		}
@@ -121,8 +122,8 @@
 		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
 			n.api.Cancel(e.ID, e.Job)
 		}
-	case WorkerReport:
-		n.router.Route(e.ID, e.Report)
+	case AgentHeartbeat:
+		n.router.Route(e.ID, e.Heartbeat)
 	case PeerUp:
 		n.peers.Up(e.Peer)
 	case PeerDown:
@@ -149,8 +150,8 @@
 	}
 }
 
-// Ready says whether the node can take requests. An outage of the state
-// service that all nodes share makes none of them unready: they answer at
+// Ready says whether the node can take requests. An outage of the
+// store that all nodes share makes none of them unready: they answer at
 // once that the user should come back.
 func (n *Node) Ready() bool {
 	if !n.mirror.Ready() || len(n.machineTypes.byName) == 0 {
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -29,7 +29,7 @@
 }
 
 // follower is one of three nodes, each linked to the others, while "a" leads
-// and keeps so many of a thousand workers.
+// and keeps so many of a thousand agents.
 func follower(name protocol.NodeName, keeps uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
 	for _, s := range []protocol.NodeName{"a", "b", "c"} {
@@ -50,8 +50,8 @@
 	return n
 }
 
-// reported tells what becomes of a machine's report at a node: where the worker
-// is sent, "carried", or the status.
+// reported tells what becomes of a machine's heartbeat at a node: where the agent
+// is sent, "forwarded", or the status.
 func reported(n *Node, machineID protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
@@ -68,14 +68,14 @@
 			}
 			return fmt.Sprint(a.Status)
 		case PeerSend:
-			return string("carried to " + a.Peer)
+			return string("forwarded to " + a.Peer)
 		}
 	}
-	return "parked"
+	return "queued"
 }
 
 // TestLeaderRedirectsAgentsToProxies: a leader whose share of a core pays for some of
-// its workers sends the others to the nodes that carry for it, once; one that
+// its agents sends the others to their proxies, once; one that
 // comes back is answered. A large share keeps all.
 func TestLeaderRedirectsAgentsToProxies(t *testing.T) {
 	for cores, sends := range map[float64]bool{0.018: true, 0.24: false} {
@@ -101,38 +101,38 @@
 			}
 		}
 		if sends != (away > 0) || away > 290 {
-			t.Errorf("on %v of a core %d of 300 workers are sent away", cores, away)
+			t.Errorf("on %v of a core %d of 300 agents are redirected", cores, away)
 		}
 	}
 }
 
-// TestHeartbeatsAreAnsweredByNextLeader: while nobody leads, workers' reports wait for the
-// next leader instead of going round the nodes, but not for longer than a worker
+// TestHeartbeatsAreAnsweredByNextLeader: while nobody leads, agents' heartbeats wait for the
+// next leader instead of going round the nodes, but not for longer than an agent
 // waits.
 func TestHeartbeatsAreAnsweredByNextLeader(t *testing.T) {
 	b := follower("b", 0)
 	b.election.ObserveRelease()
 	// A node that has just started takes a peer's confirmation.
 	if got := reported(b, "i-1"); got != "a" {
-		t.Fatalf("a sibling knows the leader: %s", got)
+		t.Fatalf("a peer knows the leader: %s", got)
 	}
 	b.connect("a", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"b", "c"}})
 	b.connect("c", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"x", "y"}})
-	if got := reported(b, "i-1"); got != "parked" {
+	if got := reported(b, "i-1"); got != "queued" {
 		t.Fatalf("without a leader: %s", got)
 	}
 	at := b.now
 	b.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "a"}), 10)
-	carried := false
+	forwarded := false
 	for _, a := range b.Step(at.Add(time.Second), nil) {
 		if p, ok := a.(PeerSend); ok {
 			if r, ok := p.Message.(protocol.PeerForwardedHeartbeat); ok && r.Heartbeat.Machine == "i-1" {
-				carried = true
+				forwarded = true
 			}
 		}
 	}
-	if !carried {
-		t.Error("the report that waited is not carried to the new leader")
+	if !forwarded {
+		t.Error("the heartbeat that waited is not forwarded to the new leader")
 	}
 	b.election.ObserveRelease()
 	reported(b, "i-2")
@@ -150,7 +150,7 @@
 	t.Error("never answered")
 }
 
-// TestCommandsAreDelegatedToProxies: where workers are spread, their orders go by way of the
+// TestCommandsAreDelegatedToProxies: where agents have proxies, their commands go by way of the
 // peers; an answer ends the call, none in time counts as lost, and while a link
 // is missing, and for probes, the leader calls itself.
 func TestCommandsAreDelegatedToProxies(t *testing.T) {
@@ -177,7 +177,7 @@
 	a, ended := send(commands)
 	toPeer, ok := a.(PeerSend)
 	if !ok {
-		t.Fatalf("orders leave as %T", a)
+		t.Fatalf("commands leave as %T", a)
 	}
 	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
@@ -189,20 +189,20 @@
 	if *ended != agents.Unknown || l.agents.Calls.InFlight != 0 {
 		t.Errorf("not answered: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
 	}
-	if a, _ := send(probe); a.(Request).To != ToWorker {
+	if a, _ := send(probe); a.(Request).To != ToAgent {
 		t.Errorf("a probe leaves as %+v", a)
 	}
 	n.peers.Down("p")
-	if a, _ := send(commands); a.(Request).To != ToWorker {
-		t.Errorf("with a link missing orders leave as %+v", a)
+	if a, _ := send(commands); a.(Request).To != ToAgent {
+		t.Errorf("with a link missing commands leave as %+v", a)
 	}
 	// The peer's part.
 	b := follower("b", 0)
 	b.out = nil
 	b.deliver(protocol.PeerAgentCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
 	r := b.out[0].(Request)
-	if r.To != ToWorker || r.Address != "h:1" || string(r.Body) != `{"x":1}` {
-		t.Fatalf("sent to the worker: %+v", r)
+	if r.To != ToAgent || r.Address != "h:1" || string(r.Body) != `{"x":1}` {
+		t.Fatalf("sent to the agent: %+v", r)
 	}
 	b.handle(Response{ID: r.ID, Status: 409, Body: []byte("{}")})
 	back := b.out[len(b.out)-1].(PeerSend)
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -37,7 +37,7 @@
 			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
 				r, ok := a.(Request)
-				if !ok || r.To != ToWorker {
+				if !ok || r.To != ToAgent {
 					continue
 				}
 				if answers {
@@ -98,7 +98,7 @@
 				}
 				l.agents.Liveness.Tick()
 				for _, a := range l.n.out {
-					if r, ok := a.(Request); ok && r.To == ToWorker {
+					if r, ok := a.(Request); ok && r.To == ToAgent {
 						l.n.handle(Response{ID: r.ID})
 					}
 				}
--- a/internal/coordination/record_split_test.go
+++ b/internal/coordination/record_split_test.go
@@ -46,7 +46,7 @@
 // sentTxn is the transaction that the leader sent last.
 func (l *leader) sentTxn(t *testing.T) (protocol.Transaction, Request) {
 	t.Helper()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	var txn protocol.Transaction
 	if err := json.Unmarshal(r.Body, &txn); err != nil {
 		t.Fatal(err)
--- a/internal/coordination/record_stage_test.go
+++ b/internal/coordination/record_stage_test.go
@@ -353,7 +353,7 @@
 	}
 	l.n.now = l.n.now.Add(time.Second)
 	l.n.tickTimers()
-	if again := l.n.lastRequest(t, ToState); string(again.Body) != string(r.Body) {
+	if again := l.n.lastRequest(t, ToStore); string(again.Body) != string(r.Body) {
 		t.Error("another transaction is sent")
 	}
 }
--- a/internal/coordination/store_contact.go
+++ b/internal/coordination/store_contact.go
@@ -40,10 +40,10 @@
 // CallStore implements kv.Transport. It keeps note of whether the store serves this node.
 func (n *Node) CallStore(call kv.Call, done func(status int, body []byte)) {
 	if call.Connection == kv.Watching {
-		n.request(ToState, "", call.Method, call.Path, call.Body, tuning.WatchLongPoll+tuning.WatchTimeoutMargin, done)
+		n.request(ToStore, "", call.Method, call.Path, call.Body, tuning.WatchLongPoll+tuning.WatchTimeoutMargin, done)
 		return
 	}
-	to := ToState
+	to := ToStore
 	if call.Connection == kv.LeaderLease {
 		to = ToLeaderLease
 	}
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -36,7 +36,7 @@
 	n.out = nil
 	n.api.Submit(8, &bad)
 	for _, status := range []int{404, 200} {
-		read := n.lastRequest(t, ToState)
+		read := n.lastRequest(t, ToStore)
 		body := []byte(nil)
 		if status == 200 {
 			body = storage.Encode(protocol.Entry{Key: storage.FinalKey(bad.ID), Revision: 4, Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})})
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -172,7 +172,7 @@
 	switch a.To {
 	case coordination.ToCloud:
 		to, handle = "cloud", func(answer func(int, []byte)) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		c.w.calls++
 		c.calling++
 		c.w.most = max(c.w.most, c.calling)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -38,7 +38,9 @@
 		requests++
 		switch i % 3 {
 		case 0:
-			d.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(accepted)} })
+			d.ask(2*time.Second, func(id uint64) coordination.Event {
+				return coordination.StatusQuery{ID: id, Job: protocol.JobID(accepted)}
+			})
 		case 1:
 			d.ask(5*time.Second, func(id uint64) coordination.Event {
 				return coordination.Submit{ID: id, Job: array(protocol.JobID(fmt.Sprintf("run-7%05d", requests)), 1)}
@@ -268,7 +270,7 @@
 			}
 			w.rules.jobs[spec.ID].cancelled = w.Now
 			for _, o := range w.nodes {
-				for _, event := range []func(id uint64) coordination.Event{submit, cancel, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: spec.ID} }} {
+				for _, event := range []func(id uint64) coordination.Event{submit, cancel, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: spec.ID} }} {
 					if status, phase := ask(o, event); status != 200 || phase != protocol.PhaseCancelled {
 						t.Errorf("mixture %d: after its cancellation: %d %s", mixture, status, phase)
 					}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -130,7 +130,7 @@
 	starts, rented := w.rules.started, len(w.cloud.rented)
 	for _, c := range w.nodes {
 		r, _ := protocol.ParseHeartbeat(old)
-		c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
+		c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
 			var a protocol.HeartbeatResponse
 			if status == 200 {
 				decode(body, &a)
@@ -209,7 +209,7 @@
 		}
 		status := 0
 		began := w.Now
-		c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-000001"} }, func(s int, _ []byte) { status = s })
+		c.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-000001"} }, func(s int, _ []byte) { status = s })
 		w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
 		if status != 503 {
 			t.Errorf("hold %v: answered %d after %v", hold, status, w.Now.Sub(began))
@@ -220,7 +220,7 @@
 		}
 		c.ask(func(id uint64) coordination.Event {
 			k := w.rules.onAt["run-000001/0"].k
-			return coordination.WorkerReport{ID: id, Report: k.report()}
+			return coordination.AgentHeartbeat{ID: id, Heartbeat: k.report()}
 		}, func(s int, _ []byte) { status = s })
 		w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 		w.waitFor(t, 200*time.Second, "it is done", func() bool { return u.over })
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -64,13 +64,13 @@
 // targetName names an outside system, and the connection kept for the leader lease.
 func targetName(to coordination.Target) string {
 	switch to {
-	case coordination.ToState:
+	case coordination.ToStore:
 		return "state"
 	case coordination.ToLeaderLease:
 		return "leader lease"
 	case coordination.ToCloud:
 		return "cloud"
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		return "worker"
 	}
 	panic("a target that fingerprints do not know")
@@ -182,7 +182,7 @@
 	w.crowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(func(id uint64) coordination.Event {
-			return coordination.Query{ID: id, Job: protocol.JobID(fmt.Sprintf("run-%06d", 900_000+i))}
+			return coordination.StatusQuery{ID: id, Job: protocol.JobID(fmt.Sprintf("run-%06d", 900_000+i))}
 		}, func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -145,11 +145,11 @@
 func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done func(status int, body []byte)) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
-	case coordination.WorkerReport:
-		path, body = protocol.PathHeartbeat, encode(e.Report)
+	case coordination.AgentHeartbeat:
+		path, body = protocol.PathHeartbeat, encode(e.Heartbeat)
 	case coordination.Submit:
 		path, body = protocol.PathJobs, encode(e.Job)
-	case coordination.Query:
+	case coordination.StatusQuery:
 		method, path = "GET", protocol.PathJobs+"/"+string(e.Job)
 	case coordination.Cancel:
 		path = protocol.PathJobs + "/" + string(e.Job) + "/" + protocol.CancelAction
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -167,7 +167,7 @@
 	if got != 201 {
 		t.Errorf("a submission is answered %d", got)
 	}
-	c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-000009"} }, func(status int, _ []byte) { got = status })
+	c.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-000009"} }, func(status int, _ []byte) { got = status })
 	w.Run(time.Second)
 	if got != 200 {
 		t.Errorf("a poll is answered %d", got)
@@ -240,7 +240,7 @@
 			for k := range 10 {
 				asked++
 				job := fmt.Sprintf("run-%06d", 1+(i+k)%2)
-				n.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(int, []byte) { answers++ })
+				n.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: protocol.JobID(job)} }, func(int, []byte) { answers++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -276,7 +276,7 @@
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
 		got := 0
-		c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-999999"} }, func(status int, _ []byte) { got = status })
+		c.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-999999"} }, func(status int, _ []byte) { got = status })
 		w.Run(time.Second)
 		if got != 404 {
 			t.Errorf("%s answers %d", c.name, got)
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -27,9 +27,9 @@
 	for _, e := range events {
 		rank := 0
 		switch e.(type) {
-		case coordination.WorkerReport:
+		case coordination.AgentHeartbeat:
 			rank = 1
-		case coordination.Submit, coordination.Query, coordination.Cancel:
+		case coordination.Submit, coordination.StatusQuery, coordination.Cancel:
 			rank = 2
 		}
 		b.ranks[rank] = append(b.ranks[rank], e)
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -33,7 +33,7 @@
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
 					job := fmt.Sprintf("run-%06d", 900_000+i)
-					c.ask(func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: protocol.JobID(job)} }, func(status int, _ []byte) {
+					c.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: protocol.JobID(job)} }, func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -121,7 +121,7 @@
 
 func (u *user) poll() {
 	before := u.phase
-	u.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
+	u.ask(2*time.Second, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: u.j.spec.ID} }, func(status int, body []byte) {
 		switch {
 		case status == 200 && u.phase == before:
 			u.takeAnswer(body)
@@ -146,7 +146,7 @@
 		c := w.nodes[i%len(w.nodes)]
 		w.after(w.between(0, 8*time.Millisecond), func() {
 			told := u.phase
-			event := func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: u.j.spec.ID} }
+			event := func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: u.j.spec.ID} }
 			if i >= 2*len(w.nodes) {
 				event = func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: u.j.spec} }
 			}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -172,7 +172,7 @@
 		if err != nil {
 			panic(err)
 		}
-		return coordination.WorkerReport{ID: id, Report: r}
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: r}
 	}, func(status int, body []byte) { k.reportAnswered(status, body, sent, session) })
 }
 
@@ -229,7 +229,7 @@
 	if err != nil {
 		panic(err)
 	}
-	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(int, []byte) {})
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
 }
 
 func (k *worker) accept(token protocol.Term) bool {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -51,7 +51,7 @@
 }
 
 func (c *clients) call(r coordination.Request) {
-	if r.To == coordination.ToWorker {
+	if r.To == coordination.ToAgent {
 		c.calls <- struct{}{}
 		defer func() { <-c.calls }()
 	}
@@ -68,7 +68,7 @@
 		client = c.leaderLease
 	case coordination.ToCloud:
 		base = c.cloud
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		base, client = "http://"+r.Address, c.workers
 	}
 	var in io.Reader
--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -25,7 +25,7 @@
 	defer server.Close()
 	cfg := &config.Config{Endpoints: config.Endpoints{State: server.Listener.Addr().String()}}
 	answers := make(chan coordination.Event, 1)
-	newClients(cfg, answers).call(coordination.Request{ID: 1, To: coordination.ToState, Method: "GET", Path: "/watch", Timeout: time.Minute})
+	newClients(cfg, answers).call(coordination.Request{ID: 1, To: coordination.ToStore, Method: "GET", Path: "/watch", Timeout: time.Minute})
 	if r := (<-answers).(coordination.Response); r.Status != http.StatusRequestEntityTooLarge || r.Body != nil {
 		t.Errorf("status %d, %d bytes", r.Status, len(r.Body))
 	}
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -29,10 +29,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range tuning.MinUserQueueLength {
-		go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: "run-1"} })
+		go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
 	}
 	eventually(t, "the queue is full", func() bool { return len(o.users) == tuning.MinUserQueueLength })
-	if r := o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
+	if r := o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many gets %+v", r)
 	}
 	// A submission is then refused before its body is read.
@@ -43,7 +43,7 @@
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
 	go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
-		return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
 	})
 	eventually(t, "the report is queued", func() bool { return len(o.urgent) == 1 })
 }
@@ -163,7 +163,7 @@
 	log := slog.New(slog.DiscardHandler)
 	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
-		o.urgent <- coordination.WorkerReport{Report: &protocol.Heartbeat{}}
+		o.urgent <- coordination.AgentHeartbeat{Heartbeat: &protocol.Heartbeat{}}
 	}
 	o.clients.answers <- coordination.Response{ID: 1}
 	batch := o.next(nil)
@@ -192,9 +192,9 @@
 	for _, ctx := range []context.Context{gone, here} {
 		for range 3 {
 			go o.ask(ctx, o.urgent, time.Minute, func(id uint64) coordination.Event {
-				return coordination.WorkerReport{ID: id, Report: &protocol.Heartbeat{}}
+				return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
 			})
-			go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.Query{ID: id} })
+			go o.ask(ctx, o.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
 		}
 	}
 	o.answers <- coordination.Response{ID: 99}
--- a/internal/transport/owner.go
+++ b/internal/transport/owner.go
@@ -139,11 +139,11 @@
 // asker is the id of the request that an event came with, 0 if it came with none.
 func asker(e coordination.Event) uint64 {
 	switch e := e.(type) {
-	case coordination.WorkerReport:
+	case coordination.AgentHeartbeat:
 		return e.ID
 	case coordination.Submit:
 		return e.ID
-	case coordination.Query:
+	case coordination.StatusQuery:
 		return e.ID
 	case coordination.Cancel:
 		return e.ID
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -120,7 +120,7 @@
 
 func (o *Owner) handleQuery(w http.ResponseWriter, r *http.Request) {
 	o.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
-		return coordination.Query{ID: id, Job: jobID}
+		return coordination.StatusQuery{ID: id, Job: jobID}
 	})
 }
 
@@ -143,7 +143,7 @@
 		return
 	}
 	respond(w, o.ask(r.Context(), o.urgent, tuning.ReplyTimeout, func(id uint64) coordination.Event {
-		return coordination.WorkerReport{ID: id, Report: report}
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: report}
 	}))
 }
 
