--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -28,12 +28,14 @@
 // that no file needs any more, so that the table can be read as the state of things.
 var allowedImports = map[string]dependencies{
 	"cmd/gappond": {imports: []string{
+		"internal/cli",
 		"internal/config",
 		"internal/coordination",
 		"internal/transport",
 		"internal/tuning",
 	}},
-	"cmd/recoverybench": {imports: []string{"internal/simulation"}},
+	"cmd/recoverybench": {imports: []string{"internal/cli", "internal/simulation"}},
+	"internal/cli":      {},
 
 	"internal/transport": {imports: []string{
 		"internal/storage",
@@ -45,20 +47,23 @@
 	}},
 
 	"internal/coordination": {pure: true, imports: []string{
-		"internal/storage",
 		"internal/config",
 		"internal/coordination/agents",
 		"internal/coordination/api",
 		"internal/coordination/autoscaler",
 		"internal/coordination/cluster",
+		"internal/coordination/commit",
 		"internal/coordination/election",
 		"internal/coordination/kv",
 		"internal/coordination/lifecycle",
+		"internal/coordination/loader",
 		"internal/coordination/membership",
 		"internal/coordination/mirror",
 		"internal/coordination/reconcile",
+		"internal/coordination/restore",
 		"internal/coordination/scheduler",
 		"internal/protocol",
+		"internal/storage",
 		"internal/tuning",
 	}},
 	"internal/coordination/kv": {pure: true, imports: []string{"internal/protocol"}},
@@ -98,6 +103,41 @@
 		"internal/protocol",
 		"internal/tuning",
 	}},
+	"internal/coordination/commit": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}, tests: []string{
+		"internal/coordination/clustertest",
+		"internal/coordination/commit",
+		"internal/coordination/lifecycle",
+		"internal/coordination/loader",
+		"internal/coordination/reconcile",
+		"internal/coordination/scheduler",
+	}},
+	"internal/coordination/loader": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/commit",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}, tests: []string{
+		"internal/coordination/clustertest",
+		"internal/coordination/loader",
+	}},
+	"internal/coordination/restore": {pure: true, imports: []string{
+		"internal/coordination/cluster",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}, tests: []string{
+		"internal/config",
+		"internal/coordination/clustertest",
+	}},
 	"internal/coordination/scheduler": {pure: true, imports: []string{
 		"internal/buddy",
 		"internal/config",
@@ -113,14 +153,14 @@
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/agents", "internal/coordination/clustertest"}},
 	"internal/coordination/lifecycle": {pure: true, imports: []string{
 		"internal/coordination/cluster",
 		"internal/coordination/reconcile",
 		"internal/coordination/scheduler",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/clustertest", "internal/coordination/lifecycle"}},
 	"internal/coordination/reconcile": {pure: true, imports: []string{"internal/protocol"}},
 	"internal/coordination/clustertest": {pure: true, imports: []string{
 		"internal/config",
@@ -133,7 +173,7 @@
 		"internal/config",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/coordination/cluster", "internal/coordination/clustertest"}},
 
 	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -47,14 +47,14 @@
 		return list
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Fenced: attempt.Orphaned})
+		list = append(list, reconcile.Attempt{ID: attemptID(attempt), Incarnation: attempt.Incarnation, Undelivered: s.undelivered(attempt), Orphaned: attempt.Orphaned})
 	}
 	return list
 }
 
 // undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
-	if !attempt.StartSent || attempt.StartsInFlight > 0 || attempt.StartUnanswered || attempt.StartInResponse && !s.startsAnswered {
+	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startsAnswered {
 		return true
 	}
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
@@ -97,7 +97,7 @@
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
-	h.returnIfUnreadable(machine, unnamed, unproven)
+	h.deleteIfUnreadable(machine, unnamed, unproven)
 }
 
 // observeState notes the state of an attempt that an agent has.
@@ -105,10 +105,7 @@
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
-	attempt.ReportedState = state
-	attempt.StartSent = true
-	if state == protocol.TaskRunning && attempt.RunningSince.IsZero() {
-		attempt.RunningSince = h.state.Now()
+	if attempt.ObserveState(state, h.state.Now()) {
 		h.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
 	}
 }
@@ -131,13 +128,13 @@
 	attempt := machine.Attempts[key]
 	if attempt == nil {
 		attempt = h.state.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
-		attempt.Committed, attempt.StartSent, attempt.Recovered, attempt.Orphaned = true, true, true, true
+		attempt.MarkOrphaned()
 	}
 	h.observeState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
 	if d.Current || job.Cancelled {
 		if !attempt.Stopping {
-			h.log.Info("stopping what no record asks for", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
+			h.log.Info("stopping orphaned attempt", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
 		h.lifecycle.Stop(attempt, 0)
 	}
@@ -161,10 +158,10 @@
 	if attempt == nil {
 		return
 	}
-	if attempt.StartUnanswered || attempt.StartsInFlight > 0 {
+	if attempt.StartMayArrive() {
 		machine.Delivery.Pinned[key] = true
 	}
-	attempt.ReportedState = protocol.TaskExited
+	attempt.ObserveExit()
 	h.lifecycle.HandleExit(attempt, entry)
 	h.lifecycle.RemoveGone(attempt)
 }
@@ -177,19 +174,19 @@
 		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
 		return true
 	}
-	h.env.LogOnce("entry of a report makes no sense", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
+	h.env.LogOnce("heartbeat entry is unreadable", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
-// returnIfUnreadable returns a machine whose heartbeats have had entries that name no task for
-// a lease, if they keep it from proving something gone: its deletion does.
-func (h *Heartbeats) returnIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
+// deleteIfUnreadable has a machine deleted whose heartbeats have had entries that name no
+// task for a lease, if they keep it from proving something gone: its deletion does.
+func (h *Heartbeats) deleteIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
 	switch {
 	case !unnamed:
 		machine.Agent.UnreadableSince = time.Time{}
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = h.state.Now()
 	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Workers.LeaseS):
-		h.fleet.DeleteMachine(machine, "its reports cannot be read")
+		h.fleet.DeleteMachine(machine, "its heartbeats cannot be read")
 	}
 }
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -34,10 +34,10 @@
 // Mirror is the copy and what keeps it up to date.
 type Mirror struct {
 	storage.Mirror
-	resources config.Resources
-	log       *slog.Logger
-	store     kv.Client
-	env       Environment
+	limits config.ProcessLimits
+	log    *slog.Logger
+	store  kv.Client
+	env    Environment
 
 	syncedAt time.Time        // every change made before then is in the mirror
 	awaited  observedRevision // a revision that the mirror has yet to reach
@@ -59,8 +59,8 @@
 }
 
 // New makes an empty mirror.
-func New(resources config.Resources, log *slog.Logger, store kv.Client, env Environment) *Mirror {
-	return &Mirror{resources: resources, log: log, store: store, env: env}
+func New(limits config.ProcessLimits, log *slog.Logger, store kv.Client, env Environment) *Mirror {
+	return &Mirror{limits: limits, log: log, store: store, env: env}
 }
 
 // SyncedAt is when every change was in the mirror that was made before then.
@@ -184,7 +184,7 @@
 	if m.env.Leading() {
 		return tuning.MinWatchDelay
 	}
-	return m.resources.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
+	return m.limits.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
 }
 
 // FetchRevision asks how far the records have come. Renewing the leader lease proves only
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -34,7 +34,7 @@
 func newController(t *testing.T) *controller {
 	t.Helper()
 	c := &controller{now: time.Unix(1_800_000_000, 0), leading: true}
-	c.Mirror = New(config.Resources{}, slog.New(slog.DiscardHandler), kv.New(c), c)
+	c.Mirror = New(config.ProcessLimits{}, slog.New(slog.DiscardHandler), kv.New(c), c)
 	return c
 }
 
--- a/internal/coordination/mirror_environment.go
+++ b/internal/coordination/mirror_environment.go
@@ -53,7 +53,7 @@
 	case membership.IsRelayKey(key):
 		n.peers.ReceiveRelayed(event)
 	case n.lead != nil:
-		n.lead.changed(event)
+		n.lead.loader.ObserveChange(event)
 	}
 }
 
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,6 +13,7 @@
 
 	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/api"
+	"github.com/gappond/gappond/internal/coordination/commit"
 	"github.com/gappond/gappond/internal/coordination/election"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/coordination/membership"
@@ -37,11 +38,11 @@
 	budgets storeBudgets
 	metrics Metrics
 
-	store         kv.Client
-	mirror        *mirror.Mirror
-	machineTypes  machineTypes
-	storeContact  storeContact
-	limitsLowered bool // it has refused what its limits used to allow
+	store        kv.Client
+	mirror       *mirror.Mirror
+	machineTypes machineTypes
+	storeContact storeContact
+	storeLimits  *commit.KnownLimits
 
 	api *api.Service
 
@@ -59,7 +60,7 @@
 // the process from earlier ones.
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
-		cfg: cfg, log: log, boot: boot,
+		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewKnownLimits(cfg),
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		pending: map[uint64]func(int, []byte){},
 	}
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -18,12 +18,12 @@
 // within the teams' limits. What it returns waits for machines.
 func (sc *Scheduler) RunCycle() []Demand {
 	sc.releaseReservations()
-	sc.cycle = sc.newCycle()
+	sc.cycle = newCycle(sc.state)
 	defer func() { sc.examined, sc.cycle = sc.cycle.examined, nil }()
-	sc.measureGPUNeeds()
+	sc.gpuNeeds.measure(sc.state.Jobs)
 	queue := sc.Queue()
-	sc.markWithinGuarantee(queue)
-	sc.markReclaimers(queue)
+	markWithinGuarantee(queue, sc.state.Quotas)
+	markReclaimers(queue)
 	var demand []Demand
 	for i, job := range queue {
 		if beginsArrays(queue, i) {
@@ -76,7 +76,7 @@
 func (sc *Scheduler) freeCapacityFor(job *cluster.Job, tasks int) {
 	sc.preemptFor(job, tasks)
 	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.BackfillBarrierDelay {
-		sc.reserveMachines(job)
+		sc.currentCycle().reserveMachines(job)
 	}
 }
 
@@ -91,6 +91,7 @@
 // cycle is what one cycle knows of all machines. What every job would have to look up in
 // the whole fleet is looked up once; what no search can find is not searched for.
 type cycle struct {
+	state        *cluster.State
 	schedulable  []*cluster.Machine // machines that take tasks
 	vacant       []*cluster.Machine // those of them that can take a task with GPUs, if they have any
 	examined     int                // machines examined so far
@@ -102,18 +103,18 @@
 }
 
 // newCycle examines every machine.
-func (sc *Scheduler) newCycle() *cycle {
-	machines := sc.state.OrderedMachines
-	c := &cycle{examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
-	if cores := sc.state.Config.Cluster.Resources.Cores; cores > 0 {
+func newCycle(state *cluster.State) *cycle {
+	machines := state.OrderedMachines
+	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
+	if cores := state.Config.Cluster.Resources.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range machines {
-		if !sc.state.Schedulable(machine) {
+		if !state.Schedulable(machine) {
 			continue
 		}
 		c.schedulable = append(c.schedulable, machine)
-		if machine.HasFree(sc.state.TypeOf(machine)) {
+		if machine.HasFree(state.TypeOf(machine)) {
 			c.vacant = append(c.vacant, machine)
 		}
 	}
@@ -125,7 +126,7 @@
 	if sc.cycle != nil {
 		return sc.cycle
 	}
-	return sc.newCycle()
+	return newCycle(sc.state)
 }
 
 // exhausted says whether the cycle has examined so much that the rest of the queue takes
