--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -58,6 +58,7 @@
 		"internal/coordination/lifecycle",
 		"internal/coordination/loader",
 		"internal/coordination/membership",
+		"internal/coordination/mirror",
 		"internal/coordination/reconcile",
 		"internal/coordination/restore",
 		"internal/coordination/scheduler",
@@ -88,6 +89,13 @@
 		"internal/storage",
 		"internal/tuning",
 	}},
+	"internal/coordination/mirror": {pure: true, imports: []string{
+		"internal/config",
+		"internal/coordination/kv",
+		"internal/protocol",
+		"internal/storage",
+		"internal/tuning",
+	}},
 	"internal/coordination/election": {pure: true, imports: []string{
 		"internal/storage",
 		"internal/config",
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.committer.Commit()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
 	guards := map[string]protocol.Revision{}
 	for _, c := range txn.Conditions {
@@ -78,7 +78,7 @@
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
-	if direct := l.n.lastRequest(t, ToWorker); strings.Count(string(direct.Body), `"start"`) != 2 {
+	if direct := l.n.lastRequest(t, ToAgent); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
 	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
@@ -96,7 +96,7 @@
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 1})
-	n.servedAt = n.now
+	n.storeContact.servedAt = n.now
 	for _, spent := range []bool{false, true} {
 		if spent {
 			n.budgets.users.AllowN(n.now, n.budgets.users.Burst()-1)
@@ -107,7 +107,7 @@
 		n.out = nil
 		n.handle(Submit{ID: 5, Job: &s})
 		if !spent {
-			n.lastRequest(t, ToState)
+			n.lastRequest(t, ToStore)
 			continue
 		}
 		if len(n.out) != 1 {
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -34,7 +34,7 @@
 			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
 				r, ok := a.(Request)
-				if !ok || r.To != ToWorker {
+				if !ok || r.To != ToAgent {
 					continue
 				}
 				if answers {
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -46,7 +46,7 @@
 // sentTxn is the transaction that the leader sent last.
 func (l *leader) sentTxn(t *testing.T) (protocol.Transaction, Request) {
 	t.Helper()
-	r := l.n.lastRequest(t, ToState)
+	r := l.n.lastRequest(t, ToStore)
 	var txn protocol.Transaction
 	if err := json.Unmarshal(r.Body, &txn); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	}
 	l.n.now = l.n.now.Add(time.Second)
 	l.n.tickTimers()
-	if again := l.n.lastRequest(t, ToState); string(again.Body) != string(r.Body) {
+	if again := l.n.lastRequest(t, ToStore); string(again.Body) != string(r.Body) {
 		t.Error("another transaction is sent")
 	}
 }
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -17,7 +17,7 @@
 
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
-	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.types, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
+	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
 	l.scheduler = scheduler.New(l.cluster, l, n.log)
 	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
@@ -32,9 +32,9 @@
 	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, l, n.log)
 	l.loader = loader.New(l.cluster, l.committer, l, n.log)
 	n.lead = l
-	n.peers.HeartbeatSoon() // the peers learn how many workers it keeps
-	n.typesAt = n.now       // today's prices, and a record of the types if there is none
-	l.loader.LoadAll(&n.mirror)
+	n.peers.HeartbeatSoon()     // the peers learn how many workers it keeps
+	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
+	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
 		l.restored.LoadMarker(marker)
 	}
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -144,7 +144,7 @@
 	}
 	for _, a := range slices.Backward(l.n.out) {
 		r, ok := a.(Request)
-		if !ok || r.To != ToState || r.Path != protocol.PathTransactions {
+		if !ok || r.To != ToStore || r.Path != protocol.PathTransactions {
 			continue
 		}
 		var txn protocol.Transaction
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -31,12 +31,12 @@
 		}
 	}
 	// With the types known too, only a job that nobody knows is refused.
-	n.types["big"] = &bigType
-	n.servedAt = n.now
+	n.machineTypes.byName["big"] = &bigType
+	n.storeContact.servedAt = n.now
 	n.out = nil
 	n.api.Submit(8, &bad)
 	for _, status := range []int{404, 200} {
-		read := n.lastRequest(t, ToState)
+		read := n.lastRequest(t, ToStore)
 		body := []byte(nil)
 		if status == 200 {
 			body = storage.Encode(protocol.Entry{Key: storage.FinalKey(bad.ID), Revision: 4, Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})})
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -183,7 +183,7 @@
 	switch a.To {
 	case coordination.ToCloud:
 		c.w.call(c.name, cloudHost, a.Timeout, func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		c.callWorker(a, done)
 	default:
 		c.callStore(a, done)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: r} }, func(status int, body []byte) {
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
 		var a protocol.HeartbeatResponse
 		if status == 200 {
 			decode(body, &a)
@@ -245,7 +245,7 @@
 	}
 	status = 0
 	report := w.workerOf("run-000001", 0).report()
-	c.ask(func(id uint64) coordination.Event { return coordination.WorkerReport{ID: id, Report: report} }, note)
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
 
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -64,13 +64,13 @@
 // targetName names an outside system, and the connection kept for the leader lease.
 func targetName(to coordination.Target) string {
 	switch to {
-	case coordination.ToState:
+	case coordination.ToStore:
 		return "state"
 	case coordination.ToLeaderLease:
 		return "leader lease"
 	case coordination.ToCloud:
 		return "cloud"
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		return "worker"
 	}
 	panic("a target that fingerprints do not know")
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -84,7 +84,7 @@
 
 // statusQuery is the question how far a job is.
 func statusQuery(job protocol.JobID) request {
-	return func(id uint64) coordination.Event { return coordination.Query{ID: id, Job: job} }
+	return func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: job} }
 }
 
 // cancellation is the request to cancel a job.
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -87,7 +87,7 @@
 
 // call carries out a request and hands in its response.
 func (c *clients) call(ctx context.Context, r coordination.Request) {
-	if r.To == coordination.ToWorker {
+	if r.To == coordination.ToAgent {
 		select {
 		case c.agentCalls <- struct{}{}:
 			defer func() { <-c.agentCalls }()
@@ -118,7 +118,7 @@
 		return c.leaderLease
 	case coordination.ToCloud:
 		return c.cloud
-	case coordination.ToWorker:
+	case coordination.ToAgent:
 		return endpoint{"http://" + r.Address, c.agents}
 	}
 	return c.store
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -84,11 +84,11 @@
 // requestID is the number of the request that an event came with, 0 if it came with none.
 func requestID(e coordination.Event) uint64 {
 	switch e := e.(type) {
-	case coordination.WorkerReport:
+	case coordination.AgentHeartbeat:
 		return e.ID
 	case coordination.Submit:
 		return e.ID
-	case coordination.Query:
+	case coordination.StatusQuery:
 		return e.ID
 	case coordination.Cancel:
 		return e.ID
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -179,7 +179,7 @@
 
 func (s *httpServer) handleQuery(w http.ResponseWriter, r *http.Request) {
 	s.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
-		return coordination.Query{ID: id, Job: jobID}
+		return coordination.StatusQuery{ID: id, Job: jobID}
 	})
 }
 
@@ -202,7 +202,7 @@
 		return
 	}
 	respond(w, s.ask(r.Context(), s.queues.heartbeats, tuning.ReplyTimeout, func(id uint64) coordination.Event {
-		return coordination.WorkerReport{ID: id, Report: heartbeat}
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: heartbeat}
 	}))
 }
 
