--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := testLeader(time.Unix(1_800_000_000, 0))
-			machine := l.testMachine("i-1", "big", "a", false)
+			machine := l.testMachine("i-1", "big", "a")
 			heartbeat := &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone,
 				Incarnation: 1, Sequence: 1, FencingToken: l.n.election.Term()}
 			c.prepare(l, heartbeat)
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -96,13 +96,12 @@
 	return l.state.AddJob(spec)
 }
 
-// recorded is an attempt that a predecessor's record places on a machine.
-func (l *testLeader) recorded(job *cluster.Job, machine *cluster.Machine) *cluster.Attempt {
+// recordPlace enters an attempt that a predecessor's record places on a machine.
+func (l *testLeader) recordPlace(job *cluster.Job, machine *cluster.Machine) {
 	job.Recovered, job.Epoch, job.EverPlaced = true, 3, true
 	attempt := l.state.AddAttempt(job, 0, 3, machine, 1)
 	attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
 	job.Tasks[0].LastAttempt, job.Tasks[0].Active = 3, attempt
-	return attempt
 }
 
 // heartbeat is the next one of a machine's agent.
@@ -138,7 +137,7 @@
 func TestAbsenceNeedsFencingToken(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
-	l.recorded(job, machine)
+	l.recordPlace(job, machine)
 	l.accept(t, heartbeat(machine, testTerm-1))
 	if len(job.Attempts) != 1 {
 		t.Fatal("gone by a heartbeat that has not seen the token")
@@ -154,7 +153,7 @@
 func TestRecoveredAttemptIsNeverStarted(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
-	l.recorded(l.job(protocol.ShapeGang, 1), machine)
+	l.recordPlace(l.job(protocol.ShapeGang, 1), machine)
 	for _, token := range []protocol.Term{testTerm - 1, testTerm} {
 		if got := l.accept(t, heartbeat(machine, token)); got != "" {
 			t.Errorf("token %d: commands %s", token, got)
@@ -219,7 +218,7 @@
 	l := newTestLeader()
 	start := l.state.Now()
 	machine, job := l.state.EnsureMachine("i-1", "h:1", "big", "a", false), l.job(protocol.ShapeGang, 1)
-	l.recorded(job, machine)
+	l.recordPlace(job, machine)
 	lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
 	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
@@ -315,7 +314,7 @@
 func TestUnreadableHeartbeat(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeArray, 2)
-	l.recorded(job, machine)
+	l.recordPlace(job, machine)
 	nonsense := protocol.TaskStatus{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.accept(t, heartbeat(machine, testTerm, nonsense))
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -22,7 +22,7 @@
 func fullFleet(waiting int) *leader {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 2000 {
-		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i%3], false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i%3])
 	}
 	s := gangOf(100, 2)
 	s.Shape, s.Priority = protocol.ShapeArray, "idle"
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -66,15 +66,15 @@
 	c.cancelled = append(c.cancelled, jobID)
 }
 
-// answer answers the only call under way.
-func (c *controller) answer(t *testing.T, path string, status int, body any) {
+// answer answers the only call under way with success.
+func (c *controller) answer(t *testing.T, path string, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
 		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
 	}
 	call := c.calls[0]
 	c.calls = nil
-	call.done(status, storage.Encode(body))
+	call.done(http.StatusOK, storage.Encode(body))
 }
 
 // elect has the controller win and renew the leader lease, and lead.
@@ -82,14 +82,14 @@
 	t.Helper()
 	c.synced = c.now
 	c.Tick()
-	c.answer(t, protocol.PathLeases, http.StatusOK, protocol.LeaseResponse{Lease: testLease})
+	c.answer(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
 	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
-	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
+	c.answer(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
 	if c.Term() != 9 || c.MayAct() || c.MayTakeOver() {
 		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
 	}
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), http.StatusOK, nil)
+	c.answer(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() || !c.MayTakeOver() {
 		t.Fatal("may not act though the leader lease was renewed")
 	}
@@ -154,7 +154,7 @@
 	}
 	c.ProcessPaused(0)
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), http.StatusOK, nil)
+	c.answer(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() {
 		t.Error("may not act after the renewal")
 	}
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -15,7 +15,7 @@
 // machine record says so to every later leader.
 func TestMachineOnWhichJobsFailIsQuarantined(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a")
 	for range tuning.MaxMachineFailures {
 		job := l.testJob(gangOf(1, 1))
 		attempt := l.cluster.AddAttempt(job, 0, 1, machine, 1)
@@ -40,7 +40,7 @@
 // is free, but nothing is stopped for it and no machine wanted any more.
 func TestJobThatFailsEverywherePreemptsNothing(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	l.testMachine("i-1", "big", "a", false)
+	l.testMachine("i-1", "big", "a")
 	s := protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x", Priority: "idle"}
 	low := l.testJob(s)
 	l.runSchedulingCycle()
@@ -48,7 +48,7 @@
 	high.Priority = "high"
 	job := l.testJob(high)
 	for i := range tuning.MaxJobFailures {
-		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b", false)
+		machine := l.testMachine(protocol.MachineID(fmt.Sprintf("i-%d", 10+i)), "small", "b")
 		attempt := l.cluster.AddAttempt(job, 0, protocol.AttemptNumber(i+1), machine, 1)
 		l.lifecycle.HandleExit(attempt, &protocol.TaskStatus{Cause: protocol.CauseError})
 		l.lifecycle.RemoveGone(attempt)
@@ -78,7 +78,7 @@
 // another zone could hold it whole.
 func TestRepairReturnsToSurvivorsMachines(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	dead, survivor := l.testMachine("i-1", "big", "b", false), l.testMachine("i-2", "big", "b", false)
+	dead, survivor := l.testMachine("i-1", "big", "b"), l.testMachine("i-2", "big", "b")
 	s := gangOf(2, 4)
 	s.OneZone, s.Priority = true, "normal"
 	job := l.testJob(s)
@@ -87,9 +87,9 @@
 		attempt.Committed, attempt.StartSent, attempt.ReportedState = true, true, protocol.TaskRunning
 	}
 	epoch := job.Epoch
-	l.testMachine("i-3", "big", "a", false)
-	l.testMachine("i-4", "big", "a", false)
-	spare := l.testMachine("i-5", "big", "b", false)
+	l.testMachine("i-3", "big", "a")
+	l.testMachine("i-4", "big", "a")
+	spare := l.testMachine("i-5", "big", "b")
 	l.MachinesDeleted(dead.ID)
 	l.runSchedulingCycle()
 	if len(job.Attempts) != 1 || !job.Stopping {
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -51,7 +51,7 @@
 
 func commitFirst(t *testing.T, shape protocol.Shape, place func(*leader, *cluster.Job) bool) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a")
 	s := gangOf(2, 1)
 	s.Shape = shape
 	job := l.testJob(s)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -150,7 +150,7 @@
 func TestProcessPause(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	machine := l.testMachine("i-1", "big", "a", false)
+	machine := l.testMachine("i-1", "big", "a")
 	report := func(id uint64) Event {
 		machine.Agent.Sequence++
 		return AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.election.Term()}}
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -39,8 +39,8 @@
 	return n.lead
 }
 
-func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *cluster.Machine {
-	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, spot)
+func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
+	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, false)
 	l.committer.Machines.Assign(machine)
 	machine.Record.Revision = 1
 	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -84,7 +84,7 @@
 		n.cfg.Cluster.Resources.Cores = cores
 		n.connectNewPeers()
 		for i := range 300 {
-			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
+			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 		}
 		away := 0
 		for i := range 300 {
@@ -159,7 +159,7 @@
 	n.cfg.Cluster.Resources.Cores = 0.001
 	n.connectNewPeers()
 	for i := range 60 {
-		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a", false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 	}
 	machine := l.cluster.OrderedMachines[0]
 	pending := agents.CallOutcome(-1)
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -15,7 +15,7 @@
 func TestNotReceiving(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
-		machine := l.testMachine("i-1", "big", "a", false)
+		machine := l.testMachine("i-1", "big", "a")
 		job := l.testJob(gangOf(1, 1))
 		l.runSchedulingCycle()
 		clear(job.Write.Dirty)
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -22,7 +22,7 @@
 // task is placed again. An attempt that counted twice once held its task for ever.
 func TestRecordPlacesTwice(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
-	machine, other := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
+	machine, other := l.testMachine("i-1", "big", "a"), l.testMachine("i-2", "big", "a")
 	twice := storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
 	job := l.placed(twice, twice, storage.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, storage.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
 	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
@@ -46,7 +46,7 @@
 	for _, enabled := range []bool{true, false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.RecoveryPhase = enabled
-		full, silent := l.testMachine("i-1", "big", "a", false), l.testMachine("i-2", "big", "a", false)
+		full, silent := l.testMachine("i-1", "big", "a"), l.testMachine("i-2", "big", "a")
 		silent.Recovered, silent.Agent.Heard, silent.Agent.TokenConfirmed, silent.Agent.Incarnation = true, false, false, 0
 		l.beginRecovery()
 		low := l.testJob(func() protocol.Job { s := gangOf(8, 1); s.Shape, s.Priority = protocol.ShapeArray, "idle"; return s }())
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -68,9 +68,9 @@
 	l.monitor.ObserveHigherToken(&protocol.Heartbeat{Machine: "i-1", Address: "h:1", Type: "big", Zone: "a", FencingToken: token})
 }
 
-// prove has the store confirm the term, at a revision.
-func (l *testLeader) prove(revision protocol.Revision) {
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: revision})
+// prove has the store confirm the term.
+func (l *testLeader) prove() {
+	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 10})
 }
 
 // TestHigherTokenIsConfirmedByTheStore: an agent's token above the term ends the term if the
@@ -120,7 +120,7 @@
 func TestRevisionIsRaisedAboveTokens(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove(10)
+	l.prove()
 	l.monitor.Tick()
 	l.checkGuarded(t)
 	l.answer(kv.TransactionResult{Outcome: kv.Unavailable})
@@ -148,7 +148,7 @@
 func TestRevisionIsRaisedWithinHalfTheBudget(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove(10)
+	l.prove()
 	l.budget.AllowN(l.Now(), 6)
 	l.monitor.Tick()
 	if len(l.sent) != 1 {
@@ -161,7 +161,7 @@
 func TestUnreachableTokenCostsItsMachine(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(1_000_000)
-	l.prove(10)
+	l.prove()
 	l.monitor.Tick()
 	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
 	l.monitor.Tick()
@@ -218,7 +218,7 @@
 		"no machines":                          {prepare: func(l *testLeader) { l.recorded = false }},
 		"an agent has taken the token":         {prepare: func(l *testLeader) { l.confirm() }},
 		"no agent reports for long":            {prepare: func(l *testLeader) { l.Advance(l.SilenceTimeout()) }},
-		"restored, an agent took the token":    {prepare: func(l *testLeader) { l.confirm(); l.showToken(90); l.prove(10) }, want: true},
+		"restored, an agent took the token":    {prepare: func(l *testLeader) { l.confirm(); l.showToken(90); l.prove() }, want: true},
 		"marked, an agent has taken the token": {prepare: func(l *testLeader) { l.confirm(); l.monitor.LoadMarker(protocol.Entry{}) }, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -19,7 +19,7 @@
 func TestOrdersOfGangInOrder(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 24 {
-		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", "a", false)
+		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), "big", "a")
 	}
 	job := l.testJob(gangOf(24, 4))
 	if !l.placesAll(job) {
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -88,7 +88,7 @@
 func TestThrottledTransactionWaitsForTheBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.budgets.writes.SetLimit(1)
-	machine := l.testMachine(hostName, "big", "a", false)
+	machine := l.testMachine(hostName, "big", "a")
 	l.writeForTest(machine)
 	_, r := l.sentTxn(t)
 	l.n.handle(Response{ID: r.ID, Status: 429})
--- a/test.sh
+++ b/test.sh
@@ -46,15 +46,6 @@
 	fi
 }
 
-# Tests too; without internal/coordination while its packages are being cut: to widen it,
-# put ./... in place of the list.
-check_parameters() {
-	local packages
-	packages=$(go list ./... | grep -v /internal/coordination) || return
-	# shellcheck disable=SC2086
-	go tool unparam -tests $packages
-}
-
 check_dead_code() {
 	local dead
 	dead=$(go tool deadcode -test ./...) || return
@@ -78,7 +69,7 @@
 step "vet" go vet ./...
 step "staticcheck" go tool staticcheck ./...
 step "error wrapping" go tool go-errorlint -errorf ./...
-step "unused parameters and results" check_parameters
+step "unused parameters and results" go tool unparam -tests ./...
 step "dead code" check_dead_code
 step "spelling" go tool misspell -error cmd internal deploy docs .ci ./*.md ./*.sh
 step "deploy build" deploy_build
