--- a/internal/simulation/cloud_service.go
+++ b/internal/simulation/cloud.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -12,8 +13,8 @@
 	"golang.org/x/time/rate"
 )
 
-// cloudService is a stand-in for the cloud.
-type cloudService struct {
+// cloudProvider is a stand-in for the cloud.
+type cloudProvider struct {
 	w        *World
 	hosts    []*host
 	rented   map[string][]protocol.MachineID
@@ -23,54 +24,65 @@
 	calls    *rate.Limiter
 	requests int
 	history  []snapshot
-	quick    bool // machines are up within two seconds
+	fastBoot bool // machines are up within two seconds
 }
 
+// host is a machine in the cloud.
 type host struct {
 	protocol.Machine
-	born time.Time
-	gone bool
+	createdAt time.Time
+	gone      bool
 }
 
+// snapshot is the machine list of a moment.
 type snapshot struct {
 	at   time.Time
 	list []protocol.Machine
 }
 
-func newCloudService(w *World) *cloudService {
-	c := &cloudService{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
+func newCloudProvider(w *World) *cloudProvider {
+	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
-	var tick func()
-	tick = func() {
-		var list []protocol.Machine
-		for _, h := range c.hosts {
-			if !h.gone {
-				m := h.Machine
-				m.AgeS = w.Now.Sub(h.born).Seconds()
-				list = append(list, m)
-			}
-		}
-		c.history = append(c.history, snapshot{w.Now, list})
-		if len(c.history) > 30 {
-			c.history = c.history[1:]
-		}
-		w.after(500*time.Millisecond, tick)
-	}
-	w.after(0, tick)
+	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
 		c.add(w.shape.Zones[i%len(w.shape.Zones)], false, 0)
 	}
 	return c
 }
 
-func (c *cloudService) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
+// A snapshot of the machine list is taken every so often, and so many are kept: more than
+// the longest lag of a list.
+const (
+	snapshotInterval = 500 * time.Millisecond
+	snapshotsKept    = 30
+)
+
+// recordSnapshot takes snapshots of the machine list, again and again.
+func (c *cloudProvider) recordSnapshot() {
+	var list []protocol.Machine
+	for _, h := range c.hosts {
+		if !h.gone {
+			m := h.Machine
+			m.AgeS = c.w.Now.Sub(h.createdAt).Seconds()
+			list = append(list, m)
+		}
+	}
+	c.history = append(c.history, snapshot{c.w.Now, list})
+	if len(c.history) > snapshotsKept {
+		c.history = c.history[1:]
+	}
+	c.w.after(snapshotInterval, c.recordSnapshot)
+}
+
+// add makes a machine that is up after a while.
+func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
 	address := string(id)
 	if c.w.live != nil {
 		address = c.w.live.address(id)
 	}
-	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, born: c.w.Now}
+	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
 	c.hosts = append(c.hosts, h)
 	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
@@ -83,30 +95,35 @@
 }
 
 // destroy takes a machine and everything on it away at once.
-func (c *cloudService) destroy(h *host) {
+func (c *cloudProvider) destroy(h *host) {
 	h.gone = true
 	if k := c.w.workers[h.ID]; k != nil {
-		k.kill()
-		delete(c.w.workers, h.ID)
+		c.w.loseWorker(k)
 	}
 }
 
+// loseWorker ends a machine's worker and its tasks; the cloud goes on listing the machine.
+func (w *World) loseWorker(k *worker) {
+	k.kill()
+	delete(w.workers, k.h.ID)
+}
+
 // serve answers a call as the protocol says, within the budget.
-func (c *cloudService) serve(method, path string, body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) serve(method, path string, body []byte, answer answerFunc) {
 	c.requests++
 	if c.down {
-		answer(503, encode(protocol.ErrorBody{Error: "trouble"}))
+		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
 	if !c.calls.AllowN(c.w.Now, 1) {
-		answer(429, nil)
+		answer(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	switch {
 	case u.Path == protocol.PathMachineTypes:
-		answer(200, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
-	case u.Path == protocol.PathMachines && method == "GET":
+		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
+	case u.Path == protocol.PathMachines && method == http.MethodGet:
 		c.list(u.Query(), answer)
 	case u.Path == protocol.PathMachines:
 		c.rent(body, answer)
@@ -116,7 +133,7 @@
 }
 
 // list answers with a page of the machine list as it was a while ago.
-func (c *cloudService) list(q url.Values, answer func(int, []byte)) {
+func (c *cloudProvider) list(q url.Values, answer answerFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
 	for _, s := range c.history {
@@ -130,15 +147,15 @@
 	}
 	limit, _ := strconv.Atoi(q.Get("page"))
 	list = list[from:]
-	answer(200, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
+	answer(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
 // rent rents machines as far as there are any.
-func (c *cloudService) rent(body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) rent(body []byte, answer answerFunc) {
 	var r protocol.Rental
 	decode(body, &r)
 	if names, ok := c.rented[r.Request]; ok {
-		answer(200, encode(protocol.MachineNames{Machines: names}))
+		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 		return
 	}
 	up := 0
@@ -148,7 +165,7 @@
 		}
 	}
 	if up >= c.capacity {
-		answer(503, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
+		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
 	var names []protocol.MachineID
@@ -156,23 +173,23 @@
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
 	c.rented[r.Request] = names
-	answer(200, encode(protocol.MachineNames{Machines: names}))
+	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
 // bootTime is how long a machine takes to come up; one in twenty never does.
-func (c *cloudService) bootTime() time.Duration {
+func (c *cloudProvider) bootTime() time.Duration {
 	boot := c.w.between(12*time.Second, 30*time.Second)
 	if c.w.rng.IntN(20) == 0 {
 		boot = time.Hour
 	}
-	if c.quick {
+	if c.fastBoot {
 		boot = c.w.between(100*time.Millisecond, 2*time.Second)
 	}
 	return boot
 }
 
 // remove deletes machines.
-func (c *cloudService) remove(body []byte, answer func(int, []byte)) {
+func (c *cloudProvider) remove(body []byte, answer answerFunc) {
 	var r protocol.MachineNames
 	decode(body, &r)
 	for _, h := range c.hosts {
@@ -180,5 +197,5 @@
 			c.destroy(h)
 		}
 	}
-	answer(200, encode(struct{}{}))
+	answer(http.StatusOK, encode(struct{}{}))
 }
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -23,7 +23,7 @@
 type ColdResult struct {
 	Verdict
 	Tasks    int // of all jobs
-	Requests int // to the state service, since the return
+	Requests int // to the key-value store, since the return
 	Changes  int
 	Rules    []string // that were broken
 }
@@ -63,6 +63,7 @@
 
 func (s *simulated) pass(d time.Duration) { s.w.Run(d) }
 
+// start starts all controllers.
 func (s *simulated) start() error {
 	for _, c := range s.w.nodes {
 		c.boot()
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// kill ends all controllers for good.
 func (s *simulated) kill() {
 	for _, c := range s.w.nodes {
 		c.alive = false
@@ -129,7 +131,7 @@
 	var requests, changes int
 	d.do(func(w *World) {
 		w.Audit.Judge(w.Now)
-		requests, changes = w.state.requests, w.state.changed
+		requests, changes = w.store.requests, w.store.changed
 	})
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
@@ -137,9 +139,9 @@
 	d.pass(c.After)
 	var result ColdResult
 	d.do(func(w *World) {
-		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.state.requests - requests, Changes: w.state.changed - changes, Rules: w.rules.failures}
+		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.store.requests - requests, Changes: w.store.changed - changes, Rules: w.rules.failures}
 		for _, u := range users {
-			result.Tasks += u.j.spec.Tasks
+			result.Tasks += u.job.spec.Tasks
 		}
 	})
 	d.kill()
@@ -154,8 +156,7 @@
 	for _, h := range w.cloud.hosts {
 		if k := w.workers[h.ID]; n > 0 && k != nil && len(k.tasks) > 0 {
 			n--
-			k.kill()
-			delete(w.workers, h.ID)
+			w.loseWorker(k)
 		}
 	}
 }
@@ -163,8 +164,8 @@
 // coldJobs submits gangs and arrays for three quarters of the machines, the last of them
 // so late that they are half-way when the controllers are lost.
 func (w *World) coldJobs(c ColdRestart) (users []*user) {
-	room := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
-	for i := 0; room > 0; i++ {
+	unsubmitted := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
+	for i := 0; unsubmitted > 0; i++ {
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
 			Tasks: 2 + w.rng.IntN(12), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", w.rng.IntN(6)), ImageGB: 1 + 2*w.rng.Float64(), EstimateS: 60}
 		if i%2 == 0 {
@@ -173,12 +174,12 @@
 		if c.Equal {
 			spec.Priority = "normal"
 		}
-		room -= spec.Tasks
+		unsubmitted -= spec.Tasks
 		run := 300.0
 		if i%5 == 1 { // about to end
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
 		}
-		users = append(users, w.submit(w.between(0, c.Before), spec, run, 0, false))
+		users = append(users, w.submit(arrival{after: w.between(0, c.Before), job: spec, run: run}))
 	}
 	return users
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -33,12 +33,11 @@
 // newColdWorld has a gang over two machines and an array run.
 func newColdWorld(t *testing.T, seed uint64, shape Shape) *coldWorld {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
-	w.Run(6 * time.Second)
+	w := startWorld(seed, shape, 6*time.Second)
 	g := gangJob("run-000001", 6)
-	g.CheckpointS, g.SaveS = 10, 2
-	c := &coldWorld{World: w, t: t, gang: w.submit(0, g, 150, 0, false), array: w.submit(0, array("run-000002", 5), 150, 0, false)}
-	w.waitFor(t, 40*time.Second, "both run", func() bool { return w.running(c.gang) && w.running(c.array) })
+	checkpointed(g, 10, 2)
+	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, run: 150}), array: w.submit(arrival{job: array("run-000002", 5), run: 150})}
+	w.waitUntilRunning(t, 40*time.Second, c.gang, c.array)
 	w.Run(4 * time.Second)
 	c.mark()
 	return c
@@ -47,8 +46,8 @@
 // mark has orders and starts count from now on.
 func (c *coldWorld) mark() { c.before, c.starts = c.Audit.Orders, c.rules.started }
 
-// loseAll ends all controllers; they are back some time later, one after the other.
-func (c *coldWorld) loseAll(away, apart time.Duration) {
+// crashAllApart ends all controllers; they are back some time later, one after the other.
+func (c *coldWorld) crashAllApart(away, apart time.Duration) {
 	for i, n := range c.nodes {
 		n.crash(away + time.Duration(i)*apart)
 	}
@@ -71,9 +70,7 @@
 // expectKept checks that nothing was started, stopped or ordered in vain since the mark.
 func (c *coldWorld) expectKept(what string) {
 	c.t.Helper()
-	if n := c.rules.started - c.starts; n != 0 {
-		c.t.Errorf("%s: %d tasks were started", what, n)
-	}
+	c.expectStarts(c.t, c.starts, 0, what)
 	if starts, stops := c.ordered(needStart), c.ordered(needStop); starts+stops > 0 {
 		c.t.Errorf("%s: %d starts and %d stops were ordered", what, starts, stops)
 	}
@@ -101,9 +98,9 @@
 // finishBoth waits until both jobs are done and checks the rules.
 func (c *coldWorld) finishBoth() {
 	c.t.Helper()
-	c.waitFor(c.t, 400*time.Second, "both are done", func() bool { return c.gang.over && c.array.over })
+	c.waitUntilOver(c.t, 400*time.Second, c.gang, c.array)
 	c.Run(5 * time.Second)
-	c.check(c.t)
+	c.expectRulesHeld(c.t)
 }
 
 // TestColdRestartKeepsWork: all controllers are lost and back within the workers' lease,
@@ -126,7 +123,7 @@
 			for i, r := range play.earlier {
 				c.release[c.nodes[i].name] = r
 			}
-			c.loseAll(play.away, play.apart)
+			c.crashAllApart(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
 			if s.Reason != reconcile.EndAllKnown || s.Classes[reconcile.Matching] != 11 || s.Stored != 11 {
@@ -139,30 +136,28 @@
 	}
 }
 
-// TestColdRestartNewSessions: the controllers are away for longer than the workers' lease.
+// TestColdRestartBeyondLeaseStartsEachTaskOnce: the controllers are away for longer than the workers' lease.
 // Every task is started once again, and nothing is stopped.
-func TestColdRestartNewSessions(t *testing.T) {
+func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
-	c.loseAll(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
+	c.crashAllApart(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
 	c.Run(secs(c.shape.Workers.LeaseS) + 9*time.Second)
-	c.waitFor(t, 60*time.Second, "both run again", func() bool { return c.running(c.gang) && c.running(c.array) })
-	if n := c.rules.started - c.starts; n != 11 {
-		t.Errorf("%d starts for 11 tasks", n)
-	}
+	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
+	c.expectStarts(t, c.starts, 11, "for 11 tasks")
 	if n := c.ordered(needStop); n != 0 {
 		t.Errorf("%d stops", n)
 	}
 	c.finishBoth()
 }
 
-// TestColdRestartHalfReported: half of a gang's machines report much later than the
+// TestColdRestartHalfReportedGangIsNotBroken: half of a gang's machines report much later than the
 // others. It is not taken for broken.
-func TestColdRestartHalfReported(t *testing.T) {
+func TestColdRestartHalfReportedGangIsNotBroken(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 43, recovering())
-	c.loseAll(time.Second, 0)
-	late := c.rules.onAt["run-000001/0"].k
+	c.crashAllApart(time.Second, 0)
+	late := c.workerOf("run-000001", 0)
 	late.mute = true
 	c.after(14*time.Second, func() { late.mute = false })
 	c.Run(25 * time.Second)
@@ -170,66 +165,70 @@
 	c.finishBoth()
 }
 
-// TestColdRestartEndOfTask: an end that only the dead leader was told, or that was in a
+// TestColdRestartRecordsEndOfTaskOnce: an end that only the dead leader was told, or that was in a
 // transaction of its, is recorded once; the task is not started again.
-func TestColdRestartEndOfTask(t *testing.T) {
+func TestColdRestartRecordsEndOfTaskOnce(t *testing.T) {
 	t.Parallel()
-	for _, lost := range []bool{true, false} {
-		c := newColdWorld(t, 44, recovering())
-		short := c.submit(0, array("run-000003", 2), 6, 0, false)
-		c.waitFor(t, 20*time.Second, "it runs", func() bool { return c.running(short) })
-		if lost {
-			c.state.lose(1, false, 20*time.Second) // transactions are carried out late
-		} else {
-			c.state.outage(9 * time.Second)
-		}
-		c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.j.done[0] && short.j.done[1] })
-		c.Run(700 * time.Millisecond) // the leader has the reports
-		c.mark()
-		c.loseAll(2*time.Second, 0)
-		c.waitFor(t, 40*time.Second, "it is called done", func() bool { return short.over })
-		c.expectKept(fmt.Sprint("late transactions ", lost))
-		c.finishBoth()
+	for _, late := range []bool{true, false} {
+		t.Run(fmt.Sprint("late transactions ", late), func(t *testing.T) {
+			t.Parallel()
+			c := newColdWorld(t, 44, recovering())
+			short := c.submitRunning(t, 20*time.Second, array("run-000003", 2), 6)
+			if late {
+				c.store.delayTransactions(1, 20*time.Second)
+			} else {
+				c.store.outage(9 * time.Second)
+			}
+			c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.job.done[0] && short.job.done[1] })
+			c.Run(700 * time.Millisecond) // the leader has the reports
+			c.mark()
+
+			c.crashAllApart(2*time.Second, 0)
+
+			c.waitUntilOver(t, 40*time.Second, short)
+			c.expectKept("end of a task")
+			c.finishBoth()
+		})
 	}
 }
 
-// TestColdRestartCancelled: a cancellation that was confirmed the moment before the loss
+// TestColdRestartHoldsConfirmedCancellation: a cancellation that was confirmed the moment before the loss
 // takes effect in time, and nothing of the job starts again.
-func TestColdRestartCancelled(t *testing.T) {
+func TestColdRestartHoldsConfirmedCancellation(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 45, recovering())
 	c.array.cancel()
-	c.waitFor(t, 5*time.Second, "confirmed", func() bool { return c.array.over })
-	c.loseAll(3*time.Second, time.Second)
+	c.waitUntilOver(t, 5*time.Second, c.array)
+	c.crashAllApart(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Workers.CancelS) + time.Second)
-	if c.rules.late > 0 {
-		t.Errorf("%d starts after the cancellation", c.rules.late)
+	if c.rules.lateStarts > 0 {
+		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
 	}
 	c.finishBoth()
 }
 
-// TestColdRestartLateCopies: copies of reports from before reach the new leader before the
+// TestColdRestartLateCopiesStopNothing: copies of reports from before reach the new leader before the
 // workers do: they show tasks that have ended since, and lack those that run. They stop
 // nothing and prove nothing.
-func TestColdRestartLateCopies(t *testing.T) {
+func TestColdRestartLateCopiesStopNothing(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
-	waves.Team = "red" // whose limit has room for ten tasks at once
-	u := w.submit(0, waves, 25, 0, false)
-	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.use["red"] == 10 })
+	waves.Team = "red" // whose limit allows ten tasks at once
+	u := w.submit(arrival{job: waves, run: 25})
+	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
 	w.keep = true
 	w.Run(4 * time.Second)
 	w.keep = false
 	copies := w.kept
-	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.onAt["run-000009/11"] != nil && w.rules.use["red"] == 2 })
+	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldWorld{World: w, t: t, gang: u, array: u}
 	c.mark()
-	c.loseAll(time.Second, 0)
-	w.waitFor(t, 10*time.Second, "another leads", func() bool { return w.leader() != nil })
+	c.crashAllApart(time.Second, 0)
+	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
 		w.copyReport(w.leader(), body)
 	}
@@ -241,44 +240,43 @@
 	c.finishBoth()
 }
 
-// TestColdRestartNeverRecorded: a worker runs an attempt of a job that the records never
-// had. It is stopped, once, and takes room and place from nothing that is recorded. An
-// attempt that is on no record of a known job comes with a restored state service alone.
-func TestColdRestartNeverRecorded(t *testing.T) {
+// TestColdRestartStopsUnrecordedAttemptOnce: a worker runs an attempt of a job that the records never
+// had. It is stopped, once, and takes capacity and place from nothing that is recorded. An
+// attempt that is on no record of a known job comes with a restored key-value store alone.
+func TestColdRestartStopsUnrecordedAttemptOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
-	c.rules.jobs[ghost.ID] = &simJob{spec: ghost, run: 500, progress: []float64{0}, done: []bool{false}, gangs: map[protocol.AttemptNumber]*gang{}}
-	c.loseAll(4*time.Second, 0)
+	c.rules.jobs[ghost.ID] = newSimJob(ghost)
+	c.rules.jobs[ghost.ID].run = 500
+	c.crashAllApart(4*time.Second, 0)
 	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.mark()
 	c.Run(20 * time.Second)
-	if c.rules.onAt["run-000077/0"] != nil {
+	if c.rules.placed["run-000077/0"] != nil {
 		t.Error("the unknown job runs on")
 	}
 	if n := c.ordered(needStop); n != 1 {
 		t.Errorf("%d stops for one unknown attempt", n)
 	}
-	if n := c.rules.started - c.starts; n != 0 {
-		t.Errorf("%d starts", n)
-	}
+	c.expectStarts(t, c.starts, 0, "beside the unknown attempt")
 	c.finishBoth()
 }
 
-// TestColdRestartSecondLoss: the new leader, or the state service, is lost at every stage
+// TestColdRestartSecondLossStartsNothing: the new leader, or the key-value store, is lost at every stage
 // of the recovery. Nothing is started or stopped.
-func TestColdRestartSecondLoss(t *testing.T) {
+func TestColdRestartSecondLossStartsNothing(t *testing.T) {
 	t.Parallel()
 	for i := range 12 {
-		for _, state := range []bool{false, true} {
-			t.Run(fmt.Sprint("after ", i*400, " ms, state service ", state), func(t *testing.T) {
+		for _, loseStore := range []bool{false, true} {
+			t.Run(fmt.Sprint("after ", i*400, " ms, key-value store ", loseStore), func(t *testing.T) {
 				t.Parallel()
 				c := newColdWorld(t, uint64(48+i), recovering())
-				c.loseAll(time.Second, 300*time.Millisecond)
+				c.crashAllApart(time.Second, 300*time.Millisecond)
 				c.Run(time.Second + time.Duration(i)*400*time.Millisecond)
-				if state {
-					c.state.outage(4 * time.Second)
+				if loseStore {
+					c.store.outage(4 * time.Second)
 				} else if n := c.leader(); n != nil {
 					n.crash(time.Second)
 				} else {
@@ -292,21 +290,21 @@
 	}
 }
 
-// TestColdRestartDarkZone: a zone stays dark after the restart. New jobs start at once
+// TestColdRestartWithDarkZoneEndsAfterLeases: a zone stays dark after the restart. New jobs start at once
 // elsewhere, the recovery ends when its workers' leases have lapsed, and what ran there
 // starts again after that.
-func TestColdRestartDarkZone(t *testing.T) {
+func TestColdRestartWithDarkZoneEndsAfterLeases(t *testing.T) {
 	t.Parallel()
 	shape := recovering()
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
-	c.loseAll(time.Second, 0)
-	c.interrupt(130*time.Second, false, func(a, b string) bool { return (c.zoneOf[a] == "west") != (c.zoneOf[b] == "west") })
+	c.crashAllApart(time.Second, 0)
+	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
-	u := c.submit(0, fresh, 10, 0, false)
-	if took := c.waitFor(t, 15*time.Second, "a new job runs", func() bool { return c.running(u) }); took > 8*time.Second {
+	u := c.submit(arrival{job: fresh, run: 10})
+	if took := c.waitUntilRunning(t, 15*time.Second, u); took > 8*time.Second {
 		t.Errorf("a new job waits %v", took)
 	}
 	s := c.recovered(90 * time.Second)
@@ -314,102 +312,130 @@
 	c.finishBoth()
 }
 
-// TestRestoredStore: the state service comes back with the controllers in a state of some
+// storeRestore is a return of the key-value store to an earlier state.
+type storeRestore struct {
+	name  string
+	lacks protocol.Revision // revisions beyond those of the last seconds
+	hangs bool              // a worker with attempts that are on no record
+	wild  bool              // a worker holds a token beyond reason
+	keeps bool              // the workers go on
+}
+
+var storeRestores = []storeRestore{
+	{name: "seconds old", keeps: true},
+	{name: "a little more", lacks: 60, keeps: true},
+	{name: "long ago", lacks: 1_000_000},
+	{name: "a worker is silent", hangs: true},
+	{name: "a wild token", wild: true},
+}
+
+// TestRestoredStore: the key-value store comes back with the controllers in a state of some
 // seconds or of long before. Workers hold tokens that it never gave, and attempts that it
 // does not have. If the revision can be raised above the tokens in time all goes on, but
 // for what is on no record, which is stopped once; else the workers are returned and the
 // work starts on others. Nothing runs twice, and it is logged by name.
 func TestRestoredStore(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]struct {
-		lacks protocol.Revision // revisions beyond those of the last seconds
-		hangs bool              // a worker with attempts that are on no record
-		wild  bool              // a worker holds a token beyond reason
-		keeps bool              // the workers go on
-	}{
-		"seconds old":        {keeps: true},
-		"a little more":      {lacks: 60, keeps: true},
-		"long ago":           {lacks: 1_000_000},
-		"a worker is silent": {hangs: true},
-		"a wild token":       {wild: true},
-	} {
-		t.Run(name, func(t *testing.T) {
+	for _, restore := range storeRestores {
+		t.Run(restore.name, func(t *testing.T) {
 			t.Parallel()
 			shape := recovering()
 			shape.Capacity = 24
 			c := newColdWorld(t, 50, shape)
-			old := c.state.backup()
-			lost := c.submit(0, array("run-000008", 3), 60, 0, false)
-			later := c.submit(0, array("run-000007", 3), 60, 0, false)
-			c.waitFor(t, 30*time.Second, "later jobs run", func() bool { return c.running(lost) && c.running(later) })
-			c.Run(5 * time.Second)
-			c.state.revision += play.lacks
-			c.leader().crash(time.Second) // workers get the token of the next leader
-			c.Run(12 * time.Second)
-			c.loseAll(2*time.Second, 0)
-			c.Run(time.Second)
-			// The record of the later job was there before its places were.
-			e := old.keys["g/j/run-000002"]
-			e.Value = encode(pendingRecord(later.j.spec, c.Now))
-			e.Key = "g/j/run-000007"
-			old.keys[e.Key] = e
-			c.state.restore(old)
-			lost.left, later.left = true, true // what they were told is lost
-			c.mark()
+			later := c.restoreOlder(restore.lacks)
 			due := 3 // starts of the job whose places are lost
-			if play.wild {
-				k := c.rules.onAt["run-000008/0"].k
-				k.token = 1 << 60
-				due += c.tasksLostWith(k)
-				for _, other := range c.workers {
-					if other != k {
-						other.hang(6 * time.Second) // so that it is heard first
-					}
-				}
-				c.after(4*time.Second, k.noteChange)
+			if restore.wild {
+				due += c.giveWildToken(c.workerOf("run-000008", 0))
 			}
-			if play.hangs {
-				c.rules.onAt["run-000007/0"].k.hang(20 * time.Second)
+			if restore.hangs {
+				c.workerOf("run-000007", 0).hang(20 * time.Second)
 			}
+
 			c.Run(90 * time.Second)
-			if n := c.rules.started - c.starts; (play.keeps || play.wild) && n != due {
-				t.Errorf("%d starts, of which %d are due", n, due)
-			}
-			if n := c.ordered(needStop); play.keeps && n != 6 {
-				t.Errorf("%d stops for six attempts on no record", n)
-			}
-			if c.rules.onAt["run-000008/0"] != nil {
-				t.Error("a job that no record has runs on")
-			}
-			if c.leader() == nil {
-				t.Error("nobody leads")
-			}
+
+			c.expectRestored(restore, due)
 			c.Run(200 * time.Second)
-			for i, done := range later.j.done {
+			for i, done := range later.job.done {
 				if !done {
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.state.keys[storage.RestoredKey]; stays {
+			if _, stays := c.store.keys[storage.RestoredKey]; stays {
 				t.Error("the marker stays")
 			}
-			c.check(t)
+			c.expectRulesHeld(t)
 		})
 	}
 }
 
+// restoreOlder puts the store back while all controllers are away. Of the two jobs
+// submitted since, run-000008 is on no record then, and run-000007, which it returns,
+// has its record and no places.
+func (c *coldWorld) restoreOlder(lacks protocol.Revision) (later *user) {
+	c.t.Helper()
+	old := c.store.backup()
+	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
+	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
+	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
+	c.Run(5 * time.Second)
+	c.store.revision += lacks
+	c.leader().crash(time.Second) // workers get the token of the next leader
+	c.Run(12 * time.Second)
+	c.crashAllApart(2*time.Second, 0)
+	c.Run(time.Second)
+	// The record of the later job was there before its places were.
+	e := old.keys["g/j/run-000002"]
+	e.Value = encode(pendingRecord(later.job.spec, c.Now))
+	e.Key = "g/j/run-000007"
+	old.keys[e.Key] = e
+	c.store.restore(old)
+	lost.silent, later.silent = true, true // what they were told is lost
+	c.mark()
+	return later
+}
+
+// giveWildToken has a worker hold a token beyond reason, and be heard before all others. It
+// returns how many tasks of recorded jobs start again for it.
+func (c *coldWorld) giveWildToken(k *worker) int {
+	k.token = 1 << 60
+	for _, other := range c.workersInOrder() {
+		if other != k {
+			other.hang(6 * time.Second)
+		}
+	}
+	c.after(4*time.Second, k.noteChange)
+	return c.tasksLostWith(k)
+}
+
+// expectRestored checks what was started and stopped after the store came back.
+func (c *coldWorld) expectRestored(restore storeRestore, due int) {
+	c.t.Helper()
+	if restore.keeps || restore.wild {
+		c.expectStarts(c.t, c.starts, due, "after the return of the store")
+	}
+	if n := c.ordered(needStop); restore.keeps && n != 6 {
+		c.t.Errorf("%d stops for six attempts on no record", n)
+	}
+	if c.rules.placed["run-000008/0"] != nil {
+		c.t.Error("a job that no record has runs on")
+	}
+	if c.leader() == nil {
+		c.t.Error("nobody leads")
+	}
+}
+
 // tasksLostWith counts the tasks of the recorded jobs that start again if a worker is lost: a
 // gang's all together.
 func (c *coldWorld) tasksLostWith(k *worker) (n int) {
 	for _, u := range []*user{c.gang, c.array} {
 		on := 0
-		for i := range u.j.spec.Tasks {
-			if c.rules.onAt[protocol.TaskName(u.j.spec.ID, i)].k == k {
+		for i := range u.job.spec.Tasks {
+			if c.workerOf(u.job.spec.ID, i) == k {
 				on++
 			}
 		}
 		if on > 0 && u == c.gang {
-			on = u.j.spec.Tasks
+			on = u.job.spec.Tasks
 		}
 		n += on
 	}
@@ -421,10 +447,10 @@
 	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
 }
 
-// TestColdRestartBadRecords: a job's record that cannot be read, one of a later version, and a
+// TestColdRestartLeavesBadRecordsAlone: a job's record that cannot be read, one of a later version, and a
 // damaged machine record leave what they name alone: it runs on, the rest goes its way, a
 // new job starts and the recovery ends.
-func TestColdRestartBadRecords(t *testing.T) {
+func TestColdRestartLeavesBadRecordsAlone(t *testing.T) {
 	t.Parallel()
 	for name, value := range map[string]string{"damaged": `{"w":"x","spec":7}`, "later version": `{"w":"x","v":9}`, "empty": `null`} {
 		t.Run(name, func(t *testing.T) {
@@ -432,25 +458,25 @@
 			shape := recovering()
 			shape.Machines = 8
 			c := newColdWorld(t, 51, shape)
-			c.gang.left = true // its user would get no answer
-			c.loseAll(3*time.Second, 0)
+			c.gang.silent = true // its user would get no answer
+			c.crashAllApart(3*time.Second, 0)
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
 			c.Run(4 * time.Second)
-			u := c.submit(0, array("run-000006", 2), 10, 0, false)
-			c.waitFor(t, 30*time.Second, "a new job is done", func() bool { return u.over })
+			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
+			c.waitUntilOver(t, 30*time.Second, u)
 			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
 				t.Error("what ran does not go on")
 			}
-			c.check(t)
+			c.expectRulesHeld(t)
 		})
 	}
 }
 
 // damage writes a value that makes no sense under a key.
 func (w *World) damage(key, value string) {
-	w.state.apply([]protocol.Change{{Set: key, Value: []byte(value)}})
+	w.store.apply([]protocol.Change{{Set: key, Value: []byte(value)}})
 }
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -18,7 +18,7 @@
 
 // Live runs a world's stand-ins in real time on loopback, for controllers that are
 // processes or owners of their own: every worker has an address, reports by HTTP and is
-// called by HTTP, as the state service, the cloud and the users are.
+// called by HTTP, as the key-value store, the cloud and the users are.
 type Live struct {
 	mu      sync.Mutex
 	w       *World
@@ -38,10 +38,10 @@
 // NewLive makes a world whose controllers are elsewhere. Its workers are logged.
 func NewLive(seed uint64, shape Shape) *Live {
 	v := &Live{peers: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.state = v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
-		v.w.state.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
+	v.state = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
+		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
 	})
-	v.cloud = v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
+	v.cloud = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, answer)
 	})
 	v.w = newWorld(seed, nil, shape, v)
@@ -86,6 +86,7 @@
 	do(v.w)
 }
 
+// run carries out what is due until the world is closed.
 func (v *Live) run(ctx context.Context) {
 	tick := time.NewTicker(liveTick)
 	defer tick.Stop()
@@ -101,7 +102,7 @@
 
 // serve starts a server on loopback whose requests are answered by a stand-in, at once
 // or later.
-func (v *Live) serve(handle func(r *http.Request, body []byte, answer func(int, []byte))) *httptest.Server {
+func (v *Live) serve(handle func(r *http.Request, body []byte, answer answerFunc)) *httptest.Server {
 	type reply struct {
 		status int
 		body   []byte
@@ -133,7 +134,7 @@
 
 // address gives a machine its worker's address.
 func (v *Live) address(id protocol.MachineID) string {
-	s := v.serve(func(r *http.Request, body []byte, answer func(int, []byte)) {
+	s := v.serve(func(r *http.Request, body []byte, answer answerFunc) {
 		if k := v.w.workers[id]; k != nil {
 			k.serve(r.Method, r.URL.Path, body, answer)
 		}
@@ -142,7 +143,7 @@
 }
 
 // ask sends a user's or worker's request to a controller.
-func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done func(status int, body []byte)) {
+func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done answerFunc) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
 	case coordination.AgentHeartbeat:
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -5,35 +5,32 @@
 	"testing"
 	"time"
 
-	"github.com/gappond/gappond/internal/coordination"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestSlowControllers plays days of controllers that take time for what they do,
+// TestSlowControllersKeepLeaseUnderLoad plays days of controllers that take time for what they do,
 // on 1.8% of a core each and with half as many machines again as the deployment
 // of such controllers has: a crowd of jobs, a flood of questions, and the loss of
 // one controller and then of all. Every rule holds, everybody is served, and a
 // leader loses its leader lease to nothing but its own end.
-func TestSlowControllers(t *testing.T) {
+func TestSlowControllersKeepLeaseUnderLoad(t *testing.T) {
 	t.Parallel()
-	shape := weakest()
+	shape := smallestBudgets()
 	shape.Slow = true
 	shape.Capacity = 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(seed, logs(), shape)
-			w.Run(3 * time.Second)
+			w := startWorld(seed, shape, 3*time.Second)
 			terms := w.terms()
-			w.crowd(60, 100*time.Second)
+			w.submitCrowd(60, 100*time.Second)
 			// Users ask about jobs that nobody submitted, fifty a second.
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
-					job := fmt.Sprintf("run-%06d", 900_000+i)
-					c.ask(func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: protocol.JobID(job)} }, func(status int, _ []byte) {
+					c.ask(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
@@ -42,19 +39,17 @@
 			}
 			w.Run(60 * time.Second)
 			if got := w.terms(); got != terms {
-				t.Errorf("the claim was lost to load: revision %d, then %d", terms, got)
+				t.Errorf("the leader lease was lost to load: revision %d, then %d", terms, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
-			for _, c := range w.nodes {
-				c.crash(4 * time.Second)
-			}
+			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
 			terms = w.terms()
 			w.faultsOver = w.Now
-			w.finish(t, 700*time.Second)
+			w.finishDay(t, 700*time.Second)
 			if got := w.terms(); got != terms {
-				t.Errorf("the claim was lost after the troubles: revision %d, then %d", terms, got)
+				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
 			for _, c := range w.nodes {
 				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
@@ -64,4 +59,4 @@
 }
 
 // terms is the revision of the leader lease that stands.
-func (w *World) terms() protocol.Revision { return w.state.keys[storage.LeaderKey].Revision }
+func (w *World) terms() protocol.Revision { return w.store.keys[storage.LeaderKey].Revision }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,7 +10,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// lowered is the shape of a deployment whose state service will lower its limits.
+// lowered is the shape of a deployment whose key-value store will lower its limits.
 func lowered(s Shape, writes float64, ops int) Shape {
 	s.Lowered = &config.StoreLimits{RPS: s.State.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
@@ -45,7 +44,7 @@
 			t.Parallel()
 			w := newUpgradeWorld(seed)
 			w.playUpgrade(seed%3 > 0)
-			w.check(t)
+			w.expectRulesHeld(t)
 		})
 	}
 }
@@ -69,29 +68,29 @@
 // playUpgrade lets the controllers be replaced amid work, with faults or without, and the
 // limits be lowered, until all is over.
 func (w *World) playUpgrade(faults bool) {
-	w.load(12, 100*time.Second)
+	w.submitMixedJobs(12, 100*time.Second)
 	for i := range 4 {
-		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 60+w.rng.IntN(90))
-		spec.GPUs, spec.CPUs, spec.MemoryGB, spec.Spot = 0.25, 1, 5, true
-		w.submit(w.between(0, 50*time.Second), spec, 20+60*w.rng.Float64(), 0, false)
-		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 16+w.rng.IntN(8))
-		g.OneZone, g.CheckpointS, g.SaveS = true, 10, 2
-		w.submit(w.between(0, 80*time.Second), g, 30, 0, false)
+		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
+		perTask(spec, 1, 0.25, 5).Spot = true
+		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, run: 20 + 60*w.rng.Float64()})
+		g := gangJob(jobID(600010+i), 16+w.rng.IntN(8))
+		checkpointed(g, 10, 2).OneZone = true
+		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, run: 30})
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
-		w.every(9*time.Second, 8, func(int) { w.log.Info("trouble", "what", w.injectFault()) })
+		w.every(9*time.Second, 8, func(int) { w.injectFault() })
 	}
 	w.upgrade(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.state.lower()
+	w.store.lower()
 	w.Run(40 * time.Second)
-	w.replace(300 * time.Millisecond)
+	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
 	w.faultsOver = w.Now
 	w.healWorkers()
-	w.left()
-	w.end()
+	w.watchWaitingJobs()
+	w.runUntilOver()
 }
 
 // healWorkers lets sick machines work again.
@@ -101,13 +100,13 @@
 	}
 }
 
-// TestLoweredLimits: records that version 0.2 wrote are split once all know
+// TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all know
 // the new form, by transactions within the lowered limits, also when these come
 // while a new leader has yet to hear from its peers; a thousand machines' room
 // records are as well, and no machine is forgotten on the way.
-func TestLoweredLimits(t *testing.T) {
+func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
-	shape := lowered(grown(), 21, 8)
+	shape := lowered(thousandMachines(), 21, 8)
 	shape.State.TxnOps = 24
 	w := NewShaped(77, logs(), shape)
 	for _, c := range w.nodes {
@@ -115,14 +114,12 @@
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	w.crowd(60, 30*time.Second)
+	w.submitCrowd(60, 30*time.Second)
 	for i := range 5 {
-		spec := array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 150)
-		spec.Team, spec.Class, spec.Priority = "team-0", "array", "idle"
-		w.submit(0, spec, 150, 0, false)
-		g := gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 32)
-		g.Team, g.Class, g.Priority, g.GPUs, g.CPUs, g.MemoryGB, g.OneZone = "team-1", "gang", "high", 2, 20, 110, true
-		w.submit(0, g, 100, 0, false)
+		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
+		w.submit(arrival{job: spec, run: 150})
+		g := queued(largeGang(jobID(600010+i)), "gang", "team-1", "high")
+		w.submit(arrival{job: g, run: 100})
 	}
 	w.Run(60 * time.Second)
 	starts, before := w.rules.started, w.gangTasksStartedAgain()
@@ -132,18 +129,16 @@
 		w.Run(9 * time.Second)
 	}
 	w.Run(12 * time.Second)
-	for key, e := range w.state.keys {
+	for key, e := range w.store.keys {
 		if len(e.Value) > 2048 {
 			t.Errorf("%s still has %d bytes", key, len(e.Value))
 		}
 	}
-	w.state.lower()
-	for _, c := range w.nodes {
-		c.crash(time.Second)
-	}
+	w.store.lower()
+	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
-	w.finish(t, 500*time.Second)
+	w.finishDay(t, 500*time.Second)
 	again := w.gangTasksStartedAgain() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
 	if again > 0 {
@@ -177,20 +172,20 @@
 	}
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
-	spec.GPUs, spec.CPUs, spec.MemoryGB = 0.5, 2, 10
-	u := w.submit(0, spec, 60, 0, false)
+	perTask(spec, 2, 0.5, 10)
+	u := w.submit(arrival{job: spec, run: 60})
 	g := gangJob("run-600001", 20)
-	v := w.submit(5*time.Second, g, 40, 0, false)
-	off := w.submit(5*time.Second, func() *protocol.Job { spec := array("run-600002", 120); spec.GPUs, spec.CPUs = 0.25, 1; return spec }(), 500, 55*time.Second, false)
+	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
+	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.state.lower()
+	w.store.lower()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
 	}
-	w.waitFor(t, 300*time.Second, "all are over", func() bool { return u.over && v.over && off.over })
+	w.waitUntilOver(t, 300*time.Second, u, v, cancelled)
 	w.Run(80 * time.Second)
-	w.check(t)
+	w.expectRulesHeld(t)
 }
 
 // wide is a job whose description takes most of a record's lowered size.
@@ -210,52 +205,52 @@
 	{"after the upgrade", release02, func(w *World) {
 		w.upgrade(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.state.lower()
+		w.store.lower()
 	}},
 	{"after the upgrade, all records untouched", release03, func(w *World) {
 		w.upgrade(time.Second)
-		w.state.lower()
+		w.store.lower()
 	}},
 	{"in the middle of the upgrade", release03, func(w *World) {
 		w.upgrade(10 * time.Second)
-		w.after(14*time.Second, w.state.lower)
+		w.after(14*time.Second, w.store.lower)
 	}},
 	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
 		w.upgrade(5 * time.Second)
-		w.after(6*time.Second, w.state.lower)
+		w.after(6*time.Second, w.store.lower)
 	}},
 	{"in a takeover", release02, func(w *World) {
 		w.upgrade(time.Second)
 		w.Run(8 * time.Second)
-		w.state.lower()
-		w.replace(300 * time.Millisecond)
-		w.after(3*time.Second, func() { w.replace(200 * time.Millisecond) })
-		w.after(4*time.Second, func() { w.replace(200 * time.Millisecond) })
+		w.store.lower()
+		w.crashLeader(300 * time.Millisecond)
+		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
+		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 	}},
-	{"while the state service is slow", release02, func(w *World) {
+	{"while the key-value store is slow", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.state.slow = 400 * time.Millisecond
-		w.state.lower()
-		w.after(25*time.Second, func() { w.state.slow = 0 })
+		w.store.slow = 400 * time.Millisecond
+		w.store.lower()
+		w.after(25*time.Second, func() { w.store.slow = 0 })
 	}},
 	{"in an outage", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.state.outage(12 * time.Second)
-		w.after(6*time.Second, w.state.lower)
+		w.store.outage(12 * time.Second)
+		w.after(6*time.Second, w.store.lower)
 	}},
 	{"answers are lost", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.state.lower()
-		w.state.lose(0.3, true, 20*time.Second)
+		w.store.lower()
+		w.store.loseAnswers(0.3, 20*time.Second)
 	}},
 }
 
 // TestLimitsLoweredFar: the limits fall to a sixteenth at a stroke, so that a record
 // needs more parts than a transaction has changes. They fall in the middle of an
-// upgrade, in a takeover, or while the state service is slow or absent. Every rule
+// upgrade, in a takeover, or while the key-value store is slow or absent. Every rule
 // holds, nothing is refused twice, and all that is there runs to its end.
 func TestLimitsLoweredFar(t *testing.T) {
 	t.Parallel()
@@ -276,10 +271,10 @@
 	c.play(w)
 	w.Run(60 * time.Second)
 	w.faultsOver = w.Now
-	w.waitFor(t, 400*time.Second, "all are over", func() bool { return !slices.ContainsFunc(users, func(u *user) bool { return !u.over }) })
+	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.state.tooLarge, w.rules.started)
-	w.check(t)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	w.expectRulesHeld(t)
 }
 
 // newWorld is a world of the earlier version whose records may be large.
@@ -299,12 +294,12 @@
 func (w *World) submitWide() (users []*user) {
 	w.Run(5 * time.Second)
 	for i := range 3 {
-		a := wide(array(protocol.JobID(fmt.Sprintf("run-60000%d", i)), 98))
-		a.GPUs, a.CPUs, a.MemoryGB = 0, 1, 0.5
-		users = append(users, w.submit(0, a, 60+30*w.rng.Float64(), 0, false))
-		g := wide(gangJob(protocol.JobID(fmt.Sprintf("run-60001%d", i)), 40))
-		g.GPUs, g.CPUs, g.MemoryGB, g.CheckpointS, g.SaveS = 0, 1, 0.5, 20, 2
-		users = append(users, w.submit(0, g, 50+30*w.rng.Float64(), 0, false))
+		a := wide(array(jobID(600000+i), 98))
+		perTask(a, 1, 0, 0.5)
+		users = append(users, w.submit(arrival{job: a, run: 60 + 30*w.rng.Float64()}))
+		g := wide(gangJob(jobID(600010+i), 40))
+		checkpointed(perTask(g, 1, 0, 0.5), 20, 2)
+		users = append(users, w.submit(arrival{job: g, run: 50 + 30*w.rng.Float64()}))
 	}
 	w.Run(30 * time.Second)
 	return users
