--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -86,7 +86,7 @@
 	// One owner does nearly all the work, on a share of one core.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
-	if mb := cfg.Cluster.Resources.MemoryMB; mb > 0 {
+	if mb := cfg.Cluster.Process.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * tuning.GCMemoryShare * (1 << 20)))
 	}
 	seed, bootID, err := newBoot()
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -142,17 +142,17 @@
 	}
 	found.amount("cluster.skew_ms", k.SkewMs)
 	found.teams(k.Teams)
-	found.agentTimings(k.Workers)
-	found.storeLimits("cluster.state", k.State)
-	if k.State.Next != nil {
-		found.storeLimits("cluster.state.next", k.State.Smallest())
+	found.agentTimings(k.Agents)
+	found.storeLimits("cluster.state", k.Store)
+	if k.Store.Next != nil {
+		found.storeLimits("cluster.state.next", k.Store.Smallest())
 	}
 	found.positive("cluster.cloud.rps", k.Cloud.RPS)
 	found.amount("cluster.cloud.list_lag_s", k.Cloud.ListLagS)
-	found.amount("cluster.resources.cores", k.Resources.Cores)
-	found.amount("cluster.resources.memory_mb", k.Resources.MemoryMB)
-	if k.Resources.FDLimit < 0 {
-		found.add("cluster.resources.fd_limit", k.Resources.FDLimit, problemNegative)
+	found.amount("cluster.resources.cores", k.Process.Cores)
+	found.amount("cluster.resources.memory_mb", k.Process.MemoryMB)
+	if k.Process.FDLimit < 0 {
+		found.add("cluster.resources.fd_limit", k.Process.FDLimit, problemNegative)
 	}
 	return found.err()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,13 +45,13 @@
 	SkewMs     float64             `toml:"skew_ms"`
 	Teams      []Team              `toml:"teams"`
 	Objectives []Objective         `toml:"objectives"`
-	Workers    AgentTimings        `toml:"workers"`
+	Agents     AgentTimings        `toml:"workers"`
 	// State holds the tightest limits of the store that are known; Present
 	// those that it has now, where they are others.
-	State     StoreLimits   `toml:"state"`
-	Present   *StoreLimits  `toml:"-"`
-	Cloud     CloudLimits   `toml:"cloud"`
-	Resources ProcessLimits `toml:"resources"`
+	Store   StoreLimits   `toml:"state"`
+	Present *StoreLimits  `toml:"-"`
+	Cloud   CloudLimits   `toml:"cloud"`
+	Process ProcessLimits `toml:"resources"`
 }
 
 // Endpoints are the outside systems' addresses.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n0" || c.Peers[0].Addr != "127.0.0.2:8081" || c.Cluster.Teams[0].MaxGPUs != 24 || c.Cluster.State.TxnOps != 24 {
+	if c.Name != "n0" || c.Peers[0].Addr != "127.0.0.2:8081" || c.Cluster.Teams[0].MaxGPUs != 24 || c.Cluster.Store.TxnOps != 24 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n0" || c.Cluster.Workers.CancelS != 51 || !c.Operator.RecoveryPhase {
+	if c.Name != "n0" || c.Cluster.Agents.CancelS != 51 || !c.Operator.RecoveryPhase {
 		t.Errorf("%+v", c)
 	}
 }
@@ -143,10 +143,10 @@
 		if err != nil {
 			t.Fatalf("%q: %v", next, err)
 		}
-		if got := c.Cluster.State.Smallest(); got != want {
+		if got := c.Cluster.Store.Smallest(); got != want {
 			t.Errorf("%q: %+v", next, got)
 		}
-		if got := c.Cluster.StateNow(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
+		if got := c.Cluster.StoreNow(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
 			t.Errorf("%q: %+v now", next, got)
 		}
 	}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -44,8 +44,8 @@
 	if err := c.check(); err != nil {
 		return c, err
 	}
-	if present := c.Cluster.State; present.Next != nil {
-		c.Cluster.Present, c.Cluster.State = &present, present.Smallest()
+	if present := c.Cluster.Store; present.Next != nil {
+		c.Cluster.Present, c.Cluster.Store = &present, present.Smallest()
 	}
 	return c, nil
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// StateNow holds the limits that the store has before they are lowered.
-func (c *Cluster) StateNow() StoreLimits {
+// StoreNow holds the limits that the store has before they are lowered.
+func (c *Cluster) StoreNow() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
 	}
-	return c.State
+	return c.Store
 }
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -219,7 +219,7 @@
 	start := l.state.Now()
 	machine, job := l.state.EnsureMachine("i-1", "h:1", "big", "a", false), l.job(protocol.ShapeGang, 1)
 	l.recordPlace(job, machine)
-	lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
+	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 1 {
@@ -259,7 +259,7 @@
 func TestAgentThatOnlyAnswersCallsTakesNoWork(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
-	for range int(config.Seconds(l.state.Config.Cluster.Workers.LeaseS) / time.Second) {
+	for range int(config.Seconds(l.state.Config.Cluster.Agents.LeaseS) / time.Second) {
 		l.state.Advance(time.Second)
 		l.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: heartbeat(machine, testTerm)})
 	}
@@ -299,7 +299,7 @@
 			}
 			return n
 		}
-		lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
+		lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 		if n := returned(lease); n != c.returned {
 			t.Errorf("%d silent: %d returned within the lease", c.silent, n)
 		}
@@ -321,7 +321,7 @@
 		if len(job.Attempts) != 1 || machine.Deleting || len(l.logged) != 1 {
 			t.Fatalf("%d attempts, deleting %v, %d logged", len(job.Attempts), machine.Deleting, len(l.logged))
 		}
-		l.state.Advance(config.Seconds(l.state.Config.Cluster.Workers.LeaseS / 4.9))
+		l.state.Advance(config.Seconds(l.state.Config.Cluster.Agents.LeaseS / 4.9))
 	}
 	l.accept(t, heartbeat(machine, testTerm, nonsense))
 	if !machine.Deleting {
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -70,7 +70,7 @@
 }
 
 func (c *Calls) maxInFlight() int {
-	return max(tuning.MinConcurrentAgentCalls, int(float64(c.state.Config.Cluster.Resources.FDLimit)*tuning.AgentCallConnectionShare))
+	return max(tuning.MinConcurrentAgentCalls, int(float64(c.state.Config.Cluster.Process.FDLimit)*tuning.AgentCallConnectionShare))
 }
 
 func (c *Calls) within(inFlight int, tokens float64) bool {
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -49,7 +49,7 @@
 	if machine.Agent.AnsweredAt.After(from) {
 		from = machine.Agent.AnsweredAt
 	}
-	lease := config.Seconds(l.state.Config.Cluster.Workers.LeaseS)
+	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	return from.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
 }
 
@@ -148,7 +148,7 @@
 // given no more time than the way to a controller that forwards its heartbeats takes.
 func (l *Liveness) patienceBehindPartition(hasReplicas bool) time.Duration {
 	if hasReplicas {
-		interval := config.Seconds(l.state.Config.Cluster.Workers.ReportS * tuning.MaxHeartbeatIntervalFactor)
+		interval := config.Seconds(l.state.Config.Cluster.Agents.ReportS * tuning.MaxHeartbeatIntervalFactor)
 		return max(l.state.ReplicaSilenceTimeout(), interval+tuning.HeartbeatRerouteTime)
 	}
 	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -186,7 +186,7 @@
 		machine.Agent.UnreadableSince = time.Time{}
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = h.state.Now()
-	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Workers.LeaseS):
+	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Agents.LeaseS):
 		h.fleet.DeleteMachine(machine, "its heartbeats cannot be read")
 	}
 }
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -38,9 +38,9 @@
 	t.Helper()
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"},
-		Teams:   []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
-		Workers: config.AgentTimings{CancelS: 49},
-		State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}}
+		Teams:  []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
+		Agents: config.AgentTimings{CancelS: 49},
+		Store:  config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}}
 	big := &protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 	c := &controller{now: time.Unix(1_800_000_000, 0)}
 	mirror := &storage.Mirror{}
@@ -241,7 +241,7 @@
 	if got := c.ConfirmedCancellations(); !slices.Equal(got, []protocol.JobID{spec.ID}) {
 		t.Errorf("confirmed: %v", got)
 	}
-	c.now = c.now.Add(2 * config.Seconds(c.cfg.Cluster.Workers.CancelS))
+	c.now = c.now.Add(2 * config.Seconds(c.cfg.Cluster.Agents.CancelS))
 	if got := c.ConfirmedCancellations(); len(got) > 0 {
 		t.Errorf("still kept: %v", got)
 	}
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -50,7 +50,7 @@
 
 // expireConfirmed drops the cancellations that have taken effect.
 func (s *Service) expireConfirmed() {
-	now, effective := s.env.Now(), config.WithClockDrift(config.Seconds(s.cfg.Cluster.Workers.CancelS))
+	now, effective := s.env.Now(), config.WithClockDrift(config.Seconds(s.cfg.Cluster.Agents.CancelS))
 	for jobID, at := range s.confirmed.jobs {
 		if now.Sub(at) > effective {
 			delete(s.confirmed.jobs, jobID)
--- a/internal/coordination/api/runnable.go
+++ b/internal/coordination/api/runnable.go
@@ -11,7 +11,7 @@
 
 // unrunnableReason says why a job can never run, or "".
 func (s *Service) unrunnableReason(spec *protocol.Job) string {
-	if !storage.Storable(s.cfg.Cluster.State.ValueKB, spec) {
+	if !storage.Storable(s.cfg.Cluster.Store.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
 	teams := s.cfg.Cluster.Teams
--- a/internal/coordination/api/status_query.go
+++ b/internal/coordination/api/status_query.go
@@ -64,7 +64,7 @@
 }
 
 func (s *Service) addQuery(query statusQuery) {
-	resources := s.cfg.Cluster.Resources
+	resources := s.cfg.Cluster.Process
 	if len(s.queries) >= resources.UserRequests() {
 		s.shedLoad(query.requestID)
 		return
@@ -82,7 +82,7 @@
 	if len(s.queries) == 0 {
 		return
 	}
-	limit := s.cfg.Cluster.State.TxnOps * kv.ConditionsPerChange
+	limit := s.cfg.Cluster.Store.TxnOps * kv.ConditionsPerChange
 	if s.env.Now().Before(s.checkAt) && len(s.queries) < limit {
 		return
 	}
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submission.go
@@ -50,7 +50,7 @@
 // submissionTxn is the transaction that makes a submission durable: the job must be
 // unknown, finished or not.
 func (s *Service) submissionTxn(spec *protocol.Job) []byte {
-	limits := s.cfg.Cluster.State
+	limits := s.cfg.Cluster.Store
 	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
 		RecordTasks: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
 	return storage.Encode(protocol.Transaction{
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -24,7 +24,7 @@
 	budget := func(limit float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(limit), max(burst, int(limit)))
 	}
-	nodes, state := float64(len(cfg.Peers)+1), cfg.Cluster.State
+	nodes, state := float64(len(cfg.Peers)+1), cfg.Cluster.Store
 	return storeBudgets{
 		calls:  budget(state.RPS*tuning.RequestBudgetShare/nodes, 1),
 		writes: budget(state.WriteRPS*tuning.WriteBudgetShare, 2),
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -34,12 +34,12 @@
 	if machine.Agent.AnsweredAt.After(from) {
 		from = machine.Agent.AnsweredAt
 	}
-	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Workers.LeaseS/2)
+	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Agents.LeaseS/2)
 }
 
 // SilenceTimeout is how long an agent may be silent before it is probed.
 func (st *State) SilenceTimeout() time.Duration {
-	return max(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.SilenceIntervals), tuning.MinSilenceTimeout)
+	return max(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.SilenceIntervals), tuning.MinSilenceTimeout)
 }
 
 // silenceCount counts the machines of a zone, or of all, and how many of them are silent.
@@ -116,7 +116,7 @@
 
 // ReplicaSilenceTimeout is how long such a machine may be silent before it is probed.
 func (st *State) ReplicaSilenceTimeout() time.Duration {
-	return min(config.Seconds(st.Config.Cluster.Workers.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
+	return min(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
 }
 
 // SomeZoneSilent says whether machines of some zone are missed at the same time.
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -38,10 +38,10 @@
 	c := &Cluster{now: time.Unix(1_800_000_000, 0)}
 	settings := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	settings.Cluster = config.Cluster{
-		Zones:   []protocol.ZoneName{"a", "b", "c"},
-		Teams:   []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: LimitedTeamGPUs, GPUs: 2}},
-		Workers: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-		Cloud:   config.CloudLimits{RPS: 6, ListLagS: 6},
+		Zones:  []protocol.ZoneName{"a", "b", "c"},
+		Teams:  []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: LimitedTeamGPUs, GPUs: 2}},
+		Agents: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+		Cloud:  config.CloudLimits{RPS: 6, ListLagS: 6},
 	}
 	types := map[protocol.MachineTypeName]*protocol.MachineType{BigType.Name: &BigType, SmallType.Name: &SmallType}
 	c.State = cluster.NewState(settings, types, func() time.Time { return c.now })
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -110,7 +110,7 @@
 func newLeader(store *testStore, limits config.StoreLimits, peerLevel uint64) *leader {
 	l := &leader{Cluster: clustertest.New(), store: store, peerLevel: peerLevel, peerUp: true, reads: map[string]func(kv.GetResult){}}
 	settings := &l.Config.Cluster
-	settings.State = limits
+	settings.Store = limits
 	if limits != wideLimits {
 		present := wideLimits
 		settings.Present = &present
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -23,12 +23,12 @@
 }
 
 // configured are the limits that hold once they are lowered.
-func (kl *KnownLimits) configured() config.StoreLimits { return kl.settings.Cluster.State }
+func (kl *KnownLimits) configured() config.StoreLimits { return kl.settings.Cluster.Store }
 
 // present are the limits of today.
-func (kl *KnownLimits) present() config.StoreLimits { return kl.settings.Cluster.StateNow() }
+func (kl *KnownLimits) present() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
 
 // rejects says whether the store is known to reject a value of that size.
 func (kl *KnownLimits) rejects(bytes int) bool {
-	return kl.lowered && float64(bytes) > kl.settings.Cluster.State.ValueKB*1024
+	return kl.lowered && float64(bytes) > kl.settings.Cluster.Store.ValueKB*1024
 }
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -66,7 +66,7 @@
 }
 
 func (mr *MachineRecords) capacity() int {
-	return storage.MachineRecordCapacity(mr.state.Config.Cluster.State.ValueKB)
+	return storage.MachineRecordCapacity(mr.state.Config.Cluster.Store.ValueKB)
 }
 
 // Remove takes a machine that is gone out of its record.
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -11,14 +11,14 @@
 // heartbeats: as long as an agent that it kept alive is still gone before the
 // time in which a cancellation must take effect.
 func (e *Election) Grace() time.Duration {
-	w := e.cfg.Cluster.Workers
+	w := e.cfg.Cluster.Agents
 	grace := config.Seconds(w.CancelS-w.LeaseS) - tuning.AuthorityMargin - e.failoverTime()
 	return min(max(grace, 0), tuning.MaxLeaderGrace)
 }
 
 // failoverTime is how long a failover takes on this controller's share of a core.
 func (e *Election) failoverTime() time.Duration {
-	return min(e.cfg.Cluster.Resources.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
+	return min(e.cfg.Cluster.Process.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
 }
 
 // TTL is how long the leader lease outlives its last renewal.
@@ -29,7 +29,7 @@
 // keeps that agent's tasks for a lease: a cancellation that somebody confirmed
 // the moment after it last knew must have taken effect by then.
 func (e *Election) authority() time.Duration {
-	w := e.cfg.Cluster.Workers
+	w := e.cfg.Cluster.Agents
 	bound := config.Seconds(w.CancelS) - config.WithClockDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(e.TTL()+e.Grace(), max(bound, 0))
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -39,8 +39,8 @@
 func newController(t *testing.T, cores float64, peers int) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
-	cfg.Cluster.Workers = config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}
-	cfg.Cluster.Resources.Cores = cores
+	cfg.Cluster.Agents = config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49}
+	cfg.Cluster.Process.Cores = cores
 	c := &controller{now: time.Unix(1_800_000_000, 0), peerCount: peers}
 	c.Election = New(cfg, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)), kv.New(c), c, c, c)
 	return c
@@ -102,7 +102,7 @@
 func TestAuthorityIsBounded(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
-		w := c.cfg.Cluster.Workers
+		w := c.cfg.Cluster.Agents
 		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -33,7 +33,7 @@
 func TestTakeoverIsPaced(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
-	n.cfg.Cluster.Resources = bigResources
+	n.cfg.Cluster.Process = bigResources
 	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
@@ -78,7 +78,7 @@
 // calls are left for orders.
 func TestOrdersBeforeProbes(t *testing.T) {
 	l := fullFleet(0)
-	l.n.cfg.Cluster.Resources = bigResources
+	l.n.cfg.Cluster.Process = bigResources
 	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
@@ -106,7 +106,7 @@
 		t.Error("no worker may be called")
 	}
 	n := l.n
-	n.cfg.Cluster.State.WriteRPS = 2
+	n.cfg.Cluster.Store.WriteRPS = 2
 	n.budgets = newStoreBudgets(n.cfg)
 	job := l.testJob(gangOf(1, 1))
 	l.lifecycle.MarkDone(job, 0)
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -28,8 +28,8 @@
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
-		Workers: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-		State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6}}
+		Agents: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+		Store:  config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6}}
 	n := New(cfg, slog.New(slog.DiscardHandler), 1, "boot")
 	n.now = now
 	n.machineTypes.byName["big"], n.machineTypes.byName["small"] = &bigType, &smallType
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -37,7 +37,7 @@
 
 func newTestLeader() *testLeader {
 	l := &testLeader{Cluster: clustertest.New()}
-	l.Config.Cluster.State.ValueKB = 8
+	l.Config.Cluster.Store.ValueKB = 8
 	log := slog.New(slog.DiscardHandler)
 	l.committer = commit.New(commit.Dependencies{State: l.State, Limits: commit.NewKnownLimits(l.Config), Log: log})
 	l.loader = loader.New(l.State, l.committer, l, log)
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -31,7 +31,7 @@
 
 	next := testLeader(l.n.now)
 	for _, c := range txn.Changes {
-		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.State.ValueKB*1024 {
+		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.Store.ValueKB*1024 {
 			t.Errorf("a record of %d bytes", n)
 		}
 		rec, _ := parse[storage.MachineRecord](c.Value)
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -79,7 +79,7 @@
 		return
 	}
 	value := storage.Encode(list)
-	if float64(len(value)) > n.cfg.Cluster.State.ValueKB*1024 {
+	if float64(len(value)) > n.cfg.Cluster.Store.ValueKB*1024 {
 		return
 	}
 	n.store.Transact(protocol.Transaction{
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -44,8 +44,8 @@
 func newController(t *testing.T, cores float64, name protocol.NodeName, directShare uint64) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
-	cfg.Cluster.Resources.Cores = cores
-	cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
+	cfg.Cluster.Process.Cores = cores
+	cfg.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	for _, peer := range []protocol.NodeName{"a", "b", "c"} {
 		if peer != name {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: peer})
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	frame := protocol.AppendPeerFrame(nil, message)
-	if len(peer.outbox.frames)+len(frame) > storage.RelayCapacity(p.cfg.Cluster.State.ValueKB) {
+	if len(peer.outbox.frames)+len(frame) > storage.RelayCapacity(p.cfg.Cluster.Store.ValueKB) {
 		return false // the sender tries again, as after a lost packet
 	}
 	peer.outbox.frames = append(peer.outbox.frames, frame...)
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -71,11 +71,11 @@
 // pay for, so that planning has the rest. The others' heartbeats come over the
 // controllers' links, many in one read.
 func (l *leader) directShare() uint64 {
-	r := l.n.cfg.Cluster.Resources
+	r := l.n.cfg.Cluster.Process
 	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
 		return tuning.DirectShareScale
 	}
-	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Workers.ReportS
+	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Agents.ReportS
 	if r.FDLimit > 0 {
 		most = min(most, float64(r.FDLimit)*tuning.AgentKeepAliveShare)
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -65,7 +65,7 @@
 		pending: map[uint64]func(int, []byte){},
 	}
 	n.store = kv.New(n)
-	n.mirror = mirror.New(cfg.Cluster.Resources, log, n.store, mirrorEnvironment{n})
+	n.mirror = mirror.New(cfg.Cluster.Process, log, n.store, mirrorEnvironment{n})
 	n.machineTypes = machineTypes{n: n, byName: map[protocol.MachineTypeName]*protocol.MachineType{}}
 	n.budgets = newStoreBudgets(cfg)
 	n.api = api.New(cfg, n.machineTypes.byName, &n.mirror.Mirror, n.store, &n.budgets, userReplies{n}, apiEnvironment{n})
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -81,7 +81,7 @@
 	for cores, sends := range map[float64]bool{0.018: true, 0.24: false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		n := l.n
-		n.cfg.Cluster.Resources.Cores = cores
+		n.cfg.Cluster.Process.Cores = cores
 		n.connectNewPeers()
 		for i := range 300 {
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
@@ -156,7 +156,7 @@
 func TestCommandsAreDelegatedToProxies(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	n.cfg.Cluster.Resources.Cores = 0.001
+	n.cfg.Cluster.Process.Cores = 0.001
 	n.connectNewPeers()
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -131,7 +131,7 @@
 // before the agents' leases expire, 0 if there is none. A single token beyond reason
 // costs no more than its own machine.
 func (m *Monitor) reachableToken() (token protocol.Term) {
-	changes := m.state.Config.Cluster.State.WriteRPS * m.state.Config.Cluster.Workers.LeaseS / 2
+	changes := m.state.Config.Cluster.Store.WriteRPS * m.state.Config.Cluster.Agents.LeaseS / 2
 	for _, machine := range m.state.OrderedMachines {
 		if machine.Agent.HigherToken <= protocol.Term(m.revision)+protocol.Term(changes) {
 			token = max(token, machine.Agent.HigherToken)
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -34,7 +34,7 @@
 
 func newTestLeader() *testLeader {
 	l := &testLeader{Cluster: clustertest.New(), budget: rate.NewLimiter(10, 10), recovering: true, recorded: true}
-	l.Config.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
+	l.Config.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	l.monitor = NewMonitor(testTerm, l.State, l, l, slog.New(slog.DiscardHandler))
 	return l
 }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -59,7 +59,7 @@
 	if m.Complete || len(m.Cancels) > 0 {
 		t.Errorf("beyond a frame: complete %v, %d named", m.Complete, len(m.Cancels))
 	}
-	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Workers.CancelS))
+	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Agents.CancelS))
 	if m := tell(60_000, 60_001); !m.Complete || len(m.Cancels) != 1 {
 		t.Errorf("old ones stay: complete %v, %d named", m.Complete, len(m.Cancels))
 	}
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -84,7 +84,7 @@
 // the smaller the controller's share of a core is, so that scheduling leaves time for
 // heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Resources.Pause(time.Duration(sc.examined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
+	pause := sc.state.Config.Cluster.Process.Pause(time.Duration(sc.examined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
@@ -106,7 +106,7 @@
 func newCycle(state *cluster.State) *cycle {
 	machines := state.OrderedMachines
 	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
-	if cores := state.Config.Cluster.Resources.Cores; cores > 0 {
+	if cores := state.Config.Cluster.Process.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range machines {
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -37,13 +37,13 @@
 		for _, job := range h.cluster.Jobs {
 			job.Priority = protocol.PriorityCritical
 		}
-		h.cluster.Config.Cluster.Resources.Cores = cores
+		h.cluster.Config.Cluster.Process.Cores = cores
 		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // schedulable, vacant and preemptible ones
 	})
 	t.Run("all preemptible", func(t *testing.T) {
 		h := newHarness()
 		h.fillFleet()
-		h.cluster.Config.Cluster.Resources.Cores = cores
+		h.cluster.Config.Cluster.Process.Cores = cores
 		waiting := h.addWaitingGangs()
 		h.checkExamined(t, waiting, 4*len(h.cluster.OrderedMachines)+budget+len(h.cluster.OrderedMachines)*len(h.cluster.Config.Cluster.Zones))
 		searched := 0
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -19,9 +19,9 @@
 	t.Helper()
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	present := n.cfg.Cluster.State
+	present := n.cfg.Cluster.Store
 	n.cfg.Cluster.Present = &present
-	n.cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.cfg.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.peers.Add("s")
 	n.peers.Receive("s", 1, protocol.PeerHello{Node: "s"})
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -85,9 +85,9 @@
 // be, or are, lowered to a sixteenth.
 func (s *storedRecords) leader(level uint64) *leader {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
-	present := n.cfg.Cluster.State
+	present := n.cfg.Cluster.Store
 	n.cfg.Cluster.Present = &present
-	n.cfg.Cluster.State = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	n.cfg.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.budgets = newStoreBudgets(n.cfg)
 	n.peers.Add("s")
 	n.peers.Up("s")
--- /dev/null
+++ b/internal/simulation/agent.go
@@ -0,0 +1,360 @@
+package simulation
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// agent is a stand-in for a machine's agent.
+type agent struct {
+	w                  *World
+	host               *host
+	incarnation        protocol.Incarnation
+	sequence           protocol.Sequence
+	token              protocol.Term
+	answeredAt         time.Time // when the last answered report was sent, or the session began
+	tasks              map[string]*agentTask
+	images             map[string]bool
+	controllerIndex    int
+	inFlight           bool
+	heartbeatDue       time.Time // when the next report is due if nothing changes
+	lastSent           time.Time
+	changed            bool // since the last report
+	timer              *tickTimer
+	dead               bool
+	hung               bool
+	heldPackets        []func() // what arrives while the machine hangs
+	noticeS            *float64
+	failsTasks         bool
+	opensNoConnections bool // opens no connection
+	tokenReportedAt    time.Time
+}
+
+func newAgent(w *World, h *host) *agent {
+	agent := &agent{w: w, host: h, incarnation: 1, answeredAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
+	agent.heartbeatDue = w.Now.Add(w.between(0, secs(w.shape.Agents.ReportS)))
+	agent.timer = newTickTimer(w, agent.tick)
+	agent.setTimer()
+	return agent
+}
+
+// minHeartbeatGap is the least time between two heartbeats.
+const minHeartbeatGap = 500 * time.Millisecond
+
+// tick does what is due: the lease may be over, or it is time for a heartbeat.
+func (a *agent) tick() {
+	if a.dead {
+		return
+	}
+	if a.w.Now.After(a.leaseEnd()) {
+		a.expireLease()
+	}
+	if a.canReport() && !a.w.Now.Before(a.nextHeartbeat()) {
+		a.heartbeatDue = a.w.Now.Add(a.w.between(secs(a.w.shape.Agents.ReportS*0.75), secs(a.w.shape.Agents.ReportS*1.25)))
+		a.sendHeartbeat()
+	}
+	a.setTimer()
+}
+
+// setTimer sets the timer to the next thing that is due. Whatever brings something
+// forward calls it.
+func (a *agent) setTimer() {
+	due := a.leaseEnd().Add(1) // a lease is over after its end
+	if next := a.nextHeartbeat(); a.canReport() && next.Before(due) {
+		due = next
+	}
+	a.timer.wakeBy(due)
+}
+
+// leaseEnd is the end of the machine's lease.
+func (a *agent) leaseEnd() time.Time { return a.answeredAt.Add(secs(a.w.shape.Agents.LeaseS)) }
+
+// canReport says whether the machine can heartbeat now.
+func (a *agent) canReport() bool { return !a.hung && !a.inFlight }
+
+// nextHeartbeat is when the next heartbeat is due: at its time, or sooner if there is news.
+func (a *agent) nextHeartbeat() time.Time {
+	if soonest := a.lastSent.Add(minHeartbeatGap); a.changed && soonest.Before(a.heartbeatDue) {
+		return soonest
+	}
+	return a.heartbeatDue
+}
+
+// expireLease begins a new incarnation once the lease is over. A machine resumes within its
+// lease or not at all: its tasks are gone when the lease ends, hanging or not.
+func (a *agent) expireLease() {
+	for _, task := range a.sortedTasks() {
+		task.lose()
+	}
+	a.tasks = map[string]*agentTask{}
+	a.incarnation++
+	a.sequence = 0
+	a.answeredAt = a.w.Now
+	a.changed = true
+}
+
+// noteChange has news reported before the next heartbeat's time.
+func (a *agent) noteChange() {
+	a.changed = true
+	a.setTimer()
+}
+
+// heartbeatSoon has the next heartbeat sent after one that was of no use.
+func (a *agent) heartbeatSoon() {
+	a.inFlight, a.changed = false, true
+	a.setTimer()
+}
+
+// hang stops the machine for a while; what arrives meanwhile is handled when
+// it resumes.
+func (a *agent) hang(d time.Duration) {
+	a.hung = true
+	a.w.after(d, func() {
+		a.hung = false
+		if a.dead {
+			return
+		}
+		a.setTimer()
+		stuck := a.heldPackets
+		a.heldPackets = nil
+		for _, do := range stuck {
+			do()
+		}
+	})
+}
+
+func (a *agent) kill() {
+	a.dead = true
+	for _, task := range a.sortedTasks() {
+		task.lose()
+	}
+}
+
+func (k *agent) sortedTasks() []*agentTask {
+	var l []*agentTask
+	for _, task := range k.tasks {
+		l = append(l, task)
+	}
+	slices.SortFunc(l, func(a, b *agentTask) int {
+		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.attempt, b.attempt))
+	})
+	return l
+}
+
+func (a *agent) heartbeat() *protocol.Heartbeat {
+	a.sequence++
+	r := &protocol.Heartbeat{Machine: a.host.ID, Address: a.host.Address, Type: a.host.Type, Zone: a.host.Zone, Spot: a.host.Spot,
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, PreemptionNoticeS: a.noticeS}
+	for _, task := range a.sortedTasks() {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.kept})
+	}
+	return r
+}
+
+func (a *agent) sendHeartbeat() {
+	w := a.w
+	a.inFlight, a.changed, a.lastSent = true, false, w.Now
+	sent, session := w.Now, a.incarnation
+	body := encode(a.heartbeat())
+	if w.keep {
+		w.kept = append(w.kept, body)
+	}
+	if w.copies > 0 && w.rng.IntN(4) == 0 {
+		w.after(w.between(time.Second, w.copies), func() { w.deliverCopy(w.nodes[w.rng.IntN(len(w.nodes))], body) })
+	}
+	w.reach(string(a.host.ID), a.controllerIndex, 4*time.Second, func(id uint64) coordination.Event {
+		r, err := protocol.ParseHeartbeat(body)
+		if err != nil {
+			panic(err)
+		}
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: r}
+	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, session) })
+}
+
+// handleHeartbeatResponse takes the answer to a heartbeat.
+func (k *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
+	if k.dead {
+		return
+	}
+	switch status {
+	case 200:
+		k.inFlight = false
+		k.setTimer()
+		if k.w.Now.Sub(sent) > 4*time.Second || k.hung {
+			return
+		}
+		var a protocol.HeartbeatResponse
+		decode(body, &a)
+		if k.incarnation != incarnation || !k.accept(a.FencingToken) {
+			return
+		}
+		k.answeredAt = sent
+		k.execute(a.Commands)
+	case 421:
+		k.followRedirect(body)
+	default:
+		k.tryNextController()
+	}
+}
+
+// followRedirect goes to the node that an answer names, or to the next one.
+func (a *agent) followRedirect(body []byte) {
+	var r protocol.Redirect
+	decode(body, &r)
+	for i, o := range a.w.nodes {
+		if o.name == string(r.Target) && i != a.controllerIndex {
+			a.controllerIndex = i
+			a.w.after(a.w.between(0, 500*time.Millisecond), a.heartbeatSoon)
+			return
+		}
+	}
+	a.tryNextController()
+}
+
+// tryNextController heartbeats to the next node a second later.
+func (a *agent) tryNextController() {
+	a.controllerIndex = (a.controllerIndex + 1) % len(a.w.nodes)
+	a.w.after(time.Second, a.heartbeatSoon)
+}
+
+// deliverCopy delivers a late duplicate of an old heartbeat to a controller; nobody reads the
+// answer.
+func (w *World) deliverCopy(c *controller, body []byte) {
+	r, err := protocol.ParseHeartbeat(body)
+	if err != nil {
+		panic(err)
+	}
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
+}
+
+func (a *agent) accept(token protocol.Term) bool {
+	if token < a.token {
+		a.w.rules.lowerTokens++
+		return false
+	}
+	if token > a.token {
+		a.token = token
+		if a.w.Now.Sub(a.tokenReportedAt) > secs(a.w.shape.Agents.LeaseS/2) {
+			a.tokenReportedAt = a.w.Now
+			a.noteChange()
+		}
+	}
+	return true
+}
+
+// serve answers direct orders and probes.
+func (a *agent) serve(method, path string, body []byte, answer func(int, []byte)) {
+	if a.dead {
+		return
+	}
+	if a.hung {
+		a.heldPackets = append(a.heldPackets, func() { a.serve(method, path, body, answer) })
+		return
+	}
+	if path == protocol.PathInspect {
+		answer(200, encode(a.heartbeat()))
+		return
+	}
+	var o protocol.CommandBatch
+	decode(body, &o)
+	if o.Incarnation != a.incarnation || !a.accept(o.FencingToken) {
+		answer(409, encode(a.heartbeat()))
+		return
+	}
+	a.execute(o.Commands)
+	answer(200, encode(a.heartbeat()))
+}
+
+func (a *agent) execute(commands []protocol.Command) {
+	for _, c := range commands {
+		id, index, ok := protocol.SplitTask(c.Task)
+		if !ok {
+			panic("simulation: bad task " + c.Task)
+		}
+		key := attemptName(c.Task, c.Attempt)
+		task := a.tasks[key]
+		a.w.Audit.ordered(a.w.Now, a.host.ID, c)
+		switch c.Kind {
+		case protocol.CommandStart:
+			if task == nil {
+				a.start(key, id, index, c)
+			}
+		case protocol.CommandStop:
+			if task != nil {
+				task.halt(c.GraceS)
+			}
+		case protocol.CommandForget:
+			if task != nil && task.state == protocol.TaskExited {
+				a.w.Audit.forgot(task.instance())
+				delete(a.tasks, key)
+			}
+		}
+	}
+}
+
+func attemptName(task string, attempt protocol.AttemptNumber) string {
+	return fmt.Sprintf("%s#%d", task, attempt)
+}
+
+func (a *agent) start(key string, id protocol.JobID, index int, c protocol.Command) {
+	j := a.w.rules.jobs[id]
+	task := &agentTask{k: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
+	a.noteChange()
+	a.w.Audit.began(a.w.Now, task.instance())
+	refuse := func(cause protocol.Cause) {
+		task.state, task.cause = protocol.TaskExited, cause
+		a.tasks[key] = task
+		a.w.Audit.ended(task.instance(), cause, false)
+	}
+	if j == nil {
+		refuse(protocol.CauseUnknown)
+		return
+	}
+	task.job = j.spec
+	cpus, gpus, memory := 0.0, 0.0, 0.0
+	for _, o := range a.tasks {
+		if o.name == task.name && o.state != protocol.TaskExited {
+			refuse(protocol.CauseBusy)
+			return
+		}
+		if o.state != protocol.TaskExited {
+			cpus, gpus, memory = cpus+o.job.CPUs, gpus+o.job.GPUs, memory+o.job.MemoryGB
+		}
+	}
+	machine := &a.w.shape.Type
+	if cpus+task.job.CPUs > machine.CPUs || gpus+task.job.GPUs > machine.GPUs || memory+task.job.MemoryGB > machine.MemoryGB {
+		refuse(protocol.CauseNoCapacity)
+		return
+	}
+	a.tasks[key] = task
+	fetch := secs(task.job.ImageGB / a.w.shape.Type.FetchGBPerS)
+	if a.images[task.job.Image] {
+		fetch = 0
+	}
+	a.wait(fetch, task, func() {
+		a.images[task.job.Image] = true
+		task.arrive()
+	})
+}
+
+// wait does something for a task later, unless it is over by then or the
+// machine hangs, in which case it waits for the machine.
+func (a *agent) wait(d time.Duration, task *agentTask, do func()) {
+	a.w.after(d, func() {
+		if a.dead || task.state == protocol.TaskExited {
+			return
+		}
+		if a.hung {
+			a.heldPackets = append(a.heldPackets, func() { a.wait(0, task, do) })
+			return
+		}
+		if a.tasks[attemptName(task.name, task.attempt)] == task {
+			do()
+		}
+	})
+}
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -105,10 +105,10 @@
 }
 
 // workersInOrder are the machines that are up, in the order in which they were rented.
-func (w *World) workersInOrder() (list []*worker) {
+func (w *World) workersInOrder() (list []*agent) {
 	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; k != nil {
-			list = append(list, k)
+		if agent := w.agents[h.ID]; agent != nil {
+			list = append(list, agent)
 		}
 	}
 	return list
@@ -119,14 +119,14 @@
 func (w *World) loseOldest(n int) int {
 	list := w.workersInOrder()
 	list = list[:min(n, len(list))]
-	for _, k := range list {
-		w.loseWorker(k)
+	for _, agent := range list {
+		w.loseWorker(agent)
 	}
 	return len(list)
 }
 
 // workerOf is the machine that a task of a job is on.
-func (w *World) workerOf(job protocol.JobID, task int) *worker {
+func (w *World) workerOf(job protocol.JobID, task int) *agent {
 	return w.rules.placed[protocol.TaskName(job, task)].k
 }
 
@@ -134,8 +134,8 @@
 func (w *World) running(users ...*user) bool {
 	for _, u := range users {
 		for i := range u.job.spec.Tasks {
-			t := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]
-			if t == nil || t.state != protocol.TaskRunning {
+			task := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]
+			if task == nil || task.state != protocol.TaskRunning {
 				return false
 			}
 		}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -88,7 +88,7 @@
 	c.w.after(boot, func() {
 		if !h.gone {
 			h.Phase = protocol.MachineRunning
-			c.w.workers[id] = newWorker(c.w, h)
+			c.w.agents[id] = newAgent(c.w, h)
 		}
 	})
 	return id
@@ -97,15 +97,15 @@
 // destroy takes a machine and everything on it away at once.
 func (c *cloudProvider) destroy(h *host) {
 	h.gone = true
-	if k := c.w.workers[h.ID]; k != nil {
-		c.w.loseWorker(k)
+	if agent := c.w.agents[h.ID]; agent != nil {
+		c.w.loseWorker(agent)
 	}
 }
 
 // loseWorker ends a machine's worker and its tasks; the cloud goes on listing the machine.
-func (w *World) loseWorker(k *worker) {
-	k.kill()
-	delete(w.workers, k.h.ID)
+func (w *World) loseWorker(agent *agent) {
+	agent.kill()
+	delete(w.agents, agent.host.ID)
 }
 
 // serve answers a call as the protocol says, within the budget.
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -42,9 +42,9 @@
 	s := Small()
 	s.Machines, s.Capacity, s.Recovery = c.Machines, c.Machines, c.Recovery
 	s.Teams = []config.Team{{Name: "free"}}
-	s.Workers = config.AgentTimings{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
+	s.Agents = config.AgentTimings{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
 	writes := max(40, float64(c.Machines)/4)
-	s.State = config.StoreLimits{RPS: 10 * writes, WriteRPS: writes, ValueKB: 8, TxnOps: 24}
+	s.Store = config.StoreLimits{RPS: 10 * writes, WriteRPS: writes, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.CloudLimits{RPS: 20, ListLagS: 2}
 	s.Resources = config.ProcessLimits{FDLimit: 4 * c.Machines}
 	return s
@@ -154,9 +154,9 @@
 // loseMachines ends machines that carry work.
 func (w *World) loseMachines(n int) {
 	for _, h := range w.cloud.hosts {
-		if k := w.workers[h.ID]; n > 0 && k != nil && len(k.tasks) > 0 {
+		if agent := w.agents[h.ID]; n > 0 && agent != nil && len(agent.tasks) > 0 {
 			n--
-			w.loseWorker(k)
+			w.loseWorker(agent)
 		}
 	}
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -54,10 +54,10 @@
 }
 
 // idleWorker is a worker without tasks.
-func (c *coldWorld) idleWorker() *worker {
+func (c *coldWorld) idleWorker() *agent {
 	for _, h := range c.cloud.hosts {
-		if k := c.workers[h.ID]; k != nil && len(k.tasks) == 0 {
-			return k
+		if agent := c.agents[h.ID]; agent != nil && len(agent.tasks) == 0 {
+			return agent
 		}
 	}
 	c.t.Fatal("no worker is idle")
@@ -141,8 +141,8 @@
 func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
-	c.crashAllApart(secs(c.shape.Workers.LeaseS)+9*time.Second, 0)
-	c.Run(secs(c.shape.Workers.LeaseS) + 9*time.Second)
+	c.crashAllApart(secs(c.shape.Agents.LeaseS)+9*time.Second, 0)
+	c.Run(secs(c.shape.Agents.LeaseS) + 9*time.Second)
 	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
 	c.expectStarts(t, c.starts, 11, "for 11 tasks")
 	if n := c.ordered(needStop); n != 0 {
@@ -158,8 +158,8 @@
 	c := newColdWorld(t, 43, recovering())
 	c.crashAllApart(time.Second, 0)
 	late := c.workerOf("run-000001", 0)
-	late.mute = true
-	c.after(14*time.Second, func() { late.mute = false })
+	late.opensNoConnections = true
+	c.after(14*time.Second, func() { late.opensNoConnections = false })
 	c.Run(25 * time.Second)
 	c.expectKept("half reported")
 	c.finishBoth()
@@ -200,7 +200,7 @@
 	c.array.cancel()
 	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.crashAllApart(3*time.Second, time.Second)
-	c.Run(secs(c.shape.Workers.CancelS) + time.Second)
+	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
 	if c.rules.lateStarts > 0 {
 		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
 	}
@@ -230,7 +230,7 @@
 	c.crashAllApart(time.Second, 0)
 	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
-		w.copyReport(w.leader(), body)
+		w.deliverCopy(w.leader(), body)
 	}
 	w.Run(12 * time.Second)
 	c.expectKept("late copies")
@@ -396,15 +396,15 @@
 
 // giveWildToken has a worker hold a token beyond reason, and be heard before all others. It
 // returns how many tasks of recorded jobs start again for it.
-func (c *coldWorld) giveWildToken(k *worker) int {
-	k.token = 1 << 60
+func (c *coldWorld) giveWildToken(agent *agent) int {
+	agent.token = 1 << 60
 	for _, other := range c.workersInOrder() {
-		if other != k {
+		if other != agent {
 			other.hang(6 * time.Second)
 		}
 	}
-	c.after(4*time.Second, k.noteChange)
-	return c.tasksLostWith(k)
+	c.after(4*time.Second, agent.noteChange)
+	return c.tasksLostWith(agent)
 }
 
 // expectRestored checks what was started and stopped after the store came back.
@@ -426,11 +426,11 @@
 
 // tasksLostWith counts the tasks of the recorded jobs that start again if a worker is lost: a
 // gang's all together.
-func (c *coldWorld) tasksLostWith(k *worker) (n int) {
+func (c *coldWorld) tasksLostWith(agent *agent) (n int) {
 	for _, u := range []*user{c.gang, c.array} {
 		on := 0
 		for i := range u.job.spec.Tasks {
-			if c.workerOf(u.job.spec.ID, i) == k {
+			if c.workerOf(u.job.spec.ID, i) == agent {
 				on++
 			}
 		}
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -99,7 +99,7 @@
 				w.store.blind = c
 				// The message about the cancellation is lost: only the confirmation names it.
 				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
-					return a == c.name && b != storeHost && w.workers[protocol.MachineID(b)] == nil
+					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
 				w.Run(200 * time.Millisecond)
 			}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -209,8 +209,8 @@
 	c.w.mostCalls = max(c.w.mostCalls, c.calling)
 	life := c.life
 	c.w.call(c.name, a.Address, a.Timeout, func(answer answerFunc) {
-		if k := c.w.workers[protocol.MachineID(a.Address)]; k != nil {
-			k.serve(a.Method, a.Path, a.Body, answer)
+		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
+			agent.serve(a.Method, a.Path, a.Body, answer)
 		}
 	}, func(status int, body []byte) {
 		if c.life == life {
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -28,11 +28,11 @@
 	d := &downtime{w: w, lastServed: w.Now, sessions: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
-		for id, k := range w.workers {
-			if d.sessions[id] != 0 && k.session > d.sessions[id] {
+		for id, agent := range w.agents {
+			if d.sessions[id] != 0 && agent.incarnation > d.sessions[id] {
 				d.lapses++
 			}
-			d.sessions[id] = k.session
+			d.sessions[id] = agent.incarnation
 		}
 		requests++
 		switch i % 3 {
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -51,7 +51,7 @@
 	{name: "a team at its limit, some machines cannot be asked, the leader changes", play: func(w *World) {
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				id := k.h.ID
+				id := k.host.ID
 				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
@@ -61,7 +61,7 @@
 	{name: "a report is held back until a new leader has acted", play: func(w *World) {
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
-				id := k.h.ID
+				id := k.host.ID
 				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
 				w.cuts = append(w.cuts, held)
 				w.after(12*time.Second, func() { w.heal(held) })
@@ -146,7 +146,7 @@
 	{name: "all controllers are away for longer than a lease", play: func(w *World) {
 		w.after(20*time.Second, func() {
 			for _, c := range w.nodes {
-				c.crash(secs(w.shape.Workers.LeaseS) + w.between(2*time.Second, 9*time.Second))
+				c.crash(secs(w.shape.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
 			}
 		})
 	}},
@@ -180,9 +180,9 @@
 		w.every(40*time.Second, 3, func(i int) {
 			for n, k := range w.someWorkers(3) {
 				if n == 0 {
-					w.blockInbound(k.h.ID, 35*time.Second, i%2 == 0)
+					w.blockInbound(k.host.ID, 35*time.Second, i%2 == 0)
 				} else {
-					id := k.h.ID
+					id := k.host.ID
 					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
@@ -221,11 +221,11 @@
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
-		w.copies = 3 * secs(w.shape.Workers.LeaseS)
+		w.copies = 3 * secs(w.shape.Agents.LeaseS)
 		w.after(110*time.Second, func() { w.copies = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				w.blockInbound(k.h.ID, secs(w.shape.Workers.LeaseS)+3*time.Second, i%2 == 0)
+				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
 			}
 			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
@@ -239,7 +239,7 @@
 		w.every(22*time.Second, 5, func(i int) {
 			w.cancelNow(5, 20*time.Second)
 			for _, k := range w.someWorkers(1) {
-				id := k.h.ID
+				id := k.host.ID
 				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
@@ -254,11 +254,11 @@
 				w.store.refuse(c, 20*time.Second)
 			}
 		})
-		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Workers.CancelS) + 6*time.Second) })
+		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
 		w.after(95*time.Second, func() { w.store.slow = 0 })
 	}, most: 4},
 	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
-		s.State.RPS, s.State.WriteRPS, s.State.TxnOps, s.Capacity = 300, 50, 12, 30
+		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
 	}, play: func(w *World) {
 		w.every(250*time.Millisecond, 400, func(i int) {
 			var cancel time.Duration
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -8,7 +8,7 @@
 )
 
 // someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) []*worker {
+func (w *World) someWorkers(n int) []*agent {
 	list := w.workersInOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
@@ -16,9 +16,9 @@
 
 // blockReports lets machines reach no controller for a while, though calls reach them.
 func (w *World) blockReports(n int, d time.Duration) {
-	for _, k := range w.someWorkers(n) {
-		k.mute = true
-		w.after(d, func() { k.mute = false })
+	for _, agent := range w.someWorkers(n) {
+		agent.opensNoConnections = true
+		w.after(d, func() { agent.opensNoConnections = false })
 	}
 }
 
@@ -33,7 +33,7 @@
 			w.keep = false
 			for _, body := range w.kept {
 				for _, n := range w.nodes {
-					w.after(w.between(0, 20*time.Millisecond), func() { w.copyReport(n, body) })
+					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverCopy(n, body) })
 				}
 			}
 			w.kept = nil
@@ -192,18 +192,18 @@
 // for.
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
-	for _, k := range w.workers {
-		if k.hung || k.notice != nil || spec.Zone != "" && spec.Zone != k.h.Zone || k.h.Spot && !spec.Spot {
+	for _, agent := range w.agents {
+		if agent.hung || agent.noticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
 		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
-		for _, t := range k.tasks {
-			if t.state != protocol.TaskExited {
-				cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
+		for _, task := range agent.tasks {
+			if task.state != protocol.TaskExited {
+				cpus, gpus, memory = cpus-task.job.CPUs, gpus-task.job.GPUs, memory-task.job.MemoryGB
 			}
 		}
-		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && fit[k.h.Zone] < spec.Tasks {
-			fit[k.h.Zone]++
+		for cpus >= spec.CPUs && gpus >= spec.GPUs && memory >= spec.MemoryGB && fit[agent.host.Zone] < spec.Tasks {
+			fit[agent.host.Zone]++
 			cpus, gpus, memory = cpus-spec.CPUs, gpus-spec.GPUs, memory-spec.MemoryGB
 		}
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -10,7 +10,7 @@
 // faultDraw is what the lot has drawn for a fault.
 type faultDraw struct {
 	node    *controller
-	machine *worker // nil if none is up
+	machine *agent // nil if none is up
 	span    time.Duration
 	fate    packetFate // at a cut
 }
@@ -22,7 +22,7 @@
 }
 
 // onMachine makes a fault of a machine one that does nothing if no machine is up.
-func onMachine(inject func(w *World, k *worker, d faultDraw)) func(*World, faultDraw) {
+func onMachine(inject func(w *World, agent *agent, d faultDraw)) func(*World, faultDraw) {
 	return func(w *World, d faultDraw) {
 		if d.machine != nil {
 			inject(w, d.machine, d)
@@ -61,18 +61,18 @@
 		w.after(d.span, func() { w.cloud.down = false })
 	}},
 	// A machine reaches nobody and nobody reaches it.
-	{"machine cut off", onMachine(func(w *World, k *worker, d faultDraw) {
-		w.interrupt(d.span, d.fate, fromHost(string(k.h.ID)))
+	{"machine cut off", onMachine(func(w *World, k *agent, d faultDraw) {
+		w.interrupt(d.span, d.fate, fromHost(string(k.host.ID)))
 	})},
 	// A machine stands still and goes on.
-	{"machine hangs", onMachine(func(_ *World, k *worker, d faultDraw) { k.hang(d.span) })},
+	{"machine hangs", onMachine(func(_ *World, k *agent, d faultDraw) { k.hang(d.span) })},
 	// A machine's worker ends with its tasks; the cloud goes on listing the machine.
-	{"machine dies", onMachine(func(w *World, k *worker, _ faultDraw) { w.loseWorker(k) })},
+	{"machine dies", onMachine(func(w *World, k *agent, _ faultDraw) { w.loseWorker(k) })},
 	// Every task that starts on a machine ends with an error.
-	{"machine fails every task", onMachine(func(_ *World, k *worker, _ faultDraw) { k.sick = true })},
+	{"machine fails every task", onMachine(func(_ *World, k *agent, _ faultDraw) { k.failsTasks = true })},
 	// A machine's reports arrive, but no answer and no order reaches it.
-	{"machine receives nothing", onMachine(func(w *World, k *worker, d faultDraw) {
-		w.blockInbound(k.h.ID, 2*d.span, d.fate)
+	{"machine receives nothing", onMachine(func(w *World, k *agent, d faultDraw) {
+		w.blockInbound(k.host.ID, 2*d.span, d.fate)
 	})},
 	// Copies of reports arrive late, at any controller.
 	{"copies of reports come late", func(w *World, d faultDraw) {
@@ -95,10 +95,10 @@
 		w.after(d.span, func() { w.store.slow = 0 })
 	}},
 	// The cloud takes a spot instance back, with notice.
-	{"spot instance reclaimed", onMachine(func(w *World, k *worker, _ faultDraw) {
-		if k.h.Spot {
+	{"spot instance reclaimed", onMachine(func(w *World, k *agent, _ faultDraw) {
+		if k.host.Spot {
 			k.giveNotice(20)
-			w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(k.h) })
+			w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(k.host) })
 		}
 	})},
 	// Some transactions are carried out late, after newer ones, and get no answer.
@@ -163,7 +163,7 @@
 	kind.inject(w, d)
 	var machine protocol.MachineID
 	if d.machine != nil {
-		machine = d.machine.h.ID
+		machine = d.machine.host.ID
 	}
 	what := fmt.Sprintf("%s (of %s or %s, %v, %v)", kind.name, d.node.name, machine, d.span, d.fate)
 	w.log.Info("fault injected", "fault", what)
@@ -173,9 +173,9 @@
 // drawFault draws what a fault may need: a controller, a machine, its time.
 func (w *World) drawFault() faultDraw {
 	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
-	for _, k := range w.workersInOrder() {
+	for _, agent := range w.workersInOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
-			d.machine = k
+			d.machine = agent
 		}
 	}
 	d.span = w.between(time.Second, 45*time.Second)
@@ -183,7 +183,7 @@
 }
 
 // giveNotice has a machine report that it is taken away after some seconds.
-func (k *worker) giveNotice(seconds float64) {
-	k.notice = &seconds
-	k.noteChange()
+func (a *agent) giveNotice(seconds float64) {
+	a.noticeS = &seconds
+	a.noteChange()
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -54,10 +54,10 @@
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
 				t.Logf("done after %v", took)
-				if w.workers[id] != nil {
+				if w.agents[id] != nil {
 					t.Error("the machine that receives nothing is still rented")
 				}
-				w.Run(secs(w.shape.Workers.CancelS))
+				w.Run(secs(w.shape.Agents.CancelS))
 				w.expectRulesHeld(t)
 			})
 		}
@@ -72,13 +72,13 @@
 	job := checkpointed(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
 	u := w.submitRunning(t, 20*time.Second, job, 80)
-	id := w.workerOf("run-000001", 0).h.ID
+	id := w.workerOf("run-000001", 0).host.ID
 
 	w.blockInbound(id, 400*time.Second, packetsLost)
-	w.Run(secs(w.shape.Workers.LeaseS) + 2*time.Second)
+	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
-		return w.running(u) && w.workerOf("run-000001", 0).h.ID != id
+		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
 	})
 	t.Logf("repaired %v after the lease ran out", took)
 	w.waitUntilOver(t, 120*time.Second, u)
@@ -90,7 +90,7 @@
 func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
-	w.copies = 4 * secs(w.shape.Workers.LeaseS)
+	w.copies = 4 * secs(w.shape.Agents.LeaseS)
 	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
@@ -99,7 +99,7 @@
 			c.crash(time.Second)
 		}
 		if list := w.workersInOrder(); len(list) > 0 {
-			w.cloud.destroy(list[0].h)
+			w.cloud.destroy(list[0].host)
 		}
 	}
 
@@ -116,10 +116,10 @@
 	t.Parallel()
 	w := startWorld(24, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	k := w.workerOf("run-000001", 0)
-	old := encode(k.report())
+	agent := w.workerOf("run-000001", 0)
+	old := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
-	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.workers[k.h.ID] == nil })
+	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.agents[agent.host.ID] == nil })
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
@@ -130,7 +130,7 @@
 	}
 	w.Run(2 * time.Second)
 
-	w.expectNotRecorded(t, k.h.ID)
+	w.expectNotRecorded(t, agent.host.ID)
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
@@ -184,15 +184,15 @@
 	t.Parallel()
 	w := startWorld(26, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	k := w.workerOf("run-000001", 0)
+	agent := w.workerOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
-	old := encode(k.report())
+	old := encode(agent.heartbeat())
 
-	w.loseWorker(k)
+	w.loseWorker(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.copyReport(w.leader(), old)
+	w.deliverCopy(w.leader(), old)
 
 	// Its image is there, so it would be the first choice.
 	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
@@ -239,12 +239,12 @@
 	if status != 503 {
 		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
 	}
-	w.Run(secs(w.shape.Workers.CancelS) - secs(w.shape.Workers.LeaseS))
+	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
 		t.Error("it still leads")
 	}
 	status = 0
-	report := w.workerOf("run-000001", 0).report()
+	report := w.workerOf("run-000001", 0).heartbeat()
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -14,7 +14,7 @@
 	s := thousandMachines()
 	s.Machines, s.Capacity = 420, 2000
 	s.setQuotas(380, 1350)
-	s.State = config.StoreLimits{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
+	s.Store = config.StoreLimits{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.CloudLimits{RPS: 9, ListLagS: 5}
 	s.Resources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 	return s
@@ -26,7 +26,7 @@
 	s := fleet()
 	s.Machines, s.Capacity = 4000, 6000
 	s.setQuotas(1000, 4000)
-	s.State = config.StoreLimits{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
+	s.Store = config.StoreLimits{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.CloudLimits{RPS: 12, ListLagS: 5}
 	s.Resources = config.ProcessLimits{Cores: 0.5, MemoryMB: 540, FDLimit: 4200}
 	return s
@@ -82,7 +82,7 @@
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
 	w.crashAll(4 * time.Second)
-	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.workers)+lost)
+	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.agents)+lost)
 
 	w.expectQuickReturn(t)
 	w.faultsOver = w.Now
@@ -92,7 +92,7 @@
 	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
 		t.Errorf("%d calls to workers under way at once", w.mostCalls)
 	}
-	changes := int(w.elapsed().Seconds() * shape.State.WriteRPS)
+	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
 }
 
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-type workerTask struct {
-	k       *worker
+type agentTask struct {
+	k       *agent
 	job     *protocol.Job
 	name    string
 	index   int
@@ -26,7 +26,7 @@
 // gang is one attempt of a gang: the tasks find each other by its number.
 type gang struct {
 	job     *protocol.Job
-	members map[int]*workerTask
+	members map[int]*agentTask
 	running bool
 	began   time.Time
 	stopped time.Time
@@ -34,7 +34,7 @@
 }
 
 // arrive is the moment at which a task has its image: it is on its machine.
-func (t *workerTask) arrive() {
+func (t *agentTask) arrive() {
 	w := t.k.w
 	t.on = true
 	t.k.noteChange()
@@ -44,7 +44,7 @@
 		t.exit(protocol.CauseDone, false)
 		return
 	}
-	if t.k.sick || j.mistaken {
+	if t.k.failsTasks || j.mistaken {
 		t.k.wait(300*time.Millisecond, t, func() { t.exit(protocol.CauseError, false) })
 		return
 	}
@@ -70,12 +70,12 @@
 	t.state = protocol.TaskWaiting
 	g := j.gangs[t.attempt]
 	if g == nil || g.over {
-		g = &gang{job: t.job, members: map[int]*workerTask{}}
+		g = &gang{job: t.job, members: map[int]*agentTask{}}
 		j.gangs[t.attempt] = g
 	}
 	t.gang = g
 	g.members[t.index] = t
-	t.k.wait(secs(w.shape.Workers.GangWaitS), t, func() {
+	t.k.wait(secs(w.shape.Agents.GangWaitS), t, func() {
 		if t.state == protocol.TaskWaiting {
 			t.exit(protocol.CauseGangTimeout, false)
 		}
@@ -85,28 +85,28 @@
 	}
 }
 
-func (g *gang) list() []*workerTask {
-	var l []*workerTask
-	for _, t := range g.members {
-		l = append(l, t)
+func (g *gang) list() []*agentTask {
+	var l []*agentTask
+	for _, task := range g.members {
+		l = append(l, task)
 	}
-	slices.SortFunc(l, func(a, b *workerTask) int { return cmp.Compare(a.index, b.index) })
+	slices.SortFunc(l, func(a, b *agentTask) int { return cmp.Compare(a.index, b.index) })
 	return l
 }
 
 func (g *gang) start(w *World, j *simJob) {
 	g.running, g.began = true, w.Now
 	j.begin(w.Now)
-	for _, t := range g.list() {
-		t.state = protocol.TaskRunning
-		t.k.noteChange()
+	for _, task := range g.list() {
+		task.state = protocol.TaskRunning
+		task.k.noteChange()
 	}
 	w.after(secs(max(0, j.run-j.progress[0])), func() {
 		if g.over || !g.stopped.IsZero() {
 			return
 		}
-		for _, t := range g.list() {
-			if t.k.hung {
+		for _, task := range g.list() {
+			if task.k.hung {
 				g.fail(w, nil)
 				return
 			}
@@ -115,14 +115,14 @@
 		for i := range j.done {
 			j.done[i] = true
 		}
-		for _, t := range g.list() {
-			t.exit(protocol.CauseDone, false)
+		for _, task := range g.list() {
+			task.exit(protocol.CauseDone, false)
 		}
 	})
 }
 
 // fail ends a running gang that lost a task: the others notice it.
-func (g *gang) fail(w *World, lost *workerTask) {
+func (g *gang) fail(w *World, lost *agentTask) {
 	if g.over {
 		return
 	}
@@ -132,9 +132,9 @@
 		run := j.progress[0] + w.Now.Sub(g.began).Seconds()
 		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointS)*g.job.CheckpointS)
 	}
-	for _, t := range g.list() {
-		if t != lost {
-			t.k.wait(w.between(0, secs(w.shape.Workers.GangPeerS)), t, func() { t.exit(protocol.CauseGangBroken, false) })
+	for _, task := range g.list() {
+		if task != lost {
+			task.k.wait(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-func (t *workerTask) halt(grace float64) {
+func (t *agentTask) halt(grace float64) {
 	w := t.k.w
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
@@ -170,7 +170,7 @@
 	if g.stopped.IsZero() {
 		g.stopped = w.Now
 		run := j.progress[0] + w.Now.Sub(g.began).Seconds()
-		w.after(secs(w.shape.Workers.GangPeerS), func() {
+		w.after(secs(w.shape.Agents.GangPeerS), func() {
 			if g.over {
 				return
 			}
@@ -189,8 +189,8 @@
 	}
 }
 
-// exit ends a task; it stays in the reports until it is forgotten.
-func (t *workerTask) exit(cause protocol.Cause, kept bool) {
+// exit ends a task; it stays in the heartbeats until it is forgotten.
+func (t *agentTask) exit(cause protocol.Cause, kept bool) {
 	if t.state == protocol.TaskExited {
 		return
 	}
@@ -203,17 +203,17 @@
 	}
 }
 
-// lose drops a task with its worker's session, or its machine.
-func (t *workerTask) lose() {
+// lose drops a task with its agent's incarnation, or its machine.
+func (t *agentTask) lose() {
 	t.leave()
 	t.k.w.Audit.ended(t.instance(), "", true)
 	t.k.w.Audit.forgot(t.instance())
 }
 
-func (t *workerTask) instance() instance { return instance{t.k.h.ID, t.name, t.attempt} }
+func (t *agentTask) instance() instance { return instance{t.k.host.ID, t.name, t.attempt} }
 
 // leave takes a task off its machine.
-func (t *workerTask) leave() {
+func (t *agentTask) leave() {
 	w := t.k.w
 	if t.on {
 		t.on = false
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -19,8 +19,8 @@
 	for i := range 8 {
 		s.Teams = append(s.Teams, config.Team{Name: protocol.TeamName(fmt.Sprint("team-", i)), GPUs: 200, MaxGPUs: 800})
 	}
-	s.Workers = config.AgentTimings{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
-	s.State = config.StoreLimits{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
+	s.Agents = config.AgentTimings{ReportS: 5, LeaseS: 31, GangWaitS: 50, GangPeerS: 8, CancelS: 51}
+	s.Store = config.StoreLimits{RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24}
 	s.Cloud = config.CloudLimits{RPS: 8, ListLagS: 5}
 	s.Resources = config.ProcessLimits{Cores: 0.24, MemoryMB: 234, FDLimit: 2000}
 	return s
@@ -55,7 +55,7 @@
 	s := Small()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
-	s.Workers.ReportS = 5
+	s.Agents.ReportS = 5
 	return s
 }
 
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -56,9 +56,9 @@
 		keyspace:   keyspace{keys: map[string]protocol.Entry{}},
 		leaseTable: leaseTable{leases: map[protocol.LeaseID]*lease{}},
 		w:          w,
-		limits:     w.shape.State,
-		calls:      budget(w.shape.State.RPS),
-		writes:     budget(w.shape.State.WriteRPS),
+		limits:     w.shape.Store,
+		calls:      budget(w.shape.Store.RPS),
+		writes:     budget(w.shape.Store.WriteRPS),
 	}
 	w.after(0, s.tick)
 	return s
@@ -186,7 +186,7 @@
 	s.changed += len(t.Changes)
 	if excess := s.beyondLimits(t, size); excess != "" {
 		s.tooLarge++
-		if s.limits == s.w.shape.State || s.tooLarge > 20 { // they were lowered without notice
+		if s.limits == s.w.shape.Store || s.tooLarge > 20 { // they were lowered without notice
 			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -135,8 +135,8 @@
 // address gives a machine its worker's address.
 func (v *Live) address(id protocol.MachineID) string {
 	s := v.serve(func(r *http.Request, body []byte, answer answerFunc) {
-		if k := v.w.workers[id]; k != nil {
-			k.serve(r.Method, r.URL.Path, body, answer)
+		if agent := v.w.agents[id]; agent != nil {
+			agent.serve(r.Method, r.URL.Path, body, answer)
 		}
 	})
 	return s.Listener.Addr().String()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -140,7 +140,7 @@
 	}
 	c := w.nodes[node]
 	w.call(from, c.name, timeout, func(answer answerFunc) {
-		if k := w.workers[protocol.MachineID(from)]; k == nil || !k.mute {
+		if agent := w.agents[protocol.MachineID(from)]; agent == nil || !agent.opensNoConnections {
 			c.ask(event, answer)
 		}
 	}, done)
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -85,11 +85,11 @@
 func (s *stageLog) observe() {
 	for task, machine := range s.lost {
 		id, index, _ := strings.Cut(task, "/")
-		for _, k := range s.w.workers {
-			if string(k.h.ID) == machine || k.dead {
+		for _, agent := range s.w.agents {
+			if string(agent.host.ID) == machine || agent.dead {
 				continue
 			}
-			for _, t := range k.tasks {
+			for _, t := range agent.tasks {
 				if t.name != task || t.job == nil || string(t.job.ID) != id || strconv.Itoa(t.index) != index || s.ends[task][commitment].IsZero() {
 					continue
 				}
@@ -129,13 +129,13 @@
 }
 
 // lose lets a machine die and notes the replicas that it had.
-func (s *stageLog) lose(k *worker) {
-	for name, t := range s.w.rules.placed {
-		if t.k == k {
-			s.lost[name] = string(k.h.ID)
+func (s *stageLog) lose(agent *agent) {
+	for name, task := range s.w.rules.placed {
+		if task.k == agent {
+			s.lost[name] = string(agent.host.ID)
 		}
 	}
-	s.w.loseWorker(k)
+	s.w.loseWorker(agent)
 }
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -30,17 +30,17 @@
 	{"a machine is taken away with notice", func(w *World, u *user) {
 		k := w.workerOf(u.job.spec.ID, 1)
 		k.giveNotice(20)
-		w.after(20*time.Second, func() { w.cloud.destroy(k.h) })
+		w.after(20*time.Second, func() { w.cloud.destroy(k.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.workerOf(u.job.spec.ID, 1).sick = true
+		w.workerOf(u.job.spec.ID, 1).failsTasks = true
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
 		k := w.workerOf(u.job.spec.ID, 1)
-		k.mute = true
-		w.after(100*time.Second, func() { k.mute = false })
+		k.opensNoConnections = true
+		w.after(100*time.Second, func() { k.opensNoConnections = false })
 	}, 0.98},
 	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is cut off", func(w *World, _ *user) {
@@ -138,7 +138,7 @@
 		w.submitRunning(t, 10*time.Second, spec, 0)
 		on := map[protocol.MachineID]int{}
 		for k := range 4 {
-			on[w.workerOf(spec.ID, k).h.ID]++
+			on[w.workerOf(spec.ID, k).host.ID]++
 		}
 		if len(on) != 4 {
 			t.Errorf("%s is on %v", spec.ID, on)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -33,7 +33,7 @@
 type rules struct {
 	w           *World
 	jobs        map[protocol.JobID]*simJob
-	placed      map[string]*workerTask        // where a task is
+	placed      map[string]*agentTask         // where a task is
 	gpusInUse   map[protocol.TeamName]float64 // GPUs by team
 	failures    []string
 	started     int
@@ -66,7 +66,7 @@
 const maxFailures = 20
 
 func newRules(w *World) *rules {
-	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, placed: map[string]*workerTask{}, gpusInUse: map[protocol.TeamName]float64{}}
+	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, placed: map[string]*agentTask{}, gpusInUse: map[protocol.TeamName]float64{}}
 }
 
 // violated notes that a rule was broken.
@@ -77,25 +77,25 @@
 }
 
 // starts checks a task that has come to be on a machine.
-func (r *rules) starts(t *workerTask) {
+func (r *rules) starts(task *agentTask) {
 	r.started++
-	spec := t.job
+	spec := task.job
 	if j := r.jobs[spec.ID]; j.starts == nil {
-		j.starts = map[int]int{t.index: 1}
+		j.starts = map[int]int{task.index: 1}
 	} else {
-		j.starts[t.index]++
+		j.starts[task.index]++
 	}
 	if !r.jobs[spec.ID].cancelled.IsZero() {
 		r.lateStarts++
 	}
-	if o := r.placed[t.name]; o != nil {
-		r.violated(ruleRanTwice, "%s starts on %s while on %s", t.name, t.k.h.ID, o.k.h.ID)
+	if o := r.placed[task.name]; o != nil {
+		r.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, task.k.host.ID, o.k.host.ID)
 	}
-	r.placed[t.name] = t
+	r.placed[task.name] = task
 	r.gpusInUse[spec.Team] += spec.GPUs
 	r.checkQuota(spec.Team)
-	r.checkPlace(t)
-	r.checkCancelled(t)
+	r.checkPlace(task)
+	r.checkCancelled(task)
 }
 
 // checkQuota checks that a team keeps within its limit.
@@ -108,10 +108,10 @@
 }
 
 // checkPlace checks that a task is where its job may be.
-func (r *rules) checkPlace(t *workerTask) {
-	spec := t.job
-	if spec.Zone != "" && spec.Zone != t.k.h.Zone || t.k.h.Spot && !spec.Spot {
-		r.violated(ruleWrongPlace, "%s on %s", t.name, t.k.h.ID)
+func (r *rules) checkPlace(task *agentTask) {
+	spec := task.job
+	if spec.Zone != "" && spec.Zone != task.k.host.Zone || task.k.host.Spot && !spec.Spot {
+		r.violated(ruleWrongPlace, "%s on %s", task.name, task.k.host.ID)
 	}
 	if !spec.OneZone && !spec.Spread {
 		return
@@ -119,30 +119,30 @@
 	zones := map[protocol.ZoneName]int{}
 	for i := range spec.Tasks {
 		if o := r.placed[protocol.TaskName(spec.ID, i)]; o != nil {
-			zones[o.k.h.Zone]++
+			zones[o.k.host.Zone]++
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
 		r.violated(ruleWrongPlace, "%s in more zones than one: %v", spec.ID, zones)
 	}
-	if spec.Spread && zones[t.k.h.Zone] > (spec.Tasks+1)/2 {
+	if spec.Spread && zones[task.k.host.Zone] > (spec.Tasks+1)/2 {
 		r.violated(ruleWrongPlace, "%s has %v", spec.ID, zones)
 	}
 }
 
 // checkCancelled checks that a task's job was not cancelled too long ago.
-func (r *rules) checkCancelled(t *workerTask) {
-	j := r.jobs[t.job.ID]
-	if !j.cancelled.IsZero() && r.w.Now.Sub(j.cancelled) > secs(r.w.shape.Workers.CancelS) {
-		r.violated(ruleRanCancelled, "%s is on %s %v after", t.name, t.k.h.ID, r.w.Now.Sub(j.cancelled))
+func (r *rules) checkCancelled(task *agentTask) {
+	j := r.jobs[task.job.ID]
+	if !j.cancelled.IsZero() && r.w.Now.Sub(j.cancelled) > secs(r.w.shape.Agents.CancelS) {
+		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.k.host.ID, r.w.Now.Sub(j.cancelled))
 	}
 }
 
 // leaves notes that a task is off its machine.
-func (r *rules) leaves(t *workerTask) {
-	r.checkCancelled(t)
-	if r.placed[t.name] == t {
-		delete(r.placed, t.name)
+func (r *rules) leaves(task *agentTask) {
+	r.checkCancelled(task)
+	if r.placed[task.name] == task {
+		delete(r.placed, task.name)
 	}
-	r.gpusInUse[t.job.Team] -= t.job.GPUs
+	r.gpusInUse[task.job.Team] -= task.job.GPUs
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -52,7 +52,7 @@
 	t.Parallel()
 	w := startWorld(3, Small(), 6*time.Second)
 	c := w.leader()
-	w.interrupt(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.workers[protocol.MachineID(b)] != nil })
+	w.interrupt(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
 	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
 	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
@@ -198,7 +198,7 @@
 	c := w.leader()
 	inside := map[string]bool{c.name: true}
 	for i := range 8 {
-		inside[string(w.workerOf("run-000001", i).h.ID)] = true
+		inside[string(w.workerOf("run-000001", i).host.ID)] = true
 	}
 
 	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -99,8 +99,8 @@
 	}
 	w.Run(90 * time.Second)
 	w.faultsOver = w.Now
-	for _, k := range w.workers {
-		k.sick = false
+	for _, agent := range w.agents {
+		agent.failsTasks = false
 	}
 	w.watchWaitingJobs()
 	w.runUntilOver()
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -12,7 +12,7 @@
 
 // lowered is the shape of a deployment whose key-value store will lower its limits.
 func lowered(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.StoreLimits{RPS: s.State.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
@@ -95,8 +95,8 @@
 
 // healWorkers lets sick machines work again.
 func (w *World) healWorkers() {
-	for _, k := range w.workers {
-		k.sick = false
+	for _, agent := range w.agents {
+		agent.failsTasks = false
 	}
 }
 
@@ -107,7 +107,7 @@
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
 	shape := lowered(thousandMachines(), 21, 8)
-	shape.State.TxnOps = 24
+	shape.Store.TxnOps = 24
 	w := NewShaped(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
@@ -280,7 +280,7 @@
 // newWorld is a world of the earlier version whose records may be large.
 func (c lowering) newWorld(seed uint64) *World {
 	shape := lowered(Small(), 15, 4)
-	shape.State.ValueKB, shape.State.TxnOps, shape.Capacity = 32, 24, 40
+	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
 	w := NewShaped(300+seed, logs(), shape)
 	for _, n := range w.nodes {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -166,10 +166,10 @@
 // noteCancelled has the job's tasks checked once its cancellation must hold.
 func (u *user) noteCancelled() {
 	u.job.cancelled = u.w.Now
-	u.w.after(secs(u.w.shape.Workers.CancelS)+time.Millisecond, func() {
+	u.w.after(secs(u.w.shape.Agents.CancelS)+time.Millisecond, func() {
 		for i := range u.job.spec.Tasks {
-			if t := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; t != nil {
-				u.w.rules.checkCancelled(t)
+			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil {
+				u.w.rules.checkCancelled(task)
 			}
 		}
 	})
@@ -238,7 +238,7 @@
 	}
 	if u.w.Now.Sub(u.submittedAt) >= 5*time.Second {
 		for i := range u.job.spec.Tasks {
-			if t := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; t != nil && t.state == protocol.TaskRunning && !t.k.hung {
+			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil && task.state == protocol.TaskRunning && !task.k.hung {
 				u.served += step
 			} else {
 				u.unserved += step
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -24,8 +24,8 @@
 	Capacity  int // machines that the cloud has, those included
 	Type      protocol.MachineType
 	Teams     []config.Team
-	Workers   config.AgentTimings
-	State     config.StoreLimits
+	Agents    config.AgentTimings
+	Store     config.StoreLimits
 	Cloud     config.CloudLimits
 	Resources config.ProcessLimits
 	// Lowered are the key-value store's limits to come, which the settings announce.
@@ -44,8 +44,8 @@
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
 			Price: 10, SpotPrice: 3, BootS: 20, Zones: zones},
 		Teams:     []config.Team{{Name: "red", GPUs: 4, MaxGPUs: 10}, {Name: "blue", GPUs: 8, MaxGPUs: 16}, {Name: "free"}},
-		Workers:   config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-		State:     config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12},
+		Agents:    config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+		Store:     config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12},
 		Cloud:     config.CloudLimits{RPS: 6, ListLagS: 6},
 		Resources: config.ProcessLimits{Cores: 0.06, MemoryMB: 98, FDLimit: 800},
 	}
@@ -69,7 +69,7 @@
 	nodes      []*controller
 	store      *keyValueStore
 	cloud      *cloudProvider
-	workers    map[protocol.MachineID]*worker
+	agents     map[protocol.MachineID]*agent
 	users      []*user
 	rules      *rules
 	faultsOver time.Time          // when all faults were over
@@ -111,7 +111,7 @@
 		shape:    shape,
 		live:     live,
 		Audit:    newAudit(),
-		workers:  map[protocol.MachineID]*worker{},
+		agents:   map[protocol.MachineID]*agent{},
 		release:  map[string]release{},
 	}
 	w.network = network{time: &w.timeline, zoneOf: map[string]protocol.ZoneName{}}
@@ -145,12 +145,12 @@
 			c.Peers = append(c.Peers, config.Peer{Name: protocol.NodeName(n.name), Zone: w.zoneOf[n.name]})
 		}
 	}
-	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Workers: w.shape.Workers,
-		State: w.shape.State, Cloud: w.shape.Cloud, Resources: w.shape.Resources}
+	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Agents: w.shape.Agents,
+		Store: w.shape.Store, Cloud: w.shape.Cloud, Process: w.shape.Resources}
 	if next := w.shape.Lowered; next != nil && w.release[name] != release02 {
-		present := w.shape.State
+		present := w.shape.Store
 		c.Cluster.Present = &present
-		c.Cluster.State = *next
+		c.Cluster.Store = *next
 	}
 	return c
 }
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -32,17 +32,17 @@
 	}
 	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
 	w.Run(quiet)
-	zone := w.workerOf("run-000000", 1).h.Zone
+	zone := w.workerOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
 		}
 	}
-	for _, k := range w.workersInOrder() {
+	for _, agent := range w.workersInOrder() {
 		machines++
-		if k.h.Zone == zone {
-			w.loseWorker(k)
+		if agent.host.Zone == zone {
+			w.loseWorker(agent)
 		}
 	}
 	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
@@ -63,7 +63,7 @@
 		"three zones": {three, 14 * time.Second},
 		// Half of the services may not have more replicas in the zone that is left: the
 		// lost machines are kept until their leases have lapsed, for their sake.
-		"two zones": {two, secs(two.Workers.LeaseS) + 5*time.Second},
+		"two zones": {two, secs(two.Agents.LeaseS) + 5*time.Second},
 	} {
 		for _, quiet := range []time.Duration{90 * time.Second, 200 * time.Second} {
 			var sum time.Duration
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -41,7 +41,7 @@
 }
 
 func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
-	sockets := cfg.Cluster.Resources.FDLimit
+	sockets := cfg.Cluster.Process.FDLimit
 	outside := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
 	storeURL := "http://" + cfg.Endpoints.State
 	return &clients{
--- a/internal/transport/owner.go
+++ b/internal/transport/owner.go
@@ -32,7 +32,7 @@
 	queues := newEventQueues(cfg)
 	pending := newPendingRequests()
 	metrics := newMetrics()
-	connections := newConnectionLimits(cfg.Cluster.Resources.FDLimit)
+	connections := newConnectionLimits(cfg.Cluster.Process.FDLimit)
 	o := &Owner{
 		clients: newClients(cfg, queues.responses),
 		peers:   newPeerLinks(cfg, log, queues.responses),
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -31,7 +31,7 @@
 	for _, peer := range cfg.Peers {
 		p.outgoing[peer.Name] = &outgoingLink{
 			self: cfg.Name, peer: peer.Name, address: peer.Addr, events: events,
-			queue:         make(chan protocol.PeerMessage, max(tuning.MinPeerQueueLength, cfg.Cluster.Resources.FDLimit)),
+			queue:         make(chan protocol.PeerMessage, max(tuning.MinPeerQueueLength, cfg.Cluster.Process.FDLimit)),
 			coalesceDelay: coalesceDelay(cfg),
 		}
 	}
--- a/internal/transport/queues.go
+++ b/internal/transport/queues.go
@@ -18,8 +18,8 @@
 func newEventQueues(cfg *config.Config) *eventQueues {
 	return &eventQueues{
 		responses:  make(chan coordination.Event, tuning.EventQueueLength),
-		heartbeats: make(chan coordination.Event, max(tuning.EventQueueLength, cfg.Cluster.Resources.FDLimit)),
-		users:      make(chan coordination.Event, cfg.Cluster.Resources.UserRequests()),
+		heartbeats: make(chan coordination.Event, max(tuning.EventQueueLength, cfg.Cluster.Process.FDLimit)),
+		users:      make(chan coordination.Event, cfg.Cluster.Process.UserRequests()),
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -132,9 +132,9 @@
 		Peers:     []config.Peer{{Name: "n1", Addr: freeAddr(t)}},
 		Endpoints: config.Endpoints{State: state.Listener.Addr().String(), Cloud: cloud.Listener.Addr().String()},
 		Cluster: config.Cluster{Zones: []protocol.ZoneName{"a"}, Teams: []config.Team{{Name: "vision", MaxGPUs: 4}},
-			Workers: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
-			State:   config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6},
-			Resources: config.ProcessLimits{FDLimit: sockets}}}
+			Agents: config.AgentTimings{ReportS: 3, LeaseS: 24, GangWaitS: 40, GangPeerS: 4, CancelS: 49},
+			Store:  config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 6, ListLagS: 6},
+			Process: config.ProcessLimits{FDLimit: sockets}}}
 	log := slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
