--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -135,15 +135,15 @@
 	}
 }
 
-func (k *agent) sortedTasks() []*agentTask {
-	var l []*agentTask
-	for _, task := range k.tasks {
-		l = append(l, task)
+func (a *agent) sortedTasks() []*agentTask {
+	var list []*agentTask
+	for _, task := range a.tasks {
+		list = append(list, task)
 	}
-	slices.SortFunc(l, func(a, b *agentTask) int {
-		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.attempt, b.attempt))
+	slices.SortFunc(list, func(first, second *agentTask) int {
+		return cmp.Or(cmp.Compare(first.name, second.name), cmp.Compare(first.attempt, second.attempt))
 	})
-	return l
+	return list
 }
 
 func (a *agent) heartbeat() *protocol.Heartbeat {
@@ -159,7 +159,7 @@
 func (a *agent) sendHeartbeat() {
 	w := a.w
 	a.inFlight, a.changed, a.lastSent = true, false, w.Now
-	sent, session := w.Now, a.incarnation
+	sent, incarnation := w.Now, a.incarnation
 	body := encode(a.heartbeat())
 	if w.keep {
 		w.kept = append(w.kept, body)
@@ -173,32 +173,32 @@
 			panic(err)
 		}
 		return coordination.AgentHeartbeat{ID: id, Heartbeat: r}
-	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, session) })
+	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, incarnation) })
 }
 
 // handleHeartbeatResponse takes the answer to a heartbeat.
-func (k *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
-	if k.dead {
+func (a *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
+	if a.dead {
 		return
 	}
 	switch status {
 	case 200:
-		k.inFlight = false
-		k.setTimer()
-		if k.w.Now.Sub(sent) > 4*time.Second || k.hung {
+		a.inFlight = false
+		a.setTimer()
+		if a.w.Now.Sub(sent) > 4*time.Second || a.hung {
 			return
 		}
-		var a protocol.HeartbeatResponse
-		decode(body, &a)
-		if k.incarnation != incarnation || !k.accept(a.FencingToken) {
+		var response protocol.HeartbeatResponse
+		decode(body, &response)
+		if a.incarnation != incarnation || !a.accept(response.FencingToken) {
 			return
 		}
-		k.answeredAt = sent
-		k.execute(a.Commands)
+		a.answeredAt = sent
+		a.execute(response.Commands)
 	case 421:
-		k.followRedirect(body)
+		a.followRedirect(body)
 	default:
-		k.tryNextController()
+		a.tryNextController()
 	}
 }
 
