--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -291,7 +291,7 @@
 }
 
 // TestColdRestartWithDarkZoneEndsAfterLeases: a zone stays dark after the restart. New jobs start at once
-// elsewhere, the recovery ends when its workers' leases have lapsed, and what ran there
+// elsewhere, the recovery ends when its agents' leases have expired, and what ran there
 // starts again after that.
 func TestColdRestartWithDarkZoneEndsAfterLeases(t *testing.T) {
 	t.Parallel()
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -11,28 +11,28 @@
 
 // downtime counts what users and workers notice while controllers are replaced.
 type downtime struct {
-	w          *World
-	asked      int // requests to a node that was up until it had answered or its time was over
-	unanswered int // of them
-	refused    int // answered with a status that has the user come back
-	lapses     int // workers' sessions that ended
-	lastServed time.Time
-	longest    time.Duration // the longest time without a request that was served
-	sessions   map[protocol.MachineID]protocol.Incarnation
-	until      time.Time
+	w            *World
+	asked        int // requests to a node that was up until it had answered or its time was over
+	unanswered   int // of them
+	refused      int // answered with a status that has the user come back
+	expiries     int // agents' leases that ran out
+	lastServed   time.Time
+	longest      time.Duration // the longest time without a request that was served
+	incarnations map[protocol.MachineID]protocol.Incarnation
+	until        time.Time
 }
 
 // watchDowntime sends requests of every kind to the nodes that are up, as the load
-// balancer does, and looks at the workers' sessions.
+// balancer does, and looks at the agents' incarnations.
 func (w *World) watchDowntime(accepted string, until time.Duration) *downtime {
-	d := &downtime{w: w, lastServed: w.Now, sessions: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
+	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
 		for id, agent := range w.agents {
-			if d.sessions[id] != 0 && agent.incarnation > d.sessions[id] {
-				d.lapses++
+			if d.incarnations[id] != 0 && agent.incarnation > d.incarnations[id] {
+				d.expiries++
 			}
-			d.sessions[id] = agent.incarnation
+			d.incarnations[id] = agent.incarnation
 		}
 		requests++
 		switch i % 3 {
@@ -133,7 +133,7 @@
 
 // TestNoDowntime: while the controllers are replaced by the new version, in any order
 // and from either earlier version, every user's request gets an answer, and one is
-// served again soon after one is up; no worker's lease lapses; tokens only rise; and
+// served again soon after one is up; no agent's lease expires; tokens only rise; and
 // nothing that runs stops, no replica and no gang.
 func TestNoDowntime(t *testing.T) {
 	t.Parallel()
@@ -187,7 +187,7 @@
 }
 
 // check reports what must not be noticed: requests without an answer, a time without
-// service beyond that in which no controller is up, lapsed leases and lower tokens.
+// service beyond that in which no controller is up, expired leases and lower tokens.
 func (d *downtime) check(t *testing.T, away time.Duration) {
 	t.Helper()
 	t.Logf("%d requests, %d refused, served again within %v", d.asked, d.refused, d.longest)
@@ -197,8 +197,8 @@
 	if limit := away + tuning.LeaderLeaseTTL + 3*time.Second; d.longest > limit {
 		t.Errorf("nothing is served for %v", d.longest)
 	}
-	if d.lapses > 0 {
-		t.Errorf("%d leases lapsed", d.lapses)
+	if d.expiries > 0 {
+		t.Errorf("%d leases expired", d.expiries)
 	}
 	if d.w.rules.lowerTokens > 0 {
 		t.Errorf("%d times a worker was shown a lower token", d.w.rules.lowerTokens)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -108,7 +108,7 @@
 	w.expectRulesHeld(t)
 }
 
-// TestServiceBeyondTeamLimitIsRefused: a service needs room for all its tasks within its team's limit.
+// TestServiceBeyondTeamLimitIsRefused: a service needs quota for all its tasks.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	w := startWorld(72, Small(), 6*time.Second)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease lapses,
+// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease expires,
 // and what runs goes on running.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
@@ -28,7 +28,7 @@
 }
 
 // TestRestartedLeaderReplacesItsOwnLease: a process that is back within a fraction of a second
-// replaces its predecessor's leader lease without waiting for it to lapse.
+// replaces its predecessor's leader lease without waiting for it to expire.
 func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(2, Small(), 5*time.Second)
@@ -286,7 +286,7 @@
 
 	w.loseWorker(w.workerOf("run-000001", 0))
 
-	// Silence, two probes and a deletion: well before the lease would lapse.
+	// Silence, two probes and a deletion: well before the lease would expire.
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
 		t.Errorf("repaired after %v", took)
 	}
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -62,7 +62,7 @@
 	}{
 		"three zones": {three, 14 * time.Second},
 		// Half of the services may not have more replicas in the zone that is left: the
-		// lost machines are kept until their leases have lapsed, for their sake.
+		// lost machines are kept until their leases have expired, for their sake.
 		"two zones": {two, secs(two.Agents.LeaseS) + 5*time.Second},
 	} {
 		for _, quiet := range []time.Duration{90 * time.Second, 200 * time.Second} {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -213,7 +213,7 @@
 	Done        int                    `json:"done,omitempty"`
 	Placed      int                    `json:"placed,omitempty"`
 	RecordTasks int                    `json:"chunk"` // tasks per record
-	// Parts is the number of records if there are more than the chunk says: one that
+	// Parts is the number of records if there are more than RecordTasks says: one that
 	// had outgrown the limits was split, and what it gave away is in the last ones.
 	// Version 0.2 would not find those.
 	Parts int   `json:"parts,omitempty"`
@@ -232,7 +232,7 @@
 // jobVersion is the highest version of a job's record that is known.
 const jobVersion = 0
 
-// BaseRecords is the number of records that the chunk says.
+// BaseRecords is the number of records that RecordTasks says.
 func (j *Job) BaseRecords() int { return (j.Spec.Tasks + j.RecordTasks - 1) / j.RecordTasks }
 
 // Writer is the writer's name that a record begins with, found without decoding
@@ -291,7 +291,7 @@
 }
 
 // TasksPerRecord is the number of a job's tasks per record that the limits allow. The
-// places of a gang are all written, and each is guarded on its machine's room.
+// places of a gang are all written, and each is guarded on its machine's record.
 func TasksPerRecord(valueKB float64, txnOps int, spec *protocol.Job) int {
 	n := (int(valueKB*1024) - len(Encode(spec)) - tuning.RecordHeaderBytes) / tuning.BytesPerTask
 	n = min(n, tuning.MaxTasksPerRecord)
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -100,9 +100,9 @@
 	// succeeding between, before it is returned.
 	MaxMachineFailures = 2
 	// MaxJobFailures is how many different machines a job may fail on before the
-	// job, not the machines, is blamed.
+	// job, not the machines, is at fault.
 	MaxJobFailures = 3
-	// FailureBackoff is the pause before a job that was blamed is tried again.
+	// FailureBackoff is the pause before a job that its failures were attributed to is tried again.
 	FailureBackoff = 10 * time.Second
 	// MaxFailureBackoffDoublings is how often the pause doubles: up to 40 s. Once all faults are
 	// over no job may wait 90 s beside free capacity for it.
