--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -104,7 +104,7 @@
 }
 
 func (d *Delivery) startCommand(attempt *cluster.Attempt, via channel) protocol.Command {
-	d.log.Debug("start", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID, "direct", via == inCall)
+	d.log.Debug("start sent", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID, "direct", via == inCall)
 	if !attempt.StartSent {
 		d.env.TaskStarting(attempt)
 	}
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -138,7 +138,7 @@
 	b.outcomes.DropUncommitted(job)
 	if len(job.TasksOf(record)) < 2 && !job.Records.Quarantined {
 		job.Records.Quarantined = true
-		b.splitter.log.Error("record cannot be brought under the limits of the state service", "job", job.ID, "record", record)
+		b.splitter.log.Error("record cannot be brought under the limits of the store", "job", job.ID, "record", record)
 	}
 }
 
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -182,7 +182,7 @@
 	if e.term == 0 {
 		return
 	}
-	e.log.Info("was paused", "term", e.term, "seconds", gap.Seconds())
+	e.log.Info("process was paused", "term", e.term, "seconds", gap.Seconds())
 	e.unconfirmed, e.resumedAt = true, e.env.Now()
 	e.renewing, e.renewAt = false, e.env.Now() // one sent before proves nothing
 	if !e.HasAuthority() {
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -35,7 +35,7 @@
 	if !job.BeginStop() {
 		return
 	}
-	m.log.Debug("gang stops", "job", job.ID, "attempt", job.Epoch, "grace", graceS)
+	m.log.Debug("gang stopping", "job", job.ID, "attempt", job.Epoch, "grace", graceS)
 	for _, attempt := range job.SortedAttempts() {
 		m.Stop(attempt, graceS)
 	}
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -28,7 +28,7 @@
 	job.Records.Revisions[0] = revision
 	job.Records.ExtraParts = make([][]int, len(job.Records.Revisions)-record.BaseRecords())
 	job.StartDeadlines = ld.state.StartDeadlines(job)
-	ld.log.Debug("job", "job", job.ID, "class", spec.Class, "shape", spec.Shape, "tasks", spec.Tasks, "gpus", spec.GPUs, "team", spec.Team, "estimate", spec.EstimateS, "deadline", spec.DeadlineS, "age", ld.state.Now().Sub(job.SubmittedAt).Seconds())
+	ld.log.Debug("job loaded", "job", job.ID, "class", spec.Class, "shape", spec.Shape, "tasks", spec.Tasks, "gpus", spec.GPUs, "team", spec.Team, "estimate", spec.EstimateS, "deadline", spec.DeadlineS, "age", ld.state.Now().Sub(job.SubmittedAt).Seconds())
 	ld.state.Jobs[job.ID] = job
 	ld.env.JobLoaded(spec)
 	ld.AddTasks(job, 0, record.Tasks)
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -155,8 +155,8 @@
 		m.watchAt = m.env.Now().Add(tuning.StoreRetryDelay)
 	case changes.Revision < after:
 		// The store was restored to an older state.
-		m.log.Error("state service has gone back", "revision", changes.Revision, "known", after)
-		m.env.Diverged("state service has gone back")
+		m.log.Error("store has gone back", "revision", changes.Revision, "known", after)
+		m.env.Diverged("store has gone back")
 		m.Mirror, m.awaited = storage.Mirror{}, observedRevision{}
 	default:
 		m.apply(changes, sent)
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -133,7 +133,7 @@
 		body   any
 	}{
 		"diverged: watch too old":               {http.StatusGone, nil},
-		"diverged: state service has gone back": {http.StatusOK, protocol.WatchResponse{Revision: 4}},
+		"diverged: store has gone back": {http.StatusOK, protocol.WatchResponse{Revision: 4}},
 	} {
 		c := newController(t)
 		c.load(t)
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -81,7 +81,7 @@
 // LoadMarker takes the marker of an earlier leader that found the store restored.
 func (m *Monitor) LoadMarker(marker protocol.Entry) {
 	m.marked = true
-	m.log.Error("state service was restored to an older state, earlier jobs wait for all agents", "record", string(marker.Value))
+	m.log.Error("store was restored to an older state, earlier jobs wait for all agents", "record", string(marker.Value))
 }
 
 // Marked says whether the marker stands.
@@ -113,7 +113,7 @@
 		case result.Outcome == kv.ConditionFailed:
 			m.env.StepDown("an agent has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
-			m.log.Error("state service was restored to an older state: an agent holds a token that it never gave",
+			m.log.Error("store was restored to an older state: an agent holds a token that it never gave",
 				"machine", machineID, "token", m.highestToken, "revision", result.Revision, "term", m.term)
 			m.proven, m.revision = true, result.Revision
 		default:
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -197,7 +197,7 @@
 	}
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
-		s.log.Error("report refused", "error", err)
+		s.log.Error("heartbeat refused", "error", err)
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
