--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -18,7 +18,7 @@
 type confirmation struct {
 	requestID   uint64
 	requestedAt time.Time                  // when the question under way was sent
-	answers     map[protocol.NodeName]bool // who has answered it
+	answers     map[protocol.NodeName]bool // who has answered it, nil before the first question
 	confirmedAt time.Time                  // when the last question that all answered was sent
 }
 
@@ -45,8 +45,8 @@
 // ReceiveConfirmation takes a peer's answer.
 func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
 	c := &e.confirmation
-	if !e.env.Leading() || m.ID != c.requestID {
-		return // an old one, perhaps held back
+	if !e.env.Leading() || c.answers == nil || m.ID != c.requestID {
+		return // an old one, perhaps held back, or one that nobody asked for
 	}
 	if m.Term > e.term {
 		e.StepDown("a peer leads")
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -204,6 +204,19 @@
 	}
 }
 
+// TestUnaskedConfirmation: a confirmation that reaches a leader which has not asked yet
+// answers nothing, also if its number is that of no question.
+func TestUnaskedConfirmation(t *testing.T) {
+	c := newController(t, 0, 1)
+	c.elect(t)
+	synced := c.synced
+	c.now = c.now.Add(time.Second)
+	c.ReceiveConfirmation("a", protocol.PeerConfirmation{UpMs: uint64(time.Hour.Milliseconds()), Complete: true, Cancels: []protocol.JobID{"run-1"}})
+	if c.confirmedByPeers() || !c.synced.Equal(synced) || len(c.cancelled) != 0 {
+		t.Errorf("confirmed %v, synced at %v, cancelled %v by a peer that was not asked", c.confirmedByPeers(), c.synced, c.cancelled)
+	}
+}
+
 // TestLeaderStepsDownForHigherTerm: a leader lease of a later revision is a successor's.
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	c := newController(t, 0, 0)
