--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"time"
 
 	"github.com/gappond/gappond/internal/coordination/agents"
 	"github.com/gappond/gappond/internal/coordination/cluster"
@@ -60,26 +59,3 @@
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
 }
-
-// TaskStarting implements agents.DeliveryEnvironment.
-func (l *leader) TaskStarting(attempt *cluster.Attempt) {
-	l.n.metrics.Starts++
-	l.n.metrics.WaitSeconds = append(l.n.metrics.WaitSeconds, l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
-}
-
-// MayCommand implements agents.DeliveryEnvironment.
-func (l *leader) MayCommand() bool { return l.n.mayAct() }
-
-// Leads implements agents.LivenessEnvironment.
-func (l *leader) Leads() bool { return l.n.lead == l }
-
-// AllPeersReachable implements agents.LivenessEnvironment.
-func (l *leader) AllPeersReachable() bool {
-	return len(l.n.peers.ReachableNames()) == len(l.n.cfg.Peers)
-}
-
-// ConfirmationGrace implements agents.LivenessEnvironment.
-func (l *leader) ConfirmationGrace() time.Duration { return l.n.election.Grace() }
-
-// CommandsPending implements lifecycle.Environment.
-func (l *leader) CommandsPending(machine *cluster.Machine) { l.agents.Delivery.Enqueue(machine) }
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"time"
 
 	"github.com/gappond/gappond/internal/coordination/autoscaler"
 	"github.com/gappond/gappond/internal/protocol"
@@ -58,18 +57,3 @@
 		}
 	})
 }
-
-// RequestScheduling implements autoscaler.Environment.
-func (l *leader) RequestScheduling() { l.plan = true }
-
-// UniqueName implements autoscaler.Environment.
-func (l *leader) UniqueName() string { return l.n.unique() }
-
-// After implements autoscaler.Environment.
-func (l *leader) After(pause time.Duration, do func()) {
-	l.n.after(pause, func() {
-		if l.n.lead == l {
-			do()
-		}
-	})
-}
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -90,7 +90,7 @@
 	l.testMachine("i-3", "big", "a")
 	l.testMachine("i-4", "big", "a")
 	spare := l.testMachine("i-5", "big", "b")
-	l.MachinesDeleted(dead.ID)
+	l.removeMachines(dead.ID)
 	l.runSchedulingCycle()
 	if len(job.Attempts) != 1 || !job.Stopping {
 		t.Fatalf("%d attempts, stopping %v: the survivor has yet to exit", len(job.Attempts), job.Stopping)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -7,8 +7,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// MachinesDeleted takes machines out that are gone for certain.
-func (l *leader) MachinesDeleted(names ...protocol.MachineID) {
+// removeMachines takes machines out that are gone for certain.
+func (l *leader) removeMachines(names ...protocol.MachineID) {
 	for _, id := range names {
 		machine := l.cluster.Machines[id]
 		if machine == nil {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -41,58 +41,12 @@
 // for machines.
 func (l *leader) runSchedulingCycle() { l.autoscaler.Demand = l.scheduler.RunCycle() }
 
-// TaskPlaced implements scheduler.Environment.
-func (l *leader) TaskPlaced(attempt *cluster.Attempt) {
-	if attempt.Key.Number > 1 {
-		l.n.metrics.Repairs++
-	}
-	l.committer.MarkDirty(attempt.Job, attempt.Job.RecordOf(attempt.Key.Index))
-}
-
-// Preempt implements scheduler.Environment.
-func (l *leader) Preempt(victim *cluster.Attempt) {
-	l.n.metrics.Preemptions++
-	l.lifecycle.Preempt(victim)
-}
-
-// Stop implements scheduler.Environment.
-func (l *leader) Stop(attempt *cluster.Attempt, graceS float64) { l.lifecycle.Stop(attempt, graceS) }
-
-// Drain implements autoscaler.Environment.
-func (l *leader) Drain(machine *cluster.Machine) { l.lifecycle.Drain(machine) }
-
-// Unreadable implements lifecycle.Environment and agents.Environment.
-func (l *leader) Unreadable(job protocol.JobID) bool { return l.loader.Quarantined(job) }
-
-// RecordChanged implements lifecycle.Environment.
-func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
-
-// LogOnce implements agents.HeartbeatEnvironment.
-func (l *leader) LogOnce(message, key string, attributes ...any) {
-	if l.logged[key] {
-		return
-	}
-	if len(l.logged) >= tuning.MaxRememberedLogKeys {
-		clear(l.logged)
-	}
-	l.logged[key] = true
-	l.n.log.Error(message, attributes...)
-}
-
 // cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
 func (l *leader) cancelFromPeer(id protocol.JobID) {
 	if job := l.cluster.Jobs[id]; job != nil {
-		l.CancelJob(job)
-	}
-}
-
-// CancelJob implements loader.Environment.
-func (l *leader) CancelJob(job *cluster.Job) {
-	if job.Cancel() {
-		l.plan = true
-		l.lifecycle.CheckEnded(job)
+		l.cancelJob(job)
 	}
 }
 
@@ -120,14 +74,31 @@
 	l.agents.Delivery.SendPending()
 }
 
-// RecordMachine implements autoscaler.Environment.
-func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.Record(machine) }
-
-// AwaitsRecordSplit implements scheduler.Environment.
-func (l *leader) AwaitsRecordSplit(job *cluster.Job) bool { return l.committer.AwaitsRecordSplit(job) }
+// logOnce logs bad input at its first sight.
+func (l *leader) logOnce(message, key string, attributes ...any) {
+	if l.logged[key] {
+		return
+	}
+	if len(l.logged) >= tuning.MaxRememberedLogKeys {
+		clear(l.logged)
+	}
+	l.logged[key] = true
+	l.n.log.Error(message, attributes...)
+}
 
-// JobLoaded implements loader.Environment.
-func (l *leader) JobLoaded(spec *protocol.Job) { l.autoscaler.JobSubmitted(spec) }
+// cancelJob marks a job as cancelled, and stops what runs of it.
+func (l *leader) cancelJob(job *cluster.Job) {
+	if job.Cancel() {
+		l.plan = true
+		l.lifecycle.CheckEnded(job)
+	}
+}
 
-// CheckEnded implements loader.Environment.
-func (l *leader) CheckEnded(job *cluster.Job) { l.lifecycle.CheckEnded(job) }
+// dropUncommitted takes out the places of a job that are not committed: they are planned again.
+func (l *leader) dropUncommitted(job *cluster.Job) {
+	for _, attempt := range job.SortedAttempts() {
+		if !attempt.Committed {
+			l.lifecycle.RemoveGone(attempt)
+		}
+	}
+}
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -44,7 +44,7 @@
 	}
 
 	for _, id := range names {
-		next.MachinesDeleted(id)
+		next.removeMachines(id)
 	}
 	next.n.now = next.n.now.Add(time.Minute)
 	next.committer.Commit()
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -48,7 +48,7 @@
 		if machine.Deleting == answers || l.cluster.Schedulable(machine) != answers {
 			t.Errorf("answers calls %v: returned %v, takes work %v", answers, machine.Deleting, l.cluster.Schedulable(machine))
 		}
-		if l.MachinesDeleted(machine.ID); len(job.Attempts) != 0 {
+		if l.removeMachines(machine.ID); len(job.Attempts) != 0 {
 			t.Errorf("%d copies are left once it is gone", len(job.Attempts))
 		}
 	}
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -31,9 +31,3 @@
 	}
 	l.n.log.Info("recovery ends", attributes...)
 }
-
-// Recovering says whether the phase lasts.
-func (l *leader) Recovering() bool {
-	s := l.recovery.Summary()
-	return s.Active()
-}
--- a/internal/coordination/restore_environment.go
+++ b/internal/coordination/restore_environment.go
@@ -4,31 +4,20 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/cluster"
-	"github.com/gappond/gappond/internal/protocol"
 )
 
+// restoreEnvironment implements restore.Environment.
+type restoreEnvironment struct{ leaderEnvironment }
+
 // LeaseExpiresAt implements restore.Environment.
-func (l *leader) LeaseExpiresAt(machine *cluster.Machine) time.Time {
-	return l.agents.Liveness.LeaseExpiresAt(machine)
+func (re restoreEnvironment) LeaseExpiresAt(machine *cluster.Machine) time.Time {
+	return re.l.agents.Liveness.LeaseExpiresAt(machine)
 }
 
 // DeleteMachine implements restore.Environment.
-func (l *leader) DeleteMachine(machine *cluster.Machine, reason string) {
-	l.autoscaler.DeleteMachine(machine, reason)
+func (re restoreEnvironment) DeleteMachine(machine *cluster.Machine, reason string) {
+	re.l.autoscaler.DeleteMachine(machine, reason)
 }
 
 // MachinesRecorded implements restore.Environment.
-func (l *leader) MachinesRecorded() bool { return !l.committer.Machines.Empty() }
-
-// HigherTokenSeen implements agents.HeartbeatEnvironment.
-func (l *leader) HigherTokenSeen(heartbeat *protocol.Heartbeat) {
-	l.restored.ObserveHigherToken(heartbeat)
-}
-
-// TokenConfirmed implements agents.HeartbeatEnvironment.
-func (l *leader) TokenConfirmed(machine *cluster.Machine) {
-	l.restored.ObserveConfirmedToken(machine)
-}
-
-// StartsWithheld implements scheduler.Environment.
-func (l *leader) StartsWithheld(job *cluster.Job) bool { return l.restored.Holds(job) }
+func (re restoreEnvironment) MachinesRecorded() bool { return !re.l.committer.Machines.Empty() }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -27,7 +27,7 @@
 	}
 	l.agents.Calls.Limiter.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
 	l.agents.Calls.Limiter.SetLimit(1)
-	l.JobCommitted(job, nil)
+	commitOutcomes{l}.JobCommitted(job, nil)
 	var want []*cluster.Machine
 	for _, attempt := range job.SortedAttempts() {
 		want = append(want, attempt.Machine)
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/takeover.go
@@ -18,19 +18,20 @@
 // takeOver begins to lead with what the records say.
 func (n *Node) takeOver() {
 	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
-	l.lifecycle = lifecycle.New(l.cluster, l.recovery, l, n.log)
-	l.scheduler = scheduler.New(l.cluster, l, n.log)
-	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, l, n.log)
+	shared := leaderEnvironment{l}
+	l.lifecycle = lifecycle.New(l.cluster, l.recovery, lifecycleEnvironment{shared}, n.log)
+	l.scheduler = scheduler.New(l.cluster, schedulerEnvironment{shared}, n.log)
+	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, autoscalerEnvironment{shared}, n.log)
 	l.agents = agents.New(agents.Dependencies{
 		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
-		Client: agentClient{l}, Environment: l, Log: n.log, Term: n.election.Term(),
+		Client: agentClient{l}, Environment: agentsEnvironment{shared}, Log: n.log, Term: n.election.Term(),
 	})
 	l.committer = commit.New(commit.Dependencies{
-		State: l.cluster, Store: leaderStore{l}, Limits: n.storeLimits, Environment: l, Outcomes: l, Log: n.log,
+		State: l.cluster, Store: leaderStore{l}, Limits: n.storeLimits, Environment: commitEnvironment{shared}, Outcomes: commitOutcomes{l}, Log: n.log,
 		Term: n.election.Term(),
 	})
-	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, l, n.log)
-	l.loader = loader.New(l.cluster, l.committer, l, n.log)
+	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, restoreEnvironment{shared}, n.log)
+	l.loader = loader.New(l.cluster, l.committer, loaderEnvironment{shared}, n.log)
 	n.lead = l
 	n.peers.HeartbeatSoon()     // the peers learn how many workers it keeps
 	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -67,7 +67,7 @@
 			t.Fatalf("%s: known %v", name, job != nil)
 		}
 		if job != nil {
-			l.CancelJob(job)
+			l.cancelJob(job)
 			if cmds := l.testReport(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
