--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -14,63 +14,62 @@
 // named it, and whoever leads next begins later. One peer that does not answer, leads, or
 // began its life since the leader last knew all cancellations, ends that.
 
-// confirmation is what a leader knows of its peers' confirmation.
-type confirmation struct {
+// peerConfirmation asks the peers to confirm that nobody else leads and counts their answers.
+type peerConfirmation struct {
+	bounds authorityBounds
+	env    Environment
+	mirror Mirror
+	peers  Peers
+
 	requestID   uint64
 	requestedAt time.Time                  // when the question under way was sent
 	answers     map[protocol.NodeName]bool // who has answered it, nil before the first question
 	confirmedAt time.Time                  // when the last question that all answered was sent
 }
 
-// requestConfirmation asks the peers while renewals fail.
-func (e *Election) requestConfirmation() {
-	c, now := &e.confirmation, e.env.Now()
-	if !e.env.Leading() || now.Sub(e.authorityStart()) < tuning.ConfirmationDelay ||
-		now.Sub(c.requestedAt) < tuning.ConfirmationInterval || e.peers.Count() == 0 {
+// request asks the peers again if renewals fail: if the authority has counted from that
+// start for longer than they take.
+func (pc *peerConfirmation) request(authorityStart time.Time) {
+	now := pc.env.Now()
+	if !pc.env.Leading() || now.Sub(authorityStart) < tuning.ConfirmationDelay ||
+		now.Sub(pc.requestedAt) < tuning.ConfirmationInterval || pc.peers.Count() == 0 {
 		return
 	}
-	c.requestID, c.requestedAt, c.answers = e.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
+	pc.requestID, pc.requestedAt, pc.answers = pc.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
 }
 
-// Confirm answers a leader's question: under which term this controller leads itself, how
-// long its process has been up, and the cancellations that it has told users of meanwhile.
-func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
-	m := protocol.PeerConfirmation{ID: request.ID, Term: e.term, UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
-	if m.Complete = m.FitsFrame(); !m.Complete {
-		m.Cancels = nil
-	}
-	return m
+// awaits says whether an answer of that number answers the question under way: others are
+// old ones, perhaps held back, or ones that nobody asked for.
+func (pc *peerConfirmation) awaits(requestID uint64) bool {
+	return pc.env.Leading() && pc.answers != nil && requestID == pc.requestID
 }
 
-// ReceiveConfirmation takes a peer's answer.
-func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
-	c := &e.confirmation
-	if !e.env.Leading() || c.answers == nil || m.ID != c.requestID {
-		return // an old one, perhaps held back, or one that nobody asked for
-	}
-	if m.Term > e.term {
-		e.StepDown("a peer leads")
-		return
-	}
-	for _, jobID := range m.Cancels {
-		e.env.CancellationConfirmed(jobID)
-	}
+// count counts a peer's answer to the question under way, if it confirms.
+func (pc *peerConfirmation) count(from protocol.NodeName, m protocol.PeerConfirmation) {
 	// What an earlier life of it told users since this controller last knew is not named.
 	up := time.Duration(m.UpMs) * time.Millisecond
-	latestStart := e.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
-	if m.Term != 0 || !m.Complete || latestStart.After(e.mirror.SyncedAt()) {
+	latestStart := pc.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
+	if m.Term != 0 || !m.Complete || latestStart.After(pc.mirror.SyncedAt()) {
 		return
 	}
-	c.answers[from] = true
-	if len(c.answers) == e.peers.Count() {
-		c.confirmedAt = c.requestedAt
-		e.mirror.MarkSynced(c.requestedAt)
+	pc.answers[from] = true
+	if len(pc.answers) == pc.peers.Count() {
+		pc.confirmedAt = pc.requestedAt
+		pc.mirror.MarkSynced(pc.requestedAt)
 	}
 }
 
-// confirmedByPeers says whether the peers' confirmation still gives authority: for the grace
-// that a successor, which begins after it was asked for, counts with.
-func (e *Election) confirmedByPeers() bool {
-	at := e.confirmation.confirmedAt
-	return !at.IsZero() && e.env.Now().Sub(at) < min(e.Grace(), e.authority())
+// holds says whether the peers' confirmation still gives authority.
+func (pc *peerConfirmation) holds() bool {
+	return !pc.confirmedAt.IsZero() && pc.env.Now().Sub(pc.confirmedAt) < pc.bounds.sinceConfirmation()
+}
+
+// end is when the peers' confirmation no longer gives authority.
+func (pc *peerConfirmation) end() time.Time {
+	return pc.confirmedAt.Add(pc.bounds.sinceConfirmation())
+}
+
+// reset forgets the question under way and what was confirmed.
+func (pc *peerConfirmation) reset() {
+	pc.requestID, pc.requestedAt, pc.answers, pc.confirmedAt = 0, time.Time{}, nil, time.Time{}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -7,6 +7,10 @@
 // serves nobody the confirmation of all peers stands in for the renewal. After a pause of
 // the process nothing is done as leader before the leader lease was renewed.
 //
+// Election is composed of four parts with one job each: candidate observes the leader lease
+// and tries for it, heldLease renews it, peerConfirmation asks the peers and counts their
+// answers, and authority tells from these until when a leader may act.
+//
 // The package neither reads nor writes records other than the leader lease and does not
 // know what a leader does.
 package election
@@ -58,67 +62,68 @@
 
 // Election is one controller's part in the election.
 type Election struct {
-	cfg    *config.Config
 	log    *slog.Logger
-	rng    *rand.Rand
-	store  kv.Client
 	env    Environment
 	mirror Mirror
-	peers  Peers
-
-	holder   protocol.NodeName // who holds the leader lease, "" while nobody does
-	revision protocol.Revision // of its record, 0 while nobody holds it
-
-	acquiring bool
-	retryAt   time.Time
-
-	// While this controller holds the leader lease.
-	term      protocol.Term
-	leaseID   protocol.LeaseID
-	renewedAt time.Time // when the last renewal that succeeded was sent
-	renewing  bool
-	renewAt   time.Time
-	// The process was paused until resumedAt, or won the leader lease then: a renewal sent
-	// since must prove the leader lease before anything else is done under it.
-	unconfirmed bool
-	resumedAt   time.Time
 
-	confirmation confirmation
+	bounds       authorityBounds
+	candidate    *candidate
+	lease        *heldLease
+	confirmation *peerConfirmation
+	authority    *authority
 }
 
 // New makes an election that nobody has won.
 func New(cfg *config.Config, log *slog.Logger, rng *rand.Rand, store kv.Client, env Environment, mirror Mirror, peers Peers) *Election {
-	return &Election{cfg: cfg, log: log, rng: rng, store: store, env: env, mirror: mirror, peers: peers}
+	bounds := authorityBounds{&cfg.Cluster}
+	e := &Election{log: log, env: env, mirror: mirror, bounds: bounds}
+	e.candidate = &candidate{name: cfg.Name, rng: rng, store: store, env: env, mirror: mirror, bounds: bounds, won: e.Acquired}
+	e.lease = &heldLease{store: store, env: env, ended: e.StepDown}
+	e.confirmation = &peerConfirmation{bounds: bounds, env: env, mirror: mirror, peers: peers}
+	e.authority = &authority{bounds: bounds, env: env, mirror: mirror, lease: e.lease, confirmation: e.confirmation}
+	return e
 }
 
 // Term is the term under which this controller leads or is about to, 0 if it does not
 // hold the leader lease.
-func (e *Election) Term() protocol.Term { return e.term }
+func (e *Election) Term() protocol.Term { return e.lease.term }
 
 // Holder is who holds the leader lease as far as this controller knows, "" if nobody does.
-func (e *Election) Holder() protocol.NodeName { return e.holder }
+func (e *Election) Holder() protocol.NodeName { return e.candidate.holder }
 
 // HolderTerm is the holder's term, 0 while nobody holds the leader lease.
-func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.revision) }
+func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
+
+// Grace is how long a leader that cannot renew its leader lease goes on answering
+// heartbeats.
+func (e *Election) Grace() time.Duration { return e.bounds.grace() }
+
+// TTL is how long the leader lease outlives its last renewal.
+func (e *Election) TTL() time.Duration { return e.bounds.leaseTTL() }
+
+// HasAuthority says whether this controller may act for all: its leader lease was renewed
+// lately enough that a successor still counts with it, and it has known all cancellations
+// lately enough that none can be kept waiting by what it says.
+func (e *Election) HasAuthority() bool { return e.authority.holds() }
 
 // Confirmed says whether the leader lease was renewed since it was won and since the
 // process was last paused.
-func (e *Election) Confirmed() bool { return !e.unconfirmed }
+func (e *Election) Confirmed() bool { return !e.lease.unconfirmed }
 
 // MayAct says whether this controller may command agents and write records now, if it has
 // taken over.
-func (e *Election) MayAct() bool { return e.HasAuthority() && !e.unconfirmed }
+func (e *Election) MayAct() bool { return e.HasAuthority() && e.Confirmed() }
 
 // MayTakeOver says whether this controller may begin to lead. The mirror has then seen
 // everything that came before the leader lease, and the leader lease was renewed since it
 // was won: reading the records of a large deployment takes a second of a small controller's
 // time, and the return of all agents comes on top, so that leader leases expired before
 // their first renewal left.
-func (e *Election) MayTakeOver() bool { return e.MayAct() && e.HolderTerm() == e.term }
+func (e *Election) MayTakeOver() bool { return e.MayAct() && e.HolderTerm() == e.Term() }
 
 // Condition is the condition of a transaction that this controller's term lasts.
 func (e *Election) Condition() protocol.Condition {
-	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(e.term)}
+	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(e.Term())}
 }
 
 // ObserveLease notes the leader lease as it now stands.
@@ -127,64 +132,77 @@
 	if err := json.Unmarshal(value, &lease); err != nil {
 		e.log.Error("leader lease does not parse", "value", string(value), "error", err)
 	}
-	e.holder, e.revision = lease.Node, revision
-	if e.term != 0 && e.HolderTerm() > e.term {
+	e.candidate.observe(lease.Node, revision)
+	if e.HolderTerm() > e.Term() {
 		e.StepDown("leader lease taken over")
 	}
 }
 
 // ObserveRelease notes that nobody holds the leader lease.
 func (e *Election) ObserveRelease() {
-	e.holder, e.revision = "", 0
-	if e.term != 0 {
-		e.StepDown("leader lease expired")
-	}
-	e.retryAt = e.env.Now().Add(e.jitter(tuning.LeaderLeaseJitter))
-}
-
-func (e *Election) jitter(most time.Duration) time.Duration {
-	return time.Duration(e.rng.Int64N(int64(most)))
+	e.candidate.observe("", 0)
+	e.StepDown("leader lease expired")
+	e.candidate.retryAfter(0)
 }
 
 // Tick tries for the leader lease while it is free, and keeps it while this controller holds it.
 func (e *Election) Tick() {
-	if e.term != 0 {
-		e.tickLease()
+	if e.lease.held() {
+		e.keepLease()
+	} else {
+		e.candidate.tick()
+	}
+}
+
+// keepLease renews the leader lease and gives it up when its time is over.
+func (e *Election) keepLease() {
+	e.confirmation.request(e.authority.start())
+	if !e.HasAuthority() {
+		e.StepDown("not proven to lead in time")
+		return
+	}
+	if !e.lease.renewalDue() {
 		return
 	}
-	if e.mayAcquire() && !e.env.Now().Before(e.retryAt) {
-		e.acquire()
+	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MirrorFreshness {
+		e.mirror.FetchRevision()
 	}
+	e.lease.renew()
 }
 
 // Due tells when the leader lease is to be renewed, given up or tried for.
 func (e *Election) Due(by func(time.Time)) {
-	if e.term == 0 {
-		if e.mayAcquire() {
-			by(e.retryAt)
+	if !e.lease.held() {
+		if e.candidate.mayAcquire() {
+			by(e.candidate.retryAt)
 		}
 		return
 	}
-	if !e.renewing {
-		by(e.renewAt)
-	}
-	if e.confirmedByPeers() {
-		by(e.confirmation.confirmedAt.Add(min(e.Grace(), e.authority())))
-	} else {
-		by(e.authorityStart().Add(e.authority()))
+	if !e.lease.renewing {
+		by(e.lease.renewAt)
 	}
+	by(e.authority.end())
+}
+
+// Acquired notes that this controller has won the leader lease by a request sent at that
+// time. A renewal has to confirm it.
+func (e *Election) Acquired(term protocol.Term, leaseID protocol.LeaseID, sent time.Time) {
+	e.lease.acquired(term, leaseID, sent)
+	e.log.Info("leader lease acquired", "term", term)
 }
 
+// Renewed notes that the leader lease was renewed by a request sent at that time.
+func (e *Election) Renewed(sent time.Time) { e.lease.renewed(sent) }
+
 // ProcessPaused is called when the process goes on after a pause, its clocks running on:
 // full buffers and timers that are all due wait, and somebody else may lead by now.
 // Nothing is done as leader before the leader lease was renewed.
 func (e *Election) ProcessPaused(gap time.Duration) {
-	if e.term == 0 {
+	if !e.lease.held() {
 		return
 	}
-	e.log.Info("process was paused", "term", e.term, "seconds", gap.Seconds())
-	e.unconfirmed, e.resumedAt = true, e.env.Now()
-	e.renewing, e.renewAt = false, e.env.Now() // one sent before proves nothing
+	e.log.Info("process was paused", "term", e.Term(), "seconds", gap.Seconds())
+	e.lease.processPaused()
 	if !e.HasAuthority() {
 		e.StepDown("was paused for longer than its leader lease")
 	}
@@ -192,12 +210,37 @@
 
 // StepDown gives the leader lease up, if this controller holds it.
 func (e *Election) StepDown(reason string) {
-	if e.term == 0 {
+	if !e.lease.held() {
 		return
 	}
-	e.log.Info("stepping down", "term", e.term, "reason", reason)
-	e.term, e.leaseID, e.renewing, e.unconfirmed = 0, 0, false, false
-	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetryDelay + e.jitter(tuning.LeaderLeaseJitter))
-	e.confirmation = confirmation{}
+	e.log.Info("stepping down", "term", e.Term(), "reason", reason)
+	e.lease.release()
+	e.candidate.retryAfter(tuning.LeaderLeaseRetryDelay)
+	e.confirmation.reset()
 	e.env.SteppedDown()
 }
+
+// Confirm answers a leader's question: under which term this controller leads itself, how
+// long its process has been up, and the cancellations that it has told users of meanwhile.
+func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
+	m := protocol.PeerConfirmation{ID: request.ID, Term: e.Term(), UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
+	if m.Complete = m.FitsFrame(); !m.Complete {
+		m.Cancels = nil
+	}
+	return m
+}
+
+// ReceiveConfirmation takes a peer's answer.
+func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
+	if !e.confirmation.awaits(m.ID) {
+		return
+	}
+	if m.Term > e.Term() {
+		e.StepDown("a peer leads")
+		return
+	}
+	for _, jobID := range m.Cancels {
+		e.env.CancellationConfirmed(jobID)
+	}
+	e.confirmation.count(from, m)
+}
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -102,7 +102,7 @@
 func TestAuthorityIsBounded(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
-		w := c.cfg.Cluster.Agents
+		w := c.bounds.cluster.Agents
 		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
@@ -127,8 +127,8 @@
 				c.synced = c.now
 			}
 		}
-		if lasted := c.now.Sub(start); lasted < c.authority() || lasted > c.authority()+2*tuning.MinTimerInterval {
-			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.authority())
+		if lasted := c.now.Sub(start); lasted < c.bounds.sinceRenewal() || lasted > c.bounds.sinceRenewal()+2*tuning.MinTimerInterval {
+			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.bounds.sinceRenewal())
 		}
 		c.Tick()
 		if c.Term() != 0 || c.leading {
@@ -188,11 +188,11 @@
 		asked := c.now
 		c.now = c.now.Add(time.Millisecond)
 		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
-		if c.confirmedByPeers() {
+		if c.confirmation.holds() {
 			t.Fatalf("%s: confirmed by one of two", name)
 		}
 		c.ReceiveConfirmation("b", test.second)
-		if got := c.confirmedByPeers(); got != test.want || got != c.synced.Equal(asked) {
+		if got := c.confirmation.holds(); got != test.want || got != c.synced.Equal(asked) {
 			t.Errorf("%s: confirmed %v, synced at %v", name, got, c.synced)
 		}
 		if !slices.Equal(c.cancelled, []protocol.JobID{"run-000001"}) {
@@ -212,8 +212,8 @@
 	synced := c.synced
 	c.now = c.now.Add(time.Second)
 	c.ReceiveConfirmation("a", protocol.PeerConfirmation{UpMs: uint64(time.Hour.Milliseconds()), Complete: true, Cancels: []protocol.JobID{"run-1"}})
-	if c.confirmedByPeers() || !c.synced.Equal(synced) || len(c.cancelled) != 0 {
-		t.Errorf("confirmed %v, synced at %v, cancelled %v by a peer that was not asked", c.confirmedByPeers(), c.synced, c.cancelled)
+	if c.confirmation.holds() || !c.synced.Equal(synced) || len(c.cancelled) != 0 {
+		t.Errorf("confirmed %v, synced at %v, cancelled %v by a peer that was not asked", c.confirmation.holds(), c.synced, c.cancelled)
 	}
 }
 
--- a/internal/coordination/election/lease.go
+++ b/internal/coordination/election/lease.go
@@ -5,103 +5,74 @@
 
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// mayAcquire says whether there is a leader lease to be tried for. One under this
-// controller's own name that it does not hold is a dead predecessor's, or its own attempt
-// whose answer was lost.
-func (e *Election) mayAcquire() bool {
-	free := e.revision == 0 || e.holder == e.cfg.Name
-	return e.mirror.Ready() && free && !e.acquiring
-}
-
-// acquire tries for the leader lease: a lease of the store, and under it the record, on the
-// condition that it is as this controller knows it.
-func (e *Election) acquire() {
-	e.acquiring = true
-	expected, sent := e.revision, e.env.Now()
-	e.store.GrantLease(e.TTL(), func(granted kv.LeaseResult) {
-		if granted.Outcome != kv.Done || granted.Lease == 0 {
-			e.acquireLater()
-			return
-		}
-		e.store.Transact(e.claim(granted.Lease, expected), func(result kv.TransactionResult) {
-			if result.Outcome != kv.Done || result.Malformed || result.Revision == 0 {
-				e.acquireLater()
-				return
-			}
-			e.acquiring = false
-			if e.revision <= result.Revision { // else somebody has taken it over already
-				e.Acquired(protocol.Term(result.Revision), granted.Lease, sent)
-			}
-		})
-	})
-}
+// heldLease is the leader lease while this controller holds it, and renews it.
+type heldLease struct {
+	store kv.Client
+	env   Environment
+	// ended is called when the store knows the leader lease no longer.
+	ended func(reason string)
 
-// claim is the transaction that takes the leader lease.
-func (e *Election) claim(leaseID protocol.LeaseID, expected protocol.Revision) protocol.Transaction {
-	return protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: storage.LeaderKey, Revision: expected}},
-		Changes: []protocol.Change{{Set: storage.LeaderKey, Lease: leaseID,
-			Value: storage.Encode(storage.LeaderLease{Node: e.cfg.Name, Boot: e.env.UniqueName()})}},
-	}
+	term      protocol.Term // 0 while this controller does not hold it
+	leaseID   protocol.LeaseID
+	renewedAt time.Time // when the last renewal that succeeded was sent
+	renewing  bool
+	renewAt   time.Time
+	// The process was paused until resumedAt, or won the leader lease then: a renewal sent
+	// since must prove the leader lease before anything else is done under it.
+	unconfirmed bool
+	resumedAt   time.Time
 }
 
-// acquireLater ends an attempt that failed.
-func (e *Election) acquireLater() {
-	e.acquiring = false
-	e.retryAt = e.env.Now().Add(tuning.LeaderLeaseRetryDelay + e.jitter(tuning.LeaderLeaseJitter))
-}
+func (h *heldLease) held() bool { return h.term != 0 }
 
-// Acquired notes that this controller has won the leader lease by a request sent at that
-// time. A renewal has to confirm it.
-func (e *Election) Acquired(term protocol.Term, leaseID protocol.LeaseID, sent time.Time) {
-	now := e.env.Now()
-	e.term, e.leaseID, e.renewedAt, e.renewAt = term, leaseID, sent, now
-	e.unconfirmed, e.resumedAt = true, now
-	e.log.Info("leader lease acquired", "term", e.term)
+// acquired notes that the leader lease was won by a request sent at that time.
+func (h *heldLease) acquired(term protocol.Term, leaseID protocol.LeaseID, sent time.Time) {
+	now := h.env.Now()
+	h.term, h.leaseID, h.renewedAt, h.renewAt = term, leaseID, sent, now
+	h.unconfirmed, h.resumedAt = true, now
 }
 
-// tickLease renews the leader lease and gives it up when its time is over.
-func (e *Election) tickLease() {
-	e.requestConfirmation()
-	if !e.HasAuthority() {
-		e.StepDown("not proven to lead in time")
-		return
-	}
-	if e.renewing || e.env.Now().Before(e.renewAt) {
-		return
-	}
-	e.renewing = true
-	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MirrorFreshness {
-		e.mirror.FetchRevision()
-	}
-	e.renew()
-}
+// renewalDue says whether a renewal is to be sent now.
+func (h *heldLease) renewalDue() bool { return !h.renewing && !h.env.Now().Before(h.renewAt) }
 
-func (e *Election) renew() {
-	sent, term := e.env.Now(), e.term
-	e.store.RenewLeaderLease(e.leaseID, func(outcome kv.Outcome) {
-		if e.term != term {
+// renew sends a renewal.
+func (h *heldLease) renew() {
+	h.renewing = true
+	sent, term := h.env.Now(), h.term
+	h.store.RenewLeaderLease(h.leaseID, func(outcome kv.Outcome) {
+		if h.term != term {
 			return
 		}
-		e.renewing = false
+		h.renewing = false
 		switch outcome {
 		case kv.Done:
-			e.Renewed(sent)
+			h.renewed(sent)
 		case kv.NotFound:
-			e.StepDown("leader lease has ended")
+			h.ended("leader lease has ended")
 		default:
-			e.renewAt = e.env.Now().Add(tuning.StoreRetryDelay)
+			h.renewAt = h.env.Now().Add(tuning.StoreRetryDelay)
 		}
 	})
 }
 
-// Renewed notes that the leader lease was renewed by a request sent at that time.
-func (e *Election) Renewed(sent time.Time) {
-	e.renewedAt = sent
-	e.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
-	e.unconfirmed = e.unconfirmed && sent.Before(e.resumedAt)
+// renewed notes that the leader lease was renewed by a request sent at that time.
+func (h *heldLease) renewed(sent time.Time) {
+	h.renewedAt = sent
+	h.renewAt = sent.Add(tuning.LeaderLeaseRenewInterval)
+	h.unconfirmed = h.unconfirmed && sent.Before(h.resumedAt)
+}
+
+// processPaused has a new renewal prove the leader lease: one sent before proves nothing.
+func (h *heldLease) processPaused() {
+	now := h.env.Now()
+	h.unconfirmed, h.resumedAt = true, now
+	h.renewing, h.renewAt = false, now
+}
+
+// release forgets the leader lease.
+func (h *heldLease) release() {
+	h.term, h.leaseID, h.renewing, h.unconfirmed = 0, 0, false, false
 }
