--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -274,7 +274,7 @@
 
 // TestSilentZoneIsReturnedAfterItsLeases: when a whole zone falls silent its machines are not
 // returned at once, though they are only a third of all: they are back when the cut ends.
-// Two that die in a zone that goes on reporting are.
+// Two that die in a zone that goes on sending heartbeats are.
 func TestSilentZoneIsReturnedAfterItsLeases(t *testing.T) {
 	for _, c := range []struct{ silent, returned int }{{2, 2}, {8, 0}} {
 		l := newTestLeader()
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -61,7 +61,7 @@
 	early, heard map[protocol.ZoneName]bool
 }
 
-// Tick looks for agents that are silent, whose lease has expired, or that are gone.
+// Tick finds the agents that are silent, whose lease has expired, or that are gone.
 func (l *Liveness) Tick() {
 	suspected, _ := l.state.SuspectedZones(l.state.SilenceTimeout())
 	partitions := suspectedPartitions{suspected: suspected}
--- a/internal/coordination/api/status_query.go
+++ b/internal/coordination/api/status_query.go
@@ -150,7 +150,7 @@
 }
 
 // answerQuery answers from the mirror's record if that was the newest, else after
-// another look.
+// another check.
 func (s *Service) answerQuery(query statusQuery, batch *queryBatch) {
 	status, ok := batch.status[query.job]
 	fresh := ok && !batch.stale[storage.JobKey(query.job)]
--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -103,7 +103,7 @@
 		as.consolidateNotBefore = now.Add(tuning.ConsolidationInterval)
 		as.consolidate()
 	}
-	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.ScaleOutDelayAfterTakeover && len(as.state.Types) > 0 {
+	if !now.Before(as.scaleOutNotBefore) && now.Sub(as.state.LeadingSince) > tuning.ScaleOutDelayAfterFailover && len(as.state.Types) > 0 {
 		as.scaleOutNotBefore = now.Add(tuning.ScaleOutInterval)
 		as.scaleOut()
 	}
--- a/internal/coordination/autoscaler/harness_test.go
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -30,7 +30,7 @@
 	log := slog.New(slog.DiscardHandler)
 	sched := scheduler.New(c.State, clustertest.NewEnvironment(c), log)
 	h := &harness{Autoscaler: New(c.State, sched, calls, surroundings, log), cluster: c, environment: surroundings, cloud: calls}
-	c.Advance(tuning.ScaleOutDelayAfterTakeover + time.Second)
+	c.Advance(tuning.ScaleOutDelayAfterFailover + time.Second)
 	return h
 }
 
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-// BenchmarkReport is the path of a worker's report at two thousand machines,
+// BenchmarkReport is the path of an agent's heartbeat at two thousand machines,
 // decoding included.
 func BenchmarkReport(b *testing.B) {
 	l := fullFleet(600)
@@ -112,8 +112,8 @@
 	runtime.KeepAlive(large)
 }
 
-// BenchmarkTakeover is a takeover of four thousand machines with two tasks each and as many
-// jobs that wait, from the mirror to the first reports' turn.
+// BenchmarkTakeover is a failover of four thousand machines with two tasks each and as many
+// jobs that wait, from the mirror to the first heartbeats' turn.
 func BenchmarkTakeover(b *testing.B) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	page := protocol.Entries{Revision: 9}
@@ -140,6 +140,6 @@
 	l.n.mirror.LoadPage(&page)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.n.takeOver()
+		l.n.startLeading()
 	}
 }
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// countCall takes a request from the budget in any case; users' requests look first.
+// countCall takes a request from the budget in any case; users' requests check it first.
 func (sb *storeBudgets) countCall(now time.Time) { sb.calls.AllowN(now, 1) }
 
 // countWrite takes one write from what the store accepts: one of this node's own or one
@@ -50,7 +50,7 @@
 	return true
 }
 
-// AllowsUserRead says whether the budget leaves room for a user's request: what the node
+// AllowsUserRead says whether the budget suffices for a user's request: what the node
 // itself needs, renewals and decisions above all, comes first.
 func (sb *storeBudgets) AllowsUserRead(now time.Time) bool {
 	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.NodeRequestReserve
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -85,7 +85,7 @@
 }
 
 // isSilent says whether a machine is out of reach: it does not receive, or was silent for
-// so long. Soon after a takeover an agent may simply have yet to find this leader.
+// so long. Soon after a failover an agent may simply have yet to find this leader.
 func (st *State) isSilent(machine *Machine, silence time.Duration) bool {
 	if st.NotReceiving(machine) {
 		return true
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestNewLeaderSuspectsNoZone: soon after a takeover agents have yet to find the leader.
+// TestNewLeaderSuspectsNoZone: soon after a failover agents have yet to find the leader.
 func TestNewLeaderSuspectsNoZone(t *testing.T) {
 	model := clustertest.New()
 	for i := range 6 {
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -178,7 +178,7 @@
 			l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.NotFound})
 			read := l.reads[storage.FinalKey(id)]
 			if read == nil {
-				t.Fatal("the final record is not looked up")
+				t.Fatal("the final record is not read")
 			}
 			read(test.final)
 			if job.Finished != test.finished || (l.Jobs[id] == nil) != test.finished {
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -185,7 +185,7 @@
 }
 
 // undo marks the records of a refused write as dirty again, drops the attempts that it
-// would have committed and looks up the revisions.
+// would have committed and reads the revisions.
 func (c *Committer) undo(write *jobWrite) {
 	job := write.job
 	job.Write.InFlight = false
--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// recordReader looks up what is stored where a transaction met something unexpected.
+// recordReader reads what is stored where a transaction met something unexpected.
 type recordReader struct {
 	state    *cluster.State
 	store    Store
@@ -18,7 +18,7 @@
 	finish   func(*cluster.Job, storage.Final) // takes a job whose final record is stored
 }
 
-// reread looks up the present revision of a key whose guard may have failed.
+// reread reads the present revision of a key whose guard may have failed.
 func (rr *recordReader) reread(key string) {
 	rr.store.Get(key, func(result kv.GetResult) {
 		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -36,7 +36,7 @@
 	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
 
-// due tells when the leader has something to look after.
+// due tells when the leader has something to do.
 func (l *leader) due(by func(time.Time)) {
 	by(l.watchAt)
 	if l.plan {
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -18,7 +18,7 @@
 
 // failoverTime is how long a failover takes on this controller's share of a core.
 func (e *Election) failoverTime() time.Duration {
-	return min(e.cfg.Cluster.Process.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
+	return min(e.cfg.Cluster.Process.Pause(tuning.FailoverCPUCost, 1), tuning.MaxFailoverAllowance)
 }
 
 // TTL is how long the leader lease outlives its last renewal.
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -109,12 +109,12 @@
 // taken over.
 func (e *Election) MayAct() bool { return e.HasAuthority() && !e.unconfirmed }
 
-// MayTakeOver says whether this controller may begin to lead. The mirror has then seen
+// MayStartLeading says whether this controller may begin to lead. The mirror has then seen
 // everything that came before the leader lease, and the leader lease was renewed since it
 // was won: reading the records of a large deployment takes a second of a small controller's
 // time, and the return of all agents comes on top, so that leader leases expired before
 // their first renewal left.
-func (e *Election) MayTakeOver() bool { return e.MayAct() && e.HolderTerm() == e.term }
+func (e *Election) MayStartLeading() bool { return e.MayAct() && e.HolderTerm() == e.term }
 
 // Condition is the condition of a transaction that this controller's term lasts.
 func (e *Election) Condition() protocol.Condition {
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -85,12 +85,12 @@
 	c.answer(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
 	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	c.answer(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
-	if c.Term() != 9 || c.MayAct() || c.MayTakeOver() {
+	if c.Term() != 9 || c.MayAct() || c.MayStartLeading() {
 		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
 	}
 	c.Tick()
 	c.answer(t, protocol.RenewPath(testLease), nil)
-	if !c.MayAct() || !c.MayTakeOver() {
+	if !c.MayAct() || !c.MayStartLeading() {
 		t.Fatal("may not act though the leader lease was renewed")
 	}
 	c.leading = true
@@ -106,7 +106,7 @@
 		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
-		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxTakeoverAllowance {
+		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
 			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
 		}
 	}
--- a/internal/coordination/takeover.go
+++ b/internal/coordination/failover.go
@@ -15,8 +15,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// takeOver begins to lead with what the records say.
-func (n *Node) takeOver() {
+// startLeading begins to lead with what the records say.
+func (n *Node) startLeading() {
 	l := &leader{n: n, cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }), logged: map[string]bool{}, recovery: reconcile.NewPhase(), plan: true}
 	shared := leaderEnvironment{l}
 	l.lifecycle = lifecycle.New(l.cluster, l.recovery, lifecycleEnvironment{shared}, n.log)
@@ -33,7 +33,7 @@
 	l.restored = restore.NewMonitor(n.election.Term(), l.cluster, leaderStore{l}, restoreEnvironment{shared}, n.log)
 	l.loader = loader.New(l.cluster, l.committer, loaderEnvironment{shared}, n.log)
 	n.lead = l
-	n.peers.HeartbeatSoon()     // the peers learn how many workers it keeps
+	n.peers.HeartbeatSoon()     // the peers learn how many agents it keeps
 	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -14,7 +14,7 @@
 
 // These tests hold one guard each that whole days break too rarely to show.
 
-func (l *leader) testReport(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
+func (l *leader) testHeartbeat(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
 	return l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
 		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}).Commands
 }
@@ -38,7 +38,7 @@
 	return Request{}
 }
 
-// TestCommitFirst: a placement is guarded on the leader lease, the job and the room it
+// TestCommitFirst: a placement is guarded on the leader lease, the job and the capacity it
 // takes, and no start leaves before it is committed.
 func TestCommitFirst(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
@@ -59,7 +59,7 @@
 	if !place(l, job) {
 		t.Fatal("not placed")
 	}
-	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
+	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.committer.Commit()
@@ -74,24 +74,24 @@
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
 	}
-	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
+	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToAgent); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
-	if got := ops(l.testReport(machine, l.n.election.Term())); got != "" {
+	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
 	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
-	if got := ops(l.testReport(machine, l.n.election.Term())); got != "start start " {
+	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
 }
 
-// TestSpentBudget: a submission of the largest job for which the budget has no
-// room is refused at once, with a time to come back, and not held.
+// TestSpentBudget: a submission of the largest job for which the budget is
+// too small is refused at once, with a time to come back, and not held.
 func TestSpentBudget(t *testing.T) {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	n.mirror.BeginLoad()
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -27,10 +27,10 @@
 	return all, such
 }
 
-// TestTakeoverIsPaced: a new leader of two thousand machines calls no more of
+// TestFailoverIsPaced: a new leader of two thousand machines calls no more of
 // them than its share of a core allows, and renews its leader lease meanwhile. One that
 // called all at once did not come to renew it and was replaced, and so in turn.
-func TestTakeoverIsPaced(t *testing.T) {
+func TestFailoverIsPaced(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
 	n.cfg.Cluster.Process = bigResources
@@ -103,7 +103,7 @@
 func TestNoLimits(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
-		t.Error("no worker may be called")
+		t.Error("no agent may be called")
 	}
 	n := l.n
 	n.cfg.Cluster.Store.WriteRPS = 2
@@ -145,13 +145,13 @@
 }
 
 // TestProcessPause: a leader that was paused for seconds, its clocks running on,
-// answers no report, sends no order and writes nothing before its leader lease was
-// renewed; one whose leader lease must have lapsed meanwhile leads no more.
+// answers no heartbeat, sends no command and writes nothing before its leader lease was
+// renewed; one whose leader lease must have expired meanwhile leads no more.
 func TestProcessPause(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	machine := l.testMachine("i-1", "big", "a")
-	report := func(id uint64) Event {
+	heartbeat := func(id uint64) Event {
 		machine.Agent.Sequence++
 		return AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: "big", Zone: "a", Incarnation: 1, Sequence: machine.Agent.Sequence + 10, FencingToken: n.election.Term()}}
 	}
@@ -166,9 +166,9 @@
 	n.Step(n.now.Add(tuning.MinTimerInterval), nil)
 	job := l.testJob(gangOf(1, 1))
 	l.plan = true
-	out := n.Step(n.now.Add(10*time.Second), []Event{report(1)})
+	out := n.Step(n.now.Add(10*time.Second), []Event{heartbeat(1)})
 	if got := status(out, 1); got != 503 {
-		t.Errorf("the report that waited is answered %d", got)
+		t.Errorf("the heartbeat that waited is answered %d", got)
 	}
 	if calls, _ := sentTo(out, ToAgent, ""); calls > 0 {
 		t.Errorf("%d calls to agents", calls)
@@ -193,17 +193,17 @@
 			renew = r
 		}
 	}
-	out = n.Step(n.now.Add(time.Millisecond), []Event{Response{ID: renew.ID, Status: 200}, report(2)})
+	out = n.Step(n.now.Add(time.Millisecond), []Event{Response{ID: renew.ID, Status: 200}, heartbeat(2)})
 	if got := status(out, 2); got != 200 || !n.mayAct() {
-		t.Errorf("after the renewal a report is answered %d", got)
+		t.Errorf("after the renewal a heartbeat is answered %d", got)
 	}
 	n.Step(n.now.Add(n.election.TTL()+n.election.Grace()+time.Second), nil)
 	if n.Leading() {
-		t.Error("leads on a claim that has lapsed")
+		t.Error("leads on a leader lease that has expired")
 	}
 }
 
-// TestForwardedAgentIsRedirectedAgain: a worker that could not reach the leader is
+// TestForwardedAgentIsRedirectedAgain: an agent that could not reach the leader is
 // carried, but not for ever: it is sent to the leader again after a while, and
 // at once when another leads.
 func TestForwardedAgentIsRedirectedAgain(t *testing.T) {
@@ -249,7 +249,7 @@
 		{tuning.RedirectRetention, "421"}, {5 * time.Second, "forwarded to first"},
 	} {
 		if got := send(step.after); got != step.want {
-			t.Errorf("report %d: %s, want %s", i, got, step.want)
+			t.Errorf("heartbeat %d: %s, want %s", i, got, step.want)
 		}
 	}
 	lead("second", 21)
@@ -258,10 +258,10 @@
 	}
 }
 
-// TestRenewedBeforeTakeover: a node that has won the leader lease renews it before it
+// TestRenewedBeforeFailover: a node that has won the leader lease renews it before it
 // reads the records, which takes a small controller a second, and plans nothing in
 // the step in which it does.
-func TestRenewedBeforeTakeover(t *testing.T) {
+func TestRenewedBeforeFailover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.election.StepDown("a test")
@@ -292,7 +292,7 @@
 	out = n.Step(n.now, []Event{AgentHeartbeat{ID: 77, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
-			t.Fatalf("a report is answered %d meanwhile", r.Status)
+			t.Fatalf("a heartbeat is answered %d meanwhile", r.Status)
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
@@ -306,6 +306,6 @@
 		}
 	}
 	if !answered {
-		t.Error("the report that waited has no answer")
+		t.Error("the heartbeat that waited has no answer")
 	}
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -31,10 +31,10 @@
 	committer  *commit.Committer
 	loader     *loader.Loader
 	autoscaler *autoscaler.Autoscaler
-	proxying   bool // the peers answer a part of the workers
+	proxying   bool // the peers answer a part of the agents
 	plan       bool // something changed that placement may depend on
 	planAt     time.Time
-	watchAt    time.Time // when the machines are looked over again
+	watchAt    time.Time // when the machines are checked again
 }
 
 // runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -35,7 +35,7 @@
 	n.machineTypes.byName["big"], n.machineTypes.byName["small"] = &bigType, &smallType
 	n.election.Acquired(7, testLease, now)
 	n.keepAuthority()
-	n.takeOver()
+	n.startLeading()
 	return n.lead
 }
 
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -60,7 +60,7 @@
 // noteReplicaExit notes that a replica ended by itself, though it is to run until the user
 // cancels its service. It starts again elsewhere at
 // once; one that ends again and again does so ever more rarely. One that ran for a
-// while is stable: neither it nor its machine is to blame.
+// while is stable: neither it nor its machine caused the exit.
 func (m *Manager) noteReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
 	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -42,7 +42,7 @@
 }
 
 // reserveSurvivors keeps the machines of a broken gang's other tasks for its next
-// attempt: the repair then only has to find room for what was lost.
+// attempt: the repair then only has to find capacity for what was lost.
 func (m *Manager) reserveSurvivors(job *cluster.Job) {
 	job.Survivors = map[protocol.MachineID]bool{}
 	for _, attempt := range job.SortedAttempts() {
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestUnreadableJobIsLeftAlone: a gang that looks incomplete is not stopped while a record of
+// TestUnreadableJobIsLeftAlone: a gang that seems incomplete is not stopped while a record of
 // it cannot be read, unless its user cancels it.
 func TestUnreadableJobIsLeftAlone(t *testing.T) {
 	l := newTestLeader()
--- a/internal/coordination/loader/loader.go
+++ b/internal/coordination/loader/loader.go
@@ -26,7 +26,7 @@
 type Environment interface {
 	// JobLoaded says that a job was entered into the model.
 	JobLoaded(spec *protocol.Job)
-	// CheckEnded looks whether a job's attempt, or the whole job, is over.
+	// CheckEnded checks whether a job's attempt, or the whole job, is over.
 	CheckEnded(job *cluster.Job)
 	// CancelJob takes a job's cancellation.
 	CancelJob(job *cluster.Job)
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -30,7 +30,7 @@
 	forwarded map[uint64]forwardedRequest // requests that peers answer
 	received  map[uint64]receivedRequest  // requests of peers that this controller answers
 	delegated map[uint64]delegatedCall    // calls to agents that peers make
-	expireAt  time.Time                   // when they are looked over for late ones
+	expireAt  time.Time                   // when they are checked for late ones
 }
 
 // forwardedRequest is a request that was sent on to a peer.
@@ -131,7 +131,7 @@
 	}
 }
 
-// ExpiryDue says whether it is time to look for late answers.
+// ExpiryDue says whether it is time to check for late answers.
 func (f *Forwarder) ExpiryDue() bool { return !f.env.Now().Before(f.expireAt) }
 
 // Expire gives up what has waited too long for a peer's answer, in the order of the
@@ -153,7 +153,7 @@
 	}
 }
 
-// Due tells when late answers are looked for, also for so many others that wait.
+// Due tells when late answers are checked for, also for so many others that wait.
 func (f *Forwarder) Due(by func(time.Time), othersWaiting int) {
 	if len(f.forwarded)+len(f.delegated)+othersWaiting > 0 {
 		by(f.expireAt)
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -44,11 +44,11 @@
 
 	redirects       *rate.Limiter                  // of agents to their proxies
 	leaderRedirects *rate.Limiter                  // the same by the leader, to all peers
-	contacts        map[protocol.MachineID]contact // agents that report here, or did
+	contacts        map[protocol.MachineID]contact // agents that send heartbeats here, or did
 	queued          []queuedHeartbeat
 }
 
-// contact is what a controller remembers of an agent that reports to it.
+// contact is what a controller remembers of an agent that sends it heartbeats.
 type contact struct {
 	term         protocol.Term // of the leader at that time
 	redirectedAt time.Time     // when it was sent to another controller, zero if it was not
@@ -115,7 +115,7 @@
 	hr.replies.Answer(q.requestID, q.heartbeat)
 }
 
-// redirectTarget is the controller that an agent should rather report to, "" if this one
+// redirectTarget is the controller that an agent should rather send heartbeats to, "" if this one
 // fetches the leader's answer for it.
 func (hr *HeartbeatRouter) redirectTarget(machineID protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
 	now, contact := hr.leader.Now(), hr.contacts[machineID]
@@ -211,7 +211,7 @@
 func (hr *HeartbeatRouter) Queued() int { return len(hr.queued) }
 
 // RouteQueued routes the heartbeats that waited for a leader once there is one, and, when it
-// is time to look for late ones, refuses those that have waited long enough.
+// is time to check for late ones, refuses those that have waited long enough.
 func (hr *HeartbeatRouter) RouteQueued(expiryDue bool) {
 	if len(hr.queued) == 0 || !expiryDue && !hr.knowsLeader() {
 		return
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -14,7 +14,7 @@
 	Machines, Waiting                                             int
 	CommitSeconds, WaitSeconds                                    []float64 // since the last step
 	Now                                                           time.Time
-	Recovery                                                      reconcile.Summary // of this leader's takeover
+	Recovery                                                      reconcile.Summary // of this leader's failover
 }
 
 // TakeMetrics returns the counters and forgets the observations.
--- a/internal/coordination/mirror_environment.go
+++ b/internal/coordination/mirror_environment.go
@@ -24,7 +24,7 @@
 // Diverged implements mirror.Environment.
 func (me mirrorEnvironment) Diverged(reason string) { me.n.election.StepDown(reason) }
 
-// Loaded implements mirror.Environment: the machine types and the leader lease are looked at.
+// Loaded implements mirror.Environment: the machine types and the leader lease are read.
 func (me mirrorEnvironment) Loaded() {
 	n := me.n
 	n.machineTypes.loadRecorded()
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -146,8 +146,8 @@
 		n.lead.tick()
 	}
 	n.api.CheckQueries()
-	if n.lead == nil && n.election.MayTakeOver() {
-		n.takeOver() // at the end: what it leads to is done in the next step
+	if n.lead == nil && n.election.MayStartLeading() {
+		n.startLeading() // at the end: what it leads to is done in the next step
 	}
 }
 
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -25,7 +25,7 @@
 	return !n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness) && n.forwarder.ForwardRequest(requestID, request)
 }
 
-// tickPeers looks after what waits for other controllers, and tells them this node's status.
+// tickPeers handles what waits for other controllers, and tells them this node's status.
 func (n *Node) tickPeers() {
 	late := n.forwarder.ExpiryDue()
 	n.router.RouteQueued(late)
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -50,9 +50,9 @@
 	return n
 }
 
-// reported tells what becomes of a machine's heartbeat at a node: where the agent
+// heartbeatOutcome tells what becomes of a machine's heartbeat at a node: where the agent
 // is sent, "forwarded", or the status.
-func reported(n *Node, machineID protocol.MachineID) string {
+func heartbeatOutcome(n *Node, machineID protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
 	n.out = nil
@@ -89,11 +89,11 @@
 		away := 0
 		for i := range 300 {
 			m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
-			switch got := reported(n, m); got {
+			switch got := heartbeatOutcome(n, m); got {
 			case "200":
 			case "o", "p":
 				away++
-				if got := reported(n, m); got != "200" {
+				if got := heartbeatOutcome(n, m); got != "200" {
 					t.Fatalf("%s came back and has %s", m, got)
 				}
 			default:
@@ -113,12 +113,12 @@
 	b := follower("b", 0)
 	b.election.ObserveRelease()
 	// A node that has just started takes a peer's confirmation.
-	if got := reported(b, "i-1"); got != "a" {
+	if got := heartbeatOutcome(b, "i-1"); got != "a" {
 		t.Fatalf("a peer knows the leader: %s", got)
 	}
 	b.connect("a", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"b", "c"}})
 	b.connect("c", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"x", "y"}})
-	if got := reported(b, "i-1"); got != "queued" {
+	if got := heartbeatOutcome(b, "i-1"); got != "queued" {
 		t.Fatalf("without a leader: %s", got)
 	}
 	at := b.now
@@ -135,7 +135,7 @@
 		t.Error("the heartbeat that waited is not forwarded to the new leader")
 	}
 	b.election.ObserveRelease()
-	reported(b, "i-2")
+	heartbeatOutcome(b, "i-2")
 	id := b.nextID
 	for d := time.Duration(0); d <= tuning.HeartbeatForwardTimeout+time.Second; d += tuning.MinTimerInterval {
 		for _, a := range b.Step(at.Add(time.Second+d), nil) {
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestNotReceiving: a worker whose reports go on coming, but never show what the
+// TestNotReceiving: an agent whose heartbeats go on coming, but never show what the
 // answers told it, takes no new work; one that does not answer calls either is
 // returned, which proves its tasks gone. One that answers a call is kept.
 func TestNotReceiving(t *testing.T) {
@@ -21,7 +21,7 @@
 		clear(job.Write.Dirty)
 		job.SortedAttempts()[0].Committed = true
 		for range tuning.MaxIneffectiveResponses + 1 {
-			l.testReport(machine, l.n.election.Term())
+			l.testHeartbeat(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
 			t.Fatal("takes new work")
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -1,4 +1,4 @@
-// Package reconcile compares what the records say with what agents report, after a
+// Package reconcile compares what the records say with what heartbeats show, after a
 // failover and ever after. It is pure: records and heartbeats go in, classified
 // differences come out; it has no clock, does no I/O and changes nothing. Each class of
 // difference has exactly one resolution, which docs/cold-restart.md explains.
@@ -54,7 +54,7 @@
 	Await
 	// Release: the place is free and the task may start again.
 	Release
-	// Stop: it takes room and quota until it is proven gone; it is told to stop once
+	// Stop: it takes capacity and quota until it is proven gone; it is told to stop once
 	// its heartbeat is known to be current.
 	Stop
 	// RecordEnd: the end is recorded, a completed task for good, and the place is free.
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -18,7 +18,7 @@
 	jobs     map[protocol.JobID]Job
 	tasks    map[TaskID]Task
 	attempts map[protocol.MachineID][]Attempt
-	workers  []Agent
+	agents   []Agent
 }
 
 func (s *store) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
@@ -29,7 +29,7 @@
 	return append(list, s.attempts[machineID]...)
 }
 
-func (s *store) Machines() []Agent { return s.workers }
+func (s *store) Machines() []Agent { return s.agents }
 
 func (s *store) Gangs() (list []protocol.JobID) {
 	for id, j := range s.jobs {
@@ -52,19 +52,19 @@
 	return list
 }
 
-// truth is what really is on the workers.
+// truth is what really is on the agents.
 type truth map[protocol.MachineID][]protocol.TaskStatus
 
 func job(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
 
-// world draws a snapshot, the true state of its workers, which may differ from it in every
-// way, and reports of it: current ones, late copies, halves.
+// world draws a snapshot, the true state of its agents, which may differ from it in every
+// way, and heartbeats of it: current ones, late copies, halves.
 func world(t *rapid.T) (*store, truth, []*protocol.Heartbeat) {
 	s := &store{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
 	real := truth{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
-		s.workers = append(s.workers, Agent{Machine: m, Incarnation: 1})
+		s.agents = append(s.agents, Agent{Machine: m, Incarnation: 1})
 	}
 	state := rapid.SampledFrom([]protocol.TaskState{protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited})
 	cause := rapid.SampledFrom([]protocol.Cause{protocol.CauseDone, protocol.CauseStopped, protocol.CauseError})
@@ -104,7 +104,7 @@
 			real[on] = append(real[on], e)
 		}
 	}
-	var reports []*protocol.Heartbeat
+	var heartbeats []*protocol.Heartbeat
 	for _, m := range machines {
 		r := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, FencingToken: token, Tasks: real[m]}
 		if r.Incarnation == 2 { // it has forgotten all
@@ -114,18 +114,18 @@
 			old := *r
 			old.Incarnation, old.Sequence, old.FencingToken = 1, protocol.Sequence(1+i), token-1
 			old.Tasks = nil
-			reports = append(reports, &old)
+			heartbeats = append(heartbeats, &old)
 		}
 		if rapid.IntRange(0, 4).Draw(t, "silent") > 0 {
-			reports = append(reports, r)
+			heartbeats = append(heartbeats, r)
 		}
 	}
-	return s, real, reports
+	return s, real, heartbeats
 }
 
-func reconcile(s *store, reports []*protocol.Heartbeat) []Difference {
+func reconcile(s *store, heartbeats []*protocol.Heartbeat) []Difference {
 	var c Reconciler
-	return c.Reconcile(s, token, reports)
+	return c.Reconcile(s, token, heartbeats)
 }
 
 // apply does to the snapshot what the resolutions ask for, and to the truth what the
@@ -173,35 +173,35 @@
 	}
 }
 
-// TestOrderOfReports: the order in which reports come, late copies among them, does not
+// TestOrderOfHeartbeats: the order in which heartbeats come, late copies among them, does not
 // matter.
-func TestOrderOfReports(t *testing.T) {
+func TestOrderOfHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, reports := world(t)
-		want := reconcile(s, reports)
-		if d := cmp.Diff(want, reconcile(s, rapid.Permutation(reports).Draw(t, "order"))); d != "" {
+		s, _, heartbeats := world(t)
+		want := reconcile(s, heartbeats)
+		if d := cmp.Diff(want, reconcile(s, rapid.Permutation(heartbeats).Draw(t, "order"))); d != "" {
 			t.Fatal(d)
 		}
 	})
 }
 
-// TestRepeatedApplication: once every difference is resolved and the workers have done what
+// TestRepeatedApplication: once every difference is resolved and the agents have done what
 // they were told, the same question finds nothing more to do.
 func TestRepeatedApplication(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, real, reports := world(t)
-		found := reconcile(s, reports)
+		s, real, heartbeats := world(t)
+		found := reconcile(s, heartbeats)
 		apply(s, real, found)
 		var again []*protocol.Heartbeat
-		for _, r := range reports {
+		for _, r := range heartbeats {
 			if r.FencingToken == token {
 				later := *r
 				later.Sequence, later.Tasks = r.Sequence+1, real[r.Machine]
 				again = append(again, &later)
 			}
 		}
-		for i := range s.workers {
-			s.workers[i].Incarnation, s.workers[i].Sequence = 1, 20
+		for i := range s.agents {
+			s.agents[i].Incarnation, s.agents[i].Sequence = 1, 20
 		}
 		for _, d := range reconcile(s, again) {
 			if r := d.Class.Resolution(); r != Keep && r != Await {
@@ -213,18 +213,18 @@
 
 // TestAgainstOracle: each attempt is judged as the plainest reading of the rules does, from
 // the true state alone: what is recorded there and runs is left, what runs unrecorded is
-// stopped, and a place is given up only when its worker, heard anew, does not have it.
+// stopped, and a place is given up only when its agent, heard anew, does not have it.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, reports := world(t)
+		s, _, heartbeats := world(t)
 		heard := map[protocol.MachineID]*protocol.Heartbeat{}
-		for _, r := range reports {
+		for _, r := range heartbeats {
 			if r.FencingToken == token {
 				heard[r.Machine] = r
 			}
 		}
 		released := map[TaskID]bool{}
-		for _, d := range reconcile(s, reports) {
+		for _, d := range reconcile(s, heartbeats) {
 			recorded := slices.ContainsFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
 			r := heard[d.Machine]
 			there := r != nil && slices.ContainsFunc(r.Tasks, func(e protocol.TaskStatus) bool {
@@ -253,12 +253,12 @@
 }
 
 // TestNothingIsPassedOver: every recorded attempt is judged exactly once, one that its
-// worker has lost is given up, and every new end of a task is recorded.
+// agent has lost is given up, and every new end of a task is recorded.
 func TestNothingIsPassedOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, reports := world(t)
+		s, _, heartbeats := world(t)
 		judged := map[Placement][]Class{}
-		for _, d := range reconcile(s, reports) {
+		for _, d := range reconcile(s, heartbeats) {
 			at := Placement{d.ID, d.Machine}
 			judged[at] = append(judged[at], d.Class)
 		}
@@ -269,7 +269,7 @@
 				}
 			}
 		}
-		for _, r := range reports {
+		for _, r := range heartbeats {
 			if r.FencingToken != token {
 				continue
 			}
@@ -293,8 +293,8 @@
 // stay and others do not.
 func TestIncompleteGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, reports := world(t)
-		found := reconcile(s, reports)
+		s, _, heartbeats := world(t)
+		found := reconcile(s, heartbeats)
 		for _, id := range s.Gangs() {
 			stay, over, reported := 0, s.tasks[TaskID{id, 0}].Done, false
 			for _, d := range found {
@@ -315,8 +315,8 @@
 	})
 }
 
-// report makes a current report of machine m0.
-func report(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+// heartbeat makes a current heartbeat of machine m0.
+func heartbeat(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: token, Tasks: tasks}
 }
 
@@ -331,32 +331,32 @@
 		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
 		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Incarnation: 1},
 			{ID: AttemptID{TaskID{job(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
-		workers: []Agent{{Machine: "m0", Incarnation: 1}},
+		agents: []Agent{{Machine: "m0", Incarnation: 1}},
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
-	late := report(replica)
+	late := heartbeat(replica)
 	late.FencingToken = token - 1
 	for name, c := range map[string]struct {
 		r    *protocol.Heartbeat
-		want map[AttemptID][]Class // of what the report shows or lacks of job 1
+		want map[AttemptID][]Class // of what the heartbeat shows or lacks of job 1
 	}{
-		"matching":         {report(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"absent":           {report(replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}}},
+		"matching":         {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
+		"absent":           {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}}},
 		"late copy":        {late, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"undelivered":      {report(replica), map[AttemptID][]Class{{TaskID{job(1), 3}, 1}: {NotYetReported}}},
-		"ended":            {report(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedEnded}}},
-		"unknown job":      {report(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(7), 0}, 1}: {NeverStored}}},
-		"unknown task":     {report(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 9}, 1}: {NeverStored}}},
-		"higher attempt":   {report(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 4}: {NeverStored}}},
-		"done":             {report(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 1}, 3}: {StoredEnded}}},
-		"older":            {report(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 2}: {OlderEpoch}}},
-		"older gang":       {report(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(2), 0}, 2}: {OlderEpoch}}},
-		"two machines":     {report(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 3}: {OnTwoMachines}}},
-		"unreadable job":   {report(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(4), 0}, 2}: {Unreadable}}},
-		"unreadable name":  {report(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"unknown state":    {report(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
-		"contradiction":    {report(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
-		"said twice":       {report(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
+		"undelivered":      {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 3}, 1}: {NotYetReported}}},
+		"ended":            {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedEnded}}},
+		"unknown job":      {heartbeat(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(7), 0}, 1}: {NeverStored}}},
+		"unknown task":     {heartbeat(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 9}, 1}: {NeverStored}}},
+		"higher attempt":   {heartbeat(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 4}: {NeverStored}}},
+		"done":             {heartbeat(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 1}, 3}: {StoredEnded}}},
+		"older":            {heartbeat(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 2}: {OlderEpoch}}},
+		"older gang":       {heartbeat(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(2), 0}, 2}: {OlderEpoch}}},
+		"two machines":     {heartbeat(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 3}: {OnTwoMachines}}},
+		"unreadable job":   {heartbeat(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(4), 0}, 2}: {Unreadable}}},
+		"unreadable name":  {heartbeat(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
+		"unknown state":    {heartbeat(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
+		"contradiction":    {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
+		"said twice":       {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
 		"done by any copy": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
 		"newer session":    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
 	} {
@@ -372,7 +372,7 @@
 	}
 }
 
-// TestPhase: a phase ends when all are known, or when the leases of the silent have lapsed;
+// TestPhase: a phase ends when all are known, or when the leases of the silent have expired;
 // an attempt counts once, in the class that was found.
 func TestPhase(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
@@ -386,10 +386,10 @@
 	p.Known("m0")
 	p.CommandSent(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
-		t.Error("ends while a worker is silent")
+		t.Error("ends while an agent is silent")
 	}
 	if !p.Tick(now.Add(41 * time.Second)) {
-		t.Error("goes on though every lease has lapsed")
+		t.Error("goes on though every lease has expired")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
 	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, Agents: 2, Silent: 1, Stored: 1, Commands: CommandCounts{Stops: 1}}
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -29,20 +29,20 @@
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskStatus{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
-	if got := ops(l.testReport(other, l.n.election.Term(), running)); got != "halt " {
+	if got := ops(l.testHeartbeat(other, l.n.election.Term(), running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
-	l.testReport(machine, l.n.election.Term())
-	l.testReport(other, l.n.election.Term())
+	l.testHeartbeat(machine, l.n.election.Term())
+	l.testHeartbeat(other, l.n.election.Term())
 	if n := job.Tasks[0].LiveAttempts; n != 0 || len(job.Attempts) != 0 {
 		t.Errorf("%d attempts after the proofs", n)
 	}
 }
 
-// TestNothingStoppedBesideAwaitedRoom: in a recovery nothing is stopped to make room for a
+// TestNothingStoppedBesideAwaitedCapacity: in a recovery nothing is stopped to make space for a
 // job that fits machines which have yet to report, until they could have. A cold restart
 // of four thousand machines once stopped two hundred tasks beside a thousand free GPUs.
-func TestNothingStoppedBesideAwaitedRoom(t *testing.T) {
+func TestNothingStoppedBesideAwaitedCapacity(t *testing.T) {
 	for _, enabled := range []bool{true, false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.RecoveryPhase = enabled
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -88,8 +88,8 @@
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
-// cycle is what one cycle knows of all machines. What every job would have to look up in
-// the whole fleet is looked up once; what no search can find is not searched for.
+// cycle is what one cycle knows of all machines. What every job would have to find out in
+// the whole fleet is found out once; what no search can find is not searched for.
 type cycle struct {
 	state        *cluster.State
 	schedulable  []*cluster.Machine // machines that take tasks
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -34,7 +34,7 @@
 	return true
 }
 
-// gangSearch looks for a place for a whole gang.
+// gangSearch searches for a place for a whole gang.
 type gangSearch struct {
 	cycle *cycle
 	job   *cluster.Job
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -89,7 +89,7 @@
 	cost     float64
 }
 
-// preemptionSearch looks for victims so that some tasks of a job fit.
+// preemptionSearch searches for victims so that some tasks of a job fit.
 type preemptionSearch struct {
 	state *cluster.State
 	cycle *cycle
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestJobBlamedForItsFailuresPreemptsNothing: a job that failed on several machines is
+// TestJobWithAttributedFailuresPreemptsNothing: a job that failed on several machines is
 // tried on what is free, but nothing is stopped for it and no machine wanted.
-func TestJobBlamedForItsFailuresPreemptsNothing(t *testing.T) {
+func TestJobWithAttributedFailuresPreemptsNothing(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
 	spec := clustertest.Array(4)
--- a/internal/coordination/scheduler/supply.go
+++ b/internal/coordination/scheduler/supply.go
@@ -15,7 +15,7 @@
 	preemptible [protocol.PriorityCritical + 1]cluster.Resources
 }
 
-// supplies adds up what the zones could give, once in a c.
+// supplies adds up what the zones could give, once in a cycle.
 func (c *cycle) supplies() map[protocol.ZoneName]*zoneSupply {
 	if c.supply != nil {
 		return c.supply
@@ -105,7 +105,7 @@
 }
 
 // unreportedCapacity adds up what is free on machines that have yet to report, once in a
-// c.
+// cycle.
 func (c *cycle) unreportedCapacity() map[protocol.ZoneName]cluster.Resources {
 	if c.unreported != nil {
 		return c.unreported
@@ -113,7 +113,7 @@
 	c.unreported = map[protocol.ZoneName]cluster.Resources{}
 	c.examined += len(c.state.OrderedMachines)
 	for _, machine := range c.state.OrderedMachines {
-		if awaitsReport(machine) {
+		if awaitsHeartbeat(machine) {
 			free := c.unreported[machine.Zone]
 			free.Add(c.state.FreeResources(machine))
 			c.unreported[machine.Zone] = free
@@ -122,8 +122,8 @@
 	return c.unreported
 }
 
-// awaitsReport says whether a machine of a predecessor may yet report and take tasks.
-func awaitsReport(machine *cluster.Machine) bool {
+// awaitsHeartbeat says whether a machine of a predecessor may yet send a heartbeat and take tasks.
+func awaitsHeartbeat(machine *cluster.Machine) bool {
 	return machine.Recovered && !machine.Agent.TokenConfirmed && !machine.Agent.LeaseExpired &&
 		!machine.Deleting && !machine.Cordoned
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -46,7 +46,7 @@
 		}
 		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
-			if cmds := l.testReport(machine, l.n.election.Term(), tasks...); len(cmds) > 0 {
+			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) > 0 {
 				t.Fatalf("%s: orders %v", name, cmds)
 			}
 			l.runSchedulingCycle()
@@ -68,7 +68,7 @@
 		}
 		if job != nil {
 			l.cancelJob(job)
-			if cmds := l.testReport(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
+			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
 		}
@@ -100,7 +100,7 @@
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&page)
-	n.takeOver()
+	n.startLeading()
 	return n.lead
 }
 
@@ -108,7 +108,7 @@
 // of 98 tasks needs many parts.
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// wideJob is a job whose description leaves room for few tasks in its first record.
+// wideJob is a job whose description leaves space for few tasks in its first record.
 func wideJob(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// recoveryMetrics are the operators' numbers of the recovery after a takeover. They stay
+// recoveryMetrics are the operators' numbers of the recovery after a failover. They stay
 // as they were at its end until the node leads anew.
 type recoveryMetrics struct {
 	phase, seconds, silent prometheus.Gauge
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -37,8 +37,8 @@
 	CloudBudgetShare = 0.8
 	// ScaleOutInterval is the pause between two evaluations of demand.
 	ScaleOutInterval = time.Second
-	// ScaleOutDelayAfterTakeover leaves a new leader time to hear which machines it has.
-	ScaleOutDelayAfterTakeover = 2 * time.Second
+	// ScaleOutDelayAfterFailover leaves a new leader time to hear which machines it has.
+	ScaleOutDelayAfterFailover = 2 * time.Second
 	// SpareRetention is how long spares are kept after the last job came: a few
 	// boot times, within which the next one would miss them.
 	SpareRetention = 100 * time.Second
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -10,13 +10,13 @@
 	// enough that a crashed leader is replaced before agents' heartbeats have
 	// gone unanswered for two intervals; long enough for two lost renewals.
 	LeaderLeaseTTL = 3 * time.Second
-	// TakeoverCPUCost is about what a takeover costs of a core: the records of some
+	// FailoverCPUCost is about what a failover costs of a core: the records of some
 	// hundred jobs are read while all agents return. The leader lease lasts longer by
 	// the time that this takes on the node's share of a core, so that no healthy leader
-	// loses it over a takeover.
-	TakeoverCPUCost = 60 * time.Millisecond
-	// MaxTakeoverAllowance bounds that time: so much later is a crashed leader replaced.
-	MaxTakeoverAllowance = 1500 * time.Millisecond
+	// loses it over a failover.
+	FailoverCPUCost = 60 * time.Millisecond
+	// MaxFailoverAllowance bounds that time: so much later is a crashed leader replaced.
+	MaxFailoverAllowance = 1500 * time.Millisecond
 	// LeaderLeaseRenewInterval is how often the leader lease is renewed: three tries within the TTL.
 	LeaderLeaseRenewInterval = 900 * time.Millisecond
 	// ProcessPauseThreshold is the pause between two steps of a node from which on its leader lease
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -17,7 +17,7 @@
 	ZoneReserve bool
 	// BackfillBarrierDelay is how long a gang waits before smaller jobs no longer pass it.
 	BackfillBarrierDelay time.Duration
-	// RecoveryPhase follows what is found and ordered after a takeover until every
+	// RecoveryPhase follows what is found and ordered after a failover until every
 	// agent is known, and gives the largest of waiting gangs their turn first.
 	RecoveryPhase bool
 	// DirectStarts sends starts straight to the agents instead of leaving
