--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -23,7 +23,7 @@
 
 // failoverTime is how long a failover takes on this controller's share of a core.
 func (ab authorityBounds) failoverTime() time.Duration {
-	return min(ab.cluster.Process.Pause(tuning.TakeoverCPUCost, 1), tuning.MaxTakeoverAllowance)
+	return min(ab.cluster.Process.Pause(tuning.FailoverCPUCost, 1), tuning.MaxFailoverAllowance)
 }
 
 // leaseTTL is how long the leader lease outlives its last renewal.
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -132,7 +132,7 @@
 		status int
 		body   any
 	}{
-		"diverged: watch too old":               {http.StatusGone, nil},
+		"diverged: watch too old":       {http.StatusGone, nil},
 		"diverged: store has gone back": {http.StatusOK, protocol.WatchResponse{Revision: 4}},
 	} {
 		c := newController(t)
