--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -44,7 +44,7 @@
 		"internal/coordination/reconcile",
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/golden"}},
 
 	"internal/coordination": {pure: true, imports: []string{
 		"internal/config",
@@ -178,12 +178,12 @@
 	"internal/storage": {pure: true, imports: []string{
 		"internal/protocol",
 		"internal/tuning",
-	}},
+	}, tests: []string{"internal/golden"}},
 	"internal/config": {imports: []string{
 		"internal/protocol",
 		"internal/tuning",
-	}},
-	"internal/protocol": {},
+	}, tests: []string{"internal/golden"}},
+	"internal/protocol": {tests: []string{"internal/golden"}},
 	"internal/buddy":    {pure: true},
 	"internal/tuning":   {pure: true},
 
@@ -197,8 +197,10 @@
 		},
 		tests: []string{
 			"internal/coordination/reconcile",
+			"internal/golden",
 			"internal/transport",
 		}},
+	"internal/golden":       {},
 	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -1,20 +1,15 @@
 package config
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
+	"github.com/gappond/gappond/internal/golden"
 	"github.com/gappond/gappond/internal/tuning"
-	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // TestNames: every key of the settings with the kind of its value, and every operators' key
 // with its default, are those of the golden list.
 func TestNames(t *testing.T) {
@@ -23,21 +18,7 @@
 	for _, key := range Keys() {
 		list = append(list, fmt.Sprintf("property %s = %s", key, defaults.Value(key)))
 	}
-	slices.Sort(list)
-	got := strings.Join(list, "\n") + "\n"
-	const file = "testdata/names.txt"
-	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if d := cmp.Diff(string(want), got); d != "" {
-		t.Error(d)
-	}
+	golden.CompareLines(t, "testdata/names.txt", list)
 }
 
 // settingsKeys lists the paths of a type's fields by their keys in the settings.
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -5,7 +5,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"hash"
 	"io"
@@ -17,11 +16,10 @@
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination"
+	"github.com/gappond/gappond/internal/golden"
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const fingerprintsFile = "testdata/fingerprints.txt"
 
 // fingerprint is a hash over every action of every controller in order, in the form in
@@ -326,7 +324,7 @@
 			t.Fatalf("FINGERPRINT_SEEDS=%s: not of the form a-b", printed)
 		}
 	}
-	golden := readFingerprints(t)
+	stored := readFingerprints(t)
 	var lock sync.Mutex
 	var names []string
 	found := map[string]string{}
@@ -344,8 +342,8 @@
 				lock.Lock()
 				found[name] = sum
 				lock.Unlock()
-				if printed == "" && !*update && sum != golden[name] {
-					t.Errorf("%s, in the golden file %q", sum, golden[name])
+				if printed == "" && !golden.Updating() && sum != stored[name] {
+					t.Errorf("%s, in the golden file %q", sum, stored[name])
 				}
 			})
 		}
@@ -356,37 +354,33 @@
 			for _, name := range names {
 				fmt.Println("fingerprint", name, found[name])
 			}
-		case *update && len(found) < len(names):
+		case golden.Updating() && len(found) < len(names):
 			t.Errorf("%d of %d fingerprints were taken: the golden file stays as it was", len(found), len(names))
-		case *update:
+		case golden.Updating():
 			writeFingerprints(t, names, found)
-		case len(golden) != len(names):
-			t.Errorf("the golden file has %d fingerprints, want %d", len(golden), len(names))
+		case len(stored) != len(names):
+			t.Errorf("the golden file has %d fingerprints, want %d", len(stored), len(names))
 		}
 	})
 }
 
 // readFingerprints reads the golden file.
 func readFingerprints(t *testing.T) map[string]string {
-	golden := map[string]string{}
-	data, err := os.ReadFile(fingerprintsFile)
-	if err != nil && !*update {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(data)) {
+	t.Helper()
+	stored := map[string]string{}
+	for line := range strings.Lines(golden.Read(t, fingerprintsFile)) {
 		name, sum, _ := strings.Cut(strings.TrimSpace(line), " ")
-		golden[name] = sum
+		stored[name] = sum
 	}
-	return golden
+	return stored
 }
 
 // writeFingerprints writes the golden file anew.
 func writeFingerprints(t *testing.T, names []string, found map[string]string) {
+	t.Helper()
 	var out strings.Builder
 	for _, name := range names {
 		fmt.Fprintln(&out, name, found[name])
 	}
-	if err := os.WriteFile(fingerprintsFile, []byte(out.String()), 0o644); err != nil {
-		t.Error(err)
-	}
+	golden.Write(t, fingerprintsFile, out.String())
 }
--- a/internal/transport/names_test.go
+++ b/internal/transport/names_test.go
@@ -1,21 +1,16 @@
 package transport
 
 import (
-	"flag"
 	"net/http/httptest"
-	"os"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/gappond/gappond/internal/coordination/reconcile"
+	"github.com/gappond/gappond/internal/golden"
 	"github.com/gappond/gappond/internal/protocol"
-	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // TestMetricNames: every metric's name, type and labels, with all values that labels have,
 // are exposed as the golden list has them.
 func TestMetricNames(t *testing.T) {
@@ -33,19 +28,5 @@
 			list = append(list, "series "+line[:strings.LastIndex(line, " ")])
 		}
 	}
-	slices.Sort(list)
-	got := strings.Join(list, "\n") + "\n"
-	const file = "testdata/metrics.txt"
-	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if d := cmp.Diff(string(want), got); d != "" {
-		t.Error(d)
-	}
+	golden.CompareLines(t, "testdata/metrics.txt", list)
 }
