--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -60,11 +60,6 @@
 	return fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-// machineReport is what an idle worker says that no leader has answered yet.
-func machineReport(machine, seq int) string {
-	return fmt.Sprintf(`{"berth":"i-%06d","address":"127.0.0.1:1","build":"t","yard":"a","loaners":false,"tenure":1,"tally":%d,"warrant":0,"recall_s":null,"pieces":[]}`, machine, seq)
-}
-
 // BenchmarkServe is what the answers cost, connection, HTTP, decoding and owner
 // included: a worker's report that changes nothing, a health probe, a question
 // about a job that is over, and a submission that is refused.
@@ -76,13 +71,12 @@
 		b.Fatal(status)
 	}
 	call(b, cfg, "POST", protocol.PathJobs+"/run-000001/withdraw", "")
-	eventually(b, "leads", func() bool {
-		s, _, _ := call(b, cfg, "POST", protocol.PathHeartbeat, machineReport(1, 1))
-		return s == 200
-	})
+	eventually(b, "leads", answersReport(b, cfg, machineReport("i-000001", "t", 1)))
 	seq := 1
 	for name, request := range map[string]func(i int) []byte{
-		"report":  func(i int) []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport(7, i)) },
+		"report": func(i int) []byte {
+			return rawRequest("POST", protocol.PathHeartbeat, machineReport("i-000007", "t", i))
+		},
 		"ready":   func(int) []byte { return rawRequest("GET", protocol.PathReady, "") },
 		"poll":    func(int) []byte { return rawRequest("GET", protocol.PathJobs+"/run-000001", "") },
 		"refused": func(int) []byte { return rawRequest("POST", protocol.PathJobs, job("run-000009", "vision", 0)[1:]) },
@@ -103,10 +97,7 @@
 func TestServeAllocations(t *testing.T) {
 	cfg, _ := startOwner(t, true, 800)
 	eventually(t, "ready", ready(t, cfg))
-	eventually(t, "leads", func() bool {
-		s, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, machineReport(1, 1))
-		return s == 200
-	})
+	eventually(t, "leads", answersReport(t, cfg, machineReport("i-000001", "t", 1)))
 	c := dialRaw(t, cfg.Listen)
 	seq := 10
 	for _, k := range []struct {
@@ -115,7 +106,7 @@
 		status int
 		what   func() []byte
 	}{
-		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport(7, seq)) }},
+		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport("i-000007", "t", seq)) }},
 		{"refused submission", 60, 400, func() []byte { return rawRequest("POST", protocol.PathJobs, "[]") }},
 		{"health probe", 45, 200, func() []byte { return rawRequest("GET", protocol.PathReady, "") }},
 	} {
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -20,12 +20,22 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
+// newIdleOwner makes an owner whose loop never runs.
+func newIdleOwner() *Owner {
+	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
+	log := slog.New(slog.DiscardHandler)
+	return NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
+}
+
+// heartbeatEvent is the event of an empty heartbeat that came with a request.
+func heartbeatEvent(id uint64) coordination.Event {
+	return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
+}
+
 // TestShed: when the owner does not keep up, users are turned away at once
 // while workers' reports still find room.
 func TestShed(t *testing.T) {
-	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
-	log := slog.New(slog.DiscardHandler)
-	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")) // its loop never runs
+	o := newIdleOwner()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range tuning.MinUserQueueLength {
@@ -42,9 +52,7 @@
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" || body.reads > 0 {
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
-	go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, func(id uint64) coordination.Event {
-		return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
-	})
+	go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
 	eventually(t, "the report is queued", func() bool { return len(o.loop.queues.heartbeats) == 1 })
 }
 
@@ -74,13 +82,10 @@
 			}
 		}()
 	}
-	eventually(t, "a report is answered with 200", func() bool {
-		status, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report(1))
-		return status == 200
-	})
+	eventually(t, "a report is answered with 200", answersReport(t, cfg, machineReport("i-1", "big", 1)))
 	for seq := range 40 {
 		began := time.Now()
-		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report(seq+1000))
+		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, machineReport("i-1", "big", seq+1000))
 		if took := time.Since(began); status != 200 || took > 4*time.Second {
 			t.Fatalf("report %d: %d %s after %v", seq, status, body, took)
 		}
@@ -91,10 +96,6 @@
 	}
 }
 
-func report(seq int) string {
-	return fmt.Sprintf(`{"berth":"i-1","address":"127.0.0.1:1","build":"big","yard":"a","loaners":false,"tenure":1,"tally":%d,"warrant":0,"recall_s":null,"pieces":[]}`, seq)
-}
-
 // TestMoreWorkersThanSockets: a fleet of more workers than the process has
 // sockets has every report answered, and users and health checks are not kept
 // waiting: beyond their share connections are closed after the answer.
@@ -142,7 +143,7 @@
 	}
 	for k := range workers {
 		loop(func(i int) (string, string, string) {
-			return "POST", protocol.PathHeartbeat, strings.Replace(report(i+1), "i-1", fmt.Sprint("i-", 100+k), 1)
+			return "POST", protocol.PathHeartbeat, machineReport(fmt.Sprint("i-", 100+k), "big", i+1)
 		})
 	}
 	for range users {
@@ -159,9 +160,7 @@
 // TestAnswersFirst: the renewal of the leader lease is not behind the reports of a
 // whole fleet: answers to what the node asked are taken first.
 func TestAnswersFirst(t *testing.T) {
-	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
-	log := slog.New(slog.DiscardHandler)
-	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
+	o := newIdleOwner()
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
 		o.loop.queues.heartbeats <- coordination.AgentHeartbeat{Heartbeat: &protocol.Heartbeat{}}
 	}
@@ -183,17 +182,13 @@
 // TestGoneAskers: a node that has fallen behind does no work for requests whose
 // askers have given up; what nobody asked for in this way it does take.
 func TestGoneAskers(t *testing.T) {
-	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
-	log := slog.New(slog.DiscardHandler)
-	o := NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")) // its loop never runs
+	o := newIdleOwner()
 	gone, leave := context.WithCancel(context.Background())
 	here, end := context.WithCancel(context.Background())
 	defer end()
 	for _, ctx := range []context.Context{gone, here} {
 		for range 3 {
-			go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, func(id uint64) coordination.Event {
-				return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
-			})
+			go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
 			go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
 		}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -198,6 +198,19 @@
 	}
 }
 
+// answersReport says whether a report is answered with 200, as a leader does.
+func answersReport(t testing.TB, cfg *config.Config, report string) func() bool {
+	return func() bool {
+		status, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report)
+		return status == http.StatusOK
+	}
+}
+
+// machineReport is what an idle agent says that no leader has answered yet.
+func machineReport(machine, machineType string, seq int) string {
+	return fmt.Sprintf(`{"berth":%q,"address":"127.0.0.1:1","build":%q,"yard":"a","loaners":false,"tenure":1,"tally":%d,"warrant":0,"recall_s":null,"pieces":[]}`, machine, machineType, seq)
+}
+
 func job(id, team string, gpus float64) string {
 	return fmt.Sprintf(`{"uid":%q,"lane":"x","crew":%q,"shape":"gang","rank":"high","pieces":2,"cpus":1,"gpus":%v,"memory_gb":1,
 "bundle":"i","pull_gb":1,"one_zone":true,"scatter":false,"loaners":true,"expect_s":1,"snapshot_s":0,"flush_s":0}`, id, team, gpus)
