--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -38,11 +38,11 @@
 
 // due tells when the leader has something to do.
 func (l *leader) due(by func(time.Time)) {
-	by(l.watchAt)
-	if l.plan {
-		by(l.planAt)
+	by(l.nextSweepAt)
+	if l.schedulingRequested {
+		by(l.nextCycleAt)
 	}
-	by(l.planAt.Add(tuning.MaxSchedulingInterval))
+	by(l.nextCycleAt.Add(tuning.MaxSchedulingInterval))
 	if at, due := l.committer.NextCommit(); due {
 		by(at)
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -165,7 +165,7 @@
 	}
 	n.Step(n.now.Add(tuning.MinTimerInterval), nil)
 	job := l.testJob(gangOf(1, 1))
-	l.plan = true
+	l.schedulingRequested = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{heartbeat(1)})
 	if got := status(out, 1); got != 503 {
 		t.Errorf("the heartbeat that waited is answered %d", got)
@@ -296,8 +296,8 @@
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
-	if !n.Leading() || !n.mayAct() || n.lead.planAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.planAt)
+	if !n.Leading() || !n.mayAct() || n.lead.nextCycleAt != (time.Time{}) {
+		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -17,24 +17,51 @@
 )
 
 // leader is everything that only the leading controller knows. It is rebuilt
-// from the records at every failover and dropped when the node steps down.
+// from the records at every failover and dropped when the node steps down. Its
+// parts do the work; here stands what concerns several of them. What they need
+// of each other and of the node is in the environments.
 type leader struct {
-	n         *Node
-	cluster   *cluster.State
-	scheduler *scheduler.Scheduler
-	logged    map[string]bool // keys of bad input that was logged
-	recovery  *reconcile.Phase
-	lifecycle *lifecycle.Manager
-	agents    *agents.Manager
-	restored  *restore.Monitor
+	n       *Node
+	cluster *cluster.State
 
-	committer  *commit.Committer
 	loader     *loader.Loader
+	committer  *commit.Committer
+	scheduler  *scheduler.Scheduler
 	autoscaler *autoscaler.Autoscaler
-	proxying   bool // the peers answer a part of the agents
-	plan       bool // something changed that placement may depend on
-	planAt     time.Time
-	watchAt    time.Time // when the machines are checked again
+	lifecycle  *lifecycle.Manager
+	agents     *agents.Manager
+	recovery   *reconcile.Phase
+	restored   *restore.Monitor
+
+	schedulingRequested bool            // something changed that placement may depend on
+	nextCycleAt         time.Time       // before it no scheduling cycle begins that is only requested
+	nextSweepAt         time.Time       // when the machines are checked again
+	proxying            bool            // the peers answer a part of the agents
+	logged              map[string]bool // keys of bad input that was logged
+}
+
+// newLeader composes a leader without any record: every part gets the others that it calls,
+// and what else it needs by its environment.
+func newLeader(n *Node) *leader {
+	l := &leader{
+		n: n, logged: map[string]bool{}, recovery: reconcile.NewPhase(), schedulingRequested: true,
+		cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }),
+	}
+	shared, store, term := leaderEnvironment{l}, leaderStore{l}, n.election.Term()
+	l.lifecycle = lifecycle.New(l.cluster, l.recovery, lifecycleEnvironment{shared}, n.log)
+	l.scheduler = scheduler.New(l.cluster, schedulerEnvironment{shared}, n.log)
+	l.autoscaler = autoscaler.New(l.cluster, l.scheduler, cloudClient{l}, autoscalerEnvironment{shared}, n.log)
+	l.agents = agents.New(agents.Dependencies{
+		State: l.cluster, Lifecycle: l.lifecycle, Recovery: l.recovery, Scheduler: l.scheduler, Fleet: l.autoscaler,
+		Client: agentClient{l}, Environment: agentsEnvironment{shared}, Log: n.log, Term: term,
+	})
+	l.committer = commit.New(commit.Dependencies{
+		State: l.cluster, Store: store, Limits: n.storeLimits, Environment: commitEnvironment{shared},
+		Outcomes: commitOutcomes{l}, Log: n.log, Term: term,
+	})
+	l.restored = restore.NewMonitor(term, l.cluster, store, restoreEnvironment{shared}, n.log)
+	l.loader = loader.New(l.cluster, l.committer, loaderEnvironment{shared}, n.log)
+	return l
 }
 
 // runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
@@ -50,9 +77,11 @@
 	}
 }
 
+// tick does what is due: the machines are checked, a scheduling cycle runs, records are
+// written, commands leave.
 func (l *leader) tick() {
-	if !l.n.now.Before(l.watchAt) {
-		l.watchAt = l.n.now.Add(tuning.MachineSweepInterval)
+	if !l.n.now.Before(l.nextSweepAt) {
+		l.nextSweepAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.agents.Liveness.Tick()
 		if l.n.lead != l {
 			return
@@ -64,10 +93,10 @@
 			return
 		}
 	}
-	if l.plan && !l.n.now.Before(l.planAt) || l.n.now.Sub(l.planAt) > tuning.MaxSchedulingInterval {
-		l.plan = false
+	if l.schedulingRequested && !l.n.now.Before(l.nextCycleAt) || l.n.now.Sub(l.nextCycleAt) > tuning.MaxSchedulingInterval {
+		l.schedulingRequested = false
 		l.runSchedulingCycle()
-		l.planAt = l.n.now.Add(l.scheduler.CyclePause())
+		l.nextCycleAt = l.n.now.Add(l.scheduler.CyclePause())
 	}
 	l.committer.SplitOutgrown(l.scheduler)
 	l.committer.Commit()
@@ -89,7 +118,7 @@
 // cancelJob marks a job as cancelled, and stops what runs of it.
 func (l *leader) cancelJob(job *cluster.Job) {
 	if job.Cancel() {
-		l.plan = true
+		l.schedulingRequested = true
 		l.lifecycle.CheckEnded(job)
 	}
 }
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -12,7 +12,7 @@
 type leaderEnvironment struct{ l *leader }
 
 // RequestScheduling asks for a scheduling cycle.
-func (le leaderEnvironment) RequestScheduling() { le.l.plan = true }
+func (le leaderEnvironment) RequestScheduling() { le.l.schedulingRequested = true }
 
 // UniqueName returns a name that was never used.
 func (le leaderEnvironment) UniqueName() string { return le.l.n.unique() }
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -22,7 +22,7 @@
 	if !l.recovery.Tick(l.n.now) {
 		return
 	}
-	l.plan = true // what was held may start
+	l.schedulingRequested = true // what was held may start
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
 		"workers", s.Agents, "silent", s.Silent, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
