--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -15,7 +15,6 @@
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
-	"github.com/gappond/gappond/internal/tuning"
 )
 
 // Environment is what the service needs of the controller.
@@ -56,16 +55,6 @@
 	Unavailable(requestID uint64, reason string)
 }
 
-// Reasons why a request cannot be taken now.
-const (
-	reasonStarting         = "starting"
-	reasonStoreUnreachable = "state service out of reach"
-	reasonStoreSilent      = "state service does not answer"
-	reasonUnreadableRecord = "record does not parse"
-	reasonBusy             = "busy"
-	reasonTryAgain         = "try again"
-)
-
 // Service answers users' requests at one controller.
 type Service struct {
 	cfg     *config.Config
@@ -73,28 +62,30 @@
 	mirror  *storage.Mirror
 	store   kv.Client
 	budgets Budgets
-	replies Replies
+	replies *responder
 	env     Environment
 
-	finished  map[protocol.JobID]storage.Final // finished jobs, whose states never change
-	confirmed confirmedCancellations
-	queries   []statusQuery
-	checkAt   time.Time // when the status queries are checked
-	shed      uint64
+	finished *finishedJobs
+	lookups  *lookups
+	queries  []statusQuery
+	checkAt  time.Time // when the status queries are checked
 }
 
 // New makes a service that reads from the owner's mirror and machine types.
 func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *storage.Mirror,
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
+	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
+	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
+	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
 	return &Service{
-		cfg: cfg, types: types, mirror: mirror, store: store, budgets: budgets, replies: replies, env: env,
-		finished:  map[protocol.JobID]storage.Final{},
-		confirmed: confirmedCancellations{jobs: map[protocol.JobID]time.Time{}},
+		cfg: cfg, types: types, mirror: mirror, store: store, budgets: budgets, replies: responder, env: env,
+		finished: finished,
+		lookups:  &lookups{store: store, env: env, replies: responder, finished: finished},
 	}
 }
 
 // Shed is how many requests were turned away because too much is asked.
-func (s *Service) Shed() uint64 { return s.shed }
+func (s *Service) Shed() uint64 { return s.replies.shed }
 
 // Due tells when status queries that wait are to be checked.
 func (s *Service) Due(by func(time.Time)) {
@@ -105,40 +96,9 @@
 
 // JobFinished remembers the final state of a job.
 func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
-	if len(s.finished) >= tuning.MaxCachedFinalStates {
-		clear(s.finished)
-	}
-	s.finished[jobID] = final
+	s.finished.add(jobID, final)
 }
 
-// replyAccepted tells a user that a submission or a cancellation stands.
-func (s *Service) replyAccepted(requestID uint64, jobID protocol.JobID, phase protocol.Phase) {
-	s.noteIfCancelled(jobID, phase)
-	s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: phase})
-}
-
-// replyStatus tells a user the state of a job.
-func (s *Service) replyStatus(requestID uint64, status protocol.Status) {
-	s.noteIfCancelled(status.ID, status.Phase)
-	s.replies.Status(requestID, status)
-}
-
-// refuseUnserved refuses a request at once while the controller is starting or the store
-// does not answer it.
-func (s *Service) refuseUnserved(requestID uint64, started bool) bool {
-	switch {
-	case !started:
-		s.replies.Unavailable(requestID, reasonStarting)
-	case s.env.StoreUnreachable():
-		s.replies.Unavailable(requestID, reasonStoreUnreachable)
-	default:
-		return false
-	}
-	return true
-}
-
-// shedLoad turns a request away because too much is asked.
-func (s *Service) shedLoad(requestID uint64) {
-	s.shed++
-	s.replies.Unavailable(requestID, reasonBusy)
-}
+// ConfirmedCancellations lists the jobs that users were told are cancelled, in order,
+// without those whose cancellation has taken effect by now.
+func (s *Service) ConfirmedCancellations() []protocol.JobID { return s.replies.confirmed.list() }
--- a/internal/coordination/api/cancellation.go
+++ b/internal/coordination/api/cancellation.go
@@ -12,15 +12,15 @@
 // Cancel marks a job as cancelled by a guarded transaction. Whoever leads
 // learns it from its watch.
 func (s *Service) Cancel(requestID uint64, jobID protocol.JobID) {
-	if final, ok := s.finished[jobID]; ok {
-		s.replyAccepted(requestID, jobID, final.Phase)
+	if status, ok := s.finished.status(jobID); ok {
+		s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 		return
 	}
-	if s.refuseUnserved(requestID, s.mirror.Ready()) {
+	if s.replies.refuseUnserved(requestID, s.mirror.Ready()) {
 		return
 	}
 	if !s.budgets.TakeUserWrite(s.env.Now()) {
-		s.shedLoad(requestID)
+		s.replies.shedLoad(requestID)
 		return
 	}
 	deadline := s.env.Now().Add(tuning.UserRequestTimeout)
@@ -33,7 +33,7 @@
 
 // cancelFromStore cancels a job by the record that the store has now.
 func (s *Service) cancelFromStore(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
+	s.lookups.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry != nil {
 			s.cancelRecord(requestID, jobID, entry, deadline)
 			return
@@ -44,14 +44,14 @@
 
 // answerFinished answers the cancellation of a job that has no unfinished record.
 func (s *Service) answerFinished(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.lookUp(requestID, jobID, deadline, func(status *protocol.Status) {
+	s.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		switch {
 		case status == nil:
 			s.replies.UnknownJob(requestID)
 		case status.Phase != protocol.PhaseDone && status.Phase != protocol.PhaseCancelled:
 			s.replies.Unavailable(requestID, reasonTryAgain)
 		default:
-			s.replyAccepted(requestID, jobID, status.Phase)
+			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 		}
 	})
 }
@@ -90,5 +90,5 @@
 // confirmCancellation tells the leader and the user of a cancellation that is in the records.
 func (s *Service) confirmCancellation(requestID uint64, jobID protocol.JobID) {
 	s.env.AnnounceCancellation(jobID)
-	s.replyAccepted(requestID, jobID, protocol.PhaseCancelled)
+	s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
 }
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -12,48 +12,48 @@
 // confirmedCancellations are the cancellations that users were told of and that may not
 // have taken effect yet.
 type confirmedCancellations struct {
+	cfg      *config.Config
+	env      Environment
 	jobs     map[protocol.JobID]time.Time // and since when
 	expireAt int                          // how many of them are kept before old ones are dropped
 }
 
-// ConfirmedCancellations lists the jobs that users were told are cancelled, in order,
-// without those whose cancellation has taken effect by now.
-func (s *Service) ConfirmedCancellations() []protocol.JobID {
-	s.expireConfirmed()
+// list is the jobs whose cancellation may not have taken effect yet, in order.
+func (cc *confirmedCancellations) list() []protocol.JobID {
+	cc.expire()
 	var jobs []protocol.JobID
-	for jobID := range s.confirmed.jobs {
+	for jobID := range cc.jobs {
 		jobs = append(jobs, jobID)
 	}
 	slices.Sort(jobs)
 	return jobs
 }
 
-func (s *Service) noteIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
+// recordIfCancelled records a cancellation that a user is being told of.
+func (cc *confirmedCancellations) recordIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
 	if phase == protocol.PhaseCancelled {
-		s.noteConfirmed(jobID)
+		cc.env.CancellationConfirmed(jobID)
+		cc.add(jobID)
 	}
 }
 
-// noteConfirmed keeps note of a cancellation that a user is being told of.
-func (s *Service) noteConfirmed(jobID protocol.JobID) {
-	s.env.CancellationConfirmed(jobID)
-	c := &s.confirmed
-	if _, known := c.jobs[jobID]; known {
+func (cc *confirmedCancellations) add(jobID protocol.JobID) {
+	if _, known := cc.jobs[jobID]; known {
 		return
 	}
-	if len(c.jobs) >= c.expireAt {
-		s.expireConfirmed()
-		c.expireAt = max(tuning.MaxRememberedCancellations, 2*len(c.jobs))
+	if len(cc.jobs) >= cc.expireAt {
+		cc.expire()
+		cc.expireAt = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
 	}
-	c.jobs[jobID] = s.env.Now()
+	cc.jobs[jobID] = cc.env.Now()
 }
 
-// expireConfirmed drops the cancellations that have taken effect.
-func (s *Service) expireConfirmed() {
-	now, effective := s.env.Now(), config.WithClockDrift(config.Seconds(s.cfg.Cluster.Agents.CancelS))
-	for jobID, at := range s.confirmed.jobs {
+// expire drops the cancellations that have taken effect.
+func (cc *confirmedCancellations) expire() {
+	now, effective := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
+	for jobID, at := range cc.jobs {
 		if now.Sub(at) > effective {
-			delete(s.confirmed.jobs, jobID)
+			delete(cc.jobs, jobID)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordination/api/finished_jobs.go
@@ -0,0 +1,30 @@
+package api
+
+import (
+	"github.com/gappond/gappond/internal/protocol"
+	"github.com/gappond/gappond/internal/storage"
+	"github.com/gappond/gappond/internal/tuning"
+)
+
+// finishedJobs caches the final states of jobs, which never change.
+type finishedJobs struct {
+	finals map[protocol.JobID]storage.Final
+}
+
+// add caches the final state of a job; a full cache is emptied first.
+func (fj *finishedJobs) add(jobID protocol.JobID, final storage.Final) {
+	if len(fj.finals) >= tuning.MaxCachedFinalStates {
+		clear(fj.finals)
+	}
+	fj.finals[jobID] = final
+}
+
+// status is the state of a job, if its final state is cached.
+func (fj *finishedJobs) status(jobID protocol.JobID) (protocol.Status, bool) {
+	final, ok := fj.finals[jobID]
+	return finishedStatus(jobID, final), ok
+}
+
+func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.Status {
+	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
+}
--- a/internal/coordination/api/lookup.go
+++ b/internal/coordination/api/lookup.go
@@ -9,34 +9,43 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
+// lookups reads jobs' records from the store itself. A request whose record cannot be read
+// is answered by it.
+type lookups struct {
+	store    kv.Client
+	env      Environment
+	replies  *responder
+	finished *finishedJobs
+}
+
 // read reads one key; found is called with nil if it does not exist, and not
 // at all if the store does not say.
-func (s *Service) read(requestID uint64, key string, deadline time.Time, found func(entry *protocol.Entry)) {
-	s.store.Get(key, func(result kv.GetResult) {
+func (l *lookups) read(requestID uint64, key string, deadline time.Time, found func(entry *protocol.Entry)) {
+	l.store.Get(key, func(result kv.GetResult) {
 		switch {
 		case result.Outcome == kv.Done && !result.Malformed:
 			found(&result.Entry)
 		case result.Outcome == kv.NotFound:
 			found(nil)
-		case result.Outcome == kv.Unknown && s.env.Now().Before(deadline):
-			s.read(requestID, key, deadline, found)
+		case result.Outcome == kv.Unknown && l.env.Now().Before(deadline):
+			l.read(requestID, key, deadline, found)
 		default:
-			s.replies.Unavailable(requestID, reasonStoreSilent)
+			l.replies.Unavailable(requestID, reasonStoreSilent)
 		}
 	})
 }
 
-// lookUp reads a job's state from the store itself. The unfinished record is read first: a
+// job reads a job's state from the store itself. The unfinished record is read first: a
 // job moves from there to its final record and never back, so one of the two reads finds it.
-func (s *Service) lookUp(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	s.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
+func (l *lookups) job(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+	l.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
-			s.lookUpFinished(requestID, jobID, deadline, found)
+			l.finishedJob(requestID, jobID, deadline, found)
 			return
 		}
 		record, err := storage.DecodeJob(entry.Value)
 		if err != nil {
-			s.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonUnreadableRecord)
 			return
 		}
 		status := record.Status()
@@ -44,24 +53,20 @@
 	})
 }
 
-// lookUpFinished reads a job's final record.
-func (s *Service) lookUpFinished(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	s.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
+// finishedJob reads a job's final record.
+func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			found(nil)
 			return
 		}
 		var final storage.Final
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
-			s.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonUnreadableRecord)
 			return
 		}
-		s.JobFinished(jobID, final)
+		l.finished.add(jobID, final)
 		status := finishedStatus(jobID, final)
 		found(&status)
 	})
 }
-
-func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.Status {
-	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
-}
--- a/internal/coordination/api/status_query.go
+++ b/internal/coordination/api/status_query.go
@@ -21,11 +21,11 @@
 
 // Query answers a status query.
 func (s *Service) Query(requestID uint64, jobID protocol.JobID) {
-	if final, ok := s.finished[jobID]; ok {
-		s.replyStatus(requestID, finishedStatus(jobID, final))
+	if status, ok := s.finished.status(jobID); ok {
+		s.replies.Status(requestID, status)
 		return
 	}
-	if s.refuseUnserved(requestID, s.mirror.Ready()) {
+	if s.replies.refuseUnserved(requestID, s.mirror.Ready()) {
 		return
 	}
 	if _, ok := s.mirror.Get(storage.JobKey(jobID)); ok {
@@ -33,7 +33,7 @@
 		return
 	}
 	if !s.budgets.AllowsUserRead(s.env.Now()) {
-		s.shedLoad(requestID)
+		s.replies.shedLoad(requestID)
 		return
 	}
 	s.answerFromStore(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout))
@@ -41,12 +41,12 @@
 
 // answerFromStore answers a status query from the store itself.
 func (s *Service) answerFromStore(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.lookUp(requestID, jobID, deadline, func(status *protocol.Status) {
+	s.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			s.replies.UnknownJob(requestID)
 			return
 		}
-		s.replyStatus(requestID, *status)
+		s.replies.Status(requestID, *status)
 	})
 }
 
@@ -57,7 +57,7 @@
 		if s.env.Now().Before(query.expire) {
 			kept = append(kept, query)
 		} else {
-			s.shedLoad(query.requestID)
+			s.replies.shedLoad(query.requestID)
 		}
 	}
 	s.queries = kept
@@ -66,7 +66,7 @@
 func (s *Service) addQuery(query statusQuery) {
 	resources := s.cfg.Cluster.Process
 	if len(s.queries) >= resources.UserRequests() {
-		s.shedLoad(query.requestID)
+		s.replies.shedLoad(query.requestID)
 		return
 	}
 	if len(s.queries) == 0 {
@@ -160,8 +160,8 @@
 	case !fresh:
 		s.answerFromStore(query.requestID, query.job, query.expire)
 	case query.submission:
-		s.replyAccepted(query.requestID, query.job, status.Phase)
+		s.replies.Accepted(query.requestID, protocol.Accepted{ID: query.job, Phase: status.Phase})
 	default:
-		s.replyStatus(query.requestID, status)
+		s.replies.Status(query.requestID, status)
 	}
 }
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submission.go
@@ -11,11 +11,11 @@
 
 // Submit answers a submission: the job is stored, unless it is known already.
 func (s *Service) Submit(requestID uint64, spec *protocol.Job) {
-	if final, ok := s.finished[spec.ID]; ok {
-		s.replyAccepted(requestID, spec.ID, final.Phase)
+	if status, ok := s.finished.status(spec.ID); ok {
+		s.replies.Accepted(requestID, protocol.Accepted{ID: spec.ID, Phase: status.Phase})
 		return
 	}
-	if s.refuseUnserved(requestID, s.mirror.Ready() && len(s.types) > 0) {
+	if s.replies.refuseUnserved(requestID, s.mirror.Ready() && len(s.types) > 0) {
 		return
 	}
 	if _, ok := s.mirror.Get(storage.JobKey(spec.ID)); ok {
@@ -28,7 +28,7 @@
 	}
 	if !s.budgets.TakeUserWrite(s.env.Now()) {
 		if !s.env.ForwardSubmission(requestID, spec) {
-			s.shedLoad(requestID)
+			s.replies.shedLoad(requestID)
 		}
 		return
 	}
@@ -38,9 +38,9 @@
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (s *Service) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
-	s.lookUp(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
+	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
-			s.replyAccepted(requestID, jobID, status.Phase)
+			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 			return
 		}
 		s.replies.Unrunnable(requestID, reason)
@@ -78,11 +78,11 @@
 
 // answerRepeated answers the submission of a job that is known already.
 func (s *Service) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.lookUp(requestID, jobID, deadline, func(status *protocol.Status) {
+	s.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			s.replies.Unavailable(requestID, reasonTryAgain)
 			return
 		}
-		s.replyAccepted(requestID, jobID, status.Phase)
+		s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 	})
 }
