--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -57,18 +57,11 @@
 
 // Service answers users' requests at one controller.
 type Service struct {
-	cfg     *config.Config
-	types   map[protocol.MachineTypeName]*protocol.MachineType // known so far, filled by the owner
-	mirror  *storage.Mirror
-	store   kv.Client
-	budgets Budgets
-	replies *responder
-	env     Environment
-
-	finished *finishedJobs
-	lookups  *lookups
-	queries  []statusQuery
-	checkAt  time.Time // when the status queries are checked
+	replies       *responder
+	finished      *finishedJobs
+	queries       *statusQueries
+	submissions   *submissions
+	cancellations *cancellations
 }
 
 // New makes a service that reads from the owner's mirror and machine types.
@@ -77,22 +70,38 @@
 	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
 	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
 	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
+	lookups := &lookups{store: store, env: env, replies: responder, finished: finished}
+	queries := &statusQueries{cfg: cfg, mirror: mirror, store: store, budgets: budgets, env: env,
+		replies: responder, finished: finished, lookups: lookups}
 	return &Service{
-		cfg: cfg, types: types, mirror: mirror, store: store, budgets: budgets, replies: responder, env: env,
-		finished: finished,
-		lookups:  &lookups{store: store, env: env, replies: responder, finished: finished},
+		replies: responder, finished: finished, queries: queries,
+		submissions: &submissions{cfg: cfg, mirror: mirror, store: store, budgets: budgets, env: env,
+			replies: responder, finished: finished, lookups: lookups, queries: queries,
+			runnable: &runnableCheck{cfg: cfg, types: types}},
+		cancellations: &cancellations{mirror: mirror, store: store, budgets: budgets, env: env,
+			replies: responder, finished: finished, lookups: lookups},
 	}
 }
 
+// Submit answers a submission: the job is stored, unless it is known already.
+func (s *Service) Submit(requestID uint64, spec *protocol.Job) { s.submissions.answer(requestID, spec) }
+
+// Query answers a status query.
+func (s *Service) Query(requestID uint64, jobID protocol.JobID) { s.queries.answer(requestID, jobID) }
+
+// Cancel answers a cancellation: the job is marked as cancelled, unless it is finished.
+func (s *Service) Cancel(requestID uint64, jobID protocol.JobID) {
+	s.cancellations.answer(requestID, jobID)
+}
+
+// CheckQueries checks the records of the status queries that wait, if it is time to.
+func (s *Service) CheckQueries() { s.queries.check() }
+
 // Shed is how many requests were turned away because too much is asked.
 func (s *Service) Shed() uint64 { return s.replies.shed }
 
 // Due tells when status queries that wait are to be checked.
-func (s *Service) Due(by func(time.Time)) {
-	if len(s.queries) > 0 {
-		by(s.checkAt)
-	}
-}
+func (s *Service) Due(by func(time.Time)) { s.queries.due(by) }
 
 // JobFinished remembers the final state of a job.
 func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
--- a/internal/coordination/api/lookup.go
+++ b/internal/coordination/api/lookups.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// lookups reads jobs' records from the store itself. A request whose record cannot be read
-// is answered by it.
+// lookups reads jobs' records from the store itself, for requests that the mirror cannot
+// answer. It answers those whose record cannot be read.
 type lookups struct {
 	store    kv.Client
 	env      Environment
@@ -70,3 +70,25 @@
 		found(&status)
 	})
 }
+
+// answerStatus answers a status query from the store itself.
+func (l *lookups) answerStatus(requestID uint64, jobID protocol.JobID, deadline time.Time) {
+	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+		if status == nil {
+			l.replies.UnknownJob(requestID)
+			return
+		}
+		l.replies.Status(requestID, *status)
+	})
+}
+
+// answerRepeated answers the submission of a job that is known already.
+func (l *lookups) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
+	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+		if status == nil {
+			l.replies.Unavailable(requestID, reasonTryAgain)
+			return
+		}
+		l.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
+	})
+}
--- a/internal/coordination/api/runnable.go
+++ b/internal/coordination/api/runnable.go
@@ -9,12 +9,21 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
+// runnableCheck tells which jobs can never run.
+type runnableCheck struct {
+	cfg   *config.Config
+	types map[protocol.MachineTypeName]*protocol.MachineType // known so far, filled by the owner
+}
+
+// ready says whether machine types are known, without which no job could run.
+func (rc *runnableCheck) ready() bool { return len(rc.types) > 0 }
+
 // unrunnableReason says why a job can never run, or "".
-func (s *Service) unrunnableReason(spec *protocol.Job) string {
-	if !storage.Storable(s.cfg.Cluster.Store.ValueKB, spec) {
+func (rc *runnableCheck) unrunnableReason(spec *protocol.Job) string {
+	if !storage.Storable(rc.cfg.Cluster.Store.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
-	teams := s.cfg.Cluster.Teams
+	teams := rc.cfg.Cluster.Teams
 	at := slices.IndexFunc(teams, func(team config.Team) bool { return team.Name == spec.Team })
 	if at < 0 {
 		return "unknown team"
@@ -22,7 +31,7 @@
 	if exceedsLimit(&teams[at], spec) {
 		return "more than the team's limit"
 	}
-	zones := s.allowedZones(spec)
+	zones := rc.allowedZones(spec)
 	switch {
 	case zones == 0:
 		return "fits no allowed machine type"
@@ -44,9 +53,9 @@
 }
 
 // allowedZones is how many zones a job may run in that have a machine type that a task of it fits.
-func (s *Service) allowedZones(spec *protocol.Job) int {
+func (rc *runnableCheck) allowedZones(spec *protocol.Job) int {
 	allowed := map[protocol.ZoneName]bool{}
-	for _, machineType := range s.types {
+	for _, machineType := range rc.types {
 		if !machineType.Fits(spec) {
 			continue
 		}
--- a/internal/coordination/api/submission.go
+++ b/internal/coordination/api/submissions.go
@@ -3,26 +3,41 @@
 import (
 	"time"
 
+	"github.com/gappond/gappond/internal/config"
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Submit answers a submission: the job is stored, unless it is known already.
-func (s *Service) Submit(requestID uint64, spec *protocol.Job) {
+// submissions stores the jobs that users submit.
+type submissions struct {
+	cfg      *config.Config
+	mirror   *storage.Mirror
+	store    kv.Client
+	budgets  Budgets
+	env      Environment
+	replies  *responder
+	finished *finishedJobs
+	lookups  *lookups
+	queries  *statusQueries // repeated submissions wait there
+	runnable *runnableCheck
+}
+
+// answer answers a submission: the job is stored, unless it is known already.
+func (s *submissions) answer(requestID uint64, spec *protocol.Job) {
 	if status, ok := s.finished.status(spec.ID); ok {
 		s.replies.Accepted(requestID, protocol.Accepted{ID: spec.ID, Phase: status.Phase})
 		return
 	}
-	if s.replies.refuseUnserved(requestID, s.mirror.Ready() && len(s.types) > 0) {
+	if s.replies.refuseUnserved(requestID, s.mirror.Ready() && s.runnable.ready()) {
 		return
 	}
 	if _, ok := s.mirror.Get(storage.JobKey(spec.ID)); ok {
-		s.addQuery(statusQuery{requestID: requestID, job: spec.ID, submission: true})
+		s.queries.add(statusQuery{requestID: requestID, job: spec.ID, submission: true})
 		return
 	}
-	if reason := s.unrunnableReason(spec); reason != "" {
+	if reason := s.runnable.unrunnableReason(spec); reason != "" {
 		s.refuseUnrunnable(requestID, spec.ID, reason)
 		return
 	}
@@ -37,7 +52,7 @@
 
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
-func (s *Service) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
+func (s *submissions) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
 	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
 			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
@@ -49,7 +64,7 @@
 
 // submissionTxn is the transaction that makes a submission durable: the job must be
 // unknown, finished or not.
-func (s *Service) submissionTxn(spec *protocol.Job) []byte {
+func (s *submissions) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.Store
 	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
 		RecordTasks: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
@@ -61,13 +76,13 @@
 
 // storeSubmission sends it, and again while its answer is lost: it may yet apply, and
 // the same one again finds out.
-func (s *Service) storeSubmission(requestID uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
+func (s *submissions) storeSubmission(requestID uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
 	s.store.TransactEncoded(txn, func(result kv.TransactionResult) {
 		switch {
 		case result.Outcome == kv.Done:
 			s.replies.Created(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
 		case result.Outcome == kv.ConditionFailed:
-			s.answerRepeated(requestID, jobID, deadline)
+			s.lookups.answerRepeated(requestID, jobID, deadline)
 		case result.Outcome == kv.Unknown && s.env.Now().Before(deadline):
 			s.storeSubmission(requestID, jobID, txn, deadline)
 		default:
@@ -75,14 +90,3 @@
 		}
 	})
 }
-
-// answerRepeated answers the submission of a job that is known already.
-func (s *Service) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	s.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
-		if status == nil {
-			s.replies.Unavailable(requestID, reasonTryAgain)
-			return
-		}
-		s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
-	})
-}
