--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -15,7 +15,6 @@
 	"github.com/gappond/gappond/internal/coordination/kv"
 	"github.com/gappond/gappond/internal/protocol"
 	"github.com/gappond/gappond/internal/storage"
-	"github.com/gappond/gappond/internal/tuning"
 )
 
 // Environment is what the service needs of the controller.
@@ -56,89 +55,59 @@
 	Unavailable(requestID uint64, reason string)
 }
 
-// Reasons why a request cannot be taken now.
-const (
-	reasonStarting         = "starting"
-	reasonStoreUnreachable = "state service out of reach"
-	reasonStoreSilent      = "state service does not answer"
-	reasonUnreadableRecord = "record does not parse"
-	reasonBusy             = "busy"
-	reasonTryAgain         = "try again"
-)
-
 // Service answers users' requests at one controller.
 type Service struct {
-	cfg     *config.Config
-	types   map[protocol.MachineTypeName]*protocol.MachineType // known so far, filled by the owner
-	mirror  *storage.Mirror
-	store   kv.Client
-	budgets Budgets
-	replies Replies
-	env     Environment
-
-	finished  map[protocol.JobID]storage.Final // finished jobs, whose states never change
-	confirmed confirmedCancellations
-	queries   []statusQuery
-	checkAt   time.Time // when the status queries are checked
-	shed      uint64
+	replies       *responder
+	finished      *finishedJobs
+	queries       *statusQueries
+	submissions   *submissions
+	cancellations *cancellations
 }
 
 // New makes a service that reads from the owner's mirror and machine types.
 func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *storage.Mirror,
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
+	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
+	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
+	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
+	lookups := &lookups{store: store, env: env, replies: responder, finished: finished}
+	queries := &statusQueries{cfg: cfg, mirror: mirror, store: store, budgets: budgets, env: env,
+		replies: responder, finished: finished, lookups: lookups}
 	return &Service{
-		cfg: cfg, types: types, mirror: mirror, store: store, budgets: budgets, replies: replies, env: env,
-		finished:  map[protocol.JobID]storage.Final{},
-		confirmed: confirmedCancellations{jobs: map[protocol.JobID]time.Time{}},
+		replies: responder, finished: finished, queries: queries,
+		submissions: &submissions{cfg: cfg, mirror: mirror, store: store, budgets: budgets, env: env,
+			replies: responder, finished: finished, lookups: lookups, queries: queries,
+			runnable: &runnableCheck{cfg: cfg, types: types}},
+		cancellations: &cancellations{mirror: mirror, store: store, budgets: budgets, env: env,
+			replies: responder, finished: finished, lookups: lookups},
 	}
 }
 
-// Shed is how many requests were turned away because too much is asked.
-func (s *Service) Shed() uint64 { return s.shed }
+// Submit answers a submission: the job is stored, unless it is known already.
+func (s *Service) Submit(requestID uint64, spec *protocol.Job) { s.submissions.answer(requestID, spec) }
 
-// Due tells when status queries that wait are to be checked.
-func (s *Service) Due(by func(time.Time)) {
-	if len(s.queries) > 0 {
-		by(s.checkAt)
-	}
-}
+// Query answers a status query.
+func (s *Service) Query(requestID uint64, jobID protocol.JobID) { s.queries.answer(requestID, jobID) }
 
-// JobFinished remembers the final state of a job.
-func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
-	if len(s.finished) >= tuning.MaxCachedFinalStates {
-		clear(s.finished)
-	}
-	s.finished[jobID] = final
+// Cancel answers a cancellation: the job is marked as cancelled, unless it is finished.
+func (s *Service) Cancel(requestID uint64, jobID protocol.JobID) {
+	s.cancellations.answer(requestID, jobID)
 }
 
-// replyAccepted tells a user that a submission or a cancellation stands.
-func (s *Service) replyAccepted(requestID uint64, jobID protocol.JobID, phase protocol.Phase) {
-	s.noteIfCancelled(jobID, phase)
-	s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: phase})
-}
+// CheckQueries checks the records of the status queries that wait, if it is time to.
+func (s *Service) CheckQueries() { s.queries.check() }
 
-// replyStatus tells a user the state of a job.
-func (s *Service) replyStatus(requestID uint64, status protocol.Status) {
-	s.noteIfCancelled(status.ID, status.Phase)
-	s.replies.Status(requestID, status)
-}
+// Shed is how many requests were turned away because too much is asked.
+func (s *Service) Shed() uint64 { return s.replies.shed }
 
-// refuseUnserved refuses a request at once while the controller is starting or the store
-// does not answer it.
-func (s *Service) refuseUnserved(requestID uint64, started bool) bool {
-	switch {
-	case !started:
-		s.replies.Unavailable(requestID, reasonStarting)
-	case s.env.StoreUnreachable():
-		s.replies.Unavailable(requestID, reasonStoreUnreachable)
-	default:
-		return false
-	}
-	return true
-}
+// Due tells when status queries that wait are to be checked.
+func (s *Service) Due(by func(time.Time)) { s.queries.due(by) }
 
-// shedLoad turns a request away because too much is asked.
-func (s *Service) shedLoad(requestID uint64) {
-	s.shed++
-	s.replies.Unavailable(requestID, reasonBusy)
+// JobFinished remembers the final state of a job.
+func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
+	s.finished.add(jobID, final)
 }
+
+// ConfirmedCancellations lists the jobs that users were told are cancelled, in order,
+// without those whose cancellation has taken effect by now.
+func (s *Service) ConfirmedCancellations() []protocol.JobID { return s.replies.confirmed.list() }
