--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -15,6 +15,7 @@
 	Problem string // what is wrong with it, or what is allowed
 }
 
+// Error implements error.
 func (e *SettingError) Error() string {
 	if e.Value == "" {
 		return e.Key + " " + e.Problem
@@ -28,6 +29,7 @@
 	Known []string
 }
 
+// Error implements error.
 func (e *UnknownKeyError) Error() string {
 	return fmt.Sprintf("%s: no such key; known are %v", e.Key, e.Known)
 }
@@ -37,6 +39,7 @@
 	Problems []error // each a *SettingError or an *UnknownKeyError
 }
 
+// Error implements error: a line for each problem.
 func (e *InvalidError) Error() string { return errors.Join(e.Problems...).Error() }
 
 func (e *InvalidError) Unwrap() []error { return e.Problems }
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -182,7 +183,7 @@
 		return
 	}
 	switch status {
-	case 200:
+	case http.StatusOK:
 		a.inFlight = false
 		a.setTimer()
 		if a.w.Now.Sub(sent) > 4*time.Second || a.hung {
@@ -195,7 +196,7 @@
 		}
 		a.answeredAt = sent
 		a.execute(response.Commands)
-	case 421:
+	case http.StatusMisdirectedRequest:
 		a.followRedirect(body)
 	default:
 		a.tryNextController()
@@ -297,41 +298,27 @@
 	}
 }
 
+// attemptName names an attempt on its agent.
 func attemptName(task string, attempt protocol.AttemptNumber) string {
 	return fmt.Sprintf("%s#%d", task, attempt)
 }
 
+// start carries out a command to start a task, or refuses it.
 func (a *agent) start(key string, id protocol.JobID, index int, c protocol.Command) {
-	j := a.w.rules.jobs[id]
-	task := &agentTask{k: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
+	job := a.w.rules.jobs[id]
+	task := &agentTask{agent: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
 	a.noteChange()
 	a.w.Audit.began(a.w.Now, task.instance())
-	refuse := func(cause protocol.Cause) {
-		task.state, task.cause = protocol.TaskExited, cause
-		a.tasks[key] = task
-		a.w.Audit.ended(task.instance(), cause, false)
-	}
-	if j == nil {
-		refuse(protocol.CauseUnknown)
+	a.tasks[key] = task
+	if job == nil {
+		a.refuse(task, protocol.CauseUnknown)
 		return
 	}
-	task.job = j.spec
-	cpus, gpus, memory := 0.0, 0.0, 0.0
-	for _, o := range a.tasks {
-		if o.name == task.name && o.state != protocol.TaskExited {
-			refuse(protocol.CauseBusy)
-			return
-		}
-		if o.state != protocol.TaskExited {
-			cpus, gpus, memory = cpus+o.job.CPUs, gpus+o.job.GPUs, memory+o.job.MemoryGB
-		}
-	}
-	machine := &a.w.shape.Type
-	if cpus+task.job.CPUs > machine.CPUs || gpus+task.job.GPUs > machine.GPUs || memory+task.job.MemoryGB > machine.MemoryGB {
-		refuse(protocol.CauseNoCapacity)
+	task.job = job.spec
+	if cause := a.refusalCause(task); cause != "" {
+		a.refuse(task, cause)
 		return
 	}
-	a.tasks[key] = task
 	fetch := secs(task.job.ImageGB / a.w.shape.Type.FetchGBPerS)
 	if a.images[task.job.Image] {
 		fetch = 0
@@ -342,6 +329,31 @@
 	})
 }
 
+// refuse ends a task before it has begun.
+func (a *agent) refuse(task *agentTask, cause protocol.Cause) {
+	task.state, task.cause = protocol.TaskExited, cause
+	a.w.Audit.ended(task.instance(), cause, false)
+}
+
+// refusalCause says why a task cannot start beside the others, "" if it can.
+func (a *agent) refusalCause(task *agentTask) protocol.Cause {
+	cpus, gpus, memory := task.job.CPUs, task.job.GPUs, task.job.MemoryGB
+	for _, other := range a.tasks {
+		if other == task || other.state == protocol.TaskExited {
+			continue
+		}
+		if other.name == task.name {
+			return protocol.CauseBusy
+		}
+		cpus, gpus, memory = cpus+other.job.CPUs, gpus+other.job.GPUs, memory+other.job.MemoryGB
+	}
+	machine := &a.w.shape.Type
+	if cpus > machine.CPUs || gpus > machine.GPUs || memory > machine.MemoryGB {
+		return protocol.CauseNoCapacity
+	}
+	return ""
+}
+
 // wait does something for a task later, unless it is over by then or the
 // machine hangs, in which case it waits for the machine.
 func (a *agent) wait(d time.Duration, task *agentTask, do func()) {
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -127,7 +127,7 @@
 
 // workerOf is the machine that a task of a job is on.
 func (w *World) workerOf(job protocol.JobID, task int) *agent {
-	return w.rules.placed[protocol.TaskName(job, task)].k
+	return w.rules.placed[protocol.TaskName(job, task)].agent
 }
 
 // running says whether all tasks of some users' jobs run.
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -63,7 +63,7 @@
 		n--
 		w.after(w.between(0, 200*time.Millisecond), u.cancel)
 		if hang > 0 && w.rng.IntN(2) == 0 {
-			task.k.hang(hang)
+			task.agent.hang(hang)
 		}
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -9,8 +9,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
+// agentTask is an attempt of a task on an agent.
 type agentTask struct {
-	k       *agent
+	agent   *agent
 	job     *protocol.Job
 	name    string
 	index   int
@@ -35,56 +36,73 @@
 
 // arrive is the moment at which a task has its image: it is on its machine.
 func (t *agentTask) arrive() {
-	w := t.k.w
+	w := t.agent.w
 	t.on = true
-	t.k.noteChange()
+	t.agent.noteChange()
 	w.rules.starts(t)
-	j := w.rules.jobs[t.job.ID]
-	if j.done[t.index] {
+	job := w.rules.jobs[t.job.ID]
+	switch {
+	case job.done[t.index]:
 		t.exit(protocol.CauseDone, false)
-		return
-	}
-	if t.k.failsTasks || j.mistaken {
-		t.k.wait(300*time.Millisecond, t, func() { t.exit(protocol.CauseError, false) })
-		return
+	case t.agent.failsTasks || job.mistaken:
+		t.agent.wait(300*time.Millisecond, t, func() { t.exit(protocol.CauseError, false) })
+	case t.job.Gang():
+		t.joinGang(job)
+	case t.job.Service():
+		t.runReplica(job)
+	default:
+		t.runAlone(job)
 	}
-	if !t.job.Gang() {
-		t.state, t.began = protocol.TaskRunning, w.Now
-		j.begin(w.Now)
-		if t.job.Service() {
-			if j.ends > 0 {
-				t.k.wait(w.between(j.ends/2, j.ends), t, func() {
-					t.exit([]protocol.Cause{protocol.CauseDone, protocol.CauseError}[w.rng.IntN(2)], false)
-				})
-			}
-			return
+}
+
+// runAlone runs a task of an array to its end.
+func (t *agentTask) runAlone(job *simJob) {
+	w := t.agent.w
+	t.state, t.began = protocol.TaskRunning, w.Now
+	job.begin(w.Now)
+	t.agent.wait(secs(max(0, job.run-job.progress[t.index])), t, func() {
+		if t.state == protocol.TaskRunning {
+			job.done[t.index] = true
+			t.exit(protocol.CauseDone, false)
 		}
-		t.k.wait(secs(max(0, j.run-j.progress[t.index])), t, func() {
-			if t.state == protocol.TaskRunning {
-				j.done[t.index] = true
-				t.exit(protocol.CauseDone, false)
-			}
-		})
+	})
+}
+
+// runReplica runs a replica, which may end by itself now and then.
+func (t *agentTask) runReplica(job *simJob) {
+	w := t.agent.w
+	t.state, t.began = protocol.TaskRunning, w.Now
+	job.begin(w.Now)
+	if job.ends == 0 {
 		return
 	}
+	t.agent.wait(w.between(job.ends/2, job.ends), t, func() {
+		t.exit([]protocol.Cause{protocol.CauseDone, protocol.CauseError}[w.rng.IntN(2)], false)
+	})
+}
+
+// joinGang has a task wait for the others of its attempt; the last one starts them all.
+func (t *agentTask) joinGang(job *simJob) {
+	w := t.agent.w
 	t.state = protocol.TaskWaiting
-	g := j.gangs[t.attempt]
+	g := job.gangs[t.attempt]
 	if g == nil || g.over {
 		g = &gang{job: t.job, members: map[int]*agentTask{}}
-		j.gangs[t.attempt] = g
+		job.gangs[t.attempt] = g
 	}
 	t.gang = g
 	g.members[t.index] = t
-	t.k.wait(secs(w.shape.Agents.GangWaitS), t, func() {
+	t.agent.wait(secs(w.shape.Agents.GangWaitS), t, func() {
 		if t.state == protocol.TaskWaiting {
 			t.exit(protocol.CauseGangTimeout, false)
 		}
 	})
 	if len(g.members) == t.job.Tasks {
-		g.start(w, j)
+		g.start(w, job)
 	}
 }
 
+// list is the gang's tasks in order.
 func (g *gang) list() []*agentTask {
 	var l []*agentTask
 	for _, task := range g.members {
@@ -94,19 +112,20 @@
 	return l
 }
 
+// start has all tasks of a gang run, and complete together.
 func (g *gang) start(w *World, j *simJob) {
 	g.running, g.began = true, w.Now
 	j.begin(w.Now)
 	for _, task := range g.list() {
 		task.state = protocol.TaskRunning
-		task.k.noteChange()
+		task.agent.noteChange()
 	}
 	w.after(secs(max(0, j.run-j.progress[0])), func() {
 		if g.over || !g.stopped.IsZero() {
 			return
 		}
 		for _, task := range g.list() {
-			if task.k.hung {
+			if task.agent.hung {
 				g.fail(w, nil)
 				return
 			}
@@ -134,19 +153,21 @@
 	}
 	for _, task := range g.list() {
 		if task != lost {
-			task.k.wait(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
+			task.agent.wait(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
 		}
 	}
 }
 
+// begin notes that a job runs for the first time.
 func (j *simJob) begin(now time.Time) {
 	if j.began.IsZero() {
 		j.began = now
 	}
 }
 
+// halt carries out a command to stop: a task that can save and is given the time does so
+// first, every other one exits at once.
 func (t *agentTask) halt(grace float64) {
-	w := t.k.w
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
 	}
@@ -156,36 +177,52 @@
 		return
 	}
 	t.state = protocol.TaskSaving
-	t.k.noteChange()
-	j := w.rules.jobs[t.job.ID]
-	if t.gang == nil {
-		run := j.progress[t.index] + w.Now.Sub(t.began).Seconds()
-		t.k.wait(secs(t.job.SaveS), t, func() {
-			j.progress[t.index] = max(j.progress[t.index], run)
-			t.exit(protocol.CauseStopped, true)
-		})
+	t.agent.noteChange()
+	if t.gang != nil {
+		t.gang.stopInOrder(t.agent.w)
 		return
 	}
-	g := t.gang
-	if g.stopped.IsZero() {
-		g.stopped = w.Now
-		run := j.progress[0] + w.Now.Sub(g.began).Seconds()
-		w.after(secs(w.shape.Agents.GangPeerS), func() {
-			if g.over {
-				return
-			}
-			for _, m := range g.list() {
-				if m.state != protocol.TaskSaving {
-					g.fail(w, nil)
-					return
-				}
-			}
-			g.over = true
-			j.progress[0] = max(j.progress[0], run)
-			for _, m := range g.list() {
-				m.k.wait(0, m, func() { m.exit(protocol.CauseStopped, true) })
-			}
-		})
+	t.saveAlone()
+}
+
+// saveAlone ends a task of an array once it has saved.
+func (t *agentTask) saveAlone() {
+	w := t.agent.w
+	job := w.rules.jobs[t.job.ID]
+	run := job.progress[t.index] + w.Now.Sub(t.began).Seconds()
+	t.agent.wait(secs(t.job.SaveS), t, func() {
+		job.progress[t.index] = max(job.progress[t.index], run)
+		t.exit(protocol.CauseStopped, true)
+	})
+}
+
+// stopInOrder begins, with the first task told to stop, to wait for all of them: the
+// gang's progress is saved if every one is told in time.
+func (g *gang) stopInOrder(w *World) {
+	if !g.stopped.IsZero() {
+		return
+	}
+	g.stopped = w.Now
+	job := w.rules.jobs[g.job.ID]
+	run := job.progress[0] + w.Now.Sub(g.began).Seconds()
+	w.after(secs(w.shape.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
+}
+
+// finishStop saves the gang's progress, or ends it without if a task was not told.
+func (g *gang) finishStop(w *World, job *simJob, run float64) {
+	if g.over {
+		return
+	}
+	for _, task := range g.list() {
+		if task.state != protocol.TaskSaving {
+			g.fail(w, nil)
+			return
+		}
+	}
+	g.over = true
+	job.progress[0] = max(job.progress[0], run)
+	for _, task := range g.list() {
+		task.agent.wait(0, task, func() { task.exit(protocol.CauseStopped, true) })
 	}
 }
 
@@ -195,10 +232,10 @@
 		return
 	}
 	t.leave()
-	t.k.w.Audit.ended(t.instance(), cause, false)
+	t.agent.w.Audit.ended(t.instance(), cause, false)
 	t.state, t.cause, t.kept = protocol.TaskExited, cause, kept
-	t.k.noteChange()
-	if j := t.k.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.last != nil && !slices.Contains(j.done, false) {
+	t.agent.noteChange()
+	if j := t.agent.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.last != nil && !slices.Contains(j.done, false) {
 		j.last()
 	}
 }
@@ -206,15 +243,16 @@
 // lose drops a task with its agent's incarnation, or its machine.
 func (t *agentTask) lose() {
 	t.leave()
-	t.k.w.Audit.ended(t.instance(), "", true)
-	t.k.w.Audit.forgot(t.instance())
+	t.agent.w.Audit.ended(t.instance(), "", true)
+	t.agent.w.Audit.forgot(t.instance())
 }
 
-func (t *agentTask) instance() instance { return instance{t.k.host.ID, t.name, t.attempt} }
+// instance names the attempt and its machine.
+func (t *agentTask) instance() instance { return instance{t.agent.host.ID, t.name, t.attempt} }
 
 // leave takes a task off its machine.
 func (t *agentTask) leave() {
-	w := t.k.w
+	w := t.agent.w
 	if t.on {
 		t.on = false
 		w.rules.leaves(t)
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -131,7 +131,7 @@
 // lose lets a machine die and notes the replicas that it had.
 func (s *stageLog) lose(agent *agent) {
 	for name, task := range s.w.rules.placed {
-		if task.k == agent {
+		if task.agent == agent {
 			s.lost[name] = string(agent.host.ID)
 		}
 	}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -89,7 +89,7 @@
 		r.lateStarts++
 	}
 	if o := r.placed[task.name]; o != nil {
-		r.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, task.k.host.ID, o.k.host.ID)
+		r.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, task.agent.host.ID, o.agent.host.ID)
 	}
 	r.placed[task.name] = task
 	r.gpusInUse[spec.Team] += spec.GPUs
@@ -110,8 +110,8 @@
 // checkPlace checks that a task is where its job may be.
 func (r *rules) checkPlace(task *agentTask) {
 	spec := task.job
-	if spec.Zone != "" && spec.Zone != task.k.host.Zone || task.k.host.Spot && !spec.Spot {
-		r.violated(ruleWrongPlace, "%s on %s", task.name, task.k.host.ID)
+	if spec.Zone != "" && spec.Zone != task.agent.host.Zone || task.agent.host.Spot && !spec.Spot {
+		r.violated(ruleWrongPlace, "%s on %s", task.name, task.agent.host.ID)
 	}
 	if !spec.OneZone && !spec.Spread {
 		return
@@ -119,13 +119,13 @@
 	zones := map[protocol.ZoneName]int{}
 	for i := range spec.Tasks {
 		if o := r.placed[protocol.TaskName(spec.ID, i)]; o != nil {
-			zones[o.k.host.Zone]++
+			zones[o.agent.host.Zone]++
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
 		r.violated(ruleWrongPlace, "%s in more zones than one: %v", spec.ID, zones)
 	}
-	if spec.Spread && zones[task.k.host.Zone] > (spec.Tasks+1)/2 {
+	if spec.Spread && zones[task.agent.host.Zone] > (spec.Tasks+1)/2 {
 		r.violated(ruleWrongPlace, "%s has %v", spec.ID, zones)
 	}
 }
@@ -134,7 +134,7 @@
 func (r *rules) checkCancelled(task *agentTask) {
 	j := r.jobs[task.job.ID]
 	if !j.cancelled.IsZero() && r.w.Now.Sub(j.cancelled) > secs(r.w.shape.Agents.CancelS) {
-		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.k.host.ID, r.w.Now.Sub(j.cancelled))
+		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelled))
 	}
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -238,7 +238,7 @@
 	}
 	if u.w.Now.Sub(u.submittedAt) >= 5*time.Second {
 		for i := range u.job.spec.Tasks {
-			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil && task.state == protocol.TaskRunning && !task.k.hung {
+			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil && task.state == protocol.TaskRunning && !task.agent.hung {
 				u.served += step
 			} else {
 				u.unserved += step
