--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -45,7 +45,7 @@
 func fasterThanFetch(job *cluster.Job, plan preemptionPlan, fetch float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
-			if CheckpointPays(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
+			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -10,10 +10,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// CheckpointPays says whether a task that is preempted should save first. Saving takes
+// ShouldCheckpointOnPreemption says whether a task that is preempted should save first. Saving takes
 // its machine's time and the waiting job's; without it half of the interval
 // between two checkpoints is lost, about.
-func CheckpointPays(spec *protocol.Job) bool {
+func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
 	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
 
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -93,11 +93,11 @@
 	return best.machine
 }
 
-// ReplicasHavePlacesElsewhere says whether a machine behind a suspected partition is better given up for
+// MostReplicasFitElsewhere says whether a machine behind a suspected partition is better given up for
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
 // back only with the partition's end, and then where a machine boots for them.
-func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
+func (sc *Scheduler) MostReplicasFitElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
 	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
 	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
 		return false
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -54,11 +54,11 @@
 	return &Scheduler{state: state, env: env, log: log, machineLostAt: map[protocol.ZoneName]time.Time{}}
 }
 
-// Examined is how many machines the last cycle examined, each time counted.
-func (sc *Scheduler) Examined() int { return sc.examined }
+// MachinesExamined is how many machines the last cycle examined, each time counted.
+func (sc *Scheduler) MachinesExamined() int { return sc.examined }
 
-// Waiting is how many jobs waited for machines after the last cycle.
-func (sc *Scheduler) Waiting() int { return sc.waiting }
+// WaitingJobs is how many jobs waited for machines after the last cycle.
+func (sc *Scheduler) WaitingJobs() int { return sc.waiting }
 
 // MachineLost notes that a machine was given up as silent.
 func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
