--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -77,7 +77,7 @@
 	return true
 }
 
-// add takes up one declaration of a file.
+// addMachine takes up one declaration of a file.
 func (d *declarations) add(s *scope, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -12,7 +12,7 @@
 type candidate struct {
 	machine         *cluster.Machine
 	tasks           int  // tasks that fit
-	residualSlots   int  // slots that are free before they are placed
+	freeSlots       int  // slots that are free before they are placed
 	suspected       bool // a task has failed there and none has succeeded since
 	siblingReplicas int  // replicas of the same service there
 	starvesGPUs     bool // one more task without GPUs would leave its GPUs idle
@@ -25,7 +25,7 @@
 // "" stands for all zones.
 func (c *cycle) candidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
 	var list []candidate
-	machines := c.vacant
+	machines := c.withFreeCapacity
 	if job.Spec.GPUs == 0 {
 		machines = c.schedulable // it may fit beside tasks that have all of a machine's GPUs
 	}
@@ -39,13 +39,13 @@
 			continue
 		}
 		list = append(list, candidate{
-			machine:       machine,
-			tasks:         tasks,
-			residualSlots: machine.Slots.Free(),
-			suspected:     len(machine.FailedJobs) > 0,
-			survivor:      job.Survivors[machine.ID],
-			imageLocal:    machine.HasImage(job.Spec.Image),
-			price:         c.state.PriceOf(machine),
+			machine:    machine,
+			tasks:      tasks,
+			freeSlots:  machine.Slots.Free(),
+			suspected:  len(machine.FailedJobs) > 0,
+			survivor:   job.Survivors[machine.ID],
+			imageLocal: machine.HasImage(job.Spec.Image),
+			price:      c.state.PriceOf(machine),
 		})
 	}
 	return list
@@ -66,7 +66,7 @@
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
 		cluster.TrueFirst(a.survivor, b.survivor),
-		cmp.Compare(a.residualSlots, b.residualSlots),
+		cmp.Compare(a.freeSlots, b.freeSlots),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
 		cmp.Compare(a.machine.ID, b.machine.ID))
@@ -79,7 +79,7 @@
 		cluster.TrueFirst(b.suspected, a.suspected),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
-		cmp.Compare(a.residualSlots, b.residualSlots),
+		cmp.Compare(a.freeSlots, b.freeSlots),
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
 
@@ -94,14 +94,14 @@
 // pack chooses candidates for so many tasks and says how many each takes.
 func pack(list []candidate, tasks int) []candidate {
 	slices.SortFunc(list, compareForPacking)
-	var taken []candidate
+	var chosen []candidate
 	for _, c := range list {
 		if tasks == 0 {
 			break
 		}
 		c.tasks = min(c.tasks, tasks)
 		tasks -= c.tasks
-		taken = append(taken, c)
+		chosen = append(chosen, c)
 	}
-	return taken
+	return chosen
 }
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -19,7 +19,7 @@
 	spec.Shape, spec.Priority = protocol.ShapeArray, "idle"
 	for range 40 {
 		job := h.cluster.AddJob(spec)
-		h.placeArray(job, imageAnywhere)
+		h.placeArray(job, imageOptional)
 		h.cluster.Run(job)
 	}
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -19,15 +19,15 @@
 		return false
 	}
 	search := gangSearch{cycle: sc.currentCycle(), job: job}
-	places := search.smallestDomain()
-	if places == nil {
+	chosen := search.findSmallestDomain()
+	if chosen == nil {
 		return false
 	}
 	job.Epoch = nextEpoch(job)
 	index := 0
-	for _, place := range places {
-		for range place.tasks {
-			sc.assign(job, index, job.Epoch, place.machine)
+	for _, cand := range chosen {
+		for range cand.tasks {
+			sc.assign(job, index, job.Epoch, cand.machine)
 			index++
 		}
 	}
@@ -40,43 +40,43 @@
 	job   *cluster.Job
 }
 
-// smallestDomain finds machines for the gang within the smallest domain that holds it;
+// findSmallestDomain finds machines for the gang within the smallest domain that holds it;
 // nil if none does.
-func (g gangSearch) smallestDomain() []candidate {
+func (g gangSearch) findSmallestDomain() []candidate {
 	job := g.job
 	zones := g.cycle.state.ZoneLimits(job)
 	if !job.Spec.Spread || len(job.Tasks) == 1 {
-		if place := g.placeOnMachine(zones.Only); place != nil {
-			return place
+		if chosen := g.fitOnMachine(zones.Only); chosen != nil {
+			return chosen
 		}
-		if places := g.placeInZone(zones.Only); places != nil {
-			return places
+		if chosen := g.fitInZone(zones.Only); chosen != nil {
+			return chosen
 		}
 	}
 	if job.Spec.OneZone || job.Spec.Zone != "" {
 		return nil
 	}
-	return g.placeInRegion(zones)
+	return g.fitInRegion(zones)
 }
 
-// placeOnMachine finds one machine for the gang, if possible one with an aligned block
+// fitOnMachine finds one machine for the gang, if possible one with an aligned block
 // of the gang's order.
-func (g gangSearch) placeOnMachine(zone protocol.ZoneName) []candidate {
+func (g gangSearch) fitOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
 	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
-	if place := g.bestMachine(zone, aligned); place != nil {
-		return place
+	if chosen := g.bestMachine(zone, aligned); chosen != nil {
+		return chosen
 	}
 	return g.bestMachine(zone, func(*cluster.Machine) bool { return true })
 }
 
 // bestMachine finds the best of the machines that hold the gang and that suit.
-func (g gangSearch) bestMachine(zone protocol.ZoneName, suits func(*cluster.Machine) bool) []candidate {
+func (g gangSearch) bestMachine(zone protocol.ZoneName, accept func(*cluster.Machine) bool) []candidate {
 	list := g.cycle.candidates(g.job, zone)
 	var best *candidate
 	for i := range list {
 		c := &list[i]
-		if c.tasks >= len(g.job.Tasks) && suits(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
+		if c.tasks >= len(g.job.Tasks) && accept(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
 			best = c
 		}
 	}
@@ -89,18 +89,18 @@
 
 // zonePlacement is a gang's placement within one zone.
 type zonePlacement struct {
-	places     []candidate
-	aligned    bool // the zone has a free block of the gang's order
-	residual   int  // tasks that would fit beside it
-	survivors  int  // tasks that return to the machines of the broken attempt
-	imageLocal int  // tasks that find their image
-	price      float64
+	chosen          []candidate
+	aligned         bool // the zone has a free block of the gang's order
+	residualTasks   int  // tasks that would fit beside it
+	survivorTasks   int  // tasks that return to the machines of the broken attempt
+	imageLocalTasks int  // tasks that find their image
+	price           float64
 }
 
-// placeInZone finds the zone with a free block of the gang's order and the least
+// fitInZone finds the zone with a free block of the gang's order and the least
 // residual capacity; without one, the zone that holds the gang as a union of smaller
 // blocks.
-func (g gangSearch) placeInZone(only protocol.ZoneName) []candidate {
+func (g gangSearch) fitInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
 	for _, zone := range g.cycle.state.Config.Cluster.Zones {
 		if only != "" && zone != only {
@@ -112,24 +112,24 @@
 			continue
 		}
 		placement := newZonePlacement(list, fits, len(g.job.Tasks))
-		if best.places == nil || comparePlacements(placement, best) < 0 {
+		if best.chosen == nil || comparePlacements(placement, best) < 0 {
 			best = placement
 		}
 	}
-	return best.places
+	return best.chosen
 }
 
 // newZonePlacement packs a gang of a size into a zone where so many of its tasks fit.
 func newZonePlacement(list []candidate, fits, size int) zonePlacement {
-	p := zonePlacement{places: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residual: fits - size}
-	for _, place := range p.places {
-		if place.imageLocal {
-			p.imageLocal += place.tasks
+	p := zonePlacement{chosen: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residualTasks: fits - size}
+	for _, cand := range p.chosen {
+		if cand.imageLocal {
+			p.imageLocalTasks += cand.tasks
 		}
-		if place.survivor {
-			p.survivors += place.tasks
+		if cand.survivor {
+			p.survivorTasks += cand.tasks
 		}
-		p.price += place.price
+		p.price += cand.price
 	}
 	return p
 }
@@ -137,15 +137,15 @@
 // comparePlacements orders placements in different zones, the best first.
 func comparePlacements(a, b zonePlacement) int {
 	return cmp.Or(
-		cmp.Compare(b.survivors, a.survivors),
+		cmp.Compare(b.survivorTasks, a.survivorTasks),
 		cluster.TrueFirst(a.aligned, b.aligned),
-		cmp.Compare(a.residual, b.residual),
-		cmp.Compare(b.imageLocal, a.imageLocal),
+		cmp.Compare(a.residualTasks, b.residualTasks),
+		cmp.Compare(b.imageLocalTasks, a.imageLocalTasks),
 		cmp.Compare(a.price, b.price))
 }
 
-// placeInRegion spreads the gang over the fewest zones that its limits allow.
-func (g gangSearch) placeInRegion(limits cluster.ZoneLimits) []candidate {
+// fitInRegion spreads the gang over the fewest zones that its limits allow.
+func (g gangSearch) fitInRegion(limits cluster.ZoneLimits) []candidate {
 	type zoneCandidates struct {
 		list []candidate
 		fits int
@@ -156,17 +156,17 @@
 		zones = append(zones, zoneCandidates{list: list, fits: min(countTasks(list), limits.Remaining[zone])})
 	}
 	slices.SortStableFunc(zones, func(a, b zoneCandidates) int { return cmp.Compare(b.fits, a.fits) })
-	var places []candidate
-	left := len(g.job.Tasks)
+	var chosen []candidate
+	remaining := len(g.job.Tasks)
 	for _, zone := range zones {
-		tasks := min(left, zone.fits)
-		places = append(places, pack(zone.list, tasks)...)
-		left -= tasks
+		tasks := min(remaining, zone.fits)
+		chosen = append(chosen, pack(zone.list, tasks)...)
+		remaining -= tasks
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return nil
 	}
-	return places
+	return chosen
 }
 
 // nextEpoch is the gang's next epoch: above every attempt of every task.
--- /dev/null
+++ b/internal/coordination/scheduler/gpu_requirements.go
@@ -0,0 +1,41 @@
+package scheduler
+
+import (
+	"github.com/gappond/gappond/internal/coordination/cluster"
+	"github.com/gappond/gappond/internal/protocol"
+)
+
+// perGPURequirements is the most that work on GPUs needs beside each of them.
+type perGPURequirements struct{ cpus, memoryGB float64 }
+
+// update works the needs out from the jobs that there are. Without any on GPUs they stay
+// as they were: more such work may come.
+func (r *perGPURequirements) update(jobs map[protocol.JobID]*cluster.Job) {
+	var needs perGPURequirements
+	for _, job := range jobs {
+		if spec := job.Spec; spec.GPUs > 0 {
+			needs.cpus = max(needs.cpus, spec.CPUs/spec.GPUs)
+			needs.memoryGB = max(needs.memoryGB, spec.MemoryGB/spec.GPUs)
+		}
+	}
+	if needs.cpus > 0 || needs.memoryGB > 0 {
+		*r = needs
+	}
+}
+
+// wouldStarveGPUs says whether one more task without GPUs would leave a machine's GPUs without the
+// processors or memory that work on them needs.
+func (r perGPURequirements) wouldStarveGPUs(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType) bool {
+	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
+		return false
+	}
+	remaining := cluster.CapacityOf(machineType)
+	remaining.AddTasks(spec, -1)
+	for _, attempt := range machine.Attempts {
+		if attempt.Job.Spec.GPUs == 0 {
+			remaining.AddTasks(attempt.Job.Spec, -1)
+		}
+	}
+	return remaining.CPUs+cluster.AmountTolerance < r.cpus*machineType.GPUs ||
+		remaining.MemoryGB+cluster.AmountTolerance < r.memoryGB*machineType.GPUs
+}
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -11,12 +11,12 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestGangIsPlacedWholeInSmallestDomain places generated jobs on generated fleets. Every
+// TestGangIsPlacedInSmallestDomainThatFits places generated jobs on generated fleets. Every
 // placement keeps every limit; a gang is placed whole, in the smallest domain that holds
 // it, and is turned away only if no domain does.
-func TestGangIsPlacedWholeInSmallestDomain(t *testing.T) {
+func TestGangIsPlacedInSmallestDomainThatFits(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	placed, refused := 0, 0
+	placed, unplaced := 0, 0
 	for round := range 400 {
 		h := newHarness()
 		h.addRandomMachines(random)
@@ -24,20 +24,20 @@
 			job := h.cluster.AddJob(randomSpec(random))
 			switch {
 			case !job.Spec.Gang():
-				waiting := h.placeArray(job, imageAnywhere)
+				waiting := h.placeArray(job, imageOptional)
 				if waiting+len(job.Attempts) != job.Spec.Tasks {
 					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(job.Attempts), job.Spec.Tasks)
 				}
-			case h.gangGoesIntoSmallestDomain(t, job):
+			case h.placeGangInSmallestDomain(t, job):
 				placed++
 			default:
-				refused++
+				unplaced++
 			}
 			h.cluster.CheckPlacement(t, job)
 		}
 	}
-	if placed < 500 || refused < 200 {
-		t.Errorf("%d placed and %d refused: the cases are too easy or too hard", placed, refused)
+	if placed < 500 || unplaced < 200 {
+		t.Errorf("%d placed and %d refused: the cases are too easy or too hard", placed, unplaced)
 	}
 }
 
@@ -74,10 +74,10 @@
 	return spec
 }
 
-// gangGoesIntoSmallestDomain places a gang, checks where, and says whether it was placed.
-func (h *harness) gangGoesIntoSmallestDomain(t *testing.T, job *cluster.Job) bool {
+// placeGangInSmallestDomain places a gang, checks where, and says whether it was placed.
+func (h *harness) placeGangInSmallestDomain(t *testing.T, job *cluster.Job) bool {
 	t.Helper()
-	onOneMachine, inOneZone, inRegion := h.couldHold(job)
+	onOneMachine, inOneZone, inRegion := h.feasibleDomains(job)
 	if !h.placeGang(job) {
 		if inRegion {
 			t.Fatalf("%+v is turned away though it fits", job.Spec)
@@ -97,8 +97,8 @@
 	return true
 }
 
-// couldHold works out by counting which domains could hold a gang.
-func (h *harness) couldHold(job *cluster.Job) (onOneMachine, inOneZone, inRegion bool) {
+// feasibleDomains works out by counting which domains could hold a gang.
+func (h *harness) feasibleDomains(job *cluster.Job) (onOneMachine, inOneZone, inRegion bool) {
 	spec, size := job.Spec, len(job.Tasks)
 	if h.cluster.TasksWithinLimit(job) < size {
 		return false, false, false
@@ -126,9 +126,9 @@
 	return onOneMachine, inOneZone, inOneZone || onOneMachine || !spec.OneZone && spec.Zone == "" && total >= size
 }
 
-// TestGangTakesFullestThenImageLocalThenCheaperMachine: among machines that hold the gang,
+// TestGangPrefersFullestThenImageLocalThenCheaperMachine: among machines that hold the gang,
 // the fullest is taken; among equals the one that has the image, then the cheaper one.
-func TestGangTakesFullestThenImageLocalThenCheaperMachine(t *testing.T) {
+func TestGangPrefersFullestThenImageLocalThenCheaperMachine(t *testing.T) {
 	h := newHarness()
 	empty, half := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "b")
 	h.cluster.PlaceAll(h.cluster.AddJob(clustertest.Gang(1, 2)), half)
@@ -182,24 +182,24 @@
 	job := h.cluster.AddJob(spec)
 	h.cluster.AddAttempt(job, 0, 1, a, 1)
 	old := h.cluster.AddAttempt(job, 1, 1, b, 1)
-	if waiting := h.placeArray(job, imageAnywhere); waiting != 2 {
+	if waiting := h.placeArray(job, imageOptional); waiting != 2 {
 		t.Errorf("%d wait", waiting)
 	}
 	h.cluster.RemoveAttempt(old)
-	if waiting := h.placeArray(job, imageAnywhere); waiting != 0 {
+	if waiting := h.placeArray(job, imageOptional); waiting != 0 {
 		t.Errorf("%d wait once the other zone's attempt is gone", waiting)
 	}
 	h.cluster.CheckPlacement(t, job)
 }
 
-// TestReplicaAvoidsSilentMachineAndZoneOfLoss: a replica is not placed on a machine whose
+// TestReplicaAvoidsSilentMachineAndZoneWithLostMachine: a replica is not placed on a machine whose
 // heartbeat is late nor, if there is another place, in a zone that a machine was just
 // lost in: the rest of the zone may be lost too and only not missed yet.
-func TestReplicaAvoidsSilentMachineAndZoneOfLoss(t *testing.T) {
+func TestReplicaAvoidsSilentMachineAndZoneWithLostMachine(t *testing.T) {
 	h := newHarness()
-	late, same, far := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
+	late, sameZone, otherZone := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
 	h.cluster.Advance(h.cluster.ReplicaSilenceTimeout() + time.Second)
-	h.cluster.Heartbeat(same, far)
+	h.cluster.Heartbeat(sameZone, otherZone)
 	late.Agent.AnsweredAt = h.cluster.Now()
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	if list := h.replicaCandidates(job, ""); len(list) != 2 {
@@ -207,12 +207,12 @@
 	}
 	h.MachineLost(late)
 	late.Deleting = true
-	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != far {
+	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != otherZone {
 		t.Errorf("placed on %v", job.Tasks[0].Active)
 	}
 	h.cluster.RemoveAttempt(job.Tasks[0].Active)
-	far.Cordoned = true
-	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != same {
+	otherZone.Cordoned = true
+	if h.placeService(job) != 0 || job.Tasks[0].Active.Machine != sameZone {
 		t.Error("no place though there is one")
 	}
 }
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/quota_reclaim.go
@@ -15,29 +15,29 @@
 	slices.SortFunc(byArrival, func(a, b *cluster.Job) int {
 		return cmp.Or(cmp.Compare(a.ArrivalOrder, b.ArrivalOrder), cmp.Compare(a.ID, b.ID))
 	})
-	used := map[protocol.TeamName]cluster.Resources{}
+	unfinished := map[protocol.TeamName]cluster.Resources{}
 	for _, job := range byArrival {
 		quota := quotas[job.Spec.Team]
 		if quota == nil || job.Cancelled {
 			continue
 		}
-		sum := used[job.Spec.Team]
+		sum := unfinished[job.Spec.Team]
 		sum.AddTasks(job.Spec, len(job.Tasks)-job.DoneTasks)
-		used[job.Spec.Team] = sum
+		unfinished[job.Spec.Team] = sum
 		job.Queue.WithinGuarantee = quota.Guarantees(sum)
 	}
 }
 
-// markReclaimers tells the jobs that other teams' work may be preempted for: those that were
+// markMayReclaim tells the jobs that other teams' work may be preempted for: those that were
 // within their team's guarantee when they came, and all of a team whose whole
 // backlog is. A job that only comes within it while others of its team wait
 // behind takes its turn: else the teams of an overloaded deployment would
 // take the same machines from each other again and again.
-func markReclaimers(queue []*cluster.Job) {
-	over := map[protocol.TeamName]bool{}
+func markMayReclaim(queue []*cluster.Job) {
+	exceedsGuarantee := map[protocol.TeamName]bool{}
 	for _, job := range queue {
 		if !job.Cancelled && !job.Queue.WithinGuarantee {
-			over[job.Spec.Team] = true
+			exceedsGuarantee[job.Spec.Team] = true
 		}
 	}
 	for _, job := range queue {
@@ -45,6 +45,6 @@
 			job.Queue.ReclaimDecided = true
 			job.Queue.MayReclaim = job.Queue.WithinGuarantee
 		}
-		job.Queue.MayReclaim = job.Queue.MayReclaim || job.Queue.WithinGuarantee && !over[job.Spec.Team]
+		job.Queue.MayReclaim = job.Queue.MayReclaim || job.Queue.WithinGuarantee && !exceedsGuarantee[job.Spec.Team]
 	}
 }
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -9,23 +9,23 @@
 // jobs behind it in the queue, no more of them than it needs.
 func (c *cycle) reserveMachines(job *cluster.Job) {
 	var best []candidate
-	most := 0
+	maxTasks := 0
 	for _, zone := range c.state.Config.Cluster.Zones {
 		list := c.candidates(job, zone)
-		if tasks := countTasks(list); tasks > most {
-			best, most = list, tasks
+		if tasks := countTasks(list); tasks > maxTasks {
+			best, maxTasks = list, tasks
 		}
 	}
-	for _, place := range pack(best, len(job.Tasks)) {
-		if place.machine.ReservedFor == nil {
-			place.machine.ReserveFor(job, c.state.Now().Add(2*tuning.MaxSchedulingInterval))
+	for _, cand := range pack(best, len(job.Tasks)) {
+		if cand.machine.ReservedFor == nil {
+			cand.machine.ReserveFor(job, c.state.Now().Add(2*tuning.MaxSchedulingInterval))
 		}
 	}
 }
 
-// releaseReservations ends the reservations that have expired or whose job is over or does
+// releaseObsoleteReservations ends the reservations that have expired or whose job is over or does
 // not wait any more.
-func (sc *Scheduler) releaseReservations() {
+func (sc *Scheduler) releaseObsoleteReservations() {
 	now := sc.state.Now()
 	for _, machine := range sc.state.OrderedMachines {
 		if job := machine.ReservedFor; job != nil && (now.After(machine.ReservedUntil) || !sc.needsReservation(job)) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -40,11 +40,11 @@
 	env   Environment
 	log   *slog.Logger
 
-	cycle    *cycle // the cycle under way, nil between two
-	gpuNeeds gpuNeeds
+	cycle              *cycle // the cycle under way, nil between two
+	perGPURequirements perGPURequirements
 
-	examined int // machines examined in the last cycle
-	waiting  int // jobs that waited for machines after the last cycle
+	machinesExamined int // machines examined in the last cycle
+	waitingJobs      int // jobs that waited for machines after the last cycle
 	// machineLostAt is when a machine of a zone was last given up as silent.
 	machineLostAt map[protocol.ZoneName]time.Time
 }
@@ -55,10 +55,10 @@
 }
 
 // MachinesExamined is how many machines the last cycle examined, each time counted.
-func (sc *Scheduler) MachinesExamined() int { return sc.examined }
+func (sc *Scheduler) MachinesExamined() int { return sc.machinesExamined }
 
 // WaitingJobs is how many jobs waited for machines after the last cycle.
-func (sc *Scheduler) WaitingJobs() int { return sc.waiting }
+func (sc *Scheduler) WaitingJobs() int { return sc.waitingJobs }
 
 // MachineLost notes that a machine was given up as silent.
 func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
--- a/internal/coordination/scheduler/supply.go
+++ b/internal/coordination/scheduler/zone_capacity.go
@@ -8,79 +8,79 @@
 // Bounds on what preemption can achieve, from sums over whole zones: they spare most jobs
 // a search over every machine.
 
-// zoneSupply is the most that a zone could give to a job: what is free or about to be,
+// zoneCapacity is the most that a zone could give to a job: what is free or about to be,
 // and what runs there, by its priority.
-type zoneSupply struct {
+type zoneCapacity struct {
 	free        cluster.Resources
 	preemptible [protocol.PriorityCritical + 1]cluster.Resources
 }
 
-// supplies adds up what the zones could give, once in a cycle.
-func (c *cycle) supplies() map[protocol.ZoneName]*zoneSupply {
-	if c.supply != nil {
-		return c.supply
+// zoneCapacities adds up what the zones could give, once in a cycle.
+func (c *cycle) zoneCapacities() map[protocol.ZoneName]*zoneCapacity {
+	if c.capacities != nil {
+		return c.capacities
 	}
-	c.supply = map[protocol.ZoneName]*zoneSupply{}
+	c.capacities = map[protocol.ZoneName]*zoneCapacity{}
 	c.examined += len(c.schedulable)
 	for _, machine := range c.schedulable {
-		supply := c.supply[machine.Zone]
-		if supply == nil {
-			supply = &zoneSupply{}
-			c.supply[machine.Zone] = supply
+		capacity := c.capacities[machine.Zone]
+		if capacity == nil {
+			capacity = &zoneCapacity{}
+			c.capacities[machine.Zone] = capacity
 		}
-		supply.add(machine, c.state.FreeResources(machine))
+		capacity.addMachine(machine, c.state.FreeResources(machine))
 	}
-	return c.supply
+	return c.capacities
 }
 
-// add adds a machine and what is free there.
-func (s *zoneSupply) add(machine *cluster.Machine, free cluster.Resources) {
-	s.free.Add(free)
+// addMachine adds a machine and what is free there.
+func (z *zoneCapacity) addMachine(machine *cluster.Machine, free cluster.Resources) {
+	z.free.Add(free)
 	for _, attempt := range machine.Attempts {
 		if attempt.Stopping {
-			s.free.AddTasks(attempt.Job.Spec, 1)
+			z.free.AddTasks(attempt.Job.Spec, 1)
 		} else {
-			s.preemptible[attempt.Job.Priority].AddTasks(attempt.Job.Spec, 1)
+			z.preemptible[attempt.Job.Priority].AddTasks(attempt.Job.Spec, 1)
 		}
 	}
 }
 
-// below is what the zone could give if all work below a priority stopped.
-func (s *zoneSupply) below(priority protocol.Priority) cluster.Resources {
-	sum := s.free
-	for p := protocol.PriorityIdle; p < priority && int(p) < len(s.preemptible); p++ {
-		sum.Add(s.preemptible[p])
+// belowPriority is what the zone could give if all work below a priority stopped.
+func (z *zoneCapacity) freeIfPreemptedBelow(priority protocol.Priority) cluster.Resources {
+	sum := z.free
+	for p := protocol.PriorityIdle; p < priority && int(p) < len(z.preemptible); p++ {
+		sum.Add(z.preemptible[p])
 	}
 	return sum
 }
 
-// preemptionIsHopeless says that no search can free capacity for so many tasks of a job:
+// preemptionImpossible says that no search can free capacity for so many tasks of a job:
 // all that may be stopped for it, whoever runs it, and all that is free are not enough.
 // With the machines full of work that may not be preempted, which is when most jobs
 // wait, this spares examining every machine for each of them.
-func (c *cycle) preemptionIsHopeless(job *cluster.Job, tasks int) bool {
+func (c *cycle) preemptionImpossible(job *cluster.Job, tasks int) bool {
 	if !job.Spec.Gang() {
 		tasks = 1
 	}
-	below := job.Priority // of the work that may be stopped
+	belowPriority := job.Priority // of the work that may be stopped
 	if job.Queue.MayReclaim {
-		below++
+		belowPriority++
 	}
-	if below == protocol.PriorityIdle && !job.Spec.Gang() {
+	if belowPriority == protocol.PriorityIdle && !job.Spec.Gang() {
 		return true
 	}
-	var all cluster.Resources
-	for zone, supply := range c.supplies() {
+	var total cluster.Resources
+	for zone, capacity := range c.zoneCapacities() {
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
-		sum := supply.below(below)
+		sum := capacity.freeIfPreemptedBelow(belowPriority)
 		if sum.Fit(job.Spec, tasks) == tasks {
 			return false
 		}
-		all.Add(sum)
+		total.Add(sum)
 	}
-	return job.Spec.OneZone || all.Fit(job.Spec, tasks) < tasks
+	return job.Spec.OneZone || total.Fit(job.Spec, tasks) < tasks
 }
 
 // awaitsUnreportedCapacity says whether, in a recovery, machines that have yet to report to
@@ -91,7 +91,7 @@
 	if !sc.env.Recovering() || sc.state.Now().Sub(sc.state.LeadingSince) > sc.state.SilenceTimeout() {
 		return false
 	}
-	var all cluster.Resources
+	var total cluster.Resources
 	for zone, free := range sc.currentCycle().unreportedCapacity() {
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
@@ -99,9 +99,9 @@
 		if free.Fit(job.Spec, tasks) == tasks {
 			return true
 		}
-		all.Add(free)
+		total.Add(free)
 	}
-	return !job.Spec.OneZone && all.Fit(job.Spec, tasks) == tasks
+	return !job.Spec.OneZone && total.Fit(job.Spec, tasks) == tasks
 }
 
 // unreportedCapacity adds up what is free on machines that have yet to report, once in a
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -23,7 +23,7 @@
 	most  [3]int // that waited at once
 }
 
-// add has events wait, each by its rank.
+// addMachine has events wait, each by its rank.
 func (b *backlog) add(events []coordination.Event) {
 	for _, e := range events {
 		rank := 0
