--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -100,7 +100,7 @@
 	return rows
 }
 
-// addMachine takes one more run into the means.
+// add takes one more run into the means.
 func (r *row) add(m Measurement) {
 	r.Runs++
 	mean := func(to *float64, v float64) { *to += (v - *to) / float64(r.Runs) }
--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -77,7 +77,7 @@
 	return true
 }
 
-// addMachine takes up one declaration of a file.
+// add takes up one declaration of a file.
 func (d *declarations) add(s *scope, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -28,7 +28,7 @@
 // checker collects what is wrong with the settings.
 type checker struct{ problems []error }
 
-// addMachine notes a problem of a setting that is there.
+// add notes a problem of a setting that is there.
 func (c *checker) add(key string, value any, problem string) {
 	text := fmt.Sprint(value)
 	if reflect.ValueOf(value).Kind() == reflect.String {
--- a/internal/coordination/api/finished_jobs.go
+++ b/internal/coordination/api/finished_jobs.go
@@ -11,7 +11,7 @@
 	finals map[protocol.JobID]storage.Final
 }
 
-// addMachine caches the final state of a job; a full cache is emptied first.
+// add caches the final state of a job; a full cache is emptied first.
 func (fj *finishedJobs) add(jobID protocol.JobID, final storage.Final) {
 	if len(fj.finals) >= tuning.MaxCachedFinalStates {
 		clear(fj.finals)
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -76,7 +76,7 @@
 	sq.waiting = kept
 }
 
-// addMachine has a query wait to be checked with others.
+// add has a query wait to be checked with others.
 func (sq *statusQueries) add(query statusQuery) {
 	resources := sq.cfg.Cluster.Process
 	if len(sq.waiting) >= resources.UserRequests() {
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// addMachine asks the cloud for machines.
+// add asks the cloud for machines.
 func (mr *machineRequests) add(offer Offer, count int) {
 	request := &machineRequest{
 		offer: offer,
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -33,14 +33,14 @@
 	anyWithoutGPUs bool                                  // something that waits takes no GPUs
 }
 
-// addMachine enters a slot.
+// add enters a slot.
 func (p *scaleOutPlan) add(slot *capacitySlot) {
 	if !p.exhausted(slot) {
 		p.slots[slot.offer.Zone] = append(p.slots[slot.offer.Zone], slot)
 	}
 }
 
-// examineLimitReached says whether nothing that waits can have any of a slot.
+// exhausted says whether nothing that waits can have any of a slot.
 func (p *scaleOutPlan) exhausted(slot *capacitySlot) bool {
 	if slot.free.CPUs < cluster.AmountTolerance || slot.free.MemoryGB < cluster.AmountTolerance {
 		return true
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -45,7 +45,7 @@
 // silenceCount counts the machines of a zone, or of all, and how many of them are silent.
 type silenceCount struct{ silent, total int }
 
-// addMachine counts a machine.
+// add counts a machine.
 func (c *silenceCount) add(silent bool) {
 	c.total++
 	if silent {
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -143,7 +143,7 @@
 	return true
 }
 
-// exceedsGuarantee says whether some users have had a final answer.
+// over says whether some users have had a final answer.
 func over(users ...*user) bool {
 	for _, u := range users {
 		if !u.over {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -74,7 +74,7 @@
 	c.w.after(snapshotInterval, c.recordSnapshot)
 }
 
-// addMachine makes a machine that is up after a while.
+// add makes a machine that is up after a while.
 func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -74,7 +74,7 @@
 	panic("a target that fingerprints do not know")
 }
 
-// addMachine hashes the parts of an action, each with its length before it.
+// add hashes the parts of an action, each with its length before it.
 func (f *fingerprint) add(controller, kind string, parts ...any) {
 	f.actions++
 	f.number(uint64(f.w.Now.UnixNano()))
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -161,7 +161,7 @@
 	}()
 }
 
-// fetchSeconds makes a request; status 0: no answer came in time.
+// fetch makes a request; status 0: no answer came in time.
 func (v *Live) fetch(method, url string, timeout time.Duration, body []byte) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -166,7 +166,7 @@
 	total int
 }
 
-// addMachine takes in the means of a seed, by the number of replicas that they are of.
+// add takes in the means of a seed, by the number of replicas that they are of.
 func (s *stageSums) add(mean [stages]time.Duration, again int) {
 	for x := range mean {
 		s.sum[x] += mean[x] * time.Duration(again)
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -23,7 +23,7 @@
 	most  [3]int // that waited at once
 }
 
-// addMachine has events wait, each by its rank.
+// add has events wait, each by its rank.
 func (b *backlog) add(events []coordination.Event) {
 	for _, e := range events {
 		rank := 0
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -124,7 +124,7 @@
 	return c.store
 }
 
-// fetchSeconds sends a request and reads its answer, whatever its status.
+// fetch sends a request and reads its answer, whatever its status.
 func (c *clients) fetch(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// machineOptions appends the frames of the messages that wait, as many as one write takes;
+// collect appends the frames of the messages that wait, as many as one write takes;
 // heartbeats alone are gathered for a while. Nothing: the connection has ended.
 func (l *outgoingLink) collect(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
 	gathering := true // only heartbeats so far
