--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -8,16 +8,16 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// imageRequirement says which machines a search takes into account.
+// imageRequirement tells a search whether to consider only machines that have the job's image.
 type imageRequirement int
 
 const (
-	imageOptional imageRequirement = iota // also machines that would have to fetch the image
-	imageRequired                         // only machines that have the image
+	imageOptional imageRequirement = iota // also consider machines that would have to fetch it
+	imageRequired                         // consider only machines that have it
 )
 
-// placeTasks places waiting tasks of an array or a service where there is free capacity;
-// it returns how many still wait.
+// placeTasks places waiting tasks of an array or a service on free capacity and returns how many
+// still wait.
 func (sc *Scheduler) placeTasks(job *cluster.Job, image imageRequirement) (waiting int) {
 	if job.Spec.Service() {
 		return sc.placeService(job)
@@ -25,8 +25,8 @@
 	return sc.placeArray(job, image)
 }
 
-// placeArray places each waiting task on the best machine with free capacity; it returns
-// how many still wait.
+// placeArray places each waiting task of an array on the best machine with free capacity and
+// returns how many still wait.
 func (sc *Scheduler) placeArray(job *cluster.Job, image imageRequirement) (waiting int) {
 	allowed := arrayPlacementLimit(job, sc.state)
 	var candidates arrayCandidateList
@@ -55,8 +55,8 @@
 	return waiting
 }
 
-// arrayPlacementLimit is how many tasks an array may place now: an overdue one goes first with one
-// task, then takes its turn again.
+// arrayPlacementLimit returns how many tasks of an array may be placed now. An overdue array goes
+// to the front of the queue for one task only, and then waits its usual turn.
 func arrayPlacementLimit(job *cluster.Job, state *cluster.State) int {
 	limit := state.TasksWithinLimit(job)
 	if job.Overdue(state.Now()) {
@@ -65,14 +65,14 @@
 	return limit
 }
 
-// arrayCandidateList is the machines that an array's tasks are placed on one after the other.
+// arrayCandidateList holds the machines on which the tasks of an array are placed one by one.
 type arrayCandidateList struct {
-	list  []candidate // the best first
-	next  int         // candidates before this one are full or not allowed
+	list  []candidate // the best candidate first
+	next  int         // candidates before this index are full or in a zone that is not allowed
 	zones cluster.ZoneLimits
 }
 
-// newArrayCandidateList lists the machines for an array.
+// newArrayCandidateList returns the candidates for the tasks of an array.
 func (c *cycle) newArrayCandidateList(job *cluster.Job, image imageRequirement) arrayCandidateList {
 	zones := c.state.ZoneLimits(job)
 	list := c.candidates(job, zones.Only)
@@ -83,8 +83,9 @@
 	return arrayCandidateList{list: list, zones: zones}
 }
 
-// best is the machine for the next task, nil if there is none. One that was taken stays
-// the best until it is full: it has the image then, and less free capacity.
+// best returns the candidate for the next task, or nil if there is none. A machine that was
+// given a task stays the best until it is full, because it then has the image and fewer free
+// slots than before.
 func (a *arrayCandidateList) best() *candidate {
 	for ; a.next < len(a.list); a.next++ {
 		if c := &a.list[a.next]; c.tasks > 0 && a.zones.Allow(c.machine.Zone) {
@@ -94,10 +95,11 @@
 	return nil
 }
 
-// placeImageLocal lets the arrays that come next in the queue, of one priority and
-// with no gang between, have the machines that hold their image, in their turn:
-// an array that would fetch its image there leaves them to one behind it that
-// need not. One whose time runs out takes what there is.
+// placeImageLocal places tasks of the arrays at the front of the queue, up to the next gang or
+// the next lower priority, on machines that already have their image. It runs before these
+// arrays may take other machines. So an array that would have to fetch its image on a machine
+// leaves that machine to an array behind it that already has its image there. Arrays that cannot
+// wait any longer, and services, take any machine.
 func (sc *Scheduler) placeImageLocal(queue []*cluster.Job) {
 	for _, job := range queue {
 		if job.Spec.Gang() || job.Priority != queue[0].Priority {
@@ -114,7 +116,8 @@
 	}
 }
 
-// canWaitForImageLocalMachine says whether an array can wait for machines that have its image.
+// canWaitForImageLocalMachine reports whether an array has time to wait for machines that have
+// its image. A service never waits.
 func canWaitForImageLocalMachine(job *cluster.Job, state *cluster.State) bool {
 	if job.Spec.Service() {
 		return false
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -8,26 +8,26 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// candidate is a machine that could take some tasks of a job.
+// candidate is a machine with room for some tasks of a job.
 type candidate struct {
 	machine         *cluster.Machine
-	tasks           int  // tasks that fit
-	freeSlots       int  // slots that are free before they are placed
-	suspected       bool // a task has failed there and none has succeeded since
-	siblingReplicas int  // replicas of the same service there
-	starvesGPUs     bool // one more task without GPUs would leave its GPUs idle
-	survivor        bool // held a task of the job's broken attempt
+	tasks           int  // number of tasks that fit
+	freeSlots       int  // free slots before the tasks are placed
+	suspected       bool // tasks failed there and none has succeeded since, or its zone may be lost
+	siblingReplicas int  // replicas of the same service on the machine
+	starvesGPUs     bool // one more task without GPUs would make some of its GPUs unusable
+	surviving       bool // ran a task of the gang's broken attempt and is still there
 	imageLocal      bool // has the job's image
 	price           float64
 }
 
-// candidates lists the machines that can take tasks of a job, in the machines' order; zone
-// "" stands for all zones.
+// candidates returns the machines that can take tasks of a job, in the order of
+// OrderedMachines. Zone "" stands for all zones.
 func (c *cycle) candidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
 	var list []candidate
 	machines := c.withFreeCapacity
 	if job.Spec.GPUs == 0 {
-		machines = c.schedulable // it may fit beside tasks that have all of a machine's GPUs
+		machines = c.schedulable // it may fit on a machine whose GPUs are all in use
 	}
 	c.examined += len(machines)
 	for _, machine := range machines {
@@ -43,7 +43,7 @@
 			tasks:      tasks,
 			freeSlots:  machine.Slots.Free(),
 			suspected:  len(machine.FailedJobs) > 0,
-			survivor:   job.Survivors[machine.ID],
+			surviving:  job.Survivors[machine.ID],
 			imageLocal: machine.HasImage(job.Spec.Image),
 			price:      c.state.PriceOf(machine),
 		})
@@ -51,7 +51,7 @@
 	return list
 }
 
-// countTasks is how many tasks fit on all candidates together.
+// countTasks returns how many tasks fit on all candidates together.
 func countTasks(list []candidate) (tasks int) {
 	for i := range list {
 		tasks += list[i].tasks
@@ -59,21 +59,24 @@
 	return tasks
 }
 
-// compareByFit orders candidates: machines under no suspicion (one on which every task
-// fails at once is always free and has every image), survivors of a repair, then the
-// fewest free slots; ties go to a machine that has the image, then to the cheaper one.
+// compareByFit orders candidates for a gang on one machine: machines that are not suspected
+// come first, then surviving machines of a broken attempt, then those with the fewest free
+// slots. Ties go to a machine that has the image, then to the cheaper one. Suspected machines
+// come last because a machine on which every task fails at once is always free and already
+// has the images, so it would attract one task after another.
 func compareByFit(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
-		cluster.TrueFirst(a.survivor, b.survivor),
+		cluster.TrueFirst(a.surviving, b.surviving),
 		cmp.Compare(a.freeSlots, b.freeSlots),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
 
-// compareByImage orders candidates for tasks that need no block of slots: the image first,
-// since fetching it is most of a start, then the price, then the fewest free slots.
+// compareByImage orders candidates for tasks that need no block of slots. Machines that are not
+// suspected come first, then those that have the image, because fetching it takes most of a
+// start, then the cheaper ones, then those with the fewest free slots.
 func compareByImage(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
@@ -83,15 +86,17 @@
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
 
-// compareForPacking is compareByImage with the survivors of a repair before the others.
+// compareForPacking orders candidates for a gang on several machines: machines that are not
+// suspected come first, then surviving machines of a broken attempt, then as in compareByImage.
 func compareForPacking(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
-		cluster.TrueFirst(a.survivor, b.survivor),
+		cluster.TrueFirst(a.surviving, b.surviving),
 		compareByImage(a, b))
 }
 
-// pack chooses candidates for so many tasks and says how many each takes.
+// pack chooses candidates for the given number of tasks. In the result, the tasks field of each
+// candidate is the number of tasks that it takes.
 func pack(list []candidate, tasks int) []candidate {
 	slices.SortFunc(list, compareForPacking)
 	var chosen []candidate
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -8,14 +8,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Demand is a job that waits, and for how many tasks.
+// Demand is a job that waits for machines, and the number of its tasks that need them.
 type Demand struct {
 	Job   *cluster.Job
 	Tasks int
 }
 
-// RunCycle is one scheduling cycle over the queue: by priority, then in order of arrival,
-// within the teams' limits. What it returns waits for machines.
+// RunCycle runs one scheduling cycle. It processes the jobs in the order of Queue and keeps each
+// team within its limits. It returns the jobs that wait for machines.
 func (sc *Scheduler) RunCycle() []Demand {
 	sc.releaseObsoleteReservations()
 	sc.cycle = newCycle(sc.state)
@@ -38,8 +38,8 @@
 	return demand
 }
 
-// startsNonGangGroup says whether arrays or services of one priority begin at a place of the
-// queue.
+// startsNonGangGroup reports whether the job at index is the first of a group of consecutive
+// arrays and services that have the same priority.
 func startsNonGangGroup(queue []*cluster.Job, index int) bool {
 	if queue[index].Spec.Gang() {
 		return false
@@ -47,8 +47,8 @@
 	return index == 0 || queue[index-1].Spec.Gang() || queue[index-1].Priority != queue[index].Priority
 }
 
-// cand places a job as far as it can and returns for how many tasks machines are to be
-// freed or added.
+// placeJob places as many tasks of a job as possible. It returns the number of tasks for which
+// machines should be freed or added.
 func (sc *Scheduler) placeJob(job *cluster.Job) int {
 	tasks := sc.WaitingTasks(job)
 	if tasks == 0 {
@@ -62,17 +62,17 @@
 		return 0
 	}
 	if job.Failures.Attributed > 0 {
-		return 0 // it is tried on what is free alone
+		return 0 // after failures attributed to it, a job gets free capacity only
 	}
 	tasks = min(tasks, sc.state.TasksWithinLimit(job))
 	if job.Spec.Gang() && tasks < len(job.Tasks) {
-		return 0 // its team's limit is in the way, not the machines
+		return 0 // its team's limit blocks it, not a lack of machines
 	}
 	return tasks
 }
 
-// freeCapacityFor preempts work for a job that waits, and reserves machines for a gang that
-// has waited for long.
+// freeCapacityFor preempts work for a waiting job. For a gang that has waited longer than the
+// backfill barrier delay, it also reserves machines.
 func (sc *Scheduler) freeCapacityFor(job *cluster.Job, tasks int) {
 	sc.preemptFor(job, tasks)
 	if job.Spec.Gang() && sc.state.Now().Sub(job.Queue.WaitingSince) > sc.state.Config.Operator.BackfillBarrierDelay {
@@ -80,29 +80,30 @@
 	}
 }
 
-// CyclePause is the pause after a cycle: longer the more machines it had to examine and
-// the smaller the controller's share of a core is, so that scheduling leaves time for
-// heartbeats and commits.
+// CyclePause returns the pause after a cycle. The pause is longer the more machines the cycle
+// examined and the smaller the controller's share of a core is, so that scheduling leaves
+// processor time for heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
 	pause := sc.state.Config.Cluster.Process.Pause(time.Duration(sc.machinesExamined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
-// cycle is what one cycle knows of all machines. What every job would have to find out in
-// the whole fleet is found out once; what no search can find is not searched for.
+// cycle caches fleet-wide facts for one scheduling cycle, so that they are computed once and
+// not once per job. Its sums also show which searches cannot succeed, so that these are
+// skipped.
 type cycle struct {
 	state            *cluster.State
-	schedulable      []*cluster.Machine // machines that take tasks
-	withFreeCapacity []*cluster.Machine // those of them that can take a task with GPUs, if they have any
-	examined         int                // machines examined so far
-	examineLimit     int                // from which on no more work is preempted in this cycle
+	schedulable      []*cluster.Machine // machines that accept new tasks
+	withFreeCapacity []*cluster.Machine // those with some of every resource that they have free
+	examined         int                // machines examined so far, counted each time
+	examineLimit     int                // no preemption search starts once examined reaches it
 	capacities       map[protocol.ZoneName]*zoneCapacity
-	// unreported is the free capacity of every zone's machines that have yet to report in
-	// a recovery.
+	// unreported is the free capacity in each zone on machines that have not reported yet
+	// during a recovery.
 	unreported map[protocol.ZoneName]cluster.Resources
 }
 
-// newCycle examines every machine.
+// newCycle examines every machine and returns a cycle for them.
 func newCycle(state *cluster.State) *cycle {
 	machines := state.OrderedMachines
 	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
@@ -121,7 +122,7 @@
 	return c
 }
 
-// currentCycle is the cycle under way, or one just for the caller.
+// currentCycle returns the running cycle. Between cycles it returns a new one for the caller.
 func (sc *Scheduler) currentCycle() *cycle {
 	if sc.cycle != nil {
 		return sc.cycle
@@ -129,6 +130,6 @@
 	return newCycle(sc.state)
 }
 
-// examineLimitReached says whether the cycle has examined so much that the rest of the queue takes
-// its turn at preemption in the next one.
+// examineLimitReached reports whether the cycle has examined so many machines that the rest
+// of the queue must wait until the next cycle for preemption.
 func (c *cycle) examineLimitReached() bool { return c.examined >= c.examineLimit }
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -10,7 +10,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// fillFleet adds two thousand machines, all taken by arrays of the lowest priority.
+// fillFleet adds two thousand machines and fills them with arrays of the lowest priority.
 func (h *harness) fillFleet() {
 	for i := range 2000 {
 		h.cluster.AddMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", []protocol.ZoneName{"a", "b", "c"}[i%3])
@@ -24,10 +24,10 @@
 	}
 }
 
-// TestCycleExaminesBoundedNumberOfMachines: with two thousand machines full of work, a
-// cycle over a long queue examines each machine a few times, not once for every job, and
-// every job still has its turn at a search. Unbounded cycles once took longer than the
-// leader lease lasts; each new leader fared no better than the last.
+// TestCycleExaminesBoundedNumberOfMachines: on two thousand full machines with a long queue, a
+// cycle examines each machine a few times, not once per job. Over many cycles the jobs still
+// get their turn to search for victims. A cycle without this bound can take longer than the
+// leader lease lasts, and then every new leader loses its lease in the same way.
 func TestCycleExaminesBoundedNumberOfMachines(t *testing.T) {
 	const cores = 0.2
 	budget := int(cores * float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost))
@@ -38,7 +38,7 @@
 			job.Priority = protocol.PriorityCritical
 		}
 		h.cluster.Config.Cluster.Process.Cores = cores
-		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // schedulable, vacant and preemptible ones
+		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // schedulable, with free capacity, preemptible
 	})
 	t.Run("all preemptible", func(t *testing.T) {
 		h := newHarness()
@@ -53,12 +53,12 @@
 			}
 		}
 		if searched < len(waiting)/2 {
-			t.Errorf("victims were searched for %d of %d jobs", searched, len(waiting))
+			t.Errorf("only %d of %d jobs searched for victims", searched, len(waiting))
 		}
 	})
 }
 
-// addWaitingGangs adds six hundred gangs that do not fit.
+// addWaitingGangs adds six hundred gangs that do not fit into the free capacity.
 func (h *harness) addWaitingGangs() (waiting []*cluster.Job) {
 	for i := range 600 {
 		spec := clustertest.Gang(64, 4)
@@ -68,7 +68,7 @@
 	return waiting
 }
 
-// checkExamined checks how many machines each of sixty cycles examines.
+// checkExamined checks that each of sixty cycles examines at most limit machines.
 func (h *harness) checkExamined(t *testing.T, waiting []*cluster.Job, limit int) {
 	t.Helper()
 	for range 60 {
@@ -76,13 +76,13 @@
 		h.cluster.Heartbeat()
 		h.RunCycle()
 		if h.MachinesExamined() > limit {
-			t.Fatalf("%d machines examined of %d in one cycle with %d jobs waiting", h.MachinesExamined(), len(h.cluster.OrderedMachines), len(waiting))
+			t.Fatalf("one cycle examined machines %d times in a fleet of %d, with %d jobs waiting", h.MachinesExamined(), len(h.cluster.OrderedMachines), len(waiting))
 		}
 	}
 }
 
-// TestQueueOrder: by priority, then in order of arrival; in a recovery the largest gangs of
-// a priority come first.
+// TestQueueOrder: jobs are queued by priority, then in order of arrival. During a recovery the
+// largest gangs of each priority come first.
 func TestQueueOrder(t *testing.T) {
 	h := newHarness()
 	small, large := h.cluster.AddJob(clustertest.Gang(1, 1)), h.cluster.AddJob(clustertest.Gang(8, 1))
@@ -99,20 +99,20 @@
 		h.environment.InRecovery = c.inRecovery
 		for i, job := range h.Queue() {
 			if job != c.want[i] {
-				t.Errorf("in recovery %v: %s at place %d, want %s", c.inRecovery, job.ID, i, c.want[i].ID)
+				t.Errorf("recovering %v: %s at position %d, want %s", c.inRecovery, job.ID, i, c.want[i].ID)
 			}
 		}
 	}
 }
 
-// TestJobWhoseStartsAreWithheldIsNotPlaced: a job that must not start anything yet keeps no place and asks
-// for no machine.
+// TestJobWhoseStartsAreWithheldIsNotPlaced: a job that must not start any task yet is not placed
+// and requests no machines.
 func TestJobWhoseStartsAreWithheldIsNotPlaced(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
 	job := h.cluster.AddJob(clustertest.Gang(1, 1))
 	h.environment.Withheld = map[*cluster.Job]bool{job: true}
 	if demand := h.RunCycle(); len(demand) != 0 || len(job.Attempts) != 0 {
-		t.Errorf("%d jobs want machines, %d places", len(demand), len(job.Attempts))
+		t.Errorf("%d jobs request machines, %d attempts are placed", len(demand), len(job.Attempts))
 	}
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -9,11 +9,11 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Gangs are placed by HDF-B: a gang goes whole into the smallest domain (a machine, then a
-// zone, then the region) that has a free block of its order, the one with the least
-// residual slots among equals. See docs/design.md.
+// Gangs are placed by the HDF-B algorithm, see docs/design.md. A gang is placed all-or-nothing in
+// the smallest domain (a machine, else a zone, else the region) that has a free block of the
+// gang's order. Among equal domains, the one with the fewest residual slots is chosen.
 
-// placeGang finds a place for every task of a gang, or for none.
+// placeGang places either every task of a gang or none, and reports whether it placed them.
 func (sc *Scheduler) placeGang(job *cluster.Job) bool {
 	if sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.env.AwaitsRecordSplit(job) {
 		return false
@@ -34,14 +34,14 @@
 	return true
 }
 
-// gangSearch searches for a place for a whole gang.
+// gangSearch searches for machines that can take all tasks of a gang.
 type gangSearch struct {
 	cycle *cycle
 	job   *cluster.Job
 }
 
-// findSmallestDomain finds machines for the gang within the smallest domain that holds it;
-// nil if none does.
+// findSmallestDomain returns machines for the gang within the smallest domain that fits it, or
+// nil if no domain does.
 func (g gangSearch) findSmallestDomain() []candidate {
 	job := g.job
 	zones := g.cycle.state.ZoneLimits(job)
@@ -59,8 +59,8 @@
 	return g.fitInRegion(zones)
 }
 
-// fitOnMachine finds one machine for the gang, if possible one with an aligned block
-// of the gang's order.
+// fitOnMachine returns one machine for the whole gang, if possible one that has a free aligned
+// block of the gang's order.
 func (g gangSearch) fitOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
 	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
@@ -70,7 +70,7 @@
 	return g.bestMachine(zone, func(*cluster.Machine) bool { return true })
 }
 
-// bestMachine finds the best of the machines that hold the gang and that suit.
+// bestMachine returns the best of the accepted machines that fit the whole gang, or nil.
 func (g gangSearch) bestMachine(zone protocol.ZoneName, accept func(*cluster.Machine) bool) []candidate {
 	list := g.cycle.candidates(g.job, zone)
 	var best *candidate
@@ -87,19 +87,20 @@
 	return []candidate{*best}
 }
 
-// zonePlacement is a gang's placement within one zone.
+// zonePlacement is a possible placement of a gang within one zone.
 type zonePlacement struct {
-	chosen          []candidate
-	aligned         bool // the zone has a free block of the gang's order
-	residualTasks   int  // tasks that would fit beside it
-	survivorTasks   int  // tasks that return to the machines of the broken attempt
-	imageLocalTasks int  // tasks that find their image
-	price           float64
+	chosen                []candidate
+	aligned               bool // the zone has a free block of the gang's order: room for 2^order tasks
+	residualTasks         int  // more tasks that would fit into the zone
+	survivingMachineTasks int  // tasks placed on surviving machines of the broken attempt
+	imageLocalTasks       int  // tasks placed on machines that have the image
+	price                 float64
 }
 
-// fitInZone finds the zone with a free block of the gang's order and the least
-// residual capacity; without one, the zone that holds the gang as a union of smaller
-// blocks.
+// fitInZone returns machines within one zone for the gang, or nil. It prefers zones where tasks
+// return to surviving machines of a broken attempt, then zones that have a free block of the
+// gang's order, then those with the least residual capacity. A zone without such a block fits
+// the gang as a union of smaller blocks.
 func (g gangSearch) fitInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
 	for _, zone := range g.cycle.state.Config.Cluster.Zones {
@@ -119,32 +120,34 @@
 	return best.chosen
 }
 
-// newZonePlacement packs a gang of a size into a zone where so many of its tasks fit.
+// newZonePlacement packs a gang of the given size into a zone. The zone's candidates are list,
+// and fits is how many of the gang's tasks they have room for.
 func newZonePlacement(list []candidate, fits, size int) zonePlacement {
 	p := zonePlacement{chosen: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residualTasks: fits - size}
 	for _, cand := range p.chosen {
 		if cand.imageLocal {
 			p.imageLocalTasks += cand.tasks
 		}
-		if cand.survivor {
-			p.survivorTasks += cand.tasks
+		if cand.surviving {
+			p.survivingMachineTasks += cand.tasks
 		}
 		p.price += cand.price
 	}
 	return p
 }
 
-// comparePlacements orders placements in different zones, the best first.
+// comparePlacements orders placements in different zones, the best one first.
 func comparePlacements(a, b zonePlacement) int {
 	return cmp.Or(
-		cmp.Compare(b.survivorTasks, a.survivorTasks),
+		cmp.Compare(b.survivingMachineTasks, a.survivingMachineTasks),
 		cluster.TrueFirst(a.aligned, b.aligned),
 		cmp.Compare(a.residualTasks, b.residualTasks),
 		cmp.Compare(b.imageLocalTasks, a.imageLocalTasks),
 		cmp.Compare(a.price, b.price))
 }
 
-// fitInRegion spreads the gang over the fewest zones that its limits allow.
+// fitInRegion spreads the gang over as few zones as its zone limits allow. It returns nil if the
+// gang does not fit.
 func (g gangSearch) fitInRegion(limits cluster.ZoneLimits) []candidate {
 	type zoneCandidates struct {
 		list []candidate
@@ -169,7 +172,8 @@
 	return chosen
 }
 
-// nextEpoch is the gang's next epoch: above every attempt of every task.
+// nextEpoch returns the gang's next epoch, which is higher than the number of every attempt of its
+// tasks.
 func nextEpoch(job *cluster.Job) protocol.AttemptNumber {
 	next := job.Epoch
 	for i := range job.Tasks {
--- a/internal/coordination/scheduler/gpu_requirements.go
+++ b/internal/coordination/scheduler/gpu_requirements.go
@@ -5,11 +5,12 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// perGPURequirements is the most that work on GPUs needs beside each of them.
+// perGPURequirements is the largest amount of processors and of memory that any current job
+// requires for each GPU.
 type perGPURequirements struct{ cpus, memoryGB float64 }
 
-// update works the needs out from the jobs that there are. Without any on GPUs they stay
-// as they were: more such work may come.
+// update computes the requirements from the current jobs. While no job uses GPUs they stay
+// unchanged, because more GPU jobs may arrive.
 func (r *perGPURequirements) update(jobs map[protocol.JobID]*cluster.Job) {
 	var needs perGPURequirements
 	for _, job := range jobs {
@@ -23,8 +24,8 @@
 	}
 }
 
-// wouldStarveGPUs says whether one more task without GPUs would leave a machine's GPUs without the
-// processors or memory that work on them needs.
+// wouldStarveGPUs reports whether one more task without GPUs would leave too few processors or
+// too little memory on a machine for work on all its GPUs.
 func (r perGPURequirements) wouldStarveGPUs(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType) bool {
 	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
 		return false
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -5,9 +5,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// preemptOnImageLocalMachines says whether a gang that could start on machines without its
-// image had better wait a moment for machines that have it, which work of lower
-// priority can leave sooner than the image would arrive. That work is preempted then.
+// preemptOnImageLocalMachines preempts work on machines that have a gang's image, if these
+// machines become free sooner than the image could be fetched elsewhere. It reports whether
+// the gang should wait for them, even if it could start on machines without the image. It also
+// returns true while an earlier preemption for the gang is in progress.
 func (sc *Scheduler) preemptOnImageLocalMachines(job *cluster.Job) bool {
 	if preemptionInProgress(job) {
 		return true
@@ -18,7 +19,7 @@
 		return false
 	}
 	if sc.currentCycle().fitsOnImageLocalMachines(job) {
-		return false // the placement finds the machines
+		return false // no preemption is needed: placeGang finds these machines
 	}
 	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageRequired)
@@ -29,7 +30,8 @@
 	return true
 }
 
-// fitsOnImageLocalMachines says whether all tasks of a job fit on free machines with its image.
+// fitsOnImageLocalMachines reports whether all tasks of a job fit into the free capacity of
+// machines that have its image.
 func (c *cycle) fitsOnImageLocalMachines(job *cluster.Job) bool {
 	tasks := 0
 	for _, cand := range c.candidates(job, "") {
@@ -40,8 +42,9 @@
 	return tasks >= len(job.Tasks)
 }
 
-// preferableToFetch says whether a plan loses less work, and frees its machines sooner, than
-// fetching the image would.
+// preferableToFetch reports whether carrying out a preemption plan is better than fetching the
+// image. Victims that save a checkpoint must do so well within the fetch time, and the work
+// lost must not exceed a fixed multiple of the GPU time that would be idle during the fetch.
 func preferableToFetch(job *cluster.Job, plan preemptionPlan, fetchSeconds float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -10,14 +10,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// ShouldCheckpointOnPreemption says whether a task that is preempted should save first. Saving takes
-// its machine's time and the waiting job's; without it half of the interval
-// between two checkpoints is lost, about.
+// ShouldCheckpointOnPreemption reports whether a preempted task should save a checkpoint before it
+// stops. Saving costs time on the machine and delays the waiting job. Without it, about half of
+// a checkpoint interval of work is lost on average.
 func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
 	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
 
-// mayPreempt says whether an attempt may be stopped to free capacity for the job.
+// mayPreempt reports whether an attempt may be stopped to free capacity for the job.
 func mayPreempt(attempt *cluster.Attempt, job *cluster.Job, quotas map[protocol.TeamName]*cluster.Quota) bool {
 	if attempt.Stopping || attempt.Job == job || attempt.Job.Finished || attempt.Job.Complete() {
 		return false
@@ -25,10 +25,11 @@
 	return attempt.Job.Priority < job.Priority || mayReclaim(job, attempt.Job, quotas[attempt.Job.Spec.Team])
 }
 
-// mayReclaim says whether a job may take back its team's guaranteed quota from another
-// team's job. What fits into its own team's guarantee is never preempted for
-// another's, and what has a higher priority never for a lower one, though it might: the
-// queue would give the machines back, and so in turn for ever.
+// mayReclaim reports whether a job may preempt another team's job to get its own team's
+// guaranteed quota. A job that is within its own team's guarantee is never preempted for
+// another team. Nor is a job of higher priority preempted for one of lower priority, although
+// the guarantee would justify it: the queue would give the machines back to the higher
+// priority, and the two jobs would preempt each other for ever.
 func mayReclaim(job, victim *cluster.Job, victimQuota *cluster.Quota) bool {
 	if !job.Queue.MayReclaim || victim.Spec.Team == job.Spec.Team {
 		return false
@@ -36,18 +37,18 @@
 	return victimQuota != nil && victimQuota.ExceedsGuarantee() && !victim.Queue.WithinGuarantee && victim.Priority <= job.Priority
 }
 
-// machinePreemption is what must stop on one machine so that some tasks fit there.
+// machinePreemption lists the attempts to stop on one machine so that some tasks fit there.
 type machinePreemption struct {
 	machine  *cluster.Machine
-	tasks    int
+	tasks    int // how many tasks then fit
 	victims  []*cluster.Attempt
-	priority protocol.Priority // the highest of the victims'
-	cost     float64           // in GPU seconds, about
+	priority protocol.Priority // the highest priority of the victims
+	cost     float64           // approximate, in GPU seconds
 }
 
-// preemptFor stops work that may be preempted for a waiting job, where that frees enough
-// capacity for it, and reserves the capacity for it. A search that found nothing is not
-// repeated at once: it examines every machine.
+// preemptFor preempts work for a waiting job where that frees enough capacity for it, and reserves
+// that capacity. A search that found nothing is repeated only after a pause, because it examines
+// every machine.
 func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
 	if preemptionInProgress(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().examineLimitReached() ||
 		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionImpossible(job, tasks) {
@@ -60,7 +61,7 @@
 	sc.executePreemptions(job, plan)
 }
 
-// preemptionInProgress says whether capacity is being freed for a job already.
+// preemptionInProgress reports whether attempts are stopping on machines reserved for a job.
 func preemptionInProgress(job *cluster.Job) bool {
 	for _, machine := range job.Reserved {
 		for _, attempt := range machine.Attempts {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// executePreemptions carries a plan out: the victims stop and their machines are reserved.
+// executePreemptions reserves the machines of a plan for a job and preempts the victims on them.
 func (sc *Scheduler) executePreemptions(job *cluster.Job, plan preemptionPlan) {
 	for i := range plan.machines {
 		p := &plan.machines[i]
@@ -83,13 +84,13 @@
 	}
 }
 
-// preemptionPlan is what must stop, and where, so that tasks of a job fit.
+// preemptionPlan lists what to preempt on which machines so that tasks of a job fit.
 type preemptionPlan struct {
-	machines []machinePreemption // empty if nothing can be done
+	machines []machinePreemption // empty if no plan was found
 	cost     float64
 }
 
-// preemptionSearch searches for victims so that some tasks of a job fit.
+// preemptionSearch searches for victims whose preemption makes room for tasks of a job.
 type preemptionSearch struct {
 	state *cluster.State
 	cycle *cycle
@@ -99,8 +100,8 @@
 	zones cluster.ZoneLimits
 }
 
-// findPreemptions finds what to stop, and where, so that so many tasks of a job fit; for a
-// gang all of them or nothing.
+// findPreemptions returns a plan to make room for the given number of tasks of a job. For a gang
+// the plan makes room for all of these tasks or is empty.
 func (c *cycle) findPreemptions(job *cluster.Job, tasks int, image imageRequirement) preemptionPlan {
 	search := preemptionSearch{
 		state: c.state, cycle: c,
@@ -119,7 +120,8 @@
 	return best
 }
 
-// machineOptions lists the machines on which some of the tasks could fit; zone "" stands for all.
+// machineOptions returns the machines on which some of the tasks would fit after preemption. Zone
+// "" stands for all zones.
 func (s *preemptionSearch) machineOptions(zone protocol.ZoneName) (list []machinePreemption) {
 	s.cycle.examined += len(s.cycle.schedulable)
 	for _, machine := range s.cycle.schedulable {
@@ -136,8 +138,8 @@
 	return list
 }
 
-// choosePlan takes the cheapest of the machines until all tasks have a place. Without enough of
-// them a gang has no plan, others have one for some of their tasks.
+// choosePlan takes the cheapest machines until all tasks fit. If too few machines are available,
+// it returns an empty plan for a gang, and a plan for some of the tasks for other jobs.
 func (s *preemptionSearch) choosePlan(list []machinePreemption) preemptionPlan {
 	slices.SortStableFunc(list, comparePreemptions)
 	var plan preemptionPlan
@@ -161,7 +163,7 @@
 	return plan
 }
 
-// comparePreemptions orders machines by what stops there, the least loss first.
+// comparePreemptions orders machines by the loss from preemption there, the least loss first.
 func comparePreemptions(a, b machinePreemption) int {
 	return cmp.Or(
 		cmp.Compare(a.priority, b.priority),
@@ -169,17 +171,18 @@
 		cmp.Compare(b.tasks, a.tasks))
 }
 
-// selectVictims works out what to stop on a machine so that up to so many tasks fit.
+// selectVictims selects the attempts to stop on a machine so that up to the given number of tasks
+// fit.
 func (s *preemptionSearch) selectVictims(machine *cluster.Machine, tasks int) machinePreemption {
 	job := s.job
 	free := s.state.FreeResources(machine)
 	if free.Fit(job.Spec, 1) == 0 && !s.hasPreemptible(machine) {
-		return machinePreemption{machine: machine} // most machines: nothing is sorted for them
+		return machinePreemption{machine: machine} // the usual case, returned early to avoid the sort
 	}
 	var preemptible []*cluster.Attempt
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		if attempt.Stopping {
-			free.AddTasks(attempt.Job.Spec, 1) // about to be free
+			free.AddTasks(attempt.Job.Spec, 1) // will soon be free
 		} else if mayPreempt(attempt, s.job, s.state.Quotas) {
 			preemptible = append(preemptible, attempt)
 		}
@@ -196,8 +199,8 @@
 	return p
 }
 
-// hasPreemptible says whether anything on a machine may be stopped for the job or is
-// stopping.
+// hasPreemptible reports whether a machine has an attempt that is already stopping or may be
+// stopped for the job.
 func (s *preemptionSearch) hasPreemptible(machine *cluster.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.Stopping || mayPreempt(attempt, s.job, s.state.Quotas) {
@@ -207,8 +210,8 @@
 	return false
 }
 
-// sortByLoss sorts attempts that may be stopped: the lowest priority first, then what loses
-// least.
+// sortByLoss sorts attempts by priority, the lowest first, then by the work lost, the least
+// first.
 func (s *preemptionSearch) sortByLoss(attempts []*cluster.Attempt) {
 	now := s.state.Now()
 	slices.SortStableFunc(attempts, func(a, b *cluster.Attempt) int {
@@ -216,7 +219,7 @@
 	})
 }
 
-// addVictims takes victims until so many tasks fit.
+// addVictims adds victims until the given number of tasks fits.
 func (p *machinePreemption) addVictims(spec *protocol.Job, tasks int, preemptible []*cluster.Attempt, free *cluster.Resources) {
 	for _, attempt := range preemptible {
 		if p.tasks >= tasks {
@@ -228,7 +231,7 @@
 	}
 }
 
-// removeUnneededVictims lets those victims go on that are not needed after all.
+// removeUnneededVictims removes the victims without whose capacity the tasks still fit.
 func (p *machinePreemption) removeUnneededVictims(spec *protocol.Job, tasks int, free *cluster.Resources) {
 	for i := len(p.victims) - 1; i >= 0; i-- {
 		victim := p.victims[i]
@@ -241,7 +244,7 @@
 	}
 }
 
-// fetchCost is what tasks lose on a machine while their image is fetched, in GPU seconds.
+// fetchCost returns the GPU seconds that tasks lose while their image is fetched on a machine.
 func fetchCost(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType, tasks int) float64 {
 	if machineType == nil || machineType.FetchGBPerS <= 0 || machine.HasImage(spec.Image) {
 		return 0
@@ -249,8 +252,9 @@
 	return float64(tasks) * max(1, spec.GPUs) * spec.ImageGB / machineType.FetchGBPerS
 }
 
-// workLost is about how much work is lost when an attempt is stopped, in GPU seconds.
-// With one task of a gang all stop, save, and gather again.
+// workLost returns the approximate work, in GPU seconds, that is lost when an attempt is stopped.
+// If one task of a gang is stopped, all its tasks stop, save if the job makes checkpoints, and
+// restart together.
 func workLost(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
 	gpus := max(1, spec.GPUs)
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestHigherPriorityPreemptsOnlyWhatItNeeds: a higher priority takes what it needs and no
-// more; work of equal priority stays.
+// TestHigherPriorityPreemptsOnlyWhatItNeeds: a job of higher priority preempts as much as it
+// needs and no more. A job of equal priority preempts nothing.
 func TestHigherPriorityPreemptsOnlyWhatItNeeds(t *testing.T) {
 	h := newHarness()
 	machine := h.cluster.AddMachine("i-1", "big", "a")
@@ -31,12 +31,12 @@
 	h.RunCycle()
 	checkStopping(t, low, 2)
 	if machine.ReservedFor == nil {
-		t.Error("the capacity that becomes free is not reserved")
+		t.Error("the freed capacity is not reserved")
 	}
 }
 
-// TestJobWithAttributedFailuresPreemptsNothing: a job that failed on several machines is
-// tried on what is free, but nothing is stopped for it and no machine wanted.
+// TestJobWithAttributedFailuresPreemptsNothing: a job whose failures were attributed to the job
+// is placed on free capacity, but preempts nothing and requests no machines.
 func TestJobWithAttributedFailuresPreemptsNothing(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
@@ -50,18 +50,18 @@
 	job := h.cluster.AddJob(high)
 	job.Failures.Attributed = 1
 	if demand := h.RunCycle(); len(demand) != 0 {
-		t.Errorf("%d jobs want machines", len(demand))
+		t.Errorf("%d jobs request machines", len(demand))
 	}
 	checkStopping(t, low, 0)
 	h.cluster.AddMachine("i-2", "big", "a")
 	h.RunCycle()
 	if !job.FullyPlaced() {
-		t.Error("not placed on the free machine")
+		t.Error("the job is not placed on the free machine")
 	}
 }
 
-// TestGuaranteedQuotaIsReclaimed: a team within its guarantee takes machines from one
-// beyond its own, but not from higher priority and not from guaranteed work.
+// TestGuaranteedQuotaIsReclaimed: a team within its guarantee preempts work of a team beyond its
+// own guarantee, but no work of higher priority and no work within that team's guarantee.
 func TestGuaranteedQuotaIsReclaimed(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestJobThatFitsGuaranteeLaterReclaimsNothing: a job that was beyond its team's
-// guarantee when it came, and comes within it while more of its team waits, stops nobody's
-// work: the teams of an overloaded deployment would go on taking machines in turn.
+// TestJobThatFitsGuaranteeLaterReclaimsNothing: a job that was beyond its team's guarantee when it
+// was queued, and comes within it while other jobs of its team still wait, preempts nothing.
+// Otherwise the teams of an overloaded deployment would keep preempting each other.
 func TestJobThatFitsGuaranteeLaterReclaimsNothing(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
@@ -104,7 +104,7 @@
 	h.RunCycle()
 	h.cluster.Run(other)
 	spec.Team, spec.Tasks, spec.Zone = "tight", 2, "b"
-	first := h.cluster.AddJob(spec) // takes the whole guarantee, waits for another zone
+	first := h.cluster.AddJob(spec) // uses the team's whole guarantee, waits for zone b
 	spec.Zone = ""
 	h.cluster.AddJob(spec)
 	spec.Tasks = 3
@@ -116,8 +116,8 @@
 	checkStopping(t, other, 0)
 }
 
-// TestRecoveryPreemptsNothingBeforeAgentsReport: after a failover nothing is stopped for a
-// job while machines that have yet to report may have free capacity for it.
+// TestRecoveryPreemptsNothingBeforeAgentsReport: after a failover, nothing is preempted for a job
+// while machines that have not reported yet may have free capacity for it.
 func TestRecoveryPreemptsNothingBeforeAgentsReport(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
@@ -140,8 +140,9 @@
 	checkStopping(t, low, 2)
 }
 
-// TestLongWaitingGangReservesFreeMachines: a gang that has waited past the time-out keeps
-// the free machines of the zone where it lacks least from smaller jobs behind it.
+// TestLongWaitingGangReservesFreeMachines: a gang that has waited longer than the backfill barrier
+// delay reserves the free machines of the zone where most of its tasks fit, so that smaller
+// jobs behind it cannot take them.
 func TestLongWaitingGangReservesFreeMachines(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
@@ -154,11 +155,11 @@
 	small := h.cluster.AddJob(clustertest.Gang(1, 1))
 	h.RunCycle()
 	if len(small.Attempts) != 0 || len(job.Attempts) != 0 {
-		t.Errorf("the smaller job overtakes the gang")
+		t.Errorf("the smaller job is placed, or the gang is placed too early")
 	}
 	h.cluster.AddMachine("i-2", "big", "a")
 	h.RunCycle()
 	if len(job.Attempts) != 2 {
-		t.Errorf("the gang is not placed when it could be")
+		t.Errorf("the gang is not placed although it fits")
 	}
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/coordination/cluster"
 )
 
-// Queue lists the jobs in order of priority and arrival; in a recovery the largest
-// gangs of a priority come first.
+// Queue returns the jobs by priority, then by queue time (see Job.QueueTime in package cluster),
+// then by order of arrival. During a recovery the largest gangs of each priority come first.
 func (sc *Scheduler) Queue() []*cluster.Job {
 	type entry struct {
 		job       *cluster.Job
@@ -39,7 +39,7 @@
 	return queue
 }
 
-// WaitingTasks is how many tasks of a job wait for a place.
+// WaitingTasks returns how many tasks of a job wait to be placed.
 func (sc *Scheduler) WaitingTasks(job *cluster.Job) int {
 	if !sc.mayStart(job) {
 		return 0
@@ -60,7 +60,7 @@
 	return waiting
 }
 
-// mayStart says whether a job may start tasks now at all.
+// mayStart reports whether a job may start any tasks now.
 func (sc *Scheduler) mayStart(job *cluster.Job) bool {
 	switch {
 	case job.Cancelled, job.Finished, job.Complete(), job.Stopping:
--- a/internal/coordination/scheduler/quota_reclaim.go
+++ b/internal/coordination/scheduler/quota_reclaim.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// markWithinGuarantee tells the jobs that fit into their team's guarantee together
-// with the team's earlier unfinished jobs.
+// markWithinGuarantee sets WithinGuarantee for each job: whether its unfinished tasks, together
+// with those of the team's earlier jobs, fit into the team's guaranteed quota.
 func markWithinGuarantee(queue []*cluster.Job, quotas map[protocol.TeamName]*cluster.Quota) {
 	byArrival := slices.Clone(queue)
 	slices.SortFunc(byArrival, func(a, b *cluster.Job) int {
@@ -28,11 +28,11 @@
 	}
 }
 
-// markMayReclaim tells the jobs that other teams' work may be preempted for: those that were
-// within their team's guarantee when they came, and all of a team whose whole
-// backlog is. A job that only comes within it while others of its team wait
-// behind takes its turn: else the teams of an overloaded deployment would
-// take the same machines from each other again and again.
+// markMayReclaim marks the jobs for which other teams' work may be preempted: jobs that were
+// within their team's guarantee when they were first queued, and all jobs of a team whose
+// whole backlog is within its guarantee. A job that comes within the guarantee later, while
+// its team has jobs beyond it, waits its turn instead. Otherwise the teams of an overloaded
+// deployment would preempt each other for the same machines again and again.
 func markMayReclaim(queue []*cluster.Job) {
 	exceedsGuarantee := map[protocol.TeamName]bool{}
 	for _, job := range queue {
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -8,10 +8,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// MoveReplicas moves replicas away from machines that are to go, or whose lease is
-// about to expire: two attempts must never run, so the old one ends first, when there
-// is a place for its successor, on a machine that has its image if there is one.
-// Of a service one moves at a time, unless the cloud takes the machine away.
+// MoveReplicas moves replicas off machines that are cordoned or whose agent's lease is about to
+// expire. Two attempts of a replica must never run at the same time, so the old attempt is
+// stopped before its replacement starts, but only once there is a machine for the replacement,
+// if possible one that has the image. Replicas of a service move one at a time, unless the cloud
+// is about to reclaim the spot machine.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
 		if !replicasShouldLeave(machine, sc.state) {
@@ -25,13 +26,13 @@
 	}
 }
 
-// replicasShouldLeave says whether the replicas on a machine should go elsewhere while it can
-// still end them in good order.
+// replicasShouldLeave reports whether the replicas on a machine should move to other machines
+// while its agent can still stop them in an orderly way.
 func replicasShouldLeave(machine *cluster.Machine, state *cluster.State) bool {
 	return (machine.Cordoned || state.NotReporting(machine)) && !machine.Deleting && state.ConfirmedAlive(machine)
 }
 
-// mayMoveReplica says whether an attempt is a replica that may be moved now.
+// mayMoveReplica reports whether an attempt is a replica that may be moved now.
 func mayMoveReplica(attempt *cluster.Attempt) bool {
 	job := attempt.Job
 	if !job.Spec.Service() || job.Cancelled {
@@ -43,28 +44,29 @@
 	return attempt.Machine.SpotNotice || job.FullyPlaced()
 }
 
-// moveReplica ends a replica once a place for its successor is reserved.
+// moveReplica reserves a machine for a replica's replacement, if there is one, and then stops the
+// replica.
 func (sc *Scheduler) moveReplica(attempt *cluster.Attempt) {
 	target := sc.replacementMachine(attempt, anyZone)
 	if target == nil {
 		return
 	}
-	sc.log.Info("replica moves", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
+	sc.log.Info("moving replica", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
 		"machine", attempt.Machine.ID, "target", target.ID)
 	target.ReserveFor(attempt.Job, sc.state.Now().Add(tuning.ReservationTimeout))
 	sc.env.Stop(attempt, 0)
 }
 
-// replacementZone says where the successor of a replica may be.
+// replacementZone says in which zones the replacement of a replica may be placed.
 type replacementZone int
 
 const (
-	anyZone       replacementZone = iota // also in the replica's own zone, in whose place it comes
-	otherZoneOnly                        // not there
+	anyZone       replacementZone = iota // including the replica's own zone, where it makes room for one
+	otherZoneOnly                        // excluding the replica's own zone
 )
 
-// replacementMachine finds the best machine for a replica whose own place is given up; nil if
-// there is none.
+// replacementMachine returns the best machine for the replacement of a replica, or nil if there
+// is none.
 func (sc *Scheduler) replacementMachine(attempt *cluster.Attempt, where replacementZone) *cluster.Machine {
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
@@ -74,7 +76,7 @@
 		limits.Remaining[attempt.Machine.Zone]++
 	}
 	if job.Spec.OneZone && len(job.Attempts) == 1 {
-		limits.Only = "" // with this replica the service leaves the zone that it was bound to
+		limits.Only = "" // moving its only replica releases the service from the zone that it was bound to
 		for zone := range limits.Remaining {
 			limits.Remaining[zone] = 1
 		}
@@ -93,13 +95,14 @@
 	return best.machine
 }
 
-// MostReplicasFitElsewhere says whether a machine behind a suspected partition is better given up for
-// its replicas' sake: another zone is heard, so it is not this controller's own
-// network, and most of them have places there that their limits allow. The others are
-// back only with the partition's end, and then where a machine boots for them.
-func (sc *Scheduler) MostReplicasFitElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
-	isOtherHeardZone := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
-	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, isOtherHeardZone) {
+// MostReplicasFitElsewhere reports whether a machine behind a suspected partition should be deleted
+// so that its replicas restart elsewhere. That is so if another zone is reachable, which shows
+// that the fault is not in this controller's own network, and if most of the replicas fit into
+// other zones within their limits. The remaining replicas are lost until the partition ends,
+// and then until a machine has booted for them.
+func (sc *Scheduler) MostReplicasFitElsewhere(machine *cluster.Machine, reachable map[protocol.ZoneName]bool) bool {
+	isOtherReachableZone := func(zone protocol.ZoneName) bool { return zone != machine.Zone && reachable[zone] }
+	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, isOtherReachableZone) {
 		return false
 	}
 	surplus := 0
@@ -115,8 +118,8 @@
 	return surplus > 0
 }
 
-// fitsInOtherZone says whether a replica could start in another zone at once, on
-// capacity that is free or that work of lower priority leaves.
+// fitsInOtherZone reports whether a replica could start in another zone, on capacity that is
+// free or that preemption would free.
 func (sc *Scheduler) fitsInOtherZone(attempt *cluster.Attempt) bool {
 	if sc.replacementMachine(attempt, otherZoneOnly) != nil {
 		return true
@@ -135,8 +138,8 @@
 	return false
 }
 
-// capacityAfterPreemption is a machine's free capacity once all has stopped that may be
-// preempted for a job and can stop alone, which a task of a gang cannot.
+// capacityAfterPreemption returns a machine's free capacity after everything is stopped that may
+// be preempted for a job. Tasks of gangs are not counted, because a gang only stops as a whole.
 func capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job, state *cluster.State) cluster.Resources {
 	free := state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -5,8 +5,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// reserveMachines keeps the free machines of the zone where the gang lacks least from
-// jobs behind it in the queue, no more of them than it needs.
+// reserveMachines reserves free machines for a gang, so that jobs behind it in the queue cannot
+// take them. It takes the zone in which most of the gang's tasks fit, and there no more
+// machines than the gang needs.
 func (c *cycle) reserveMachines(job *cluster.Job) {
 	var best []candidate
 	maxTasks := 0
@@ -23,8 +24,8 @@
 	}
 }
 
-// releaseObsoleteReservations ends the reservations that have expired or whose job is over or does
-// not wait any more.
+// releaseObsoleteReservations releases the reservations that have expired and those whose job
+// has ended or no longer waits.
 func (sc *Scheduler) releaseObsoleteReservations() {
 	now := sc.state.Now()
 	for _, machine := range sc.state.OrderedMachines {
@@ -34,7 +35,7 @@
 	}
 }
 
-// needsReservation says whether a job waits, or will once its present attempt has ended.
+// needsReservation reports whether a job waits, or will wait once its current attempt has ended.
 func (sc *Scheduler) needsReservation(job *cluster.Job) bool {
 	if job.Finished || job.Cancelled {
 		return false
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,11 +1,11 @@
-// Package scheduler decides where tasks run. Every cycle goes over the queue by priority
-// and order of arrival: gangs are placed whole by the buddy system's deepest fit, tasks
-// of arrays and replicas of services where there is free capacity; where there is none,
-// work of lower priority is preempted and capacity reserved.
+// Package scheduler decides which machine each task runs on. Each cycle processes the queue
+// by priority and then by order of arrival. A gang is placed all-or-nothing, in the smallest
+// domain that fits it (the deepest fit of the buddy system). Tasks of arrays and replicas of
+// services are placed one by one on free capacity. For jobs that find no free capacity, the
+// scheduler preempts work of lower priority and reserves the capacity that becomes free.
 //
-// It works on the cluster model alone and is deterministic. It stores nothing, sends
-// nothing and asks the cloud for nothing: what follows from its decisions is up to its
-// Environment.
+// The scheduler works on the cluster model only and is deterministic. It does not write
+// records, contact agents or call the cloud: its Environment acts on its decisions.
 package scheduler
 
 import (
@@ -16,56 +16,58 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Environment is what the scheduler needs of the leader.
+// Environment is the part of the leader that the scheduler depends on.
 type Environment interface {
-	// Recovering says whether a recovery after a failover lasts, in which agents that the
-	// stored records name have yet to report.
+	// Recovering reports whether a recovery after a failover is in progress, during which
+	// some agents named in the stored records have not reported yet.
 	Recovering() bool
-	// StartsWithheld says whether a job must not start anything yet.
+	// StartsWithheld reports whether the job must not start any task yet.
 	StartsWithheld(job *cluster.Job) bool
-	// AwaitsRecordSplit says whether a gang has a record that must be split before its
-	// places are written, and sees to it.
+	// AwaitsRecordSplit reports whether a record of the gang must be split before the gang's
+	// placement can be written. It also marks such records to be split.
 	AwaitsRecordSplit(job *cluster.Job) bool
-	// TaskPlaced has a new place of a task written.
+	// TaskPlaced schedules a new placement of a task to be written.
 	TaskPlaced(attempt *cluster.Attempt)
-	// Preempt stops an attempt for a job that waits.
+	// Preempt stops an attempt to free its capacity for a waiting job.
 	Preempt(victim *cluster.Attempt)
-	// Stop asks an attempt to end.
+	// Stop asks an attempt to end within the grace period.
 	Stop(attempt *cluster.Attempt, graceS float64)
 }
 
-// Scheduler places the tasks of jobs on machines.
+// Scheduler assigns the tasks of jobs to machines.
 type Scheduler struct {
 	state *cluster.State
 	env   Environment
 	log   *slog.Logger
 
-	cycle              *cycle // the cycle under way, nil between two
+	cycle              *cycle // the current cycle, nil between cycles
 	perGPURequirements perGPURequirements
 
-	machinesExamined int // machines examined in the last cycle
-	waitingJobs      int // jobs that waited for machines after the last cycle
-	// machineLostAt is when a machine of a zone was last given up as silent.
+	machinesExamined int // in the last cycle
+	waitingJobs      int // jobs that still waited for machines after the last cycle
+	// machineLostAt is when a machine of each zone was last deleted as unresponsive.
 	machineLostAt map[protocol.ZoneName]time.Time
 }
 
-// New makes a scheduler.
+// New returns a scheduler for the given cluster model.
 func New(state *cluster.State, env Environment, log *slog.Logger) *Scheduler {
 	return &Scheduler{state: state, env: env, log: log, machineLostAt: map[protocol.ZoneName]time.Time{}}
 }
 
-// MachinesExamined is how many machines the last cycle examined, each time counted.
+// MachinesExamined returns how many machines the last cycle examined. A machine counts once for
+// each time it was examined.
 func (sc *Scheduler) MachinesExamined() int { return sc.machinesExamined }
 
-// WaitingJobs is how many jobs waited for machines after the last cycle.
+// WaitingJobs returns how many jobs still waited for machines after the last cycle.
 func (sc *Scheduler) WaitingJobs() int { return sc.waitingJobs }
 
-// MachineLost notes that a machine was given up as silent.
+// MachineLost records that a machine was deleted as unresponsive.
 func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
 	sc.machineLostAt[machine.Zone] = sc.state.Now()
 }
 
-// assign plans a task onto a machine. Its start leaves once that is committed.
+// assign adds an attempt of a task on a machine. The start command is sent only after the
+// placement is committed.
 func (sc *Scheduler) assign(job *cluster.Job, index int, number protocol.AttemptNumber, machine *cluster.Machine) {
 	task := &job.Tasks[index]
 	attempt := sc.state.AddAttempt(job, index, number, machine, machine.Agent.Incarnation)
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -9,11 +9,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// The replicas of a service run until their user cancels it. They take what free capacity
-// there is, as the tasks of an array do, but no two of a service on one machine if there
-// is a choice, and they leave GPUs the processors and memory that work on them needs.
+// The replicas of a service run until a user cancels it. Like tasks of an array, they are placed
+// one by one on free capacity. Where possible, no two replicas of a service share a machine, and
+// machines with GPUs keep enough processors and memory free for work on these GPUs.
 
-// placeService finds each waiting replica the best place; it returns how many still wait.
+// placeService places each waiting replica on the best machine and returns how many still wait.
 func (sc *Scheduler) placeService(job *cluster.Job) (waiting int) {
 	allowed := sc.state.TasksWithinLimit(job)
 	var candidates replicaCandidateList
@@ -43,15 +43,15 @@
 	return waiting
 }
 
-// replicaCandidateList is the machines that a service's replicas are placed on one after the
-// other.
+// replicaCandidateList holds the machines on which the replicas of a service are placed one by
+// one.
 type replicaCandidateList struct {
 	list  []candidate
 	zones cluster.ZoneLimits
 }
 
-// best is the machine for the next replica, nil if there is none. Those that are full or
-// not allowed any more are dropped.
+// best returns the candidate for the next replica, or nil if there is none. It drops candidates
+// that are full or in a zone that may take no more replicas.
 func (r *replicaCandidateList) best() *candidate {
 	r.list = slices.DeleteFunc(r.list, func(c candidate) bool {
 		return c.tasks == 0 || !r.zones.Allow(c.machine.Zone)
@@ -65,7 +65,7 @@
 	return best
 }
 
-// updateAfterPlacement accounts for a replica that was placed on a candidate.
+// updateAfterPlacement updates a candidate after a replica was placed on its machine.
 func (sc *Scheduler) updateAfterPlacement(job *cluster.Job, c *candidate) {
 	c.tasks = sc.state.FreeResources(c.machine).Fit(job.Spec, 1)
 	c.siblingReplicas++
@@ -73,9 +73,9 @@
 	c.starvesGPUs = sc.perGPURequirements.wouldStarveGPUs(job.Spec, c.machine, sc.state.TypeOf(c.machine))
 }
 
-// replicaCandidates lists the machines that can take a replica. One whose heartbeat is late
-// may be lost with its zone, and its loss is noticed later than that of a machine that
-// has replicas.
+// replicaCandidates returns the machines that can take a replica. It excludes machines whose
+// heartbeat is late: such a machine may be lost together with its zone, and the loss of a
+// machine without replicas is detected later than that of a machine with replicas.
 func (sc *Scheduler) replicaCandidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
 	list := slices.DeleteFunc(sc.currentCycle().candidates(job, zone), func(c candidate) bool { return heartbeatLate(c.machine, sc.state) })
 	for i := range list {
@@ -91,21 +91,24 @@
 	return list
 }
 
-// heartbeatLate says whether a machine's heartbeat is later than a machine with replicas may be.
+// heartbeatLate reports whether a machine has been silent for longer than is tolerated of a
+// machine that has replicas.
 func heartbeatLate(machine *cluster.Machine, state *cluster.State) bool {
 	return state.Now().Sub(machine.Agent.LastHeartbeat) > state.ReplicaSilenceTimeout()
 }
 
-// lostMachineRecently says whether a machine of a zone was given up as silent a moment
-// ago: the rest of the zone may be lost too and only not missed yet.
+// lostMachineRecently reports whether a machine of a zone was deleted as unresponsive a short
+// time ago. Other machines of the zone may be lost too, although their silence has not been
+// noticed yet.
 func (sc *Scheduler) lostMachineRecently(zone protocol.ZoneName) bool {
 	lostAt, ok := sc.machineLostAt[zone]
 	return ok && sc.state.Now().Sub(lostAt) < tuning.ZoneSuspicionTime
 }
 
-// compareForReplica orders candidates for a replica: no machine under suspicion, none that
-// has another replica of the service, none whose GPUs would lack processors or memory;
-// then the image, the price, and the fewest free slots.
+// compareForReplica orders candidates for a replica. Machines that are not suspected come first,
+// then those with the fewest replicas of the service, then those whose GPUs keep enough
+// processors and memory. Ties go to a machine that has the image, then to the cheaper one,
+// then to the one with the fewest free slots.
 func compareForReplica(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
--- a/internal/coordination/scheduler/zone_capacity.go
+++ b/internal/coordination/scheduler/zone_capacity.go
@@ -5,17 +5,16 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Bounds on what preemption can achieve, from sums over whole zones: they spare most jobs
-// a search over every machine.
+// Sums over whole zones give an upper bound on the capacity that preemption can free. For most
+// jobs this bound makes a search over every machine unnecessary.
 
-// zoneCapacity is the most that a zone could give to a job: what is free or about to be,
-// and what runs there, by its priority.
+// zoneCapacity is an upper bound on the capacity that a zone could give to a job.
 type zoneCapacity struct {
-	free        cluster.Resources
-	preemptible [protocol.PriorityCritical + 1]cluster.Resources
+	free        cluster.Resources                                // free, or in use by stopping attempts
+	preemptible [protocol.PriorityCritical + 1]cluster.Resources // in use by other attempts, by priority
 }
 
-// zoneCapacities adds up what the zones could give, once in a cycle.
+// zoneCapacities returns the capacity of each zone, computed once per cycle.
 func (c *cycle) zoneCapacities() map[protocol.ZoneName]*zoneCapacity {
 	if c.capacities != nil {
 		return c.capacities
@@ -33,7 +32,7 @@
 	return c.capacities
 }
 
-// addMachine adds a machine and what is free there.
+// addMachine adds a machine's free capacity and the capacity that its attempts use.
 func (z *zoneCapacity) addMachine(machine *cluster.Machine, free cluster.Resources) {
 	z.free.Add(free)
 	for _, attempt := range machine.Attempts {
@@ -45,7 +44,8 @@
 	}
 }
 
-// belowPriority is what the zone could give if all work below a priority stopped.
+// freeIfPreemptedBelow returns the capacity that would be free if all work below a priority
+// stopped.
 func (z *zoneCapacity) freeIfPreemptedBelow(priority protocol.Priority) cluster.Resources {
 	sum := z.free
 	for p := protocol.PriorityIdle; p < priority && int(p) < len(z.preemptible); p++ {
@@ -54,15 +54,16 @@
 	return sum
 }
 
-// preemptionImpossible says that no search can free capacity for so many tasks of a job:
-// all that may be stopped for it, whoever runs it, and all that is free are not enough.
-// With the machines full of work that may not be preempted, which is when most jobs
-// wait, this spares examining every machine for each of them.
+// preemptionImpossible reports whether preemption certainly cannot free enough capacity for
+// the given number of tasks of a job (for one task, if the job is no gang): free capacity and
+// all work of low enough priority, of whichever team, are too little together. Most jobs wait
+// when the machines are full of work that may not be preempted. This check then avoids
+// examining every machine for each waiting job.
 func (c *cycle) preemptionImpossible(job *cluster.Job, tasks int) bool {
 	if !job.Spec.Gang() {
 		tasks = 1
 	}
-	belowPriority := job.Priority // of the work that may be stopped
+	belowPriority := job.Priority // work below this priority may be stopped
 	if job.Queue.MayReclaim {
 		belowPriority++
 	}
@@ -83,10 +84,10 @@
 	return job.Spec.OneZone || total.Fit(job.Spec, tasks) < tasks
 }
 
-// awaitsUnreportedCapacity says whether, in a recovery, machines that have yet to report to
-// this leader may have free capacity for so many tasks of a job. Nothing is stopped for it
-// until they have reported, or could have: else work would be stopped beside capacity
-// that is free.
+// awaitsUnreportedCapacity reports whether, during a recovery, machines that have not reported
+// to this leader yet may have free capacity for the given number of tasks of a job. Nothing is
+// preempted for the job until these machines have reported or the silence timeout since the
+// failover has passed. Otherwise work would be stopped although enough capacity is free.
 func (sc *Scheduler) awaitsUnreportedCapacity(job *cluster.Job, tasks int) bool {
 	if !sc.env.Recovering() || sc.state.Now().Sub(sc.state.LeadingSince) > sc.state.SilenceTimeout() {
 		return false
@@ -104,8 +105,8 @@
 	return !job.Spec.OneZone && total.Fit(job.Spec, tasks) == tasks
 }
 
-// unreportedCapacity adds up what is free on machines that have yet to report, once in a
-// cycle.
+// unreportedCapacity returns the free capacity in each zone on machines that have not reported
+// yet, computed once per cycle.
 func (c *cycle) unreportedCapacity() map[protocol.ZoneName]cluster.Resources {
 	if c.unreported != nil {
 		return c.unreported
@@ -122,7 +123,8 @@
 	return c.unreported
 }
 
-// awaitsHeartbeat says whether a machine of a predecessor may yet send a heartbeat and take tasks.
+// awaitsHeartbeat reports whether a machine known from a previous leader's record has not
+// confirmed this leader's token yet, but may still do so with a heartbeat and then take tasks.
 func awaitsHeartbeat(machine *cluster.Machine) bool {
 	return machine.Recovered && !machine.Agent.TokenConfirmed && !machine.Agent.LeaseExpired &&
 		!machine.Deleting && !machine.Cordoned
