--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -30,7 +30,7 @@
 // sake of deleting machines instead of making larger blocks. The larger the
 // fleet, the more machines at once.
 func (as *Autoscaler) consolidate() {
-	if as.scheduler.WaitingJobs() > 0 {
+	if as.scheduler.Waiting() > 0 {
 		return
 	}
 	c := as.newConsolidation()
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -23,7 +23,7 @@
 	m.Sheds = n.api.Shed()
 	n.metrics.CommitSeconds, n.metrics.WaitSeconds = nil, nil
 	if n.lead != nil {
-		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.WaitingJobs()
+		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting()
 		m.Term = n.election.Term()
 		m.Now, m.Recovery = n.now, n.lead.recovery.Summary()
 	}
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -13,9 +13,9 @@
 	machine         *cluster.Machine
 	tasks           int  // number of tasks that fit
 	freeSlots       int  // free slots before the tasks are placed
-	suspected       bool // tasks failed there and none has succeeded since, or its zone may be lost
+	suspected       bool // a task failed there and none has succeeded since, or its zone may be lost
 	siblingReplicas int  // replicas of the same service on the machine
-	starvesGPUs     bool // one more task without GPUs would make some of its GPUs unusable
+	starvesGPUs     bool // one more task without GPUs would leave some of its GPUs idle
 	surviving       bool // ran a task of the gang's broken attempt and is still there
 	imageLocal      bool // has the job's image
 	price           float64
@@ -29,7 +29,7 @@
 	if job.Spec.GPUs == 0 {
 		machines = c.schedulable // it may fit on a machine whose GPUs are all in use
 	}
-	c.examined += len(machines)
+	c.machinesExamined += len(machines)
 	for _, machine := range machines {
 		if zone != "" && machine.Zone != zone || !c.state.Suits(job, machine) {
 			continue
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -19,7 +19,7 @@
 func (sc *Scheduler) RunCycle() []Demand {
 	sc.releaseObsoleteReservations()
 	sc.cycle = newCycle(sc.state)
-	defer func() { sc.machinesExamined, sc.cycle = sc.cycle.examined, nil }()
+	defer func() { sc.machinesExamined, sc.cycle = sc.cycle.machinesExamined, nil }()
 	sc.perGPURequirements.update(sc.state.Jobs)
 	queue := sc.Queue()
 	markWithinGuarantee(queue, sc.state.Quotas)
@@ -94,10 +94,10 @@
 type cycle struct {
 	state            *cluster.State
 	schedulable      []*cluster.Machine // machines that accept new tasks
-	withFreeCapacity []*cluster.Machine // those with some of every resource that they have free
-	examined         int                // machines examined so far, counted each time
-	examineLimit     int                // no preemption search starts once examined reaches it
-	capacities       map[protocol.ZoneName]*zoneCapacity
+	withFreeCapacity []*cluster.Machine // those with free capacity of every kind, where GPU tasks may fit
+	machinesExamined int                // machines examined so far, counted each time
+	examineLimit     int                // no preemption search starts once machinesExamined reaches it
+	capacity         map[protocol.ZoneName]*zoneCapacity
 	// unreported is the free capacity in each zone on machines that have not reported yet
 	// during a recovery.
 	unreported map[protocol.ZoneName]cluster.Resources
@@ -106,7 +106,7 @@
 // newCycle examines every machine and returns a cycle for them.
 func newCycle(state *cluster.State) *cycle {
 	machines := state.OrderedMachines
-	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
+	c := &cycle{state: state, machinesExamined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
 	if cores := state.Config.Cluster.Process.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
@@ -132,4 +132,4 @@
 
 // examineLimitReached reports whether the cycle has examined so many machines that the rest
 // of the queue must wait until the next cycle for preemption.
-func (c *cycle) examineLimitReached() bool { return c.examined >= c.examineLimit }
+func (c *cycle) examineLimitReached() bool { return c.machinesExamined >= c.examineLimit }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -46,11 +46,11 @@
 	job := g.job
 	zones := g.cycle.state.ZoneLimits(job)
 	if !job.Spec.Spread || len(job.Tasks) == 1 {
-		if chosen := g.fitOnMachine(zones.Only); chosen != nil {
-			return chosen
+		if onMachine := g.fitOnMachine(zones.Only); onMachine != nil {
+			return onMachine
 		}
-		if chosen := g.fitInZone(zones.Only); chosen != nil {
-			return chosen
+		if inZone := g.fitInZone(zones.Only); inZone != nil {
+			return inZone
 		}
 	}
 	if job.Spec.OneZone || job.Spec.Zone != "" {
@@ -70,7 +70,7 @@
 	return g.bestMachine(zone, func(*cluster.Machine) bool { return true })
 }
 
-// bestMachine returns the best of the accepted machines that fit the whole gang, or nil.
+// bestMachine returns the best machine that fits the whole gang and that accept allows, or nil.
 func (g gangSearch) bestMachine(zone protocol.ZoneName, accept func(*cluster.Machine) bool) []candidate {
 	list := g.cycle.candidates(g.job, zone)
 	var best *candidate
@@ -93,7 +93,7 @@
 	aligned               bool // the zone has a free block of the gang's order: room for 2^order tasks
 	residualTasks         int  // more tasks that would fit into the zone
 	survivingMachineTasks int  // tasks placed on surviving machines of the broken attempt
-	imageLocalTasks       int  // tasks placed on machines that have the image
+	imageLocal            int  // tasks placed on machines that have the image
 	price                 float64
 }
 
@@ -126,7 +126,7 @@
 	p := zonePlacement{chosen: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residualTasks: fits - size}
 	for _, cand := range p.chosen {
 		if cand.imageLocal {
-			p.imageLocalTasks += cand.tasks
+			p.imageLocal += cand.tasks
 		}
 		if cand.surviving {
 			p.survivingMachineTasks += cand.tasks
@@ -142,7 +142,7 @@
 		cmp.Compare(b.survivingMachineTasks, a.survivingMachineTasks),
 		cluster.TrueFirst(a.aligned, b.aligned),
 		cmp.Compare(a.residualTasks, b.residualTasks),
-		cmp.Compare(b.imageLocalTasks, a.imageLocalTasks),
+		cmp.Compare(b.imageLocal, a.imageLocal),
 		cmp.Compare(a.price, b.price))
 }
 
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -11,8 +11,8 @@
 )
 
 // ShouldCheckpointOnPreemption reports whether a preempted task should save a checkpoint before it
-// stops. Saving costs time on the machine and delays the waiting job. Without it, about half of
-// a checkpoint interval of work is lost on average.
+// stops. Saving costs time on the machine and delays the waiting job. Without it, the work of
+// about half a checkpoint interval is lost.
 func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
 	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
@@ -123,7 +123,7 @@
 // machineOptions returns the machines on which some of the tasks would fit after preemption. Zone
 // "" stands for all zones.
 func (s *preemptionSearch) machineOptions(zone protocol.ZoneName) (list []machinePreemption) {
-	s.cycle.examined += len(s.cycle.schedulable)
+	s.cycle.machinesExamined += len(s.cycle.schedulable)
 	for _, machine := range s.cycle.schedulable {
 		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
 			continue
@@ -177,7 +177,7 @@
 	job := s.job
 	free := s.state.FreeResources(machine)
 	if free.Fit(job.Spec, 1) == 0 && !s.hasPreemptible(machine) {
-		return machinePreemption{machine: machine} // the usual case, returned early to avoid the sort
+		return machinePreemption{machine: machine} // true of most machines: returning here avoids the sort
 	}
 	var preemptible []*cluster.Attempt
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
@@ -253,8 +253,8 @@
 }
 
 // workLost returns the approximate work, in GPU seconds, that is lost when an attempt is stopped.
-// If one task of a gang is stopped, all its tasks stop, save if the job makes checkpoints, and
-// restart together.
+// Stopping one task of a gang stops all of them. They save first if the job makes checkpoints,
+// and have to restart together.
 func workLost(attempt *cluster.Attempt, now time.Time) float64 {
 	spec := attempt.Job.Spec
 	gpus := max(1, spec.GPUs)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -12,13 +12,13 @@
 // then by order of arrival. During a recovery the largest gangs of each priority come first.
 func (sc *Scheduler) Queue() []*cluster.Job {
 	type entry struct {
-		job       *cluster.Job
-		queueTime time.Time
+		job  *cluster.Job
+		time time.Time
 	}
 	largestFirst := sc.env.Recovering()
 	entries := make([]entry, 0, len(sc.state.Jobs))
 	for _, job := range sc.state.Jobs {
-		entries = append(entries, entry{job: job, queueTime: job.QueueTime(sc.state.Now())})
+		entries = append(entries, entry{job: job, time: job.QueueTime(sc.state.Now())})
 	}
 	slices.SortFunc(entries, func(a, b entry) int {
 		bySize := 0
@@ -28,7 +28,7 @@
 		return cmp.Or(
 			cmp.Compare(b.job.Priority, a.job.Priority),
 			bySize,
-			a.queueTime.Compare(b.queueTime),
+			a.time.Compare(b.time),
 			cmp.Compare(a.job.ArrivalOrder, b.job.ArrivalOrder),
 			cmp.Compare(a.job.ID, b.job.ID))
 	})
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -6,8 +6,8 @@
 )
 
 // reserveMachines reserves free machines for a gang, so that jobs behind it in the queue cannot
-// take them. It takes the zone in which most of the gang's tasks fit, and there no more
-// machines than the gang needs.
+// take them. It chooses the zone in which most of the gang's tasks fit, and reserves no
+// more machines there than the gang needs.
 func (c *cycle) reserveMachines(job *cluster.Job) {
 	var best []candidate
 	maxTasks := 0
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -58,8 +58,8 @@
 // each time it was examined.
 func (sc *Scheduler) MachinesExamined() int { return sc.machinesExamined }
 
-// WaitingJobs returns how many jobs still waited for machines after the last cycle.
-func (sc *Scheduler) WaitingJobs() int { return sc.waitingJobs }
+// Waiting returns how many jobs still waited for machines after the last cycle.
+func (sc *Scheduler) Waiting() int { return sc.waitingJobs }
 
 // MachineLost records that a machine was deleted as unresponsive.
 func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
--- a/internal/coordination/scheduler/zone_capacity.go
+++ b/internal/coordination/scheduler/zone_capacity.go
@@ -16,20 +16,20 @@
 
 // zoneCapacities returns the capacity of each zone, computed once per cycle.
 func (c *cycle) zoneCapacities() map[protocol.ZoneName]*zoneCapacity {
-	if c.capacities != nil {
-		return c.capacities
+	if c.capacity != nil {
+		return c.capacity
 	}
-	c.capacities = map[protocol.ZoneName]*zoneCapacity{}
-	c.examined += len(c.schedulable)
+	c.capacity = map[protocol.ZoneName]*zoneCapacity{}
+	c.machinesExamined += len(c.schedulable)
 	for _, machine := range c.schedulable {
-		capacity := c.capacities[machine.Zone]
+		capacity := c.capacity[machine.Zone]
 		if capacity == nil {
 			capacity = &zoneCapacity{}
-			c.capacities[machine.Zone] = capacity
+			c.capacity[machine.Zone] = capacity
 		}
 		capacity.addMachine(machine, c.state.FreeResources(machine))
 	}
-	return c.capacities
+	return c.capacity
 }
 
 // addMachine adds a machine's free capacity and the capacity that its attempts use.
@@ -44,9 +44,8 @@
 	}
 }
 
-// freeIfPreemptedBelow returns the capacity that would be free if all work below a priority
-// stopped.
-func (z *zoneCapacity) freeIfPreemptedBelow(priority protocol.Priority) cluster.Resources {
+// belowPriority returns the capacity that would be free if all work below a priority stopped.
+func (z *zoneCapacity) belowPriority(priority protocol.Priority) cluster.Resources {
 	sum := z.free
 	for p := protocol.PriorityIdle; p < priority && int(p) < len(z.preemptible); p++ {
 		sum.Add(z.preemptible[p])
@@ -55,7 +54,7 @@
 }
 
 // preemptionImpossible reports whether preemption certainly cannot free enough capacity for
-// the given number of tasks of a job (for one task, if the job is no gang): free capacity and
+// the given number of tasks of a job (for one task, if the job is not a gang): free capacity and
 // all work of low enough priority, of whichever team, are too little together. Most jobs wait
 // when the machines are full of work that may not be preempted. This check then avoids
 // examining every machine for each waiting job.
@@ -75,7 +74,7 @@
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
-		sum := capacity.freeIfPreemptedBelow(belowPriority)
+		sum := capacity.belowPriority(belowPriority)
 		if sum.Fit(job.Spec, tasks) == tasks {
 			return false
 		}
@@ -112,7 +111,7 @@
 		return c.unreported
 	}
 	c.unreported = map[protocol.ZoneName]cluster.Resources{}
-	c.examined += len(c.state.OrderedMachines)
+	c.machinesExamined += len(c.state.OrderedMachines)
 	for _, machine := range c.state.OrderedMachines {
 		if awaitsHeartbeat(machine) {
 			free := c.unreported[machine.Zone]
