--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -9,74 +9,74 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Gangs are placed by HDF-B: a gang goes whole into the smallest domain (a machine, then a
-// zone, then the region) that has a free block of its order, the one with the least
-// residual slots among equals. See docs/design.md.
+// Gangs are placed by the HDF-B algorithm, see docs/design.md. A gang is placed all-or-nothing in
+// the smallest domain (a machine, else a zone, else the region) that has a free block of the
+// gang's order. Among equal domains, the one with the fewest residual slots is chosen.
 
-// placeGang finds a place for every task of a gang, or for none.
+// placeGang places either every task of a gang or none, and reports whether it placed them.
 func (sc *Scheduler) placeGang(job *cluster.Job) bool {
 	if sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.env.AwaitsRecordSplit(job) {
 		return false
 	}
 	search := gangSearch{cycle: sc.currentCycle(), job: job}
-	places := search.smallestDomain()
-	if places == nil {
+	chosen := search.findSmallestDomain()
+	if chosen == nil {
 		return false
 	}
 	job.Epoch = nextEpoch(job)
 	index := 0
-	for _, place := range places {
-		for range place.tasks {
-			sc.assign(job, index, job.Epoch, place.machine)
+	for _, cand := range chosen {
+		for range cand.tasks {
+			sc.assign(job, index, job.Epoch, cand.machine)
 			index++
 		}
 	}
 	return true
 }
 
-// gangSearch searches for a place for a whole gang.
+// gangSearch searches for machines that can take all tasks of a gang.
 type gangSearch struct {
 	cycle *cycle
 	job   *cluster.Job
 }
 
-// smallestDomain finds machines for the gang within the smallest domain that holds it;
-// nil if none does.
-func (g gangSearch) smallestDomain() []candidate {
+// findSmallestDomain returns machines for the gang within the smallest domain that fits it, or
+// nil if no domain does.
+func (g gangSearch) findSmallestDomain() []candidate {
 	job := g.job
 	zones := g.cycle.state.ZoneLimits(job)
 	if !job.Spec.Spread || len(job.Tasks) == 1 {
-		if place := g.placeOnMachine(zones.Only); place != nil {
-			return place
+		if onMachine := g.fitOnMachine(zones.Only); onMachine != nil {
+			return onMachine
 		}
-		if places := g.placeInZone(zones.Only); places != nil {
-			return places
+		if inZone := g.fitInZone(zones.Only); inZone != nil {
+			return inZone
 		}
 	}
 	if job.Spec.OneZone || job.Spec.Zone != "" {
 		return nil
 	}
-	return g.placeInRegion(zones)
+	return g.fitInRegion(zones)
 }
 
-// placeOnMachine finds one machine for the gang, if possible one with an aligned block
-// of the gang's order.
-func (g gangSearch) placeOnMachine(zone protocol.ZoneName) []candidate {
+// fitOnMachine returns one machine for the whole gang, if possible one that has a free aligned
+// block of the gang's order.
+func (g gangSearch) fitOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
 	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
-	if place := g.bestMachine(zone, aligned); place != nil {
-		return place
+	if chosen := g.bestMachine(zone, aligned); chosen != nil {
+		return chosen
 	}
 	return g.bestMachine(zone, func(*cluster.Machine) bool { return true })
 }
 
-// bestMachine finds the best of the machines that hold the gang and that suit.
-func (g gangSearch) bestMachine(zone protocol.ZoneName, suits func(*cluster.Machine) bool) []candidate {
+// bestMachine returns the best machine that fits the whole gang and that accept allows, or nil.
+func (g gangSearch) bestMachine(zone protocol.ZoneName, accept func(*cluster.Machine) bool) []candidate {
 	list := g.cycle.candidates(g.job, zone)
 	var best *candidate
 	for i := range list {
 		c := &list[i]
-		if c.tasks >= len(g.job.Tasks) && suits(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
+		if c.tasks >= len(g.job.Tasks) && accept(c.machine) && (best == nil || compareByFit(*c, *best) < 0) {
 			best = c
 		}
 	}
@@ -87,20 +87,21 @@
 	return []candidate{*best}
 }
 
-// zonePlacement is a gang's placement within one zone.
+// zonePlacement is a possible placement of a gang within one zone.
 type zonePlacement struct {
-	places     []candidate
-	aligned    bool // the zone has a free block of the gang's order
-	residual   int  // tasks that would fit beside it
-	survivors  int  // tasks that return to the machines of the broken attempt
-	imageLocal int  // tasks that find their image
-	price      float64
+	chosen                []candidate
+	aligned               bool // the zone has a free block of the gang's order: room for 2^order tasks
+	residualTasks         int  // more tasks that would fit into the zone
+	survivingMachineTasks int  // tasks placed on surviving machines of the broken attempt
+	imageLocal            int  // tasks placed on machines that have the image
+	price                 float64
 }
 
-// placeInZone finds the zone with a free block of the gang's order and the least
-// residual capacity; without one, the zone that holds the gang as a union of smaller
-// blocks.
-func (g gangSearch) placeInZone(only protocol.ZoneName) []candidate {
+// fitInZone returns machines within one zone for the gang, or nil. It prefers zones where tasks
+// return to surviving machines of a broken attempt, then zones that have a free block of the
+// gang's order, then those with the least residual capacity. A zone without such a block fits
+// the gang as a union of smaller blocks.
+func (g gangSearch) fitInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
 	for _, zone := range g.cycle.state.Config.Cluster.Zones {
 		if only != "" && zone != only {
@@ -112,40 +113,42 @@
 			continue
 		}
 		placement := newZonePlacement(list, fits, len(g.job.Tasks))
-		if best.places == nil || comparePlacements(placement, best) < 0 {
+		if best.chosen == nil || comparePlacements(placement, best) < 0 {
 			best = placement
 		}
 	}
-	return best.places
+	return best.chosen
 }
 
-// newZonePlacement packs a gang of a size into a zone where so many of its tasks fit.
+// newZonePlacement packs a gang of the given size into a zone. The zone's candidates are list,
+// and fits is how many of the gang's tasks they have room for.
 func newZonePlacement(list []candidate, fits, size int) zonePlacement {
-	p := zonePlacement{places: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residual: fits - size}
-	for _, place := range p.places {
-		if place.imageLocal {
-			p.imageLocal += place.tasks
+	p := zonePlacement{chosen: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residualTasks: fits - size}
+	for _, cand := range p.chosen {
+		if cand.imageLocal {
+			p.imageLocal += cand.tasks
 		}
-		if place.survivor {
-			p.survivors += place.tasks
+		if cand.surviving {
+			p.survivingMachineTasks += cand.tasks
 		}
-		p.price += place.price
+		p.price += cand.price
 	}
 	return p
 }
 
-// comparePlacements orders placements in different zones, the best first.
+// comparePlacements orders placements in different zones, the best one first.
 func comparePlacements(a, b zonePlacement) int {
 	return cmp.Or(
-		cmp.Compare(b.survivors, a.survivors),
+		cmp.Compare(b.survivingMachineTasks, a.survivingMachineTasks),
 		cluster.TrueFirst(a.aligned, b.aligned),
-		cmp.Compare(a.residual, b.residual),
+		cmp.Compare(a.residualTasks, b.residualTasks),
 		cmp.Compare(b.imageLocal, a.imageLocal),
 		cmp.Compare(a.price, b.price))
 }
 
-// placeInRegion spreads the gang over the fewest zones that its limits allow.
-func (g gangSearch) placeInRegion(limits cluster.ZoneLimits) []candidate {
+// fitInRegion spreads the gang over as few zones as its zone limits allow. It returns nil if the
+// gang does not fit.
+func (g gangSearch) fitInRegion(limits cluster.ZoneLimits) []candidate {
 	type zoneCandidates struct {
 		list []candidate
 		fits int
@@ -156,20 +159,21 @@
 		zones = append(zones, zoneCandidates{list: list, fits: min(countTasks(list), limits.Remaining[zone])})
 	}
 	slices.SortStableFunc(zones, func(a, b zoneCandidates) int { return cmp.Compare(b.fits, a.fits) })
-	var places []candidate
-	left := len(g.job.Tasks)
+	var chosen []candidate
+	remaining := len(g.job.Tasks)
 	for _, zone := range zones {
-		tasks := min(left, zone.fits)
-		places = append(places, pack(zone.list, tasks)...)
-		left -= tasks
+		tasks := min(remaining, zone.fits)
+		chosen = append(chosen, pack(zone.list, tasks)...)
+		remaining -= tasks
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return nil
 	}
-	return places
+	return chosen
 }
 
-// nextEpoch is the gang's next epoch: above every attempt of every task.
+// nextEpoch returns the gang's next epoch, which is higher than the number of every attempt of its
+// tasks.
 func nextEpoch(job *cluster.Job) protocol.AttemptNumber {
 	next := job.Epoch
 	for i := range job.Tasks {
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -8,31 +8,32 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// MoveReplicas moves replicas away from machines that are to go, or whose lease is
-// about to expire: two attempts must never run, so the old one ends first, when there
-// is a place for its successor, on a machine that has its image if there is one.
-// Of a service one moves at a time, unless the cloud takes the machine away.
+// MoveReplicas moves replicas off machines that are cordoned or whose agent's lease is about to
+// expire. Two attempts of a replica must never run at the same time, so the old attempt is
+// stopped before its replacement starts, but only once there is a machine for the replacement,
+// if possible one that has the image. Replicas of a service move one at a time, unless the cloud
+// is about to reclaim the spot machine.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
-		if !mustLoseReplicas(machine, sc.state) {
+		if !replicasShouldLeave(machine, sc.state) {
 			continue
 		}
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
-			if mayMove(attempt) {
+			if mayMoveReplica(attempt) {
 				sc.moveReplica(attempt)
 			}
 		}
 	}
 }
 
-// mustLoseReplicas says whether the replicas on a machine should go elsewhere while it can
-// still end them in good order.
-func mustLoseReplicas(machine *cluster.Machine, state *cluster.State) bool {
+// replicasShouldLeave reports whether the replicas on a machine should move to other machines
+// while its agent can still stop them in an orderly way.
+func replicasShouldLeave(machine *cluster.Machine, state *cluster.State) bool {
 	return (machine.Cordoned || state.NotReporting(machine)) && !machine.Deleting && state.ConfirmedAlive(machine)
 }
 
-// mayMove says whether an attempt is a replica that may be moved now.
-func mayMove(attempt *cluster.Attempt) bool {
+// mayMoveReplica reports whether an attempt is a replica that may be moved now.
+func mayMoveReplica(attempt *cluster.Attempt) bool {
 	job := attempt.Job
 	if !job.Spec.Service() || job.Cancelled {
 		return false
@@ -43,29 +44,30 @@
 	return attempt.Machine.SpotNotice || job.FullyPlaced()
 }
 
-// moveReplica ends a replica once a place for its successor is reserved.
+// moveReplica reserves a machine for a replica's replacement, if there is one, and then stops the
+// replica.
 func (sc *Scheduler) moveReplica(attempt *cluster.Attempt) {
-	target := sc.successorMachine(attempt, anyZone)
+	target := sc.replacementMachine(attempt, anyZone)
 	if target == nil {
 		return
 	}
-	sc.log.Info("replica moves", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
+	sc.log.Info("moving replica", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number,
 		"machine", attempt.Machine.ID, "target", target.ID)
 	target.ReserveFor(attempt.Job, sc.state.Now().Add(tuning.ReservationTimeout))
 	sc.env.Stop(attempt, 0)
 }
 
-// successorZone says where the successor of a replica may be.
-type successorZone int
+// replacementZone says in which zones the replacement of a replica may be placed.
+type replacementZone int
 
 const (
-	anyZone       successorZone = iota // also in the replica's own zone, in whose place it comes
-	otherZoneOnly                      // not there
+	anyZone       replacementZone = iota // including the replica's own zone, where it makes room for one
+	otherZoneOnly                        // excluding the replica's own zone
 )
 
-// successorMachine finds the best machine for a replica whose own place is given up; nil if
-// there is none.
-func (sc *Scheduler) successorMachine(attempt *cluster.Attempt, where successorZone) *cluster.Machine {
+// replacementMachine returns the best machine for the replacement of a replica, or nil if there
+// is none.
+func (sc *Scheduler) replacementMachine(attempt *cluster.Attempt, where replacementZone) *cluster.Machine {
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	if where == otherZoneOnly {
@@ -74,7 +76,7 @@
 		limits.Remaining[attempt.Machine.Zone]++
 	}
 	if job.Spec.OneZone && len(job.Attempts) == 1 {
-		limits.Only = "" // with this replica the service leaves the zone that it was bound to
+		limits.Only = "" // moving its only replica releases the service from the zone that it was bound to
 		for zone := range limits.Remaining {
 			limits.Remaining[zone] = 1
 		}
@@ -93,38 +95,39 @@
 	return best.machine
 }
 
-// ReplicasHavePlacesElsewhere says whether a machine behind a suspected partition is better given up for
-// its replicas' sake: another zone is heard, so it is not this controller's own
-// network, and most of them have places there that their limits allow. The others are
-// back only with the partition's end, and then where a machine boots for them.
-func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
-	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
-	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
+// MostReplicasFitElsewhere reports whether a machine behind a suspected partition should be deleted
+// so that its replicas restart elsewhere. That is so if another zone is reachable, which shows
+// that the fault is not in this controller's own network, and if most of the replicas fit into
+// other zones within their limits. The remaining replicas are lost until the partition ends,
+// and then until a machine has booted for them.
+func (sc *Scheduler) MostReplicasFitElsewhere(machine *cluster.Machine, reachable map[protocol.ZoneName]bool) bool {
+	isOtherReachableZone := func(zone protocol.ZoneName) bool { return zone != machine.Zone && reachable[zone] }
+	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, isOtherReachableZone) {
 		return false
 	}
-	gain := 0
+	surplus := 0
 	for _, attempt := range machine.Attempts {
 		switch {
 		case !attempt.Job.Spec.Service() || attempt.Stopping:
-		case sc.hasPlaceInOtherZone(attempt):
-			gain++
+		case sc.fitsInOtherZone(attempt):
+			surplus++
 		default:
-			gain--
+			surplus--
 		}
 	}
-	return gain > 0
+	return surplus > 0
 }
 
-// hasPlaceInOtherZone says whether a replica could start in another zone at once, on
-// capacity that is free or that work of lower priority leaves.
-func (sc *Scheduler) hasPlaceInOtherZone(attempt *cluster.Attempt) bool {
-	if sc.successorMachine(attempt, otherZoneOnly) != nil {
+// fitsInOtherZone reports whether a replica could start in another zone, on capacity that is
+// free or that preemption would free.
+func (sc *Scheduler) fitsInOtherZone(attempt *cluster.Attempt) bool {
+	if sc.replacementMachine(attempt, otherZoneOnly) != nil {
 		return true
 	}
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || heartbeatLate(machine, sc.state) {
 			continue
 		}
 		free := capacityAfterPreemption(machine, job, sc.state)
@@ -135,8 +138,8 @@
 	return false
 }
 
-// capacityAfterPreemption is a machine's free capacity once all has stopped that may be
-// preempted for a job and can stop alone, which a task of a gang cannot.
+// capacityAfterPreemption returns a machine's free capacity after everything is stopped that may
+// be preempted for a job. Tasks of gangs are not counted, because a gang only stops as a whole.
 func capacityAfterPreemption(machine *cluster.Machine, job *cluster.Job, state *cluster.State) cluster.Resources {
 	free := state.FreeResources(machine)
 	for _, attempt := range machine.Attempts {
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -5,27 +5,28 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// reserveMachines keeps the free machines of the zone where the gang lacks least from
-// jobs behind it in the queue, no more of them than it needs.
+// reserveMachines reserves free machines for a gang, so that jobs behind it in the queue cannot
+// take them. It chooses the zone in which most of the gang's tasks fit, and reserves no
+// more machines there than the gang needs.
 func (c *cycle) reserveMachines(job *cluster.Job) {
 	var best []candidate
-	most := 0
+	maxTasks := 0
 	for _, zone := range c.state.Config.Cluster.Zones {
 		list := c.candidates(job, zone)
-		if tasks := countTasks(list); tasks > most {
-			best, most = list, tasks
+		if tasks := countTasks(list); tasks > maxTasks {
+			best, maxTasks = list, tasks
 		}
 	}
-	for _, place := range pack(best, len(job.Tasks)) {
-		if place.machine.ReservedFor == nil {
-			place.machine.ReserveFor(job, c.state.Now().Add(2*tuning.MaxSchedulingInterval))
+	for _, cand := range pack(best, len(job.Tasks)) {
+		if cand.machine.ReservedFor == nil {
+			cand.machine.ReserveFor(job, c.state.Now().Add(2*tuning.MaxSchedulingInterval))
 		}
 	}
 }
 
-// releaseReservations ends the reservations that have expired or whose job is over or does
-// not wait any more.
-func (sc *Scheduler) releaseReservations() {
+// releaseObsoleteReservations releases the reservations that have expired and those whose job
+// has ended or no longer waits.
+func (sc *Scheduler) releaseObsoleteReservations() {
 	now := sc.state.Now()
 	for _, machine := range sc.state.OrderedMachines {
 		if job := machine.ReservedFor; job != nil && (now.After(machine.ReservedUntil) || !sc.needsReservation(job)) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// needsReservation says whether a job waits, or will once its present attempt has ended.
+// needsReservation reports whether a job waits, or will wait once its current attempt has ended.
 func (sc *Scheduler) needsReservation(job *cluster.Job) bool {
 	if job.Finished || job.Cancelled {
 		return false
