--- a/internal/buddy/buddy_test.go
+++ b/internal/buddy/buddy_test.go
@@ -97,7 +97,7 @@
 				k := Order(size)
 				from := m.smallest(k)
 				free := b.free
-				got := b.Carve(size)
+				got := b.Allocate(size)
 				if want := min(size, free); len(got) != want {
 					t.Fatalf("%d of %d slots for %d with %d free", len(got), n, size, free)
 				}
@@ -119,8 +119,8 @@
 				held = append(held, got)
 			}
 			for k := range 5 {
-				if b.Aligned(k) != m.aligned(k) {
-					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, b.Aligned(k), m.aligned(k))
+				if b.FreeBlocks(k) != m.aligned(k) {
+					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, b.FreeBlocks(k), m.aligned(k))
 				}
 			}
 		}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -142,7 +142,7 @@
 // has forgotten every attempt of an older one.
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
-		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
+		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
 			// Its lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -157,7 +157,7 @@
 // maydeleteSilent says whether a machine, not the network, is at fault, or has been gone for
 // longer than another takes to boot.
 func (l *Liveness) maydeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
-	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
+	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBootTime(machine)
 }
 
 // mayDeleteReplicaHost says the same of a machine with replicas, or that these have places
@@ -166,7 +166,7 @@
 	if partitions.early == nil {
 		partitions.early, partitions.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.heard)
+	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.heard)
 }
 
 // deleteSilent has a machine deleted that does not answer.
--- a/internal/coordination/cluster/accounts_test.go
+++ b/internal/coordination/cluster/accounts_test.go
@@ -74,7 +74,7 @@
 	machine := c.AddMachine("i-1", "big", "a")
 	first, second := c.AddJob(clustertest.Gang(1, 1)), c.AddJob(clustertest.Gang(1, 1))
 	machine.ReserveFor(first, c.Now())
-	if c.Usable(second, machine) || !c.Usable(first, machine) {
+	if c.Eligible(second, machine) || !c.Eligible(first, machine) {
 		t.Error("the reservation does not keep others out")
 	}
 	machine.ReserveFor(second, c.Now())
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -30,8 +30,8 @@
 			if suspected["a"] != c.suspected || heard["a"] != c.heard || suspected["b"] || !heard["b"] {
 				t.Errorf("suspected %v, heard %v", suspected, heard)
 			}
-			if model.SomeZoneSilent() != c.suspected {
-				t.Errorf("some zone silent %v", model.SomeZoneSilent())
+			if model.AnyZoneSuspected() != c.suspected {
+				t.Errorf("some zone silent %v", model.AnyZoneSuspected())
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	}
 	model.Heartbeat()
 	for range 10 {
-		machine.Agent.LastAnswered, machine.Agent.TokenConfirmed = true, false
+		machine.Agent.LastHeartbeatAnswered, machine.Agent.TokenConfirmed = true, false
 		machine.CountIneffectiveResponses(&protocol.Heartbeat{})
 	}
 	machine.Agent.TokenConfirmed = true
--- a/internal/coordination/cluster/states_test.go
+++ b/internal/coordination/cluster/states_test.go
@@ -43,7 +43,7 @@
 		t.Error("an answered start may arrive")
 	}
 	attempt.BeginDirectStart(time.Unix(2, 0))
-	attempt.LoseDirectStart()
+	attempt.MarkDirectStartUnanswered()
 	if !attempt.StartMayArrive() || attempt.StartsInFlight != 0 {
 		t.Errorf("may arrive %v, %d in flight", attempt.StartMayArrive(), attempt.StartsInFlight)
 	}
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -91,7 +91,7 @@
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: c.now},
 		Records: cluster.RecordLayout{TasksPerRecord: spec.Tasks, Revisions: make([]protocol.Revision, 1),
-			Abandoned: map[int]protocol.Revision{}},
+			AbandonedParts: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
 	job.StartDeadlines = c.StartDeadlines(job)
@@ -108,8 +108,8 @@
 	job.EverPlaced = true
 }
 
-// Run makes all attempts of a job committed, started and seen running.
-func (c *Cluster) Run(job *cluster.Job) {
+// MarkAllRunning makes all attempts of a job committed, started and seen running.
+func (c *Cluster) MarkAllRunning(job *cluster.Job) {
 	for _, attempt := range job.Attempts {
 		attempt.MarkCommitted()
 		attempt.ObserveState(protocol.TaskRunning, c.now)
@@ -132,8 +132,8 @@
 		CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 1}
 }
 
-// Stopping counts a job's attempts that are to end.
-func Stopping(job *cluster.Job) (count int) {
+// CountStopping counts a job's attempts that are to end.
+func CountStopping(job *cluster.Job) (count int) {
 	for _, attempt := range job.Attempts {
 		if attempt.Stopping {
 			count++
@@ -150,7 +150,7 @@
 	for _, attempt := range job.Attempts {
 		machine := attempt.Machine
 		perZone[machine.Zone]++
-		if !cluster.Allows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
+		if !cluster.SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
 			t.Fatalf("%+v on %s in %s, spot %v", job.Spec, machine.TypeName, machine.Zone, machine.Spot)
 		}
 	}
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -51,10 +51,10 @@
 	}
 	capacity := int(limits.ValueKB * 1024)
 	if r == 0 {
-		if job.Records.SpecSize == 0 {
-			job.Records.SpecSize = len(storage.Encode(job.Spec))
+		if job.Records.SpecBytes == 0 {
+			job.Records.SpecBytes = len(storage.Encode(job.Spec))
 		}
-		capacity -= job.Records.SpecSize
+		capacity -= job.Records.SpecBytes
 	}
 	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
 		return false // with entries of any size
@@ -92,7 +92,7 @@
 	}
 	var list []int
 	for part, source := range job.Records.UnnamedParts {
-		if !job.Records.Staged[part] || job.Write.Dirty[part] {
+		if !job.Records.StagedParts[part] || job.Write.Dirty[part] {
 			list = append(list, part)
 		}
 		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
@@ -127,13 +127,13 @@
 // parts, so that a write of it completes a split.
 func noteWritten(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
-		job.Records.UnnamedParts, job.Records.Staged, job.Records.Splitting = nil, nil, false
+		job.Records.UnnamedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
 		return
 	}
-	if job.Records.Staged == nil {
-		job.Records.Staged = map[int]bool{}
+	if job.Records.StagedParts == nil {
+		job.Records.StagedParts = map[int]bool{}
 	}
 	for _, r := range write.records {
-		job.Records.Staged[r] = true // until it changes again
+		job.Records.StagedParts[r] = true // until it changes again
 	}
 }
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -236,7 +236,7 @@
 		first := job.TasksOf(1) // the first part is in the first step
 		if staged {
 			l.carryOut(t, l.next(t))
-			if !job.Records.Staged[1] || !job.Records.Splitting {
+			if !job.Records.StagedParts[1] || !job.Records.Splitting {
 				t.Fatal("not staged")
 			}
 		}
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -31,7 +31,7 @@
 	}
 	c.examined += len(machines)
 	for _, machine := range machines {
-		if zone != "" && machine.Zone != zone || !c.state.Suits(job, machine) {
+		if zone != "" && machine.Zone != zone || !c.state.MeetsConstraints(job, machine) {
 			continue
 		}
 		tasks := c.state.FreeResources(machine).Fit(job.Spec, len(job.Tasks))
@@ -43,7 +43,7 @@
 			tasks:         tasks,
 			residualSlots: machine.Slots.Free(),
 			suspected:     len(machine.FailedJobs) > 0,
-			survivor:      job.Survivors[machine.ID],
+			survivor:      job.SurvivingMachines[machine.ID],
 			imageLocal:    machine.HasImage(job.Spec.Image),
 			price:         c.state.PriceOf(machine),
 		})
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -55,13 +55,13 @@
 		return 0
 	}
 	if job.Spec.Gang() {
-		if job.Failures.Attributed == 0 && sc.waitsForImageLocalMachines(job) || sc.placeGang(job) {
+		if job.Failures.AttributedToJob == 0 && sc.waitsForImageLocalMachines(job) || sc.placeGang(job) {
 			return 0
 		}
 	} else if tasks = sc.placeTasks(job, imageAnywhere); tasks == 0 {
 		return 0
 	}
-	if job.Failures.Attributed > 0 {
+	if job.Failures.AttributedToJob > 0 {
 		return 0 // it is tried on what is free alone
 	}
 	tasks = min(tasks, sc.state.TasksWithinLimit(job))
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -20,7 +20,7 @@
 	for range 40 {
 		job := h.cluster.AddJob(spec)
 		h.placeArray(job, imageAnywhere)
-		h.cluster.Run(job)
+		h.cluster.MarkAllRunning(job)
 	}
 }
 
@@ -48,7 +48,7 @@
 		h.checkExamined(t, waiting, 4*len(h.cluster.OrderedMachines)+budget+len(h.cluster.OrderedMachines)*len(h.cluster.Config.Cluster.Zones))
 		searched := 0
 		for _, job := range waiting {
-			if !job.Queue.PreemptionNotBefore.IsZero() || len(job.Reserved) > 0 {
+			if !job.Queue.PreemptionSearchNotBefore.IsZero() || len(job.Reserved) > 0 {
 				searched++
 			}
 		}
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -63,7 +63,7 @@
 // of the gang's order.
 func (g gangSearch) placeOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
-	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
+	aligned := func(machine *cluster.Machine) bool { return machine.Slots.FreeBlocks(order) > 0 }
 	if place := g.bestMachine(zone, aligned); place != nil {
 		return place
 	}
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -13,14 +13,14 @@
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
-	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
+	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.currentCycle().preemptionIsHopeless(job, len(job.Tasks)) {
 		return false
 	}
 	if sc.currentCycle().fitsImageLocally(job) {
 		return false // the placement finds the machines
 	}
-	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+	job.Queue.ImageLocalSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageLocalOnly)
 	if len(plan.machines) == 0 || !fasterThanFetch(job, plan, fetch) {
 		return false
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -105,7 +105,7 @@
 	}
 	perZone := map[protocol.ZoneName]int{}
 	for _, machine := range h.cluster.Machines {
-		if !h.cluster.Usable(job, machine) {
+		if !h.cluster.Eligible(job, machine) {
 			continue
 		}
 		fits := h.cluster.FreeResources(machine).Fit(spec, size)
@@ -224,7 +224,7 @@
 	old := h.cluster.AddMachine("i-1", "big", "a")
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	h.RunCycle()
-	h.cluster.Run(job)
+	h.cluster.MarkAllRunning(job)
 	old.Cordoned = true
 	h.MoveReplicas()
 	if len(h.environment.Stopped) != 0 {
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -49,13 +49,13 @@
 // capacity for it, and reserves the capacity for it. A search that found nothing is not
 // repeated at once: it examines every machine.
 func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
-	if preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() ||
+	if preempting(job) || sc.state.Now().Before(job.Queue.PreemptionSearchNotBefore) || sc.currentCycle().exhausted() ||
 		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionIsHopeless(job, tasks) {
 		return
 	}
 	plan := sc.currentCycle().findPreemptions(job, tasks, imageAnywhere)
 	if len(plan.machines) == 0 {
-		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+		job.Queue.PreemptionSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
 	sc.preempt(job, plan)
 }
@@ -123,7 +123,7 @@
 func (s *preemptionSearch) collect(zone protocol.ZoneName) (list []preemption) {
 	s.cycle.examined += len(s.cycle.schedulable)
 	for _, machine := range s.cycle.schedulable {
-		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
+		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.MeetsConstraints(s.job, machine) {
 			continue
 		}
 		if s.image == imageLocalOnly && !machine.HasImage(s.job.Spec.Image) {
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -124,7 +124,7 @@
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.MeetsConstraints(job, machine) || isLate(machine, sc.state) {
 			continue
 		}
 		free := capacityAfterPreemption(machine, job, sc.state)
