--- a/internal/buddy/buddy.go
+++ b/internal/buddy/buddy.go
@@ -61,16 +61,16 @@
 		if !b.blockFree(start, 1<<k) {
 			continue
 		}
-		o := k // the order of the maximal free block around start
+		blockOrder := k // the order of the maximal free block around start
 		for {
-			size := 2 << o
+			size := 2 << blockOrder
 			if !b.blockFree(start/size*size, size) {
 				break
 			}
-			o++
+			blockOrder++
 		}
-		if best < 0 || o < bestOrder {
-			best, bestOrder = start, o
+		if best < 0 || blockOrder < bestOrder {
+			best, bestOrder = start, blockOrder
 		}
 	}
 	var taken []int
--- a/internal/buddy/buddy_test.go
+++ b/internal/buddy/buddy_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// buddyModel is the classical allocator: lists of free blocks by order, split
+// freeListAllocator is the classical allocator: lists of free blocks by order, split
 // on allocation and merged with their buddies on release.
-type buddyModel struct {
+type freeListAllocator struct {
 	n    int
 	free map[int]map[int]bool // order -> starts
 }
 
-func newBuddyModel(n int) *buddyModel {
-	m := &buddyModel{n: n, free: map[int]map[int]bool{}}
+func newFreeListAllocator(n int) *freeListAllocator {
+	m := &freeListAllocator{n: n, free: map[int]map[int]bool{}}
 	for i := range n {
 		m.release(i)
 	}
 	return m
 }
 
-func (m *buddyModel) release(start int) {
+func (m *freeListAllocator) release(start int) {
 	k := 0
 	for {
 		buddy := start ^ 1<<k
@@ -38,8 +38,8 @@
 	}
 }
 
-// take removes one slot, splitting the block that holds it.
-func (m *buddyModel) take(slot int) bool {
+// allocateSlot removes one slot, splitting the block that holds it.
+func (m *freeListAllocator) allocateSlot(slot int) bool {
 	for k, starts := range m.free {
 		for start := range starts {
 			if slot < start || slot >= start+1<<k {
@@ -57,8 +57,8 @@
 	return false
 }
 
-// smallest is the order of the smallest free block of at least order k, or -1.
-func (m *buddyModel) smallest(k int) int {
+// smallestFreeOrder is the order of the smallest free block of at least order k, or -1.
+func (m *freeListAllocator) smallestFreeOrder(k int) int {
 	for ; k < 16; k++ {
 		if len(m.free[k]) > 0 {
 			return k
@@ -67,7 +67,7 @@
 	return -1
 }
 
-func (m *buddyModel) aligned(k int) int {
+func (m *freeListAllocator) freeBlocks(k int) int {
 	n := 0
 	for o, starts := range m.free {
 		if o >= k {
@@ -77,50 +77,50 @@
 	return n
 }
 
-// TestBuddyAgainstModel compares the slot map with the classical allocator.
-func TestBuddyAgainstModel(t *testing.T) {
+// TestMapMatchesFreeListAllocator compares the slot map with the classical allocator.
+func TestMapMatchesFreeListAllocator(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		n := 1 + rng.IntN(20)
-		b, m := New(n), newBuddyModel(n)
-		var held [][]int
+		slots, model := New(n), newFreeListAllocator(n)
+		var allocated [][]int
 		for range 60 {
-			if len(held) > 0 && rng.IntN(2) == 0 {
-				i := rng.IntN(len(held))
-				b.Release(held[i])
-				for _, s := range held[i] {
-					m.release(s)
+			if len(allocated) > 0 && rng.IntN(2) == 0 {
+				i := rng.IntN(len(allocated))
+				slots.Release(allocated[i])
+				for _, s := range allocated[i] {
+					model.release(s)
 				}
-				held = append(held[:i], held[i+1:]...)
+				allocated = append(allocated[:i], allocated[i+1:]...)
 			} else {
 				size := 1 + rng.IntN(5)
 				k := Order(size)
-				from := m.smallest(k)
-				free := b.free
-				got := b.Allocate(size)
+				smallest := model.smallestFreeOrder(k)
+				free := slots.free
+				got := slots.Allocate(size)
 				if want := min(size, free); len(got) != want {
 					t.Fatalf("%d of %d slots for %d with %d free", len(got), n, size, free)
 				}
-				if from >= 0 {
+				if smallest >= 0 {
 					// An aligned block: it starts at a multiple of its size and
 					// lies in a free block of the smallest order there was.
 					if got[0]%(1<<k) != 0 || got[len(got)-1] != got[0]+size-1 {
 						t.Fatalf("%v is not an aligned block of order %d", got, k)
 					}
-					if !m.free[from][got[0]>>from<<from] {
-						t.Fatalf("%v is not from a free block of order %d: %v", got, from, m.free)
+					if !model.free[smallest][got[0]>>smallest<<smallest] {
+						t.Fatalf("%v is not from a free block of order %d: %v", got, smallest, model.free)
 					}
 				}
 				for _, s := range got {
-					if !m.take(s) {
+					if !model.allocateSlot(s) {
 						t.Fatalf("slot %d was not free", s)
 					}
 				}
-				held = append(held, got)
+				allocated = append(allocated, got)
 			}
 			for k := range 5 {
-				if b.FreeBlocks(k) != m.aligned(k) {
-					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, b.FreeBlocks(k), m.aligned(k))
+				if slots.FreeBlocks(k) != model.freeBlocks(k) {
+					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, slots.FreeBlocks(k), model.freeBlocks(k))
 				}
 			}
 		}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// take takes an agent's state and gives its machine; nil if something newer is known.
+// allocateSlot takes an agent's state and gives its machine; nil if something newer is known.
 func (h *Heartbeats) take(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
 		return nil // what is deleted can only have sent this before
@@ -143,7 +143,7 @@
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
 		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
-		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
+		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.RespondedAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
 			// Its lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
@@ -165,7 +165,7 @@
 	}
 	machine.Agent.LastHeartbeat = now
 	if from == fromHeartbeat {
-		machine.Agent.AnsweredAt = now
+		machine.Agent.RespondedAt = now
 	} else {
 		machine.Agent.IneffectiveResponses = 0 // it has answered a call
 	}
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -46,8 +46,8 @@
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	from := l.state.LeadingSince.Add(grace)
-	if machine.Agent.AnsweredAt.After(from) {
-		from = machine.Agent.AnsweredAt
+	if machine.Agent.RespondedAt.After(from) {
+		from = machine.Agent.RespondedAt
 	}
 	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	return from.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -15,12 +15,12 @@
 	TokenConfirmed bool                 // it has shown this leader's fencing token
 	HigherToken    protocol.Term        // a token above this leader's term that it has shown
 	LastHeartbeat  time.Time            // newest message of any kind
-	AnsweredAt     time.Time            // the last answered heartbeat: the lease counts from here at most
+	RespondedAt    time.Time            // the last answered heartbeat: the lease counts from here at most
 	LeaseExpired   bool                 // the lease has surely run out since
 	LeaseExpiredAt time.Time            // when that was found
 
-	LastHeartbeatAnswered bool // its last heartbeat was answered
-	IneffectiveResponses  int  // responses and commands in a row that seem not to have reached it
+	EverResponded        bool // its last heartbeat was answered
+	IneffectiveResponses int  // responses and commands in a row that seem not to have reached it
 
 	Exited []protocol.TaskStatus // as last reported
 	// UnreadableSince is since when every heartbeat has had entries that name no task.
@@ -54,23 +54,23 @@
 // CountIneffectiveResponses examines whether the last response has shown an effect in the next
 // heartbeat: the token, or the starts that were in it.
 func (m *Machine) CountIneffectiveResponses(heartbeat *protocol.Heartbeat) {
-	unseen, seen := m.Agent.LastHeartbeatAnswered && !m.Agent.TokenConfirmed, false
+	ineffective, effective := m.Agent.EverResponded && !m.Agent.TokenConfirmed, false
 	for _, attempt := range m.Attempts {
 		if !attempt.StartInResponse {
 			continue
 		}
 		attempt.StartInResponse = false
 		if heartbeat.HasAttempt(protocol.TaskName(attempt.Job.ID, attempt.Key.Index), attempt.Key.Number) {
-			seen = true
+			effective = true
 		} else {
-			unseen = true
+			ineffective = true
 		}
 	}
 	switch {
-	case unseen:
+	case ineffective:
 		m.Agent.IneffectiveResponses++
-	case seen:
+	case effective:
 		m.Agent.IneffectiveResponses = 0
 	}
-	m.Agent.LastHeartbeatAnswered = true
+	m.Agent.EverResponded = true
 }
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -35,18 +35,18 @@
 			limits.Only = attempt.Machine.Zone
 		}
 	}
-	most := len(job.Tasks)
+	maxPerZone := len(job.Tasks)
 	if job.Spec.Spread {
 		// An attempt on a machine of no known zone may be in any.
-		most = max(0, (len(job.Tasks)+1)/2-perZone[""])
+		maxPerZone = max(0, (len(job.Tasks)+1)/2-perZone[""])
 	}
 	if job.Spec.OneZone && (len(perZone) > 1 || perZone[""] > 0) {
 		// Old attempts that may still be there disagree, or nobody knows where they
 		// are: none may join them until all but one zone's are proven gone.
-		most = 0
+		maxPerZone = 0
 	}
 	for _, zone := range st.Config.Cluster.Zones {
-		perZone[zone] = max(0, most-perZone[zone])
+		perZone[zone] = max(0, maxPerZone-perZone[zone])
 	}
 	return limits
 }
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -30,11 +30,11 @@
 // NotReporting says whether an agent answers calls while no heartbeat of it comes, so that
 // its lease is about to expire, or does so again and again: it takes no work.
 func (st *State) NotReporting(machine *Machine) bool {
-	from := st.LeadingSince
-	if machine.Agent.AnsweredAt.After(from) {
-		from = machine.Agent.AnsweredAt
+	since := st.LeadingSince
+	if machine.Agent.RespondedAt.After(since) {
+		since = machine.Agent.RespondedAt
 	}
-	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Agents.LeaseS/2)
+	return st.Now().Sub(since) > config.Seconds(st.Config.Cluster.Agents.LeaseS/2)
 }
 
 // SilenceTimeout is how long an agent may be silent before it is probed.
@@ -54,8 +54,8 @@
 }
 
 // exceeds says whether more than a share of the machines, and more than two, are silent.
-func (c *silenceCount) exceeds(share float64) bool {
-	return c.silent > 2 && float64(c.silent) > share*float64(c.total)
+func (c *silenceCount) exceeds(maxShare float64) bool {
+	return c.silent > 2 && float64(c.silent) > maxShare*float64(c.total)
 }
 
 // SuspectedZones are those in which the network is suspected, not the machines:
@@ -63,30 +63,30 @@
 // behind a partition are back when it ends, with their images; others in
 // their place would have to boot, perhaps behind the same partition. heard are the zones
 // most of whose machines send heartbeats as ever.
-func (st *State) SuspectedZones(silence time.Duration) (suspected, heard map[protocol.ZoneName]bool) {
+func (st *State) SuspectedZones(silenceTimeout time.Duration) (suspected, reachable map[protocol.ZoneName]bool) {
 	var all silenceCount
-	zones := map[protocol.ZoneName]silenceCount{}
+	perZone := map[protocol.ZoneName]silenceCount{}
 	for _, machine := range st.OrderedMachines {
 		if !machine.Agent.Heard && machine.Agent.Incarnation == 0 {
 			continue
 		}
-		silent := st.isSilent(machine, silence)
+		silent := st.isSilent(machine, silenceTimeout)
 		all.add(silent)
-		zone := zones[machine.Zone]
+		zone := perZone[machine.Zone]
 		zone.add(silent)
-		zones[machine.Zone] = zone
+		perZone[machine.Zone] = zone
 	}
-	suspected, heard = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
-	for name, zone := range zones {
+	suspected, reachable = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
+	for name, zone := range perZone {
 		suspected[name] = zone.exceeds(tuning.MaxZoneSilentShare) || all.exceeds(tuning.MaxSilentShare)
-		heard[name] = zone.total > 0 && float64(zone.silent) < tuning.MaxHeardZoneSilentShare*float64(zone.total)
+		reachable[name] = zone.total > 0 && float64(zone.silent) < tuning.MaxHeardZoneSilentShare*float64(zone.total)
 	}
-	return suspected, heard
+	return suspected, reachable
 }
 
 // isSilent says whether a machine is out of reach: it does not receive, or was silent for
 // so long. Soon after a failover an agent may simply have yet to find this leader.
-func (st *State) isSilent(machine *Machine, silence time.Duration) bool {
+func (st *State) isSilent(machine *Machine, silenceTimeout time.Duration) bool {
 	if st.NotReceiving(machine) {
 		return true
 	}
@@ -94,7 +94,7 @@
 	if st.Now().Sub(st.LeadingSince) <= st.SilenceTimeout() {
 		return false
 	}
-	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silence
+	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silenceTimeout
 }
 
 // GoneLongerThanBootTime says whether a machine behind a suspected partition has been gone for so
@@ -122,8 +122,8 @@
 // AnyZoneSuspected says whether machines of some zone are missed at the same time.
 func (st *State) AnyZoneSuspected() bool {
 	suspected, _ := st.SuspectedZones(st.ReplicaSilenceTimeout())
-	for _, silent := range suspected {
-		if silent {
+	for _, isSuspected := range suspected {
+		if isSuspected {
 			return true
 		}
 	}
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -9,13 +9,13 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestZoneIsSuspectedWhenManyAreSilent: more than half of a zone's machines that are silent
+// TestZoneIsSuspectedWhenManyMachinesAreSilent: more than half of a zone's machines that are silent
 // at once, and more than two, make the zone suspected, not the machines.
-func TestZoneIsSuspectedWhenManyAreSilent(t *testing.T) {
+func TestZoneIsSuspectedWhenManyMachinesAreSilent(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		silent           int
-		suspected, heard bool
+		name                 string
+		silent               int
+		suspected, reachable bool
 	}{{"none", 0, false, true}, {"one", 1, false, true}, {"two", 2, false, false}, {"five", 5, true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			model := clustertest.New()
@@ -26,9 +26,9 @@
 			}
 			model.Advance(model.SilenceTimeout() + time.Second)
 			model.Heartbeat(model.OrderedMachines[c.silent:]...)
-			suspected, heard := model.SuspectedZones(model.SilenceTimeout())
-			if suspected["a"] != c.suspected || heard["a"] != c.heard || suspected["b"] || !heard["b"] {
-				t.Errorf("suspected %v, heard %v", suspected, heard)
+			suspected, reachable := model.SuspectedZones(model.SilenceTimeout())
+			if suspected["a"] != c.suspected || reachable["a"] != c.reachable || suspected["b"] || !reachable["b"] {
+				t.Errorf("suspected %v, heard %v", suspected, reachable)
 			}
 			if model.AnyZoneSuspected() != c.suspected {
 				t.Errorf("some zone silent %v", model.AnyZoneSuspected())
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestNewLeaderSuspectsNoZone: soon after a failover agents have yet to find the leader.
-func TestNewLeaderSuspectsNoZone(t *testing.T) {
+// TestNewLeaderSuspectsNoZoneAtFirst: soon after a failover agents have yet to find the leader.
+func TestNewLeaderSuspectsNoZoneAtFirst(t *testing.T) {
 	model := clustertest.New()
 	for i := range 6 {
 		model.AddMachine(protocol.MachineID(fmt.Sprintf("i-%d", i)), "big", "a").Agent.Heard = false
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestMachineTakesWorkOnlyWhileSurelyAlive: a machine takes tasks only if its agent has
+// TestMachineIsSchedulableOnlyWhileConfirmedAlive: a machine takes tasks only if its agent has
 // shown this leader's token, lately, and if responses reach it.
-func TestMachineTakesWorkOnlyWhileSurelyAlive(t *testing.T) {
+func TestMachineIsSchedulableOnlyWhileConfirmedAlive(t *testing.T) {
 	model := clustertest.New()
 	machine := model.AddMachine("i-1", "big", "a")
 	if !model.Schedulable(machine) {
@@ -71,7 +71,7 @@
 	}
 	model.Heartbeat()
 	for range 10 {
-		machine.Agent.LastHeartbeatAnswered, machine.Agent.TokenConfirmed = true, false
+		machine.Agent.EverResponded, machine.Agent.TokenConfirmed = true, false
 		machine.CountIneffectiveResponses(&protocol.Heartbeat{})
 	}
 	machine.Agent.TokenConfirmed = true
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -66,7 +66,7 @@
 func (m *Machine) ReleaseReservation() {
 	if job := m.ReservedFor; job != nil {
 		m.ReservedFor = nil
-		job.Reserved = slices.DeleteFunc(job.Reserved, func(o *Machine) bool { return o == m })
+		job.Reserved = slices.DeleteFunc(job.Reserved, func(other *Machine) bool { return other == m })
 	}
 }
 
@@ -134,7 +134,7 @@
 // UseImage notes that the machine has an image, and forgets the least recently used ones
 // that the cache cannot have beside it.
 func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
-	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == spec.Image })
+	m.Images = slices.DeleteFunc(m.Images, func(image CachedImage) bool { return image.Name == spec.Image })
 	m.Images = append(m.Images, CachedImage{Name: spec.Image, SizeGB: spec.ImageGB})
 	if machineType == nil {
 		return
@@ -151,7 +151,7 @@
 
 // HasImage says whether the machine is known to have an image.
 func (m *Machine) HasImage(name string) bool {
-	return slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.Name == name })
+	return slices.ContainsFunc(m.Images, func(image CachedImage) bool { return image.Name == name })
 }
 
 // HasFree says whether the machine, of the given type, has free capacity of every kind.
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -32,21 +32,21 @@
 
 // RecordOf is the record that a task is in.
 func (j *Job) RecordOf(index int) int {
-	if r, ok := j.Records.MovedTasks[index]; ok {
-		return r
+	if record, ok := j.Records.MovedTasks[index]; ok {
+		return record
 	}
 	return index / j.Records.TasksPerRecord
 }
 
 // TasksOf lists a record's tasks in order.
-func (j *Job) TasksOf(r int) []int {
-	if r >= j.BaseRecords() {
-		return j.Records.ExtraParts[r-j.BaseRecords()]
+func (j *Job) TasksOf(record int) []int {
+	if record >= j.BaseRecords() {
+		return j.Records.ExtraParts[record-j.BaseRecords()]
 	}
 	tasks := make([]int, 0, j.Records.TasksPerRecord)
-	end := min((r+1)*j.Records.TasksPerRecord, len(j.Tasks))
-	for index := r * j.Records.TasksPerRecord; index < end; index++ {
-		if len(j.Records.MovedTasks) > 0 && j.RecordOf(index) != r {
+	end := min((record+1)*j.Records.TasksPerRecord, len(j.Tasks))
+	for index := record * j.Records.TasksPerRecord; index < end; index++ {
+		if len(j.Records.MovedTasks) > 0 && j.RecordOf(index) != record {
 			continue
 		}
 		tasks = append(tasks, index)
@@ -55,9 +55,9 @@
 }
 
 // MoveTask puts a task into an extra part.
-func (j *Job) MoveTask(index, r int) {
+func (j *Job) MoveTask(index, record int) {
 	if old, ok := j.Records.MovedTasks[index]; ok {
-		if old == r {
+		if old == record {
 			return
 		}
 		list := &j.Records.ExtraParts[old-j.BaseRecords()]
@@ -66,15 +66,15 @@
 	if j.Records.MovedTasks == nil {
 		j.Records.MovedTasks = map[int]int{}
 	}
-	j.Records.MovedTasks[index] = r
-	list := &j.Records.ExtraParts[r-j.BaseRecords()]
+	j.Records.MovedTasks[index] = record
+	list := &j.Records.ExtraParts[record-j.BaseRecords()]
 	at, _ := slices.BinarySearch(*list, index)
 	*list = slices.Insert(*list, at, index)
 }
 
 // SplitRecord gives half of a record's tasks to a new extra part, whose number it returns.
-func (j *Job) SplitRecord(r int) (part int) {
-	list := slices.Clone(j.TasksOf(r))
+func (j *Job) SplitRecord(record int) (part int) {
+	list := slices.Clone(j.TasksOf(record))
 	part = len(j.Records.Revisions)
 	j.Records.Revisions = append(j.Records.Revisions, j.Records.AbandonedParts[part])
 	j.Records.ExtraParts = append(j.Records.ExtraParts, nil)
@@ -84,6 +84,6 @@
 	if j.Records.UnnamedParts == nil {
 		j.Records.UnnamedParts = map[int]int{}
 	}
-	j.Records.UnnamedParts[part] = r
+	j.Records.UnnamedParts[part] = record
 	return part
 }
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -31,10 +31,10 @@
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // Add adds another amount.
-func (r *Resources) Add(o Resources) {
-	r.CPUs += o.CPUs
-	r.GPUs += o.GPUs
-	r.MemoryGB += o.MemoryGB
+func (r *Resources) Add(other Resources) {
+	r.CPUs += other.CPUs
+	r.GPUs += other.GPUs
+	r.MemoryGB += other.MemoryGB
 }
 
 // AddTasks adds what n tasks of a job take; n may be negative.
@@ -47,9 +47,9 @@
 // Fit is how many tasks of the job fit, at most limit.
 func (r Resources) Fit(spec *protocol.Job, limit int) int {
 	n := float64(limit)
-	for _, p := range [][2]float64{{r.CPUs, spec.CPUs}, {r.GPUs, spec.GPUs}, {r.MemoryGB, spec.MemoryGB}} {
-		if p[1] > 0 {
-			n = min(n, math.Floor((p[0]+AmountTolerance)/p[1]))
+	for _, amounts := range [][2]float64{{r.CPUs, spec.CPUs}, {r.GPUs, spec.GPUs}, {r.MemoryGB, spec.MemoryGB}} {
+		if amounts[1] > 0 {
+			n = min(n, math.Floor((amounts[0]+AmountTolerance)/amounts[1]))
 		}
 	}
 	return max(0, int(n))
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -98,24 +98,24 @@
 		return nil // gangs go in order of arrival
 	}
 	var list []time.Time
-	add := func(after float64) { list = append(list, job.SubmittedAt.Add(config.Seconds(after))) }
-	deadline := false
-	for _, o := range st.Config.Cluster.Objectives {
-		if o.Class != spec.Class {
+	add := func(afterS float64) { list = append(list, job.SubmittedAt.Add(config.Seconds(afterS))) }
+	hasDeadlineObjective := false
+	for _, objective := range st.Config.Cluster.Objectives {
+		if objective.Class != spec.Class {
 			continue
 		}
 		switch {
-		case o.Kind == config.ObjectiveWait, o.Kind == config.ObjectiveUp:
-			add(o.WithinS)
+		case objective.Kind == config.ObjectiveWait, objective.Kind == config.ObjectiveUp:
+			add(objective.WithinS)
 		case spec.Service(): // it has no end
-		case o.Kind == config.ObjectiveFinished:
-			add(o.WithinS - spec.EstimateS)
-		case o.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0:
-			add(spec.DeadlineS*max(1, o.Times) - spec.EstimateS)
-			deadline = true
+		case objective.Kind == config.ObjectiveFinished:
+			add(objective.WithinS - spec.EstimateS)
+		case objective.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0:
+			add(spec.DeadlineS*max(1, objective.Times) - spec.EstimateS)
+			hasDeadlineObjective = true
 		}
 	}
-	if spec.DeadlineS > 0 && !deadline && !spec.Service() {
+	if spec.DeadlineS > 0 && !hasDeadlineObjective && !spec.Service() {
 		add(spec.DeadlineS - spec.EstimateS)
 	}
 	slices.SortFunc(list, time.Time.Compare)
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -58,7 +58,7 @@
 		machines = c.OrderedMachines
 	}
 	for _, machine := range machines {
-		machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = c.now, c.now
+		machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = c.now, c.now
 	}
 }
 
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -200,7 +200,7 @@
 	late, same, far := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
 	h.cluster.Advance(h.cluster.ReplicaSilenceTimeout() + time.Second)
 	h.cluster.Heartbeat(same, far)
-	late.Agent.AnsweredAt = h.cluster.Now()
+	late.Agent.RespondedAt = h.cluster.Now()
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	if list := h.replicaCandidates(job, ""); len(list) != 2 {
 		t.Errorf("%d candidates", len(list))
