--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// allocateSlot takes an agent's state and gives its machine; nil if something newer is known.
+// take takes an agent's state and gives its machine; nil if something newer is known.
 func (h *Heartbeats) take(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
 		return nil // what is deleted can only have sent this before
