--- a/internal/buddy/buddy.go
+++ b/internal/buddy/buddy.go
@@ -1,24 +1,24 @@
-// Package buddy keeps the slots of one machine in blocks whose sizes are powers of two:
-// a block of order k has 2^k slots and starts at a multiple of 2^k. Splitting and
-// coalescing follow from the map of used slots, so the free set is always a disjoint
-// union of aligned blocks.
+// Package buddy is a buddy allocator for the slots of one machine. A block of order k has
+// 2^k slots and starts at a multiple of 2^k. Only the used slots are stored; blocks are
+// split and coalesced implicitly, because the free slots are always a disjoint union of
+// aligned blocks.
 package buddy
 
 import "math/bits"
 
-// Map is the slot map of one machine.
+// Map records which slots of one machine are used.
 type Map struct {
 	used []bool
 	free int
 }
 
-// New makes a map of free slots.
+// New returns a map in which all slots are free.
 func New(slots int) Map { return Map{used: make([]bool, slots), free: slots} }
 
-// Free is the number of free slots.
+// Free returns the number of free slots.
 func (b *Map) Free() int { return b.free }
 
-// Order is the smallest k with 2^k >= n.
+// Order returns the smallest k with 2^k >= n.
 func Order(n int) int {
 	if n <= 1 {
 		return 0
@@ -26,7 +26,7 @@
 	return bits.Len(uint(n - 1))
 }
 
-// blockFree says whether all slots of a block are free.
+// blockFree reports whether the map has the block and all its slots are free.
 func (b *Map) blockFree(start, size int) bool {
 	if start+size > len(b.used) {
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// FreeBlocks counts the free aligned blocks of an order.
+// FreeBlocks returns the number of free aligned blocks of order k.
 func (b *Map) FreeBlocks(k int) int {
 	count := 0
 	for size, start := 1<<k, 0; start+size <= len(b.used); start += size {
@@ -50,10 +50,10 @@
 	return count
 }
 
-// Allocate takes slots: an aligned block of Order(n) split off the smallest free
-// block that has one, or, when there is none, any free slots (the union of
-// smaller blocks). It may return fewer than n when the machine has no more:
-// slots only guide the placement, the resources bind it.
+// Allocate marks n slots as used and returns them. They are the first slots of an aligned
+// block of order Order(n), which is split off the smallest free block that contains one.
+// If there is no such block, they are any free slots. If fewer than n slots are free, it
+// returns all of these: slots only guide placement, the resources limit it.
 func (b *Map) Allocate(n int) []int {
 	k := Order(n)
 	best, bestOrder := -1, 0
@@ -61,7 +61,7 @@
 		if !b.blockFree(start, 1<<k) {
 			continue
 		}
-		blockOrder := k // the order of the maximal free block around start
+		blockOrder := k // order of the largest free block that contains start
 		for {
 			size := 2 << blockOrder
 			if !b.blockFree(start/size*size, size) {
@@ -92,7 +92,7 @@
 	return taken
 }
 
-// Release gives slots back.
+// Release marks slots as free.
 func (b *Map) Release(slots []int) {
 	for _, i := range slots {
 		b.used[i] = false
--- a/internal/buddy/buddy_test.go
+++ b/internal/buddy/buddy_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// freeListAllocator is the classical allocator: lists of free blocks by order, split
-// on allocation and merged with their buddies on release.
+// freeListAllocator is the classical buddy allocator. It keeps a list of free blocks for
+// each order, splits blocks on allocation and merges them with their buddies on release.
 type freeListAllocator struct {
 	n    int
-	free map[int]map[int]bool // order -> starts
+	free map[int]map[int]bool // order -> first slots of the free blocks
 }
 
 func newFreeListAllocator(n int) *freeListAllocator {
@@ -38,7 +38,8 @@
 	}
 }
 
-// allocateSlot removes one slot, splitting the block that holds it.
+// allocateSlot marks one slot as used and splits the block that contains it. It reports
+// whether the slot was free.
 func (m *freeListAllocator) allocateSlot(slot int) bool {
 	for k, starts := range m.free {
 		for start := range starts {
@@ -57,7 +58,8 @@
 	return false
 }
 
-// smallestFreeOrder is the order of the smallest free block of at least order k, or -1.
+// smallestFreeOrder returns the order of the smallest free block of at least order k, or
+// -1 if there is none.
 func (m *freeListAllocator) smallestFreeOrder(k int) int {
 	for ; k < 16; k++ {
 		if len(m.free[k]) > 0 {
@@ -77,7 +79,8 @@
 	return n
 }
 
-// TestMapMatchesFreeListAllocator compares the slot map with the classical allocator.
+// TestMapMatchesFreeListAllocator compares a Map with the classical allocator in random
+// sequences of allocations and releases.
 func TestMapMatchesFreeListAllocator(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -99,28 +102,28 @@
 				free := slots.free
 				got := slots.Allocate(size)
 				if want := min(size, free); len(got) != want {
-					t.Fatalf("%d of %d slots for %d with %d free", len(got), n, size, free)
+					t.Fatalf("allocated %d slots of a map of %d; %d were requested and %d free", len(got), n, size, free)
 				}
 				if smallest >= 0 {
-					// An aligned block: it starts at a multiple of its size and
-					// lies in a free block of the smallest order there was.
+					// An aligned block starts at a multiple of its size. It must
+					// lie in a free block of the smallest sufficient order.
 					if got[0]%(1<<k) != 0 || got[len(got)-1] != got[0]+size-1 {
-						t.Fatalf("%v is not an aligned block of order %d", got, k)
+						t.Fatalf("%v is not in an aligned block of order %d", got, k)
 					}
 					if !model.free[smallest][got[0]>>smallest<<smallest] {
-						t.Fatalf("%v is not from a free block of order %d: %v", got, smallest, model.free)
+						t.Fatalf("%v is not in a free block of order %d; the free blocks were %v", got, smallest, model.free)
 					}
 				}
 				for _, s := range got {
 					if !model.allocateSlot(s) {
-						t.Fatalf("slot %d was not free", s)
+						t.Fatalf("allocated slot %d, which was not free", s)
 					}
 				}
 				allocated = append(allocated, got)
 			}
 			for k := range 5 {
 				if slots.FreeBlocks(k) != model.freeBlocks(k) {
-					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, slots.FreeBlocks(k), model.freeBlocks(k))
+					t.Fatalf("map of %d slots, blocks of order %d: FreeBlocks returns %d, want %d", n, k, slots.FreeBlocks(k), model.freeBlocks(k))
 				}
 			}
 		}
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -1,7 +1,8 @@
-// Package clustertest builds cluster models for tests: a clock that the test sets,
-// machines whose agents have just reported, jobs, and a leader that only takes notes.
+// Package clustertest builds cluster models for tests. It has a clock that the test sets,
+// machines whose agents have just sent a heartbeat, jobs, and a fake leader that records
+// what a scheduler asks of it.
 //
-// It is for tests alone and decides nothing.
+// It is for tests only and makes no scheduling decisions.
 package clustertest
 
 import (
@@ -18,7 +19,7 @@
 // LimitedTeamGPUs is the GPU limit of the team "tight"; the team "free" has none.
 const LimitedTeamGPUs = 6
 
-// BigType and SmallType are the machine types of the clusters that New makes.
+// BigType and SmallType are the machine types of the clusters that New returns.
 var (
 	BigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1,
 		Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
@@ -26,14 +27,14 @@
 		Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 )
 
-// Cluster is a model whose clock stands still until the test moves it.
+// Cluster is a cluster model whose clock only moves when the test advances it.
 type Cluster struct {
 	*cluster.State
 	now time.Time
 }
 
-// New makes a cluster without machines and jobs: zones a, b and c, the types big and
-// small, a team without limits ("free") and one with ("tight").
+// New returns a cluster without machines and jobs. It has the zones a, b and c, the types
+// big and small, a team without limits ("free") and a team with limits ("tight").
 func New() *Cluster {
 	c := &Cluster{now: time.Unix(1_800_000_000, 0)}
 	settings := &config.Config{Name: "n", Operator: tuning.Defaults()}
@@ -48,11 +49,11 @@
 	return c
 }
 
-// Advance moves the clock.
+// Advance moves the clock forward.
 func (c *Cluster) Advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// Heartbeat has the agents of the given machines report now and be answered; of all
-// machines if none is given.
+// Heartbeat records that the agents of the given machines sent a heartbeat now and got a
+// response. If no machine is given, it does so for all machines.
 func (c *Cluster) Heartbeat(machines ...*cluster.Machine) {
 	if len(machines) == 0 {
 		machines = c.OrderedMachines
@@ -62,7 +63,7 @@
 	}
 }
 
-// AddMachine adds an ordinary machine that takes tasks.
+// AddMachine adds an on-demand machine that accepts tasks.
 func (c *Cluster) AddMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
 	machine := c.EnsureMachine(id, "h:1", typeName, zone, false)
 	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation = true, true, true, 1
@@ -71,14 +72,14 @@
 	return machine
 }
 
-// AddSpotMachine adds a spot machine that takes tasks.
+// AddSpotMachine adds a spot machine that accepts tasks.
 func (c *Cluster) AddSpotMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
 	machine := c.AddMachine(id, typeName, zone)
 	machine.Spot = true
 	return machine
 }
 
-// AddJob adds a job that was submitted now. Without a priority it has the normal one.
+// AddJob adds a job that is submitted now. If spec has no priority, the job has the normal one.
 func (c *Cluster) AddJob(spec protocol.Job) *cluster.Job {
 	spec.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(c.Jobs)+1))
 	if spec.Priority == "" {
@@ -99,7 +100,7 @@
 	return job
 }
 
-// PlaceAll puts the first attempt of every task of a job onto a machine.
+// PlaceAll places the first attempt of every task of a job on a machine.
 func (c *Cluster) PlaceAll(job *cluster.Job, machine *cluster.Machine) {
 	for index := range job.Tasks {
 		job.Tasks[index].Active = c.AddAttempt(job, index, 1, machine, machine.Agent.Incarnation)
@@ -108,7 +109,7 @@
 	job.EverPlaced = true
 }
 
-// MarkAllRunning makes all attempts of a job committed, started and seen running.
+// MarkAllRunning marks all attempts of a job as committed, started and reported running.
 func (c *Cluster) MarkAllRunning(job *cluster.Job) {
 	for _, attempt := range job.Attempts {
 		attempt.MarkCommitted()
@@ -116,23 +117,23 @@
 	}
 }
 
-// Gang is a gang of the team "free" whose tasks take so many GPUs each.
+// Gang returns a gang of the team "free" whose tasks take the given number of GPUs each.
 func Gang(tasks int, gpus float64) protocol.Job {
 	return protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: tasks, CPUs: 2, GPUs: gpus, MemoryGB: 8, Image: "x"}
 }
 
-// Array is an array of the team "free" whose tasks take one GPU each.
+// Array returns an array of the team "free" whose tasks take one GPU each.
 func Array(tasks int) protocol.Job {
 	return protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "x"}
 }
 
-// Service is a service of the team "free" whose replicas take processors alone.
+// Service returns a service of the team "free" whose replicas take CPUs and memory but no GPUs.
 func Service(replicas int, cpus float64) protocol.Job {
 	return protocol.Job{Class: "s", Team: "free", Shape: protocol.ShapeService, Priority: "critical", Tasks: replicas,
 		CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 1}
 }
 
-// CountStopping counts a job's attempts that are to end.
+// CountStopping returns the number of a job's attempts that have been asked to stop.
 func CountStopping(job *cluster.Job) (count int) {
 	for _, attempt := range job.Attempts {
 		if attempt.Stopping {
@@ -142,8 +143,8 @@
 	return count
 }
 
-// CheckPlacement checks a job's places against what its specification allows, and all
-// places against what machines have and teams may use.
+// CheckPlacement checks that a job's attempts are placed as its specification allows, and
+// that all attempts together exceed neither the machines' capacity nor the team's limit.
 func (c *Cluster) CheckPlacement(t testing.TB, job *cluster.Job) {
 	t.Helper()
 	perZone := map[protocol.ZoneName]int{}
@@ -151,21 +152,22 @@
 		machine := attempt.Machine
 		perZone[machine.Zone]++
 		if !cluster.SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
-			t.Fatalf("%+v on %s in %s, spot %v", job.Spec, machine.TypeName, machine.Zone, machine.Spot)
+			t.Fatalf("job %+v may not be placed on type %s in zone %s, spot %v", job.Spec, machine.TypeName, machine.Zone, machine.Spot)
 		}
 	}
 	if job.Spec.OneZone && len(perZone) > 1 {
-		t.Fatalf("%+v in %v", job.Spec, perZone)
+		t.Fatalf("one-zone job %+v has attempts in several zones: %v", job.Spec, perZone)
 	}
 	for _, count := range perZone {
 		if job.Spec.Spread && count > (len(job.Tasks)+1)/2 {
-			t.Fatalf("%+v in %v", job.Spec, perZone)
+			t.Fatalf("spread job %+v has more than half of its tasks in one zone: %v", job.Spec, perZone)
 		}
 	}
 	c.checkUse(t)
 }
 
-// checkUse checks that no machine is over-full and no team beyond its limit.
+// checkUse checks that no machine is overcommitted and that the team "tight" keeps within
+// its GPU limit.
 func (c *Cluster) checkUse(t testing.TB) {
 	t.Helper()
 	used := map[*cluster.Machine]cluster.Resources{}
@@ -180,10 +182,10 @@
 	}
 	for machine, amount := range used {
 		if capacity := c.TypeOf(machine); amount.CPUs > capacity.CPUs || amount.GPUs > capacity.GPUs || amount.MemoryGB > capacity.MemoryGB {
-			t.Fatalf("%s is over-full: %+v", machine.ID, amount)
+			t.Fatalf("machine %s is overcommitted, %+v in use", machine.ID, amount)
 		}
 	}
 	if gpus["tight"] > LimitedTeamGPUs {
-		t.Fatalf("the team uses %v GPUs of %d", gpus["tight"], LimitedTeamGPUs)
+		t.Fatalf("team \"tight\" uses %v GPUs, its limit is %d", gpus["tight"], LimitedTeamGPUs)
 	}
 }
--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -2,21 +2,22 @@
 
 import "github.com/gappond/gappond/internal/coordination/cluster"
 
-// Environment stands for the leader around a scheduler: it says what the test sets and
-// does to attempts what a leader would do at once. It implements scheduler.Environment.
+// Environment is a fake of the leader that a scheduler calls. It returns what the test
+// sets and applies at once what a leader would do to attempts. It implements
+// scheduler.Environment.
 type Environment struct {
 	cluster *Cluster
 
-	InRecovery    bool                  // what Recovering answers
-	Withheld      map[*cluster.Job]bool // jobs that must not start anything
-	AwaitingSplit map[*cluster.Job]bool // gangs with a record to be split first
+	InRecovery    bool                  // result of Recovering
+	Withheld      map[*cluster.Job]bool // jobs that must not start tasks
+	AwaitingSplit map[*cluster.Job]bool // gangs that wait until a record is split
 
-	Placed    []*cluster.Attempt // places that were decided on, in order
+	Placed    []*cluster.Attempt // attempts that were placed, in order
 	Preempted []*cluster.Attempt // attempts that were preempted, in order
-	Stopped   []*cluster.Attempt // attempts that were asked to end otherwise
+	Stopped   []*cluster.Attempt // attempts that were stopped for other reasons, in order
 }
 
-// NewEnvironment makes the surroundings of a scheduler of a cluster.
+// NewEnvironment returns an environment for a scheduler of cluster c.
 func NewEnvironment(c *Cluster) *Environment { return &Environment{cluster: c} }
 
 // Recovering implements scheduler.Environment.
@@ -50,7 +51,8 @@
 	e.stopAttempt(attempt)
 }
 
-// stopAttempt marks an attempt as stopping; one whose start never left is gone at once.
+// stopAttempt marks an attempt as stopping. An attempt whose start was never sent is removed
+// at once.
 func (e *Environment) stopAttempt(attempt *cluster.Attempt) {
 	if !attempt.StartSent {
 		e.cluster.RemoveAttempt(attempt)
