--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -7,23 +7,24 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// AgentState is what the leader knows of a machine's agent.
+// AgentState is what the leader knows about a machine's agent.
 type AgentState struct {
-	Incarnation    protocol.Incarnation // newest known
-	Sequence       protocol.Sequence    // newest known within the incarnation
-	Heard          bool                 // a heartbeat of it reached this leader
-	TokenConfirmed bool                 // it has shown this leader's fencing token
-	HigherToken    protocol.Term        // a token above this leader's term that it has shown
-	LastHeartbeat  time.Time            // newest message of any kind
-	RespondedAt    time.Time            // the last answered heartbeat: the lease counts from here at most
-	LeaseExpired   bool                 // the lease has surely run out since
-	LeaseExpiredAt time.Time            // when that was found
+	Incarnation    protocol.Incarnation // newest known incarnation
+	Sequence       protocol.Sequence    // newest known sequence number within the incarnation
+	Heard          bool                 // this leader has received a heartbeat of the agent
+	TokenConfirmed bool                 // the agent's newest heartbeat has this leader's fencing token
+	HigherToken    protocol.Term        // a token above this leader's term that the agent has reported
+	LastHeartbeat  time.Time            // when the newest heartbeat arrived, also in the response to a call
+	RespondedAt    time.Time            // when a heartbeat last got a response: the lease starts no later
+	LeaseExpired   bool                 // the lease has certainly expired since the last heartbeat
+	LeaseExpiredAt time.Time            // when the expiry was detected
 
-	EverResponded        bool // its last heartbeat was answered
-	IneffectiveResponses int  // responses and commands in a row that seem not to have reached it
+	EverResponded        bool // a heartbeat of the agent has got a response
+	IneffectiveResponses int  // consecutive responses and commands that seem not to have arrived
 
-	Exited []protocol.TaskStatus // as last reported
-	// UnreadableSince is since when every heartbeat has had entries that name no task.
+	Exited []protocol.TaskStatus // exited attempts in the newest heartbeat
+	// UnreadableSince is the time since which every heartbeat has contained entries that
+	// name no task.
 	UnreadableSince time.Time
 
 	Probing        bool
@@ -31,19 +32,19 @@
 	ProbeNotBefore time.Time
 }
 
-// CommandDelivery is the state of the commands to an agent.
+// CommandDelivery is the state of command delivery to an agent.
 type CommandDelivery struct {
-	Queued        bool // in the leader's list of machines with commands to send
-	InFlight      bool // a direct call is under way
-	CallNotBefore time.Time
-	MustNotForget map[AttemptID]bool // attempts that must not be forgotten
-	// ForgetSentAt is when the agent was last told to forget an attempt that it goes on
-	// reporting.
+	Queued        bool               // the machine is in the leader's list of machines with commands to send
+	InFlight      bool               // a call to the agent is in progress
+	CallNotBefore time.Time          // earliest time of the next call
+	MustNotForget map[AttemptID]bool // attempts that the agent must not be told to forget
+	// ForgetSentAt is the time at which the agent was last told to forget an attempt that it
+	// still reports.
 	ForgetSentAt map[AttemptID]time.Time
-	Orphans      []AttemptID // tasks of jobs that nobody knows
+	Orphans      []AttemptID // reported attempts of unknown jobs or tasks, which must be stopped
 }
 
-// ShowsExited says whether the last heartbeat had an attempt that has exited.
+// ShowsExited reports whether the newest heartbeat contains the attempt as exited.
 func (m *Machine) ShowsExited(key AttemptID) bool {
 	name := protocol.TaskName(key.Job, key.Index)
 	return slices.ContainsFunc(m.Agent.Exited, func(status protocol.TaskStatus) bool {
@@ -51,8 +52,9 @@
 	})
 }
 
-// CountIneffectiveResponses examines whether the last response has shown an effect in the next
-// heartbeat: the token, or the starts that were in it.
+// CountIneffectiveResponses counts a response as ineffective if the next heartbeat does not
+// show its effect: this leader's fencing token, or the attempts whose starts it contained.
+// It resets the count if the heartbeat shows such attempts and nothing is missing.
 func (m *Machine) CountIneffectiveResponses(heartbeat *protocol.Heartbeat) {
 	ineffective, effective := m.Agent.EverResponded && !m.Agent.TokenConfirmed, false
 	for _, attempt := range m.Attempts {
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -6,97 +6,98 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// AttemptKey names an attempt among those of its job.
+// AttemptKey identifies an attempt within its job.
 type AttemptKey struct {
 	Index   int
 	Number  protocol.AttemptNumber
 	Machine protocol.MachineID
 }
 
-// AttemptID names an attempt among those on its machine.
+// AttemptID identifies an attempt on its machine.
 type AttemptID struct {
 	Job    protocol.JobID
 	Index  int
 	Number protocol.AttemptNumber
 }
 
-// Attempt is one attempt of a task on one machine, from the moment it is planned until it
-// is proven gone. While it exists it takes capacity and quota.
+// Attempt is one attempt to run a task on one machine. It exists from its placement until
+// it is proven gone, and uses capacity and quota all that time.
 //
-// Its states are changed by its methods alone.
+// Only its methods change its state.
 type Attempt struct {
 	Job         *Job
 	Key         AttemptKey
 	Machine     *Machine
-	Incarnation protocol.Incarnation // of the agent
+	Incarnation protocol.Incarnation // incarnation of the agent that the attempt is meant for
 	Slots       []int
-	Committed   bool // a stored record has its place
-	// Recovered attempts come from a predecessor's record, which does not say whether they
-	// ended since: what they took may have been given to others by then. So they are
-	// never started again; one that an agent does not have is gone.
+	Committed   bool // a committed record contains the placement
+	// Recovered attempts come from a record of a previous leader. The record does not say
+	// whether they have ended since, and their capacity may have been used for others
+	// after that. So they are never started again, and one that the agent does not have
+	// is gone.
 	Recovered bool
-	Orphaned  bool // no record asks for it
+	Orphaned  bool // according to the records it should not run
 
-	ReportedState protocol.TaskState // as last reported, "" while never seen
-	RunningSince  time.Time          // when it was first seen running
+	ReportedState protocol.TaskState // last reported state, "" before the first report
+	RunningSince  time.Time          // when it was first reported running
 
-	StartSent       bool      // a start may have left
-	StartInResponse bool      // its start is in the response to the last heartbeat
-	StartUnanswered bool      // a direct start was never answered: it may yet arrive
-	StartsInFlight  int       // direct commands with its start
-	StartSentAt     time.Time // when the last of them left
+	StartSent       bool      // a start command may have been sent
+	StartInResponse bool      // the response to the last heartbeat contains a start command
+	StartUnanswered bool      // a direct start command got no response and may still arrive
+	StartsInFlight  int       // direct start commands in flight
+	StartSentAt     time.Time // when the last direct start command was sent
 
 	Stopping   bool
 	GraceS     float64
 	StopSentAt time.Time
 }
 
-// ID is the key of the attempt on its machine.
+// ID returns the attempt's identifier on its machine.
 func (a *Attempt) ID() AttemptID {
 	return AttemptID{Job: a.Job.ID, Index: a.Key.Index, Number: a.Key.Number}
 }
 
-// MarkCommitted notes that a stored record has the attempt's place: its start may leave.
+// MarkCommitted records that the placement is committed, so that a start may be sent.
 func (a *Attempt) MarkCommitted() { a.Committed = true }
 
-// MarkRecovered makes the attempt one that a predecessor placed. It is committed, and its
-// start may have left.
+// MarkRecovered marks the attempt as placed by a previous leader. Its placement is committed,
+// and a start may have been sent.
 func (a *Attempt) MarkRecovered() { a.Committed, a.StartSent, a.Recovered = true, true, true }
 
-// MarkOrphaned makes the attempt one that no record asks for, left by a predecessor: it is
-// to be stopped when an agent shows it.
+// MarkOrphaned marks the attempt as left by a previous leader although, according to the
+// records, it should not run. It must be stopped when an agent reports it.
 func (a *Attempt) MarkOrphaned() {
 	a.MarkRecovered()
 	a.Orphaned = true
 }
 
-// MarkStartSent notes that a start may have left from now on.
+// MarkStartSent records that a start command may have been sent.
 func (a *Attempt) MarkStartSent() { a.StartSent = true }
 
-// MarkStartInResponse notes that the response to a heartbeat has its start.
+// MarkStartInResponse records that the response to a heartbeat contains a start command.
 func (a *Attempt) MarkStartInResponse() { a.StartSent, a.StartInResponse = true, true }
 
-// BeginDirectStart notes that a direct command with its start leaves.
+// BeginDirectStart records that a direct start command is sent.
 func (a *Attempt) BeginDirectStart(now time.Time) {
 	a.StartsInFlight++
 	a.StartSentAt = now
 }
 
-// EndDirectStart notes that such a command was answered.
+// EndDirectStart records that a direct start command got a response.
 func (a *Attempt) EndDirectStart() { a.StartsInFlight-- }
 
-// MarkDirectStartUnanswered notes that such a command was not answered: it may arrive at any later
-// time while incarnation and fencing token match.
+// MarkDirectStartUnanswered records that a direct start command got no response. The command
+// may take effect at any later time at which incarnation and fencing token still match.
 func (a *Attempt) MarkDirectStartUnanswered() {
 	a.StartsInFlight--
 	a.StartUnanswered = true
 }
 
-// StartMayArrive says whether a start may be on its way to the agent.
+// StartMayArrive reports whether a direct start command may still arrive at the agent.
 func (a *Attempt) StartMayArrive() bool { return a.StartUnanswered || a.StartsInFlight > 0 }
 
-// ObserveState notes the state that the agent reports. First is true when the attempt is
-// seen running for the first time.
+// ObserveState records the state that the agent reports. It returns true if the attempt is
+// reported running for the first time.
 func (a *Attempt) ObserveState(state protocol.TaskState, now time.Time) (first bool) {
 	a.ReportedState, a.StartSent = state, true
 	if state != protocol.TaskRunning || !a.RunningSince.IsZero() {
@@ -106,15 +107,16 @@
 	return true
 }
 
-// ObserveExit notes that the agent reports its exit.
+// ObserveExit records that the agent reports the attempt as exited.
 func (a *Attempt) ObserveExit() { a.ReportedState = protocol.TaskExited }
 
-// RequestStop has the attempt stop within a grace. A later request only shortens it.
+// RequestStop asks the attempt to stop within a grace period. Later requests can only
+// shorten the period; such a request has the stop command sent again.
 func (a *Attempt) RequestStop(graceS float64) {
 	if !a.Stopping || graceS < a.GraceS {
 		a.Stopping, a.GraceS, a.StopSentAt = true, graceS, time.Time{}
 	}
 }
 
-// MarkStopSent notes that the command to stop leaves.
+// MarkStopSent records that a stop command is sent.
 func (a *Attempt) MarkStopSent(now time.Time) { a.StopSentAt = now }
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -4,20 +4,20 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// ZoneLimits says how many more tasks of a job each zone may take, given where its tasks
-// may be at this moment.
+// ZoneLimits limits how many more tasks of a job may be placed in each zone, given the zones
+// in which its tasks may be running now.
 type ZoneLimits struct {
 	Remaining map[protocol.ZoneName]int
-	// Only is the only zone left, once that of a job bound to one zone is decided.
+	// Only is the only allowed zone of a one-zone job whose zone is decided, else "".
 	Only protocol.ZoneName
 }
 
-// Allow says whether a zone may take a further task.
+// Allow reports whether another task may be placed in a zone.
 func (z *ZoneLimits) Allow(zone protocol.ZoneName) bool {
 	return z.Remaining[zone] != 0 && (z.Only == "" || z.Only == zone)
 }
 
-// Take accounts for a task of the job that was placed in a zone.
+// Take counts a task of the job that was placed in a zone.
 func (z *ZoneLimits) Take(job *Job, zone protocol.ZoneName) {
 	z.Remaining[zone]--
 	if job.Spec.OneZone {
@@ -25,9 +25,9 @@
 	}
 }
 
-// ZoneLimits works out a job's limits.
+// ZoneLimits returns the limits of a job.
 func (st *State) ZoneLimits(job *Job) ZoneLimits {
-	perZone := map[protocol.ZoneName]int{} // its attempts, then what remains
+	perZone := map[protocol.ZoneName]int{} // first the number of attempts, at the end the number of tasks remaining
 	limits := ZoneLimits{Remaining: perZone}
 	for _, attempt := range job.Attempts {
 		perZone[attempt.Machine.Zone]++
@@ -37,12 +37,12 @@
 	}
 	maxPerZone := len(job.Tasks)
 	if job.Spec.Spread {
-		// An attempt on a machine of no known zone may be in any.
+		// An attempt on a machine whose zone is unknown may be in any zone.
 		maxPerZone = max(0, (len(job.Tasks)+1)/2-perZone[""])
 	}
 	if job.Spec.OneZone && (len(perZone) > 1 || perZone[""] > 0) {
-		// Old attempts that may still be there disagree, or nobody knows where they
-		// are: none may join them until all but one zone's are proven gone.
+		// Old attempts that may still exist are in several zones or in an unknown one. No
+		// task may be placed until those of all zones but one are proven gone.
 		maxPerZone = 0
 	}
 	for _, zone := range st.Config.Cluster.Zones {
@@ -51,29 +51,32 @@
 	return limits
 }
 
-// Schedulable says whether a machine takes new tasks at all.
+// Schedulable reports whether a machine accepts new tasks, of whatever job.
 func (st *State) Schedulable(machine *Machine) bool {
 	return machine.Recorded && !machine.Cordoned && !machine.Deleting &&
 		!st.NotReceiving(machine) && !st.NotReporting(machine) && st.ConfirmedAlive(machine) && st.TypeOf(machine) != nil
 }
 
-// SpecAllows says whether the job may use machines of this type, zone and kind.
+// SpecAllows reports whether a job may use machines of the given type and zone, and spot
+// machines if spot is set.
 func SpecAllows(spec *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
 	return protocol.Allowed(spec.Types, typeName) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
 
-// Eligible says whether a job may start on a machine now.
+// Eligible reports whether a job may start tasks on a machine now. It does not check free
+// capacity.
 func (st *State) Eligible(job *Job, machine *Machine) bool {
 	return st.Schedulable(machine) && st.MeetsConstraints(job, machine)
 }
 
-// MeetsConstraints says the same of a machine that is known to be open.
+// MeetsConstraints reports the same for a machine that is known to be schedulable.
 func (st *State) MeetsConstraints(job *Job, machine *Machine) bool {
 	return (machine.ReservedFor == nil || machine.ReservedFor == job) &&
 		SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) && !st.Avoids(job, machine)
 }
 
-// Avoids says whether a job's task was refused or failed on a machine lately.
+// Avoids reports whether a machine recently refused a task of the job, or such a task failed
+// there.
 func (st *State) Avoids(job *Job, machine *Machine) bool {
 	return len(job.Failures.AvoidUntil) > 0 && st.Now().Before(job.Failures.AvoidUntil[machine.ID])
 }
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -9,26 +9,26 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Job is a job that is not over yet: its specification, its tasks, and what the parts
-// of the leader know of it.
+// Job is an unfinished job: its specification, its tasks, and the state that the leader's
+// components keep about it.
 //
-// Its states (cancelled, finished, stopping) and those of its tasks are changed by its
-// methods alone.
+// Only its methods change its state flags (Cancelled, Finished, Stopping) and mark its
+// tasks as done.
 type Job struct {
 	ID           protocol.JobID
 	Spec         *protocol.Job
 	Priority     protocol.Priority
-	ArrivalOrder protocol.Revision // the revision at which it was submitted
+	ArrivalOrder protocol.Revision // revision of the store at which it was submitted
 	SubmittedAt  time.Time
-	// StartDeadlines are the moments by which an array must start to meet its deadline
-	// and the objectives of its class, the next first.
+	// StartDeadlines are the times by which the job must start to meet its deadline and the
+	// objectives of its class, the earliest first. A gang has none.
 	StartDeadlines []time.Time
-	Epoch          protocol.AttemptNumber // of a gang: the number of its present attempt
+	Epoch          protocol.AttemptNumber // number of a gang's current attempt
 	Cancelled      bool
-	Recovered      bool // known from the records that a failover found
-	Finished       bool // its final record is committed
-	Stopping       bool // the gang's attempt is being ended
-	EverPlaced     bool // a task of it has had a place
+	Recovered      bool // loaded from the store at a failover
+	Finished       bool // the final record is committed
+	Stopping       bool // the gang's current attempt is being stopped
+	EverPlaced     bool // at least one of its tasks was placed at some time
 
 	Tasks     []Task
 	DoneTasks int
@@ -37,57 +37,63 @@
 	RetryAt  time.Time
 	Failures FailureHistory
 	Queue    QueueState
-	// SurvivingMachines are the machines of a gang's broken attempt that are still there.
+	// SurvivingMachines are the machines that held the remaining tasks of a gang's attempt
+	// when the attempt broke.
 	SurvivingMachines map[protocol.MachineID]bool
-	Reserved          []*Machine // machines whose free capacity is reserved for it
+	Reserved          []*Machine // machines whose free capacity is reserved for this job
 
 	Records RecordLayout
 	Write   WriteState
 }
 
-// FailureHistory is what is known of a job's failed attempts.
+// FailureHistory is what the leader knows about the failures of a job's attempts.
 type FailureHistory struct {
 	Machines map[protocol.MachineID]bool // machines on which a task failed
-	// AttributedToJob counts how often failures were attributed to the job, not to machines.
+	// AttributedToJob counts how often failures were attributed to the job instead of to
+	// machines.
 	AttributedToJob int
-	AvoidUntil      map[protocol.MachineID]time.Time
+	// AvoidUntil maps machines that refused a task, or on which a task failed, to the time
+	// until which the job avoids them.
+	AvoidUntil map[protocol.MachineID]time.Time
 }
 
-// QueueState is what the scheduler remembers of a job between two cycles.
+// QueueState is what the scheduler keeps about a job between two cycles.
 type QueueState struct {
-	WithinGuarantee bool // it fits into its team's guaranteed quota
-	MayReclaim      bool // it may preempt other teams' work to get that quota
-	ReclaimDecided  bool // whether MayReclaim was first decided
+	WithinGuarantee bool // the job fits into its team's guaranteed quota
+	MayReclaim      bool // the job may preempt other teams' tasks to get that quota
+	ReclaimDecided  bool // MayReclaim has been decided at least once
 	WaitingSince    time.Time
-	// PreemptionSearchNotBefore is when victims may be searched for again, and
-	// ImageLocalSearchNotBefore the same on machines that have its image.
+	// PreemptionSearchNotBefore is the earliest time of the next search for victims on any
+	// machine, ImageLocalSearchNotBefore that of the next search on machines that have the
+	// job's image.
 	PreemptionSearchNotBefore time.Time
 	ImageLocalSearchNotBefore time.Time
 }
 
-// WriteState says which of a job's records have yet to be written.
+// WriteState tracks which of a job's records still have to be written to the store.
 type WriteState struct {
-	Dirty      map[int]bool // records that must be written
-	Queued     bool         // in the committer's list of dirty jobs
-	DirtySince time.Time    // when it came into the list
-	InFlight   bool         // in the transaction in flight
+	Dirty      map[int]bool // numbers of the records that must be written
+	Queued     bool         // the job is in the committer's list of dirty jobs
+	DirtySince time.Time    // when the job was added to that list
+	InFlight   bool         // the transaction in flight writes this job
 }
 
-// Task is one task of a job. It has at most one active attempt; older attempts that may
-// still be somewhere are in Job.Attempts too.
+// Task is one task of a job. It has at most one active attempt. Older attempts that may
+// still exist on a machine are in Job.Attempts as well.
 type Task struct {
 	LastAttempt  protocol.AttemptNumber
 	Done         bool
 	LiveAttempts int
 	Active       *Attempt
-	EarlyExits   int       // how often in a row a replica ended soon after its start
-	RetryAt      time.Time // when one that did may start again
+	EarlyExits   int       // number of consecutive exits of a replica soon after its start
+	RetryAt      time.Time // earliest time at which such a replica may start again
 }
 
-// QueueTime is a job's sort key among those of its priority: the moment it came or,
-// for an array, the moment by which it must start to meet the next of its objectives.
-// One that is late for an objective can wait for those that are not; but none waits
-// for ever, and one that nothing was done for in a long time goes first.
+// QueueTime returns the job's sort key among the jobs of its priority. It is the time of
+// submission or, for a job with start deadlines, the next of these that can still be met.
+// A job is moved back for each deadline that it has missed, because other jobs can still
+// meet theirs. The move is bounded, so no job waits for ever, and an overdue job goes back
+// to its time of submission.
 func (j *Job) QueueTime(now time.Time) time.Time {
 	if len(j.StartDeadlines) == 0 || j.Overdue(now) {
 		return j.SubmittedAt
@@ -100,13 +106,13 @@
 	return j.SubmittedAt.Add(time.Duration(len(j.StartDeadlines)) * tuning.MissedObjectivePenalty)
 }
 
-// Overdue says whether an array has waited so long for its first place that it
-// goes first: with one task, then it takes its turn again.
+// Overdue reports whether a job that is not a gang has waited so long for its first placement
+// that it goes first. It takes its turn again as soon as one of its tasks is placed.
 func (j *Job) Overdue(now time.Time) bool {
 	return !j.EverPlaced && !j.Spec.Gang() && now.Sub(j.SubmittedAt) > tuning.ArrayStartDeadline
 }
 
-// FinalPhase is the phase in which the job has ended, or "".
+// FinalPhase returns the phase in which the job has ended, or "" if it has not ended.
 func (j *Job) FinalPhase() protocol.Phase {
 	switch {
 	case j.Cancelled && len(j.Attempts) == 0:
@@ -117,7 +123,7 @@
 	return ""
 }
 
-// Cancel cancels the job; false if it was cancelled before.
+// Cancel marks the job as cancelled. It returns false if the job was cancelled before.
 func (j *Job) Cancel() bool {
 	if j.Cancelled {
 		return false
@@ -126,14 +132,15 @@
 	return true
 }
 
-// Finish notes that the job's final record is committed: nothing of it is written any more.
+// Finish records that the job's final record is committed. No further record of the job is
+// written.
 func (j *Job) Finish() {
 	j.Finished = true
 	clear(j.Write.Dirty)
 }
 
-// BeginStop notes that the gang's attempt is being ended; false if it has none, for then
-// nothing would ever end the stop.
+// BeginStop records that the gang's current attempt is being stopped. It returns false and
+// changes nothing if the job has no attempts, because nothing would ever end such a stop.
 func (j *Job) BeginStop() bool {
 	if len(j.Attempts) == 0 {
 		return false
@@ -142,7 +149,7 @@
 	return true
 }
 
-// EndStop ends the stop once no attempt is left, and says whether that is so now.
+// EndStop ends a stop if no attempt is left. It reports whether it did so.
 func (j *Job) EndStop() bool {
 	if !j.Stopping || len(j.Attempts) > 0 {
 		return false
@@ -151,7 +158,7 @@
 	return true
 }
 
-// CompleteTask marks a task as done; false if it was before.
+// CompleteTask marks a task as done. It returns false if the task was done before.
 func (j *Job) CompleteTask(index int) bool {
 	task := &j.Tasks[index]
 	if task.Done {
@@ -162,7 +169,7 @@
 	return true
 }
 
-// GangSize is the number of a gang's tasks, 0 for other jobs.
+// GangSize returns the number of a gang's tasks, or 0 if the job is not a gang.
 func (j *Job) GangSize() int {
 	if !j.Spec.Gang() {
 		return 0
@@ -170,10 +177,10 @@
 	return len(j.Tasks)
 }
 
-// Complete says whether all tasks are done.
+// Complete reports whether all tasks are done.
 func (j *Job) Complete() bool { return j.DoneTasks == len(j.Tasks) }
 
-// SortedAttempts is the job's attempts in a fixed order.
+// SortedAttempts returns the job's attempts by task index, attempt number and machine.
 func (j *Job) SortedAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(j.Attempts))
 	for _, attempt := range j.Attempts {
@@ -185,7 +192,7 @@
 	return list
 }
 
-// HasUncommitted says whether a job has places that are not written yet.
+// HasUncommitted reports whether the job has attempts whose placement is not committed.
 func (j *Job) HasUncommitted() bool {
 	for _, attempt := range j.Attempts {
 		if !attempt.Committed {
@@ -195,7 +202,8 @@
 	return false
 }
 
-// FullyPlaced says whether every task of a job has a place and none is on its way out.
+// FullyPlaced reports whether every task of the job has an active attempt that is not
+// stopping.
 func (j *Job) FullyPlaced() bool {
 	for i := range j.Tasks {
 		attempt := j.Tasks[i].Active
@@ -206,8 +214,8 @@
 	return true
 }
 
-// ReplicasMovableFrom is how many replicas the rules allow in other zones when a zone is lost,
-// beyond those that are there.
+// ReplicasMovableFrom returns how many more replicas the job's zone constraints allow in
+// other zones when the zone lost fails. perZone is the number of its replicas in each zone.
 func (j *Job) ReplicasMovableFrom(lost protocol.ZoneName, perZone map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
 	if j.Spec.Zone != "" {
 		return 0
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -8,27 +8,30 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// HeardRecently says whether a heartbeat of the agent came lately.
+// HeardRecently reports whether the agent's newest heartbeat is recent and its lease has not
+// expired.
 func (st *State) HeardRecently(machine *Machine) bool {
 	return machine.Agent.Heard && !machine.Agent.LeaseExpired && st.Now().Sub(machine.Agent.LastHeartbeat) < st.SilenceTimeout()
 }
 
-// ConfirmedAlive says whether the agent is surely there: it has shown this leader's
-// token lately. What has not may be a late duplicate of an old heartbeat.
+// ConfirmedAlive reports whether the agent is certainly alive: a recent heartbeat has this
+// leader's fencing token. A heartbeat without it may be a late duplicate of an old one.
 func (st *State) ConfirmedAlive(machine *Machine) bool {
 	return machine.Agent.TokenConfirmed && st.HeardRecently(machine)
 }
 
-// NotReceiving says whether heartbeats of an agent come, but responses and commands do not
-// reach it: what a response told it does not show in its next heartbeat, or its
-// lease expired though it was answered. Its lease expires again and again, so
-// it takes no work; if it does not answer a call either, the machine is deleted.
+// NotReceiving reports whether responses and commands do not reach an agent although its
+// heartbeats arrive. Either its heartbeats do not show the effect of the responses before
+// them, or its lease expired although its heartbeats got responses. Its lease would expire
+// again and again, so the machine gets no tasks. If the agent does not answer calls either,
+// the machine is deleted.
 func (st *State) NotReceiving(machine *Machine) bool {
 	return machine.Agent.IneffectiveResponses >= tuning.MaxIneffectiveResponses
 }
 
-// NotReporting says whether an agent answers calls while no heartbeat of it comes, so that
-// its lease is about to expire, or does so again and again: it takes no work.
+// NotReporting reports whether no heartbeat of an agent, apart from those in responses to
+// calls, has arrived for more than half a lease. The lease is about to expire, or expires
+// again and again, even if the agent answers calls. So the machine gets no tasks.
 func (st *State) NotReporting(machine *Machine) bool {
 	since := st.LeadingSince
 	if machine.Agent.RespondedAt.After(since) {
@@ -37,12 +40,13 @@
 	return st.Now().Sub(since) > config.Seconds(st.Config.Cluster.Agents.LeaseS/2)
 }
 
-// SilenceTimeout is how long an agent may be silent before it is probed.
+// SilenceTimeout returns how long an agent may be silent before it is probed.
 func (st *State) SilenceTimeout() time.Duration {
 	return max(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.SilenceIntervals), tuning.MinSilenceTimeout)
 }
 
-// silenceCount counts the machines of a zone, or of all, and how many of them are silent.
+// silenceCount counts the machines of one zone or of all zones, and the silent ones among
+// them.
 type silenceCount struct{ silent, total int }
 
 // add counts a machine.
@@ -53,16 +57,17 @@
 	}
 }
 
-// exceeds says whether more than a share of the machines, and more than two, are silent.
+// exceeds reports whether more than two machines and more than the given share of the
+// machines are silent.
 func (c *silenceCount) exceeds(maxShare float64) bool {
 	return c.silent > 2 && float64(c.silent) > maxShare*float64(c.total)
 }
 
-// SuspectedZones are those in which the network is suspected, not the machines:
-// half of a zone's machines are silent at once, or a third of all. Machines
-// behind a partition are back when it ends, with their images; others in
-// their place would have to boot, perhaps behind the same partition. heard are the zones
-// most of whose machines send heartbeats as ever.
+// SuspectedZones returns the zones in which a network partition is suspected instead of
+// failed machines: more than half of the zone's machines, or more than a third of all
+// machines, are silent at once. Machines behind a partition are back when it ends, with
+// their images. Replacements would have to boot first, perhaps behind the same partition.
+// The result reachable has the zones in which most machines send heartbeats on time.
 func (st *State) SuspectedZones(silenceTimeout time.Duration) (suspected, reachable map[protocol.ZoneName]bool) {
 	var all silenceCount
 	perZone := map[protocol.ZoneName]silenceCount{}
@@ -84,8 +89,9 @@
 	return suspected, reachable
 }
 
-// isSilent says whether a machine is out of reach: it does not receive, or was silent for
-// so long. Soon after a failover an agent may simply have yet to find this leader.
+// isSilent reports whether a machine is unreachable: it does not receive responses, its lease
+// has expired, or it was silent for longer than silenceTimeout. Soon after a failover silence
+// does not count, because agents may not have found this leader yet.
 func (st *State) isSilent(machine *Machine, silenceTimeout time.Duration) bool {
 	if st.NotReceiving(machine) {
 		return true
@@ -97,14 +103,15 @@
 	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silenceTimeout
 }
 
-// GoneLongerThanBootTime says whether a machine behind a suspected partition has been gone for so
-// long after its lease that another would have booted.
+// GoneLongerThanBootTime reports whether a machine behind a suspected partition has been gone,
+// since its lease expired, for longer than a replacement takes to boot. If its type is
+// unknown, the expired lease is enough.
 func (st *State) GoneLongerThanBootTime(machine *Machine) bool {
 	machineType := st.TypeOf(machine)
 	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
 }
 
-// HasReplicas says whether a machine has replicas of services.
+// HasReplicas reports whether a machine has replicas of services that are not stopping.
 func (st *State) HasReplicas(machine *Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.Job.Spec.Service() && !attempt.Stopping {
@@ -114,12 +121,14 @@
 	return false
 }
 
-// ReplicaSilenceTimeout is how long such a machine may be silent before it is probed.
+// ReplicaSilenceTimeout returns how long the agent of a machine with replicas may be silent
+// before it is probed.
 func (st *State) ReplicaSilenceTimeout() time.Duration {
 	return min(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
 }
 
-// AnyZoneSuspected says whether machines of some zone are missed at the same time.
+// AnyZoneSuspected reports whether SuspectedZones suspects any zone after the silence timeout
+// of machines with replicas.
 func (st *State) AnyZoneSuspected() bool {
 	suspected, _ := st.SuspectedZones(st.ReplicaSilenceTimeout())
 	for _, isSuspected := range suspected {
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -9,50 +9,50 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Machine is a machine of the cloud and its agent.
+// Machine is a machine rented from the cloud, with its agent.
 type Machine struct {
 	ID        protocol.MachineID
 	Address   string
 	TypeName  protocol.MachineTypeName
 	Zone      protocol.ZoneName
 	Spot      bool
-	Phase     protocol.MachinePhase // in the cloud's list
+	Phase     protocol.MachinePhase // as in the cloud's machine list
 	CreatedAt time.Time
 
-	Type  *protocol.MachineType // nil until it is known, and the slots with it
+	Type  *protocol.MachineType // nil until known; Slots is empty until then
 	Slots buddy.Map
 	Used  Resources
 
 	Attempts  map[AttemptID]*Attempt
 	IdleSince time.Time
-	Images    []CachedImage // the most recently used last
+	Images    []CachedImage // the least recently used first
 
-	Recovered   bool // known from a predecessor's record
-	Cordoned    bool // takes no further tasks, says the machine record
+	Recovered   bool // loaded from a record of a previous leader
+	Cordoned    bool // accepts no new tasks; stored in the machine record
 	Deleting    bool
-	SpotNotice  bool                    // the cloud takes the machine away soon
-	Quarantined bool                    // too many jobs failed here
-	FailedJobs  map[protocol.JobID]bool // jobs that failed here since one has succeeded
+	SpotNotice  bool                    // the cloud will soon preempt this spot machine
+	Quarantined bool                    // too many jobs had a task fail here
+	FailedJobs  map[protocol.JobID]bool // jobs with a task that failed here since a task last succeeded here
 
-	// ReservedFor is the job that the free capacity is reserved for.
+	// ReservedFor is the job for which the free capacity is reserved, nil if there is none.
 	ReservedFor   *Job
 	ReservedUntil time.Time
 
-	Record           *MachineRecord // shared with other machines of the zone
-	RecordEntryBytes int            // of its entry there, at most
-	Recorded         bool           // the stored record has it
+	Record           *MachineRecord // shared with other machines of the zone; nil if none
+	RecordEntryBytes int            // upper bound of the size of its entry in Record
+	Recorded         bool           // the stored record contains this machine
 
 	Agent    AgentState
 	Delivery CommandDelivery
 }
 
-// CachedImage is an image that a machine has.
+// CachedImage is an image in a machine's cache.
 type CachedImage struct {
 	Name   string
 	SizeGB float64
 }
 
-// ReserveFor reserves the free capacity for a job, in place of another it was reserved for.
+// ReserveFor reserves the free capacity for a job. It replaces a reservation for another job.
 func (m *Machine) ReserveFor(job *Job, until time.Time) {
 	if m.ReservedFor != job {
 		m.ReleaseReservation()
@@ -62,7 +62,7 @@
 	m.ReservedUntil = until
 }
 
-// ReleaseReservation ends the reservation, if there is one.
+// ReleaseReservation ends the current reservation, if any.
 func (m *Machine) ReleaseReservation() {
 	if job := m.ReservedFor; job != nil {
 		m.ReservedFor = nil
@@ -70,7 +70,7 @@
 	}
 }
 
-// OnlyLowestPriority says whether all that a machine carries is of the lowest priority.
+// OnlyLowestPriority reports whether all attempts on the machine have the lowest priority.
 func (m *Machine) OnlyLowestPriority() bool {
 	for _, attempt := range m.Attempts {
 		if attempt.Job.Priority > protocol.PriorityIdle {
@@ -80,7 +80,7 @@
 	return true
 }
 
-// Cordon has the machine take no further tasks; false if it was cordoned before.
+// Cordon makes the machine accept no new tasks. It returns false if it was cordoned before.
 func (m *Machine) Cordon() bool {
 	if m.Cordoned {
 		return false
@@ -89,7 +89,8 @@
 	return true
 }
 
-// Quarantine notes that too many jobs failed here; false if that was known.
+// Quarantine records that too many jobs failed on the machine. It returns false if the
+// machine was quarantined before.
 func (m *Machine) Quarantine() bool {
 	if m.Quarantined {
 		return false
@@ -98,7 +99,8 @@
 	return true
 }
 
-// MarkDeleting has the machine deleted; false if that was decided before.
+// MarkDeleting records that the machine is to be deleted. It returns false if that was
+// recorded before.
 func (m *Machine) MarkDeleting() bool {
 	if m.Deleting {
 		return false
@@ -107,7 +109,8 @@
 	return true
 }
 
-// SortedAttemptsOn lists the attempts on a machine in a fixed order.
+// SortedAttemptsOn returns the attempts on a machine by the arrival of their jobs, task index
+// and attempt number.
 func SortedAttemptsOn(machine *Machine) []*Attempt {
 	list := make([]*Attempt, 0, len(machine.Attempts))
 	for _, attempt := range machine.Attempts {
@@ -123,16 +126,17 @@
 	return list
 }
 
-// addUsage accounts for a job's tasks on the machine; a negative count gives back.
+// addUsage adds the resources of a job's tasks to those in use. A negative count subtracts
+// them.
 func (m *Machine) addUsage(spec *protocol.Job, tasks int) {
 	m.Used.AddTasks(spec, tasks)
 	if len(m.Attempts) == 0 {
-		m.Used = Resources{} // no rounding is left behind
+		m.Used = Resources{} // removes accumulated rounding errors
 	}
 }
 
-// UseImage notes that the machine has an image, and forgets the least recently used ones
-// that the cache cannot have beside it.
+// UseImage records that the machine has a job's image and drops the least recently used
+// images that do not fit into the cache beside it.
 func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
 	m.Images = slices.DeleteFunc(m.Images, func(image CachedImage) bool { return image.Name == spec.Image })
 	m.Images = append(m.Images, CachedImage{Name: spec.Image, SizeGB: spec.ImageGB})
@@ -149,12 +153,13 @@
 	}
 }
 
-// HasImage says whether the machine is known to have an image.
+// HasImage reports whether the machine is known to have an image.
 func (m *Machine) HasImage(name string) bool {
 	return slices.ContainsFunc(m.Images, func(image CachedImage) bool { return image.Name == name })
 }
 
-// HasFree says whether the machine, of the given type, has free capacity of every kind.
+// HasFree reports whether the machine, which has the given type, has free capacity of every
+// resource that the type has.
 func (m *Machine) HasFree(machineType *protocol.MachineType) bool {
 	return m.Used.CPUs < machineType.CPUs && m.Used.MemoryGB < machineType.MemoryGB && (machineType.GPUs == 0 || m.Used.GPUs < machineType.GPUs)
 }
--- a/internal/coordination/cluster/machine_record.go
+++ b/internal/coordination/cluster/machine_record.go
@@ -6,24 +6,25 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// MachineRecord is the stored record that several machines of a zone share: scaling out or
-// in by many machines costs a change or two, not one for every machine.
+// MachineRecord is a stored record that several machines of a zone share. So scaling out or
+// in by many machines takes one or two writes instead of one for each machine.
 type MachineRecord struct {
 	Key      string
 	Zone     protocol.ZoneName
-	Revision protocol.Revision // 0 while it was never written
+	Revision protocol.Revision // 0 if it was never written
 	Members  []*Machine
-	Bytes    int  // of the record, at most
-	Queued   bool // to be written soon: machines were added or cordoned
-	// StaleSince is since when it names machines that are gone, to be written when there
-	// is time.
+	Bytes    int  // upper bound of the record's size
+	Queued   bool // must be written soon because machines were added or cordoned
+	// StaleSince is the time since which the stored record has contained machines that are
+	// gone. Such a record is written when there is time; zero if it is not stale.
 	StaleSince time.Time
-	// MovedOut are machines that it names and that moved to other machine records: it is
-	// not written before those are, for a machine that no record names would count as gone.
+	// MovedOut are machines that the stored record contains and that were moved to other
+	// machine records. The other records are written first: a machine in no record would
+	// count as gone.
 	MovedOut []*Machine
 }
 
-// Add enters a machine whose entry takes up to so many bytes.
+// Add adds a machine whose entry takes up to entryBytes bytes.
 func (r *MachineRecord) Add(machine *Machine, entryBytes int) {
 	machine.Record, machine.RecordEntryBytes = r, entryBytes
 	r.Members = append(r.Members, machine)
--- a/internal/coordination/cluster/order.go
+++ b/internal/coordination/cluster/order.go
@@ -1,6 +1,6 @@
 package cluster
 
-// TrueFirst compares two Booleans for a sort that puts true first.
+// TrueFirst compares two booleans so that true sorts before false.
 func TrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/coordination/cluster/quota.go
+++ b/internal/coordination/cluster/quota.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// Quota is what a team is guaranteed, its limit, and its use of the machines. A value of 0
-// means none.
+// Quota is a team's guarantee, its limit and its current use. A guarantee or limit of 0 means
+// that there is none.
 type Quota struct {
 	GuaranteedCPUs, GuaranteedGPUs float64
 	LimitCPUs, LimitGPUs           float64
-	UsedCPUs, UsedGPUs             float64 // by every task that may be on a machine
+	UsedCPUs, UsedGPUs             float64 // by all tasks that may be on a machine
 }
 
-// Guarantees says whether an amount fits into the guarantee; nothing does if there is none.
+// Guarantees reports whether an amount fits into the guarantee. Without a guarantee nothing
+// fits.
 func (q *Quota) Guarantees(amount Resources) bool {
 	if q.GuaranteedCPUs <= 0 && q.GuaranteedGPUs <= 0 {
 		return false
@@ -19,12 +20,14 @@
 		(q.GuaranteedGPUs == 0 || amount.GPUs <= q.GuaranteedGPUs+AmountTolerance)
 }
 
-// ExceedsGuarantee says whether a team uses more than its guarantee.
+// ExceedsGuarantee reports whether the team uses more than its guarantee. CPUs only count if
+// it has no guarantee of GPUs.
 func (q *Quota) ExceedsGuarantee() bool {
 	return q.UsedGPUs > q.GuaranteedGPUs+AmountTolerance || q.GuaranteedGPUs == 0 && q.UsedCPUs > q.GuaranteedCPUs+AmountTolerance
 }
 
-// TasksWithinLimit is how many more tasks of the job its team's limit allows.
+// TasksWithinLimit returns how many more tasks of the job its team's limit allows, at most
+// the number of its tasks. It returns 0 if the team is unknown.
 func (st *State) TasksWithinLimit(job *Job) int {
 	quota := st.Quotas[job.Spec.Team]
 	if quota == nil {
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -6,31 +6,31 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// RecordLayout says which of a job's stored records holds which tasks. Every record has a
-// fixed number of tasks; one that has outgrown the store's limits is split, as a node of
-// a B-tree is: what it gives away is in a further record, an extra part, which names its
-// tasks.
+// RecordLayout maps a job's tasks to its stored records. Every base record holds a fixed
+// number of consecutive tasks. An oversized record is split like a node of a B-tree: some of
+// its tasks move to an additional record, an extra part, which lists its tasks.
 type RecordLayout struct {
 	TasksPerRecord int
-	Revisions      []protocol.Revision // of every record, the first is the job's own
-	MovedTasks     map[int]int         // tasks that are not in the record that their index says
-	ExtraParts     [][]int             // the tasks of the extra parts
-	// UnnamedParts are extra parts that the job's own record does not name yet, and the records
-	// that they were split from; Staged are those of them that are written as they
-	// should be.
+	Revisions      []protocol.Revision // of every record; index 0 is the main record
+	MovedTasks     map[int]int         // extra part of each task that is not in its base record
+	ExtraParts     [][]int             // tasks of each extra part, in order
+	// UnnamedParts maps extra parts that the main record does not cover yet to the records
+	// that they were split from. StagedParts are those of them that are already written with
+	// their current content.
 	UnnamedParts map[int]int
 	StagedParts  map[int]bool
-	// AbandonedParts are extra parts that a predecessor staged and never named, with their revisions.
+	// AbandonedParts are the extra parts that a previous leader staged without completing the
+	// split, with their revisions.
 	AbandonedParts map[int]protocol.Revision
-	Splitting      bool // the split takes several transactions: nothing is placed meanwhile
-	Quarantined    bool // a record cannot be read, or cannot be brought under the limits
-	SpecBytes      int  // of the specification in the first record
+	Splitting      bool // a split takes several transactions; no task of the job is placed meanwhile
+	Quarantined    bool // a record cannot be read, or cannot be split to keep within the limits
+	SpecBytes      int  // size of the specification in the main record, 0 if not computed yet
 }
 
-// BaseRecords is the number of records without the extra parts.
+// BaseRecords returns the number of records that are not extra parts.
 func (j *Job) BaseRecords() int { return len(j.Records.Revisions) - len(j.Records.ExtraParts) }
 
-// RecordOf is the record that a task is in.
+// RecordOf returns the number of the record that holds a task.
 func (j *Job) RecordOf(index int) int {
 	if record, ok := j.Records.MovedTasks[index]; ok {
 		return record
@@ -38,7 +38,7 @@
 	return index / j.Records.TasksPerRecord
 }
 
-// TasksOf lists a record's tasks in order.
+// TasksOf returns the indexes of a record's tasks in order.
 func (j *Job) TasksOf(record int) []int {
 	if record >= j.BaseRecords() {
 		return j.Records.ExtraParts[record-j.BaseRecords()]
@@ -54,7 +54,7 @@
 	return tasks
 }
 
-// MoveTask puts a task into an extra part.
+// MoveTask moves a task to an extra part.
 func (j *Job) MoveTask(index, record int) {
 	if old, ok := j.Records.MovedTasks[index]; ok {
 		if old == record {
@@ -72,7 +72,8 @@
 	*list = slices.Insert(*list, at, index)
 }
 
-// SplitRecord gives half of a record's tasks to a new extra part, whose number it returns.
+// SplitRecord moves the second half of a record's tasks to a new extra part and returns the
+// number of that part.
 func (j *Job) SplitRecord(record int) (part int) {
 	list := slices.Clone(j.TasksOf(record))
 	part = len(j.Records.Revisions)
--- a/internal/coordination/cluster/resources.go
+++ b/internal/coordination/cluster/resources.go
@@ -7,11 +7,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// AmountTolerance absorbs rounding in sums of decimal amounts.
+// AmountTolerance absorbs rounding errors in sums of resource amounts.
 const AmountTolerance = 1e-6
 
-// MachineSlots is the number of slots on a machine: one a GPU or, without
-// GPUs, one a fixed share of processors.
+// MachineSlots returns the number of slots on a machine: one for each GPU or, without GPUs,
+// one for a fixed number of CPUs.
 func MachineSlots(machineType *protocol.MachineType) int {
 	if machineType.GPUs >= 1 {
 		return int(machineType.GPUs)
@@ -19,7 +19,7 @@
 	return max(1, int(machineType.CPUs/tuning.CPUsPerSlot))
 }
 
-// TaskSlots is the number of slots that a task takes.
+// TaskSlots returns the number of slots that a task takes.
 func TaskSlots(spec *protocol.Job) int {
 	if spec.GPUs > 0 {
 		return int(math.Ceil(spec.GPUs))
@@ -27,24 +27,24 @@
 	return max(1, int(math.Ceil(spec.CPUs/tuning.CPUsPerSlot)))
 }
 
-// Resources is an amount of what tasks take of machines.
+// Resources is an amount of each resource that tasks take from machines.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Add adds another amount.
+// Add adds other to r.
 func (r *Resources) Add(other Resources) {
 	r.CPUs += other.CPUs
 	r.GPUs += other.GPUs
 	r.MemoryGB += other.MemoryGB
 }
 
-// AddTasks adds what n tasks of a job take; n may be negative.
+// AddTasks adds the resources that n tasks of a job take; n may be negative.
 func (r *Resources) AddTasks(spec *protocol.Job, n int) {
 	r.CPUs += spec.CPUs * float64(n)
 	r.GPUs += spec.GPUs * float64(n)
 	r.MemoryGB += spec.MemoryGB * float64(n)
 }
 
-// Fit is how many tasks of the job fit, at most limit.
+// Fit returns how many tasks of a job fit into r, at most limit.
 func (r Resources) Fit(spec *protocol.Job, limit int) int {
 	n := float64(limit)
 	for _, amounts := range [][2]float64{{r.CPUs, spec.CPUs}, {r.GPUs, spec.GPUs}, {r.MemoryGB, spec.MemoryGB}} {
@@ -55,7 +55,7 @@
 	return max(0, int(n))
 }
 
-// CapacityOf is what a machine of a type has.
+// CapacityOf returns the capacity of a machine of the given type.
 func CapacityOf(machineType *protocol.MachineType) Resources {
 	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -1,9 +1,9 @@
-// Package cluster is the model of the cluster that a leader decides on: jobs, tasks and
-// their attempts, machines and their agents, quotas and reservations, with the arithmetic
-// and the accounts that keep them consistent.
+// Package cluster is the model of the cluster on which a leader bases its decisions: jobs,
+// tasks and their attempts, machines and their agents, quotas and reservations, with the
+// arithmetic and the accounting that keep them consistent.
 //
-// It knows nothing of the network, the store or the cloud: it sends nothing, writes
-// nothing and logs nothing, and has no clock of its own.
+// It is independent of the network, the store and the cloud: it sends, writes and logs
+// nothing, and has no clock of its own.
 package cluster
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// State is the leader's model of the cluster: jobs, machines and quotas, and the accounts
-// that connect them. It is rebuilt from the stored records at every failover.
+// State is the leader's model of the cluster: jobs, machines and quotas, and the accounting
+// that connects them. It is rebuilt from the stored records at every failover.
 type State struct {
 	Config       *config.Config
 	Types        map[protocol.MachineTypeName]*protocol.MachineType // shared with the node
-	Now          func() time.Time                                   // the time of the step under way
+	Now          func() time.Time                                   // returns the time of the current event loop step
 	LeadingSince time.Time
 
 	Jobs     map[protocol.JobID]*Job
 	Machines map[protocol.MachineID]*Machine
-	// OrderedMachines are the machines by name, the order of their creation. The slice
-	// is never changed in place.
+	// OrderedMachines has the machines by ID, which is the order of their creation. The
+	// elements of a slice that was handed out never change.
 	OrderedMachines []*Machine
 	Quotas          map[protocol.TeamName]*Quota
 }
 
-// NewState makes the model of a cluster of which nothing is known yet.
+// NewState returns a model without jobs and machines.
 func NewState(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, now func() time.Time) *State {
 	st := &State{
 		Config: cfg, Types: types, Now: now, LeadingSince: now(),
@@ -46,7 +46,8 @@
 	return st
 }
 
-// AddAttempt enters an attempt into every account.
+// AddAttempt adds an attempt to its job, its machine and the team's quota, and allocates its
+// slots.
 func (st *State) AddAttempt(job *Job, index int, number protocol.AttemptNumber, machine *Machine, incarnation protocol.Incarnation) *Attempt {
 	attempt := &Attempt{
 		Job: job, Machine: machine, Incarnation: incarnation,
@@ -64,7 +65,7 @@
 	return attempt
 }
 
-// RemoveAttempt takes an attempt out of every account; false if it is out already.
+// RemoveAttempt undoes AddAttempt. It returns false if the attempt was removed before.
 func (st *State) RemoveAttempt(attempt *Attempt) bool {
 	job, machine := attempt.Job, attempt.Machine
 	if job.Attempts[attempt.Key] != attempt {
@@ -90,12 +91,12 @@
 	return true
 }
 
-// StartDeadlines lists the moments by which an array must start to meet its own
-// deadline and the objectives that the settings give for its class, the next first.
+// StartDeadlines returns the times by which a job must start to meet its own deadline and
+// the objectives that the settings give for its class, the earliest first. A gang has none.
 func (st *State) StartDeadlines(job *Job) []time.Time {
 	spec := job.Spec
 	if spec.Gang() {
-		return nil // gangs go in order of arrival
+		return nil // gangs are queued in order of arrival
 	}
 	var list []time.Time
 	add := func(afterS float64) { list = append(list, job.SubmittedAt.Add(config.Seconds(afterS))) }
@@ -107,7 +108,7 @@
 		switch {
 		case objective.Kind == config.ObjectiveWait, objective.Kind == config.ObjectiveUp:
 			add(objective.WithinS)
-		case spec.Service(): // it has no end
+		case spec.Service(): // a service has no end
 		case objective.Kind == config.ObjectiveFinished:
 			add(objective.WithinS - spec.EstimateS)
 		case objective.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0:
@@ -122,7 +123,9 @@
 	return slices.Compact(list)
 }
 
-// EnsureMachine finds a machine or enters a new one.
+// EnsureMachine returns the machine with the given ID and adds it if it is new. Unless
+// typeName is empty, it updates the type, zone and spot flag, and the address if there is
+// one.
 func (st *State) EnsureMachine(id protocol.MachineID, address string, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) *Machine {
 	machine := st.Machines[id]
 	if machine == nil {
@@ -136,7 +139,7 @@
 	return machine
 }
 
-// newMachine is a machine of which only the name is known.
+// newMachine returns a machine of which only the ID is known.
 func newMachine(id protocol.MachineID, now time.Time) *Machine {
 	return &Machine{
 		ID:         id,
@@ -149,8 +152,9 @@
 	}
 }
 
-// insertOrdered adds a machine to OrderedMachines, which is never changed in place. Machines are
-// named in the order of their creation, so that most come last.
+// insertOrdered inserts a machine into OrderedMachines without changing the elements of
+// slices that were handed out. IDs follow the order of creation, so most machines are
+// appended.
 func (st *State) insertOrdered(machine *Machine) {
 	at, _ := slices.BinarySearchFunc(st.OrderedMachines, machine, compareMachineIDs)
 	if at == len(st.OrderedMachines) {
@@ -162,7 +166,8 @@
 
 func compareMachineIDs(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) }
 
-// TypeOf is the machine's type, nil while it is unknown.
+// TypeOf returns the machine's type, or nil while it is unknown. When the type becomes known
+// or changes, it allocates the slots of the machine's attempts anew.
 func (st *State) TypeOf(machine *Machine) *protocol.MachineType {
 	if machine.Type == nil || machine.Type.Name != machine.TypeName {
 		if machine.Type = st.Types[machine.TypeName]; machine.Type == nil {
@@ -176,7 +181,8 @@
 	return machine.Type
 }
 
-// ImageFetchSeconds is how long a job's image takes to fetch on the slowest type.
+// ImageFetchSeconds returns how long a job's image takes to fetch on the slowest of the machine
+// types that fit the job.
 func (st *State) ImageFetchSeconds(spec *protocol.Job) float64 {
 	fetch := 0.0
 	for _, machineType := range st.Types {
@@ -187,7 +193,7 @@
 	return fetch
 }
 
-// FreeResources is the machine's free capacity.
+// FreeResources returns the machine's free capacity, or none while its type is unknown.
 func (st *State) FreeResources(machine *Machine) Resources {
 	machineType := st.TypeOf(machine)
 	if machineType == nil {
@@ -200,7 +206,7 @@
 	}
 }
 
-// PriceOf is a machine's price per hour.
+// PriceOf returns a machine's price per hour, or 0 while its type is unknown.
 func (st *State) PriceOf(machine *Machine) float64 {
 	machineType := st.TypeOf(machine)
 	switch {
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -144,7 +144,8 @@
 }
 
 // CheckPlacement checks that a job's attempts are placed as its specification allows, and
-// that all attempts together exceed neither the machines' capacity nor the team's limit.
+// that all attempts together exceed neither the machines' capacity nor the limit of the
+// team "tight".
 func (c *Cluster) CheckPlacement(t testing.TB, job *cluster.Job) {
 	t.Helper()
 	perZone := map[protocol.ZoneName]int{}
