--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -14,8 +14,8 @@
 	Heard          bool                 // this leader has received a heartbeat of the agent
 	TokenConfirmed bool                 // the agent's newest heartbeat has this leader's fencing token
 	HigherToken    protocol.Term        // a token above this leader's term that the agent has reported
-	LastHeartbeat  time.Time            // when the newest heartbeat arrived, also in the response to a call
-	RespondedAt    time.Time            // when a heartbeat last got a response: the lease starts no later
+	LastHeartbeat  time.Time            // arrival of the newest one, also as the response to a call
+	RespondedAt    time.Time            // last response to a heartbeat: the lease starts no later
 	LeaseExpired   bool                 // the lease has certainly expired since the last heartbeat
 	LeaseExpiredAt time.Time            // when the expiry was detected
 
@@ -34,7 +34,7 @@
 
 // CommandDelivery is the state of command delivery to an agent.
 type CommandDelivery struct {
-	Queued        bool               // the machine is in the leader's list of machines with commands to send
+	Queued        bool               // in the leader's list of machines with commands to send
 	InFlight      bool               // a call to the agent is in progress
 	CallNotBefore time.Time          // earliest time of the next call
 	MustNotForget map[AttemptID]bool // attempts that the agent must not be told to forget
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -27,7 +27,7 @@
 
 // ZoneLimits returns the limits of a job.
 func (st *State) ZoneLimits(job *Job) ZoneLimits {
-	perZone := map[protocol.ZoneName]int{} // first the number of attempts, at the end the number of tasks remaining
+	perZone := map[protocol.ZoneName]int{} // attempts of the job, at the end remaining tasks
 	limits := ZoneLimits{Remaining: perZone}
 	for _, attempt := range job.Attempts {
 		perZone[attempt.Machine.Zone]++
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -30,8 +30,9 @@
 }
 
 // NotReporting reports whether no heartbeat of an agent, apart from those in responses to
-// calls, has arrived for more than half a lease. The lease is about to expire, or expires
-// again and again, even if the agent answers calls. So the machine gets no tasks.
+// calls, has arrived for more than half a lease since this leader took over. The lease is
+// about to expire, or expires again and again, even if the agent answers calls. So the
+// machine gets no tasks.
 func (st *State) NotReporting(machine *Machine) bool {
 	since := st.LeadingSince
 	if machine.Agent.RespondedAt.After(since) {
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -9,14 +9,14 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestZoneIsSuspectedWhenManyMachinesAreSilent: more than half of a zone's machines that are silent
-// at once, and more than two, make the zone suspected, not the machines.
+// TestZoneIsSuspectedWhenManyMachinesAreSilent: if more than half of a zone's machines, and more
+// than two, are silent at once, the zone is suspected instead of the machines.
 func TestZoneIsSuspectedWhenManyMachinesAreSilent(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		silent               int
 		suspected, reachable bool
-	}{{"none", 0, false, true}, {"one", 1, false, true}, {"two", 2, false, false}, {"five", 5, true, false}} {
+	}{{"none silent", 0, false, true}, {"one silent", 1, false, true}, {"two silent", 2, false, false}, {"five silent", 5, true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			model := clustertest.New()
 			for i := range 6 {
@@ -28,46 +28,47 @@
 			model.Heartbeat(model.OrderedMachines[c.silent:]...)
 			suspected, reachable := model.SuspectedZones(model.SilenceTimeout())
 			if suspected["a"] != c.suspected || reachable["a"] != c.reachable || suspected["b"] || !reachable["b"] {
-				t.Errorf("suspected %v, heard %v", suspected, reachable)
+				t.Errorf("suspected zones %v, reachable zones %v", suspected, reachable)
 			}
 			if model.AnyZoneSuspected() != c.suspected {
-				t.Errorf("some zone silent %v", model.AnyZoneSuspected())
+				t.Errorf("AnyZoneSuspected returns %v", model.AnyZoneSuspected())
 			}
 		})
 	}
 }
 
-// TestNewLeaderSuspectsNoZoneAtFirst: soon after a failover agents have yet to find the leader.
+// TestNewLeaderSuspectsNoZoneAtFirst: soon after a failover agents may not have found the new
+// leader yet, so silence does not count.
 func TestNewLeaderSuspectsNoZoneAtFirst(t *testing.T) {
 	model := clustertest.New()
 	for i := range 6 {
 		model.AddMachine(protocol.MachineID(fmt.Sprintf("i-%d", i)), "big", "a").Agent.Heard = false
 	}
 	if suspected, _ := model.SuspectedZones(model.SilenceTimeout()); suspected["a"] {
-		t.Error("suspected at once")
+		t.Error("a zone is suspected right after the failover")
 	}
 	model.Advance(model.SilenceTimeout() + time.Second)
 	if suspected, _ := model.SuspectedZones(model.SilenceTimeout()); !suspected["a"] {
-		t.Error("not suspected though nothing was heard in time")
+		t.Error("the zone is not suspected although no heartbeat arrived within the silence timeout")
 	}
 }
 
-// TestMachineIsSchedulableOnlyWhileConfirmedAlive: a machine takes tasks only if its agent has
-// shown this leader's token, lately, and if responses reach it.
+// TestMachineIsSchedulableOnlyWhileConfirmedAlive: a machine accepts tasks only if a recent
+// heartbeat of its agent has this leader's token and responses reach the agent.
 func TestMachineIsSchedulableOnlyWhileConfirmedAlive(t *testing.T) {
 	model := clustertest.New()
 	machine := model.AddMachine("i-1", "big", "a")
 	if !model.Schedulable(machine) {
-		t.Fatal("takes no tasks")
+		t.Fatal("a confirmed machine accepts no tasks")
 	}
 	machine.Agent.TokenConfirmed = false
 	if model.Schedulable(machine) {
-		t.Error("takes tasks without having shown the token")
+		t.Error("a machine whose agent has not shown the token accepts tasks")
 	}
 	machine.Agent.TokenConfirmed = true
 	model.Advance(model.SilenceTimeout())
 	if model.Schedulable(machine) {
-		t.Error("takes tasks though it is silent")
+		t.Error("a silent machine accepts tasks")
 	}
 	model.Heartbeat()
 	for range 10 {
@@ -76,6 +77,6 @@
 	}
 	machine.Agent.TokenConfirmed = true
 	if !model.NotReceiving(machine) || model.Schedulable(machine) {
-		t.Errorf("%d responses unseen and it takes tasks", machine.Agent.IneffectiveResponses)
+		t.Errorf("after %d ineffective responses the machine still counts as receiving or accepts tasks", machine.Agent.IneffectiveResponses)
 	}
 }
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -32,7 +32,7 @@
 	Deleting    bool
 	SpotNotice  bool                    // the cloud will soon preempt this spot machine
 	Quarantined bool                    // too many jobs had a task fail here
-	FailedJobs  map[protocol.JobID]bool // jobs with a task that failed here since a task last succeeded here
+	FailedJobs  map[protocol.JobID]bool // jobs that failed here since a task last succeeded here
 
 	// ReservedFor is the job for which the free capacity is reserved, nil if there is none.
 	ReservedFor   *Job
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -14,16 +14,16 @@
 	Revisions      []protocol.Revision // of every record; index 0 is the main record
 	MovedTasks     map[int]int         // extra part of each task that is not in its base record
 	ExtraParts     [][]int             // tasks of each extra part, in order
-	// UnnamedParts maps extra parts that the main record does not cover yet to the records
-	// that they were split from. StagedParts are those of them that are already written with
-	// their current content.
+	// UnnamedParts maps extra parts that the stored main record does not count yet to the
+	// records that they were split from. StagedParts are those of them that are already
+	// written with their current content.
 	UnnamedParts map[int]int
 	StagedParts  map[int]bool
 	// AbandonedParts are the extra parts that a previous leader staged without completing the
 	// split, with their revisions.
 	AbandonedParts map[int]protocol.Revision
 	Splitting      bool // a split takes several transactions; no task of the job is placed meanwhile
-	Quarantined    bool // a record cannot be read, or cannot be split to keep within the limits
+	Quarantined    bool // a record cannot be read, or cannot be brought within the store's limits
 	SpecBytes      int  // size of the specification in the main record, 0 if not computed yet
 }
 
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -21,7 +21,7 @@
 type State struct {
 	Config       *config.Config
 	Types        map[protocol.MachineTypeName]*protocol.MachineType // shared with the node
-	Now          func() time.Time                                   // returns the time of the current event loop step
+	Now          func() time.Time                                   // time of the current event loop step
 	LeadingSince time.Time
 
 	Jobs     map[protocol.JobID]*Job
