--- a/internal/buddy/buddy.go
+++ b/internal/buddy/buddy.go
@@ -1,7 +1,7 @@
 // Package buddy is a buddy allocator for the slots of one machine. A block of order k has
-// 2^k slots and starts at a multiple of 2^k. Only the used slots are stored; blocks are
-// split and coalesced implicitly, because the free slots are always a disjoint union of
-// aligned blocks.
+// 2^k slots and starts at a multiple of 2^k. A Map only stores which slots are used. The
+// splitting and coalescing of blocks follow from that, so the free slots are always a
+// disjoint union of aligned blocks.
 package buddy
 
 import "math/bits"
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -14,7 +14,7 @@
 	Heard          bool                 // this leader has received a heartbeat of the agent
 	TokenConfirmed bool                 // the agent's newest heartbeat has this leader's fencing token
 	HigherToken    protocol.Term        // a token above this leader's term that the agent has reported
-	LastHeartbeat  time.Time            // arrival of the newest one, also as the response to a call
+	LastHeartbeat  time.Time            // arrival of the newest heartbeat, also in the response to a call
 	RespondedAt    time.Time            // last response to a heartbeat: the lease starts no later
 	LeaseExpired   bool                 // the lease has certainly expired since the last heartbeat
 	LeaseExpiredAt time.Time            // when the expiry was detected
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -111,7 +111,7 @@
 func (a *Attempt) ObserveExit() { a.ReportedState = protocol.TaskExited }
 
 // RequestStop asks the attempt to stop within a grace period. Later requests can only
-// shorten the period; such a request has the stop command sent again.
+// shorten the period. A shorter period has the stop command sent again.
 func (a *Attempt) RequestStop(graceS float64) {
 	if !a.Stopping || graceS < a.GraceS {
 		a.Stopping, a.GraceS, a.StopSentAt = true, graceS, time.Time{}
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -57,8 +57,8 @@
 		!st.NotReceiving(machine) && !st.NotReporting(machine) && st.ConfirmedAlive(machine) && st.TypeOf(machine) != nil
 }
 
-// SpecAllows reports whether a job may use machines of the given type and zone, and spot
-// machines if spot is set.
+// SpecAllows reports whether a job may use machines of the given type in the given zone. The
+// argument spot says whether they are spot machines.
 func SpecAllows(spec *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
 	return protocol.Allowed(spec.Types, typeName) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -30,9 +30,9 @@
 }
 
 // NotReporting reports whether no heartbeat of an agent, apart from those in responses to
-// calls, has arrived for more than half a lease since this leader took over. The lease is
-// about to expire, or expires again and again, even if the agent answers calls. So the
-// machine gets no tasks.
+// calls, has arrived for more than half a lease. The time counts from the start of this
+// leadership at the earliest. The agent's lease is about to expire, or expires again and
+// again, even if it answers calls. So the machine gets no tasks.
 func (st *State) NotReporting(machine *Machine) bool {
 	since := st.LeadingSince
 	if machine.Agent.RespondedAt.After(since) {
@@ -65,7 +65,7 @@
 }
 
 // SuspectedZones returns the zones in which a network partition is suspected instead of
-// failed machines: more than half of the zone's machines, or more than a third of all
+// failed machines: more than half of the zone's machines, or more than about a third of all
 // machines, are silent at once. Machines behind a partition are back when it ends, with
 // their images. Replacements would have to boot first, perhaps behind the same partition.
 // The result reachable has the zones in which most machines send heartbeats on time.
@@ -112,7 +112,7 @@
 	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
 }
 
-// HasReplicas reports whether a machine has replicas of services that are not stopping.
+// HasReplicas reports whether a machine has service replicas that are not stopping.
 func (st *State) HasReplicas(machine *Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if attempt.Job.Spec.Service() && !attempt.Stopping {
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -138,7 +138,7 @@
 // UseImage records that the machine has a job's image and drops the least recently used
 // images that do not fit into the cache beside it.
 func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
-	m.Images = slices.DeleteFunc(m.Images, func(image CachedImage) bool { return image.Name == spec.Image })
+	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == spec.Image })
 	m.Images = append(m.Images, CachedImage{Name: spec.Image, SizeGB: spec.ImageGB})
 	if machineType == nil {
 		return
@@ -155,7 +155,7 @@
 
 // HasImage reports whether the machine is known to have an image.
 func (m *Machine) HasImage(name string) bool {
-	return slices.ContainsFunc(m.Images, func(image CachedImage) bool { return image.Name == name })
+	return slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.Name == name })
 }
 
 // HasFree reports whether the machine, which has the given type, has free capacity of every
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -133,8 +133,8 @@
 		CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 1}
 }
 
-// CountStopping returns the number of a job's attempts that have been asked to stop.
-func CountStopping(job *cluster.Job) (count int) {
+// Stopping returns the number of a job's attempts that have been asked to stop.
+func Stopping(job *cluster.Job) (count int) {
 	for _, attempt := range job.Attempts {
 		if attempt.Stopping {
 			count++
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -52,8 +52,8 @@
 	machine := l.AddMachine("i-1", "big", "a")
 	job := l.running(clustertest.Gang(3, 1), machine)
 	l.RemoveGone(job.SortedAttempts()[0])
-	if len(job.Attempts) != 2 || clustertest.CountStopping(job) != 2 || !job.Stopping || !l.pending[machine] || !l.scheduling {
-		t.Errorf("%d attempts, %d stopping, commands pending %v", len(job.Attempts), clustertest.CountStopping(job), l.pending[machine])
+	if len(job.Attempts) != 2 || clustertest.Stopping(job) != 2 || !job.Stopping || !l.pending[machine] || !l.scheduling {
+		t.Errorf("%d attempts, %d stopping, commands pending %v", len(job.Attempts), clustertest.Stopping(job), l.pending[machine])
 	}
 	if !job.SurvivingMachines[machine.ID] || machine.ReservedFor != job {
 		t.Errorf("survivors %v, reserved for %v", job.SurvivingMachines, machine.ReservedFor)
@@ -99,7 +99,7 @@
 	for _, job := range []*cluster.Job{planned, inFlight} {
 		l.Stop(job.Tasks[0].Active, 0)
 	}
-	if len(planned.Attempts) != 0 || len(inFlight.Attempts) != 1 || clustertest.CountStopping(inFlight) != 1 {
+	if len(planned.Attempts) != 0 || len(inFlight.Attempts) != 1 || clustertest.Stopping(inFlight) != 1 {
 		t.Errorf("%d and %d attempts are left", len(planned.Attempts), len(inFlight.Attempts))
 	}
 	attempt := l.running(clustertest.Array(1), machine).Tasks[0].Active
@@ -195,11 +195,11 @@
 	job := l.running(clustertest.Gang(2, 1), l.AddMachine("i-1", "big", "a"))
 	l.unreadable[job.ID] = true
 	l.State.RemoveAttempt(job.SortedAttempts()[0])
-	if l.CheckEnded(job); clustertest.CountStopping(job) != 0 || l.changed[job] {
-		t.Errorf("%d stopping, record changed %v", clustertest.CountStopping(job), l.changed[job])
+	if l.CheckEnded(job); clustertest.Stopping(job) != 0 || l.changed[job] {
+		t.Errorf("%d stopping, record changed %v", clustertest.Stopping(job), l.changed[job])
 	}
 	job.Cancelled = true
-	if l.CheckEnded(job); clustertest.CountStopping(job) != 1 {
-		t.Errorf("%d stopping after the cancellation", clustertest.CountStopping(job))
+	if l.CheckEnded(job); clustertest.Stopping(job) != 1 {
+		t.Errorf("%d stopping after the cancellation", clustertest.Stopping(job))
 	}
 }
--- a/internal/coordination/scheduler/harness_test.go
+++ b/internal/coordination/scheduler/harness_test.go
@@ -25,7 +25,7 @@
 // checkStopping checks how many attempts of a job are to end.
 func checkStopping(t *testing.T, job *cluster.Job, want int) {
 	t.Helper()
-	if got := clustertest.CountStopping(job); got != want {
+	if got := clustertest.Stopping(job); got != want {
 		t.Errorf("%d tasks are preempted, want %d", got, want)
 	}
 }
