--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -169,7 +169,7 @@
 			for _, id := range []protocol.MachineID{"i-1", "i-2"} {
 				job := h.cluster.AddJob(spec)
 				h.cluster.PlaceAll(job, h.cluster.AddMachine(id, "big", "a"))
-				h.cluster.MarkAllRunning(job)
+				h.cluster.Run(job)
 				job.Tasks[0].Active.RunningSince = h.cluster.Now()
 			}
 			h.schedule()
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -109,8 +109,8 @@
 	job.EverPlaced = true
 }
 
-// MarkAllRunning marks all attempts of a job as committed, started and reported running.
-func (c *Cluster) MarkAllRunning(job *cluster.Job) {
+// Run marks all attempts of a job as committed, started and reported running.
+func (c *Cluster) Run(job *cluster.Job) {
 	for _, attempt := range job.Attempts {
 		attempt.MarkCommitted()
 		attempt.ObserveState(protocol.TaskRunning, c.now)
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -41,7 +41,7 @@
 func (l *testLeader) running(spec protocol.Job, machine *cluster.Machine) *cluster.Job {
 	job := l.AddJob(spec)
 	l.PlaceAll(job, machine)
-	l.MarkAllRunning(job)
+	l.Run(job)
 	return job
 }
 
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -20,7 +20,7 @@
 	for range 40 {
 		job := h.cluster.AddJob(spec)
 		h.placeArray(job, imageAnywhere)
-		h.cluster.MarkAllRunning(job)
+		h.cluster.Run(job)
 	}
 }
 
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -224,7 +224,7 @@
 	old := h.cluster.AddMachine("i-1", "big", "a")
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	h.RunCycle()
-	h.cluster.MarkAllRunning(job)
+	h.cluster.Run(job)
 	old.Cordoned = true
 	h.MoveReplicas()
 	if len(h.environment.Stopped) != 0 {
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -17,7 +17,7 @@
 	spec.Priority = "idle"
 	low := h.cluster.AddJob(spec)
 	h.RunCycle()
-	h.cluster.MarkAllRunning(low)
+	h.cluster.Run(low)
 	same := clustertest.Gang(1, 2)
 	same.Priority = "idle"
 	h.cluster.AddJob(same)
@@ -44,7 +44,7 @@
 	spec.Priority = "idle"
 	low := h.cluster.AddJob(spec)
 	h.RunCycle()
-	h.cluster.MarkAllRunning(low)
+	h.cluster.Run(low)
 	high := clustertest.Gang(1, 2)
 	high.Priority = "high"
 	job := h.cluster.AddJob(high)
@@ -83,7 +83,7 @@
 			}
 			other := h.cluster.AddJob(spec)
 			h.RunCycle()
-			h.cluster.MarkAllRunning(other)
+			h.cluster.Run(other)
 			spec.Team, spec.Tasks, spec.Priority = "tight", 2, "normal"
 			h.cluster.AddJob(spec)
 			h.RunCycle()
@@ -102,7 +102,7 @@
 	spec.Shape = protocol.ShapeArray
 	other := h.cluster.AddJob(spec)
 	h.RunCycle()
-	h.cluster.MarkAllRunning(other)
+	h.cluster.Run(other)
 	spec.Team, spec.Tasks, spec.Zone = "tight", 2, "b"
 	first := h.cluster.AddJob(spec) // takes the whole guarantee, waits for another zone
 	spec.Zone = ""
@@ -125,7 +125,7 @@
 	spec.Priority = "idle"
 	low := h.cluster.AddJob(spec)
 	h.RunCycle()
-	h.cluster.MarkAllRunning(low)
+	h.cluster.Run(low)
 	unreported := h.cluster.AddMachine("i-2", "big", "a")
 	unreported.Recovered, unreported.Agent.Heard, unreported.Agent.TokenConfirmed = true, false, false
 	high := clustertest.Gang(1, 2)
