--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -136,7 +136,7 @@
 }
 
 // UseImage records that the machine has a job's image and drops the least recently used
-// images that do not fit into the cache beside it.
+// images that do not fit into the cache in addition to it.
 func (m *Machine) UseImage(spec *protocol.Job, machineType *protocol.MachineType) {
 	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.Name == spec.Image })
 	m.Images = append(m.Images, CachedImage{Name: spec.Image, SizeGB: spec.ImageGB})
