--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -166,7 +166,7 @@
 	if partitions.early == nil {
 		partitions.early, partitions.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.heard)
+	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.MostReplicasFitElsewhere(machine, partitions.heard)
 }
 
 // deleteSilent has a machine deleted that does not answer.
