--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -6,47 +6,47 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// RecordLayout says which of a job's stored records holds which tasks. Every record has a
-// fixed number of tasks; one that has outgrown the store's limits is split, as a node of
-// a B-tree is: what it gives away is in a further record, an extra part, which names its
-// tasks.
+// RecordLayout maps a job's tasks to its stored records. Every base record holds a fixed
+// number of consecutive tasks. An oversized record is split like a node of a B-tree: some of
+// its tasks move to an additional record, an extra part, which lists its tasks.
 type RecordLayout struct {
 	TasksPerRecord int
-	Revisions      []protocol.Revision // of every record, the first is the job's own
-	Moved          map[int]int         // tasks that are not in the record that their index says
-	ExtraParts     [][]int             // the tasks of the extra parts
-	// UnnamedParts are extra parts that the job's own record does not name yet, and the records
-	// that they were split from; Staged are those of them that are written as they
-	// should be.
+	Revisions      []protocol.Revision // of every record; index 0 is the main record
+	MovedTasks     map[int]int         // extra part of each task that is not in its base record
+	ExtraParts     [][]int             // tasks of each extra part, in order
+	// UnnamedParts maps extra parts that the stored main record does not count yet to the
+	// records that they were split from. StagedParts are those of them that are already
+	// written with their current content.
 	UnnamedParts map[int]int
-	Staged       map[int]bool
-	// Abandoned are extra parts that a predecessor staged and never named, with their revisions.
-	Abandoned   map[int]protocol.Revision
-	Splitting   bool // the split takes several transactions: nothing is placed meanwhile
-	Quarantined bool // a record cannot be read, or cannot be brought under the limits
-	SpecSize    int  // of the specification in the first record
+	StagedParts  map[int]bool
+	// AbandonedParts are the extra parts that a previous leader staged without completing the
+	// split, with their revisions.
+	AbandonedParts map[int]protocol.Revision
+	Splitting      bool // a split takes several transactions; no task of the job is placed meanwhile
+	Quarantined    bool // a record cannot be read, or cannot be brought within the store's limits
+	SpecBytes      int  // size of the specification in the main record, 0 if not computed yet
 }
 
-// BaseRecords is the number of records without the extra parts.
+// BaseRecords returns the number of records that are not extra parts.
 func (j *Job) BaseRecords() int { return len(j.Records.Revisions) - len(j.Records.ExtraParts) }
 
-// RecordOf is the record that a task is in.
+// RecordOf returns the number of the record that holds a task.
 func (j *Job) RecordOf(index int) int {
-	if r, ok := j.Records.Moved[index]; ok {
-		return r
+	if record, ok := j.Records.MovedTasks[index]; ok {
+		return record
 	}
 	return index / j.Records.TasksPerRecord
 }
 
-// TasksOf lists a record's tasks in order.
-func (j *Job) TasksOf(r int) []int {
-	if r >= j.BaseRecords() {
-		return j.Records.ExtraParts[r-j.BaseRecords()]
+// TasksOf returns the indexes of a record's tasks in order.
+func (j *Job) TasksOf(record int) []int {
+	if record >= j.BaseRecords() {
+		return j.Records.ExtraParts[record-j.BaseRecords()]
 	}
 	tasks := make([]int, 0, j.Records.TasksPerRecord)
-	end := min((r+1)*j.Records.TasksPerRecord, len(j.Tasks))
-	for index := r * j.Records.TasksPerRecord; index < end; index++ {
-		if len(j.Records.Moved) > 0 && j.RecordOf(index) != r {
+	end := min((record+1)*j.Records.TasksPerRecord, len(j.Tasks))
+	for index := record * j.Records.TasksPerRecord; index < end; index++ {
+		if len(j.Records.MovedTasks) > 0 && j.RecordOf(index) != record {
 			continue
 		}
 		tasks = append(tasks, index)
@@ -54,29 +54,30 @@
 	return tasks
 }
 
-// MoveTask puts a task into an extra part.
-func (j *Job) MoveTask(index, r int) {
-	if old, ok := j.Records.Moved[index]; ok {
-		if old == r {
+// MoveTask moves a task to an extra part.
+func (j *Job) MoveTask(index, record int) {
+	if old, ok := j.Records.MovedTasks[index]; ok {
+		if old == record {
 			return
 		}
 		list := &j.Records.ExtraParts[old-j.BaseRecords()]
 		*list = slices.DeleteFunc(*list, func(i int) bool { return i == index })
 	}
-	if j.Records.Moved == nil {
-		j.Records.Moved = map[int]int{}
+	if j.Records.MovedTasks == nil {
+		j.Records.MovedTasks = map[int]int{}
 	}
-	j.Records.Moved[index] = r
-	list := &j.Records.ExtraParts[r-j.BaseRecords()]
+	j.Records.MovedTasks[index] = record
+	list := &j.Records.ExtraParts[record-j.BaseRecords()]
 	at, _ := slices.BinarySearch(*list, index)
 	*list = slices.Insert(*list, at, index)
 }
 
-// SplitRecord gives half of a record's tasks to a new extra part, whose number it returns.
-func (j *Job) SplitRecord(r int) (part int) {
-	list := slices.Clone(j.TasksOf(r))
+// SplitRecord moves the second half of a record's tasks to a new extra part and returns the
+// number of that part.
+func (j *Job) SplitRecord(record int) (part int) {
+	list := slices.Clone(j.TasksOf(record))
 	part = len(j.Records.Revisions)
-	j.Records.Revisions = append(j.Records.Revisions, j.Records.Abandoned[part])
+	j.Records.Revisions = append(j.Records.Revisions, j.Records.AbandonedParts[part])
 	j.Records.ExtraParts = append(j.Records.ExtraParts, nil)
 	for _, i := range list[(len(list)+1)/2:] {
 		j.MoveTask(i, part)
@@ -84,6 +85,6 @@
 	if j.Records.UnnamedParts == nil {
 		j.Records.UnnamedParts = map[int]int{}
 	}
-	j.Records.UnnamedParts[part] = r
+	j.Records.UnnamedParts[part] = record
 	return part
 }
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -55,13 +55,13 @@
 		return 0
 	}
 	if job.Spec.Gang() {
-		if job.Failures.Attributed == 0 && sc.preemptOnImageLocalMachines(job) || sc.placeGang(job) {
+		if job.Failures.AttributedToJob == 0 && sc.preemptOnImageLocalMachines(job) || sc.placeGang(job) {
 			return 0
 		}
 	} else if tasks = sc.placeTasks(job, imageOptional); tasks == 0 {
 		return 0
 	}
-	if job.Failures.Attributed > 0 {
+	if job.Failures.AttributedToJob > 0 {
 		return 0 // after failures attributed to it, a job gets free capacity only
 	}
 	tasks = min(tasks, sc.state.TasksWithinLimit(job))
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -63,7 +63,7 @@
 // block of the gang's order.
 func (g gangSearch) fitOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
-	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
+	aligned := func(machine *cluster.Machine) bool { return machine.Slots.FreeBlocks(order) > 0 }
 	if chosen := g.bestMachine(zone, aligned); chosen != nil {
 		return chosen
 	}
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -14,14 +14,14 @@
 		return true
 	}
 	fetchSeconds := sc.state.ImageFetchSeconds(job.Spec)
-	if fetchSeconds < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
+	if fetchSeconds < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().examineLimitReached() || sc.currentCycle().preemptionImpossible(job, len(job.Tasks)) {
 		return false
 	}
 	if sc.currentCycle().fitsOnImageLocalMachines(job) {
 		return false // no preemption is needed: placeGang finds these machines
 	}
-	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+	job.Queue.ImageLocalSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageRequired)
 	if len(plan.machines) == 0 || !preferableToFetch(job, plan, fetchSeconds) {
 		return false
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -105,7 +105,7 @@
 	}
 	perZone := map[protocol.ZoneName]int{}
 	for _, machine := range h.cluster.Machines {
-		if !h.cluster.Usable(job, machine) {
+		if !h.cluster.Eligible(job, machine) {
 			continue
 		}
 		fits := h.cluster.FreeResources(machine).Fit(spec, size)
@@ -200,7 +200,7 @@
 	late, sameZone, otherZone := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
 	h.cluster.Advance(h.cluster.ReplicaSilenceTimeout() + time.Second)
 	h.cluster.Heartbeat(sameZone, otherZone)
-	late.Agent.AnsweredAt = h.cluster.Now()
+	late.Agent.RespondedAt = h.cluster.Now()
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	if list := h.replicaCandidates(job, ""); len(list) != 2 {
 		t.Errorf("%d candidates, want 2", len(list))
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -50,13 +50,13 @@
 // that capacity. A search that found nothing is repeated only after a pause, because it examines
 // every machine.
 func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
-	if preemptionInProgress(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().examineLimitReached() ||
+	if preemptionInProgress(job) || sc.state.Now().Before(job.Queue.PreemptionSearchNotBefore) || sc.currentCycle().examineLimitReached() ||
 		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionImpossible(job, tasks) {
 		return
 	}
 	plan := sc.currentCycle().findPreemptions(job, tasks, imageOptional)
 	if len(plan.machines) == 0 {
-		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+		job.Queue.PreemptionSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
 	sc.executePreemptions(job, plan)
 }
@@ -125,7 +125,7 @@
 func (s *preemptionSearch) machineOptions(zone protocol.ZoneName) (list []machinePreemption) {
 	s.cycle.machinesExamined += len(s.cycle.schedulable)
 	for _, machine := range s.cycle.schedulable {
-		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
+		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.MeetsConstraints(s.job, machine) {
 			continue
 		}
 		if s.image == imageRequired && !machine.HasImage(s.job.Spec.Image) {
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -127,7 +127,7 @@
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || heartbeatLate(machine, sc.state) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.MeetsConstraints(job, machine) || heartbeatLate(machine, sc.state) {
 			continue
 		}
 		free := capacityAfterPreemption(machine, job, sc.state)
