--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -38,8 +38,8 @@
 	After(pause time.Duration, do func())
 	// UniqueName makes a name that no other request or record has.
 	UniqueName() string
-	// PeersKnow says whether every peer that counts has announced a level.
-	PeersKnow(level uint64) bool
+	// PeersSupport says whether every peer that counts has announced a level.
+	PeersSupport(level uint64) bool
 	// RequestScheduling has the next scheduling cycle run soon.
 	RequestScheduling()
 	// StepDown ends this leader's term.
@@ -207,10 +207,10 @@
 // JobQueue lists the jobs in the order in which they are scheduled.
 type JobQueue interface{ Queue() []*cluster.Job }
 
-// SplitOutgrown has all records that have outgrown the limits split, once they may be:
+// MarkOversizedRecords has all records that have outgrown the limits split, once they may be:
 // nobody knows when the limits are lowered, and a peer that marks a job as cancelled
 // writes its first record as it is.
-func (c *Committer) SplitOutgrown(jobs JobQueue) {
+func (c *Committer) MarkOversizedRecords(jobs JobQueue) {
 	if c.outgrownMarked || !c.splitter.maySplit() {
 		return
 	}
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -146,7 +146,7 @@
 func (l *leader) next(t *testing.T) *sentTransaction {
 	t.Helper()
 	if !l.committer.InFlight() {
-		l.committer.SplitOutgrown(l.scheduler)
+		l.committer.MarkOversizedRecords(l.scheduler)
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("boot-%d", l.names)
 }
 
-// PeersKnow implements commit.Environment.
-func (l *leader) PeersKnow(level uint64) bool {
+// PeersSupport implements commit.Environment.
+func (l *leader) PeersSupport(level uint64) bool {
 	return l.peerLevel >= level || !l.peerUp && l.limits.Lowered()
 }
 
@@ -273,7 +273,7 @@
 func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
 
 // RecordMachine implements lifecycle.Environment.
-func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.Record(machine) }
+func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.QueueWrite(machine) }
 
 // CommandsPending implements lifecycle.Environment.
 func (l *leader) CommandsPending(*cluster.Machine) {}
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -43,8 +43,8 @@
 // Empty says whether there are none.
 func (mr *MachineRecords) Empty() bool { return len(mr.records) == 0 }
 
-// Record has a machine's entry written anew.
-func (mr *MachineRecords) Record(machine *cluster.Machine) {
+// QueueWrite has a machine's entry written anew.
+func (mr *MachineRecords) QueueWrite(machine *cluster.Machine) {
 	if machine.Record == nil {
 		mr.Assign(machine)
 	}
@@ -100,9 +100,9 @@
 	mr.records = append(mr.records, record)
 }
 
-// SplitOutgrown moves machines out of records that have outgrown the limits. Until
+// SplitOversized moves machines out of records that have outgrown the limits. Until
 // the new record is written such a machine takes no task; then both name it.
-func (mr *MachineRecords) SplitOutgrown() {
+func (mr *MachineRecords) SplitOversized() {
 	capacity := mr.capacity()
 	for _, record := range slices.Clone(mr.records) {
 		for record.Bytes > capacity && len(record.Members) > 1 {
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -25,12 +25,12 @@
 
 // maySplit says whether records may be written that version 0.2 does not read whole:
 // it takes the parts for abandoned ones and deletes them.
-func (s *recordSplitter) maySplit() bool { return s.env.PeersKnow(protocol.PeerKnowsCancelled) }
+func (s *recordSplitter) maySplit() bool { return s.env.PeersSupport(protocol.PeerKnowsCancelled) }
 
 // mayStage says whether the parts of a record may be written over several
 // transactions. An earlier version that takes over deletes parts that the job's own
 // record does not name, perhaps after it has split the record itself.
-func (s *recordSplitter) mayStage() bool { return s.env.PeersKnow(protocol.PeerKnowsStaged) }
+func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.PeerKnowsStaged) }
 
 // currentLimits are those that a record must keep within now.
 func (s *recordSplitter) currentLimits() config.StoreLimits {
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -376,7 +376,7 @@
 	}
 	l.committer.Machines.Load("g/m/old", 9, &outgrown)
 	old := l.Machines[outgrown.Machines[0].ID].Record
-	l.committer.Machines.SplitOutgrown()
+	l.committer.Machines.SplitOversized()
 	l.RecordMachine(old.Members[0]) // it is to be written at once
 	for step := range 10 {
 		l.commitAfter(time.Second)
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -14,7 +14,7 @@
 	outcome := ld.loadMachineRecords(mirror)
 	ld.loadJobs(mirror)
 	ld.loadTaskRecords(mirror)
-	ld.committer.Machines.SplitOutgrown()
+	ld.committer.Machines.SplitOversized()
 	if outcome == allRead {
 		ld.forgetUnrecordedMachines()
 	}
