--- a/internal/coordination/commit/budget.go
+++ b/internal/coordination/commit/budget.go
@@ -7,24 +7,26 @@
 	"golang.org/x/time/rate"
 )
 
-// writeBudget is what the store's limit on changes allows a transaction now.
+// writeBudget is the number of changes that the store's write limit allows a transaction now.
 type writeBudget struct {
-	free  float64 // changes
-	burst float64 // changes that are free after a long rest
+	available float64 // in changes
+	burst     float64 // in changes: the capacity of the token bucket
 }
 
-// availableBudget is what a transaction may spend, after what is kept for users' requests.
+// availableBudget returns the budget for a transaction, without the part that is reserved for
+// users' requests.
 func availableBudget(limiter *rate.Limiter, now time.Time) writeBudget {
 	burst := float64(limiter.Burst())
-	// The end of a job takes two changes, however few a second there are.
-	return writeBudget{free: limiter.TokensAt(now) - min(burst*tuning.UserBurstReserve, burst-2), burst: burst}
+	// Storing the end of a job takes two changes. The reserve therefore leaves at least two, even
+	// where the store allows few changes per second.
+	return writeBudget{available: limiter.TokensAt(now) - min(burst*tuning.UserBurstReserve, burst-2), burst: burst}
 }
 
-// allowsOrdinary says whether a transaction of so many changes may have further ones that
-// are not urgent: a part of the budget is kept for those that are.
-func (wb writeBudget) allowsOrdinary(changes int) bool {
-	return float64(changes+2) <= wb.free-wb.burst*tuning.GangBurstReserve
+// allowsNonUrgent reports whether a transaction that already has this many changes may get
+// further changes that are not urgent. Part of the budget is reserved for urgent ones.
+func (wb writeBudget) allowsNonUrgent(changes int) bool {
+	return float64(changes+2) <= wb.available-wb.burst*tuning.GangBurstReserve
 }
 
-// plenty says whether there is time for what does not matter soon.
-func (wb writeBudget) plenty() bool { return wb.free >= wb.burst/2 }
+// allowsBackgroundWrites reports whether enough of the budget is left for low-priority changes.
+func (wb writeBudget) allowsBackgroundWrites() bool { return wb.available >= wb.burst/2 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -1,12 +1,12 @@
-// Package commit brings the leader's state into the key-value store: it gathers the records
-// with unwritten changes, builds guarded transactions within the store's limits, has one in
-// flight at a time, and finds out what became of it when an answer is lost. Records that
-// have outgrown the store's limits are split on the way.
+// Package commit writes the leader's state to the key-value store. It collects the records with
+// unwritten changes and builds guarded transactions within the store's limits. One transaction
+// is in flight at a time. If its response is lost, the package finds out whether it was applied.
+// Records that exceed the store's limits are split before they are written.
 //
-// Every transaction is a compare-and-swap: it is guarded on the leader lease, so that a
-// deposed leader writes nothing, and on the revision of each record that it changes. What
-// is refused is undone and planned again. The package decides nothing about jobs and
-// machines and sends agents nothing: what follows from an outcome is up to the leader.
+// Every transaction is a compare-and-swap. It is guarded on the leader lease, so that a former
+// leader cannot write anything, and on the revision of each record that it changes. A refused
+// transaction is undone, and its changes are planned again. The package makes no decisions about
+// jobs and machines and sends nothing to agents: the leader acts on the outcome of a transaction.
 package commit
 
 import (
@@ -20,55 +20,59 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is the key-value store as this leader uses it. Nothing is answered any more once
-// the leader has stepped down.
+// Store is the key-value store as this leader uses it. Once the leader has stepped down, no
+// callback is called any more.
 type Store interface {
 	TransactEncoded(txn []byte, done func(kv.TransactionResult))
 	Get(key string, done func(kv.GetResult))
-	// WriteBudget is what the store's limit on changes leaves to the leader's decisions.
+	// WriteBudget returns the limiter for the share of the store's write limit that the leader's
+	// decisions may use.
 	WriteBudget() *rate.Limiter
-	// NoteThrottled notes that the store refused so many changes as too many. It returns
-	// the time after which they may be sent again.
+	// NoteThrottled records that the store throttled a transaction with this many changes. It
+	// returns the time after which they may be sent again.
 	NoteThrottled(changes int) time.Duration
 }
 
-// Environment is what the committer needs of the node and of the leader's other parts.
+// Environment provides what the committer needs from the node and from the leader's other parts.
 type Environment interface {
-	// After does something once the time has passed, if this leader still leads.
+	// After calls do after the pause, if this leader still leads.
 	After(pause time.Duration, do func())
-	// UniqueName makes a name that no other request or record has.
+	// UniqueName returns a name that no other request or record has.
 	UniqueName() string
-	// PeersSupport says whether every peer that counts has announced a level.
+	// PeersSupport reports whether every relevant peer has announced at least this feature level.
+	// A peer that is down is not relevant once the store's limits are known to be lowered.
 	PeersSupport(level uint64) bool
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling requests that a scheduling cycle runs soon.
 	RequestScheduling()
 	// StepDown ends this leader's term.
 	StepDown(reason string)
 }
 
-// Outcomes is what the leader does about attempts and jobs when transactions are built,
-// committed or refused.
+// Outcomes is how the leader acts on attempts and jobs when transactions are built, committed
+// or refused.
 type Outcomes interface {
-	// DropAttempt takes an attempt that is not committed out of every account.
+	// DropAttempt removes an uncommitted attempt from all accounting.
 	DropAttempt(attempt *cluster.Attempt)
-	// DropUncommitted does that with all of a job's attempts that are not committed.
+	// DropUncommitted drops all uncommitted attempts of a job.
 	DropUncommitted(job *cluster.Job)
-	// JobCommitted says that records of a job are committed, and with them new attempts.
+	// JobCommitted is called when records of a job are committed. placed holds the new attempts
+	// that were committed with them.
 	JobCommitted(job *cluster.Job, placed []*cluster.Attempt)
-	// JobFinished says that a job's final record is committed.
+	// JobFinished is called when a job's final record is in the store.
 	JobFinished(id protocol.JobID, final storage.Final)
-	// MergeRecord takes a job's own record that a peer may have changed.
+	// MergeRecord merges a job's main record, which a peer may have changed, into the job.
 	MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision)
-	// QuarantineJob keeps a job as it is because a record of it cannot be read.
+	// QuarantineJob leaves a job unchanged from now on, because a record of it cannot be read.
 	QuarantineJob(id protocol.JobID, err error)
-	// TransactionCommitted says that a whole transaction was handled that took so long.
+	// TransactionCommitted is called when a committed transaction has been handled completely.
+	// latency is the time since it was first sent.
 	TransactionCommitted(latency time.Duration)
-	// TransactionConflicted says that a transaction was refused.
+	// TransactionConflicted is called when a transaction was refused.
 	TransactionConflicted()
 }
 
-// Committer writes the leader's state. It has one transaction in flight at a time: what
-// changes meanwhile goes into the next, as a batch.
+// Committer writes the leader's state to the store. It has one transaction in flight at a time.
+// Changes that are made in the meantime are batched into the next one.
 type Committer struct {
 	state    *cluster.State
 	store    Store
@@ -78,20 +82,20 @@
 	log      *slog.Logger
 	term     protocol.Term
 
-	// Machines are the records of the machines.
+	// Machines holds the machine records.
 	Machines *MachineRecords
 
-	reader         *recordReader
-	splitter       *recordSplitter
-	outgrownMarked bool // all records that had outgrown the limits are marked
+	reader          *recordReader
+	splitter        *recordSplitter
+	oversizedMarked bool // all oversized records were marked dirty
 
 	dirty     dirtyJobs
-	obsolete  []string // keys to delete when there is time
+	obsolete  []string // keys to delete when the budget allows
 	inFlight  *transaction
-	notBefore time.Time // no transaction is sent earlier
+	notBefore time.Time // no transaction is sent before this time
 }
 
-// Dependencies are what a committer works with.
+// Dependencies holds the dependencies of a committer.
 type Dependencies struct {
 	State       *cluster.State
 	Store       Store
@@ -99,10 +103,10 @@
 	Environment Environment
 	Outcomes    Outcomes
 	Log         *slog.Logger
-	Term        protocol.Term // that every transaction is guarded on
+	Term        protocol.Term // every transaction is guarded on it
 }
 
-// New makes the committer of a term.
+// New returns the committer for one term of a leader.
 func New(d Dependencies) *Committer {
 	c := &Committer{
 		state: d.State, store: d.Store, limits: d.Limits, env: d.Environment, outcomes: d.Outcomes, log: d.Log, term: d.Term,
@@ -113,7 +117,7 @@
 	return c
 }
 
-// MarkDirty marks one of a job's records as to be written.
+// MarkDirty marks one of a job's records as having unwritten changes.
 func (c *Committer) MarkDirty(job *cluster.Job, record int) {
 	if job.Finished {
 		return
@@ -125,20 +129,20 @@
 	}
 }
 
-// DeleteLater has keys deleted that no record needs any more, when there is time.
+// DeleteLater queues obsolete keys for deletion when the write budget allows it.
 func (c *Committer) DeleteLater(keys ...string) { c.obsolete = append(c.obsolete, keys...) }
 
-// InFlight says whether a transaction is in flight.
+// InFlight reports whether a transaction is in flight.
 func (c *Committer) InFlight() bool { return c.inFlight != nil }
 
-// NextCommit is the time from which on the jobs with unwritten changes can be written;
-// false if there are none, or while a transaction is in flight.
+// NextCommit returns the earliest time at which the jobs with unwritten changes can be written.
+// due is false if there are no such jobs, or while a transaction is in flight.
 func (c *Committer) NextCommit() (at time.Time, due bool) {
 	return c.notBefore, c.inFlight == nil && len(c.dirty) > 0
 }
 
-// Commit sends the next transaction, if there is something to write and the budget has
-// something left.
+// Commit sends the next transaction, if there is something to write and the budget allows at
+// least one change.
 func (c *Committer) Commit() {
 	now := c.state.Now()
 	if c.inFlight != nil || now.Before(c.notBefore) {
@@ -146,7 +150,7 @@
 	}
 	limiter := c.store.WriteBudget()
 	budget := availableBudget(limiter, now)
-	if budget.free < 1 {
+	if budget.available < 1 {
 		return
 	}
 	tx := &transaction{writer: c.env.UniqueName(), sentAt: now}
@@ -154,7 +158,7 @@
 	b.guard(storage.LeaderKey, protocol.Revision(c.term))
 	b.addMachineRecords(c.Machines, isQueued)
 	c.addDirtyJobs(b, budget)
-	if budget.plenty() {
+	if budget.allowsBackgroundWrites() {
 		b.addMachineRecords(c.Machines, c.Machines.isStale)
 		c.addDeletions(b)
 	}
@@ -167,25 +171,25 @@
 	c.send(tx)
 }
 
-// addDirtyJobs adds the jobs with unwritten changes by urgency, as far as the budget and
-// the store's limits allow.
+// addDirtyJobs adds the jobs with unwritten changes in the order of their urgency, as far as the
+// budget and the store's limits allow.
 func (c *Committer) addDirtyJobs(b *transactionBuilder, budget writeBudget) {
-	var later dirtyJobs
+	var remaining dirtyJobs
 	for _, entry := range c.dirty.byUrgency(c.state.Now()) {
 		job := entry.job
 		job.Write.Queued = false
-		if entry.urgency == urgent || entry.urgency != notDue && budget.allowsOrdinary(b.changes()) {
+		if entry.urgency == urgent || entry.urgency != notDue && budget.allowsNonUrgent(b.changes()) {
 			b.addJob(job)
 		}
 		if len(job.Write.Dirty) > 0 {
 			job.Write.Queued = true
-			later = append(later, job)
+			remaining = append(remaining, job)
 		}
 	}
-	c.dirty = later
+	c.dirty = remaining
 }
 
-// addDeletions adds deletions of obsolete keys, as many as fit.
+// addDeletions adds as many deletions of obsolete keys as fit.
 func (c *Committer) addDeletions(b *transactionBuilder) {
 	for len(c.obsolete) > 0 && b.fits(1, 0, smallRecordBytes) {
 		b.remove(c.obsolete[0])
@@ -194,38 +198,39 @@
 	}
 }
 
-// AwaitsRecordSplit says whether a gang has a record that must be split before its places
-// are written, and marks those records.
+// AwaitsRecordSplit reports whether a gang has a record that must be split before the gang's
+// placements are written. It marks such records dirty.
 func (c *Committer) AwaitsRecordSplit(job *cluster.Job) bool {
-	limits := c.limits.configured()
+	limits := c.limits.afterLowering()
 	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.GangRecordTasks(limits.TxnOps) {
 		return false
 	}
-	return c.markOutgrown(job) || len(job.Records.UnnamedParts) > 0
+	return c.markOversized(job) || len(job.Records.UnnamedParts) > 0
 }
 
-// JobQueue lists the jobs in the order in which they are scheduled.
+// JobQueue provides the jobs in scheduling order.
 type JobQueue interface{ Queue() []*cluster.Job }
 
-// MarkOversizedRecords has all records that have outgrown the limits split, once they may be:
-// nobody knows when the limits are lowered, and a peer that marks a job as cancelled
-// writes its first record as it is.
+// MarkOversizedRecords marks all oversized records dirty as soon as records may be split, so
+// that they are split and written. They must not wait for their next change: nobody knows when
+// the limits will be lowered, and a peer that marks a job as cancelled writes the job's main
+// record without splitting it.
 func (c *Committer) MarkOversizedRecords(jobs JobQueue) {
-	if c.outgrownMarked || !c.splitter.maySplit() {
+	if c.oversizedMarked || !c.splitter.maySplit() {
 		return
 	}
-	c.outgrownMarked = true
+	c.oversizedMarked = true
 	for _, job := range jobs.Queue() {
-		c.markOutgrown(job)
+		c.markOversized(job)
 	}
 }
 
-// markOutgrown marks those of a job's records that have outgrown the configured limits, and
-// says whether there are any.
-func (c *Committer) markOutgrown(job *cluster.Job) (found bool) {
-	limits := c.limits.configured()
+// markOversized marks those of a job's records dirty that exceed the lowered limits, and
+// reports whether there are any.
+func (c *Committer) markOversized(job *cluster.Job) (found bool) {
+	limits := c.limits.afterLowering()
 	for r := range job.Records.Revisions {
-		if c.splitter.outgrown(job, r, limits) {
+		if c.splitter.oversized(job, r, limits) {
 			c.MarkDirty(job, r)
 			found = true
 		}
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -10,8 +10,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// addJob adds as much of a job as fits. A job's own record goes last, so that
-// a gang's new epoch shows only when every task's place is written.
+// addJob adds as many of a job's changes as fit. The main record is written last, so that a
+// gang's new epoch becomes visible only when the placements of all its tasks are written.
 func (b *transactionBuilder) addJob(job *cluster.Job) {
 	if phase := job.FinalPhase(); phase != "" {
 		b.addFinal(job, phase)
@@ -35,7 +35,7 @@
 	}
 }
 
-// addFinal replaces the own record of a job that has ended by its final record.
+// addFinal replaces the main record of a job that has ended with its final record.
 func (b *transactionBuilder) addFinal(job *cluster.Job, phase protocol.Phase) {
 	final := &storage.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 	if !b.fits(2, 2, finalRecordBytes) {
@@ -50,17 +50,18 @@
 	b.tx.jobs = append(b.tx.jobs, &jobWrite{job: job, final: final})
 }
 
-// recordWrite is one of a job's records on its way into a transaction.
+// recordWrite is a write of one of a job's records that is to be added to a transaction.
 type recordWrite struct {
 	record         int
 	value          json.RawMessage
-	placed         []*cluster.Attempt // that it places
-	machineRecords map[*cluster.MachineRecord]bool
+	placed         []*cluster.Attempt              // attempts whose placements it stores
+	machineRecords map[*cluster.MachineRecord]bool // of the machines of these attempts
 }
 
-// recordWrite makes one. An array's places in more machine records than a transaction has
-// conditions for are given up, and planned again.
-func (b *transactionBuilder) recordWrite(job *cluster.Job, r int) recordWrite {
+// newRecordWrite returns the write of one of a job's records. If an array's placements concern
+// more machine records than a transaction has conditions for, the excess placements are dropped
+// and planned again.
+func (b *transactionBuilder) newRecordWrite(job *cluster.Job, r int) recordWrite {
 	tasks, placed := recordContent(job, r)
 	write := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
 	maxMachineRecords, dropped := storage.GangRecordTasks(b.limits.TxnOps), false
@@ -86,7 +87,7 @@
 	return write
 }
 
-// conditions is how many conditions the writes add.
+// conditions returns the number of conditions that the writes would add.
 func (b *transactionBuilder) conditions(writes []recordWrite) int {
 	added := map[*cluster.MachineRecord]bool{}
 	for _, write := range writes {
@@ -99,8 +100,8 @@
 	return len(writes) + len(added)
 }
 
-// addRecordWrites adds writes of a job's records; false if they do not fit, and nothing
-// is added.
+// addRecordWrites adds writes of a job's records. It returns false and adds nothing if they do
+// not all fit.
 func (b *transactionBuilder) addRecordWrites(write *jobWrite, records ...recordWrite) bool {
 	conditions, bytes := b.conditions(records), 0
 	for _, r := range records {
@@ -130,15 +131,15 @@
 	return true
 }
 
-// postpone gives up the places of a job whose record the store would refuse: it waits
-// until it may be split. One that cannot be split further, because of its description, is
-// quarantined: never written again. What is stored stays readable, and the job can still
-// end.
+// postpone drops the uncommitted placements of a job with a record that the store would reject.
+// The job waits until the record may be split. If the record cannot be split further, because
+// the job's specification is too large, the job is quarantined: it is not written any more. The
+// stored records stay readable, and the job can still end.
 func (b *transactionBuilder) postpone(job *cluster.Job, record int) {
 	b.outcomes.DropUncommitted(job)
 	if len(job.TasksOf(record)) < 2 && !job.Records.Quarantined {
 		job.Records.Quarantined = true
-		b.splitter.log.Error("record cannot be brought under the limits of the store", "job", job.ID, "record", record)
+		b.splitter.log.Error("record exceeds the store's limits and cannot be split further", "job", job.ID, "record", record)
 	}
 }
 
@@ -150,26 +151,26 @@
 		records = append(records, r)
 	}
 	slices.Sort(records)
-	// The first record carries the counts: it is always written, and last.
+	// The main record holds the job's counts. It is therefore always written, and last.
 	if records[0] == 0 {
 		records = records[1:]
 	}
 	for _, r := range records {
-		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
-			return // further records first
+		if !b.addRecordWrites(write, b.newRecordWrite(job, r)) {
+			return // the main record has to wait for the remaining records
 		}
 	}
-	b.addRecordWrites(write, b.recordWrite(job, 0))
+	b.addRecordWrites(write, b.newRecordWrite(job, 0))
 }
 
-// addSplit adds the records that complete a split, or as many of the new parts as
-// fit if one transaction cannot hold all of them.
+// addSplit adds the records that complete a split. If one transaction cannot hold all of them,
+// it adds as many of the new parts as fit.
 func (b *transactionBuilder) addSplit(write *jobWrite, records []int) {
 	job := write.job
-	alone := b.changes() == 0
+	otherwiseEmpty := b.changes() == 0
 	var writes []recordWrite
 	for _, r := range records {
-		writes = append(writes, b.recordWrite(job, r))
+		writes = append(writes, b.newRecordWrite(job, r))
 	}
 	if b.addRecordWrites(write, writes...) {
 		return
@@ -179,17 +180,17 @@
 	}
 	switch {
 	case b.fitsOneTransaction(writes):
-		if alone && b.remainingChanges() >= len(writes) {
-			b.outcomes.DropUncommitted(job) // too many conditions: its places wait until it is split
+		if otherwiseEmpty && b.remainingChanges() >= len(writes) {
+			b.outcomes.DropUncommitted(job) // too many conditions: nothing is placed until the record is split
 		}
 	case b.splitter.mayStage():
 		b.stage(write, records)
-	case alone:
+	case otherwiseEmpty:
 		b.outcomes.DropUncommitted(job)
 	}
 }
 
-// fitsOneTransaction says whether writes of one job would fit a transaction that
+// fitsOneTransaction reports whether the writes of one job would fit into a transaction that
 // holds nothing else.
 func (b *transactionBuilder) fitsOneTransaction(writes []recordWrite) bool {
 	bytes := 0
@@ -199,9 +200,9 @@
 	return len(writes) <= b.limits.TxnOps && bytes <= tuning.MaxTransactionBytes-tuning.BytesPerCondition
 }
 
-// stage writes new parts that the job's own record does not name yet. Until that
-// record is written, last, what the old records say holds, and whoever reads them
-// passes over the parts. So nothing is placed meanwhile.
+// stage writes new parts that the job's main record does not reference yet. The main record is
+// written last. Until then the old records are valid, and readers ignore the parts. Therefore
+// no task of the job is placed in the meantime.
 func (b *transactionBuilder) stage(write *jobWrite, records []int) {
 	job := write.job
 	job.Records.Splitting = true
@@ -210,7 +211,7 @@
 		if _, isPart := job.Records.UnnamedParts[r]; !isPart {
 			continue
 		}
-		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
+		if !b.addRecordWrites(write, b.newRecordWrite(job, r)) {
 			break
 		}
 		delete(job.Records.Staged, r)
@@ -218,7 +219,7 @@
 	write.staging = len(write.records) > 0
 }
 
-// recordKey is the key of one of a job's records.
+// recordKey returns the key of a job's record r; record 0 is the main record.
 func recordKey(id protocol.JobID, r int) string {
 	if r == 0 {
 		return storage.JobKey(id)
@@ -226,7 +227,8 @@
 	return storage.TaskRecordKey(id, r)
 }
 
-// recordContent lists the tasks of one of a job's records and the attempts that it places.
+// recordContent returns the entries of the tasks in a job's record r, and the uncommitted
+// attempts whose placements the record stores.
 func recordContent(job *cluster.Job, r int) (tasks []storage.Task, placed []*cluster.Attempt) {
 	for _, i := range job.TasksOf(r) {
 		task := &job.Tasks[i]
@@ -245,7 +247,7 @@
 	return tasks, placed
 }
 
-// jobRecord is the content of a job's own record.
+// jobRecord returns the content of a job's main record.
 func jobRecord(job *cluster.Job, writer string, tasks []storage.Task) storage.Job {
 	placed := 0
 	for i := range job.Tasks {
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -2,33 +2,34 @@
 
 import "github.com/gappond/gappond/internal/config"
 
-// KnownLimits are what a node knows of the limits that records and transactions must keep.
-// A deployment may announce that the store will lower them; that it has is learned from a
-// rejection. What is learned outlives the terms of this node's leadership.
+// KnownLimits is what a node knows about the store's limits on records and transactions. The
+// settings may announce that the store will lower its limits. The node learns that this has
+// happened when the store rejects a transaction. It keeps this knowledge beyond its own terms as
+// leader.
 type KnownLimits struct {
 	settings *config.Config
-	lowered  bool // the store has rejected what its limits used to allow
+	lowered  bool // the store has rejected what its earlier limits allowed
 }
 
-// NewKnownLimits makes the limits of a deployment.
+// NewKnownLimits returns the limits according to the settings.
 func NewKnownLimits(settings *config.Config) *KnownLimits { return &KnownLimits{settings: settings} }
 
-// Lowered says whether the limits are known to be lowered.
+// Lowered reports whether the limits are known to be lowered.
 func (kl *KnownLimits) Lowered() bool { return kl.lowered }
 
-// NoteRejection notes that the store has rejected a transaction: if the limits are to be
-// lowered, they are now.
+// NoteRejection records that the store has rejected a transaction. If lower limits are
+// announced, they are taken to be in force from now on.
 func (kl *KnownLimits) NoteRejection() {
 	kl.lowered = kl.lowered || kl.settings.Cluster.Present != nil
 }
 
-// configured are the limits that hold once they are lowered.
-func (kl *KnownLimits) configured() config.StoreLimits { return kl.settings.Cluster.Store }
+// afterLowering returns the limits that hold once the store has lowered them.
+func (kl *KnownLimits) afterLowering() config.StoreLimits { return kl.settings.Cluster.Store }
 
-// present are the limits of today.
-func (kl *KnownLimits) present() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
+// beforeLowering returns the limits that hold until the store lowers them.
+func (kl *KnownLimits) beforeLowering() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
 
-// rejects says whether the store is known to reject a value of that size.
+// rejects reports whether the store is known to reject a value of this size.
 func (kl *KnownLimits) rejects(bytes int) bool {
 	return kl.lowered && float64(bytes) > kl.settings.Cluster.Store.ValueKB*1024
 }
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -11,9 +11,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// MachineRecords are the records that the machines of a zone share. No machine takes a
-// task before a stored record has it, so that every leader finds the machines on which
-// something may run.
+// MachineRecords holds the machine records. Several machines of a zone share one record. No
+// machine is given a task before a stored record lists it, so that every later leader finds the
+// machines on which tasks may run.
 type MachineRecords struct {
 	state   *cluster.State
 	env     Environment
@@ -21,13 +21,13 @@
 	records []*cluster.MachineRecord
 }
 
-// machineRecordWrite is a machine record's part of a transaction.
+// machineRecordWrite is one machine record's part of a transaction.
 type machineRecordWrite struct {
 	record  *cluster.MachineRecord
-	members []*cluster.Machine // none if the record is deleted
+	members []*cluster.Machine // empty if the record is deleted
 }
 
-// machineEntry is a machine's entry in its machine record.
+// machineEntry returns a machine's entry in its machine record.
 func machineEntry(machine *cluster.Machine) storage.MachineEntry {
 	return storage.MachineEntry{ID: machine.ID, Address: machine.Address, Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Cordoned: machine.Cordoned}
 }
@@ -35,15 +35,17 @@
 // isQueued selects the machine records that are to be written soon.
 func isQueued(record *cluster.MachineRecord) bool { return record.Queued }
 
-// isStale selects the machine records that have long named machines that are gone.
+// isStale selects the machine records that have listed removed machines for longer than
+// tuning.StaleMachineRecordDelay.
 func (mr *MachineRecords) isStale(record *cluster.MachineRecord) bool {
 	return !record.StaleSince.IsZero() && mr.state.Now().Sub(record.StaleSince) > tuning.StaleMachineRecordDelay
 }
 
-// Empty says whether there are none.
+// Empty reports whether there are no machine records.
 func (mr *MachineRecords) Empty() bool { return len(mr.records) == 0 }
 
-// QueueWrite has a machine's entry written anew.
+// QueueWrite queues the record with a machine's entry to be written soon. A machine that has no
+// record yet is assigned to one.
 func (mr *MachineRecords) QueueWrite(machine *cluster.Machine) {
 	if machine.Record == nil {
 		mr.Assign(machine)
@@ -51,25 +53,25 @@
 	machine.Record.Queued = true
 }
 
-// Assign gives a machine its place in a record of its zone.
+// Assign adds a machine to a record of its zone that has room for it, or to a new record.
 func (mr *MachineRecords) Assign(machine *cluster.Machine) {
 	entry := machineEntry(machine)
 	capacity := mr.capacity()
-	at := slices.IndexFunc(mr.records, func(record *cluster.MachineRecord) bool {
+	index := slices.IndexFunc(mr.records, func(record *cluster.MachineRecord) bool {
 		return record.Zone == machine.Zone && record.Bytes+entry.Size() <= capacity
 	})
-	if at < 0 {
-		at = len(mr.records)
+	if index < 0 {
+		index = len(mr.records)
 		mr.records = append(mr.records, &cluster.MachineRecord{Key: storage.MachineRecordKey(mr.env.UniqueName()), Zone: machine.Zone})
 	}
-	mr.records[at].Add(machine, entry.Size())
+	mr.records[index].Add(machine, entry.Size())
 }
 
 func (mr *MachineRecords) capacity() int {
 	return storage.MachineRecordCapacity(mr.state.Config.Cluster.Store.ValueKB)
 }
 
-// Remove takes a machine that is gone out of its record.
+// Remove removes a machine that is gone from its record.
 func (mr *MachineRecords) Remove(machine *cluster.Machine) {
 	record := machine.Record
 	if record == nil {
@@ -83,13 +85,13 @@
 	}
 }
 
-// Load takes a stored machine record at a failover.
+// Load adds a stored machine record during a failover.
 func (mr *MachineRecords) Load(key string, revision protocol.Revision, stored *storage.MachineRecord) {
 	record := &cluster.MachineRecord{Key: key, Revision: revision}
 	for _, entry := range stored.Machines {
 		machine := mr.state.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
 		if machine.Record != nil {
-			record.StaleSince = mr.state.Now() // recorded twice: the first will do
+			record.StaleSince = mr.state.Now() // listed in two records: the first is enough
 			machine.Cordoned = machine.Cordoned || entry.Cordoned
 			continue
 		}
@@ -100,8 +102,8 @@
 	mr.records = append(mr.records, record)
 }
 
-// SplitOversized moves machines out of records that have outgrown the limits. Until
-// the new record is written such a machine takes no task; then both name it.
+// SplitOversized moves machines out of oversized records into other records. Such a machine is
+// given no task until the other record is written. From then on both records list it.
 func (mr *MachineRecords) SplitOversized() {
 	capacity := mr.capacity()
 	for _, record := range slices.Clone(mr.records) {
@@ -118,8 +120,8 @@
 	}
 }
 
-// movesRecorded says whether all machines that have moved out of a machine record are
-// recorded in another, or gone.
+// movesRecorded reports whether every machine that was moved out of a machine record is stored
+// in another one, or gone.
 func (mr *MachineRecords) movesRecorded(record *cluster.MachineRecord) bool {
 	record.MovedOut = slices.DeleteFunc(record.MovedOut, func(machine *cluster.Machine) bool {
 		return machine.Recorded || mr.state.Machines[machine.ID] != machine
@@ -127,10 +129,10 @@
 	return len(record.MovedOut) == 0
 }
 
-// deleteOrphaned has a machine record deleted that this leader does not have: its creation
-// was carried out late, when the record had served its time.
+// deleteOrphaned queues the deletion of a machine record that this leader does not know. Such a
+// record appears when its creation is applied late, after the record was no longer needed.
 func (mr *MachineRecords) deleteOrphaned(key string, revision protocol.Revision) {
-	mr.log.Info("orphaned machine record", "key", key, "revision", revision)
+	mr.log.Info("orphaned machine record will be deleted", "key", key, "revision", revision)
 	mr.records = append(mr.records, &cluster.MachineRecord{Key: key, Revision: revision, StaleSince: mr.state.Now()})
 }
 
@@ -138,7 +140,8 @@
 	return slices.ContainsFunc(mr.records, func(record *cluster.MachineRecord) bool { return record.Key == key })
 }
 
-// setRevision takes the revision that a machine record was found to have, 0 if there is none.
+// setRevision sets the revision that a machine record was found to have. The revision is 0 if
+// the record does not exist; it is then queued to be written.
 func (mr *MachineRecords) setRevision(key string, revision protocol.Revision) {
 	for _, record := range mr.records {
 		if record.Key == key {
@@ -148,12 +151,12 @@
 	}
 }
 
-// noteCommitted takes the new revision of a machine record that was written or deleted.
+// noteCommitted handles the commit of a written or deleted machine record.
 func (mr *MachineRecords) noteCommitted(write machineRecordWrite, revision protocol.Revision) {
 	record := write.record
 	if len(write.members) == 0 {
-		// The key is gone. Machines that came meanwhile are written under another:
-		// a late creation of the old one must find no guard that it meets.
+		// The key is deleted. Machines that were added in the meantime are written under a new
+		// key: a delayed creation of the old record must not find its guard satisfied there.
 		record.Key, record.Revision = storage.MachineRecordKey(mr.env.UniqueName()), 0
 		if len(record.Members) == 0 {
 			mr.records = slices.DeleteFunc(mr.records, func(other *cluster.MachineRecord) bool { return other == record })
@@ -168,7 +171,7 @@
 	}
 }
 
-// addMachineRecords adds those of the machine records that are selected and fit.
+// addMachineRecords adds the selected machine records that fit.
 func (b *transactionBuilder) addMachineRecords(machines *MachineRecords, selected func(*cluster.MachineRecord) bool) {
 	for _, record := range machines.records {
 		if !selected(record) || !machines.movesRecorded(record) {
@@ -198,7 +201,7 @@
 	}
 }
 
-// guardMachineRecord demands once in a transaction that a machine record is unchanged.
+// guardMachineRecord adds the condition that a machine record is unchanged, once per transaction.
 func (b *transactionBuilder) guardMachineRecord(record *cluster.MachineRecord) {
 	if !b.guarded[record] {
 		b.guarded[record] = true
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -14,28 +14,28 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// send sends the transaction in flight, the first time or again.
+// send sends the transaction in flight, for the first time or as a retry.
 func (c *Committer) send(tx *transaction) {
 	c.store.TransactEncoded(tx.body, func(result kv.TransactionResult) {
-		if c.inFlight == tx { // otherwise the watch has shown it meanwhile
+		if c.inFlight == tx { // otherwise the watch has confirmed it in the meantime
 			c.handleResult(tx, result)
 		}
 	})
 }
 
-// handleResult takes the answer to a transaction.
+// handleResult handles the store's response to a transaction.
 func (c *Committer) handleResult(tx *transaction, result kv.TransactionResult) {
 	switch outcome := result.Outcome; {
 	case outcome == kv.Done && !result.Malformed:
 		c.handleCommit(tx, result.Revision)
-	case outcome == kv.ConditionFailed && !result.Malformed && tx.answerLost && tx.probe != "":
-		c.resolveLostAnswer(tx)
+	case outcome == kv.ConditionFailed && !result.Malformed && tx.responseLost && tx.probeKey != "":
+		c.resolveLostResponse(tx)
 	case outcome == kv.ConditionFailed && !result.Malformed:
 		c.handleConflict(tx, result.Failed)
 	case outcome == kv.Unknown:
-		// The transaction may have been applied, or may be yet. The same one again can be
-		// applied only once.
-		tx.answerLost = true
+		// The transaction may have been applied, or may still be applied. Sending the same
+		// one again is safe, because it can be applied only once.
+		tx.responseLost = true
 		c.retryAfter(tx, tuning.StoreRetryDelay, c.send)
 	case outcome == kv.Throttled:
 		c.retryAfter(tx, c.store.NoteThrottled(tx.changes), c.send)
@@ -49,22 +49,23 @@
 	}
 }
 
-// rejectionPause is how long nothing is sent after a rejected transaction: whatever the
-// store found wrong with it may be wrong with the next.
+// rejectionPause is how long no transaction is sent after a rejected one: the cause of the
+// rejection may also affect the next transaction.
 const rejectionPause = time.Second
 
-// retryAfter tries something with a transaction after a pause, if it is in flight still.
-func (c *Committer) retryAfter(tx *transaction, pause time.Duration, try func(*transaction)) {
+// retryAfter calls retry for a transaction after a pause, if it is still in flight.
+func (c *Committer) retryAfter(tx *transaction, pause time.Duration, retry func(*transaction)) {
 	c.env.After(pause, func() {
 		if c.inFlight == tx {
-			try(tx)
+			retry(tx)
 		}
 	})
 }
 
-// resolveLostAnswer reads back whether a transaction whose answer was lost was applied.
-func (c *Committer) resolveLostAnswer(tx *transaction) {
-	c.store.Get(tx.probe, func(result kv.GetResult) {
+// resolveLostResponse finds out whether a transaction whose response was lost was applied. It
+// reads one of the records that the transaction sets.
+func (c *Committer) resolveLostResponse(tx *transaction) {
+	c.store.Get(tx.probeKey, func(result kv.GetResult) {
 		if c.inFlight != tx {
 			return
 		}
@@ -78,12 +79,12 @@
 		case kv.NotFound:
 			c.handleConflict(tx, nil)
 		default:
-			c.retryAfter(tx, tuning.StoreRetryDelay, c.resolveLostAnswer)
+			c.retryAfter(tx, tuning.StoreRetryDelay, c.resolveLostResponse)
 		}
 	})
 }
 
-// writtenBy says whether a record names the writer.
+// writtenBy reports whether a record names this writer.
 func writtenBy(value json.RawMessage, writer string) bool {
 	var record struct {
 		Writer string `json:"w"`
@@ -91,11 +92,11 @@
 	return json.Unmarshal(value, &record) == nil && record.Writer == writer
 }
 
-// ObserveChange takes a change that the watch shows, and says whether it is of no further
-// concern: it confirms the transaction in flight, whose answer may be lost, or it is of a
+// ObserveChange handles a change that the watch reports. handled is true if nobody else needs to
+// handle it: it confirms the transaction in flight, whose response may be lost, or it concerns a
 // machine record.
 func (c *Committer) ObserveChange(change *protocol.WatchEvent) (handled bool) {
-	if tx := c.inFlight; tx != nil && change.Set != "" && change.Set == tx.probe && c.Wrote(change.Value) {
+	if tx := c.inFlight; tx != nil && change.Set != "" && change.Set == tx.probeKey && c.Wrote(change.Value) {
 		c.handleCommit(tx, change.Revision)
 		return true
 	}
@@ -108,13 +109,13 @@
 	return true
 }
 
-// Wrote says whether a record was written by the transaction in flight, whose answer is on
-// its way.
+// Wrote reports whether a record was written by the transaction in flight, whose response has
+// not arrived yet.
 func (c *Committer) Wrote(value json.RawMessage) bool {
 	return c.inFlight != nil && storage.Writer(value) == c.inFlight.writer
 }
 
-// handleCommit takes it that a transaction was applied.
+// handleCommit handles a transaction that was applied at a revision.
 func (c *Committer) handleCommit(tx *transaction, revision protocol.Revision) {
 	c.inFlight = nil
 	for _, write := range tx.machineRecords {
@@ -131,14 +132,14 @@
 		for _, r := range write.records {
 			job.Records.Revisions[r] = max(job.Records.Revisions[r], revision)
 		}
-		noteWritten(job, write)
+		noteRecordsCommitted(job, write)
 		c.outcomes.JobCommitted(job, write.placed)
 	}
 	c.outcomes.TransactionCommitted(c.state.Now().Sub(tx.sentAt))
 	c.Commit()
 }
 
-// finish forgets a job whose final record is committed.
+// finish removes a job whose final record is committed, and queues its task records for deletion.
 func (c *Committer) finish(job *cluster.Job, final storage.Final) {
 	job.Finish()
 	delete(c.state.Jobs, job.ID)
@@ -156,20 +157,20 @@
 	c.env.RequestScheduling()
 }
 
-// handleConflict undoes a transaction that was refused: the loser plans again. failed are
-// the keys whose guards do not hold, as far as the store says.
+// handleConflict undoes a refused transaction. Its changes are planned again. failed lists the
+// keys whose guards did not hold, as far as the store has reported them.
 func (c *Committer) handleConflict(tx *transaction, failed []string) {
 	c.inFlight = nil
 	c.outcomes.TransactionConflicted()
 	if slices.Contains(failed, storage.LeaderKey) {
-		c.env.StepDown("leader lease is no longer ours")
+		c.env.StepDown("leader lease is no longer held by this node")
 		return
 	}
 	c.DeleteLater(tx.deletions...)
 	for _, write := range tx.machineRecords {
 		write.record.Queued = true
 		if len(failed) == 0 {
-			c.reader.reread(write.record.Key) // which key was in the way is not known
+			c.reader.reread(write.record.Key) // it is not known which guard failed
 		}
 	}
 	for _, key := range failed {
@@ -184,8 +185,8 @@
 	c.env.RequestScheduling()
 }
 
-// undo marks the records of a refused write as dirty again, drops the attempts that it
-// would have committed and reads the revisions.
+// undo marks the records of a refused write dirty again, drops the attempts that it would have
+// committed and reads the records' current revisions.
 func (c *Committer) undo(write *jobWrite) {
 	job := write.job
 	job.Write.InFlight = false
--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -9,16 +9,16 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// recordReader reads what is stored where a transaction met something unexpected.
+// recordReader reads stored records again after a transaction met unexpected revisions.
 type recordReader struct {
 	state    *cluster.State
 	store    Store
 	machines *MachineRecords
 	outcomes Outcomes
-	finish   func(*cluster.Job, storage.Final) // takes a job whose final record is stored
+	finish   func(*cluster.Job, storage.Final) // called for a job whose final record is stored
 }
 
-// reread reads the present revision of a key whose guard may have failed.
+// reread reads the current revision of a key whose guard may have failed.
 func (rr *recordReader) reread(key string) {
 	rr.store.Get(key, func(result kv.GetResult) {
 		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
@@ -38,7 +38,7 @@
 	})
 }
 
-// rereadJob takes a job's own record as it is now.
+// rereadJob handles the result of reading a job's main record.
 func (rr *recordReader) rereadJob(key string, result kv.GetResult) {
 	id, _ := storage.ParseJobKey(key)
 	job := rr.state.Jobs[id]
@@ -46,7 +46,7 @@
 		return
 	}
 	if result.Outcome == kv.NotFound {
-		// Its final record was written by a transaction thought lost.
+		// A transaction that was believed lost has replaced it by the job's final record.
 		rr.lookUpFinal(job)
 		return
 	}
@@ -58,7 +58,7 @@
 	rr.outcomes.MergeRecord(job, record, result.Entry.Revision)
 }
 
-// lookUpFinal finishes a job whose record has turned out to be gone.
+// lookUpFinal finishes a job whose main record no longer exists, if its final record is stored.
 func (rr *recordReader) lookUpFinal(job *cluster.Job) {
 	rr.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
 		if result.Outcome != kv.Done || result.Malformed || job.Finished {
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -12,41 +12,42 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// recordSplitter splits job records. A job's tasks are in records of a fixed number of
-// tasks. When the store's limits are lowered, a record may have outgrown them: it is split,
-// as a node of a B-tree is, before it is next written. What it gives away is in a further
-// record, whose tasks are named in it; both and the job's own record, which has the number
-// of all, are written by one guarded transaction, or the new parts are staged before.
+// recordSplitter splits oversized job records. A job's tasks are stored in records with a fixed
+// number of tasks each. When the store's limits are lowered, a record may exceed them. Like a
+// node of a B-tree it is then split before it is next written: some of its tasks move to a new
+// record, a part, which lists their indexes. Both records are written by one guarded transaction
+// together with the job's main record, which holds the number of all records. Alternatively the
+// new parts are staged: earlier transactions write them.
 type recordSplitter struct {
 	limits *KnownLimits
 	env    Environment
 	log    *slog.Logger
 }
 
-// maySplit says whether records may be written that version 0.2 does not read whole:
-// it takes the parts for abandoned ones and deletes them.
+// maySplit reports whether records may be written in parts. Version 0.2 does not read the parts:
+// it takes them for abandoned records and deletes them.
 func (s *recordSplitter) maySplit() bool { return s.env.PeersSupport(protocol.PeerKnowsCancelled) }
 
-// mayStage says whether the parts of a record may be written over several
-// transactions. An earlier version that takes over deletes parts that the job's own
-// record does not name, perhaps after it has split the record itself.
+// mayStage reports whether the parts of a record may be written by several transactions. When a
+// node of an earlier version becomes the leader, it deletes parts that the job's main record
+// does not reference, possibly after it has split the record itself.
 func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.PeerKnowsStaged) }
 
-// currentLimits are those that a record must keep within now.
+// currentLimits returns the limits that a record must keep within now.
 func (s *recordSplitter) currentLimits() config.StoreLimits {
 	if s.maySplit() {
-		return s.limits.configured()
+		return s.limits.afterLowering()
 	}
-	return s.limits.present()
+	return s.limits.beforeLowering()
 }
 
-// outgrown says whether a record must be split before it is written.
-func (s *recordSplitter) outgrown(job *cluster.Job, r int, limits config.StoreLimits) bool {
-	list := job.TasksOf(r)
-	if len(list) < 2 {
+// oversized reports whether a record must be split before it is written.
+func (s *recordSplitter) oversized(job *cluster.Job, r int, limits config.StoreLimits) bool {
+	taskIndexes := job.TasksOf(r)
+	if len(taskIndexes) < 2 {
 		return false
 	}
-	if job.Spec.Gang() && len(list) > storage.GangRecordTasks(limits.TxnOps) {
+	if job.Spec.Gang() && len(taskIndexes) > storage.GangRecordTasks(limits.TxnOps) {
 		return true
 	}
 	capacity := int(limits.ValueKB * 1024)
@@ -56,76 +57,75 @@
 		}
 		capacity -= job.Records.SpecSize
 	}
-	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
-		return false // with entries of any size
+	if len(taskIndexes)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
+		return false // it fits whatever the size of its entries
 	}
 	tasks, _ := recordContent(job, r)
 	return len(storage.Encode(tasks))+tuning.RecordHeaderBytes > capacity
 }
 
-// splitDirty starts the split of one of a job's changed records that has outgrown
-// the limits.
+// splitDirty starts the split of one of a job's dirty records if any of them is oversized.
 func (s *recordSplitter) splitDirty(job *cluster.Job, limits config.StoreLimits) {
 	if len(job.Records.UnnamedParts) > 0 || !s.maySplit() {
 		return
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Write.Dirty)) {
-		if s.outgrown(job, r, limits) {
+		if s.oversized(job, r, limits) {
 			s.split(job, r, limits)
 			return
 		}
 	}
 }
 
-// pendingSplit lists the records that must be written in the transaction that
-// completes a split, the job's own last; nil if no record is being split. Parts that
-// are staged need not be written again.
+// pendingSplit returns the records that must be written by the transaction that completes a
+// split, with the main record last. It returns nil if no record is being split. Staged parts need
+// not be written again unless they are dirty.
 func (s *recordSplitter) pendingSplit(job *cluster.Job) []int {
 	limits := s.currentLimits()
 	s.splitDirty(job, limits)
 	if len(job.Records.UnnamedParts) == 0 {
 		return nil
 	}
-	// The job's own record, which is always written, may have outgrown them too.
-	if s.outgrown(job, 0, limits) {
+	// The main record is always written, and may be oversized too.
+	if s.oversized(job, 0, limits) {
 		s.split(job, 0, limits)
 	}
-	var list []int
+	var records []int
 	for part, source := range job.Records.UnnamedParts {
 		if !job.Records.Staged[part] || job.Write.Dirty[part] {
-			list = append(list, part)
+			records = append(records, part)
 		}
 		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
-			list = append(list, source)
+			records = append(records, source)
 		}
 	}
-	slices.Sort(list)
-	list = slices.Compact(list)
-	return append(slices.DeleteFunc(list, func(r int) bool { return r == 0 }), 0)
+	slices.Sort(records)
+	records = slices.Compact(records)
+	return append(slices.DeleteFunc(records, func(r int) bool { return r == 0 }), 0)
 }
 
-// split splits a record until every part keeps within the limits. Unless parts may
-// be staged it stops at what one transaction can write; of a gang's parts the rest
-// may then be split in the next.
+// split splits a record until every part keeps within the limits. Unless parts may be staged,
+// it stops at the number of parts that one transaction can write. The remaining parts of a gang
+// that are still oversized may then be split for the next transaction.
 func (s *recordSplitter) split(job *cluster.Job, r int, limits config.StoreLimits) {
 	maxParts := limits.TxnOps - 2
 	if s.mayStage() {
 		maxParts = len(job.Tasks)
 	}
-	open := []int{r}
-	for len(open) > 0 && len(job.Records.UnnamedParts) < maxParts {
-		r := open[0]
-		open = open[1:]
-		if s.outgrown(job, r, limits) {
-			open = append(open, r, job.SplitRecord(r))
+	pending := []int{r}
+	for len(pending) > 0 && len(job.Records.UnnamedParts) < maxParts {
+		r := pending[0]
+		pending = pending[1:]
+		if s.oversized(job, r, limits) {
+			pending = append(pending, r, job.SplitRecord(r))
 		}
 	}
 	s.log.Info("record split", "job", job.ID, "record", r, "records", len(job.Records.Revisions))
 }
 
-// noteWritten notes that a job's records are committed. The job's own record names all
-// parts, so that a write of it completes a split.
-func noteWritten(job *cluster.Job, write *jobWrite) {
+// noteRecordsCommitted handles the commit of a job's records. The main record references all
+// parts, so that writing it completes a split.
+func noteRecordsCommitted(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
 		job.Records.UnnamedParts, job.Records.Staged, job.Records.Splitting = nil, nil, false
 		return
@@ -134,6 +134,6 @@
 		job.Records.Staged = map[int]bool{}
 	}
 	for _, r := range write.records {
-		job.Records.Staged[r] = true // until it changes again
+		job.Records.Staged[r] = true // until the part changes again
 	}
 }
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -12,86 +12,86 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// What changes and conditions add to the size of a transaction, at most.
+// Upper bounds on what changes and conditions add to the size of a transaction.
 const (
-	overheadBytes    = 40  // of a change or a condition, beside key and value
-	smallRecordBytes = 200 // of a change and its conditions, beside a large value
-	finalRecordBytes = 400 // of a job's final record and the deletion of its own
+	operationOverheadBytes = 40  // of a change or a condition, besides its key and value
+	smallRecordBytes       = 200 // of a change and its conditions, besides a large value
+	finalRecordBytes       = 400 // of a job's final record and the deletion of its main record
 )
 
-// transaction is a transaction that was built, with all that its outcome decides on.
+// transaction is a transaction that was built, with everything that depends on its outcome.
 type transaction struct {
-	writer         string // names it in each record that it writes
-	body           []byte // as it is sent, and sent again
+	writer         string // its unique name, stored in each record that it writes
+	body           []byte // encoded; a retry sends the same bytes
 	changes        int
-	probe          string // a key that it sets, by which a lost answer is found out
+	probeKey       string // a key that it sets, read back if the response is lost
 	sentAt         time.Time
-	answerLost     bool // it may have been applied
+	responseLost   bool // the store may have applied it
 	jobs           []*jobWrite
 	machineRecords []machineRecordWrite
 	deletions      []string
 }
 
-// jobWrite is a job's part of a transaction.
+// jobWrite is one job's part of a transaction.
 type jobWrite struct {
 	job     *cluster.Job
 	records []int
 	final   *storage.Final
-	placed  []*cluster.Attempt // by this transaction
-	staging bool               // the records are parts that the job's own record does not name yet
+	placed  []*cluster.Attempt // attempts that this transaction commits
+	staging bool               // the records are parts that the main record does not reference yet
 }
 
 // transactionBuilder builds a transaction within the store's limits.
 type transactionBuilder struct {
 	splitter   *recordSplitter
-	limits     config.StoreLimits // that records and transactions must keep now
+	limits     config.StoreLimits // in force for records and transactions
 	outcomes   Outcomes
 	tx         *transaction
 	txn        protocol.Transaction
 	bytes      int
 	guarded    map[*cluster.MachineRecord]bool
-	maxChanges int // that the write budget allows
+	maxChanges int // allowed by the write budget and the store's limits
 }
 
-// newBuilder begins a transaction.
+// newBuilder returns a builder for tx that keeps within the write budget.
 func (c *Committer) newBuilder(tx *transaction, budget writeBudget) *transactionBuilder {
 	return &transactionBuilder{
 		splitter: c.splitter, limits: c.splitter.currentLimits(), outcomes: c.outcomes, tx: tx,
 		guarded:    map[*cluster.MachineRecord]bool{},
-		maxChanges: min(c.limits.configured().TxnOps, int(budget.free)),
+		maxChanges: min(c.limits.afterLowering().TxnOps, int(budget.available)),
 	}
 }
 
-// changes is the number of changes that the transaction has.
+// changes returns the number of changes that the transaction has.
 func (b *transactionBuilder) changes() int { return len(b.txn.Changes) }
 
-// remainingChanges is how many it may have yet.
+// remainingChanges returns the number of changes that can still be added.
 func (b *transactionBuilder) remainingChanges() int { return b.maxChanges - b.changes() }
 
-// fits says whether the transaction may have so much more.
+// fits reports whether so many more changes, conditions and bytes fit into the transaction.
 func (b *transactionBuilder) fits(changes, conditions, bytes int) bool {
 	return b.remainingChanges() >= changes &&
 		len(b.txn.Conditions)+conditions <= kv.ConditionsPerChange*b.limits.TxnOps &&
 		b.bytes+bytes <= tuning.MaxTransactionBytes
 }
 
-// guard demands that a key has a revision: the compare-and-swap guard.
+// guard adds the compare-and-swap condition that a key has a revision.
 func (b *transactionBuilder) guard(key string, revision protocol.Revision) {
 	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Revision: revision})
-	b.bytes += len(key) + overheadBytes
+	b.bytes += len(key) + operationOverheadBytes
 }
 
-// set writes a key.
+// set adds a change that writes a key.
 func (b *transactionBuilder) set(key string, value json.RawMessage) {
 	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
-	b.bytes += len(key) + len(value) + overheadBytes
-	if b.tx.probe == "" {
-		b.tx.probe = key
+	b.bytes += len(key) + len(value) + operationOverheadBytes
+	if b.tx.probeKey == "" {
+		b.tx.probeKey = key
 	}
 }
 
-// remove deletes a key.
+// remove adds a change that deletes a key.
 func (b *transactionBuilder) remove(key string) {
 	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
-	b.bytes += len(key) + overheadBytes
+	b.bytes += len(key) + operationOverheadBytes
 }
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -9,34 +9,34 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// urgency says how soon a job's changes are to be written.
+// urgency is a class of how soon a job's changes must be written.
 type urgency int
 
-// Classes of urgency, the most urgent first.
+// Classes of urgency, most urgent first.
 const (
-	// urgent changes are new places of gangs and services, record splits under way, and
-	// what has waited long. A part of the write budget is kept for them.
+	// urgent changes are new placements of gangs and services, record splits in progress, and
+	// changes that have waited long. Part of the write budget is reserved for them.
 	urgent urgency = iota
-	// ordinary changes are new places of arrays and ends of jobs.
+	// ordinary changes are new placements of arrays and ends of jobs.
 	ordinary
-	// marks of single tasks that are done, which their agents go on reporting until they
-	// are stored.
-	marks
-	// notDue are marks that can wait: the tasks of an array end one after the other, and
-	// mostly their record is written with the next place anyway.
+	// taskCompletions record that single tasks are done. Agents keep reporting these tasks until
+	// their completion is stored.
+	taskCompletions
+	// notDue changes are task completions that can wait: the tasks of an array end one after the
+	// other, and their record is usually written with the next placement anyway.
 	notDue
 )
 
-// dirtyJobs are jobs with unwritten changes, in the order that they came.
+// dirtyJobs holds the jobs with unwritten changes, in the order in which they became dirty.
 type dirtyJobs []*cluster.Job
 
-// rankedJob is a job with unwritten changes of some urgency.
+// rankedJob is a job with unwritten changes and their urgency.
 type rankedJob struct {
 	job     *cluster.Job
 	urgency urgency
 }
 
-// urgencyOf classifies the unwritten changes of a job.
+// urgencyOf returns the urgency of a job's unwritten changes.
 func urgencyOf(job *cluster.Job, now time.Time) urgency {
 	age := now.Sub(job.Write.DirtySince)
 	switch {
@@ -53,13 +53,13 @@
 		}
 		return ordinary
 	case age > tuning.DoneMarkDelay:
-		return marks
+		return taskCompletions
 	}
 	return notDue
 }
 
-// byUrgency orders the jobs: the urgent ones by priority, the others in the order that they
-// came.
+// byUrgency returns the jobs that still have changes to write, by urgency. Urgent jobs are
+// ordered by priority. Among equals, the job that has been dirty longest comes first.
 func (dj dirtyJobs) byUrgency(now time.Time) []rankedJob {
 	var ranked []rankedJob
 	for _, job := range dj {
