--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -11,7 +11,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// leaderWithPlacedGang is a leader that has sent the placement of a gang.
+// leaderWithPlacedGang returns a leader that has placed a gang and sent the transaction for it.
 func leaderWithPlacedGang(t *testing.T, tasks int) (l *leader, id protocol.JobID, txn *sentTransaction) {
 	t.Helper()
 	l = newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
@@ -20,14 +20,14 @@
 	job.Records.Revisions[0] = 4
 	l.scheduler.RunCycle()
 	if len(machine.Attempts) != tasks {
-		t.Fatal("not placed")
+		t.Fatal("the gang is not placed")
 	}
 	l.committer.Commit()
 	return l, job.ID, l.lastSent(t)
 }
 
-// TestPlacementIsGuarded: a placement is written only if the leader still leads, and the
-// job's record and the machine's are those on which it was decided.
+// TestPlacementIsGuarded: a placement is written only if the leader still leads, and if the
+// job's record and the machine record have the revisions on which the placement was decided.
 func TestPlacementIsGuarded(t *testing.T) {
 	l, id, txn := leaderWithPlacedGang(t, 2)
 	want := map[string]protocol.Revision{storage.LeaderKey: testTerm, storage.JobKey(id): 4, l.Machines["i-1"].Record.Key: 1}
@@ -37,34 +37,35 @@
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("not guarded: %v", want)
+		t.Errorf("missing guards: %v", want)
 	}
 	if l.Jobs[id].SortedAttempts()[0].Committed {
-		t.Error("committed before the answer")
+		t.Error("the attempt is committed before the response")
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
 	if !l.Jobs[id].SortedAttempts()[0].Committed || l.Jobs[id].Records.Revisions[0] != 99 {
-		t.Error("not committed by the answer")
+		t.Error("the attempt is not committed by the response")
 	}
 }
 
-// TestOutcomesOfTransactions: what each answer to a placement means for it.
+// TestOutcomesOfTransactions: each response to a transaction with a placement has the right effect
+// on the placement and the leader.
 func TestOutcomesOfTransactions(t *testing.T) {
 	for name, tc := range map[string]struct {
 		result       kv.TransactionResult
-		inFlight     bool // the same transaction is sent again after a pause
+		inFlight     bool // the same transaction is resent after a pause
 		attemptsLeft int
 		stepsDown    bool
 	}{
-		"committed":             {result: kv.TransactionResult{Outcome: kv.Done, Revision: 99}, attemptsLeft: 2},
-		"answer lost":           {result: kv.TransactionResult{Outcome: kv.Unknown}, inFlight: true, attemptsLeft: 2},
-		"answer malformed":      {result: kv.TransactionResult{Outcome: kv.Done, Malformed: true}, inFlight: true, attemptsLeft: 2},
-		"throttled":             {result: kv.TransactionResult{Outcome: kv.Throttled}, inFlight: true, attemptsLeft: 2},
-		"store unavailable":     {result: kv.TransactionResult{Outcome: kv.Unavailable}, inFlight: true, attemptsLeft: 2},
-		"rejected":              {result: kv.TransactionResult{Outcome: kv.Rejected}},
-		"guard does not hold":   {result: kv.TransactionResult{Outcome: kv.ConditionFailed}},
-		"no longer the leader":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.LeaderKey}}, attemptsLeft: 2, stepsDown: true},
-		"machine record raised": {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachinePrefix + "x"}}},
+		"committed":               {result: kv.TransactionResult{Outcome: kv.Done, Revision: 99}, attemptsLeft: 2},
+		"response lost":           {result: kv.TransactionResult{Outcome: kv.Unknown}, inFlight: true, attemptsLeft: 2},
+		"response malformed":      {result: kv.TransactionResult{Outcome: kv.Done, Malformed: true}, inFlight: true, attemptsLeft: 2},
+		"throttled":               {result: kv.TransactionResult{Outcome: kv.Throttled}, inFlight: true, attemptsLeft: 2},
+		"store unavailable":       {result: kv.TransactionResult{Outcome: kv.Unavailable}, inFlight: true, attemptsLeft: 2},
+		"rejected":                {result: kv.TransactionResult{Outcome: kv.Rejected}},
+		"condition failed":        {result: kv.TransactionResult{Outcome: kv.ConditionFailed}},
+		"leader lease taken over": {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.LeaderKey}}, attemptsLeft: 2, stepsDown: true},
+		"machine record changed":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachinePrefix + "x"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, id, txn := leaderWithPlacedGang(t, 2)
@@ -73,34 +74,35 @@
 				t.Errorf("%d attempts are left, want %d", got, tc.attemptsLeft)
 			}
 			if (l.steppedDown != "") != tc.stepsDown {
-				t.Errorf("steps down: %q", l.steppedDown)
+				t.Errorf("reason for stepping down: %q", l.steppedDown)
 			}
 			if l.committer.InFlight() != tc.inFlight {
-				t.Fatalf("in flight: %v", !tc.inFlight)
+				t.Fatalf("transaction in flight: %v", !tc.inFlight)
 			}
 			if !tc.inFlight {
 				return
 			}
 			if len(l.sent) != 1 || len(l.timers) != 1 {
-				t.Fatalf("%d sent, %d to be sent later", len(l.sent), len(l.timers))
+				t.Fatalf("%d transactions sent and %d timers, want 1 of each", len(l.sent), len(l.timers))
 			}
 			l.timers[0]()
 			if len(l.sent) != 2 || l.sent[1].body != l.sent[0].body {
-				t.Error("not the same is sent again")
+				t.Error("not resent, or not the same transaction")
 			}
 		})
 	}
 }
 
-// TestLostResponseIsResolvedByReadingRecord: the repetition of a transaction whose answer was lost is
-// refused, by its own first copy or by another's write: the record says which.
+// TestLostResponseIsResolvedByReadingRecord: the retry of a transaction whose response was lost is
+// refused, either because the first copy was applied or because another writer changed the
+// record. The writer in the record tells which.
 func TestLostResponseIsResolvedByReadingRecord(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ownWrite  bool
 		committed bool
 	}{
-		"applied the first time": {ownWrite: true, committed: true},
-		"another was faster":     {},
+		"first copy was applied":   {ownWrite: true, committed: true},
+		"another writer was first": {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, id, txn := leaderWithPlacedGang(t, 1)
@@ -113,21 +115,21 @@
 			}
 			read := l.reads[storage.JobKey(id)]
 			if read == nil {
-				t.Fatal("not read back")
+				t.Fatal("the record is not read")
 			}
 			read(kv.GetResult{Outcome: kv.Done, Entry: entry})
 			if job := l.Jobs[id]; (len(job.Attempts) == 1) != tc.committed || tc.committed && job.Records.Revisions[0] != 50 {
 				t.Errorf("%d attempts, revision %d", len(job.Attempts), job.Records.Revisions[0])
 			}
 			if l.committer.InFlight() {
-				t.Error("still in flight")
+				t.Error("the transaction is still in flight")
 			}
 		})
 	}
 }
 
-// TestWatchConfirmsTransactionWithLostResponse: a transaction whose answer is lost is done
-// once the watch shows it; the answer to its repetition then means nothing.
+// TestWatchConfirmsTransactionWithLostResponse: a transaction whose response is lost counts as
+// committed once the watch reports its change. A later response to a retry is ignored.
 func TestWatchConfirmsTransactionWithLostResponse(t *testing.T) {
 	l, id, txn := leaderWithPlacedGang(t, 1)
 	last := txn.Changes[len(txn.Changes)-1]
@@ -138,18 +140,18 @@
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{last.Set}})
 	if len(job.Attempts) != 1 {
-		t.Error("the place is dropped by a late answer")
+		t.Error("a late response drops the placement")
 	}
 }
 
-// TestConflictMergesConcurrentCancellation: a refused transaction leaves nothing of its plan
-// behind, and a cancellation that came first is kept.
+// TestConflictMergesConcurrentCancellation: a refused transaction leaves none of its placements
+// behind, and a cancellation that was stored first is kept.
 func TestConflictMergesConcurrentCancellation(t *testing.T) {
 	l, id, txn := leaderWithPlacedGang(t, 2)
 	job := l.Jobs[id]
 	txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 	if len(job.Attempts) != 0 || l.Machines["i-1"].Used.GPUs != 0 {
-		t.Fatalf("%d attempts of the plan are left", len(job.Attempts))
+		t.Fatalf("%d attempts of the refused transaction are left, or their GPUs are still in use", len(job.Attempts))
 	}
 	record := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
 	l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(record), Revision: 50}})
@@ -158,18 +160,18 @@
 	}
 }
 
-// TestJobWithMissingRecordTakesStoredFinalRecord: a conflict may come from an earlier copy of the
-// transaction that ended the job: what is stored of its end holds.
+// TestJobWithMissingRecordTakesStoredFinalRecord: a conflict may be caused by an earlier copy of
+// the transaction that ended the job. The stored final record is then valid.
 func TestJobWithMissingRecordTakesStoredFinalRecord(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		final    kv.GetResult
 		finished bool
 	}{
-		"final record":          {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})}}, finished: true},
-		"no final record":       {final: kv.GetResult{Outcome: kv.NotFound}},
-		"malformed answer":      {final: kv.GetResult{Outcome: kv.Done, Malformed: true}},
-		"final without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{})}}},
-		"no answer":             {final: kv.GetResult{Outcome: kv.Unknown}},
+		"final record":                 {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})}}, finished: true},
+		"no final record":              {final: kv.GetResult{Outcome: kv.NotFound}},
+		"malformed response":           {final: kv.GetResult{Outcome: kv.Done, Malformed: true}},
+		"final record without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{})}}},
+		"no response":                  {final: kv.GetResult{Outcome: kv.Unknown}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, id, txn := leaderWithPlacedGang(t, 1)
@@ -180,43 +182,43 @@
 			if read == nil {
 				t.Fatal("the final record is not read")
 			}
-			read(test.final)
-			if job.Finished != test.finished || (l.Jobs[id] == nil) != test.finished {
-				t.Errorf("finished %v", job.Finished)
+			read(tc.final)
+			if job.Finished != tc.finished || (l.Jobs[id] == nil) != tc.finished {
+				t.Errorf("finished: %v, or not removed from the jobs accordingly", job.Finished)
 			}
 		})
 	}
 }
 
-// TestUrgentChangesUseTheReservedBudget: with little of the write budget left the place of
-// a gang is written, and that of an array when there is more.
+// TestUrgentChangesUseTheReservedBudget: when little of the write budget is left, the placement
+// of a gang is written, but that of an array only when more is available.
 func TestUrgentChangesUseTheReservedBudget(t *testing.T) {
 	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
 	l.addMachine("i-1")
 	array, gang := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Gang(1, 1))
 	l.scheduler.RunCycle()
 	if len(array.Attempts) != 1 || len(gang.Attempts) != 1 {
-		t.Fatal("not placed")
+		t.Fatal("the jobs are not placed")
 	}
 	burst := float64(l.budget.Burst())
-	l.budget.AllowN(l.Now(), int(burst-min(burst*tuning.UserBurstReserve, burst-2)-2)) // two are left
+	l.budget.AllowN(l.Now(), int(burst-min(burst*tuning.UserBurstReserve, burst-2)-2)) // leaves two changes
 	l.committer.Commit()
 	txn := l.lastSent(t)
 	if len(txn.Changes) != 1 || txn.Changes[0].Set != storage.JobKey(gang.ID) {
-		t.Fatalf("%+v", txn.Changes)
+		t.Fatalf("want only the gang's record, got %+v", txn.Changes)
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
 	if l.committer.InFlight() {
-		t.Fatal("the array's place is written out of what is kept for gangs")
+		t.Fatal("the array's placement uses the budget that is reserved for gangs")
 	}
 	l.commitAfter(tuning.MaxWriteDelay + time.Second)
 	if last := l.lastSent(t); last.Changes[0].Set != storage.JobKey(array.ID) {
-		t.Errorf("%+v", last.Changes)
+		t.Errorf("want the array's record, got %+v", last.Changes)
 	}
 }
 
-// TestOrphanedMachineRecordIsDeleted: the creation of a machine record is carried out late,
-// after the record was deleted: the machines that it names must not come back with it.
+// TestOrphanedMachineRecordIsDeleted: the creation of a machine record may be applied late, after
+// the record was deleted. The machines that it lists must not come back with it.
 func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
 	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
 	machine := l.addMachine("i-1")
@@ -226,7 +228,7 @@
 		l.commitAfter(tuning.StaleMachineRecordDelay + time.Second)
 		txn := l.lastSent(t)
 		if len(txn.Changes) != 1 || txn.Changes[0].Delete != key || txn.Conditions[1] != (protocol.Condition{Key: key, Revision: revision}) {
-			t.Fatalf("%+v", txn)
+			t.Fatalf("want only the deletion of the machine record, got %+v", txn)
 		}
 		return txn
 	}
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -23,18 +23,19 @@
 	"golang.org/x/time/rate"
 )
 
-// The term of the leaders of these tests, and the limits of their store.
+// testTerm is the term of the leaders in these tests.
 const testTerm = 7
 
+// The store's limits before and after it lowers them.
 var (
 	originalLimits = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	loweredLimits  = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 )
 
-// loweredValueBytes is the largest value that the lowered limits allow.
+// loweredValueBytes is the size of the largest value that the lowered limits allow.
 const loweredValueBytes = 2048
 
-// testStore is what a key-value store holds, for leaders that begin from it.
+// testStore is the content of a key-value store. New leaders load their state from it.
 type testStore struct {
 	entries  map[string]protocol.Entry
 	revision protocol.Revision
@@ -53,12 +54,13 @@
 	}
 }
 
-// put stores a record.
+// put stores a record at a revision.
 func (s *testStore) put(key string, record any, revision protocol.Revision) {
 	s.entries[key] = protocol.Entry{Key: key, Value: storage.Encode(record), Revision: revision}
 }
 
-// apply carries a transaction out if its conditions hold.
+// apply applies a transaction if its conditions hold. The condition on the leader lease is not
+// checked.
 func (s *testStore) apply(txn *protocol.Transaction) bool {
 	for _, condition := range txn.Conditions {
 		if condition.Key != storage.LeaderKey && s.entries[condition.Key].Revision != condition.Revision {
@@ -76,16 +78,16 @@
 	return true
 }
 
-// sentTransaction is a transaction that a leader has sent.
+// sentTransaction is a transaction that a leader has sent, with the callback for the response.
 type sentTransaction struct {
 	protocol.Transaction
 	body    string
 	respond func(kv.TransactionResult)
 }
 
-// leader stands for a leader around a committer: it has the parts that decide what is
-// written, answers nothing by itself and has one peer. It implements the interfaces of its
-// parts.
+// leader is a minimal leader around a committer. It contains the parts that decide what is
+// written, and has one peer. It responds to store requests only when a test does so. It
+// implements the interfaces that its parts need.
 type leader struct {
 	*clustertest.Cluster
 	store     *testStore
@@ -96,7 +98,7 @@
 	lifecycle *lifecycle.Manager
 	scheduler *scheduler.Scheduler
 
-	peerLevel uint64 // that the peer has announced
+	peerLevel uint64 // feature level that the peer has announced
 	peerUp    bool
 
 	sent        []sentTransaction
@@ -106,7 +108,8 @@
 	steppedDown string
 }
 
-// newLeader makes a leader that begins from what the store holds, within the given limits.
+// newLeader returns a leader that has loaded its state from the store. Limits other than
+// originalLimits are announced: the store has yet to lower its limits to them.
 func newLeader(store *testStore, limits config.StoreLimits, peerLevel uint64) *leader {
 	l := &leader{Cluster: clustertest.New(), store: store, peerLevel: peerLevel, peerUp: true, reads: map[string]func(kv.GetResult){}}
 	settings := &l.Config.Cluster
@@ -127,22 +130,23 @@
 	return l
 }
 
-// commitAfter moves the clock and has what there is to write sent.
+// commitAfter advances the clock and lets the committer send the next transaction.
 func (l *leader) commitAfter(pause time.Duration) {
 	l.Advance(pause)
 	l.committer.Commit()
 }
 
-// lastSent is the transaction that was sent last.
+// lastSent returns the transaction that was sent last.
 func (l *leader) lastSent(t *testing.T) *sentTransaction {
 	t.Helper()
 	if len(l.sent) == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no transaction was sent")
 	}
 	return &l.sent[len(l.sent)-1]
 }
 
-// nextTransaction has the leader commit and returns what is in flight then, nil if that is nothing.
+// nextTransaction returns the transaction in flight, after letting the leader commit if there is
+// none. It returns nil if nothing is in flight then either.
 func (l *leader) nextTransaction(t *testing.T) *sentTransaction {
 	t.Helper()
 	if !l.committer.InFlight() {
@@ -155,16 +159,16 @@
 	return l.lastSent(t)
 }
 
-// applyAndRespond has the store carry out what a leader has sent, and answers it.
+// applyAndRespond applies a sent transaction to the store and responds to it.
 func (l *leader) applyAndRespond(t *testing.T, txn *sentTransaction) {
 	t.Helper()
 	if !l.store.apply(&txn.Transaction) {
-		t.Fatal("refused")
+		t.Fatal("the store refused the transaction")
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: l.store.revision})
 }
 
-// addMachine adds a machine that a stored record has.
+// addMachine adds a machine that a stored machine record lists.
 func (l *leader) addMachine(id protocol.MachineID) *cluster.Machine {
 	machine := l.AddMachine(id, "big", "a")
 	l.committer.Machines.Assign(machine)
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -13,11 +13,12 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// hostID is the machine that has all tasks; a long name, so that a record of 98 tasks needs
-// many parts.
+// hostID is the machine on which all tasks of jobWithLargeSpec run. Its name is so long that a
+// record of 98 tasks needs many parts.
 var hostID = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// oversizedJob is a job of an earlier version whose record has outgrown the lowered limits.
+// oversizedJob returns a job, written by an earlier version, whose record exceeds the lowered
+// limits.
 func oversizedJob() *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	record := &storage.Job{Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, RecordTasks: 98}
@@ -31,7 +32,8 @@
 	return record
 }
 
-// jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
+// jobWithLargeSpec returns a job whose specification leaves space for few tasks in its main
+// record.
 func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
@@ -46,7 +48,7 @@
 	return record
 }
 
-// storeWithJob is a store that has a job and a machine for all of its tasks.
+// storeWithJob returns a store that holds a job and the machine of all its tasks.
 func storeWithJob(record *storage.Job) *testStore {
 	s := newTestStore()
 	s.put(storage.JobKey(record.Spec.ID), record, 9)
@@ -54,36 +56,36 @@
 	return s
 }
 
-// checkTasks compares the tasks that a leader has loaded with those of a record.
+// checkTasks checks that the tasks a leader has loaded are those of a record.
 func checkTasks(t *testing.T, l *leader, record *storage.Job) {
 	t.Helper()
 	job := l.Jobs[record.Spec.ID]
 	if job == nil {
-		t.Fatal("the job is unknown")
+		t.Fatal("the leader does not know the job")
 	}
 	for _, want := range record.Tasks {
 		got := &job.Tasks[want.Index]
 		if got.LastAttempt != want.Attempt || got.Done != want.Done || (got.Active != nil) != (want.Machine != "") {
-			t.Fatalf("task %d: %+v, want %+v", want.Index, got, want)
+			t.Fatalf("task %d is loaded as %+v, stored as %+v", want.Index, got, want)
 		}
 	}
 }
 
-// checkSizes checks that a transaction keeps within the lowered limits.
+// checkSizes checks that a transaction and its values keep within the lowered limits.
 func checkSizes(t *testing.T, txn *sentTransaction) {
 	t.Helper()
 	if len(txn.Changes) > loweredLimits.TxnOps || len(txn.Conditions) > kv.ConditionsPerChange*loweredLimits.TxnOps {
-		t.Fatalf("%d changes, %d conditions", len(txn.Changes), len(txn.Conditions))
+		t.Fatalf("the transaction has %d changes and %d conditions", len(txn.Changes), len(txn.Conditions))
 	}
 	for _, change := range txn.Changes {
 		if len(change.Value) > loweredValueBytes {
-			t.Fatalf("%d bytes under %s", len(change.Value), change.Set)
+			t.Fatalf("a value of %d bytes is written under %s", len(change.Value), change.Set)
 		}
 	}
 }
 
-// leaderWithOversizedJob is a leader whose store will lower its limits, with a peer that has yet to
-// say what it knows and a job whose record has outgrown the new limits, to be written.
+// leaderWithOversizedJob returns a leader whose store will lower its limits. Its peer has not yet
+// announced a feature level. The leader has sent a job record that exceeds the new limits.
 func leaderWithOversizedJob(t *testing.T) (*leader, *cluster.Job) {
 	t.Helper()
 	l := newLeader(newTestStore(), loweredLimits, 0)
@@ -93,15 +95,15 @@
 	return l, job
 }
 
-// TestRecordIsSplitOnceAllPeersReadParts: as long as a peer may be of version 0.2, which
-// would not find a further record, a job's record is written whole; then in parts, within
-// the lowered limits and in one transaction, and what another leader reads is the same.
+// TestRecordIsSplitOnceAllPeersReadParts: while a peer may run version 0.2, which would not find
+// the parts, a job's record is written without a split. Afterwards it is written in parts, by one
+// transaction and within the lowered limits. Another leader reads the same tasks from the parts.
 func TestRecordIsSplitOnceAllPeersReadParts(t *testing.T) {
 	l, job := leaderWithOversizedJob(t)
 	l.peerUp = false
 	txn := l.lastSent(t)
 	if len(txn.Changes) != 1 || len(txn.Changes[0].Value) <= loweredValueBytes {
-		t.Fatalf("%d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
+		t.Fatalf("want one oversized record, got %d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
 	l.peerLevel = protocol.PeerLevel
@@ -109,19 +111,19 @@
 	checkSizes(t, split)
 	mainRecord := split.Changes[len(split.Changes)-1]
 	if len(split.Changes) < 2 || mainRecord.Set != storage.JobKey(job.ID) {
-		t.Fatalf("%d changes", len(split.Changes))
+		t.Fatalf("want several parts with the main record last, got %d changes", len(split.Changes))
 	}
 	checkReadBack(t, job, split)
-	// Refused by a race, it is sent again with all its parts.
+	// When a concurrent write causes a conflict, all parts are sent again.
 	split.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(job.ID)}})
 	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	if second := l.lastSent(t); len(second.Changes) != len(split.Changes) {
-		t.Errorf("%d changes, then %d", len(split.Changes), len(second.Changes))
+		t.Errorf("the split is sent with %d changes, then with %d", len(split.Changes), len(second.Changes))
 	}
 }
 
-// checkReadBack has another leader read the records of a transaction that wrote all of a
-// job's, and compares.
+// checkReadBack checks that another leader reads the same tasks from a transaction that wrote all
+// records of a job.
 func checkReadBack(t *testing.T, job *cluster.Job, txn *sentTransaction) {
 	t.Helper()
 	other := newLeader(newTestStore(), loweredLimits, protocol.PeerLevel)
@@ -137,23 +139,22 @@
 		}
 		_, r, _ := storage.ParseTaskRecordKey(change.Set)
 		if r >= len(reloaded.Records.Revisions) {
-			t.Fatalf("%s is not among the %d records", change.Set, len(reloaded.Records.Revisions))
+			t.Fatalf("%s is not one of the job's %d records", change.Set, len(reloaded.Records.Revisions))
 		}
 		other.loader.AddTasks(reloaded, r, part.Tasks)
 	}
 	for i := range job.Tasks {
 		want, got := &job.Tasks[i], &reloaded.Tasks[i]
 		if want.LastAttempt != got.LastAttempt || want.Done != got.Done || (want.Active == nil) != (got.Active == nil) || job.RecordOf(i) != reloaded.RecordOf(i) {
-			t.Fatalf("task %d: %+v in %d, %+v in %d", i, want, job.RecordOf(i), got, reloaded.RecordOf(i))
+			t.Fatalf("task %d: want %+v in record %d, got %+v in record %d", i, want, job.RecordOf(i), got, reloaded.RecordOf(i))
 		}
 	}
 }
 
-// TestRejectedRecordIsNotResentUnsplit: a store that rejects a value has lowered its
-// limits, which it does only once all controllers have the new version: the record is split
-// and not sent again as it was, whatever the leader has heard of a peer that is down.
-// While one is up that may be of version 0.2, which would delete the parts, the record
-// waits, and is not sent again either.
+// TestRejectedRecordIsNotResentUnsplit: a store that rejects a value has lowered its limits. It
+// does so only after all controllers run the new version. The record is therefore split and not
+// resent unchanged, whatever feature level a peer that is down has announced. While a peer that
+// is up may run version 0.2, which would delete the parts, the record is not sent at all.
 func TestRejectedRecordIsNotResentUnsplit(t *testing.T) {
 	for _, up := range []bool{false, true} {
 		l, _ := leaderWithOversizedJob(t)
@@ -162,45 +163,45 @@
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
-				t.Error("sent again beside a peer that may be of version 0.2")
+				t.Error("the record is sent while a peer may run version 0.2")
 			}
 			l.peerLevel = protocol.PeerLevel
 			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		}
 		if txn := l.lastSent(t); len(txn.Changes) < 2 {
-			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
+			t.Errorf("peer up: %v: the record is not split: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
 		}
 	}
 }
 
 // TestStagedSplitLoadsTheSameTasksAfterEveryTransaction: a record that needs more parts than one
-// transaction has changes is split over several. After each of them another leader, which
-// begins from what is stored then, reads the same tasks and completes the split; every value
-// and transaction keeps within the lowered limits. (A leader without the steps wrote the
-// record as it was, again and again, and was refused.)
+// transaction may have changes is split by several transactions. After each of them, another
+// leader that loads the stored records reads the same tasks and can complete the split. Every
+// value and transaction keeps within the lowered limits. Without staging, a leader would send the
+// unsplit record again and again, and the store would reject it each time.
 func TestStagedSplitLoadsTheSameTasksAfterEveryTransaction(t *testing.T) {
 	for _, shape := range []protocol.Shape{protocol.ShapeArray, protocol.ShapeGang} {
 		for failoverAfter := range 6 {
 			record := jobWithLargeSpec(shape)
 			s := storeWithJob(record)
 			if steps := splitInSteps(t, s, record, failoverAfter); steps < 2 {
-				t.Errorf("%s: %d steps", shape, steps)
+				t.Errorf("%s: split by %d transactions, want several", shape, steps)
 			}
 			for key, entry := range s.entries {
 				if len(entry.Value) > loweredValueBytes {
-					t.Errorf("%s: %s still has %d bytes", shape, key, len(entry.Value))
+					t.Errorf("%s: the value of %s still has %d bytes", shape, key, len(entry.Value))
 				}
 			}
 			mainRecord, err := storage.DecodeJob(s.entries[storage.JobKey(record.Spec.ID)].Value)
 			if err != nil || mainRecord.Parts < 5 {
-				t.Errorf("%s: %v, %d parts", shape, err, mainRecord.Parts)
+				t.Errorf("%s: the main record has error %v and %d parts, want at least 5", shape, err, mainRecord.Parts)
 			}
 		}
 	}
 }
 
-// splitInSteps has a leader write all that there is, another one after some transactions,
-// and returns the number of transactions.
+// splitInSteps lets a leader write all its changes and returns the number of transactions. After
+// failoverAfter of them another leader takes over.
 func splitInSteps(t *testing.T, s *testStore, record *storage.Job, failoverAfter int) (steps int) {
 	t.Helper()
 	l := newLeader(s, loweredLimits, protocol.PeerLevel)
@@ -221,9 +222,9 @@
 	return steps
 }
 
-// TestTaskDoneDuringSplitIsStored: a task that ends while its part is being staged, or
-// after that, is written anew before the job's own record names the part, and nothing is
-// placed meanwhile.
+// TestTaskDoneDuringSplitIsStored: when a task ends while its part is being staged or afterwards,
+// the part is written again before the job's main record references it. Nothing is placed in the
+// meantime.
 func TestTaskDoneDuringSplitIsStored(t *testing.T) {
 	for _, staged := range []bool{false, true} {
 		record := jobWithLargeSpec(protocol.ShapeArray)
@@ -231,46 +232,47 @@
 		l := newLeader(s, loweredLimits, protocol.PeerLevel)
 		job := l.Jobs[record.Spec.ID]
 		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
-			t.Fatalf("%d parts", len(job.Records.UnnamedParts))
+			t.Fatalf("no transaction, or only %d new parts", len(job.Records.UnnamedParts))
 		}
-		first := job.TasksOf(1) // the first part is in the first step
+		first := job.TasksOf(1) // the first transaction stages the first part
 		if staged {
 			l.applyAndRespond(t, l.nextTransaction(t))
 			if !job.Records.Staged[1] || !job.Records.Splitting {
-				t.Fatal("not staged")
+				t.Fatal("the first part is not staged")
 			}
 		}
 		ended, lost := first[len(first)-1], first[len(first)-2]
 		endedAttempt, lostAttempt := job.Tasks[ended].Active, job.Tasks[lost].Active
 		if endedAttempt == nil || lostAttempt == nil {
-			t.Fatal("the tasks do not run")
+			t.Fatal("the tasks have no active attempts")
 		}
 		l.lifecycle.MarkDone(job, ended)
 		l.lifecycle.RemoveGone(endedAttempt)
 		l.lifecycle.RemoveGone(lostAttempt)
 		if l.scheduler.WaitingTasks(job) != 0 {
-			t.Error("tasks are wanted while the record is split")
+			t.Error("tasks wait for placement while the record is being split")
 		}
 		for range 10 {
 			if job.Records.Splitting {
 				l.applyAndRespond(t, l.nextTransaction(t))
 			}
 		}
-		// No later: what the parts say holds from the moment at which they are named.
+		// The end must be stored by now: the parts are valid from the moment at which the main
+		// record references them.
 		if job.Records.Splitting {
-			t.Fatal("never split")
+			t.Fatal("the split is never completed")
 		}
 		if !newLeader(s, loweredLimits, protocol.PeerLevel).Jobs[record.Spec.ID].Tasks[ended].Done {
-			t.Errorf("staged %v: the end is lost", staged)
+			t.Errorf("part staged: %v: the end of the task is lost", staged)
 		}
 		if l.scheduler.WaitingTasks(job) == 0 {
-			t.Error("the lost task is not wanted")
+			t.Error("the lost task does not wait for placement")
 		}
 	}
 }
 
-// TestNothingIsStagedWhilePeerMayRunEarlierVersion: version 0.3 deletes parts that a job's own record
-// does not name. While a peer may be of that version nothing is staged.
+// TestNothingIsStagedWhilePeerMayRunEarlierVersion: version 0.3 deletes parts that a job's main
+// record does not reference. While a peer may run that version, no part is staged.
 func TestNothingIsStagedWhilePeerMayRunEarlierVersion(t *testing.T) {
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	s := storeWithJob(record)
@@ -287,7 +289,7 @@
 		}
 		for _, change := range txn.Changes {
 			if _, r, isPart := storage.ParseTaskRecordKey(change.Set); isPart && !writesMainRecord {
-				t.Errorf("part %d is staged", r)
+				t.Errorf("part %d is written without the main record", r)
 			}
 		}
 		l.applyAndRespond(t, txn)
@@ -295,9 +297,10 @@
 	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 }
 
-// TestAbandonedPartsAreReusedOrDeletedWithJob: parts that a predecessor staged and never
-// named are no state of the job: they are used by the next split and deleted with the job,
-// not before, for a deletion may be carried out late.
+// TestAbandonedPartsAreReusedOrDeletedWithJob: parts that a previous leader staged but that no
+// main record references do not belong to the job's state. The next split reuses their keys, and
+// they are deleted with the job. They are not deleted earlier, because a deletion may be applied
+// late.
 func TestAbandonedPartsAreReusedOrDeletedWithJob(t *testing.T) {
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	s := storeWithJob(record)
@@ -312,10 +315,10 @@
 		}
 		for _, change := range txn.Changes {
 			if change.Delete == key {
-				t.Error("deleted while the job is there")
+				t.Error("the part is deleted while the job exists")
 			}
 		}
-		l.applyAndRespond(t, txn) // refused if the abandoned part's revision was not taken
+		l.applyAndRespond(t, txn) // refused unless the abandoned part's revision is used
 	}
 	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 	job := l.Jobs[record.Spec.ID]
@@ -335,13 +338,13 @@
 		l.applyAndRespond(t, txn)
 	}
 	if !deleted {
-		t.Error("not deleted with the job")
+		t.Error("the part is not deleted with the job")
 	}
 }
 
-// TestRecordThatCannotBeSplitIsQuarantined: a record whose description alone is beyond the
-// lowered limits is refused once and not sent again; it stays readable, and others are
-// written.
+// TestRecordThatCannotBeSplitIsQuarantined: a record whose specification alone exceeds the lowered
+// limits is not sent to the store any more once the store has rejected a transaction. It stays
+// readable, and other records are still written.
 func TestRecordThatCannotBeSplitIsQuarantined(t *testing.T) {
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	record.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
@@ -357,13 +360,13 @@
 		txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: s.revision + 1})
 	}
 	if job := l.Jobs[record.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
-		t.Errorf("quarantined %v, waits for %d places", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
+		t.Errorf("quarantined: %v, %d tasks wait for placement", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
 	}
 	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 }
 
-// TestMachineIsAlwaysInSomeRecord: machines move out of a machine record that has outgrown
-// the limits into others, which are written first: none may be in no record for a moment.
+// TestMachineIsAlwaysInSomeRecord: machines move out of an oversized machine record into other
+// records. These are written first, so that every machine is in a stored record at any time.
 func TestMachineIsAlwaysInSomeRecord(t *testing.T) {
 	l, _ := leaderWithOversizedJob(t)
 	l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
@@ -377,7 +380,7 @@
 	l.committer.Machines.Load("g/m/old", 9, &outgrown)
 	old := l.Machines[outgrown.Machines[0].ID].Record
 	l.committer.Machines.SplitOversized()
-	l.RecordMachine(old.Members[0]) // it is to be written at once
+	l.RecordMachine(old.Members[0]) // the old record is due to be written at once
 	for step := range 10 {
 		l.commitAfter(time.Second)
 		if !l.committer.InFlight() {
@@ -388,7 +391,7 @@
 		trackMachineRecords(recordKeyOf, txn)
 		for id, key := range recordKeyOf {
 			if key == "" {
-				t.Fatalf("%s is in no record", id)
+				t.Fatalf("machine %s is in no stored record", id)
 			}
 		}
 		txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: protocol.Revision(30 + step)})
@@ -400,8 +403,8 @@
 	}
 }
 
-// trackMachineRecords notes which machines the records of a transaction name and no longer
-// name.
+// trackMachineRecords updates which machine record lists each machine after a transaction. The key
+// is empty for a machine that its record no longer lists.
 func trackMachineRecords(recordKeyOf map[protocol.MachineID]string, txn *sentTransaction) {
 	for _, change := range txn.Changes {
 		var record storage.MachineRecord
