--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -1,7 +1,8 @@
 // Package commit writes the leader's state to the key-value store. It collects the records with
 // unwritten changes and builds guarded transactions within the store's limits. One transaction
 // is in flight at a time. If its response is lost, the package finds out whether it was applied.
-// Records that exceed the store's limits are split before they are written.
+// Records that exceed the store's limits are split before they are written. A job has a main
+// record, and task records for the tasks that do not fit into it.
 //
 // Every transaction is a compare-and-swap. It is guarded on the leader lease, so that a former
 // leader cannot write anything, and on the revision of each record that it changes. A refused
@@ -62,7 +63,7 @@
 	JobFinished(id protocol.JobID, final storage.Final)
 	// MergeRecord merges a job's main record, which a peer may have changed, into the job.
 	MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision)
-	// QuarantineJob leaves a job unchanged from now on, because a record of it cannot be read.
+	// QuarantineJob freezes a job in its present state, because one of its records cannot be read.
 	QuarantineJob(id protocol.JobID, err error)
 	// TransactionCommitted is called when a committed transaction has been handled completely.
 	// latency is the time since it was first sent.
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -58,10 +58,10 @@
 	machineRecords map[*cluster.MachineRecord]bool // of the machines of these attempts
 }
 
-// newRecordWrite returns the write of one of a job's records. If an array's placements concern
+// recordWrite returns the write of one of a job's records. If an array's placements concern
 // more machine records than a transaction has conditions for, the excess placements are dropped
 // and planned again.
-func (b *transactionBuilder) newRecordWrite(job *cluster.Job, r int) recordWrite {
+func (b *transactionBuilder) recordWrite(job *cluster.Job, r int) recordWrite {
 	tasks, placed := recordContent(job, r)
 	write := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
 	maxMachineRecords, dropped := storage.GangRecordTasks(b.limits.TxnOps), false
@@ -156,11 +156,11 @@
 		records = records[1:]
 	}
 	for _, r := range records {
-		if !b.addRecordWrites(write, b.newRecordWrite(job, r)) {
+		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
 			return // the main record has to wait for the remaining records
 		}
 	}
-	b.addRecordWrites(write, b.newRecordWrite(job, 0))
+	b.addRecordWrites(write, b.recordWrite(job, 0))
 }
 
 // addSplit adds the records that complete a split. If one transaction cannot hold all of them,
@@ -170,7 +170,7 @@
 	otherwiseEmpty := b.changes() == 0
 	var writes []recordWrite
 	for _, r := range records {
-		writes = append(writes, b.newRecordWrite(job, r))
+		writes = append(writes, b.recordWrite(job, r))
 	}
 	if b.addRecordWrites(write, writes...) {
 		return
@@ -211,7 +211,7 @@
 		if _, isPart := job.Records.UnnamedParts[r]; !isPart {
 			continue
 		}
-		if !b.addRecordWrites(write, b.newRecordWrite(job, r)) {
+		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
 			break
 		}
 		delete(job.Records.Staged, r)
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -177,8 +177,8 @@
 }
 
 // TransactEncoded implements commit.Store.
-func (l *leader) TransactEncoded(body []byte, done func(kv.TransactionResult)) {
-	txn := sentTransaction{body: string(body), respond: done}
+func (l *leader) TransactEncoded(body []byte, respond func(kv.TransactionResult)) {
+	txn := sentTransaction{body: string(body), respond: respond}
 	if err := json.Unmarshal(body, &txn.Transaction); err != nil {
 		panic(err)
 	}
@@ -186,7 +186,7 @@
 }
 
 // Get implements commit.Store.
-func (l *leader) Get(key string, done func(kv.GetResult)) { l.reads[key] = done }
+func (l *leader) Get(key string, respond func(kv.GetResult)) { l.reads[key] = respond }
 
 // WriteBudget implements commit.Store.
 func (l *leader) WriteBudget() *rate.Limiter { return l.budget }
@@ -277,7 +277,7 @@
 func (l *leader) RecordChanged(job *cluster.Job, record int) { l.committer.MarkDirty(job, record) }
 
 // RecordMachine implements lifecycle.Environment.
-func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.QueueWrite(machine) }
+func (l *leader) RecordMachine(machine *cluster.Machine) { l.committer.Machines.Record(machine) }
 
 // CommandsPending implements lifecycle.Environment.
 func (l *leader) CommandsPending(*cluster.Machine) {}
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -44,9 +44,9 @@
 // Empty reports whether there are no machine records.
 func (mr *MachineRecords) Empty() bool { return len(mr.records) == 0 }
 
-// QueueWrite queues the record with a machine's entry to be written soon. A machine that has no
-// record yet is assigned to one.
-func (mr *MachineRecords) QueueWrite(machine *cluster.Machine) {
+// Record queues a machine's record to be written soon, so that the machine's current entry is
+// stored. A machine that has no record yet is first assigned to one.
+func (mr *MachineRecords) Record(machine *cluster.Machine) {
 	if machine.Record == nil {
 		mr.Assign(machine)
 	}
@@ -91,7 +91,7 @@
 	for _, entry := range stored.Machines {
 		machine := mr.state.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
 		if machine.Record != nil {
-			record.StaleSince = mr.state.Now() // listed in two records: the first is enough
+			record.StaleSince = mr.state.Now() // listed in two records: the first entry is kept
 			machine.Cordoned = machine.Cordoned || entry.Cordoned
 			continue
 		}
@@ -156,7 +156,8 @@
 	record := write.record
 	if len(write.members) == 0 {
 		// The key is deleted. Machines that were added in the meantime are written under a new
-		// key: a delayed creation of the old record must not find its guard satisfied there.
+		// key, so that a delayed creation of the old record cannot find its guard satisfied on
+		// a key that is in use.
 		record.Key, record.Revision = storage.MachineRecordKey(mr.env.UniqueName()), 0
 		if len(record.Members) == 0 {
 			mr.records = slices.DeleteFunc(mr.records, func(other *cluster.MachineRecord) bool { return other == record })
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -115,7 +115,7 @@
 	return c.inFlight != nil && storage.Writer(value) == c.inFlight.writer
 }
 
-// handleCommit handles a transaction that was applied at a revision.
+// handleCommit handles a transaction that was applied at the given revision.
 func (c *Committer) handleCommit(tx *transaction, revision protocol.Revision) {
 	c.inFlight = nil
 	for _, write := range tx.machineRecords {
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -27,7 +27,7 @@
 	notDue
 )
 
-// dirtyJobs holds the jobs with unwritten changes, in the order in which they became dirty.
+// dirtyJobs holds the jobs with unwritten changes.
 type dirtyJobs []*cluster.Job
 
 // rankedJob is a job with unwritten changes and their urgency.
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -31,7 +31,7 @@
 
 // RecordMachine has a machine's record written.
 func (le leaderEnvironment) RecordMachine(machine *cluster.Machine) {
-	le.l.committer.Machines.QueueWrite(machine)
+	le.l.committer.Machines.Record(machine)
 }
 
 // Unreadable says whether a job's record could not be read.
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -110,6 +110,6 @@
 
 // writeForTest has a machine's record written.
 func (l *leader) writeForTest(machine *cluster.Machine) {
-	l.committer.Machines.QueueWrite(machine)
+	l.committer.Machines.Record(machine)
 	l.commitLater(time.Second)
 }
