--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -370,15 +370,15 @@
 func TestMachineIsAlwaysInSomeRecord(t *testing.T) {
 	l, _ := leaderWithOversizedJob(t)
 	l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
-	outgrown := storage.MachineRecord{}
+	oversized := storage.MachineRecord{}
 	recordKeyOf := map[protocol.MachineID]string{}
 	for i := range 90 {
 		id := protocol.MachineID("i-0000" + string(rune('a'+i/26)) + string(rune('a'+i%26)))
-		outgrown.Machines = append(outgrown.Machines, storage.MachineEntry{ID: id, Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
+		oversized.Machines = append(oversized.Machines, storage.MachineEntry{ID: id, Address: "10.1.0.232:9000", Type: "big", Zone: "a"})
 		recordKeyOf[id] = "g/m/old"
 	}
-	l.committer.Machines.Load("g/m/old", 9, &outgrown)
-	old := l.Machines[outgrown.Machines[0].ID].Record
+	l.committer.Machines.Load("g/m/old", 9, &oversized)
+	old := l.Machines[oversized.Machines[0].ID].Record
 	l.committer.Machines.SplitOversized()
 	l.RecordMachine(old.Members[0]) // the old record is due to be written at once
 	for step := range 10 {
