--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -79,7 +79,7 @@
 	}
 	machine.Record, machine.Recorded = nil, false
 	record.Members = slices.DeleteFunc(record.Members, func(member *cluster.Machine) bool { return member == machine })
-	record.Bytes -= machine.RecordEntrySize
+	record.Bytes -= machine.RecordEntryBytes
 	if record.StaleSince.IsZero() {
 		record.StaleSince = mr.state.Now()
 	}
@@ -110,7 +110,7 @@
 		for record.Bytes > capacity && len(record.Members) > 1 {
 			machine := record.Members[len(record.Members)-1]
 			record.Members = record.Members[:len(record.Members)-1]
-			record.Bytes -= machine.RecordEntrySize
+			record.Bytes -= machine.RecordEntryBytes
 			record.MovedOut = append(record.MovedOut, machine)
 			record.StaleSince = mr.state.Now()
 			machine.Recorded = false
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -149,7 +149,7 @@
 			c.DeleteLater(storage.TaskRecordKey(job.ID, r))
 		}
 	}
-	for _, r := range slices.Sorted(maps.Keys(job.Records.Abandoned)) {
+	for _, r := range slices.Sorted(maps.Keys(job.Records.AbandonedParts)) {
 		if r >= len(job.Records.Revisions) {
 			c.DeleteLater(storage.TaskRecordKey(job.ID, r))
 		}
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -52,10 +52,10 @@
 	}
 	capacity := int(limits.ValueKB * 1024)
 	if r == 0 {
-		if job.Records.SpecSize == 0 {
-			job.Records.SpecSize = len(storage.Encode(job.Spec))
+		if job.Records.SpecBytes == 0 {
+			job.Records.SpecBytes = len(storage.Encode(job.Spec))
 		}
-		capacity -= job.Records.SpecSize
+		capacity -= job.Records.SpecBytes
 	}
 	if len(taskIndexes)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
 		return false // it fits whatever the size of its entries
@@ -92,7 +92,7 @@
 	}
 	var records []int
 	for part, source := range job.Records.UnnamedParts {
-		if !job.Records.Staged[part] || job.Write.Dirty[part] {
+		if !job.Records.StagedParts[part] || job.Write.Dirty[part] {
 			records = append(records, part)
 		}
 		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
@@ -127,13 +127,13 @@
 // parts, so that writing it completes a split.
 func noteRecordsCommitted(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
-		job.Records.UnnamedParts, job.Records.Staged, job.Records.Splitting = nil, nil, false
+		job.Records.UnnamedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
 		return
 	}
-	if job.Records.Staged == nil {
-		job.Records.Staged = map[int]bool{}
+	if job.Records.StagedParts == nil {
+		job.Records.StagedParts = map[int]bool{}
 	}
 	for _, r := range write.records {
-		job.Records.Staged[r] = true // until the part changes again
+		job.Records.StagedParts[r] = true // until the part changes again
 	}
 }
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -237,7 +237,7 @@
 		first := job.TasksOf(1) // the first transaction stages the first part
 		if staged {
 			l.applyAndRespond(t, l.nextTransaction(t))
-			if !job.Records.Staged[1] || !job.Records.Splitting {
+			if !job.Records.StagedParts[1] || !job.Records.Splitting {
 				t.Fatal("the first part is not staged")
 			}
 		}
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -93,7 +93,7 @@
 			// Staged by a predecessor that did not complete the split. The key is
 			// used by the next split, or deleted with the job: a deletion now might
 			// be carried out late, after that split.
-			job.Records.Abandoned[r] = entry.Revision
+			job.Records.AbandonedParts[r] = entry.Revision
 			return
 		}
 		var record storage.TaskRecord
