--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -108,7 +108,7 @@
 // of 98 tasks needs many parts.
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
+// wideJob is a job whose description leaves space for few tasks in its first record.
 func wideJob(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -131,7 +131,7 @@
 	c.setTimer(c.node.Due())
 }
 
-// applyAndRespond does what the node wants done.
+// carryOut does what the node wants done.
 func (c *controller) carryOut(actions []coordination.Action) {
 	c.w.steps++
 	for _, a := range actions {
