--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -38,7 +38,7 @@
 
 func newTestLeader() *testLeader {
 	l := &testLeader{state: clustertest.New(), logged: map[string]bool{}}
-	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewPhase()
+	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewRecoveryPhase()
 	state := l.state.State
 	l.lifecycle = lifecycle.New(state, recovery, l, log)
 	l.scheduler = scheduler.New(state, l, log)
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -27,7 +27,7 @@
 type Delivery struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase // counts the commands
+	recovery   *reconcile.RecoveryPhase // counts the commands
 	calls      *Calls
 	heartbeats *Heartbeats
 	env        DeliveryEnvironment
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -57,7 +57,7 @@
 type Heartbeats struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	fleet      Fleet
 	delivery   *Delivery
 	env        HeartbeatEnvironment
@@ -133,7 +133,7 @@
 	}
 	h.resolve(machine, heartbeat, differences)
 	if machine.Agent.TokenConfirmed {
-		h.recovery.Known(machine.ID)
+		h.recovery.AgentAccountedFor(machine.ID)
 	}
 	return machine
 }
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -30,7 +30,7 @@
 type Liveness struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	scheduler  *scheduler.Scheduler
 	fleet      Fleet
 	calls      *Calls
@@ -110,7 +110,7 @@
 	}
 	machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
 	l.log.Info("lease expired", "machine", machine.ID)
-	l.recovery.Known(machine.ID)
+	l.recovery.AgentAccountedFor(machine.ID)
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		l.lifecycle.RemoveGone(attempt)
 	}
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -72,28 +72,28 @@
 	for _, d := range differences {
 		h.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
-		if d.Entry >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.Entry].State == protocol.TaskExited {
-			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.Entry])
+		if d.EntryIndex >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.EntryIndex].State == protocol.TaskExited {
+			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.EntryIndex])
 		}
 		switch d.Class.Resolution() {
 		case reconcile.Keep:
 			if d.Class == reconcile.Unreadable {
-				unnamed = !h.noteUnreadable(machine, &heartbeat.Tasks[d.Entry]) || unnamed
+				unnamed = !h.noteUnreadable(machine, &heartbeat.Tasks[d.EntryIndex]) || unnamed
 				continue
 			}
-			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.Entry].State != protocol.TaskExited {
-				h.observeState(attempt, heartbeat.Tasks[d.Entry].State)
+			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.EntryIndex].State != protocol.TaskExited {
+				h.observeState(attempt, heartbeat.Tasks[d.EntryIndex].State)
 			}
 		case reconcile.Await:
-			unproven = unproven || d.Current
+			unproven = unproven || d.TokenCurrent
 		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
 				h.lifecycle.RemoveGone(attempt)
 			}
 		case reconcile.Stop:
-			h.stopOrphan(machine, key, &heartbeat.Tasks[d.Entry], d)
+			h.stopOrphan(machine, key, &heartbeat.Tasks[d.EntryIndex], d)
 		case reconcile.RecordEnd:
-			h.recordEnd(machine, key, &heartbeat.Tasks[d.Entry])
+			h.recordEnd(machine, key, &heartbeat.Tasks[d.EntryIndex])
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
@@ -120,7 +120,7 @@
 func (h *Heartbeats) stopOrphan(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d reconcile.Difference) {
 	job := h.state.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
-		if d.Current {
+		if d.TokenCurrent {
 			machine.Delivery.Orphans = append(machine.Delivery.Orphans, key)
 		}
 		return
@@ -132,7 +132,7 @@
 	}
 	h.observeState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
-	if d.Current || job.Cancelled {
+	if d.TokenCurrent || job.Cancelled {
 		if !attempt.Stopping {
 			h.log.Info("stopping orphaned attempt", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -9,7 +9,7 @@
 
 // stopIncompleteGang ends an attempt of a gang of which some task is proven gone.
 func (m *Manager) stopIncompleteGang(job *cluster.Job) {
-	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, Entry: -1,
+	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, EntryIndex: -1,
 		ID: reconcile.AttemptID{TaskID: reconcile.TaskID{Job: job.ID}, Attempt: job.Epoch}})
 	m.stopGang(job, 0)
 }
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -27,7 +27,7 @@
 func newTestLeader() *testLeader {
 	l := &testLeader{Cluster: clustertest.New(), changed: map[*cluster.Job]bool{}, recorded: map[*cluster.Machine]bool{},
 		pending: map[*cluster.Machine]bool{}, unreadable: map[protocol.JobID]bool{}}
-	l.Manager = lifecycle.New(l.State, reconcile.NewPhase(), l, slog.New(slog.DiscardHandler))
+	l.Manager = lifecycle.New(l.State, reconcile.NewRecoveryPhase(), l, slog.New(slog.DiscardHandler))
 	return l
 }
 
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -33,11 +33,11 @@
 	// read. It counts as possibly there and proves nothing.
 	Unreadable
 
-	// Classes is the number of classes.
-	Classes = int(Unreadable) + 1
+	// CountByClass is the number of classes.
+	NumClasses = int(Unreadable) + 1
 )
 
-var classNames = [Classes]string{"matching", "not_yet_reported", "reported_absent", "never_stored", "reported_ended",
+var classNames = [NumClasses]string{"matching", "not_yet_reported", "reported_absent", "never_stored", "reported_ended",
 	"stored_ended", "older_epoch", "on_two_machines", "gang_incomplete", "unreadable"}
 
 // String is the name of the class in logs and metrics.
@@ -63,7 +63,7 @@
 	EndGang
 )
 
-var resolutions = [Classes]Resolution{Matching: Keep, NotYetReported: Await, ReportedAbsent: Release, NeverStored: Stop,
+var resolutions = [NumClasses]Resolution{Matching: Keep, NotYetReported: Await, ReportedAbsent: Release, NeverStored: Stop,
 	ReportedEnded: RecordEnd, StoredEnded: Stop, OlderEpoch: Stop, OnTwoMachines: Stop, GangIncomplete: EndGang, Unreadable: Keep}
 
 // Resolution is the one way in which differences of the class are resolved.
@@ -86,10 +86,10 @@
 	Class   Class
 	ID      AttemptID
 	Machine protocol.MachineID
-	// Entry is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
-	Entry int
-	// Current: the heartbeat shows the present leader's token. One that does not may be a
+	// EntryIndex is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
+	EntryIndex int
+	// TokenCurrent: the heartbeat shows the present leader's token. One that does not may be a
 	// late copy: what it shows may be there, what it lacks may be there as well.
-	Current bool
-	Done    bool // the entry says that the task is done
+	TokenCurrent bool
+	Done         bool // the entry says that the task is done
 }
--- a/internal/coordination/reconcile/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -75,7 +75,7 @@
 		if current && readable && !a.Undelivered {
 			class = ReportedAbsent
 		}
-		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
 	}
 	return rc.found
 }
@@ -123,7 +123,7 @@
 func (rc *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
 	for i := range rc.stored {
 		if a := &rc.stored[i]; a.Incarnation < r.Incarnation {
-			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
 		}
 	}
 }
@@ -132,7 +132,7 @@
 func (rc *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
 	t := &r.Tasks[i]
 	id, valid := entryID(t)
-	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, Entry: i, Current: current}
+	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, EntryIndex: i, TokenCurrent: current}
 	at := rc.entries[id]
 	switch {
 	case !valid, at == contradicted:
@@ -227,8 +227,8 @@
 	Machines() []Agent
 	// Gangs lists the gangs that are not over.
 	Gangs() []protocol.JobID
-	// Placed lists where the latest attempt of a gang is placed.
-	Placed(gang protocol.JobID) []Placement
+	// GangPlacements lists where the latest attempt of a gang is placed.
+	GangPlacements(gang protocol.JobID) []Placement
 }
 
 // Placement is an attempt on a machine.
@@ -262,7 +262,7 @@
 	for _, w := range agents {
 		if newest[w.Machine] == nil {
 			for _, a := range s.Attempts(w.Machine, nil) {
-				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, Entry: -1})
+				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, EntryIndex: -1})
 			}
 		}
 	}
@@ -291,13 +291,13 @@
 			continue // the tasks of a gang complete together
 		}
 		g := GangAttempt{Tasks: job.Tasks}
-		for _, p := range s.Placed(id) {
+		for _, p := range s.GangPlacements(id) {
 			if !gone[p] {
 				g.Present++
 			}
 		}
 		if !done[id] && g.Incomplete() {
-			list = append(list, Difference{Class: GangIncomplete, ID: AttemptID{TaskID: TaskID{Job: id}}, Entry: -1})
+			list = append(list, Difference{Class: GangIncomplete, ID: AttemptID{TaskID: TaskID{Job: id}}, EntryIndex: -1})
 		}
 	}
 	return list
@@ -305,5 +305,5 @@
 
 func byAttempt(a, b Difference) int {
 	return cmp.Or(cmp.Compare(a.ID.Job, b.ID.Job), cmp.Compare(a.ID.Index, b.ID.Index), cmp.Compare(a.ID.Attempt, b.ID.Attempt),
-		cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Entry, b.Entry))
+		cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Class, b.Class), cmp.Compare(a.EntryIndex, b.EntryIndex))
 }
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -41,7 +41,7 @@
 	return list
 }
 
-func (s *store) Placed(gang protocol.JobID) (list []Placement) {
+func (s *store) GangPlacements(gang protocol.JobID) (list []Placement) {
 	for machineID, attempts := range s.attempts {
 		for _, a := range attempts {
 			if a.ID.Job == gang && !a.Orphaned {
@@ -244,7 +244,7 @@
 				}
 				released[d.ID.TaskID] = true
 			case Await:
-				if recorded && r != nil && d.Entry < 0 {
+				if recorded && r != nil && d.EntryIndex < 0 {
 					t.Fatalf("a proof is not taken: %+v", d)
 				}
 			}
@@ -301,7 +301,7 @@
 				if d.ID.Job != id {
 					continue
 				}
-				recorded := slices.Contains(s.Placed(id), Placement{d.ID, d.Machine})
+				recorded := slices.Contains(s.GangPlacements(id), Placement{d.ID, d.Machine})
 				if r := d.Class.Resolution(); recorded && r != Release && r != RecordEnd {
 					stay++
 				}
@@ -378,12 +378,12 @@
 	now := time.Unix(1_800_000_000, 0)
 	id := AttemptID{TaskID{job(1), 0}, 3}
 	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Incarnation: 1}}, "m1": nil}
-	p := NewPhase()
+	p := NewRecoveryPhase()
 	p.Begin(now, now.Add(40*time.Second), stored)
 	for _, class := range []Class{NotYetReported, OlderEpoch, Matching, OlderEpoch} {
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
 	}
-	p.Known("m0")
+	p.AgentAccountedFor("m0")
 	p.CommandSent(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
 		t.Error("ends while an agent is silent")
@@ -392,15 +392,15 @@
 		t.Error("goes on though every lease has expired")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
-	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, Agents: 2, Silent: 1, Stored: 1, Commands: CommandCounts{Stops: 1}}
-	want.Classes[OlderEpoch] = 1
+	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, RecordedAgents: 2, SilentAgents: 1, StoredAttempts: 1, Commands: CommandCounts{Stops: 1}}
+	want.CountByClass[OlderEpoch] = 1
 	if d := cmp.Diff(want, p.Summary()); d != "" {
 		t.Error(d)
 	}
 	p.Begin(now, now.Add(time.Minute), stored)
-	p.Known("m0")
-	p.Known("m1")
-	if !p.Tick(now) || p.Summary().Reason != EndAllKnown {
+	p.AgentAccountedFor("m0")
+	p.AgentAccountedFor("m1")
+	if !p.Tick(now) || p.Summary().Reason != EndAllAccountedFor {
 		t.Errorf("%+v", p.Summary())
 	}
 	p.Begin(now, now, nil)
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -84,8 +84,8 @@
 	m.log.Error("store was restored to an older state, earlier jobs wait for all agents", "record", string(marker.Value))
 }
 
-// Marked says whether the marker stands.
-func (m *Monitor) Marked() bool { return m.marked }
+// HasMarker says whether the marker stands.
+func (m *Monitor) HasMarker() bool { return m.marked }
 
 // ObserveHigherToken takes an agent's token above this leader's term: the agent would drop
 // whatever it is answered.
@@ -226,10 +226,10 @@
 	}
 }
 
-// Holds says whether a job must not start anything yet: attempts that no record has may
+// StartsWithheld says whether a job must not start anything yet: attempts that no record has may
 // run on machines whose agents have yet to report. Until one of them has shown its token,
 // nobody knows.
-func (m *Monitor) Holds(job *cluster.Job) bool {
+func (m *Monitor) StartsWithheld(job *cluster.Job) bool {
 	if !job.Recovered || !m.env.Recovering() || !m.env.MachinesRecorded() {
 		return false
 	}
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -200,7 +200,7 @@
 	}
 	l.checkGuarded(t)
 	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
-	if l.monitor.Marked() {
+	if l.monitor.HasMarker() {
 		t.Error("still marked")
 	}
 }
@@ -226,7 +226,7 @@
 			job := l.AddJob(clustertest.Gang(1, 1))
 			job.Recovered = !test.newJob
 			test.prepare(l)
-			if got := l.monitor.Holds(job); got != test.want {
+			if got := l.monitor.StartsWithheld(job); got != test.want {
 				t.Errorf("holds %v", got)
 			}
 		})
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -46,8 +46,8 @@
 	if s.Active() {
 		m.phase.Set(1)
 	}
-	m.silent.Set(float64(s.Silent))
-	for class, n := range s.Classes {
+	m.silent.Set(float64(s.SilentAgents))
+	for class, n := range s.CountByClass {
 		m.differences.WithLabelValues(reconcile.Class(class).String()).Set(float64(n))
 	}
 	m.orders.WithLabelValues("start").Set(float64(s.Commands.Starts))
