--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -29,7 +29,7 @@
 	ShapeService Shape = "standing"
 )
 
-// RecoveryPhase is the state of a job as users see it.
+// Phase is the state of a job as users see it.
 type Phase string
 
 // Phases of a job as users see them.
--- a/internal/protocol/store.go
+++ b/internal/protocol/store.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 )
 
-// EntryIndex is a key of the key-value store. Revision is the revision of its last
+// Entry is a key of the key-value store. Revision is the revision of its last
 // change.
 type Entry struct {
 	Key      string          `json:"k"`
