--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -9,41 +9,41 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// LoadAll takes all records, at a failover.
+// LoadAll loads all records at a failover.
 func (ld *Loader) LoadAll(mirror Mirror) {
 	outcome := ld.loadMachineRecords(mirror)
 	ld.loadJobs(mirror)
 	ld.loadTaskRecords(mirror)
 	ld.committer.Machines.SplitOutgrown()
 	if outcome == allRead {
-		ld.forgetUnrecordedMachines()
+		ld.removeUnrecordedMachines()
 	}
 }
 
-// readOutcome says whether records could be read.
+// readOutcome is the result of reading a set of records.
 type readOutcome int
 
 const (
 	allRead readOutcome = iota
-	someMalformed
+	someUnreadable
 )
 
-// storedMachineRecord is a machine record as it was read.
+// storedMachineRecord is a machine record with its key and revision.
 type storedMachineRecord struct {
 	protocol.Entry
 	record storage.MachineRecord
 }
 
-// loadMachineRecords takes the machines.
+// loadMachineRecords loads the machines.
 func (ld *Loader) loadMachineRecords(mirror Mirror) readOutcome {
 	outcome := allRead
 	var records []storedMachineRecord
 	var ids []protocol.MachineID
 	mirror.Each(storage.MachinePrefix, func(entry protocol.Entry) {
 		var record storage.MachineRecord
-		// An empty one is deleted, so one without machines is something else.
+		// Empty machine records are deleted, so one without machines is malformed.
 		if json.Unmarshal(entry.Value, &record) != nil || len(record.Machines) == 0 {
-			outcome = someMalformed
+			outcome = someUnreadable
 			ld.log.Error("machine record does not parse", "key", entry.Key)
 			return
 		}
@@ -54,7 +54,7 @@
 	})
 	slices.SortFunc(records, func(a, b storedMachineRecord) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(ids)
-	for _, id := range ids { // in the model's order, which costs nothing but the machine
+	for _, id := range ids { // in the model's order: each is appended, without copying the list
 		ld.state.EnsureMachine(id, "", "", "", false)
 	}
 	for _, stored := range records {
@@ -63,7 +63,7 @@
 	return outcome
 }
 
-// loadJobs takes the jobs' own records.
+// loadJobs loads the jobs' main records.
 func (ld *Loader) loadJobs(mirror Mirror) {
 	mirror.Each(storage.JobPrefix, func(entry protocol.Entry) {
 		record, err := storage.DecodeJob(entry.Value)
@@ -76,7 +76,7 @@
 	})
 }
 
-// loadTaskRecords takes the further records of the jobs.
+// loadTaskRecords loads the task records of the jobs.
 func (ld *Loader) loadTaskRecords(mirror Mirror) {
 	var orphaned []string
 	mirror.Each(storage.TaskPrefix, func(entry protocol.Entry) {
@@ -86,13 +86,13 @@
 		}
 		job := ld.state.Jobs[id]
 		if !isTaskRecord || job == nil {
-			orphaned = append(orphaned, entry.Key) // of a finished job
+			orphaned = append(orphaned, entry.Key) // left behind by a finished job
 			return
 		}
 		if r >= len(job.Records.Revisions) {
-			// Staged by a predecessor that did not complete the split. The key is
-			// used by the next split, or deleted with the job: a deletion now might
-			// be carried out late, after that split.
+			// Written by a predecessor that did not complete the split of a record. The
+			// next split reuses the key, or it is deleted with the job. It is not deleted
+			// now, because a late deletion could be applied after that split.
 			job.Records.Abandoned[r] = entry.Revision
 			return
 		}
@@ -108,10 +108,11 @@
 	ld.committer.DeleteLater(orphaned...)
 }
 
-// forgetUnrecordedMachines forgets the machines that only jobs' records name. Places are
-// committed only on machines that a machine record has, and a machine leaves its record
-// only after its deletion was answered: a predecessor has proven it gone.
-func (ld *Loader) forgetUnrecordedMachines() {
+// removeUnrecordedMachines removes the machines that only the records of jobs name. Attempts are
+// committed only on machines that are in a machine record, and a machine is taken out of its
+// record only after the cloud has confirmed its deletion. So a predecessor has proven these
+// machines gone.
+func (ld *Loader) removeUnrecordedMachines() {
 	var ids []protocol.MachineID
 	for _, machine := range ld.state.OrderedMachines {
 		if machine.Record == nil {
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -8,7 +8,7 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// AddJob enters a job from its own record.
+// AddJob adds a job to the model from its main record.
 func (ld *Loader) AddJob(record *storage.Job, revision protocol.Revision) *cluster.Job {
 	spec := record.Spec
 	job := &cluster.Job{
@@ -23,7 +23,7 @@
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
 	if job.ArrivalOrder == 0 {
-		job.ArrivalOrder = revision // never written since its submission
+		job.ArrivalOrder = revision // the record has not been written since its submission
 	}
 	job.Records.Revisions[0] = revision
 	job.Records.ExtraParts = make([][]int, len(job.Records.Revisions)-record.BaseRecords())
@@ -35,7 +35,7 @@
 	return job
 }
 
-// AddTasks enters the tasks of one of a job's records.
+// AddTasks adds the tasks of one of a job's records to the job.
 func (ld *Loader) AddTasks(job *cluster.Job, record int, tasks []storage.Task) {
 	for _, stored := range tasks {
 		if stored.Index < 0 || stored.Index >= len(job.Tasks) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// addAttempt enters the attempt that a record places on a machine.
+// addAttempt adds the attempt that a record places on a machine.
 func (ld *Loader) addAttempt(job *cluster.Job, stored *storage.Task) {
 	machine := ld.state.EnsureMachine(stored.Machine, "", "", "", false)
 	if machine.Attempts[cluster.AttemptID{Job: job.ID, Index: stored.Index, Number: stored.Attempt}] != nil {
@@ -71,8 +71,9 @@
 	machine.Agent.Incarnation = max(machine.Agent.Incarnation, stored.Incarnation)
 }
 
-// activate makes an attempt its task's own. Of two in damaged records it is the later one:
-// the other counts as there until it is gone, and is stopped when an agent shows it.
+// activate makes an attempt its task's active one. If malformed records place a task twice, the
+// later attempt becomes active. The earlier one counts as present until it is proven gone, and
+// is stopped when an agent reports it.
 func (ld *Loader) activate(job *cluster.Job, task *cluster.Task, attempt *cluster.Attempt) {
 	older := task.Active
 	if older != nil && older.Key.Number > attempt.Key.Number {
--- a/internal/coordination/loader/loader.go
+++ b/internal/coordination/loader/loader.go
@@ -1,9 +1,9 @@
-// Package loader builds the cluster model from the stored records: all of them at a
-// failover, then what others write, as the watch shows it. A job with a record that cannot
-// be read is quarantined: kept as it is.
+// Package loader builds the cluster model from the stored records. At a failover it loads all
+// records; afterwards it applies the changes by other nodes that the watch delivers. A job with
+// a record that cannot be read is quarantined: it is left as it is.
 //
-// It writes nothing and sends nothing. What it finds that no record needs any more it
-// leaves to the committer.
+// The package writes nothing and sends nothing. It passes the keys of obsolete records to the
+// committer for deletion.
 package loader
 
 import (
@@ -18,46 +18,46 @@
 
 // Mirror is the node's copy of the stored records.
 type Mirror interface {
-	// Each goes over the records with a prefix, in no order.
+	// Each calls do for every record whose key has the prefix, in no particular order.
 	Each(prefix string, do func(protocol.Entry))
 }
 
-// Environment is what loading needs of the leader.
+// Environment is what the Loader needs from the leader.
 type Environment interface {
-	// JobLoaded says that a job was entered into the model.
+	// JobLoaded notes that a job was added to the model.
 	JobLoaded(spec *protocol.Job)
-	// CheckEnded checks whether a job's attempt, or the whole job, is over.
+	// CheckEnded checks whether a job's attempt, or the whole job, has ended.
 	CheckEnded(job *cluster.Job)
-	// CancelJob takes a job's cancellation.
+	// CancelJob marks a job as cancelled and stops its tasks.
 	CancelJob(job *cluster.Job)
-	// DropUncommitted gives up a job's attempts that are not committed.
+	// DropUncommitted removes a job's uncommitted attempts from the model.
 	DropUncommitted(job *cluster.Job)
-	// MachinesDeleted takes machines out of all accounts that are gone for certain.
+	// MachinesDeleted removes machines that are proven gone from the model.
 	MachinesDeleted(machines ...protocol.MachineID)
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling requests that a scheduling cycle runs soon.
 	RequestScheduling()
 }
 
-// Loader keeps the model up with the stored records.
+// Loader keeps the cluster model up to date with the stored records.
 type Loader struct {
 	state     *cluster.State
 	committer *commit.Committer
 	env       Environment
 	log       *slog.Logger
 
-	quarantined map[protocol.JobID]bool // jobs with a record that cannot be read
-	malformed   map[protocol.JobID]bool // jobs of which a record that makes no sense was logged
+	quarantined     map[protocol.JobID]bool // jobs with a record that cannot be read
+	loggedMalformed map[protocol.JobID]bool // jobs with a malformed record that was logged
 }
 
-// New makes a loader of records into a model that is empty yet.
+// New returns a loader for a cluster model that is still empty.
 func New(state *cluster.State, committer *commit.Committer, env Environment, log *slog.Logger) *Loader {
 	return &Loader{
 		state: state, committer: committer, env: env, log: log,
-		quarantined: map[protocol.JobID]bool{}, malformed: map[protocol.JobID]bool{},
+		quarantined: map[protocol.JobID]bool{}, loggedMalformed: map[protocol.JobID]bool{},
 	}
 }
 
-// ObserveChange takes a change of a record that the watch shows.
+// ObserveChange handles a change of a record that the watch delivers.
 func (ld *Loader) ObserveChange(change *protocol.WatchEvent) {
 	if ld.committer.ObserveChange(change) {
 		return
@@ -71,7 +71,7 @@
 		return
 	}
 	if job != nil && ld.committer.Wrote(change.Value) {
-		return // our own write, whose answer is on its way
+		return // written by this leader; the response is still in transit
 	}
 	record, err := storage.DecodeJob(change.Value)
 	if err != nil {
@@ -86,8 +86,8 @@
 	ld.Merge(job, record, change.Revision)
 }
 
-// Merge takes a job's own record that a peer may have written: what it may have changed is
-// that the job is cancelled.
+// Merge merges a job's main record that a peer may have written. The only change that a peer
+// makes is to mark the job as cancelled.
 func (ld *Loader) Merge(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
 	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
 	if record.Cancelled {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Quarantine has a job kept as it is because a record of it cannot be read: one of a
-// later version, or a damaged one. Nothing of it is written, deleted, placed or stopped
-// except that a job whose own record was read can still be cancelled.
+// Quarantine leaves a job as it is because one of its records cannot be read: the record is of a
+// later version, or malformed. None of the job's records is written or deleted, and none of its
+// tasks is placed or stopped. Only a job whose main record was read can still be cancelled.
 func (ld *Loader) Quarantine(id protocol.JobID, err error) {
 	if ld.quarantined[id] {
 		return
@@ -110,17 +110,17 @@
 	}
 }
 
-// Quarantined says whether a job has a record that cannot be read.
+// Quarantined reports whether a job has a record that cannot be read.
 func (ld *Loader) Quarantined(id protocol.JobID) bool { return ld.quarantined[id] }
 
-// logMalformed logs what makes no sense in the records of a job, once for each job.
+// logMalformed logs a malformed entry in the records of a job, once for each job.
 func (ld *Loader) logMalformed(event string, job *cluster.Job, task int) {
-	if ld.malformed[job.ID] {
+	if ld.loggedMalformed[job.ID] {
 		return
 	}
-	if len(ld.malformed) >= tuning.MaxRememberedLogKeys {
-		clear(ld.malformed)
+	if len(ld.loggedMalformed) >= tuning.MaxRememberedLogKeys {
+		clear(ld.loggedMalformed)
 	}
-	ld.malformed[job.ID] = true
+	ld.loggedMalformed[job.ID] = true
 	ld.log.Error(event, "job", job.ID, "task", task)
 }
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -13,7 +13,7 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// records are stored records by key.
+// records maps keys to stored records.
 type records map[string]any
 
 // Each implements loader.Mirror.
@@ -25,14 +25,14 @@
 	}
 }
 
-// testLeader stands for the leader: it notes what it is told.
+// testLeader is a fake of the leader. It records the calls that the loader makes.
 type testLeader struct {
 	*clustertest.Cluster
 	committer *commit.Committer
 	loader    *loader.Loader
 	checked   []protocol.JobID
 	dropped   []protocol.JobID
-	forgotten []protocol.MachineID
+	removed   []protocol.MachineID
 }
 
 func newTestLeader() *testLeader {
@@ -50,23 +50,24 @@
 func (l *testLeader) CancelJob(job *cluster.Job)       { job.Cancelled = true }
 func (l *testLeader) DropUncommitted(job *cluster.Job) { l.dropped = append(l.dropped, job.ID) }
 func (l *testLeader) MachinesDeleted(ids ...protocol.MachineID) {
-	l.forgotten = append(l.forgotten, ids...)
+	l.removed = append(l.removed, ids...)
 }
 
 const testJob protocol.JobID = "run-000077"
 
-// jobRecord is a job of two tasks with a record for each; tasks are those of the first.
+// jobRecord returns the main record of a job with two tasks and one task per record. tasks are the
+// tasks in the main record.
 func jobRecord(tasks ...storage.Task) storage.Job {
 	spec := clustertest.Array(2)
 	spec.ID, spec.Priority = testJob, "normal"
 	return storage.Job{Writer: "w-1", Spec: &spec, Seq: 5, Attempt: 1, RecordTasks: 1, Tasks: tasks}
 }
 
-func placed(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
+func placedTask(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
 	return storage.Task{Index: index, Attempt: number, Machine: machine, Incarnation: 1}
 }
 
-func machines(ids ...protocol.MachineID) storage.MachineRecord {
+func machineRecord(ids ...protocol.MachineID) storage.MachineRecord {
 	record := storage.MachineRecord{Writer: "w-2"}
 	for _, id := range ids {
 		record.Machines = append(record.Machines, storage.MachineEntry{ID: id, Address: "h:1", Type: "big", Zone: "a"})
@@ -74,41 +75,43 @@
 	return record
 }
 
-// TestLoadAll: what a new leader takes from the records.
+// TestLoadAll: a new leader loads attempts from valid and malformed records, quarantines jobs with
+// records that cannot be read, and removes machines that are in no machine record unless one of
+// the machine records cannot be read.
 func TestLoadAll(t *testing.T) {
 	jobKey, partKey := storage.JobKey(testJob), storage.TaskRecordKey(testJob, 1)
 	for name, test := range map[string]struct {
 		stored      records
-		attempts    int // -1: the job is unknown
+		attempts    int // -1 if the job is not loaded
 		quarantined bool
-		forgotten   int
+		removed     int
 	}{
 		"both tasks placed": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1", "i-2")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}, "g/m/x": machineRecord("i-1", "i-2")},
 			attempts: 2,
 		},
-		"one on a machine that no record has": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1")},
-			attempts: 2, forgotten: 1,
+		"one placed on a machine in no machine record": {
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}, "g/m/x": machineRecord("i-1")},
+			attempts: 2, removed: 1,
 		},
-		"the same, but a machine record cannot be read": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), "g/m/x": machines(), "g/m/y": machines("i-2")},
+		"one placed on a machine in no machine record, another machine record cannot be read": {
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), "g/m/x": machineRecord(), "g/m/y": machineRecord("i-2")},
 			attempts: 1,
 		},
 		"job record of a later version": {
-			stored:   records{jobKey: map[string]any{"w": "w-1", "v": 99}, partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}},
+			stored:   records{jobKey: map[string]any{"w": "w-1", "v": 99}, partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}},
 			attempts: -1, quarantined: true,
 		},
-		"damaged task record": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: map[string]any{"tasks": 7}, "g/m/x": machines("i-1")},
+		"malformed task record": {
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: map[string]any{"tasks": 7}, "g/m/x": machineRecord("i-1")},
 			attempts: 1, quarantined: true,
 		},
 		"a task that the job does not have": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(2, 1, "i-1")), "g/m/x": machines("i-1")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1"), placedTask(2, 1, "i-1")), "g/m/x": machineRecord("i-1")},
 			attempts: 1,
 		},
-		"an attempt twice": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(0, 1, "i-1")), "g/m/x": machines("i-1")},
+		"an attempt recorded twice": {
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1"), placedTask(0, 1, "i-1")), "g/m/x": machineRecord("i-1")},
 			attempts: 1,
 		},
 	} {
@@ -122,25 +125,25 @@
 					t.Errorf("recovered %v, quarantined %v", job.Recovered, job.Records.Quarantined)
 				}
 			}
-			if attempts != test.attempts || len(l.forgotten) != test.forgotten || l.loader.Quarantined(testJob) != test.quarantined {
-				t.Errorf("%d attempts, %v forgotten, quarantined %v", attempts, l.forgotten, l.loader.Quarantined(testJob))
+			if attempts != test.attempts || len(l.removed) != test.removed || l.loader.Quarantined(testJob) != test.quarantined {
+				t.Errorf("%d attempts, machines %v removed, quarantined %v", attempts, l.removed, l.loader.Quarantined(testJob))
 			}
 		})
 	}
 }
 
-// TestLaterOfTwoAttemptsIsTheTasksOwn: of two attempts that damaged records give a task the
-// later one is its own, in whatever order they stand; the other is orphaned.
-func TestLaterOfTwoAttemptsIsTheTasksOwn(t *testing.T) {
+// TestLaterOfTwoAttemptsIsActive: if malformed records place two attempts of a task, the later
+// attempt is active, in whatever order they are recorded, and the other is orphaned.
+func TestLaterOfTwoAttemptsIsActive(t *testing.T) {
 	for _, tasks := range [][]storage.Task{
-		{placed(0, 1, "i-1"), placed(0, 2, "i-2")},
-		{placed(0, 2, "i-2"), placed(0, 1, "i-1")},
+		{placedTask(0, 1, "i-1"), placedTask(0, 2, "i-2")},
+		{placedTask(0, 2, "i-2"), placedTask(0, 1, "i-1")},
 	} {
 		l := newTestLeader()
-		l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(tasks...), "g/m/x": machines("i-1", "i-2")})
+		l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(tasks...), "g/m/x": machineRecord("i-1", "i-2")})
 		job := l.Jobs[testJob]
-		if own := job.Tasks[0].Active; own.Key.Number != 2 || own.Orphaned {
-			t.Errorf("attempt %d is the task's own", own.Key.Number)
+		if active := job.Tasks[0].Active; active.Key.Number != 2 || active.Orphaned {
+			t.Errorf("attempt %d is the active one", active.Key.Number)
 		}
 		for _, attempt := range job.SortedAttempts() {
 			if attempt.Orphaned != (attempt.Key.Number == 1) {
@@ -150,9 +153,11 @@
 	}
 }
 
-// TestObserveChange: what the watch shows of a job.
+// TestObserveChange: changes of a job's record that the watch delivers. A new job is added, a
+// cancellation applied unless it is older than the known record, and a job with a record of a
+// later version quarantined.
 func TestObserveChange(t *testing.T) {
-	cancelled := jobRecord(placed(0, 1, "i-1"))
+	cancelled := jobRecord(placedTask(0, 1, "i-1"))
 	cancelled.Cancelled = true
 	for name, test := range map[string]struct {
 		known       bool
@@ -164,18 +169,18 @@
 	}{
 		"a new job":                   {record: jobRecord(), revision: 20, checked: true},
 		"a cancellation":              {known: true, record: cancelled, revision: 20, cancelled: true},
-		"an old cancellation":         {known: true, record: cancelled, revision: 9},
+		"an outdated cancellation":    {known: true, record: cancelled, revision: 9},
 		"a record of a later version": {known: true, record: map[string]any{"w": "w-1", "v": 99}, revision: 20, quarantined: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLeader()
 			if test.known {
-				l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(placed(0, 1, "i-1")), "g/m/x": machines("i-1")})
+				l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(placedTask(0, 1, "i-1")), "g/m/x": machineRecord("i-1")})
 			}
 			l.loader.ObserveChange(&protocol.WatchEvent{Set: storage.JobKey(testJob), Value: storage.Encode(test.record), Revision: test.revision})
 			job := l.Jobs[testJob]
 			if job == nil {
-				t.Fatal("the job is unknown")
+				t.Fatal("the job is not loaded")
 			}
 			if (len(l.checked) == 1) != test.checked || job.Cancelled != test.cancelled || l.loader.Quarantined(testJob) != test.quarantined || (len(l.dropped) == 1) != test.quarantined {
 				t.Errorf("checked %v, cancelled %v, quarantined %v, dropped %v", l.checked, job.Cancelled, l.loader.Quarantined(testJob), l.dropped)
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -1,95 +1,101 @@
-// Package reconcile compares what the records say with what heartbeats show, after a
-// failover and ever after. It is pure: records and heartbeats go in, classified
-// differences come out; it has no clock, does no I/O and changes nothing. Each class of
-// difference has exactly one resolution, which docs/cold-restart.md explains.
+// Package reconcile compares the stored records with the agents' heartbeats, both during the
+// recovery after a failover and in normal operation. The comparison is pure: records and
+// heartbeats go in, classified differences come out. The package has no clock, does no I/O
+// and changes neither the records nor the cluster model. Each class of difference has exactly
+// one resolution, which docs/cold-restart.md explains.
 package reconcile
 
 import "github.com/gappond/gappond/internal/protocol"
 
-// Class is the kind of a difference between the records and an agent's heartbeat.
+// Class is the kind of difference between the records and an agent's heartbeat.
 type Class uint8
 
-// The classes. What the records place on a machine is "stored".
+// The classes of an attempt. It is "stored" if the records place it on the machine, and
+// "reported" if the machine's heartbeat has an entry for it.
 const (
-	// Matching: stored and reported, or ended on both sides.
+	// Matching: stored and reported, or ended according to both sides.
 	Matching Class = iota
-	// NotYetReported: stored; no heartbeat has shown it, and none proves it absent.
+	// NotYetReported: stored, but neither reported so far nor proven absent.
 	NotYetReported
-	// ReportedAbsent: stored; a heartbeat proves that the agent does not have it.
+	// ReportedAbsent: stored, but a heartbeat proves that the agent does not have it.
 	ReportedAbsent
-	// NeverStored: reported; no record has the job, the task or so high an attempt.
+	// NeverStored: reported, but no record has its job, its task or such a high attempt number.
 	NeverStored
-	// ReportedEnded: stored as placed; reported as ended.
+	// ReportedEnded: reported as exited, but stored as placed, or its task as not done.
 	ReportedEnded
-	// StoredEnded: stored as done; reported as still there.
+	// StoredEnded: reported as not exited, but its task is stored as done.
 	StoredEnded
-	// OlderEpoch: reported; an attempt that the records have replaced or given up.
+	// OlderEpoch: reported, but the records have replaced this attempt or given it up.
 	OlderEpoch
-	// OnTwoMachines: reported here; the records have the same attempt elsewhere.
+	// OnTwoMachines: reported on this machine, but stored on another.
 	OnTwoMachines
-	// GangIncomplete: some tasks of a gang's attempt are there, others are proven gone.
+	// GangIncomplete: some tasks of a gang's attempt are present, others are proven gone.
 	GangIncomplete
-	// Unreadable: an entry that makes no sense, or one of a job whose record cannot be
-	// read. It counts as possibly there and proves nothing.
+	// Unreadable: the heartbeat entry is malformed, or belongs to a job with a record that
+	// cannot be read. The attempt may be present; the entry proves nothing.
 	Unreadable
 
-	// CountByClass is the number of classes.
+	// NumClasses is the number of classes.
 	NumClasses = int(Unreadable) + 1
 )
 
 var classNames = [NumClasses]string{"matching", "not_yet_reported", "reported_absent", "never_stored", "reported_ended",
 	"stored_ended", "older_epoch", "on_two_machines", "gang_incomplete", "unreadable"}
 
-// String is the name of the class in logs and metrics.
+// String returns the name of the class in logs and metrics.
 func (c Class) String() string { return classNames[c] }
 
-// Resolution is what a leader does about a difference.
+// Resolution is the action that a leader takes on a difference.
 type Resolution uint8
 
 // The resolutions.
 const (
-	// Keep: nothing is done.
+	// Keep: no action.
 	Keep Resolution = iota
-	// Await: the place, the team's quota and the task itself stay taken until a proof.
+	// Await: the attempt keeps its capacity and its team's quota, and the task is not
+	// started elsewhere, until the attempt is reported or proven gone.
 	Await
-	// Release: the place is free and the task may start again.
+	// Release: the attempt's capacity is freed and the task may start again.
 	Release
-	// Stop: it takes capacity and quota until it is proven gone; it is told to stop once
-	// its heartbeat is known to be current.
+	// Stop: the attempt counts against capacity and quota until it is proven gone. The agent
+	// is told to stop it once a heartbeat known to be current shows it.
 	Stop
-	// RecordEnd: the end is recorded, a completed task for good, and the place is free.
+	// RecordEnd: the exit is recorded, permanently if the task is done, and the attempt's
+	// capacity is freed.
 	RecordEnd
-	// EndGang: the rest of the attempt stops and the gang starts again as a whole.
+	// EndGang: the remaining tasks of the attempt are stopped, and the gang starts again as
+	// a whole.
 	EndGang
 )
 
 var resolutions = [NumClasses]Resolution{Matching: Keep, NotYetReported: Await, ReportedAbsent: Release, NeverStored: Stop,
 	ReportedEnded: RecordEnd, StoredEnded: Stop, OlderEpoch: Stop, OnTwoMachines: Stop, GangIncomplete: EndGang, Unreadable: Keep}
 
-// Resolution is the one way in which differences of the class are resolved.
+// Resolution returns the resolution of all differences of the class.
 func (c Class) Resolution() Resolution { return resolutions[c] }
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job   protocol.JobID
 	Index int
 }
 
-// AttemptID names an attempt of a task.
+// AttemptID identifies an attempt of a task.
 type AttemptID struct {
 	TaskID
 	Attempt protocol.AttemptNumber
 }
 
-// Difference is one attempt as the records and a heartbeat have it.
+// Difference is the result of comparing the records and a heartbeat for one attempt.
 type Difference struct {
 	Class   Class
 	ID      AttemptID
 	Machine protocol.MachineID
-	// EntryIndex is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
+	// EntryIndex is the index of the attempt's entry in Heartbeat.Tasks, or -1 if there is none.
 	EntryIndex int
-	// TokenCurrent: the heartbeat shows the present leader's token. One that does not may be a
-	// late copy: what it shows may be there, what it lacks may be there as well.
+	// TokenCurrent: the heartbeat carries the current leader's fencing token. A heartbeat
+	// without it may be a late copy: the attempts that it shows may be present, and so may
+	// those that it lacks.
 	TokenCurrent bool
-	Done         bool // the entry says that the task is done
+	Done         bool // the entry reports the task as done
 }
--- a/internal/coordination/reconcile/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -6,64 +6,65 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// EndReason says by which condition a recovery phase ended.
+// EndReason is the condition that ended a recovery phase.
 type EndReason string
 
 // The reasons.
 const (
-	// EndNothingStored: the records placed nothing and named no agent.
+	// EndNothingStored: the records contained neither attempts nor machines.
 	EndNothingStored EndReason = "nothing stored"
-	// EndAllAccountedFor: every agent that the records name has sent this leader a heartbeat
+	// EndAllAccountedFor: every agent that the records name has shown this leader's token
 	// or is proven gone.
-	EndAllAccountedFor EndReason = "all agents known"
-	// EndLeasesExpired: the lease of every agent that stayed silent has surely expired.
+	EndAllAccountedFor EndReason = "all agents accounted for"
+	// EndLeasesExpired: the lease of every agent that stayed silent has certainly expired.
 	EndLeasesExpired EndReason = "leases expired"
 )
 
-// CommandCounts counts the commands that a leader sent in a phase.
+// CommandCounts counts the commands that a leader sent during a recovery phase.
 type CommandCounts struct{ Starts, Stops, Forgets int }
 
-// Summary is what a phase has found so far.
+// Summary is the state of a recovery phase.
 type Summary struct {
 	Began          time.Time
-	Ended          time.Time // zero while it lasts
+	Ended          time.Time // zero while the phase is active
 	Reason         EndReason
-	RecordedAgents int // that the records name
-	SilentAgents   int // of them, neither heard nor proven gone
-	StoredAttempts int // attempts that the records place
-	CountByClass   [NumClasses]int
+	RecordedAgents int             // agents that the records name
+	SilentAgents   int             // recorded agents that are not accounted for
+	StoredAttempts int             // attempts that the records place on machines
+	CountByClass   [NumClasses]int // of attempts; of gangs for GangIncomplete
 	Commands       CommandCounts
 }
 
-// Active says whether the phase lasts.
+// Active reports whether the phase has not ended.
 func (s *Summary) Active() bool { return s.Reason == "" }
 
-// RecoveryPhase follows one recovery from a failover to its end. It only watches and counts:
-// what is done about each difference is its class's resolution, in the phase and after.
+// RecoveryPhase follows one recovery from the failover to its end. It only observes and counts:
+// differences are resolved according to their class, in the same way during the phase and
+// after it.
 type RecoveryPhase struct {
-	summary        Summary
-	leasesExpireAt time.Time                       // when every silent agent's lease has expired
-	silent         map[protocol.MachineID]struct{} // agents that are neither heard nor proven gone
-	classes        map[Placement]Class             // of every attempt that was observed, its latest class
-	gangs          map[protocol.JobID]struct{}     // found incomplete
+	summary         Summary
+	leasesExpireAt  time.Time                       // by then the lease of every silent agent has expired
+	silent          map[protocol.MachineID]struct{} // recorded agents that are not accounted for
+	latestClass     map[Placement]Class             // of every stored or observed attempt
+	incompleteGangs map[protocol.JobID]struct{}     // gangs that are counted as incomplete
 }
 
-// NewRecoveryPhase makes a phase that is over and counts nothing until it begins.
+// NewRecoveryPhase returns a phase that has ended. It counts nothing until Begin is called.
 func NewRecoveryPhase() *RecoveryPhase {
 	return &RecoveryPhase{summary: Summary{Reason: EndNothingStored}}
 }
 
-// Begin begins the phase at a failover. From leasesExpireAt on the lease of any
-// agent that this leader has not answered has surely expired; stored lists the attempts on
-// every machine that the records name.
+// Begin starts the phase at a failover. After leasesExpireAt the lease of any agent that this
+// leader has not answered has certainly expired. stored lists the attempts on every machine
+// that the records name.
 func (p *RecoveryPhase) Begin(now, leasesExpireAt time.Time, stored map[protocol.MachineID][]Attempt) {
-	*p = RecoveryPhase{leasesExpireAt: leasesExpireAt, silent: make(map[protocol.MachineID]struct{}, len(stored)), classes: map[Placement]Class{}, gangs: map[protocol.JobID]struct{}{}}
+	*p = RecoveryPhase{leasesExpireAt: leasesExpireAt, silent: make(map[protocol.MachineID]struct{}, len(stored)), latestClass: map[Placement]Class{}, incompleteGangs: map[protocol.JobID]struct{}{}}
 	p.summary.Began, p.summary.RecordedAgents = now, len(stored)
 	for machineID, attempts := range stored {
 		p.silent[machineID] = struct{}{}
-		for _, a := range attempts {
+		for _, attempt := range attempts {
 			p.summary.StoredAttempts++
-			p.count(Placement{a.ID, machineID}, NotYetReported)
+			p.count(Placement{attempt.ID, machineID}, NotYetReported)
 		}
 	}
 	p.summary.SilentAgents = len(p.silent)
@@ -72,14 +73,15 @@
 	}
 }
 
-// Observe counts a difference. An attempt counts once, in its latest class; one that a
-// heartbeat shows anew after its end was found keeps that class.
+// Observe counts a difference. Each attempt counts once, in its latest class. A difference
+// once found is not replaced by Matching or NotYetReported: those are the classes that later
+// heartbeats give the attempt after its resolution.
 func (p *RecoveryPhase) Observe(d Difference) {
 	switch {
 	case !p.summary.Active():
 	case d.Class == GangIncomplete:
-		if _, known := p.gangs[d.ID.Job]; !known {
-			p.gangs[d.ID.Job] = struct{}{}
+		if _, known := p.incompleteGangs[d.ID.Job]; !known {
+			p.incompleteGangs[d.ID.Job] = struct{}{}
 			p.summary.CountByClass[GangIncomplete]++
 		}
 	default:
@@ -87,19 +89,19 @@
 	}
 }
 
-func (p *RecoveryPhase) count(at Placement, class Class) {
-	before, known := p.classes[at]
+func (p *RecoveryPhase) count(placement Placement, class Class) {
+	previous, known := p.latestClass[placement]
 	if known {
-		if before != NotYetReported && (class == Matching || class == NotYetReported) {
-			return // a difference that was found stays one
+		if previous != NotYetReported && (class == Matching || class == NotYetReported) {
+			return // keep the difference that was found
 		}
-		p.summary.CountByClass[before]--
+		p.summary.CountByClass[previous]--
 	}
-	p.classes[at] = class
+	p.latestClass[placement] = class
 	p.summary.CountByClass[class]++
 }
 
-// AgentAccountedFor notes that an agent has shown the leader's token, or is proven gone.
+// AgentAccountedFor notes that an agent has shown the leader's token or is proven gone.
 func (p *RecoveryPhase) AgentAccountedFor(machineID protocol.MachineID) {
 	delete(p.silent, machineID)
 	p.summary.SilentAgents = len(p.silent)
@@ -120,7 +122,7 @@
 	}
 }
 
-// Tick ends the phase once one of its conditions holds; true if that was now.
+// Tick ends the phase if one of its end conditions holds, and reports whether it ended now.
 func (p *RecoveryPhase) Tick(now time.Time) (ended bool) {
 	switch {
 	case !p.summary.Active():
@@ -137,8 +139,8 @@
 
 func (p *RecoveryPhase) end(now time.Time, reason EndReason) {
 	p.summary.Ended, p.summary.Reason = now, reason
-	p.classes, p.gangs = nil, nil
+	p.latestClass, p.incompleteGangs = nil, nil
 }
 
-// Summary is what the phase has found so far.
+// Summary returns the present state of the phase.
 func (p *RecoveryPhase) Summary() Summary { return p.summary }
--- a/internal/coordination/reconcile/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -7,165 +7,168 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Job is what the records say of a job.
+// Job is the recorded state of a job.
 type Job struct {
 	Tasks         int
 	Gang, Service bool
-	Epoch         protocol.AttemptNumber // of a gang: its latest attempt
-	Unreadable    bool                   // a record of it cannot be read
+	Epoch         protocol.AttemptNumber // number of the latest attempt, for gangs
+	Unreadable    bool                   // one of its records cannot be read
 }
 
-// Task is what the records say of a task.
+// Task is the recorded state of a task.
 type Task struct {
 	LastAttempt protocol.AttemptNumber
 	Done        bool
-	Machine     protocol.MachineID // where the latest attempt is placed, "" if nowhere
+	Machine     protocol.MachineID // where the latest attempt is placed; "" if it is not placed
 }
 
-// Attempt is an attempt that the records, or a leader's cluster model, have on a machine.
+// Attempt is an attempt that the records, or the leader's cluster model, place on a machine.
 type Attempt struct {
 	ID          AttemptID
-	Incarnation protocol.Incarnation // of the agent when it was placed
-	// Undelivered: its start may be on its way, or is yet to be sent. A heartbeat
-	// without it proves nothing.
+	Incarnation protocol.Incarnation // of the agent when the attempt was placed
+	// Undelivered: the start command may be in transit, or has yet to be sent. A heartbeat
+	// without the attempt then does not prove it absent.
 	Undelivered bool
-	// Fenced: no record asks for it; a leader keeps it in the cluster model until it is gone.
+	// Orphaned: no record asks for the attempt. The leader keeps it in the cluster model until
+	// it is gone.
 	Orphaned bool
 }
 
-// Records answers what is stored.
+// Records gives access to the stored state.
 type Records interface {
-	// Job is a job that is not over; false if there is none of that name.
+	// Job returns an unfinished job, and false if there is none with this ID. Unreadable is
+	// set in either case if a record of the job cannot be read.
 	Job(id protocol.JobID) (Job, bool)
-	// Task is a task of such a job.
+	// Task returns a task of an unfinished job.
 	Task(id TaskID) Task
-	// Attempts appends the attempts on a machine, in a fixed order.
+	// Attempts appends the attempts on a machine to the list, in a fixed order.
 	Attempts(machine protocol.MachineID, list []Attempt) []Attempt
 }
 
-// Reconciler compares heartbeats with records. It keeps buffers between calls, and no state.
+// Reconciler compares heartbeats with records. Between calls it keeps only buffers for reuse.
 type Reconciler struct {
-	stored  []Attempt
-	places  map[AttemptID]int // in stored
-	entries map[AttemptID]int // in the heartbeat; contradicted if there are several that differ
-	found   []Difference
+	stored      []Attempt
+	storedIndex map[AttemptID]int // index into stored
+	entryIndex  map[AttemptID]int // index of the first entry in Heartbeat.Tasks, or contradicted
+	differences []Difference
 }
 
-// contradicted marks an attempt that a heartbeat shows in two different ways.
+// contradicted marks an attempt that has several entries in a heartbeat which differ.
 const contradicted = -2
 
 // Compare compares one agent's heartbeat with the records. The heartbeat must be newer than
-// what was known of its agent. token is the present leader's. The result is valid
-// until the next call.
-func (rc *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Heartbeat) []Difference {
-	rc.found = rc.found[:0]
-	rc.stored = records.Attempts(r.Machine, rc.stored[:0])
-	current := r.FencingToken == token
-	readable := rc.index(r)
-	rc.releaseOlderIncarnations(r, current)
-	for i := range r.Tasks {
-		rc.addEntry(records, r, i, current)
+// the last one accepted from this agent. token is the current leader's fencing token.
+// The result is valid until the next call.
+func (rc *Reconciler) Compare(records Records, token protocol.Term, heartbeat *protocol.Heartbeat) []Difference {
+	rc.differences = rc.differences[:0]
+	rc.stored = records.Attempts(heartbeat.Machine, rc.stored[:0])
+	tokenCurrent := heartbeat.FencingToken == token
+	namesReadable := rc.index(heartbeat)
+	rc.addOlderIncarnations(heartbeat, tokenCurrent)
+	for i := range heartbeat.Tasks {
+		rc.addEntry(records, heartbeat, i, tokenCurrent)
 	}
 	for i := range rc.stored {
-		a := &rc.stored[i]
-		if _, shown := rc.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
+		attempt := &rc.stored[i]
+		if _, shown := rc.entryIndex[attempt.ID]; shown || attempt.Incarnation < heartbeat.Incarnation {
 			continue
 		}
 		class := NotYetReported
-		if current && readable && !a.Undelivered {
+		if tokenCurrent && namesReadable && !attempt.Undelivered {
 			class = ReportedAbsent
 		}
-		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
+		rc.add(Difference{Class: class, ID: attempt.ID, Machine: heartbeat.Machine, EntryIndex: -1, TokenCurrent: tokenCurrent})
 	}
-	return rc.found
+	return rc.differences
 }
 
-func (rc *Reconciler) add(d Difference) { rc.found = append(rc.found, d) }
+func (rc *Reconciler) add(d Difference) { rc.differences = append(rc.differences, d) }
 
-// index finds what is stored and the entries by attempt; false if some entry's name
-// cannot be read, so that the heartbeat does not prove any attempt absent.
-func (rc *Reconciler) index(r *protocol.Heartbeat) (readable bool) {
-	if rc.entries == nil {
-		rc.places, rc.entries = map[AttemptID]int{}, map[AttemptID]int{}
+// index indexes the stored attempts and the heartbeat's entries by attempt. It reports whether
+// all entries name a valid task: if one does not, the heartbeat proves no attempt absent.
+func (rc *Reconciler) index(heartbeat *protocol.Heartbeat) (namesReadable bool) {
+	if rc.entryIndex == nil {
+		rc.storedIndex, rc.entryIndex = map[AttemptID]int{}, map[AttemptID]int{}
 	}
-	clear(rc.places)
-	clear(rc.entries)
+	clear(rc.storedIndex)
+	clear(rc.entryIndex)
 	for i := range rc.stored {
-		if rc.stored[i].Incarnation >= r.Incarnation {
-			rc.places[rc.stored[i].ID] = i
+		if rc.stored[i].Incarnation >= heartbeat.Incarnation {
+			rc.storedIndex[rc.stored[i].ID] = i
 		}
 	}
-	readable = true
-	for i := range r.Tasks {
-		id, valid := entryID(&r.Tasks[i])
+	namesReadable = true
+	for i := range heartbeat.Tasks {
+		id, valid := entryID(&heartbeat.Tasks[i])
 		if !valid {
-			readable = false
+			namesReadable = false
 			continue
 		}
-		if first, twice := rc.entries[id]; twice {
-			if first == contradicted || r.Tasks[first] != r.Tasks[i] {
-				rc.entries[id] = contradicted
+		if first, twice := rc.entryIndex[id]; twice {
+			if first == contradicted || heartbeat.Tasks[first] != heartbeat.Tasks[i] {
+				rc.entryIndex[id] = contradicted
 			}
 			continue
 		}
-		rc.entries[id] = i
+		rc.entryIndex[id] = i
 	}
-	return readable
+	return namesReadable
 }
 
-func entryID(t *protocol.TaskStatus) (AttemptID, bool) {
-	jobID, index, valid := protocol.SplitTask(t.Task)
-	return AttemptID{TaskID{jobID, index}, t.Attempt}, valid
+// entryID returns the attempt that an entry names, and false if its task name is malformed.
+func entryID(status *protocol.TaskStatus) (AttemptID, bool) {
+	jobID, index, valid := protocol.SplitTask(status.Task)
+	return AttemptID{TaskID{jobID, index}, status.Attempt}, valid
 }
 
-// releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
-// proves gone whatever else the heartbeat says.
-func (rc *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
+// addOlderIncarnations adds the attempts that were placed under earlier incarnations of the
+// agent. A newer incarnation proves all of them gone, whatever else the heartbeat contains.
+func (rc *Reconciler) addOlderIncarnations(heartbeat *protocol.Heartbeat, tokenCurrent bool) {
 	for i := range rc.stored {
-		if a := &rc.stored[i]; a.Incarnation < r.Incarnation {
-			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
+		if attempt := &rc.stored[i]; attempt.Incarnation < heartbeat.Incarnation {
+			rc.add(Difference{Class: ReportedAbsent, ID: attempt.ID, Machine: heartbeat.Machine, EntryIndex: -1, TokenCurrent: tokenCurrent})
 		}
 	}
 }
 
 // addEntry classifies one entry of a heartbeat.
-func (rc *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
-	t := &r.Tasks[i]
-	id, valid := entryID(t)
-	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, EntryIndex: i, TokenCurrent: current}
-	at := rc.entries[id]
+func (rc *Reconciler) addEntry(records Records, heartbeat *protocol.Heartbeat, i int, tokenCurrent bool) {
+	status := &heartbeat.Tasks[i]
+	id, valid := entryID(status)
+	d := Difference{Class: Unreadable, ID: id, Machine: heartbeat.Machine, EntryIndex: i, TokenCurrent: tokenCurrent}
+	first := rc.entryIndex[id]
 	switch {
-	case !valid, at == contradicted:
+	case !valid, first == contradicted:
 		rc.add(d)
 		return
-	case at != i:
-		return // the same entry once more
-	case !knownState(t.State):
-		rc.add(d) // and it counts as there, in whatever state
+	case first != i:
+		return // an exact duplicate of an earlier entry
+	case !knownState(status.State):
+		rc.add(d) // and is classified below as well, as an attempt that has not exited
 	}
-	d.Class = rc.classify(records, r.Machine, id, t, current)
-	d.Done = t.State == protocol.TaskExited && t.Cause == protocol.CauseDone
+	d.Class = rc.classify(records, heartbeat.Machine, id, status, tokenCurrent)
+	d.Done = status.State == protocol.TaskExited && status.Cause == protocol.CauseDone
 	rc.add(d)
 }
 
-func knownState(s protocol.TaskState) bool {
-	switch s {
+func knownState(state protocol.TaskState) bool {
+	switch state {
 	case protocol.TaskFetching, protocol.TaskWaiting, protocol.TaskRunning, protocol.TaskSaving, protocol.TaskExited:
 		return true
 	}
 	return false
 }
 
-// classify tells the class of a reported attempt.
-func (rc *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskStatus, current bool) Class {
+// classify returns the class of a reported attempt.
+func (rc *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, status *protocol.TaskStatus, tokenCurrent bool) Class {
 	var stored *Attempt
-	if i, ok := rc.places[id]; ok {
+	if i, ok := rc.storedIndex[id]; ok {
 		stored = &rc.stored[i]
 	}
 	job, known := records.Job(id.Job)
 	known = known && id.Index < job.Tasks
-	if t.State == protocol.TaskExited {
-		return classifyEnded(records, id, t, stored, job, known, current)
+	if status.State == protocol.TaskExited {
+		return classifyExited(records, id, status, stored, job, known, tokenCurrent)
 	}
 	switch {
 	case stored != nil && !stored.Orphaned:
@@ -191,43 +194,43 @@
 	return OlderEpoch
 }
 
-// classifyEnded tells the class of an attempt that is reported as ended. That a task is
-// done holds whoever says it; any other end is believed only of a current heartbeat.
-func classifyEnded(records Records, id AttemptID, t *protocol.TaskStatus, stored *Attempt, job Job, known, current bool) Class {
-	done := t.Cause == protocol.CauseDone
+// classifyExited returns the class of an attempt that is reported as exited. A report that a
+// task is done is accepted from any heartbeat; any other exit of a stored attempt only from a
+// heartbeat with the current token.
+func classifyExited(records Records, id AttemptID, status *protocol.TaskStatus, stored *Attempt, job Job, known, tokenCurrent bool) Class {
+	done := status.Cause == protocol.CauseDone
 	switch {
 	case done && known && !job.Service && !records.Task(id.TaskID).Done:
 		return ReportedEnded
 	case stored == nil:
 		return Matching
-	case current || done:
+	case tokenCurrent || done:
 		return ReportedEnded
 	}
 	return NotYetReported
 }
 
-// GangAttempt counts what is left of a gang's attempt.
+// GangAttempt counts the tasks of a gang's attempt that may still run.
 type GangAttempt struct {
-	Tasks   int // of the job
-	Present int // of the latest attempt, placed and not proven gone
-	Older   int // of earlier attempts that no one has fenced
+	Tasks   int // tasks of the job
+	Present int // tasks of the latest attempt that are placed and not proven gone
+	Older   int // tasks of earlier attempts that are not marked as orphaned
 }
 
-// Incomplete says whether the attempt can no longer become whole: its class is then
+// Incomplete reports whether the attempt can no longer run as a whole. Its class is then
 // GangIncomplete.
 func (g GangAttempt) Incomplete() bool {
 	return g.Older > 0 || g.Present > 0 && g.Present != g.Tasks
 }
 
-// Snapshot is all that is stored: records that can list their machines and gangs.
+// Snapshot is the complete stored state: records that can also list their machines and gangs.
 type Snapshot interface {
 	Records
-	// Machines lists the machines that the records name, and the incarnation and sequence
-	// number that are known of each agent.
+	// Machines lists the agents of all machines that the records name.
 	Machines() []Agent
-	// Gangs lists the gangs that are not over.
+	// Gangs lists the unfinished gangs.
 	Gangs() []protocol.JobID
-	// GangPlacements lists where the latest attempt of a gang is placed.
+	// GangPlacements lists the placements of a gang's latest attempt.
 	GangPlacements(gang protocol.JobID) []Placement
 }
 
@@ -237,66 +240,66 @@
 	Machine protocol.MachineID
 }
 
-// Agent is what is known of a machine's agent.
+// Agent is a machine's agent with the newest incarnation and sequence number known of it.
 type Agent struct {
 	Machine     protocol.MachineID
 	Incarnation protocol.Incarnation
 	Sequence    protocol.Sequence
 }
 
-// Reconcile compares a snapshot with all heartbeats that came. Of each agent only the
-// newest counts, so that their order does not matter.
-func (rc *Reconciler) Reconcile(s Snapshot, token protocol.Term, heartbeats []*protocol.Heartbeat) []Difference {
+// Reconcile compares a snapshot with all heartbeats received. Only the newest heartbeat of each
+// agent counts, so their order does not matter.
+func (rc *Reconciler) Reconcile(snapshot Snapshot, token protocol.Term, heartbeats []*protocol.Heartbeat) []Difference {
 	newest := map[protocol.MachineID]*protocol.Heartbeat{}
-	agents := s.Machines()
-	for _, r := range heartbeats {
-		at := slices.IndexFunc(agents, func(w Agent) bool { return w.Machine == r.Machine })
-		if at >= 0 && !r.Newer(agents[at].Incarnation, agents[at].Sequence) {
+	agents := snapshot.Machines()
+	for _, heartbeat := range heartbeats {
+		i := slices.IndexFunc(agents, func(agent Agent) bool { return agent.Machine == heartbeat.Machine })
+		if i >= 0 && !heartbeat.Newer(agents[i].Incarnation, agents[i].Sequence) {
 			continue
 		}
-		if n := newest[r.Machine]; n == nil || r.Newer(n.Incarnation, n.Sequence) {
-			newest[r.Machine] = r
+		if known := newest[heartbeat.Machine]; known == nil || heartbeat.Newer(known.Incarnation, known.Sequence) {
+			newest[heartbeat.Machine] = heartbeat
 		}
 	}
 	var all []Difference
-	for _, w := range agents {
-		if newest[w.Machine] == nil {
-			for _, a := range s.Attempts(w.Machine, nil) {
-				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, EntryIndex: -1})
+	for _, agent := range agents {
+		if newest[agent.Machine] == nil {
+			for _, attempt := range snapshot.Attempts(agent.Machine, nil) {
+				all = append(all, Difference{Class: NotYetReported, ID: attempt.ID, Machine: agent.Machine, EntryIndex: -1})
 			}
 		}
 	}
-	for _, r := range newest {
-		all = append(all, rc.Compare(s, token, r)...)
+	for _, heartbeat := range newest {
+		all = append(all, rc.Compare(snapshot, token, heartbeat)...)
 	}
-	all = append(all, incompleteGangs(s, all)...)
+	all = append(all, incompleteGangs(snapshot, all)...)
 	slices.SortFunc(all, byAttempt)
 	return all
 }
 
-// incompleteGangs lists the gangs that what was found leaves incomplete.
-func incompleteGangs(s Snapshot, found []Difference) (list []Difference) {
+// incompleteGangs lists the gangs that are incomplete once the differences are resolved.
+func incompleteGangs(snapshot Snapshot, differences []Difference) (list []Difference) {
 	gone := map[Placement]bool{}
 	done := map[protocol.JobID]bool{}
-	for _, d := range found {
+	for _, d := range differences {
 		switch d.Class.Resolution() {
 		case Release, RecordEnd:
 			gone[Placement{d.ID, d.Machine}] = true
 			done[d.ID.Job] = done[d.ID.Job] || d.Done
 		}
 	}
-	for _, id := range s.Gangs() {
-		job, _ := s.Job(id)
-		if s.Task(TaskID{Job: id}).Done {
-			continue // the tasks of a gang complete together
+	for _, id := range snapshot.Gangs() {
+		job, _ := snapshot.Job(id)
+		if snapshot.Task(TaskID{Job: id}).Done {
+			continue // the tasks of a gang complete together, so the gang is done
 		}
-		g := GangAttempt{Tasks: job.Tasks}
-		for _, p := range s.GangPlacements(id) {
-			if !gone[p] {
-				g.Present++
+		gang := GangAttempt{Tasks: job.Tasks}
+		for _, placement := range snapshot.GangPlacements(id) {
+			if !gone[placement] {
+				gang.Present++
 			}
 		}
-		if !done[id] && g.Incomplete() {
+		if !done[id] && gang.Incomplete() {
 			list = append(list, Difference{Class: GangIncomplete, ID: AttemptID{TaskID: TaskID{Job: id}}, EntryIndex: -1})
 		}
 	}
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -11,27 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-const token = 9
+// currentToken is the current leader's fencing token.
+const currentToken = 9
 
-// store is a snapshot for the tests.
-type store struct {
+// testSnapshot implements Snapshot with maps.
+type testSnapshot struct {
 	jobs     map[protocol.JobID]Job
 	tasks    map[TaskID]Task
 	attempts map[protocol.MachineID][]Attempt
 	agents   []Agent
 }
 
-func (s *store) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
+func (s *testSnapshot) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
 
-func (s *store) Task(id TaskID) Task { return s.tasks[id] }
+func (s *testSnapshot) Task(id TaskID) Task { return s.tasks[id] }
 
-func (s *store) Attempts(machineID protocol.MachineID, list []Attempt) []Attempt {
+func (s *testSnapshot) Attempts(machineID protocol.MachineID, list []Attempt) []Attempt {
 	return append(list, s.attempts[machineID]...)
 }
 
-func (s *store) Machines() []Agent { return s.agents }
+func (s *testSnapshot) Machines() []Agent { return s.agents }
 
-func (s *store) Gangs() (list []protocol.JobID) {
+func (s *testSnapshot) Gangs() (list []protocol.JobID) {
 	for id, j := range s.jobs {
 		if j.Gang {
 			list = append(list, id)
@@ -41,7 +42,7 @@
 	return list
 }
 
-func (s *store) GangPlacements(gang protocol.JobID) (list []Placement) {
+func (s *testSnapshot) GangPlacements(gang protocol.JobID) (list []Placement) {
 	for machineID, attempts := range s.attempts {
 		for _, a := range attempts {
 			if a.ID.Job == gang && !a.Orphaned {
@@ -52,16 +53,17 @@
 	return list
 }
 
-// truth is what really is on the agents.
-type truth map[protocol.MachineID][]protocol.TaskStatus
+// agentTasks are the tasks that the agents actually have.
+type agentTasks map[protocol.MachineID][]protocol.TaskStatus
 
-func job(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
+func jobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
 
-// world draws a snapshot, the true state of its agents, which may differ from it in every
-// way, and heartbeats of it: current ones, late copies, halves.
-func world(t *rapid.T) (*store, truth, []*protocol.Heartbeat) {
-	s := &store{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
-	real := truth{}
+// drawCluster draws a snapshot; the actual tasks of its agents, which may differ from it in any
+// way; and heartbeats of the agents: current ones, and late copies with an old token and without
+// tasks.
+func drawCluster(t *rapid.T) (*testSnapshot, agentTasks, []*protocol.Heartbeat) {
+	s := &testSnapshot{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
+	actual := agentTasks{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
 		s.agents = append(s.agents, Agent{Machine: m, Incarnation: 1})
@@ -76,74 +78,74 @@
 		gangDone := rapid.IntRange(0, 5).Draw(t, "gang done") == 0
 		stored := rapid.IntRange(0, 5).Draw(t, "stored") > 0
 		if stored {
-			s.jobs[job(n)] = j
+			s.jobs[jobID(n)] = j
 		}
 		for i := range j.Tasks {
-			id := TaskID{job(n), i}
-			at := rapid.SampledFrom(machines).Draw(t, "machine")
+			id := TaskID{jobID(n), i}
+			machine := rapid.SampledFrom(machines).Draw(t, "machine")
 			task := Task{LastAttempt: 3, Done: !j.Service && rapid.IntRange(0, 5).Draw(t, "done") == 0}
 			if j.Gang {
-				task.Done = gangDone // its tasks complete together
+				task.Done = gangDone // the tasks of a gang complete together
 			}
 			if stored && !task.Done && rapid.IntRange(0, 4).Draw(t, "placed") > 0 {
-				task.Machine = at
-				s.attempts[at] = append(s.attempts[at], Attempt{ID: AttemptID{id, 3}, Incarnation: 1})
+				task.Machine = machine
+				s.attempts[machine] = append(s.attempts[machine], Attempt{ID: AttemptID{id, 3}, Incarnation: 1})
 			}
 			s.tasks[id] = task
-			if rapid.IntRange(0, 4).Draw(t, "there") == 0 {
+			if rapid.IntRange(0, 4).Draw(t, "reported") == 0 {
 				continue
 			}
-			on, attempt := at, protocol.AttemptNumber(3)
-			if rapid.IntRange(0, 4).Draw(t, "other") == 0 {
-				on, attempt = rapid.SampledFrom(machines).Draw(t, "on"), protocol.AttemptNumber(rapid.Uint64Range(1, 5).Draw(t, "attempt"))
+			reportedBy, number := machine, protocol.AttemptNumber(3)
+			if rapid.IntRange(0, 4).Draw(t, "reported differently") == 0 {
+				reportedBy, number = rapid.SampledFrom(machines).Draw(t, "reported by"), protocol.AttemptNumber(rapid.Uint64Range(1, 5).Draw(t, "attempt"))
 			}
-			e := protocol.TaskStatus{Task: protocol.TaskName(id.Job, i), Attempt: attempt, State: state.Draw(t, "state")}
-			if e.State == protocol.TaskExited {
-				e.Cause = cause.Draw(t, "cause")
+			status := protocol.TaskStatus{Task: protocol.TaskName(id.Job, i), Attempt: number, State: state.Draw(t, "state")}
+			if status.State == protocol.TaskExited {
+				status.Cause = cause.Draw(t, "cause")
 			}
-			real[on] = append(real[on], e)
+			actual[reportedBy] = append(actual[reportedBy], status)
 		}
 	}
 	var heartbeats []*protocol.Heartbeat
 	for _, m := range machines {
-		r := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, FencingToken: token, Tasks: real[m]}
-		if r.Incarnation == 2 { // it has forgotten all
-			r.Tasks, real[m] = nil, nil
+		heartbeat := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "incarnation")), Sequence: 20, FencingToken: currentToken, Tasks: actual[m]}
+		if heartbeat.Incarnation == 2 { // a new incarnation has no tasks of the old one
+			heartbeat.Tasks, actual[m] = nil, nil
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "copies") {
-			old := *r
-			old.Incarnation, old.Sequence, old.FencingToken = 1, protocol.Sequence(1+i), token-1
-			old.Tasks = nil
-			heartbeats = append(heartbeats, &old)
+			late := *heartbeat
+			late.Incarnation, late.Sequence, late.FencingToken = 1, protocol.Sequence(1+i), currentToken-1
+			late.Tasks = nil
+			heartbeats = append(heartbeats, &late)
 		}
 		if rapid.IntRange(0, 4).Draw(t, "silent") > 0 {
-			heartbeats = append(heartbeats, r)
+			heartbeats = append(heartbeats, heartbeat)
 		}
 	}
-	return s, real, heartbeats
+	return s, actual, heartbeats
 }
 
-func reconcile(s *store, heartbeats []*protocol.Heartbeat) []Difference {
-	var c Reconciler
-	return c.Reconcile(s, token, heartbeats)
+func reconcile(s *testSnapshot, heartbeats []*protocol.Heartbeat) []Difference {
+	var rc Reconciler
+	return rc.Reconcile(s, currentToken, heartbeats)
 }
 
-// apply does to the snapshot what the resolutions ask for, and to the truth what the
-// stops do.
-func apply(s *store, real truth, found []Difference) {
-	drop := func(d Difference) {
+// applyResolutions changes the snapshot as the resolutions require, and removes stopped tasks
+// from the agents.
+func applyResolutions(s *testSnapshot, actual agentTasks, differences []Difference) {
+	removePlacement := func(d Difference) {
 		s.attempts[d.Machine] = slices.DeleteFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
 		if task, ok := s.tasks[d.ID.TaskID]; ok && task.Machine == d.Machine && task.LastAttempt == d.ID.Attempt {
 			task.Machine = ""
 			s.tasks[d.ID.TaskID] = task
 		}
 	}
-	for _, d := range found {
+	for _, d := range differences {
 		switch d.Class.Resolution() {
 		case Release:
-			drop(d)
+			removePlacement(d)
 		case RecordEnd:
-			drop(d)
+			removePlacement(d)
 			if j := s.jobs[d.ID.Job]; d.Done && !j.Service {
 				for i := range j.Tasks {
 					if id := (TaskID{d.ID.Job, i}); j.Gang || id == d.ID.TaskID {
@@ -154,16 +156,16 @@
 				}
 			}
 		case Stop:
-			real[d.Machine] = slices.DeleteFunc(real[d.Machine], func(e protocol.TaskStatus) bool {
-				return e.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && e.Attempt == d.ID.Attempt
+			actual[d.Machine] = slices.DeleteFunc(actual[d.Machine], func(status protocol.TaskStatus) bool {
+				return status.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && status.Attempt == d.ID.Attempt
 			})
 		case EndGang:
 			for machineID, list := range s.attempts {
 				for _, a := range slices.Clone(list) {
 					if a.ID.Job == d.ID.Job {
-						drop(Difference{ID: a.ID, Machine: machineID})
-						real[machineID] = slices.DeleteFunc(real[machineID], func(e protocol.TaskStatus) bool {
-							id, index, _ := protocol.SplitTask(e.Task)
+						removePlacement(Difference{ID: a.ID, Machine: machineID})
+						actual[machineID] = slices.DeleteFunc(actual[machineID], func(status protocol.TaskStatus) bool {
+							id, index, _ := protocol.SplitTask(status.Task)
 							return id == a.ID.Job && index == a.ID.Index
 						})
 					}
@@ -173,11 +175,11 @@
 	}
 }
 
-// TestOrderOfHeartbeats: the order in which heartbeats come, late copies among them, does not
-// matter.
-func TestOrderOfHeartbeats(t *testing.T) {
+// TestHeartbeatOrderDoesNotMatter: the order in which heartbeats arrive, late copies included, does
+// not change the result.
+func TestHeartbeatOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
+		s, _, heartbeats := drawCluster(t)
 		want := reconcile(s, heartbeats)
 		if d := cmp.Diff(want, reconcile(s, rapid.Permutation(heartbeats).Draw(t, "order"))); d != "" {
 			t.Fatal(d)
@@ -185,198 +187,201 @@
 	})
 }
 
-// TestRepeatedApplication: once every difference is resolved and the agents have done what
-// they were told, the same question finds nothing more to do.
-func TestRepeatedApplication(t *testing.T) {
+// TestNothingToDoAfterResolution: once every difference is resolved and the agents have executed
+// their commands, comparing again finds no difference that requires an action.
+func TestNothingToDoAfterResolution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, real, heartbeats := world(t)
-		found := reconcile(s, heartbeats)
-		apply(s, real, found)
-		var again []*protocol.Heartbeat
-		for _, r := range heartbeats {
-			if r.FencingToken == token {
-				later := *r
-				later.Sequence, later.Tasks = r.Sequence+1, real[r.Machine]
-				again = append(again, &later)
+		s, actual, heartbeats := drawCluster(t)
+		differences := reconcile(s, heartbeats)
+		applyResolutions(s, actual, differences)
+		var nextHeartbeats []*protocol.Heartbeat
+		for _, heartbeat := range heartbeats {
+			if heartbeat.FencingToken == currentToken {
+				next := *heartbeat
+				next.Sequence, next.Tasks = heartbeat.Sequence+1, actual[heartbeat.Machine]
+				nextHeartbeats = append(nextHeartbeats, &next)
 			}
 		}
 		for i := range s.agents {
 			s.agents[i].Incarnation, s.agents[i].Sequence = 1, 20
 		}
-		for _, d := range reconcile(s, again) {
-			if r := d.Class.Resolution(); r != Keep && r != Await {
-				t.Fatalf("%+v after %+v", d, found)
+		for _, d := range reconcile(s, nextHeartbeats) {
+			if resolution := d.Class.Resolution(); resolution != Keep && resolution != Await {
+				t.Fatalf("%+v remains to be done after the resolution of %+v", d, differences)
 			}
 		}
 	})
 }
 
-// TestAgainstOracle: each attempt is judged as the plainest reading of the rules does, from
-// the true state alone: what is recorded there and runs is left, what runs unrecorded is
-// stopped, and a place is given up only when its agent, heard anew, does not have it.
-func TestAgainstOracle(t *testing.T) {
+// TestResolutionsAgainstGroundTruth checks the resolutions against simple rules on the tasks that
+// the agents actually have. A recorded attempt that runs on its machine is not stopped; only an
+// unrecorded one that runs is. An attempt is released only if a current heartbeat of its agent
+// proves it gone, and no task is released twice.
+func TestResolutionsAgainstGroundTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
-		heard := map[protocol.MachineID]*protocol.Heartbeat{}
-		for _, r := range heartbeats {
-			if r.FencingToken == token {
-				heard[r.Machine] = r
+		s, _, heartbeats := drawCluster(t)
+		currentHeartbeats := map[protocol.MachineID]*protocol.Heartbeat{}
+		for _, heartbeat := range heartbeats {
+			if heartbeat.FencingToken == currentToken {
+				currentHeartbeats[heartbeat.Machine] = heartbeat
 			}
 		}
 		released := map[TaskID]bool{}
 		for _, d := range reconcile(s, heartbeats) {
 			recorded := slices.ContainsFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
-			r := heard[d.Machine]
-			there := r != nil && slices.ContainsFunc(r.Tasks, func(e protocol.TaskStatus) bool {
-				return e.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && e.Attempt == d.ID.Attempt && e.State != protocol.TaskExited
+			heartbeat := currentHeartbeats[d.Machine]
+			present := heartbeat != nil && slices.ContainsFunc(heartbeat.Tasks, func(status protocol.TaskStatus) bool {
+				return status.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && status.Attempt == d.ID.Attempt && status.State != protocol.TaskExited
 			})
 			switch d.Class.Resolution() {
 			case Stop:
-				if recorded && r.Incarnation == 1 || !there {
-					t.Fatalf("a valid attempt is stopped: %+v", d)
+				if recorded && heartbeat.Incarnation == 1 || !present {
+					t.Fatalf("stops a recorded attempt, or one that does not run: %+v", d)
 				}
 			case Release:
-				if !recorded || there && r.Incarnation == 1 || r == nil {
-					t.Fatalf("given up without proof: %+v", d)
+				if !recorded || present && heartbeat.Incarnation == 1 || heartbeat == nil {
+					t.Fatalf("released without proof: %+v", d)
 				}
 				if released[d.ID.TaskID] {
-					t.Fatalf("two starts of one task: %+v", d)
+					t.Fatalf("released twice, so the task would start twice: %+v", d)
 				}
 				released[d.ID.TaskID] = true
 			case Await:
-				if recorded && r != nil && d.EntryIndex < 0 {
-					t.Fatalf("a proof is not taken: %+v", d)
+				if recorded && heartbeat != nil && d.EntryIndex < 0 {
+					t.Fatalf("awaited although a current heartbeat proves it absent: %+v", d)
 				}
 			}
 		}
 	})
 }
 
-// TestNothingIsPassedOver: every recorded attempt is judged exactly once, one that its
-// agent has lost is given up, and every new end of a task is recorded.
-func TestNothingIsPassedOver(t *testing.T) {
+// TestEveryStoredAttemptIsClassifiedOnce: every recorded attempt is classified exactly once, one that
+// its agent has lost as absent, and every task newly reported as done as ended.
+func TestEveryStoredAttemptIsClassifiedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
-		judged := map[Placement][]Class{}
+		s, _, heartbeats := drawCluster(t)
+		classes := map[Placement][]Class{}
 		for _, d := range reconcile(s, heartbeats) {
-			at := Placement{d.ID, d.Machine}
-			judged[at] = append(judged[at], d.Class)
+			placement := Placement{d.ID, d.Machine}
+			classes[placement] = append(classes[placement], d.Class)
 		}
 		for machineID, attempts := range s.attempts {
 			for _, a := range attempts {
-				if n := len(judged[Placement{a.ID, machineID}]); n != 1 {
-					t.Fatalf("%+v on %s is judged %d times", a.ID, machineID, n)
+				if n := len(classes[Placement{a.ID, machineID}]); n != 1 {
+					t.Fatalf("%+v on %s is classified %d times", a.ID, machineID, n)
 				}
 			}
 		}
-		for _, r := range heartbeats {
-			if r.FencingToken != token {
+		for _, heartbeat := range heartbeats {
+			if heartbeat.FencingToken != currentToken {
 				continue
 			}
-			for _, a := range s.attempts[r.Machine] {
-				if class := judged[Placement{a.ID, r.Machine}][0]; r.Incarnation == 2 && class != ReportedAbsent {
-					t.Fatalf("%+v of an earlier session is %v", a.ID, class)
+			for _, a := range s.attempts[heartbeat.Machine] {
+				if class := classes[Placement{a.ID, heartbeat.Machine}][0]; heartbeat.Incarnation == 2 && class != ReportedAbsent {
+					t.Fatalf("%+v of an earlier incarnation is %v", a.ID, class)
 				}
 			}
-			for _, e := range r.Tasks {
-				id, _ := entryID(&e)
+			for _, status := range heartbeat.Tasks {
+				id, _ := entryID(&status)
 				j, known := s.jobs[id.Job]
-				if known && !j.Service && !s.tasks[id.TaskID].Done && e.Cause == protocol.CauseDone && judged[Placement{id, r.Machine}][0] != ReportedEnded {
-					t.Fatalf("the end of %+v is %v", id, judged[Placement{id, r.Machine}])
+				if known && !j.Service && !s.tasks[id.TaskID].Done && status.Cause == protocol.CauseDone && classes[Placement{id, heartbeat.Machine}][0] != ReportedEnded {
+					t.Fatalf("%+v, reported as done, is %v", id, classes[Placement{id, heartbeat.Machine}])
 				}
 			}
 		}
 	})
 }
 
-// TestIncompleteGangs: a gang is found incomplete exactly when some of its recorded tasks
-// stay and others do not.
+// TestIncompleteGangs: an unfinished gang is found incomplete exactly if some, but not all, of its
+// tasks remain placed after the resolutions.
 func TestIncompleteGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
-		found := reconcile(s, heartbeats)
+		s, _, heartbeats := drawCluster(t)
+		differences := reconcile(s, heartbeats)
 		for _, id := range s.Gangs() {
-			stay, over, reported := 0, s.tasks[TaskID{id, 0}].Done, false
-			for _, d := range found {
+			remaining, done, foundIncomplete := 0, s.tasks[TaskID{id, 0}].Done, false
+			for _, d := range differences {
 				if d.ID.Job != id {
 					continue
 				}
 				recorded := slices.Contains(s.GangPlacements(id), Placement{d.ID, d.Machine})
-				if r := d.Class.Resolution(); recorded && r != Release && r != RecordEnd {
-					stay++
+				if resolution := d.Class.Resolution(); recorded && resolution != Release && resolution != RecordEnd {
+					remaining++
 				}
-				over = over || d.Done && d.Class == ReportedEnded
-				reported = reported || d.Class == GangIncomplete
+				done = done || d.Done && d.Class == ReportedEnded
+				foundIncomplete = foundIncomplete || d.Class == GangIncomplete
 			}
-			if broken := !over && stay > 0 && stay < s.jobs[id].Tasks; broken != reported {
-				t.Fatalf("%s: %d of %d tasks stay, over %v, found incomplete %v", id, stay, s.jobs[id].Tasks, over, reported)
+			if incomplete := !done && remaining > 0 && remaining < s.jobs[id].Tasks; incomplete != foundIncomplete {
+				t.Fatalf("%s: %d of %d tasks remain, done %v, found incomplete %v", id, remaining, s.jobs[id].Tasks, done, foundIncomplete)
 			}
 		}
 	})
 }
 
-// heartbeat makes a current heartbeat of machine m0.
-func heartbeat(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: token, Tasks: tasks}
+// currentHeartbeat returns a heartbeat of machine m0 with the current token.
+func currentHeartbeat(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: currentToken, Tasks: tasks}
 }
 
+// entry returns a heartbeat entry for an attempt of a task of job n.
 func entry(n, index int, attempt protocol.AttemptNumber, state protocol.TaskState, cause protocol.Cause) protocol.TaskStatus {
-	return protocol.TaskStatus{Task: protocol.TaskName(job(n), index), Attempt: attempt, State: state, Cause: cause}
+	return protocol.TaskStatus{Task: protocol.TaskName(jobID(n), index), Attempt: attempt, State: state, Cause: cause}
 }
 
-// TestClasses has one case for each class, and for input that makes no sense.
+// TestClasses has a case for each class of attempts, and for malformed input.
 func TestClasses(t *testing.T) {
-	s := &store{
-		jobs:  map[protocol.JobID]Job{job(1): {Tasks: 4}, job(2): {Tasks: 2, Gang: true, Epoch: 3}, job(3): {Tasks: 1, Service: true}, job(4): {Unreadable: true}},
-		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
-		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Incarnation: 1},
-			{ID: AttemptID{TaskID{job(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
+	s := &testSnapshot{
+		jobs:  map[protocol.JobID]Job{jobID(1): {Tasks: 4}, jobID(2): {Tasks: 2, Gang: true, Epoch: 3}, jobID(3): {Tasks: 1, Service: true}, jobID(4): {Unreadable: true}},
+		tasks: map[TaskID]Task{{jobID(1), 0}: {3, false, "m0"}, {jobID(1), 1}: {3, true, ""}, {jobID(1), 2}: {3, false, "m1"}, {jobID(3), 0}: {3, false, "m0"}},
+		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{jobID(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{jobID(3), 0}, 3}, Incarnation: 1},
+			{ID: AttemptID{TaskID{jobID(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
 		agents: []Agent{{Machine: "m0", Incarnation: 1}},
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
-	late := heartbeat(replica)
-	late.FencingToken = token - 1
-	for name, c := range map[string]struct {
-		r    *protocol.Heartbeat
-		want map[AttemptID][]Class // of what the heartbeat shows or lacks of job 1
+	late := currentHeartbeat(replica)
+	late.FencingToken = currentToken - 1
+	for name, test := range map[string]struct {
+		heartbeat *protocol.Heartbeat
+		want      map[AttemptID][]Class // expected classes of some of the attempts
 	}{
-		"matching":         {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"absent":           {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}}},
-		"late copy":        {late, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"undelivered":      {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 3}, 1}: {NotYetReported}}},
-		"ended":            {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedEnded}}},
-		"unknown job":      {heartbeat(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(7), 0}, 1}: {NeverStored}}},
-		"unknown task":     {heartbeat(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 9}, 1}: {NeverStored}}},
-		"higher attempt":   {heartbeat(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 4}: {NeverStored}}},
-		"done":             {heartbeat(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 1}, 3}: {StoredEnded}}},
-		"older":            {heartbeat(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 2}: {OlderEpoch}}},
-		"older gang":       {heartbeat(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(2), 0}, 2}: {OlderEpoch}}},
-		"two machines":     {heartbeat(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 3}: {OnTwoMachines}}},
-		"unreadable job":   {heartbeat(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(4), 0}, 2}: {Unreadable}}},
-		"unreadable name":  {heartbeat(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"unknown state":    {heartbeat(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
-		"contradiction":    {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
-		"said twice":       {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"done by any copy": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
-		"newer session":    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
+		"matching":                             {currentHeartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching}}},
+		"absent":                               {currentHeartbeat(replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedAbsent}}},
+		"late copy":                            {late, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {NotYetReported}}},
+		"undelivered":                          {currentHeartbeat(replica), map[AttemptID][]Class{{TaskID{jobID(1), 3}, 1}: {NotYetReported}}},
+		"exited":                               {currentHeartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedEnded}}},
+		"unknown job":                          {currentHeartbeat(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(7), 0}, 1}: {NeverStored}}},
+		"unknown task":                         {currentHeartbeat(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 9}, 1}: {NeverStored}}},
+		"higher attempt":                       {currentHeartbeat(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 4}: {NeverStored}}},
+		"task done":                            {currentHeartbeat(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 1}, 3}: {StoredEnded}}},
+		"older attempt":                        {currentHeartbeat(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 2}: {OlderEpoch}}},
+		"older gang attempt":                   {currentHeartbeat(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(2), 0}, 2}: {OlderEpoch}}},
+		"on two machines":                      {currentHeartbeat(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 3}: {OnTwoMachines}}},
+		"job with an unreadable record":        {currentHeartbeat(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(4), 0}, 2}: {Unreadable}}},
+		"malformed task name":                  {currentHeartbeat(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {NotYetReported}}},
+		"unknown state":                        {currentHeartbeat(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching, Unreadable}}},
+		"contradictory entries":                {currentHeartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Unreadable, Unreadable}}},
+		"duplicate entries":                    {currentHeartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching}}},
+		"task done, without the current token": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 2}: {ReportedEnded}}},
+		"newer incarnation":                    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedAbsent}, {TaskID{jobID(1), 3}, 1}: {ReportedAbsent}}},
 	} {
 		got := map[AttemptID][]Class{}
-		for _, d := range reconcile(s, []*protocol.Heartbeat{c.r}) {
-			if _, wanted := c.want[d.ID]; wanted {
+		for _, d := range reconcile(s, []*protocol.Heartbeat{test.heartbeat}) {
+			if _, wanted := test.want[d.ID]; wanted {
 				got[d.ID] = append(got[d.ID], d.Class)
 			}
 		}
-		if d := cmp.Diff(c.want, got); d != "" {
+		if d := cmp.Diff(test.want, got); d != "" {
 			t.Errorf("%s: %s", name, d)
 		}
 	}
 }
 
-// TestPhase: a phase ends when all are known, or when the leases of the silent have expired;
-// an attempt counts once, in the class that was found.
-func TestPhase(t *testing.T) {
+// TestRecoveryPhase: a phase ends when all recorded agents are accounted for, or when the leases of
+// the silent ones have expired. An attempt counts once, and a difference found is not replaced by
+// Matching.
+func TestRecoveryPhase(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	id := AttemptID{TaskID{job(1), 0}, 3}
+	id := AttemptID{TaskID{jobID(1), 0}, 3}
 	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Incarnation: 1}}, "m1": nil}
 	p := NewRecoveryPhase()
 	p.Begin(now, now.Add(40*time.Second), stored)
@@ -386,10 +391,10 @@
 	p.AgentAccountedFor("m0")
 	p.CommandSent(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
-		t.Error("ends while an agent is silent")
+		t.Error("the phase ended while an agent is silent")
 	}
 	if !p.Tick(now.Add(41 * time.Second)) {
-		t.Error("goes on though every lease has expired")
+		t.Error("the phase did not end although every lease has expired")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
 	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, RecordedAgents: 2, SilentAgents: 1, StoredAttempts: 1, Commands: CommandCounts{Stops: 1}}
@@ -405,6 +410,6 @@
 	}
 	p.Begin(now, now, nil)
 	if s := p.Summary(); s.Active() {
-		t.Errorf("nothing is stored: %+v", s)
+		t.Errorf("the phase is active although nothing is stored: %+v", s)
 	}
 }
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -1,19 +1,21 @@
-// Package restore notices that the key-value store was restored to an older state and brings
-// the cluster out of it.
+// Package restore detects that the key-value store was restored to an older state, and recovers
+// the cluster from it.
 //
-// A fencing token is a revision of the store. An agent that holds a higher one than the
-// leader's term has met a later leader; or, if the store confirms that the term is still the
-// newest, it holds the token of a history that the store has lost. Such an agent takes no
-// command and its lease expires. So the leader raises the revision above the highest token
-// that it has seen, if that can be done within half a lease, and takes a new term; agents
-// then keep what they run. Otherwise their machines are deleted once their leases have
+// A fencing token is a revision of the store. An agent whose token is higher than the leader's
+// term has normally been in contact with a later leader. But if the store confirms that the term
+// is still the newest, the token comes from a discarded history: from revisions that the restore
+// rolled back. Such an agent accepts no command, and its lease expires. So the leader raises the
+// store's revision above the highest token that it has seen, if that is possible within half a
+// lease, and steps down, so that the next term is above it. The agents then accept the new token
+// and keep their tasks. Otherwise the leader deletes their machines once their leases have
 // expired.
 //
-// What the lost history placed is on no record. So nothing that was submitted before is
-// started until every recorded agent is known or its lease has expired. A marker in the
-// store, whose writes raise the revision, has every later leader do the same.
+// Attempts that were placed in the discarded history are in no record. So no job submitted
+// before this leader's term starts anything until every recorded agent is accounted for or its
+// lease has expired. The marker in the store makes every later leader wait in the same way.
+// Writing it is also what raises the revision.
 //
-// The package writes nothing but the marker.
+// The package writes only the marker.
 package restore
 
 import (
@@ -28,35 +30,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is the key-value store as this leader uses it. Nothing is answered any more once
-// the leader has stepped down.
+// Store is the key-value store as this leader uses it. Once the leader has stepped down, done
+// is no longer called.
 type Store interface {
 	Transact(txn protocol.Transaction, done func(kv.TransactionResult))
-	// WriteBudget is what the store's limit on changes leaves to the leader's decisions.
+	// WriteBudget returns the leader's share of the store's limit on changes.
 	WriteBudget() *rate.Limiter
 }
 
-// Environment is what is needed of the leader.
+// Environment is what the Monitor needs from the leader.
 type Environment interface {
-	// After does something once the time has passed, if this leader still leads.
+	// After calls do once the pause has passed, unless the leader has stepped down by then.
 	After(pause time.Duration, do func())
-	// UniqueName makes a name that no other request or record has.
+	// UniqueName returns a name that no other request or record has.
 	UniqueName() string
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling requests that a scheduling cycle runs soon.
 	RequestScheduling()
 	// StepDown ends this leader's term.
 	StepDown(reason string)
-	// Recovering says whether a recovery after a failover lasts.
+	// Recovering reports whether the recovery after the failover is still active.
 	Recovering() bool
-	// LeaseExpiresAt is when a machine's agent has given up what it runs, at the latest.
+	// LeaseExpiresAt returns the time by which a machine's agent has certainly given up its
+	// tasks.
 	LeaseExpiresAt(machine *cluster.Machine) time.Time
 	// DeleteMachine returns a machine to the cloud.
 	DeleteMachine(machine *cluster.Machine, reason string)
-	// MachinesRecorded says whether any machine record is stored.
+	// MachinesRecorded reports whether there are any machine records.
 	MachinesRecorded() bool
 }
 
-// Monitor watches the tokens that agents show for those of a lost history.
+// Monitor checks the fencing tokens of agents for tokens from a discarded history, and handles
+// a restored store.
 type Monitor struct {
 	state *cluster.State
 	store Store
@@ -64,31 +68,31 @@
 	log   *slog.Logger
 	term  protocol.Term
 
-	tokenConfirmed bool // a recorded agent has taken this leader's token
-	marked         bool // the marker stands
-	proven         bool // in this term
-	highestToken   protocol.Term
-	revision       protocol.Revision // of the store, when it was last told
-	confirmingTerm bool              // the store was asked whether the term is the newest
+	tokenConfirmed bool // a recorded agent has accepted this leader's token
+	markerStored   bool
+	restoreProven  bool              // a restore was proven in this term
+	highestToken   protocol.Term     // highest token seen so far
+	storeRevision  protocol.Revision // latest revision known of the store
+	confirmingTerm bool              // the check whether the term is still the newest is in flight
 	writingMarker  bool
 }
 
-// NewMonitor makes the monitor of a term.
+// NewMonitor returns the monitor for one term.
 func NewMonitor(term protocol.Term, state *cluster.State, store Store, env Environment, log *slog.Logger) *Monitor {
 	return &Monitor{state: state, store: store, env: env, log: log, term: term}
 }
 
-// LoadMarker takes the marker of an earlier leader that found the store restored.
+// LoadMarker loads the marker of an earlier leader that found the store restored.
 func (m *Monitor) LoadMarker(marker protocol.Entry) {
-	m.marked = true
-	m.log.Error("store was restored to an older state, earlier jobs wait for all agents", "record", string(marker.Value))
+	m.markerStored = true
+	m.log.Error("store was restored to an older state, recorded jobs wait until all agents are accounted for", "record", string(marker.Value))
 }
 
-// HasMarker says whether the marker stands.
-func (m *Monitor) HasMarker() bool { return m.marked }
+// HasMarker reports whether the marker is stored.
+func (m *Monitor) HasMarker() bool { return m.markerStored }
 
-// ObserveHigherToken takes an agent's token above this leader's term: the agent would drop
-// whatever it is answered.
+// ObserveHigherToken handles a heartbeat with a token above this leader's term. Its agent would
+// ignore any response.
 func (m *Monitor) ObserveHigherToken(heartbeat *protocol.Heartbeat) {
 	if heartbeat.FencingToken > m.highestToken {
 		m.highestToken = heartbeat.FencingToken
@@ -101,60 +105,62 @@
 	machine.Agent.HigherToken = heartbeat.FencingToken
 }
 
-// confirmTerm asks the store whether this leader's term is the newest still.
+// confirmTerm checks with the store that this leader's term is still the newest.
 func (m *Monitor) confirmTerm(machineID protocol.MachineID) {
 	if m.confirmingTerm {
 		return
 	}
 	m.confirmingTerm = true
-	m.store.Transact(protocol.Transaction{Conditions: m.guards()}, func(result kv.TransactionResult) {
+	m.store.Transact(protocol.Transaction{Conditions: m.leaseConditions()}, func(result kv.TransactionResult) {
 		m.confirmingTerm = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
 			m.env.StepDown("an agent has seen a higher token")
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
-			m.log.Error("store was restored to an older state: an agent holds a token that it never gave",
+			m.log.Error("store was restored to an older state: an agent holds a token that the store never issued",
 				"machine", machineID, "token", m.highestToken, "revision", result.Revision, "term", m.term)
-			m.proven, m.revision = true, result.Revision
+			m.restoreProven, m.storeRevision = true, result.Revision
 		default:
-			m.highestToken = m.term // the next heartbeat asks again
+			m.highestToken = m.term // the next heartbeat with a higher token repeats the check
 		}
 	})
 }
 
-// guards demand that this leader still leads.
-func (m *Monitor) guards() []protocol.Condition {
+// leaseConditions returns the conditions that make a transaction fail if this leader no longer
+// leads.
+func (m *Monitor) leaseConditions() []protocol.Condition {
 	return []protocol.Condition{{Key: storage.LeaderKey, Revision: protocol.Revision(m.term)}}
 }
 
-// reachableToken is the highest token of an agent above which the revision can be raised
-// before the agents' leases expire, 0 if there is none. A single token beyond reason
-// costs no more than its own machine.
+// reachableToken returns the highest agent token above which the revision can be raised within
+// half a lease, or 0 if there is none. Tokens beyond reach are left out, so that a single
+// implausibly high one costs only its own machine.
 func (m *Monitor) reachableToken() (token protocol.Term) {
 	changes := m.state.Config.Cluster.Store.WriteRPS * m.state.Config.Cluster.Agents.LeaseS / 2
 	for _, machine := range m.state.OrderedMachines {
-		if machine.Agent.HigherToken <= protocol.Term(m.revision)+protocol.Term(changes) {
+		if machine.Agent.HigherToken <= protocol.Term(m.storeRevision)+protocol.Term(changes) {
 			token = max(token, machine.Agent.HigherToken)
 		}
 	}
 	return token
 }
 
-// Tick raises the revision, takes a new term once it is above the agents' tokens, or
-// deletes the machines whose agents no term will reach.
+// Tick takes the next step of handling a restored store. It raises the revision and, once the
+// revision is above the agents' tokens, steps down for a new term. Machines whose agents hold
+// a token beyond reach are deleted. After the recovery it removes the marker.
 func (m *Monitor) Tick() {
 	switch {
-	case !m.proven:
-		if m.marked && !m.env.Recovering() {
+	case !m.restoreProven:
+		if m.markerStored && !m.env.Recovering() {
 			m.removeMarker()
 		}
-	case !m.marked:
+	case !m.markerStored:
 		m.raiseRevision()
 	default:
 		switch token := m.reachableToken(); {
 		case token <= m.term:
 			m.deleteUnreachable()
-		case protocol.Term(m.revision) >= token:
+		case protocol.Term(m.storeRevision) >= token:
 			m.env.StepDown("agents hold higher tokens, the next term is above them")
 		default:
 			m.raiseRevision()
@@ -162,25 +168,27 @@
 	}
 }
 
-// deleteUnreachable deletes the machines whose agents no term will reach, when their leases
-// have expired. Once all are gone the store's history is the only one again.
+// deleteUnreachable deletes the machines whose agents hold a token that the revision cannot
+// reach, once their leases have expired. When all of them are gone, no token from a discarded
+// history is left.
 func (m *Monitor) deleteUnreachable() {
-	left := false
+	remaining := false
 	for _, machine := range m.state.OrderedMachines {
 		if machine.Agent.HigherToken <= m.term {
 			continue
 		}
-		left = true
+		remaining = true
 		if m.state.Now().After(m.env.LeaseExpiresAt(machine)) {
-			m.env.DeleteMachine(machine, "holds a higher token than any leader")
+			m.env.DeleteMachine(machine, "its agent holds a token that no term can reach")
 		}
 	}
-	if !left {
-		m.proven, m.highestToken = false, m.term
+	if !remaining {
+		m.restoreProven, m.highestToken = false, m.term
 	}
 }
 
-// raiseRevision writes the marker, again and again as fast as half of the budget allows.
+// raiseRevision writes the marker: every write raises the store's revision. It is repeated as
+// fast as half of the write budget allows.
 func (m *Monitor) raiseRevision() {
 	budget, now := m.store.WriteBudget(), m.state.Now()
 	if m.writingMarker || budget.TokensAt(now) < float64(budget.Burst())/2 {
@@ -189,36 +197,37 @@
 	budget.AllowN(now, 1)
 	marker := storage.Restored{Writer: m.env.UniqueName(), Token: m.highestToken}
 	m.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
-		m.marked = true
+		m.markerStored = true
 		m.Tick()
 	})
 }
 
-// removeMarker deletes the marker when a recovery has ended.
+// removeMarker deletes the marker after the recovery has ended.
 func (m *Monitor) removeMarker() {
 	if m.writingMarker || !m.store.WriteBudget().AllowN(m.state.Now(), 1) {
 		return
 	}
-	m.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { m.marked = false })
+	m.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { m.markerStored = false })
 }
 
-// writeMarker carries a change of the marker out under the leader's term.
+// writeMarker sets or deletes the marker, on condition that this leader still leads. done is
+// called after success.
 func (m *Monitor) writeMarker(change protocol.Change, done func()) {
 	m.writingMarker = true
-	txn := protocol.Transaction{Conditions: m.guards(), Changes: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: m.leaseConditions(), Changes: []protocol.Change{change}}
 	m.store.Transact(txn, func(result kv.TransactionResult) {
 		if result.Outcome != kv.Done || result.Malformed {
 			m.env.After(tuning.StoreRetryDelay, func() { m.writingMarker = false })
 			return
 		}
 		m.writingMarker = false
-		m.revision = max(m.revision, result.Revision)
+		m.storeRevision = max(m.storeRevision, result.Revision)
 		done()
 	})
 }
 
-// ObserveConfirmedToken notes that a machine's agent has taken this leader's token. A
-// recorded one held none of another history.
+// ObserveConfirmedToken notes that a machine's agent has accepted this leader's token. If the
+// machine was recorded, this shows that its agent held no token from a discarded history.
 func (m *Monitor) ObserveConfirmedToken(machine *cluster.Machine) {
 	if machine.Recovered && machine.Agent.TokenConfirmed && !m.tokenConfirmed {
 		m.tokenConfirmed = true
@@ -226,13 +235,14 @@
 	}
 }
 
-// StartsWithheld says whether a job must not start anything yet: attempts that no record has may
-// run on machines whose agents have yet to report. Until one of them has shown its token,
-// nobody knows.
+// StartsWithheld reports whether a job must not start anything yet. If the store was restored,
+// attempts of recorded jobs that are in no record may run on machines whose agents have yet to
+// report. Whether it was restored is unknown until a recorded agent has shown its token, or
+// none has reported for the silence timeout.
 func (m *Monitor) StartsWithheld(job *cluster.Job) bool {
 	if !job.Recovered || !m.env.Recovering() || !m.env.MachinesRecorded() {
 		return false
 	}
-	unknown := !m.tokenConfirmed && m.state.Now().Sub(m.state.LeadingSince) < m.state.SilenceTimeout()
-	return m.proven || m.marked || unknown
+	unconfirmed := !m.tokenConfirmed && m.state.Now().Sub(m.state.LeadingSince) < m.state.SilenceTimeout()
+	return m.restoreProven || m.markerStored || unconfirmed
 }
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -16,31 +16,31 @@
 
 const testTerm protocol.Term = 7
 
-// testLeader stands for the leader and its store: it notes what is asked of it.
+// testLeader is a fake of the leader and its store. It records the calls that the monitor makes.
 type testLeader struct {
 	*clustertest.Cluster
 	monitor *Monitor
 	budget  *rate.Limiter
 
-	sent        []protocol.Transaction
-	answer      func(kv.TransactionResult) // to the transaction sent last
-	timers      []func()
-	steppedDown string
-	deleted     []*cluster.Machine
-	recovering  bool
-	recorded    bool
-	scheduling  bool
+	sent             []protocol.Transaction
+	respond          func(kv.TransactionResult) // responds to the last transaction sent
+	timers           []func()
+	steppedDown      string
+	deleted          []*cluster.Machine
+	recovering       bool
+	machinesRecorded bool
+	scheduling       bool
 }
 
 func newTestLeader() *testLeader {
-	l := &testLeader{Cluster: clustertest.New(), budget: rate.NewLimiter(10, 10), recovering: true, recorded: true}
+	l := &testLeader{Cluster: clustertest.New(), budget: rate.NewLimiter(10, 10), recovering: true, machinesRecorded: true}
 	l.Config.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	l.monitor = NewMonitor(testTerm, l.State, l, l, slog.New(slog.DiscardHandler))
 	return l
 }
 
 func (l *testLeader) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
-	l.sent, l.answer = append(l.sent, txn), done
+	l.sent, l.respond = append(l.sent, txn), done
 }
 func (l *testLeader) WriteBudget() *rate.Limiter                 { return l.budget }
 func (l *testLeader) After(_ time.Duration, do func())           { l.timers = append(l.timers, do) }
@@ -48,13 +48,13 @@
 func (l *testLeader) RequestScheduling()                         { l.scheduling = true }
 func (l *testLeader) StepDown(reason string)                     { l.steppedDown = reason }
 func (l *testLeader) Recovering() bool                           { return l.recovering }
-func (l *testLeader) MachinesRecorded() bool                     { return l.recorded }
+func (l *testLeader) MachinesRecorded() bool                     { return l.machinesRecorded }
 func (l *testLeader) DeleteMachine(m *cluster.Machine, _ string) { l.deleted = append(l.deleted, m) }
 func (l *testLeader) LeaseExpiresAt(*cluster.Machine) time.Time {
 	return l.LeadingSince.Add(24 * time.Second)
 }
 
-// checkGuarded checks that the transaction sent last is guarded on the leader lease.
+// checkGuarded checks that the last transaction sent is guarded on the leader lease.
 func (l *testLeader) checkGuarded(t *testing.T) {
 	t.Helper()
 	last := l.sent[len(l.sent)-1]
@@ -63,70 +63,71 @@
 	}
 }
 
-// showToken has an agent show a token above the term.
+// showToken has the monitor observe a heartbeat with the given token, which is above the term.
 func (l *testLeader) showToken(token protocol.Term) {
 	l.monitor.ObserveHigherToken(&protocol.Heartbeat{Machine: "i-1", Address: "h:1", Type: "big", Zone: "a", FencingToken: token})
 }
 
-// prove has the store confirm the term.
-func (l *testLeader) prove() {
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 10})
+// confirmTerm has the store confirm that the term is the newest.
+func (l *testLeader) confirmTerm() {
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 10})
 }
 
-// TestHigherTokenIsConfirmedByTheStore: an agent's token above the term ends the term if the
-// store has a newer one, and is of a lost history if the store has none. Without an answer
-// the next heartbeat asks again.
-func TestHigherTokenIsConfirmedByTheStore(t *testing.T) {
+// TestHigherTokenMakesMonitorCheckTerm: when an agent shows a token above the term, the monitor
+// checks the term with the store. If the store has a newer term, the leader steps down. If not,
+// the token is from a discarded history. Without a valid response the check is repeated at the
+// next heartbeat.
+func TestHigherTokenMakesMonitorCheckTerm(t *testing.T) {
 	for name, test := range map[string]struct {
-		result      kv.TransactionResult
-		stepsDown   bool
-		writes      bool // the marker, at the next tick
-		asksAgainOn protocol.Term
+		result    kv.TransactionResult
+		stepsDown bool
+		writes    bool          // whether the marker is written at the next tick
+		nextToken protocol.Term // token of a later heartbeat that repeats the check; 0 for none
 	}{
-		"newer term":         {result: kv.TransactionResult{Outcome: kv.ConditionFailed}, stepsDown: true},
-		"term still stands":  {result: kv.TransactionResult{Outcome: kv.Done, Revision: 10}, writes: true},
-		"no answer":          {result: kv.TransactionResult{Outcome: kv.Unknown}, asksAgainOn: 90},
-		"malformed answer":   {result: kv.TransactionResult{Outcome: kv.Done, Malformed: true, Revision: 10}, asksAgainOn: 90},
-		"answer of no store": {result: kv.TransactionResult{Outcome: kv.Done}, asksAgainOn: 90},
+		"newer term":                  {result: kv.TransactionResult{Outcome: kv.ConditionFailed}, stepsDown: true},
+		"term still stands":           {result: kv.TransactionResult{Outcome: kv.Done, Revision: 10}, writes: true},
+		"no response":                 {result: kv.TransactionResult{Outcome: kv.Unknown}, nextToken: 90},
+		"malformed response":          {result: kv.TransactionResult{Outcome: kv.Done, Malformed: true, Revision: 10}, nextToken: 90},
+		"response without a revision": {result: kv.TransactionResult{Outcome: kv.Done}, nextToken: 90},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLeader()
 			l.showToken(90)
-			l.showToken(95) // while the store is asked, it is not asked again
+			l.showToken(95) // no second check while one is in flight
 			if len(l.sent) != 1 || len(l.sent[0].Changes) != 0 {
 				t.Fatalf("%+v", l.sent)
 			}
 			l.checkGuarded(t)
-			l.answer(test.result)
+			l.respond(test.result)
 			if (l.steppedDown != "") != test.stepsDown {
-				t.Errorf("steps down: %q", l.steppedDown)
+				t.Errorf("stepped down with reason %q", l.steppedDown)
 			}
 			l.monitor.Tick()
 			if wrote := len(l.sent) > 1; wrote != test.writes {
-				t.Errorf("writes the marker: %v", wrote)
+				t.Errorf("marker written: %v", wrote)
 			}
-			if test.asksAgainOn != 0 {
-				l.showToken(test.asksAgainOn)
+			if test.nextToken != 0 {
+				l.showToken(test.nextToken)
 				if len(l.sent) != 2 {
-					t.Error("does not ask again")
+					t.Error("the check is not repeated")
 				}
 			}
 		})
 	}
 }
 
-// TestRevisionIsRaisedAboveTokens: the marker is written under the term until the store's
-// revision is above the token, then the term ends; a failed write is repeated later.
+// TestRevisionIsRaisedAboveTokens: the marker is written until the store's revision has reached
+// the token, then the leader steps down. A failed write is repeated after a pause.
 func TestRevisionIsRaisedAboveTokens(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove()
+	l.confirmTerm()
 	l.monitor.Tick()
 	l.checkGuarded(t)
-	l.answer(kv.TransactionResult{Outcome: kv.Unavailable})
+	l.respond(kv.TransactionResult{Outcome: kv.Unavailable})
 	l.monitor.Tick()
 	if len(l.sent) != 2 || len(l.timers) != 1 {
-		t.Fatalf("%d sent, %d to be sent later", len(l.sent), len(l.timers))
+		t.Fatalf("%d transactions sent, %d timers set", len(l.sent), len(l.timers))
 	}
 	l.timers[0]()
 	for revision := protocol.Revision(11); revision <= 12; revision++ {
@@ -135,38 +136,38 @@
 			t.Fatalf("%+v", last)
 		}
 		if l.steppedDown != "" {
-			t.Fatal("steps down below the token")
+			t.Fatal("stepped down while the revision is below the token")
 		}
-		l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: revision})
+		l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: revision})
 	}
 	if l.steppedDown == "" {
-		t.Error("the revision is above the token, and the term goes on")
+		t.Error("did not step down after the revision reached the token")
 	}
 }
 
-// TestRevisionIsRaisedWithinHalfTheBudget: half of the write budget is left to others.
+// TestRevisionIsRaisedWithinHalfTheBudget: half of the write budget is left for other writes.
 func TestRevisionIsRaisedWithinHalfTheBudget(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove()
+	l.confirmTerm()
 	l.budget.AllowN(l.Now(), 6)
 	l.monitor.Tick()
 	if len(l.sent) != 1 {
-		t.Error("the marker is written out of the other half")
+		t.Error("the marker is written although half of the write budget is used up")
 	}
 }
 
-// TestUnreachableTokenCostsItsMachine: a token that the revision cannot reach within half a
-// lease costs its machine, once that has given up what it runs.
-func TestUnreachableTokenCostsItsMachine(t *testing.T) {
+// TestMachineWithUnreachableTokenIsDeleted: if the revision cannot reach an agent's token within
+// half a lease, its machine is deleted once the agent's lease has expired.
+func TestMachineWithUnreachableTokenIsDeleted(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(1_000_000)
-	l.prove()
+	l.confirmTerm()
 	l.monitor.Tick()
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
 	l.monitor.Tick()
 	if len(l.deleted) != 0 {
-		t.Fatal("deleted before its lease has expired")
+		t.Fatal("machine deleted before the lease of its agent has expired")
 	}
 	l.Advance(25 * time.Second)
 	l.monitor.Tick()
@@ -175,7 +176,7 @@
 	}
 	delete(l.Machines, "i-1")
 	l.OrderedMachines = nil
-	l.monitor.Tick() // the store's history is the only one again
+	l.monitor.Tick() // no token from a discarded history is left
 	l.recovering = false
 	l.monitor.Tick()
 	if last := l.sent[len(l.sent)-1]; last.Changes[0].Delete != storage.RestoredKey {
@@ -183,14 +184,14 @@
 	}
 }
 
-// TestMarkerGoesWithRecovery: the marker of an earlier leader stands while the recovery
-// lasts.
-func TestMarkerGoesWithRecovery(t *testing.T) {
+// TestMarkerIsRemovedAfterRecovery: the marker of an earlier leader is kept until the recovery
+// has ended, and then deleted.
+func TestMarkerIsRemovedAfterRecovery(t *testing.T) {
 	l := newTestLeader()
 	l.monitor.LoadMarker(protocol.Entry{Key: storage.RestoredKey})
 	l.monitor.Tick()
 	if len(l.sent) != 0 {
-		t.Fatal("removed during the recovery")
+		t.Fatal("marker removed during the recovery")
 	}
 	l.recovering = false
 	l.monitor.Tick()
@@ -199,27 +200,27 @@
 		t.Fatalf("%+v", l.sent)
 	}
 	l.checkGuarded(t)
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
 	if l.monitor.HasMarker() {
-		t.Error("still marked")
+		t.Error("the monitor still has the marker after its deletion")
 	}
 }
 
-// TestHolds: which jobs must not start anything, and for how long.
-func TestHolds(t *testing.T) {
+// TestStartsWithheld: recorded jobs start nothing while attempts in no record may run.
+func TestStartsWithheld(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(l *testLeader)
 		newJob  bool
 		want    bool
 	}{
-		"no agent has shown its token":         {prepare: func(*testLeader) {}, want: true},
-		"submitted to this leader":             {prepare: func(*testLeader) {}, newJob: true},
-		"no recovery":                          {prepare: func(l *testLeader) { l.recovering = false }},
-		"no machines":                          {prepare: func(l *testLeader) { l.recorded = false }},
-		"an agent has taken the token":         {prepare: func(l *testLeader) { l.confirm() }},
-		"no agent reports for long":            {prepare: func(l *testLeader) { l.Advance(l.SilenceTimeout()) }},
-		"restored, an agent took the token":    {prepare: func(l *testLeader) { l.confirm(); l.showToken(90); l.prove() }, want: true},
-		"marked, an agent has taken the token": {prepare: func(l *testLeader) { l.confirm(); l.monitor.LoadMarker(protocol.Entry{}) }, want: true},
+		"no agent has accepted the token":                         {prepare: func(*testLeader) {}, want: true},
+		"job submitted to this leader":                            {prepare: func(*testLeader) {}, newJob: true},
+		"no recovery":                                             {prepare: func(l *testLeader) { l.recovering = false }},
+		"no machine records":                                      {prepare: func(l *testLeader) { l.machinesRecorded = false }},
+		"a recorded agent has accepted the token":                 {prepare: func(l *testLeader) { l.confirmToken() }},
+		"no agent reports within the silence timeout":             {prepare: func(l *testLeader) { l.Advance(l.SilenceTimeout()) }},
+		"store restored, a recorded agent has accepted the token": {prepare: func(l *testLeader) { l.confirmToken(); l.showToken(90); l.confirmTerm() }, want: true},
+		"marker stored, a recorded agent has accepted the token":  {prepare: func(l *testLeader) { l.confirmToken(); l.monitor.LoadMarker(protocol.Entry{}) }, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLeader()
@@ -227,18 +228,18 @@
 			job.Recovered = !test.newJob
 			test.prepare(l)
 			if got := l.monitor.StartsWithheld(job); got != test.want {
-				t.Errorf("holds %v", got)
+				t.Errorf("starts withheld: %v", got)
 			}
 		})
 	}
 }
 
-// confirm has the agent of a recorded machine take this leader's token.
-func (l *testLeader) confirm() {
+// confirmToken has the agent of a recorded machine accept this leader's token.
+func (l *testLeader) confirmToken() {
 	machine := l.AddMachine("i-2", "big", "a")
 	machine.Recovered = true
 	l.monitor.ObserveConfirmedToken(machine)
 	if !l.scheduling {
-		panic("jobs may start and no scheduling is requested")
+		panic("no scheduling requested although jobs may start")
 	}
 }
