--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -35,11 +35,11 @@
 	// cannot be read. The attempt may be present; the entry proves nothing.
 	Unreadable
 
-	// NumClasses is the number of classes.
-	NumClasses = int(Unreadable) + 1
+	// Classes is the number of classes.
+	Classes = int(Unreadable) + 1
 )
 
-var classNames = [NumClasses]string{"matching", "not_yet_reported", "reported_absent", "never_stored", "reported_ended",
+var classNames = [Classes]string{"matching", "not_yet_reported", "reported_absent", "never_stored", "reported_ended",
 	"stored_ended", "older_epoch", "on_two_machines", "gang_incomplete", "unreadable"}
 
 // String returns the name of the class in logs and metrics.
@@ -68,7 +68,7 @@
 	EndGang
 )
 
-var resolutions = [NumClasses]Resolution{Matching: Keep, NotYetReported: Await, ReportedAbsent: Release, NeverStored: Stop,
+var resolutions = [Classes]Resolution{Matching: Keep, NotYetReported: Await, ReportedAbsent: Release, NeverStored: Stop,
 	ReportedEnded: RecordEnd, StoredEnded: Stop, OlderEpoch: Stop, OnTwoMachines: Stop, GangIncomplete: EndGang, Unreadable: Keep}
 
 // Resolution returns the resolution of all differences of the class.
--- a/internal/coordination/reconcile/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -25,14 +25,14 @@
 
 // Summary is the state of a recovery phase.
 type Summary struct {
-	Began          time.Time
-	Ended          time.Time // zero while the phase is active
-	Reason         EndReason
-	RecordedAgents int             // agents that the records name
-	SilentAgents   int             // recorded agents that are not accounted for
-	StoredAttempts int             // attempts that the records place on machines
-	CountByClass   [NumClasses]int // of attempts; of gangs for GangIncomplete
-	Commands       CommandCounts
+	Began            time.Time
+	Ended            time.Time // zero while the phase is active
+	Reason           EndReason
+	RecordedAgents   int          // agents that the records name
+	SilentAgents     int          // recorded agents that are not accounted for
+	RecordedAttempts int          // attempts that the records place on machines
+	Classes          [Classes]int // number of attempts by class; of gangs for GangIncomplete
+	Commands         CommandCounts
 }
 
 // Active reports whether the phase has not ended.
@@ -63,7 +63,7 @@
 	for machineID, attempts := range stored {
 		p.silent[machineID] = struct{}{}
 		for _, attempt := range attempts {
-			p.summary.StoredAttempts++
+			p.summary.RecordedAttempts++
 			p.count(Placement{attempt.ID, machineID}, NotYetReported)
 		}
 	}
@@ -82,7 +82,7 @@
 	case d.Class == GangIncomplete:
 		if _, known := p.incompleteGangs[d.ID.Job]; !known {
 			p.incompleteGangs[d.ID.Job] = struct{}{}
-			p.summary.CountByClass[GangIncomplete]++
+			p.summary.Classes[GangIncomplete]++
 		}
 	default:
 		p.count(Placement{d.ID, d.Machine}, d.Class)
@@ -95,10 +95,10 @@
 		if previous != NotYetReported && (class == Matching || class == NotYetReported) {
 			return // keep the difference that was found
 		}
-		p.summary.CountByClass[previous]--
+		p.summary.Classes[previous]--
 	}
 	p.latestClass[placement] = class
-	p.summary.CountByClass[class]++
+	p.summary.Classes[class]++
 }
 
 // AgentAccountedFor notes that an agent has shown the leader's token or is proven gone.
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -63,7 +63,7 @@
 // tasks.
 func drawCluster(t *rapid.T) (*testSnapshot, agentTasks, []*protocol.Heartbeat) {
 	s := &testSnapshot{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
-	actual := agentTasks{}
+	real := agentTasks{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
 		s.agents = append(s.agents, Agent{Machine: m, Incarnation: 1})
@@ -103,14 +103,14 @@
 			if status.State == protocol.TaskExited {
 				status.Cause = cause.Draw(t, "cause")
 			}
-			actual[reportedBy] = append(actual[reportedBy], status)
+			real[reportedBy] = append(real[reportedBy], status)
 		}
 	}
 	var heartbeats []*protocol.Heartbeat
 	for _, m := range machines {
-		heartbeat := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "incarnation")), Sequence: 20, FencingToken: currentToken, Tasks: actual[m]}
+		heartbeat := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "incarnation")), Sequence: 20, FencingToken: currentToken, Tasks: real[m]}
 		if heartbeat.Incarnation == 2 { // a new incarnation has no tasks of the old one
-			heartbeat.Tasks, actual[m] = nil, nil
+			heartbeat.Tasks, real[m] = nil, nil
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "copies") {
 			late := *heartbeat
@@ -122,7 +122,7 @@
 			heartbeats = append(heartbeats, heartbeat)
 		}
 	}
-	return s, actual, heartbeats
+	return s, real, heartbeats
 }
 
 func reconcile(s *testSnapshot, heartbeats []*protocol.Heartbeat) []Difference {
@@ -132,7 +132,7 @@
 
 // applyResolutions changes the snapshot as the resolutions require, and removes stopped tasks
 // from the agents.
-func applyResolutions(s *testSnapshot, actual agentTasks, differences []Difference) {
+func applyResolutions(s *testSnapshot, real agentTasks, differences []Difference) {
 	removePlacement := func(d Difference) {
 		s.attempts[d.Machine] = slices.DeleteFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
 		if task, ok := s.tasks[d.ID.TaskID]; ok && task.Machine == d.Machine && task.LastAttempt == d.ID.Attempt {
@@ -156,7 +156,7 @@
 				}
 			}
 		case Stop:
-			actual[d.Machine] = slices.DeleteFunc(actual[d.Machine], func(status protocol.TaskStatus) bool {
+			real[d.Machine] = slices.DeleteFunc(real[d.Machine], func(status protocol.TaskStatus) bool {
 				return status.Task == protocol.TaskName(d.ID.Job, d.ID.Index) && status.Attempt == d.ID.Attempt
 			})
 		case EndGang:
@@ -164,7 +164,7 @@
 				for _, a := range slices.Clone(list) {
 					if a.ID.Job == d.ID.Job {
 						removePlacement(Difference{ID: a.ID, Machine: machineID})
-						actual[machineID] = slices.DeleteFunc(actual[machineID], func(status protocol.TaskStatus) bool {
+						real[machineID] = slices.DeleteFunc(real[machineID], func(status protocol.TaskStatus) bool {
 							id, index, _ := protocol.SplitTask(status.Task)
 							return id == a.ID.Job && index == a.ID.Index
 						})
@@ -191,14 +191,14 @@
 // their commands, comparing again finds no difference that requires an action.
 func TestNothingToDoAfterResolution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, actual, heartbeats := drawCluster(t)
+		s, real, heartbeats := drawCluster(t)
 		differences := reconcile(s, heartbeats)
-		applyResolutions(s, actual, differences)
+		applyResolutions(s, real, differences)
 		var nextHeartbeats []*protocol.Heartbeat
-		for _, heartbeat := range heartbeats {
-			if heartbeat.FencingToken == currentToken {
-				next := *heartbeat
-				next.Sequence, next.Tasks = heartbeat.Sequence+1, actual[heartbeat.Machine]
+		for _, r := range heartbeats {
+			if r.FencingToken == currentToken {
+				next := *r
+				next.Sequence, next.Tasks = r.Sequence+1, real[r.Machine]
 				nextHeartbeats = append(nextHeartbeats, &next)
 			}
 		}
@@ -206,7 +206,7 @@
 			s.agents[i].Incarnation, s.agents[i].Sequence = 1, 20
 		}
 		for _, d := range reconcile(s, nextHeartbeats) {
-			if resolution := d.Class.Resolution(); resolution != Keep && resolution != Await {
+			if r := d.Class.Resolution(); r != Keep && r != Await {
 				t.Fatalf("%+v remains to be done after the resolution of %+v", d, differences)
 			}
 		}
@@ -397,8 +397,8 @@
 		t.Error("the phase did not end although every lease has expired")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
-	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, RecordedAgents: 2, SilentAgents: 1, StoredAttempts: 1, Commands: CommandCounts{Stops: 1}}
-	want.CountByClass[OlderEpoch] = 1
+	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, RecordedAgents: 2, SilentAgents: 1, RecordedAttempts: 1, Commands: CommandCounts{Stops: 1}}
+	want.Classes[OlderEpoch] = 1
 	if d := cmp.Diff(want, p.Summary()); d != "" {
 		t.Error(d)
 	}
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -14,7 +14,7 @@
 	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
 	l.recovery.Begin(l.n.now, expiry, l.agents.StoredAttempts())
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.RecordedAgents, "stored", s.StoredAttempts, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.RecordedAgents, "stored", s.RecordedAttempts, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
@@ -26,7 +26,7 @@
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
 		"workers", s.RecordedAgents, "silent", s.SilentAgents, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
-	for class, n := range s.CountByClass {
+	for class, n := range s.Classes {
 		attributes = append(attributes, reconcile.Class(class).String(), n)
 	}
 	l.n.log.Info("recovery ends", attributes...)
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -235,11 +235,11 @@
 	}
 }
 
-// StartsWithheld reports whether a job must not start anything yet. If the store was restored,
+// WithholdsStarts reports whether a job must not start anything yet. If the store was restored,
 // attempts of recorded jobs that are in no record may run on machines whose agents have yet to
 // report. Whether it was restored is unknown until a recorded agent has shown its token, or
 // none has reported for the silence timeout.
-func (m *Monitor) StartsWithheld(job *cluster.Job) bool {
+func (m *Monitor) WithholdsStarts(job *cluster.Job) bool {
 	if !job.Recovered || !m.env.Recovering() || !m.env.MachinesRecorded() {
 		return false
 	}
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -227,7 +227,7 @@
 			job := l.AddJob(clustertest.Gang(1, 1))
 			job.Recovered = !test.newJob
 			test.prepare(l)
-			if got := l.monitor.StartsWithheld(job); got != test.want {
+			if got := l.monitor.WithholdsStarts(job); got != test.want {
 				t.Errorf("starts withheld: %v", got)
 			}
 		})
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -126,7 +126,7 @@
 			c.crashAllApart(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
-			if s.Reason != reconcile.EndAllAccountedFor || s.CountByClass[reconcile.Matching] != 11 || s.StoredAttempts != 11 {
+			if s.Reason != reconcile.EndAllAccountedFor || s.Classes[reconcile.Matching] != 11 || s.RecordedAttempts != 11 {
 				t.Errorf("%+v", s)
 			}
 			c.Run(15 * time.Second)
@@ -465,7 +465,7 @@
 			c.Run(4 * time.Second)
 			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
 			c.waitUntilOver(t, 30*time.Second, u)
-			if s := c.recovered(60 * time.Second); s.CountByClass[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
+			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -47,7 +47,7 @@
 		m.phase.Set(1)
 	}
 	m.silent.Set(float64(s.SilentAgents))
-	for class, n := range s.CountByClass {
+	for class, n := range s.Classes {
 		m.differences.WithLabelValues(reconcile.Class(class).String()).Set(float64(n))
 	}
 	m.orders.WithLabelValues("start").Set(float64(s.Commands.Starts))
