--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -90,7 +90,7 @@
 			return
 		}
 		if r >= len(job.Records.Revisions) {
-			// Written by a predecessor that did not complete the split of a record. The
+			// Written by a previous leader that did not complete the split of a record. The
 			// next split reuses the key, or it is deleted with the job. It is not deleted
 			// now, because a late deletion could be applied after that split.
 			job.Records.Abandoned[r] = entry.Revision
@@ -110,8 +110,8 @@
 
 // removeUnrecordedMachines removes the machines that only the records of jobs name. Attempts are
 // committed only on machines that are in a machine record, and a machine is taken out of its
-// record only after the cloud has confirmed its deletion. So a predecessor has proven these
-// machines gone.
+// record only after the cloud has confirmed its deletion. So a previous leader has proven
+// these machines gone.
 func (ld *Loader) removeUnrecordedMachines() {
 	var ids []protocol.MachineID
 	for _, machine := range ld.state.OrderedMachines {
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -21,7 +21,8 @@
 	ReportedAbsent
 	// NeverStored: reported, but no record has its job, its task or such a high attempt number.
 	NeverStored
-	// ReportedEnded: reported as exited, but stored as placed, or its task as not done.
+	// ReportedEnded: reported as exited, but the records still place it, or have its task as
+	// not done.
 	ReportedEnded
 	// StoredEnded: reported as not exited, but its task is stored as done.
 	StoredEnded
@@ -86,7 +87,8 @@
 	Attempt protocol.AttemptNumber
 }
 
-// Difference is the result of comparing the records and a heartbeat for one attempt.
+// Difference is the result of comparing the records and a heartbeat for one attempt, or for one
+// gang if the class is GangIncomplete.
 type Difference struct {
 	Class   Class
 	ID      AttemptID
--- a/internal/coordination/reconcile/phase.go
+++ b/internal/coordination/reconcile/phase.go
@@ -54,8 +54,8 @@
 	return &RecoveryPhase{summary: Summary{Reason: EndNothingStored}}
 }
 
-// Begin starts the phase at a failover. After leasesExpireAt the lease of any agent that this
-// leader has not answered has certainly expired. stored lists the attempts on every machine
+// Begin starts the phase at a failover. After leasesExpireAt the lease of any agent to which this
+// leader has not responded has certainly expired. stored lists the attempts on every machine
 // that the records name.
 func (p *RecoveryPhase) Begin(now, leasesExpireAt time.Time, stored map[protocol.MachineID][]Attempt) {
 	*p = RecoveryPhase{leasesExpireAt: leasesExpireAt, silent: make(map[protocol.MachineID]struct{}, len(stored)), latestClass: map[Placement]Class{}, incompleteGangs: map[protocol.JobID]struct{}{}}
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -53,7 +53,7 @@
 	// LeaseExpiresAt returns the time by which a machine's agent has certainly given up its
 	// tasks.
 	LeaseExpiresAt(machine *cluster.Machine) time.Time
-	// DeleteMachine returns a machine to the cloud.
+	// DeleteMachine deletes a machine in the cloud.
 	DeleteMachine(machine *cluster.Machine, reason string)
 	// MachinesRecorded reports whether there are any machine records.
 	MachinesRecorded() bool
@@ -71,7 +71,7 @@
 	tokenConfirmed bool // a recorded agent has accepted this leader's token
 	markerStored   bool
 	restoreProven  bool              // a restore was proven in this term
-	highestToken   protocol.Term     // highest token seen so far
+	highestToken   protocol.Term     // highest agent token seen; lowered to the term to repeat the check
 	storeRevision  protocol.Revision // latest revision known of the store
 	confirmingTerm bool              // the check whether the term is still the newest is in flight
 	writingMarker  bool
@@ -146,7 +146,7 @@
 }
 
 // Tick takes the next step of handling a restored store. It raises the revision and, once the
-// revision is above the agents' tokens, steps down for a new term. Machines whose agents hold
+// revision has reached the agents' tokens, steps down for a new term. Machines whose agents hold
 // a token beyond reach are deleted. After the recovery it removes the marker.
 func (m *Monitor) Tick() {
 	switch {
