--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -286,7 +286,7 @@
 			for ; l.state.Now().Sub(start) < till; l.state.Advance(tuning.MachineSweepInterval) {
 				for i, machine := range l.state.OrderedMachines {
 					if i >= c.silent {
-						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.state.Now(), l.state.Now()
+						machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.state.Now(), l.state.Now()
 					}
 				}
 				l.Liveness.Tick()
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -142,8 +142,8 @@
 // has forgotten every attempt of an older one.
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
-		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
-		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
+		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
+		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.RespondedAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
 			// Its lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
@@ -165,7 +165,7 @@
 	}
 	machine.Agent.LastHeartbeat = now
 	if from == fromHeartbeat {
-		machine.Agent.AnsweredAt = now
+		machine.Agent.RespondedAt = now
 	} else {
 		machine.Agent.IneffectiveResponses = 0 // it has answered a call
 	}
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -46,8 +46,8 @@
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	from := l.state.LeadingSince.Add(grace)
-	if machine.Agent.AnsweredAt.After(from) {
-		from = machine.Agent.AnsweredAt
+	if machine.Agent.RespondedAt.After(from) {
+		from = machine.Agent.RespondedAt
 	}
 	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	return from.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
@@ -157,7 +157,7 @@
 // maydeleteSilent says whether a machine, not the network, is at fault, or has been gone for
 // longer than another takes to boot.
 func (l *Liveness) maydeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
-	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
+	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBootTime(machine)
 }
 
 // mayDeleteReplicaHost says the same of a machine with replicas, or that these have places
@@ -166,7 +166,7 @@
 	if partitions.early == nil {
 		partitions.early, partitions.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.heard)
+	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.MostReplicasFitElsewhere(machine, partitions.heard)
 }
 
 // deleteSilent has a machine deleted that does not answer.
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -159,7 +159,7 @@
 		return
 	}
 	if attempt.StartMayArrive() {
-		machine.Delivery.Pinned[key] = true
+		machine.Delivery.MustNotForget[key] = true
 	}
 	attempt.ObserveExit()
 	h.lifecycle.HandleExit(attempt, entry)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -98,7 +98,7 @@
 		l.runSchedulingCycle()
 		l.nextCycleAt = l.n.now.Add(l.scheduler.CyclePause())
 	}
-	l.committer.SplitOutgrown(l.scheduler)
+	l.committer.MarkOversizedRecords(l.scheduler)
 	l.committer.Commit()
 	l.agents.Delivery.SendPending()
 }
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -14,7 +14,7 @@
 	outcome := ld.loadMachineRecords(mirror)
 	ld.loadJobs(mirror)
 	ld.loadTaskRecords(mirror)
-	ld.committer.Machines.SplitOutgrown()
+	ld.committer.Machines.SplitOversized()
 	if outcome == allRead {
 		ld.removeUnrecordedMachines()
 	}
@@ -93,7 +93,7 @@
 			// Written by a previous leader that did not complete the split of a record. The
 			// next split reuses the key, or it is deleted with the job. It is not deleted
 			// now, because a late deletion could be applied after that split.
-			job.Records.Abandoned[r] = entry.Revision
+			job.Records.AbandonedParts[r] = entry.Revision
 			return
 		}
 		var record storage.TaskRecord
