--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -128,7 +128,7 @@
 	calls := l.calls
 	l.calls = nil
 	for _, call := range calls {
-		call.done(agents.CallResult{Outcome: agents.Unknown})
+		call.done(agents.CallResult{Outcome: agents.NoResponse})
 	}
 }
 
@@ -261,7 +261,7 @@
 	machine := l.machine("i-1", "a")
 	for range int(config.Seconds(l.state.Config.Cluster.Agents.LeaseS) / time.Second) {
 		l.state.Advance(time.Second)
-		l.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: heartbeat(machine, testTerm)})
+		l.Heartbeats.ObserveCallResult(machine, agents.CallResult{Outcome: agents.Executed, Heartbeat: heartbeat(machine, testTerm)})
 	}
 	if !l.state.ConfirmedAlive(machine) || l.state.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.state.ConfirmedAlive(machine), l.state.Schedulable(machine))
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -21,15 +21,15 @@
 
 // Outcomes of a call to an agent.
 const (
-	// Unknown: no answer came. The call may have been executed, or may be yet.
-	Unknown CallOutcome = iota
-	// Answered: the agent has executed the call.
-	Answered
+	// NoResponse: no answer came. The call may have been executed, or may be yet.
+	NoResponse CallOutcome = iota
+	// Executed: the agent has executed the call.
+	Executed
 	// Refused: the agent has not executed it, for it knows a higher fencing token or is of
 	// another incarnation.
 	Refused
-	// Failed: the answer says neither.
-	Failed
+	// UnexpectedResponse: the answer says neither.
+	UnexpectedResponse
 )
 
 // CallResult is the answer to a call.
@@ -37,8 +37,8 @@
 	Outcome CallOutcome
 	// Heartbeat is the agent's state after the call, nil if Malformed says why it cannot be
 	// read. Only answered and refused calls have one of them.
-	Heartbeat *protocol.Heartbeat
-	Malformed error
+	Heartbeat  *protocol.Heartbeat
+	ParseError error
 }
 
 // Calls paces the calls to agents.
@@ -49,10 +49,10 @@
 	client   Client
 }
 
-// NewLimiter paces the calls to agents by what they cost of the controller's share of a
+// NewCallLimiter paces the calls to agents by what they cost of the controller's share of a
 // core: a new leader that called every agent of a large fleet at once would not come to
 // renew its leader lease.
-func NewLimiter(resources config.ProcessLimits) *rate.Limiter {
+func NewCallLimiter(resources config.ProcessLimits) *rate.Limiter {
 	if resources.Cores <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -96,10 +96,10 @@
 	return HeartbeatResult{Outcome: Accepted, FencingToken: h.term, Commands: h.delivery.CommandsForResponse(machine)}
 }
 
-// ObserveAnswer takes the heartbeat that an agent gave as the answer to a call.
-func (h *Heartbeats) ObserveAnswer(machine *cluster.Machine, result CallResult) {
-	if result.Malformed != nil || result.Heartbeat.Machine != machine.ID {
-		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.Malformed)
+// ObserveCallResult takes the heartbeat that an agent gave as the answer to a call.
+func (h *Heartbeats) ObserveCallResult(machine *cluster.Machine, result CallResult) {
+	if result.ParseError != nil || result.Heartbeat.Machine != machine.ID {
+		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.ParseError)
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -186,10 +186,10 @@
 		if l.state.HasReplicas(machine) {
 			machine.Agent.ProbeNotBefore = l.state.Now()
 		}
-		if result.Outcome != Answered {
+		if result.Outcome != Executed {
 			machine.Agent.FailedProbes++
 			return
 		}
-		l.heartbeats.ObserveAnswer(machine, result)
+		l.heartbeats.ObserveCallResult(machine, result)
 	})
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -103,10 +103,10 @@
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
 		w := c.bounds.cluster.Agents
-		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
+		if got, most := c.LeaseTTL()+c.ConfirmationGrace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
-		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
+		if ttl := c.LeaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
 			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
 		}
 	}
@@ -149,7 +149,7 @@
 	c.now = c.now.Add(5 * time.Second)
 	c.ProcessPaused(5 * time.Second)
 	before.done(http.StatusOK, nil)
-	if c.MayAct() || c.Confirmed() || !c.HasAuthority() {
+	if c.MayAct() || c.LeaseConfirmed() || !c.HasAuthority() {
 		t.Fatal("a renewal sent before the pause counts")
 	}
 	c.ProcessPaused(0)
@@ -158,7 +158,7 @@
 	if !c.MayAct() {
 		t.Error("may not act after the renewal")
 	}
-	c.now = c.now.Add(c.TTL() + c.Grace() + time.Second)
+	c.now = c.now.Add(c.LeaseTTL() + c.ConfirmationGrace() + time.Second)
 	c.ProcessPaused(time.Minute)
 	if c.Term() != 0 || c.leading {
 		t.Error("leads on a leader lease that has expired")
