--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -63,7 +63,7 @@
 			d.Enqueue(machine)
 			continue
 		}
-		if commands := d.commands(machine, inCall); len(commands) > 0 {
+		if commands := d.commands(machine, viaCall); len(commands) > 0 {
 			d.call(machine, commands)
 		}
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -88,7 +88,7 @@
 
 // Accept takes a heartbeat. If it is accepted it has to be answered, with the commands.
 func (h *Heartbeats) Accept(heartbeat *protocol.Heartbeat) HeartbeatResult {
-	machine := h.take(heartbeat, fromHeartbeat)
+	machine := h.process(heartbeat, fromHeartbeat)
 	if machine == nil {
 		return HeartbeatResult{Outcome: Stale}
 	}
@@ -103,12 +103,12 @@
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
-		h.take(result.Heartbeat, fromCall)
+		h.process(result.Heartbeat, fromCall)
 	}
 }
 
-// take takes an agent's state and gives its machine; nil if something newer is known.
-func (h *Heartbeats) take(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
+// process takes an agent's state and gives its machine; nil if something newer is known.
+func (h *Heartbeats) process(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
 		return nil // what is deleted can only have sent this before
 	}
@@ -116,7 +116,7 @@
 	if !heartbeat.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
 		return nil
 	}
-	h.stored.startsAnswered = from == fromHeartbeat
+	h.stored.startOutcomesKnown = from == fromHeartbeat
 	differences := h.reconciler.Compare(&h.stored, h.term, heartbeat)
 	h.observeIncarnation(machine, heartbeat)
 	h.observeLiveness(machine, heartbeat, from)
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -16,9 +16,9 @@
 type storedRecords struct {
 	state *cluster.State
 	env   HeartbeatEnvironment
-	// startsAnswered: the agent's state came in a heartbeat that is answered, so that a start
+	// startOutcomesKnown: the agent's state came in a heartbeat that is answered, so that a start
 	// in an earlier response is known to have come or not.
-	startsAnswered bool
+	startOutcomesKnown bool
 }
 
 // Job implements reconcile.Records.
@@ -54,7 +54,7 @@
 
 // undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
-	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startsAnswered {
+	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startOutcomesKnown {
 		return true
 	}
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
@@ -68,7 +68,7 @@
 // resolve does what each difference between a heartbeat and the records asks for.
 func (h *Heartbeats) resolve(machine *cluster.Machine, heartbeat *protocol.Heartbeat, differences []reconcile.Difference) {
 	machine.Agent.Exited = machine.Agent.Exited[:0]
-	unnamed, unproven := false, false
+	hasUnnamedEntry, absenceUnproven := false, false
 	for _, d := range differences {
 		h.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
@@ -78,14 +78,14 @@
 		switch d.Class.Resolution() {
 		case reconcile.Keep:
 			if d.Class == reconcile.Unreadable {
-				unnamed = !h.noteUnreadable(machine, &heartbeat.Tasks[d.Entry]) || unnamed
+				hasUnnamedEntry = !h.handleUnreadableEntry(machine, &heartbeat.Tasks[d.Entry]) || hasUnnamedEntry
 				continue
 			}
 			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.Entry].State != protocol.TaskExited {
-				h.observeState(attempt, heartbeat.Tasks[d.Entry].State)
+				h.recordState(attempt, heartbeat.Tasks[d.Entry].State)
 			}
 		case reconcile.Await:
-			unproven = unproven || d.Current
+			absenceUnproven = absenceUnproven || d.Current
 		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
 				h.lifecycle.RemoveGone(attempt)
@@ -97,11 +97,11 @@
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
-	h.deleteIfUnreadable(machine, unnamed, unproven)
+	h.deleteIfUnreadable(machine, hasUnnamedEntry, absenceUnproven)
 }
 
-// observeState notes the state of an attempt that an agent has.
-func (h *Heartbeats) observeState(attempt *cluster.Attempt, state protocol.TaskState) {
+// recordState notes the state of an attempt that an agent has.
+func (h *Heartbeats) recordState(attempt *cluster.Attempt, state protocol.TaskState) {
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
@@ -130,7 +130,7 @@
 		attempt = h.state.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
 		attempt.MarkOrphaned()
 	}
-	h.observeState(attempt, entry.State)
+	h.recordState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
 	if d.Current || job.Cancelled {
 		if !attempt.Stopping {
@@ -166,9 +166,9 @@
 	h.lifecycle.RemoveGone(attempt)
 }
 
-// noteUnreadable takes an entry that makes no sense, which is logged once for each machine
+// handleUnreadableEntry takes an entry that makes no sense, which is logged once for each machine
 // and name; named is false if it does not even name a task.
-func (h *Heartbeats) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
+func (h *Heartbeats) handleUnreadableEntry(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && h.env.Unreadable(id) {
 		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
@@ -180,13 +180,13 @@
 
 // deleteIfUnreadable has a machine deleted whose heartbeats have had entries that name no
 // task for a lease, if they keep it from proving something gone: its deletion does.
-func (h *Heartbeats) deleteIfUnreadable(machine *cluster.Machine, unnamed, unproven bool) {
+func (h *Heartbeats) deleteIfUnreadable(machine *cluster.Machine, hasUnnamedEntry, absenceUnproven bool) {
 	switch {
-	case !unnamed:
+	case !hasUnnamedEntry:
 		machine.Agent.UnreadableSince = time.Time{}
 	case machine.Agent.UnreadableSince.IsZero():
 		machine.Agent.UnreadableSince = h.state.Now()
-	case unproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Agents.LeaseS):
+	case absenceUnproven && h.state.Now().Sub(machine.Agent.UnreadableSince) > config.Seconds(h.state.Config.Cluster.Agents.LeaseS):
 		h.fleet.DeleteMachine(machine, "its heartbeats cannot be read")
 	}
 }
