--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -1,10 +1,10 @@
-// Package agents is the leader's dealings with the agents on the machines: it takes their
-// heartbeats, reconciles what these show with what is recorded, sends commands under the
-// leader's fencing token, and judges which agents still hold their lease.
+// Package agents handles the leader's communication with the agents on the machines. It
+// processes their heartbeats, reconciles the reported tasks with the stored records, sends
+// commands that carry the leader's fencing token, and decides whether an agent still holds
+// its lease.
 //
-// It works on the cluster model. It places nothing, writes no records and rents nothing;
-// what an attempt's end means is package lifecycle's business, how an agent is reached its
-// Client's.
+// It works on the cluster model. It does not place tasks, write records or rent machines.
+// Package lifecycle handles the end of an attempt, and a Client transports the calls to agents.
 package agents
 
 import (
@@ -18,24 +18,25 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Environment is what the leader's dealings with agents need of it.
+// Environment is what the package needs of the leader.
 type Environment interface {
 	HeartbeatEnvironment
 	DeliveryEnvironment
 	LivenessEnvironment
 }
 
-// Fleet is what they need of the machines' rental.
+// Fleet is what the package needs of the component that rents and deletes machines.
 type Fleet interface {
-	// Booting says whether a machine may not have come up yet.
+	// Booting reports whether a machine has yet to send its first heartbeat and is still
+	// expected to.
 	Booting(machine *cluster.Machine) bool
-	// Deleted says whether a machine is gone for certain.
+	// Deleted reports whether a machine has certainly been deleted.
 	Deleted(machine protocol.MachineID) bool
-	// DeleteMachine has a machine deleted.
+	// DeleteMachine requests the deletion of a machine.
 	DeleteMachine(machine *cluster.Machine, reason string)
 }
 
-// Dependencies are the parts of a leader that its dealings with agents work with.
+// Dependencies are the components of a leader that the package uses.
 type Dependencies struct {
 	State       *cluster.State
 	Lifecycle   *lifecycle.Manager
@@ -48,7 +49,7 @@
 	Term        protocol.Term // the fencing token
 }
 
-// Manager is the whole of a leader's dealings with agents.
+// Manager groups the components that communicate with agents for one leader.
 type Manager struct {
 	Heartbeats *Heartbeats
 	Delivery   *Delivery
@@ -56,7 +57,7 @@
 	Calls      *Calls
 }
 
-// New makes the dealings with agents of a leader that has just begun.
+// New returns the Manager of a controller that has just become leader.
 func New(d Dependencies) *Manager {
 	calls := &Calls{Limiter: NewCallLimiter(d.State.Config.Cluster.Process), state: d.State, client: d.Client}
 	delivery := &Delivery{state: d.State, lifecycle: d.Lifecycle, recovery: d.Recovery, calls: calls, env: d.Environment, log: d.Log, term: d.Term}
@@ -72,7 +73,7 @@
 	return &Manager{Heartbeats: heartbeats, Delivery: delivery, Liveness: liveness, Calls: calls}
 }
 
-// StoredAttempts lists the attempts of every machine that the records name.
+// StoredAttempts returns the recorded attempts of every machine that the records name.
 func (m *Manager) StoredAttempts() map[protocol.MachineID][]reconcile.Attempt {
 	h := m.Heartbeats
 	stored := make(map[protocol.MachineID][]reconcile.Attempt, len(h.state.OrderedMachines))
@@ -82,8 +83,8 @@
 	return stored
 }
 
-// UnansweredLeaseExpiresAt is when the lease of any agent that this leader has not answered
-// has surely expired.
+// UnansweredLeaseExpiresAt returns the time at which the lease of any agent that this leader
+// has not answered has certainly expired.
 func (m *Manager) UnansweredLeaseExpiresAt() time.Time {
 	return m.Liveness.LeaseExpiresAt(&cluster.Machine{})
 }
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -19,8 +19,8 @@
 
 const testTerm protocol.Term = 7
 
-// testLeader stands for the leader: it is the Environment of all parts, rents machines, and
-// keeps the calls to agents until a test answers them.
+// testLeader stands in for the leader. It implements Environment, Fleet and Client, and keeps the
+// calls to agents until a test ends them.
 type testLeader struct {
 	*agents.Manager
 	state     *clustertest.Cluster
@@ -30,7 +30,7 @@
 	logged    map[string]bool
 }
 
-// testCall is a call to an agent that is under way.
+// testCall is a call to an agent that is in flight.
 type testCall struct {
 	machine *cluster.Machine
 	done    func(agents.CallResult)
@@ -82,21 +82,21 @@
 
 const testGrace = 5 * time.Second
 
-// machine is a machine whose agent has shown the token and was answered just now.
+// machine adds a machine whose agent has just shown the token and been answered.
 func (l *testLeader) machine(id protocol.MachineID, zone protocol.ZoneName) *cluster.Machine {
 	machine := l.state.AddMachine(id, "big", zone)
 	machine.Record = &cluster.MachineRecord{}
 	return machine
 }
 
-// job is a job of one shape that waits.
+// job adds a waiting job of the given shape.
 func (l *testLeader) job(shape protocol.Shape, tasks int) *cluster.Job {
 	spec := clustertest.Gang(tasks, 1)
 	spec.Shape = shape
 	return l.state.AddJob(spec)
 }
 
-// addRecoveredAttempt enters an attempt that a predecessor's record places on a machine.
+// addRecoveredAttempt adds an attempt that a predecessor's record places on a machine.
 func (l *testLeader) addRecoveredAttempt(job *cluster.Job, machine *cluster.Machine) {
 	job.Recovered, job.Epoch, job.EverPlaced = true, 3, true
 	attempt := l.state.AddAttempt(job, 0, 3, machine, 1)
@@ -104,18 +104,18 @@
 	job.Tasks[0].LastAttempt, job.Tasks[0].Active = 3, attempt
 }
 
-// heartbeat is the next one of a machine's agent.
+// heartbeat returns the next heartbeat of a machine's agent.
 func heartbeat(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone,
 		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}
 }
 
-// accept takes a heartbeat and gives the kinds of the commands in the response.
+// accept processes a heartbeat and returns the kinds of the commands in the response.
 func (l *testLeader) accept(t *testing.T, heartbeat *protocol.Heartbeat) (kinds string) {
 	t.Helper()
 	result := l.Heartbeats.Accept(heartbeat)
 	if result.Outcome != agents.Accepted || result.FencingToken != testTerm {
-		t.Fatalf("answered %+v", result)
+		t.Fatalf("heartbeat result %+v, want it accepted with the leader's token", result)
 	}
 	for _, command := range result.Commands {
 		kinds += string(command.Kind) + " "
@@ -123,7 +123,7 @@
 	return kinds
 }
 
-// failCalls ends all calls under way without an answer.
+// failCalls ends all calls in flight without a response.
 func (l *testLeader) failCalls() {
 	calls := l.calls
 	l.calls = nil
@@ -132,37 +132,37 @@
 	}
 }
 
-// TestAttemptIsReleasedOnlyAfterTokenConfirmed: until the agent has shown this leader's token its heartbeat
-// may be older than a predecessor's start.
+// TestAttemptIsReleasedOnlyAfterTokenConfirmed: until the agent has shown this leader's token,
+// its heartbeat may be older than a predecessor's start and does not prove an attempt absent.
 func TestAttemptIsReleasedOnlyAfterTokenConfirmed(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
 	l.addRecoveredAttempt(job, machine)
 	l.accept(t, heartbeat(machine, testTerm-1))
 	if len(job.Attempts) != 1 {
-		t.Fatal("gone by a heartbeat that has not seen the token")
+		t.Fatal("attempt released by a heartbeat without the leader's token")
 	}
 	l.accept(t, heartbeat(machine, testTerm))
 	if len(job.Attempts) != 0 {
-		t.Error("still there after a heartbeat that has")
+		t.Error("attempt not released by a heartbeat with the leader's token")
 	}
 }
 
-// TestRecoveredAttemptIsNeverStarted: what a predecessor placed may have ended and its
-// capacity and quota been given to others, so it is never started again as it is.
+// TestRecoveredAttemptIsNeverStarted: an attempt that a predecessor placed may have ended, and
+// its capacity and quota may have gone to others, so the same attempt is never started again.
 func TestRecoveredAttemptIsNeverStarted(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
 	l.addRecoveredAttempt(l.job(protocol.ShapeGang, 1), machine)
 	for _, token := range []protocol.Term{testTerm - 1, testTerm} {
 		if got := l.accept(t, heartbeat(machine, token)); got != "" {
-			t.Errorf("token %d: commands %s", token, got)
+			t.Errorf("token %d: commands %s, want none", token, got)
 		}
 	}
 }
 
-// TestUnansweredStartPinsAttempt: a direct start that was not answered may arrive at any
-// later time. Its attempt is kept, made to exist, and never forgotten.
+// TestUnansweredStartPinsAttempt: a direct start without a response may arrive at any later
+// time. Its attempt is kept, is started before it is stopped, and is never forgotten.
 func TestUnansweredStartPinsAttempt(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
@@ -173,29 +173,29 @@
 	l.Delivery.Enqueue(machine)
 	l.Delivery.SendPending()
 	if len(l.calls) != 1 || l.calls[0].machine != machine || attempt.StartsInFlight != 1 {
-		t.Fatalf("%d calls, %d starts under way", len(l.calls), attempt.StartsInFlight)
+		t.Fatalf("%d calls, %d starts in flight, want one each", len(l.calls), attempt.StartsInFlight)
 	}
 	l.failCalls()
 	l.accept(t, heartbeat(machine, testTerm))
 	l.accept(t, heartbeat(machine, testTerm))
 	if len(job.Attempts) != 1 {
-		t.Fatal("gone while its start may be on its way")
+		t.Fatal("attempt released while its start may still arrive")
 	}
 	l.Stop(attempt, 0)
 	if got := l.accept(t, heartbeat(machine, testTerm)); got != "start halt " {
-		t.Errorf("commands %q", got)
+		t.Errorf("commands %q, want the start and the stop", got)
 	}
 	exited := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	if got := l.accept(t, heartbeat(machine, testTerm, exited)); got != "" {
 		t.Errorf("commands %q: the attempt must not be forgotten", got)
 	}
 	if len(job.Attempts) != 0 {
-		t.Error("still there after its exit")
+		t.Error("attempt not released after its exit")
 	}
 }
 
-// TestStartInFlightPinsAttempt: while a direct start is under way its attempt is not forgotten
-// either, though a heartbeat shows that it has exited.
+// TestStartInFlightPinsAttempt: while a direct start is in flight, its attempt is not forgotten
+// either, even if a heartbeat shows that it has exited.
 func TestStartInFlightPinsAttempt(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
@@ -207,13 +207,13 @@
 	exited := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 0), Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseStopped}
 	for range 2 {
 		if got := l.accept(t, heartbeat(machine, testTerm, exited)); got != "" || len(job.Attempts) != 0 {
-			t.Errorf("commands %q, %d attempts", got, len(job.Attempts))
+			t.Errorf("commands %q, %d attempts, want none", got, len(job.Attempts))
 		}
 	}
 }
 
 // TestLeaseExpiryIncludesPredecessorGrace: a predecessor may have answered an agent until the
-// end of its grace, so its lease expires that much later.
+// end of the predecessor's grace, so the agent's lease expires that much later.
 func TestLeaseExpiryIncludesPredecessorGrace(t *testing.T) {
 	l := newTestLeader()
 	start := l.state.Now()
@@ -223,17 +223,17 @@
 	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 1 {
-		t.Fatal("presumed gone within the predecessor's grace")
+		t.Fatal("attempt released within the predecessor's grace and the lease")
 	}
 	l.state.Advance(start.Add(lease + testGrace + 3*time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 0 {
-		t.Error("not gone after grace and lease")
+		t.Error("attempt not released after the predecessor's grace and the lease")
 	}
 }
 
-// TestRestartWithinAnsweredLeaseStopsScheduling: a newer incarnation of an agent that was answered all the
-// time shows that the answers do not reach it.
+// TestRestartWithinAnsweredLeaseStopsScheduling: a newer incarnation of an agent whose
+// heartbeats were answered all the time shows that the responses do not reach it.
 func TestRestartWithinAnsweredLeaseStopsScheduling(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
@@ -242,20 +242,20 @@
 		l.accept(t, heartbeat(machine, testTerm))
 	}
 	if !l.state.Schedulable(machine) {
-		t.Fatal("takes no work")
+		t.Fatal("not schedulable though its heartbeats are answered")
 	}
 	l.state.Advance(4 * time.Second)
 	restarted := heartbeat(machine, testTerm)
 	restarted.Incarnation, restarted.Sequence = 2, 1
 	l.accept(t, restarted)
 	if l.state.Schedulable(machine) {
-		t.Error("takes new work")
+		t.Error("schedulable though responses do not reach its agent")
 	}
 }
 
-// TestAgentWithoutHeartbeatsTakesNoWork: an agent that answers calls while no heartbeat of
-// it comes loses its tasks with its lease, so it gets none; it is asked for none of its
-// capacity.
+// TestAgentWithoutHeartbeatsTakesNoWork: an agent that answers calls but sends no heartbeats
+// loses its tasks when its lease expires. So it gets no tasks, and none of its capacity is used,
+// until its heartbeats arrive again.
 func TestAgentWithoutHeartbeatsTakesNoWork(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
@@ -264,17 +264,18 @@
 		l.Heartbeats.ObserveCallResult(machine, agents.CallResult{Outcome: agents.Executed, Heartbeat: heartbeat(machine, testTerm)})
 	}
 	if !l.state.ConfirmedAlive(machine) || l.state.Schedulable(machine) {
-		t.Errorf("alive %v, takes work %v", l.state.ConfirmedAlive(machine), l.state.Schedulable(machine))
+		t.Errorf("confirmed alive %v, schedulable %v, want alive and not schedulable", l.state.ConfirmedAlive(machine), l.state.Schedulable(machine))
 	}
 	l.accept(t, heartbeat(machine, testTerm))
 	if !l.state.Schedulable(machine) {
-		t.Error("takes no work though its heartbeats come again")
+		t.Error("not schedulable though its heartbeats arrive again")
 	}
 }
 
-// TestSilentZoneIsDeletedOnlyAfterBootTime: when a whole zone falls silent its machines are not
-// returned at once, though they are only a third of all: they are back when the cut ends.
-// Two that die in a zone that goes on sending heartbeats are.
+// TestSilentZoneIsDeletedOnlyAfterBootTime: when a whole zone falls silent, its machines are not
+// deleted at once, although they are only a third of all machines: they return when the
+// partition ends. Two machines that die in a zone that still sends heartbeats are deleted within
+// the lease.
 func TestSilentZoneIsDeletedOnlyAfterBootTime(t *testing.T) {
 	for _, c := range []struct{ silent, deletedWithinLease int }{{2, 2}, {8, 0}} {
 		l := newTestLeader()
@@ -301,16 +302,17 @@
 		}
 		lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 		if n := countDeletedAt(lease); n != c.deletedWithinLease {
-			t.Errorf("%d silent: %d returned within the lease", c.silent, n)
+			t.Errorf("%d silent: %d deleted within the lease", c.silent, n)
 		}
 		if n := countDeletedAt(3*lease + config.Seconds(clustertest.BigType.BootS)); n != c.silent {
-			t.Errorf("%d silent: %d returned in the end", c.silent, n)
+			t.Errorf("%d silent: %d deleted after three leases and the boot time", c.silent, n)
 		}
 	}
 }
 
-// TestMachineWithUnreadableHeartbeatsIsDeleted: heartbeats with an entry that names no task prove nothing absent,
-// are logged once, and after a lease the machine that sends them is returned, which proves it.
+// TestMachineWithUnreadableHeartbeatsIsDeleted: heartbeats with an entry that names no task prove
+// no attempt absent and are logged once. After a lease the machine that sends them is deleted,
+// which proves its attempts gone.
 func TestMachineWithUnreadableHeartbeatsIsDeleted(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeArray, 2)
@@ -325,23 +327,23 @@
 	}
 	l.accept(t, heartbeat(machine, testTerm, unreadable))
 	if !machine.Deleting {
-		t.Error("the machine is kept though nothing is ever proven of it")
+		t.Error("machine kept although its heartbeats never prove an attempt absent")
 	}
 }
 
-// TestUnrecordedAttemptIsStopped: an attempt above all that the records have is stopped, once,
-// when a current heartbeat shows it; the next attempt of the task is numbered above it, unless
-// its number is beyond reason.
+// TestUnrecordedAttemptIsStopped: an attempt with a higher number than any in the records is
+// stopped once when a current heartbeat shows it. The next attempt of the task is numbered above it,
+// unless its number is above tuning.MaxTrustedAttempt.
 func TestUnrecordedAttemptIsStopped(t *testing.T) {
 	for _, number := range []protocol.AttemptNumber{9, tuning.MaxTrustedAttempt + 1} {
 		l := newTestLeader()
 		machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeArray, 2)
 		running := protocol.TaskStatus{Task: protocol.TaskName(job.ID, 1), Attempt: number, State: protocol.TaskRunning}
 		if got := l.accept(t, heartbeat(machine, testTerm-1, running)); got != "" || job.Tasks[1].LiveAttempts != 1 {
-			t.Errorf("by what may be a late copy: commands %q, %d counted", got, job.Tasks[1].LiveAttempts)
+			t.Errorf("after a heartbeat that may be a late copy: commands %q, %d live attempts", got, job.Tasks[1].LiveAttempts)
 		}
 		if got := l.accept(t, heartbeat(machine, testTerm, running)); got != "halt " {
-			t.Errorf("commands %q", got)
+			t.Errorf("commands %q, want a stop", got)
 		}
 		l.accept(t, heartbeat(machine, testTerm))
 		l.scheduler.RunCycle()
@@ -350,7 +352,7 @@
 			want = 1
 		}
 		if attempt := job.Tasks[1].Active; attempt == nil || attempt.Key.Number != want {
-			t.Errorf("placed again as %+v, want attempt %d", attempt, want)
+			t.Errorf("next attempt %+v, want number %d", attempt, want)
 		}
 	}
 }
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -8,40 +8,41 @@
 	"golang.org/x/time/rate"
 )
 
-// Client calls agents. Each call is answered by one call of done, unless the leader that
-// made it leads no more.
+// Client makes calls to agents. Each call ends with one call of done, unless the leader that
+// made it has stepped down.
 type Client interface {
 	SendCommands(machine *cluster.Machine, commands protocol.CommandBatch, done func(CallResult))
-	// RequestHeartbeat asks an agent for its heartbeat.
+	// RequestHeartbeat asks an agent for a current heartbeat.
 	RequestHeartbeat(machine *cluster.Machine, done func(CallResult))
 }
 
-// CallOutcome is how a call to an agent ended.
+// CallOutcome tells how a call to an agent ended.
 type CallOutcome int
 
 // Outcomes of a call to an agent.
 const (
-	// NoResponse: no answer came. The call may have been executed, or may be yet.
+	// NoResponse: no response arrived. The agent may have executed the call, or may still do so.
 	NoResponse CallOutcome = iota
 	// Executed: the agent has executed the call.
 	Executed
-	// Refused: the agent has not executed it, for it knows a higher fencing token or is of
-	// another incarnation.
+	// Refused: the agent has not executed the call, because it knows a higher fencing token or
+	// has another incarnation than the call names.
 	Refused
-	// UnexpectedResponse: the answer says neither.
+	// UnexpectedResponse: the response does not tell whether the agent executed the call.
 	UnexpectedResponse
 )
 
-// CallResult is the answer to a call.
+// CallResult is the result of a call.
 type CallResult struct {
 	Outcome CallOutcome
-	// Heartbeat is the agent's state after the call, nil if Malformed says why it cannot be
-	// read. Only answered and refused calls have one of them.
+	// Heartbeat is the agent's state after the call, nil if ParseError tells why it cannot be
+	// read. One of the two is set if the call was executed or refused, neither otherwise.
 	Heartbeat  *protocol.Heartbeat
 	ParseError error
 }
 
-// Calls paces the calls to agents.
+// Calls makes the calls to agents and counts them. Callers first check MaySendCommands or
+// MayProbe, which limit the rate of the calls and the number in flight.
 type Calls struct {
 	Limiter  *rate.Limiter
 	InFlight int
@@ -49,9 +50,9 @@
 	client   Client
 }
 
-// NewCallLimiter paces the calls to agents by what they cost of the controller's share of a
-// core: a new leader that called every agent of a large fleet at once would not come to
-// renew its leader lease.
+// NewCallLimiter returns a rate limiter for calls to agents. Calls may take
+// tuning.AgentCallCPUShare of the controller's share of a core: a new leader that called every
+// agent of a large fleet at once would not get to renew its leader lease.
 func NewCallLimiter(resources config.ProcessLimits) *rate.Limiter {
 	if resources.Cores <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -60,11 +61,12 @@
 	return rate.NewLimiter(rate.Limit(limit), max(tuning.MinConcurrentAgentCalls, int(limit)))
 }
 
-// MaySendCommands says whether an agent may be called now to send it commands.
+// MaySendCommands reports whether an agent may be called now to send it commands.
 func (c *Calls) MaySendCommands() bool { return c.hasCapacity(c.maxInFlight(), 1) }
 
-// MayProbe says whether an agent may be called now for what can wait. That leaves half of
-// the pace and of the sockets to commands: probes of a silent zone take their whole time-out.
+// MayProbe reports whether an agent may be called now for something that can wait, such as a
+// probe. It leaves half of the rate and of the sockets to commands, because each probe of a
+// silent zone takes its whole time-out.
 func (c *Calls) MayProbe() bool {
 	return c.hasCapacity(c.maxInFlight()/2, float64(c.Limiter.Burst())/2)
 }
@@ -77,17 +79,18 @@
 	return c.InFlight < inFlight && (c.Limiter.Limit() == rate.Inf || c.Limiter.TokensAt(c.state.Now()) >= tokens)
 }
 
-// SendCommands sends commands to an agent.
+// SendCommands sends commands to an agent. The call counts as in flight until done is called.
 func (c *Calls) SendCommands(machine *cluster.Machine, commands protocol.CommandBatch, done func(CallResult)) {
 	c.client.SendCommands(machine, commands, c.begin(done))
 }
 
-// RequestHeartbeat asks an agent for its heartbeat.
+// RequestHeartbeat asks an agent for a current heartbeat. The call counts as in flight until
+// done is called.
 func (c *Calls) RequestHeartbeat(machine *cluster.Machine, done func(CallResult)) {
 	c.client.RequestHeartbeat(machine, c.begin(done))
 }
 
-// begin counts a call until it has ended.
+// begin counts a call against the limits and returns the done that ends it.
 func (c *Calls) begin(done func(CallResult)) func(CallResult) {
 	c.Limiter.AllowN(c.state.Now(), 1)
 	c.InFlight++
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -6,21 +6,21 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// deliveryPath is the way on which commands reach an agent.
+// deliveryPath tells how commands are sent to an agent.
 type deliveryPath int
 
 const (
 	viaResponse deliveryPath = iota // in the response to a heartbeat
-	viaCall                         // in a call of the leader
+	viaCall                         // in a call by the leader
 )
 
-// CommandsForResponse lists the commands for the response to an agent's heartbeat.
+// CommandsForResponse returns the commands for the response to an agent's heartbeat.
 func (d *Delivery) CommandsForResponse(machine *cluster.Machine) []protocol.Command {
 	return d.commands(machine, viaResponse)
 }
 
-// commands lists what an agent should do: forget first, for a task may come back to a
-// machine that still holds its old attempt, then stop, then start.
+// commands returns the commands for an agent. Commands to forget come first, because a task may
+// return to a machine that still holds its old attempt; then stops, then starts.
 func (d *Delivery) commands(machine *cluster.Machine, via deliveryPath) []protocol.Command {
 	commands := d.appendForgets(nil, machine)
 	for _, orphan := range machine.Delivery.Orphans {
@@ -39,7 +39,7 @@
 	return commands
 }
 
-// appendForgets has exited attempts forgotten.
+// appendForgets appends commands to forget exited attempts.
 func (d *Delivery) appendForgets(commands []protocol.Command, machine *cluster.Machine) []protocol.Command {
 	if !machine.Agent.TokenConfirmed {
 		return commands
@@ -52,16 +52,16 @@
 	return commands
 }
 
-// appendStops stops the attempts that are to end.
+// appendStops appends commands to stop the attempts that should end.
 func (d *Delivery) appendStops(commands []protocol.Command, attempts []*cluster.Attempt, via deliveryPath) []protocol.Command {
 	now := d.state.Now()
 	for _, attempt := range attempts {
 		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
-			continue // what a predecessor placed is stopped once a heartbeat shows it
+			continue // an attempt of a predecessor is stopped once a heartbeat shows it
 		}
 		if attempt.ReportedState == "" && attempt.StartMayArrive() {
-			// The lost start may yet arrive. Once the agent holds the attempt,
-			// a late copy of it does nothing: so start it and end it at once.
+			// An unanswered start may still arrive. It does nothing if the agent already
+			// holds the attempt, so start the attempt and stop it at once.
 			commands = append(commands, d.startCommand(attempt, via))
 		}
 		if via == viaResponse || now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
@@ -72,14 +72,14 @@
 	return commands
 }
 
-// appendStarts starts the attempts whose places are committed.
+// appendStarts appends commands to start the attempts whose placements are committed.
 func (d *Delivery) appendStarts(commands []protocol.Command, attempts []*cluster.Attempt, via deliveryPath) []protocol.Command {
 	for _, attempt := range attempts {
 		if attempt.Stopping || !attempt.Committed || attempt.ReportedState != "" || attempt.Recovered {
 			continue
 		}
 		if attempt.Job.Spec.Gang() && (len(attempt.Job.Write.Dirty) > 0 || attempt.Job.Write.InFlight) {
-			continue // not every task's place is written yet
+			continue // the placements of some tasks are not written yet
 		}
 		if d.mustDeferStart(attempt, via) {
 			continue
@@ -93,13 +93,13 @@
 	return commands
 }
 
-// mustDeferStart says whether an attempt's start need not be sent this way, for it may be
-// on another.
+// mustDeferStart reports whether an attempt's start must not be sent by this path now: an
+// earlier start may be on its way, or direct starts are disabled.
 func (d *Delivery) mustDeferStart(attempt *cluster.Attempt, via deliveryPath) bool {
 	if via == viaCall {
 		return attempt.StartsInFlight > 0 || attempt.StartInResponse || !d.state.Config.Operator.DirectStarts
 	}
-	// The heartbeat may have been sent before the command came.
+	// The agent may have sent the heartbeat before the direct start arrived.
 	return attempt.StartsInFlight > 0 && d.state.Now().Sub(attempt.StartSentAt) < tuning.DirectStartSettleTime
 }
 
@@ -117,8 +117,8 @@
 	return protocol.Command{Kind: protocol.CommandStart, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number}
 }
 
-// isForgettable says whether an exited attempt may be forgotten: what it achieved
-// is stored, and no late start of it can arrive.
+// isForgettable reports whether an agent may forget an exited attempt: its result is stored,
+// and no late start of it can arrive.
 func (d *Delivery) isForgettable(machine *cluster.Machine, exited protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(exited.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: exited.Attempt}
@@ -132,8 +132,9 @@
 	return exited.Cause != protocol.CauseDone || !job.Write.InFlight && !job.Write.Dirty[job.RecordOf(index)]
 }
 
-// forgetIsDue says whether an agent is to be told now to forget an exited attempt: not again
-// while it may have yet to report that it has, unless the task is to start there anew.
+// forgetIsDue reports whether to send a command to forget an exited attempt now. The command is
+// not repeated while the agent may not have reported its effect yet, unless the task is to
+// start again on the same machine.
 func (d *Delivery) forgetIsDue(machine *cluster.Machine, exited protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(exited.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: exited.Attempt}
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -10,33 +10,34 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// DeliveryEnvironment is what the delivery of commands needs of the leader.
+// DeliveryEnvironment is what Delivery needs of the leader.
 type DeliveryEnvironment interface {
-	// MayCommand says whether the leader has the authority to command agents now.
+	// MayCommand reports whether the leader has the authority to command agents now.
 	MayCommand() bool
-	// Unreadable says whether a record of a job cannot be read, so that its exited attempts
-	// are kept.
+	// Unreadable reports whether a record of a job cannot be read. Agents are then not told to
+	// forget the job's exited attempts.
 	Unreadable(job protocol.JobID) bool
-	// TaskStarting notes that an attempt's first start is about to leave.
+	// TaskStarting is called just before the first start of an attempt is sent.
 	TaskStarting(attempt *cluster.Attempt)
 }
 
-// Delivery sends commands to agents: in the responses to heartbeats, and in calls where
-// they should not wait for one. A start that was not answered may arrive at any later time,
-// so its attempt is pinned: made to exist, stopped, and never forgotten.
+// Delivery sends commands to agents: in the responses to heartbeats, and in direct calls if
+// they should not wait for a heartbeat. A direct start without a response may arrive at any
+// later time, but does nothing where the agent holds the attempt. So the attempt is pinned: to
+// end it, the agent is told to start it and to stop it, and is never told to forget it.
 type Delivery struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase // counts the commands
+	recovery   *reconcile.Phase // counts the commands sent
 	calls      *Calls
 	heartbeats *Heartbeats
 	env        DeliveryEnvironment
 	log        *slog.Logger
 	term       protocol.Term
-	pending    []*cluster.Machine // have commands that should not wait for a heartbeat
+	pending    []*cluster.Machine // machines with commands that should not wait for a heartbeat
 }
 
-// Enqueue marks a machine as having commands that should not wait for a heartbeat.
+// Enqueue adds a machine to those whose commands should not wait for a heartbeat.
 func (d *Delivery) Enqueue(machine *cluster.Machine) {
 	if !machine.Delivery.Queued {
 		machine.Delivery.Queued = true
@@ -44,10 +45,11 @@
 	}
 }
 
-// Pending lists the machines that have such commands, in the order they came.
+// Pending returns the machines whose commands should not wait for a heartbeat, in the order
+// in which they were enqueued.
 func (d *Delivery) Pending() []*cluster.Machine { return d.pending }
 
-// SendPending sends the commands that should not wait for the next heartbeat.
+// SendPending calls the pending machines to send them their commands.
 func (d *Delivery) SendPending() {
 	if !d.env.MayCommand() {
 		return
@@ -69,20 +71,20 @@
 	}
 }
 
-// isCallable says whether commands may be sent to an agent in a call of its own.
+// isCallable reports whether the agent can be sent commands in a direct call now.
 func (d *Delivery) isCallable(machine *cluster.Machine) bool {
 	return !machine.Delivery.InFlight && machine.Address != "" && !d.state.Now().Before(machine.Delivery.NotBefore)
 }
 
 // presentToken shows the fencing token to an agent with tasks that has not sent this leader
-// a heartbeat, if there is time: most of them send one by themselves.
+// a heartbeat. It yields to other calls, because most agents send a heartbeat by themselves.
 func (d *Delivery) presentToken(machine *cluster.Machine) {
 	if !machine.Agent.Heard && machine.Agent.Incarnation > 0 && !machine.Deleting && d.isCallable(machine) && d.calls.MayProbe() {
 		d.call(machine, nil)
 	}
 }
 
-// call sends commands to an agent.
+// call sends commands, possibly none, to an agent in a direct call.
 func (d *Delivery) call(machine *cluster.Machine, commands []protocol.Command) {
 	starts := d.noteStartsInFlight(machine, commands)
 	machine.Delivery.InFlight = true
@@ -110,7 +112,8 @@
 	})
 }
 
-// noteStartsInFlight lists the attempts whose start is among the commands of a call.
+// noteStartsInFlight marks the starts among the commands of a call as in flight and returns
+// their attempts.
 func (d *Delivery) noteStartsInFlight(machine *cluster.Machine, commands []protocol.Command) (starts []*cluster.Attempt) {
 	for _, command := range commands {
 		if command.Kind != protocol.CommandStart {
@@ -125,14 +128,14 @@
 	return starts
 }
 
-// retryUnanswered has commands sent again some time after a call that was not answered.
+// retryUnanswered schedules the next call after one that may not have been executed.
 func (d *Delivery) retryUnanswered(machine *cluster.Machine) {
 	now := d.state.Now()
 	machine.Agent.IneffectiveResponses = max(machine.Agent.IneffectiveResponses, 1)
 	machine.Delivery.NotBefore = now.Add(tuning.StopResendDelay)
 	switch {
 	case !machine.Agent.Heard:
-		machine.Delivery.NotBefore = now.Add(d.state.SilenceTimeout()) // others have their turn
+		machine.Delivery.NotBefore = now.Add(d.state.SilenceTimeout()) // let the leader call other agents first
 	case len(machine.Attempts) > 0:
 		d.Enqueue(machine)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -11,49 +11,50 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// HeartbeatEnvironment is what taking heartbeats needs of the leader.
+// HeartbeatEnvironment is what Heartbeats needs of the leader.
 type HeartbeatEnvironment interface {
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling makes the next scheduling cycle run soon.
 	RequestScheduling()
-	// RecordMachine has a machine's entry in its machine record written.
+	// RecordMachine requests that a machine's entry is written to its machine record.
 	RecordMachine(machine *cluster.Machine)
-	// TokenConfirmed notes that an agent has shown this leader's fencing token.
+	// TokenConfirmed is called for each heartbeat that is not stale. Agent.TokenConfirmed of the
+	// machine tells whether the agent has shown this leader's fencing token.
 	TokenConfirmed(machine *cluster.Machine)
-	// HigherTokenSeen takes a heartbeat with a fencing token above this leader's term.
+	// HigherTokenSeen is called with a heartbeat whose fencing token is above this leader's term.
 	HigherTokenSeen(heartbeat *protocol.Heartbeat)
-	// Unreadable says whether a record of a job cannot be read, so that what runs of it is
-	// left alone.
+	// Unreadable reports whether a record of a job cannot be read. The job's running tasks are
+	// then left alone.
 	Unreadable(job protocol.JobID) bool
-	// LogOnce logs bad input once for each key.
+	// LogOnce logs invalid input once for each key.
 	LogOnce(message, key string, attributes ...any)
 }
 
-// HeartbeatOutcome is what became of an agent's heartbeat.
+// HeartbeatOutcome tells how the controller dealt with an agent's heartbeat.
 type HeartbeatOutcome int
 
 // Outcomes of a heartbeat.
 const (
-	// NotLeading: this controller does not lead, and the agent should turn to another.
+	// NotLeading: this controller does not lead. The agent should try another one.
 	NotLeading HeartbeatOutcome = iota
-	// Accepted: the response renews the agent's lease and has its commands.
+	// Accepted: the response renews the agent's lease and contains its commands.
 	Accepted
-	// Stale: something newer of the agent is known, or its machine is gone.
+	// Stale: a newer state of the agent is known, or its machine has been deleted.
 	Stale
 	// HigherToken: the agent has seen a fencing token above this leader's.
 	HigherToken
-	// LeadershipUnconfirmed: this controller is not sure to lead still.
+	// LeadershipUnconfirmed: this controller cannot be sure that it still leads.
 	LeadershipUnconfirmed
 )
 
-// HeartbeatResult is the answer to an agent's heartbeat.
+// HeartbeatResult is the result of processing an agent's heartbeat.
 type HeartbeatResult struct {
 	Outcome      HeartbeatOutcome
-	FencingToken protocol.Term      // if it was accepted
-	Commands     []protocol.Command // the same
+	FencingToken protocol.Term      // set if the outcome is Accepted
+	Commands     []protocol.Command // set if the outcome is Accepted
 }
 
-// Heartbeats takes what agents say of themselves, in heartbeats and in answers to calls, and
-// reconciles it with what is recorded.
+// Heartbeats processes the state that agents report, in heartbeats and in responses to calls,
+// and reconciles it with the stored records.
 type Heartbeats struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
@@ -67,26 +68,27 @@
 	reconciler reconcile.Reconciler
 }
 
-// source is the way on which an agent's state came.
+// source tells how an agent's state arrived.
 type source int
 
 const (
-	fromHeartbeat source = iota // which is answered: the answer renews the agent's lease
-	fromCall                    // in the answer to a call
+	fromHeartbeat source = iota // in a heartbeat, whose response renews the agent's lease
+	fromCall                    // in the response to a call
 )
 
-// RefuseHigherToken refuses a heartbeat with a fencing token above this leader's: its agent
-// would drop whatever it is answered.
+// RefuseHigherToken refuses a heartbeat whose fencing token is above this leader's, because the
+// agent would ignore any response. It reports whether it refused the heartbeat.
 func (h *Heartbeats) RefuseHigherToken(heartbeat *protocol.Heartbeat) (refused bool) {
 	if heartbeat.FencingToken <= h.term {
 		return false
 	}
-	// Somebody else has the right to command by now, or the store was restored.
+	// Another controller has the right to command agents by now, or the store was restored.
 	h.env.HigherTokenSeen(heartbeat)
 	return true
 }
 
-// Accept takes a heartbeat. If it is accepted it has to be answered, with the commands.
+// Accept processes a heartbeat. If the outcome is Accepted, the caller must respond to the agent
+// with the commands.
 func (h *Heartbeats) Accept(heartbeat *protocol.Heartbeat) HeartbeatResult {
 	machine := h.process(heartbeat, fromHeartbeat)
 	if machine == nil {
@@ -96,10 +98,10 @@
 	return HeartbeatResult{Outcome: Accepted, FencingToken: h.term, Commands: h.delivery.CommandsForResponse(machine)}
 }
 
-// ObserveCallResult takes the heartbeat that an agent gave as the answer to a call.
+// ObserveCallResult processes the heartbeat in an agent's response to a call.
 func (h *Heartbeats) ObserveCallResult(machine *cluster.Machine, result CallResult) {
 	if result.ParseError != nil || result.Heartbeat.Machine != machine.ID {
-		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.ParseError)
+		h.log.Error("response to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.ParseError)
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
@@ -107,10 +109,11 @@
 	}
 }
 
-// process takes an agent's state and gives its machine; nil if something newer is known.
+// process applies an agent's state to the cluster model. It returns the agent's machine, or nil
+// if a newer state is known or the machine has been deleted.
 func (h *Heartbeats) process(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
-		return nil // what is deleted can only have sent this before
+		return nil // the heartbeat was sent before the deletion
 	}
 	machine := h.state.EnsureMachine(heartbeat.Machine, heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	if !heartbeat.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
@@ -122,8 +125,8 @@
 	h.observeLiveness(machine, heartbeat, from)
 	h.env.TokenConfirmed(machine)
 	if machine.Record == nil && machine.Agent.TokenConfirmed {
-		// One that has not shown this leader's token may be gone: a late duplicate
-		// of an old heartbeat can come at any time.
+		// Without this leader's token the heartbeat may be a late duplicate, which can
+		// arrive at any time, and the machine may be gone.
 		h.env.RecordMachine(machine)
 	}
 	if heartbeat.PreemptionNoticeS != nil && !machine.SpotNotice {
@@ -138,26 +141,26 @@
 	return machine
 }
 
-// observeIncarnation takes the incarnation and sequence number of a heartbeat. A newer one
-// has forgotten every attempt of an older one.
+// observeIncarnation stores the incarnation and sequence number of a heartbeat. A newer
+// incarnation of an agent has forgotten every attempt of an older one.
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
 		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
-			// Its lease expired although its heartbeats were answered all the time.
+			// The agent's lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
 	}
 	machine.Agent.Incarnation, machine.Agent.Sequence = heartbeat.Incarnation, heartbeat.Sequence
 }
 
-// observeLiveness notes the sign of life that a heartbeat is.
+// observeLiveness records that a heartbeat has shown the agent to be alive.
 func (h *Heartbeats) observeLiveness(machine *cluster.Machine, heartbeat *protocol.Heartbeat, from source) {
 	now := h.state.Now()
 	if !machine.Agent.Heard || machine.Agent.LeaseExpired {
 		machine.Agent.Heard, machine.Agent.LeaseExpired = true, false
 		machine.IdleSince = now
-		h.delivery.Enqueue(machine) // its commands waited for a sign of life
+		h.delivery.Enqueue(machine) // its commands waited until the agent was heard
 	}
 	if confirmed := heartbeat.FencingToken == h.term; confirmed != machine.Agent.TokenConfirmed {
 		machine.Agent.TokenConfirmed = confirmed
@@ -167,7 +170,7 @@
 	if from == fromHeartbeat {
 		machine.Agent.AnsweredAt = now
 	} else {
-		machine.Agent.IneffectiveResponses = 0 // it has answered a call
+		machine.Agent.IneffectiveResponses = 0 // the agent has responded to a call
 	}
 	if !h.state.NotReceiving(machine) {
 		machine.Agent.FailedProbes = 0
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -13,20 +13,20 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// LivenessEnvironment is what judging agents needs of the leader.
+// LivenessEnvironment is what Liveness needs of the leader.
 type LivenessEnvironment interface {
-	// Leads says whether the leader leads still.
+	// Leads reports whether the leader still leads.
 	Leads() bool
-	// AllPeersReachable says whether this controller has a link to every other.
+	// AllPeersReachable reports whether this controller has a link to every other one.
 	AllPeersReachable() bool
-	// ConfirmationGrace is how long a leader may go on answering agents after its leader
-	// lease has ended, as long as its peers confirm it.
+	// ConfirmationGrace returns how long a leader may go on answering agents after its leader
+	// lease has expired, as long as its peers confirm it.
 	ConfirmationGrace() time.Duration
 }
 
-// Liveness judges which agents are there: it probes those that are silent, takes the tasks
-// of those whose lease has surely expired for gone, and has machines deleted that answer
-// nothing, unless the network is suspected and not they.
+// Liveness determines which agents are alive. It probes silent agents, releases the tasks of
+// agents whose lease has certainly expired, and requests the deletion of unresponsive machines,
+// unless a network partition is the suspected cause.
 type Liveness struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
@@ -40,9 +40,9 @@
 	log        *slog.Logger
 }
 
-// LeaseExpiresAt is when an agent's lease has surely expired. One that this leader never
-// answered may have been answered by its predecessor for the whole of the predecessor's
-// grace.
+// LeaseExpiresAt returns the time at which an agent's lease has certainly expired. If this
+// leader has never answered the agent, its predecessor may have done so until the end of the
+// predecessor's grace.
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	lastRenewal := l.state.LeadingSince.Add(grace)
@@ -53,15 +53,17 @@
 	return lastRenewal.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
 }
 
-// suspectedPartitions are the zones in which the network is suspected to be partitioned.
+// suspectedPartitions holds the zones in which a network partition is suspected.
 type suspectedPartitions struct {
 	suspected map[protocol.ZoneName]bool
-	// The same as soon as a machine with replicas may be missing, and the zones most of whose
-	// machines report as ever; nil until they are needed.
+	// suspectedForReplicas holds the same zones by the shorter silence time-out of machines with
+	// replicas, and reportingZones the zones most of whose machines still send heartbeats. Both
+	// are nil until they are needed.
 	suspectedForReplicas, reportingZones map[protocol.ZoneName]bool
 }
 
-// Tick finds the agents that are silent, whose lease has expired, or that are gone.
+// Tick checks every agent: it probes silent ones, expires leases and requests the deletion of
+// unresponsive machines.
 func (l *Liveness) Tick() {
 	suspected, _ := l.state.SuspectedZones(l.state.SilenceTimeout())
 	partitions := suspectedPartitions{suspected: suspected}
@@ -77,32 +79,32 @@
 		l.expireLease(machine)
 		l.probeIfDue(machine)
 		if machine.Agent.LeaseExpired && machine.Address == "" && !machine.Deleting {
-			l.fleet.DeleteMachine(machine, "lease expired and of no known address")
+			l.fleet.DeleteMachine(machine, "lease expired and address unknown")
 		}
 		if machine.Deleting || !l.isUnresponsive(machine, missing) {
 			continue
 		}
 		switch {
 		case !missing && l.mayDeleteSilent(machine, &partitions):
-			l.deleteSilent(machine, "silent")
+			l.deleteSilent(machine, "agent silent")
 		case missing && l.mayDeleteReplicaHost(machine, &partitions):
-			l.deleteSilent(machine, "silent, with replicas")
+			l.deleteSilent(machine, "agent silent on a machine with replicas")
 		}
 	}
 }
 
-// isSilenceExpected says whether an agent need not have been heard of yet.
+// isSilenceExpected reports whether an agent need not have sent this leader a heartbeat yet.
 func (l *Liveness) isSilenceExpected(machine *cluster.Machine) bool {
 	return l.fleet.Booting(machine) || l.state.Now().Sub(l.state.LeadingSince) < l.state.SilenceTimeout()
 }
 
-// isReplicaHostMissing says whether a machine with replicas has been silent for longer than
-// these can wait.
+// isReplicaHostMissing reports whether a machine with replicas has been silent for longer than
+// the replicas can wait.
 func (l *Liveness) isReplicaHostMissing(machine *cluster.Machine) bool {
 	return l.state.HasReplicas(machine) && machine.Agent.Heard && l.state.Now().Sub(machine.Agent.LastHeartbeat) > l.state.ReplicaSilenceTimeout()
 }
 
-// expireLease takes all tasks of an agent for gone once its lease has surely expired.
+// expireLease releases all tasks of an agent once its lease has certainly expired.
 func (l *Liveness) expireLease(machine *cluster.Machine) {
 	now := l.state.Now()
 	if machine.Agent.LeaseExpired || l.state.HeardRecently(machine) || !now.After(l.LeaseExpiresAt(machine)) {
@@ -116,15 +118,17 @@
 	}
 }
 
-// isUnresponsive says whether an agent answers neither probes nor has sent a heartbeat for
-// so long that its machine is taken for dead, but for suspected partitions.
+// isUnresponsive reports whether an agent has left probes unanswered and has been silent for so
+// long that its machine counts as dead. While all peers are reachable, an agent that is not
+// receiving counts as unresponsive without that silence. Suspected partitions are not
+// considered here.
 func (l *Liveness) isUnresponsive(machine *cluster.Machine, hasReplicas bool) bool {
 	if machine.Agent.FailedProbes < tuning.MaxUnansweredProbes {
 		return false
 	}
-	// With a peer out of reach the agent may be behind the same partition and on its way to a
-	// controller that forwards its heartbeats. Nor is one not receiving then because it does
-	// not answer this controller's calls.
+	// While a peer is unreachable, the agent may be behind the same partition and about to find
+	// a controller that forwards its heartbeats. For the same reason, unanswered calls of this
+	// controller do not show that the agent is not receiving.
 	allPeersReachable := l.env.AllPeersReachable()
 	if allPeersReachable && l.state.NotReceiving(machine) {
 		return true
@@ -136,7 +140,8 @@
 	return l.state.Now().Sub(machine.Agent.LastHeartbeat) > maxSilence
 }
 
-// maxSilence is how long an agent whose probes are not answered may be silent.
+// maxSilence returns how long an agent that does not answer probes may be silent before its
+// machine counts as dead.
 func (l *Liveness) maxSilence(hasReplicas bool) time.Duration {
 	if hasReplicas {
 		return l.state.ReplicaSilenceTimeout()
@@ -144,8 +149,9 @@
 	return l.state.SilenceTimeout()
 }
 
-// maxSilenceBehindPartition is the same while a peer is out of reach: a machine with replicas is
-// given no more time than the way to a controller that forwards its heartbeats takes.
+// maxSilenceBehindPartition returns the same limit while a peer is unreachable. An agent on a
+// machine with replicas gets only the time that it needs to reach a controller that forwards
+// its heartbeats.
 func (l *Liveness) maxSilenceBehindPartition(hasReplicas bool) time.Duration {
 	if hasReplicas {
 		interval := config.Seconds(l.state.Config.Cluster.Agents.ReportS * tuning.MaxHeartbeatIntervalFactor)
@@ -154,14 +160,14 @@
 	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
 }
 
-// mayDeleteSilent says whether a machine, not the network, is at fault, or has been gone for
-// longer than another takes to boot.
+// mayDeleteSilent reports whether the fault is in the machine and not in the network, or the
+// machine has been gone for longer than a replacement takes to boot.
 func (l *Liveness) mayDeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
 }
 
-// mayDeleteReplicaHost says the same of a machine with replicas, or that these have places
-// in zones that are heard of.
+// mayDeleteReplicaHost reports the same of a machine with replicas, or whether its replicas can
+// be placed in zones that still send heartbeats.
 func (l *Liveness) mayDeleteReplicaHost(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	if partitions.suspectedForReplicas == nil {
 		partitions.suspectedForReplicas, partitions.reportingZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
@@ -169,13 +175,13 @@
 	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.reportingZones)
 }
 
-// deleteSilent has a machine deleted that does not answer.
+// deleteSilent requests the deletion of an unresponsive machine.
 func (l *Liveness) deleteSilent(machine *cluster.Machine, reason string) {
 	l.scheduler.MachineLost(machine)
 	l.fleet.DeleteMachine(machine, reason)
 }
 
-// probeIfDue asks a silent agent for its heartbeat.
+// probeIfDue asks a silent agent for a heartbeat if a probe is due and may be sent now.
 func (l *Liveness) probeIfDue(machine *cluster.Machine) {
 	if machine.Agent.Probing || l.state.Now().Before(machine.Agent.ProbeNotBefore) || machine.Address == "" || machine.Deleting || !l.calls.MayProbe() {
 		return
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -11,13 +11,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// storedRecords shows the cluster model to package reconcile: what the records place, and
-// what else is known to take capacity.
+// storedRecords presents the cluster model to package reconcile: the attempts that the records
+// place, and others that are known to take capacity.
 type storedRecords struct {
 	state *cluster.State
 	env   HeartbeatEnvironment
-	// startOutcomesKnown: the agent's state came in a heartbeat that is answered, so that a start
-	// in an earlier response is known to have come or not.
+	// startOutcomesKnown: the agent's state arrived in a heartbeat, which shows whether a start
+	// in an earlier response has reached the agent.
 	startOutcomesKnown bool
 }
 
@@ -52,7 +52,8 @@
 	return list
 }
 
-// undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
+// undelivered reports whether a start of an attempt may be on its way or will be sent again. This
+// leader never starts an attempt that a predecessor recorded.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
 	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startOutcomesKnown {
 		return true
@@ -60,12 +61,12 @@
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
 }
 
-// attemptID is how package reconcile names an attempt.
+// attemptID returns the identifier of an attempt in package reconcile.
 func attemptID(attempt *cluster.Attempt) reconcile.AttemptID {
 	return reconcile.AttemptID{TaskID: reconcile.TaskID{Job: attempt.Job.ID, Index: attempt.Key.Index}, Attempt: attempt.Key.Number}
 }
 
-// resolve does what each difference between a heartbeat and the records asks for.
+// resolve applies the resolution of each difference between a heartbeat and the records.
 func (h *Heartbeats) resolve(machine *cluster.Machine, heartbeat *protocol.Heartbeat, differences []reconcile.Difference) {
 	machine.Agent.Exited = machine.Agent.Exited[:0]
 	hasUnnamedEntry, absenceUnproven := false, false
@@ -100,23 +101,23 @@
 	h.deleteIfUnreadable(machine, hasUnnamedEntry, absenceUnproven)
 }
 
-// recordState notes the state of an attempt that an agent has.
+// recordState stores the state of an attempt that an agent reports.
 func (h *Heartbeats) recordState(attempt *cluster.Attempt, state protocol.TaskState) {
 	if state == "" {
-		state = stateUnknown // seen all the same, so that it is not started again
+		state = stateUnknown // the agent has the attempt, so it must not be started again
 	}
 	if attempt.ObserveState(state, h.state.Now()) {
 		h.log.Debug("task runs", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID)
 	}
 }
 
-// stateUnknown stands for a state that an agent left empty.
+// stateUnknown replaces a state that an agent left empty.
 const stateUnknown protocol.TaskState = "unknown"
 
-// stopOrphan has an attempt that no record asks for stopped. It takes capacity until it is gone,
-// and must be gone before its task starts anywhere else. What a heartbeat
-// shows that may be a late copy is counted as there and not yet stopped: the agent may have
-// ended it.
+// stopOrphan stops an attempt that no record asks for. The attempt takes capacity until it is
+// gone, and must be gone before its task starts anywhere else. If the heartbeat may be a late
+// copy, the attempt counts as present but is not stopped yet, unless its job is cancelled: the
+// agent may have ended it already.
 func (h *Heartbeats) stopOrphan(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d reconcile.Difference) {
 	job := h.state.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
@@ -140,15 +141,15 @@
 	}
 }
 
-// skipAttemptNumbers has the next attempt of a task numbered above one that the records never
-// had: a start of the same attempt would do nothing where the old one is.
+// skipAttemptNumbers numbers the next attempt of a task above one that the records never had. A
+// start with the same number would do nothing on a machine that has the old attempt.
 func (h *Heartbeats) skipAttemptNumbers(job *cluster.Job, key cluster.AttemptID) {
 	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.MaxTrustedAttempt {
 		task.LastAttempt = key.Number
 	}
 }
 
-// recordEnd takes the end of an attempt, and of its task if it is done.
+// recordEnd processes the end of an attempt, and of its task if that is done.
 func (h *Heartbeats) recordEnd(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus) {
 	if job := h.state.Jobs[key.Job]; entry.Cause == protocol.CauseDone && job != nil {
 		h.lifecycle.MarkDone(job, key.Index)
@@ -166,20 +167,22 @@
 	h.lifecycle.RemoveGone(attempt)
 }
 
-// handleUnreadableEntry takes an entry that makes no sense, which is logged once for each machine
-// and name; named is false if it does not even name a task.
+// handleUnreadableEntry handles an entry that is invalid or of a job whose record cannot be read.
+// An invalid entry is logged once for each machine and task name. The result is false if the
+// entry does not name a task.
 func (h *Heartbeats) handleUnreadableEntry(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && h.env.Unreadable(id) {
-		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
+		machine.IdleSince = h.state.Now() // the job's tasks are left running, so the machine is not idle
 		return true
 	}
 	h.env.LogOnce("heartbeat entry is unreadable", string(machine.ID)+" "+entry.Task, "machine", machine.ID, "task", entry.Task, "state", string(entry.State))
 	return named
 }
 
-// deleteIfUnreadable has a machine deleted whose heartbeats have had entries that name no
-// task for a lease, if they keep it from proving something gone: its deletion does.
+// deleteIfUnreadable requests the deletion of a machine whose heartbeats have had entries that
+// name no task for an agent lease, if these entries keep the heartbeats from proving an attempt
+// gone. The deletion of the machine proves it.
 func (h *Heartbeats) deleteIfUnreadable(machine *cluster.Machine, hasUnnamedEntry, absenceUnproven bool) {
 	switch {
 	case !hasUnnamedEntry:
