--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -7,13 +7,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// authorityBounds says for how long a leader may act. It depends on the configuration only.
+// authorityBounds computes for how long a leader may act. It depends on the configuration only.
 type authorityBounds struct {
 	cluster *config.Cluster
 }
 
-// grace is how long a leader that cannot renew its leader lease goes on answering
-// heartbeats: as long as an agent that it kept alive is still gone before the
+// grace returns how long a leader that cannot renew its leader lease goes on answering
+// heartbeats. The tasks of an agent whose lease it renews during the grace still end within the
 // time in which a cancellation must take effect.
 func (ab authorityBounds) grace() time.Duration {
 	timings := ab.cluster.Agents
@@ -21,33 +21,33 @@
 	return min(max(grace, 0), tuning.MaxLeaderGrace)
 }
 
-// failoverTime is how long a failover takes on this controller's share of a core.
+// failoverTime returns the time allowed for a failover on this controller's share of a core.
 func (ab authorityBounds) failoverTime() time.Duration {
 	return min(ab.cluster.Process.Pause(tuning.FailoverCPUCost, 1), tuning.MaxFailoverAllowance)
 }
 
-// leaseTTL is how long the leader lease outlives its last renewal.
+// leaseTTL returns how long the leader lease stays valid after its last renewal.
 func (ab authorityBounds) leaseTTL() time.Duration {
 	return tuning.LeaderLeaseTTL + ab.failoverTime()
 }
 
-// maxSinceRenewal is how long a leader may act since its leader lease was last renewed and
-// since it last knew every cancellation. What it answers an agent at the end of it
-// keeps that agent's tasks for a lease: a cancellation that somebody confirmed
-// the moment after it last knew must have taken effect by then.
+// maxSinceRenewal returns how long a leader may act after its leader lease was last renewed, and
+// after it last knew every cancellation. A response to an agent at the end of this time keeps
+// the agent's tasks running for another agent lease. By then a cancellation must have taken
+// effect that was confirmed to a user just after the leader last knew every cancellation.
 func (ab authorityBounds) maxSinceRenewal() time.Duration {
 	timings := ab.cluster.Agents
 	bound := config.Seconds(timings.CancelS) - config.WithClockDrift(config.Seconds(timings.LeaseS)) - tuning.CancellationMargin
 	return min(ab.leaseTTL()+ab.grace(), max(bound, 0))
 }
 
-// maxSinceConfirmation is how long a leader may act since it asked the peers what all of them
-// confirmed: for the grace that a successor, which begins after it was asked for, counts with.
+// maxSinceConfirmation returns how long a leader may act after it sent a request that all peers
+// confirmed. A successor begins to lead after that request and allows for the grace from then.
 func (ab authorityBounds) maxSinceConfirmation() time.Duration {
 	return min(ab.grace(), ab.maxSinceRenewal())
 }
 
-// authority says until when the holder of the leader lease may act for all.
+// authority determines until when the holder of the leader lease may act as leader.
 type authority struct {
 	bounds       authorityBounds
 	env          Environment
@@ -56,7 +56,7 @@
 	confirmation *peerConfirmation
 }
 
-// start is the moment from which the authority counts.
+// start returns the time from which the authority counts.
 func (a *authority) start() time.Time {
 	if synced := a.mirror.SyncedAt(); synced.Before(a.lease.renewedAt) {
 		return synced
@@ -64,13 +64,13 @@
 	return a.lease.renewedAt
 }
 
-// holds says whether the authority lasts.
+// holds reports whether the authority still holds.
 func (a *authority) holds() bool {
 	return a.lease.held() && (a.env.Now().Sub(a.start()) < a.bounds.maxSinceRenewal() || a.confirmation.holds())
 }
 
-// end is when the authority ends unless the leader lease is renewed or the peers confirm
-// it before.
+// end returns the time at which the authority ends unless the leader lease is renewed or the
+// peers confirm the authority before.
 func (a *authority) end() time.Time {
 	if a.confirmation.holds() {
 		return a.confirmation.end()
--- a/internal/coordination/election/candidate.go
+++ b/internal/coordination/election/candidate.go
@@ -10,7 +10,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// candidate observes the record of the leader lease and tries for it while it is free.
+// candidate observes the record of the leader lease and tries to acquire the lease while it is
+// free.
 type candidate struct {
 	name   protocol.NodeName
 	rng    *rand.Rand
@@ -18,43 +19,43 @@
 	env    Environment
 	mirror Mirror
 	bounds authorityBounds
-	// onAcquired is called when the leader lease was acquired by a request sent at that time.
+	// onAcquired is called when a request sent at the given time has acquired the leader lease.
 	onAcquired func(term protocol.Term, leaseID protocol.LeaseID, sent time.Time)
 
-	holder    protocol.NodeName // who holds the leader lease, "" while nobody does
-	revision  protocol.Revision // of its record, 0 while nobody holds it
+	holder    protocol.NodeName // of the leader lease, "" while nobody holds it
+	revision  protocol.Revision // of the lease's record, 0 while nobody holds it
 	acquiring bool
 	retryAt   time.Time
 }
 
-// observe notes who holds the leader lease, and the revision of its record.
+// observe stores who holds the leader lease and the revision of its record.
 func (c *candidate) observe(holder protocol.NodeName, revision protocol.Revision) {
 	c.holder, c.revision = holder, revision
 }
 
-// retryAfter puts the next attempt off by the delay and a random time.
+// retryAfter postpones the next attempt by the delay plus a random jitter.
 func (c *candidate) retryAfter(delay time.Duration) {
 	jitter := time.Duration(c.rng.Int64N(int64(tuning.LeaderLeaseJitter)))
 	c.retryAt = c.env.Now().Add(delay + jitter)
 }
 
-// mayAcquire says whether there is a leader lease to be tried for. One under this
-// controller's own name that it does not hold is a dead predecessor's, or its own attempt
-// whose answer was lost.
+// mayAcquire reports whether this controller may try to acquire the leader lease. A lease under
+// its own name that it does not hold belongs to an earlier process of this controller, or
+// results from an attempt whose response was lost.
 func (c *candidate) mayAcquire() bool {
 	free := c.revision == 0 || c.holder == c.name
 	return c.mirror.Ready() && free && !c.acquiring
 }
 
-// tick tries for the leader lease if it may be tried for now.
+// tick tries to acquire the leader lease if that is possible and due.
 func (c *candidate) tick() {
 	if c.mayAcquire() && !c.env.Now().Before(c.retryAt) {
 		c.acquire()
 	}
 }
 
-// acquire tries for the leader lease: a lease of the store, and under it the record, on the
-// condition that it is as this controller knows it.
+// acquire tries to acquire the leader lease: it requests a lease from the store and writes the
+// record under it, on condition that the record is still as this controller knows it.
 func (c *candidate) acquire() {
 	c.acquiring = true
 	expected, sent := c.revision, c.env.Now()
@@ -69,14 +70,14 @@
 				return
 			}
 			c.acquiring = false
-			if c.revision <= result.Revision { // else somebody has taken it over already
+			if c.revision <= result.Revision { // otherwise another controller has taken it over already
 				c.onAcquired(protocol.Term(result.Revision), granted.Lease, sent)
 			}
 		})
 	})
 }
 
-// claim is the transaction that takes the leader lease.
+// claim returns the transaction that writes the record of the leader lease.
 func (c *candidate) claim(leaseID protocol.LeaseID, expected protocol.Revision) protocol.Transaction {
 	return protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.LeaderKey, Revision: expected}},
@@ -85,7 +86,7 @@
 	}
 }
 
-// retryLater ends an attempt that failed.
+// retryLater ends a failed attempt and schedules the next one.
 func (c *candidate) retryLater() {
 	c.acquiring = false
 	c.retryAfter(tuning.LeaderLeaseRetryDelay)
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -7,14 +7,16 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// While the store serves nobody, nobody can confirm a cancellation or lead in another's
-// place. A leader that cannot renew its leader lease asks all peers to confirm that, again
-// and again, over the controllers' links. As long as every one does, its authority counts
-// from the moment at which it last asked: whoever told a user of a cancellation before has
-// named it, and whoever leads next begins later. One peer that does not answer, leads, or
-// began its life since the leader last knew all cancellations, ends that.
+// While the store is unavailable to all controllers, none of them can confirm a cancellation to
+// a user or take over as leader. A leader that cannot renew its leader lease repeatedly asks all
+// peers over the controllers' links to confirm this. As long as every peer does, the leader's
+// authority counts from the time of the last request: a peer that told a user of a cancellation
+// before then has named it in its answer, and the next leader begins later. A single peer is
+// enough to end this: one that does not answer, that leads, or whose process has started since
+// the leader last knew every cancellation.
 
-// peerConfirmation asks the peers to confirm that nobody else leads and counts their answers.
+// peerConfirmation asks the peers to confirm that no other controller leads, and counts their
+// answers.
 type peerConfirmation struct {
 	bounds authorityBounds
 	env    Environment
@@ -22,13 +24,13 @@
 	peers  Peers
 
 	requestID   uint64
-	requestedAt time.Time                  // when the question under way was sent
-	answers     map[protocol.NodeName]bool // who has answered it, nil before the first question
-	confirmedAt time.Time                  // when the last question that all answered was sent
+	requestedAt time.Time                  // when the outstanding request was sent
+	answers     map[protocol.NodeName]bool // peers that have confirmed it; nil before the first request
+	confirmedAt time.Time                  // when the last request that all peers confirmed was sent
 }
 
-// request asks the peers again if renewals fail: if the authority has counted from that
-// start for longer than they take.
+// request asks the peers again if renewals fail, that is, if the authority has counted from the
+// same start for tuning.ConfirmationDelay.
 func (pc *peerConfirmation) request(authorityStart time.Time) {
 	now := pc.env.Now()
 	if !pc.env.Leading() || now.Sub(authorityStart) < tuning.ConfirmationDelay ||
@@ -38,15 +40,16 @@
 	pc.requestID, pc.requestedAt, pc.answers = pc.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
 }
 
-// awaits says whether an answer of that number answers the question under way: others are
-// old ones, perhaps held back, or ones that nobody asked for.
+// awaits reports whether an answer with this number belongs to the outstanding request. Other
+// answers are old, perhaps delayed on the way, or were never asked for.
 func (pc *peerConfirmation) awaits(requestID uint64) bool {
 	return pc.env.Leading() && pc.answers != nil && requestID == pc.requestID
 }
 
-// count counts a peer's answer to the question under way, if it confirms.
+// count counts a peer's answer to the outstanding request, if the peer confirms.
 func (pc *peerConfirmation) count(from protocol.NodeName, m protocol.PeerConfirmation) {
-	// What an earlier life of it told users since this controller last knew is not named.
+	// The answer does not name cancellations that an earlier process of the peer told users of.
+	// So the peer must have started before this controller last knew every cancellation.
 	up := time.Duration(m.UpMs) * time.Millisecond
 	latestStart := pc.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
 	if m.Term != 0 || !m.Complete || latestStart.After(pc.mirror.SyncedAt()) {
@@ -59,17 +62,17 @@
 	}
 }
 
-// holds says whether the peers' confirmation still gives authority.
+// holds reports whether the peers' confirmation still gives authority.
 func (pc *peerConfirmation) holds() bool {
 	return !pc.confirmedAt.IsZero() && pc.env.Now().Sub(pc.confirmedAt) < pc.bounds.maxSinceConfirmation()
 }
 
-// end is when the peers' confirmation no longer gives authority.
+// end returns the time from which the peers' confirmation no longer gives authority.
 func (pc *peerConfirmation) end() time.Time {
 	return pc.confirmedAt.Add(pc.bounds.maxSinceConfirmation())
 }
 
-// reset forgets the question under way and what was confirmed.
+// reset discards the outstanding request and the last confirmation.
 func (pc *peerConfirmation) reset() {
 	pc.requestID, pc.requestedAt, pc.answers, pc.confirmedAt = 0, time.Time{}, nil, time.Time{}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,18 +1,19 @@
-// Package election has a controller win, keep and give up the leader lease, and says
-// whether it may act as leader now.
+// Package election lets a controller acquire, renew and give up the leader lease, and determines
+// whether the controller may act as leader now.
 //
-// A leader's authority is bounded: it counts from the last renewal of its leader lease and
-// from when it last knew every cancellation, whichever is earlier, so that a successor and
-// everyone who was told of a cancellation can count with its end. While the key-value store
-// serves nobody the confirmation of all peers stands in for the renewal. After a pause of
-// the process nothing is done as leader before the leader lease was renewed.
+// A leader's authority is limited in time. It counts from the last renewal of the leader lease or
+// from the time at which the leader last knew every cancellation, whichever is earlier. A
+// successor, and everyone who was told of a cancellation, can therefore rely on its end. While
+// the key-value store is unavailable to all controllers, the confirmation of all peers takes the
+// place of the renewal. After a pause of the process, the controller does nothing as leader until
+// the leader lease has been renewed.
 //
-// Election is composed of four parts with one job each: candidate observes the leader lease
-// and tries for it, heldLease renews it, peerConfirmation asks the peers and counts their
-// answers, and authority tells from these until when a leader may act.
+// Election consists of four parts: candidate observes the leader lease and tries to acquire it,
+// heldLease renews it, peerConfirmation asks the peers and counts their answers, and authority
+// determines from these until when a leader may act.
 //
-// The package neither reads nor writes records other than the leader lease and does not
-// know what a leader does.
+// The package reads and writes no record other than the leader lease, and does not depend on what
+// a leader does.
 package election
 
 import (
@@ -28,39 +29,40 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Environment is what the election needs of the controller.
+// Environment is what the package needs of the controller.
 type Environment interface {
 	Now() time.Time
-	// UniqueName makes a name that no other process has.
+	// UniqueName returns a new name that no other process uses.
 	UniqueName() string
-	// Leading says whether the controller has taken over as leader.
+	// Leading reports whether the controller has taken over as leader.
 	Leading() bool
-	// SteppedDown ends what the controller does as leader.
+	// SteppedDown is called when the controller has given up the leader lease. It must end all
+	// that the controller does as leader.
 	SteppedDown()
-	// CancellationConfirmed is called for each cancellation that a peer has told users of.
+	// CancellationConfirmed is called for each cancellation that a peer has confirmed to a user.
 	CancellationConfirmed(jobID protocol.JobID)
 }
 
 // Mirror is the controller's copy of the store's records.
 type Mirror interface {
 	Ready() bool
-	// SyncedAt is when every change was in the mirror that was made before then.
+	// SyncedAt returns a time such that the mirror includes every change made before it.
 	SyncedAt() time.Time
-	// MarkSynced notes that every change is in the mirror that was made before then.
+	// MarkSynced records that the mirror includes every change made before the given time.
 	MarkSynced(at time.Time)
-	// FetchRevision asks the store how far its records have come.
+	// FetchRevision asks the store for the current revision of its records.
 	FetchRevision()
 }
 
 // Peers are the other controllers.
 type Peers interface {
 	Count() int
-	// RequestConfirmation asks all that can be reached to confirm that nobody else leads,
-	// and returns the number of the question.
+	// RequestConfirmation asks all reachable peers to confirm that no other controller leads,
+	// and returns the number of the request.
 	RequestConfirmation() uint64
 }
 
-// Election is one controller's part in the election.
+// Election is one controller's participation in the leader election.
 type Election struct {
 	log    *slog.Logger
 	env    Environment
@@ -73,7 +75,7 @@
 	authority    *authority
 }
 
-// New makes an election that nobody has won.
+// New returns the Election of a controller that does not hold the leader lease.
 func New(cfg *config.Config, log *slog.Logger, rng *rand.Rand, store kv.Client, env Environment, mirror Mirror, peers Peers) *Election {
 	bounds := authorityBounds{&cfg.Cluster}
 	e := &Election{log: log, env: env, mirror: mirror, bounds: bounds}
@@ -84,49 +86,51 @@
 	return e
 }
 
-// Term is the term under which this controller leads or is about to, 0 if it does not
+// Term returns the term under which this controller leads or is about to lead, 0 if it does not
 // hold the leader lease.
 func (e *Election) Term() protocol.Term { return e.lease.term }
 
-// Holder is who holds the leader lease as far as this controller knows, "" if nobody does.
+// Holder returns the holder of the leader lease as far as this controller knows, "" if nobody
+// holds it.
 func (e *Election) Holder() protocol.NodeName { return e.candidate.holder }
 
-// HolderTerm is the holder's term, 0 while nobody holds the leader lease.
+// HolderTerm returns the holder's term, 0 while nobody holds the leader lease.
 func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
 
-// ConfirmationGrace is how long a leader that cannot renew its leader lease goes on answering
-// heartbeats.
+// ConfirmationGrace returns how long a leader that cannot renew its leader lease goes on
+// answering heartbeats.
 func (e *Election) ConfirmationGrace() time.Duration { return e.bounds.grace() }
 
-// LeaseTTL is how long the leader lease outlives its last renewal.
+// LeaseTTL returns how long the leader lease stays valid after its last renewal.
 func (e *Election) LeaseTTL() time.Duration { return e.bounds.leaseTTL() }
 
-// HasAuthority says whether this controller may act for all: its leader lease was renewed
-// lately enough that a successor still counts with it, and it has known all cancellations
-// lately enough that none can be kept waiting by what it says.
+// HasAuthority reports whether this controller may act as leader. Either its leader lease was
+// renewed so recently that a successor still allows for it, and it knew every cancellation so
+// recently that its responses to agents delay none beyond its deadline; or all peers have
+// confirmed its authority recently enough.
 func (e *Election) HasAuthority() bool { return e.authority.holds() }
 
-// LeaseConfirmed says whether the leader lease was renewed since it was won and since the
-// process was last paused.
+// LeaseConfirmed reports whether the leader lease has been renewed since it was acquired and
+// since the process was last paused.
 func (e *Election) LeaseConfirmed() bool { return !e.lease.unconfirmed }
 
-// MayAct says whether this controller may command agents and write records now, if it has
-// taken over.
+// MayAct reports whether this controller may command agents and write records now, if it has
+// taken over as leader.
 func (e *Election) MayAct() bool { return e.HasAuthority() && e.LeaseConfirmed() }
 
-// MayStartLeading says whether this controller may begin to lead. The mirror has then seen
-// everything that came before the leader lease, and the leader lease was renewed since it
-// was won: reading the records of a large deployment takes a second of a small controller's
-// time, and the return of all agents comes on top, so that leader leases expired before
-// their first renewal left.
+// MayStartLeading reports whether this controller may begin to lead. The mirror then includes
+// every change that was made before the leader lease was acquired, and the lease has been renewed
+// since. Without that renewal, leader leases expire before their first renewal is sent: reading
+// the records of a large deployment takes a small controller a second, and all agents send
+// heartbeats at the same time.
 func (e *Election) MayStartLeading() bool { return e.MayAct() && e.HolderTerm() == e.Term() }
 
-// LeaseCondition is the condition of a transaction that this controller's term lasts.
+// LeaseCondition returns the transaction condition that this controller's term still lasts.
 func (e *Election) LeaseCondition() protocol.Condition {
 	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(e.Term())}
 }
 
-// ObserveLease notes the leader lease as it now stands.
+// ObserveLease processes the current record of the leader lease.
 func (e *Election) ObserveLease(value json.RawMessage, revision protocol.Revision) {
 	var lease storage.LeaderLease
 	if err := json.Unmarshal(value, &lease); err != nil {
@@ -138,14 +142,15 @@
 	}
 }
 
-// ObserveRelease notes that nobody holds the leader lease.
+// ObserveRelease records that nobody holds the leader lease.
 func (e *Election) ObserveRelease() {
 	e.candidate.observe("", 0)
 	e.StepDown("leader lease expired")
 	e.candidate.retryAfter(0)
 }
 
-// Tick tries for the leader lease while it is free, and keeps it while this controller holds it.
+// Tick maintains the leader lease if this controller holds it. Otherwise it tries to acquire the
+// lease if it is free.
 func (e *Election) Tick() {
 	if e.lease.held() {
 		e.keepLease()
@@ -154,11 +159,12 @@
 	}
 }
 
-// keepLease renews the leader lease and gives it up when its time is over.
+// keepLease renews the leader lease, asks the peers for confirmation if renewals fail, and steps
+// down when the authority has ended.
 func (e *Election) keepLease() {
 	e.confirmation.request(e.authority.start())
 	if !e.HasAuthority() {
-		e.StepDown("not proven to lead in time")
+		e.StepDown("authority expired without renewal or confirmation")
 		return
 	}
 	if !e.lease.renewalDue() {
@@ -170,7 +176,7 @@
 	e.lease.renew()
 }
 
-// Due tells when the leader lease is to be renewed, given up or tried for.
+// Due calls by with each time at which the leader lease is to be renewed, given up or acquired.
 func (e *Election) Due(by func(time.Time)) {
 	if !e.lease.held() {
 		if e.candidate.mayAcquire() {
@@ -184,19 +190,19 @@
 	by(e.authority.end())
 }
 
-// Acquired notes that this controller has won the leader lease by a request sent at that
-// time. A renewal has to confirm it.
+// Acquired records that a request sent at the given time acquired the leader lease for this
+// controller. A renewal must confirm the lease.
 func (e *Election) Acquired(term protocol.Term, leaseID protocol.LeaseID, sent time.Time) {
 	e.lease.acquired(term, leaseID, sent)
 	e.log.Info("leader lease acquired", "term", term)
 }
 
-// Renewed notes that the leader lease was renewed by a request sent at that time.
+// Renewed records that a request sent at the given time renewed the leader lease.
 func (e *Election) Renewed(sent time.Time) { e.lease.renewed(sent) }
 
-// ProcessPaused is called when the process goes on after a pause, its clocks running on:
-// full buffers and timers that are all due wait, and somebody else may lead by now.
-// Nothing is done as leader before the leader lease was renewed.
+// ProcessPaused is called when the process resumes after a pause during which its clocks went
+// on. Full buffers and overdue timers are then waiting, and another controller may lead by now.
+// Nothing is done as leader until the leader lease has been renewed.
 func (e *Election) ProcessPaused(gap time.Duration) {
 	if !e.lease.held() {
 		return
@@ -204,11 +210,11 @@
 	e.log.Info("process was paused", "term", e.Term(), "seconds", gap.Seconds())
 	e.lease.processPaused()
 	if !e.HasAuthority() {
-		e.StepDown("was paused for longer than its leader lease")
+		e.StepDown("authority expired during a process pause")
 	}
 }
 
-// StepDown gives the leader lease up, if this controller holds it.
+// StepDown gives up the leader lease, if this controller holds it.
 func (e *Election) StepDown(reason string) {
 	if !e.lease.held() {
 		return
@@ -220,8 +226,10 @@
 	e.env.SteppedDown()
 }
 
-// Confirm answers a leader's question: under which term this controller leads itself, how
-// long its process has been up, and the cancellations that it has told users of meanwhile.
+// Confirm returns the answer to a leader's confirmation request: the term under which this
+// controller leads itself (0 if it does not), how long its process has been up, and the
+// cancellations that it has confirmed to users. If these do not fit into a frame, the answer
+// names none of them and is marked as incomplete.
 func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
 	m := protocol.PeerConfirmation{ID: request.ID, Term: e.Term(), UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
 	if m.Complete = m.FitsFrame(); !m.Complete {
@@ -230,13 +238,13 @@
 	return m
 }
 
-// ReceiveConfirmation takes a peer's answer.
+// ReceiveConfirmation processes a peer's answer to a confirmation request.
 func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
 	if !e.confirmation.awaits(m.ID) {
 		return
 	}
 	if m.Term > e.Term() {
-		e.StepDown("a peer leads")
+		e.StepDown("a peer leads under a higher term")
 		return
 	}
 	for _, jobID := range m.Cancels {
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -15,14 +15,15 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is an election's surroundings: its calls wait to be answered.
+// controller implements everything around an Election. Calls to the store wait until a test
+// answers them.
 type controller struct {
 	*Election
 	now             time.Time
 	synced          time.Time
 	peerCount       int
-	confirmRequests uint64 // for confirmation
-	revisionFetches int    // fetched
+	confirmRequests uint64
+	revisionFetches int
 	leading         bool
 	cancelled       []protocol.JobID
 	calls           []pendingCall
@@ -35,7 +36,7 @@
 
 const testLease protocol.LeaseID = 5
 
-// newController makes an election on so much of a core, with so many peers.
+// newController returns a controller with the given share of a core and number of peers.
 func newController(t *testing.T, cores float64, peers int) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
@@ -66,18 +67,18 @@
 	c.cancelled = append(c.cancelled, jobID)
 }
 
-// succeed answers the only call under way with success.
+// succeed answers the only call in flight with success.
 func (c *controller) succeed(t *testing.T, path string, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
-		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
+		t.Fatalf("calls in flight: %+v, want one to %s", c.calls, path)
 	}
 	call := c.calls[0]
 	c.calls = nil
 	call.done(http.StatusOK, storage.Encode(body))
 }
 
-// elect has the controller win and renew the leader lease, and lead.
+// elect makes the controller acquire and renew the leader lease, and lead.
 func (c *controller) elect(t *testing.T) {
 	t.Helper()
 	c.synced = c.now
@@ -86,34 +87,34 @@
 	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
 	c.succeed(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
 	if c.Term() != 9 || c.MayAct() || c.MayStartLeading() {
-		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
+		t.Fatalf("term %d, may act %v, before the leader lease was renewed", c.Term(), c.MayAct())
 	}
 	c.Tick()
 	c.succeed(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() || !c.MayStartLeading() {
-		t.Fatal("may not act though the leader lease was renewed")
+		t.Fatal("may not act although the leader lease was renewed")
 	}
 	c.leading = true
 }
 
-// TestAuthorityEndsBeforeCancellationDeadline: whatever the share of a core, a leader lease that outlives its last
-// renewal for longer takes it from the grace: what a leader that was cut off kept
-// alive is gone within the time that a cancellation may take.
+// TestAuthorityEndsBeforeCancellationDeadline: for every share of a core, the time by which
+// the leader lease lasts longer is taken off the grace. So the tasks that an isolated leader kept
+// alive end within the time that a cancellation may take.
 func TestAuthorityEndsBeforeCancellationDeadline(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
 		timings := c.bounds.cluster.Agents
 		if got, limit := c.LeaseTTL()+c.ConfirmationGrace()+config.Seconds(timings.LeaseS), config.Seconds(timings.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > limit {
-			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, limit)
+			t.Errorf("%v of a core: tasks stay for %v, want at most %v", cores, got, limit)
 		}
 		if ttl := c.LeaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
-			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
+			t.Errorf("%v of a core: TTL of the leader lease is %v", cores, ttl)
 		}
 	}
 }
 
-// TestAuthorityEndsWithoutRenewal: a leader that cannot renew its leader lease, or that can
-// but no longer learns of cancellations, steps down when its authority ends, not earlier.
+// TestAuthorityEndsWithoutRenewal: a leader that cannot renew its leader lease, or that renews it
+// but no longer learns of cancellations, steps down when its authority ends and not earlier.
 func TestAuthorityEndsWithoutRenewal(t *testing.T) {
 	for name, renewed := range map[string]bool{"not renewed": false, "not synced": true} {
 		c := newController(t, 0, 0)
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestProcessPauseRequiresRenewal: after a pause a leader does nothing before a renewal that was
-// sent since; one sent before proves nothing.
+// TestProcessPauseRequiresRenewal: after a pause a leader does nothing until a renewal that was
+// sent after the pause succeeds. A renewal that was sent before proves nothing.
 func TestProcessPauseRequiresRenewal(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
@@ -150,7 +151,7 @@
 	c.ProcessPaused(5 * time.Second)
 	unansweredRenewal.done(http.StatusOK, nil)
 	if c.MayAct() || c.LeaseConfirmed() || !c.HasAuthority() {
-		t.Fatal("a renewal sent before the pause counts")
+		t.Fatal("a renewal sent before the pause confirms the leader lease, or the authority has ended")
 	}
 	c.ProcessPaused(0)
 	c.Tick()
@@ -161,25 +162,26 @@
 	c.now = c.now.Add(c.LeaseTTL() + c.ConfirmationGrace() + time.Second)
 	c.ProcessPaused(time.Minute)
 	if c.Term() != 0 || c.leading {
-		t.Error("leads on a leader lease that has expired")
+		t.Error("still leads after its authority expired")
 	}
 }
 
-// TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail the confirmation of every peer extends a
-// leader's authority, and the cancellations that they name are taken; one that has not
-// answered, leads, or has started since the leader last knew all cancellations ends that.
+// TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail, the confirmation of every peer
+// extends a leader's authority, and the leader takes over the cancellations that they name. One
+// peer that has not answered, that leads, or that has started since the leader last knew every
+// cancellation prevents this.
 func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
 		secondAnswer protocol.PeerConfirmation
 		want         bool
 	}{
-		"all confirm":    {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
-		"an old answer":  {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
-		"not all named":  {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
-		"just started":   {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
-		"a lower term":   {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
-		"another leader": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
+		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
+		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
+		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
+		"peer just started":              {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
+		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
+		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
 	} {
 		c := newController(t, 0, 2)
 		c.elect(t)
@@ -189,7 +191,7 @@
 		c.now = c.now.Add(time.Millisecond)
 		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
 		if c.confirmation.holds() {
-			t.Fatalf("%s: confirmed by one of two", name)
+			t.Fatalf("%s: confirmed by one of two peers", name)
 		}
 		c.ReceiveConfirmation("b", test.secondAnswer)
 		if got := c.confirmation.holds(); got != test.want || got != c.synced.Equal(asked) {
@@ -204,8 +206,8 @@
 	}
 }
 
-// TestUnsolicitedConfirmationIsIgnored: a confirmation that reaches a leader which has not asked yet
-// answers nothing, also if its number is that of no question.
+// TestUnsolicitedConfirmationIsIgnored: a leader that has not asked yet ignores a confirmation,
+// even if its number is 0 as that of no request.
 func TestUnsolicitedConfirmationIsIgnored(t *testing.T) {
 	c := newController(t, 0, 1)
 	c.elect(t)
@@ -217,7 +219,7 @@
 	}
 }
 
-// TestLeaderStepsDownForHigherTerm: a leader lease of a later revision is a successor's.
+// TestLeaderStepsDownForHigherTerm: a leader lease with a later revision is a successor's.
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
@@ -228,7 +230,7 @@
 	c.now = c.now.Add(time.Minute)
 	c.Tick()
 	if len(c.calls) > 0 {
-		t.Error("tries for a leader lease that another holds")
+		t.Error("tries to acquire a leader lease that another controller holds")
 	}
 	c.ObserveRelease()
 	var due time.Time
@@ -236,6 +238,6 @@
 	c.now = due
 	c.Tick()
 	if len(c.calls) != 1 || c.calls[0].Path != protocol.PathLeases {
-		t.Errorf("calls %+v, want one for a lease", c.calls)
+		t.Errorf("calls %+v, want one request for a lease", c.calls)
 	}
 }
