--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -59,7 +59,7 @@
 
 // New returns the Manager of a controller that has just become leader.
 func New(d Dependencies) *Manager {
-	calls := &Calls{Limiter: NewCallLimiter(d.State.Config.Cluster.Process), state: d.State, client: d.Client}
+	calls := &Calls{Limiter: NewLimiter(d.State.Config.Cluster.Process), state: d.State, client: d.Client}
 	delivery := &Delivery{state: d.State, lifecycle: d.Lifecycle, recovery: d.Recovery, calls: calls, env: d.Environment, log: d.Log, term: d.Term}
 	heartbeats := &Heartbeats{
 		state: d.State, lifecycle: d.Lifecycle, recovery: d.Recovery, fleet: d.Fleet, delivery: delivery, env: d.Environment, log: d.Log, term: d.Term,
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -277,13 +277,13 @@
 // partition ends. Two machines that die in a zone that still sends heartbeats are deleted within
 // the lease.
 func TestSilentZoneIsDeletedOnlyAfterBootTime(t *testing.T) {
-	for _, c := range []struct{ silent, deletedWithinLease int }{{2, 2}, {8, 0}} {
+	for _, c := range []struct{ silent, deleted int }{{2, 2}, {8, 0}} {
 		l := newTestLeader()
 		start := l.state.Now()
 		for i := range 24 {
 			l.machine(protocol.MachineID(fmt.Sprintf("i-%02d", i)), []protocol.ZoneName{"a", "b", "c"}[i/8])
 		}
-		countDeletedAt := func(elapsed time.Duration) (n int) {
+		deleted := func(elapsed time.Duration) (n int) {
 			for ; l.state.Now().Sub(start) < elapsed; l.state.Advance(tuning.MachineSweepInterval) {
 				for i, machine := range l.state.OrderedMachines {
 					if i >= c.silent {
@@ -301,10 +301,10 @@
 			return n
 		}
 		lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
-		if n := countDeletedAt(lease); n != c.deletedWithinLease {
+		if n := deleted(lease); n != c.deleted {
 			t.Errorf("%d silent: %d deleted within the lease", c.silent, n)
 		}
-		if n := countDeletedAt(3*lease + config.Seconds(clustertest.BigType.BootS)); n != c.silent {
+		if n := deleted(3*lease + config.Seconds(clustertest.BigType.BootS)); n != c.silent {
 			t.Errorf("%d silent: %d deleted after three leases and the boot time", c.silent, n)
 		}
 	}
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -50,10 +50,10 @@
 	client   Client
 }
 
-// NewCallLimiter returns a rate limiter for calls to agents. Calls may take
+// NewLimiter returns a rate limiter for calls to agents. Calls may take
 // tuning.AgentCallCPUShare of the controller's share of a core: a new leader that called every
 // agent of a large fleet at once would not get to renew its leader lease.
-func NewCallLimiter(resources config.ProcessLimits) *rate.Limiter {
+func NewLimiter(resources config.ProcessLimits) *rate.Limiter {
 	if resources.Cores <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -44,5 +44,5 @@
 
 // ConfirmationGrace implements agents.LivenessEnvironment.
 func (ae agentsEnvironment) ConfirmationGrace() time.Duration {
-	return ae.l.n.election.ConfirmationGrace()
+	return ae.l.n.election.LeaderGrace()
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -97,9 +97,9 @@
 // HolderTerm returns the holder's term, 0 while nobody holds the leader lease.
 func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
 
-// ConfirmationGrace returns how long a leader that cannot renew its leader lease goes on
+// LeaderGrace returns how long a leader that cannot renew its leader lease goes on
 // answering heartbeats.
-func (e *Election) ConfirmationGrace() time.Duration { return e.bounds.grace() }
+func (e *Election) LeaderGrace() time.Duration { return e.bounds.grace() }
 
 // LeaseTTL returns how long the leader lease stays valid after its last renewal.
 func (e *Election) LeaseTTL() time.Duration { return e.bounds.leaseTTL() }
@@ -125,8 +125,8 @@
 // heartbeats at the same time.
 func (e *Election) MayStartLeading() bool { return e.MayAct() && e.HolderTerm() == e.Term() }
 
-// LeaseCondition returns the transaction condition that this controller's term still lasts.
-func (e *Election) LeaseCondition() protocol.Condition {
+// Condition returns the transaction condition that this controller's term still lasts.
+func (e *Election) Condition() protocol.Condition {
 	return protocol.Condition{Key: storage.LeaderKey, Revision: protocol.Revision(e.Term())}
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -104,7 +104,7 @@
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
 		timings := c.bounds.cluster.Agents
-		if got, limit := c.LeaseTTL()+c.ConfirmationGrace()+config.Seconds(timings.LeaseS), config.Seconds(timings.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > limit {
+		if got, limit := c.LeaseTTL()+c.LeaderGrace()+config.Seconds(timings.LeaseS), config.Seconds(timings.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > limit {
 			t.Errorf("%v of a core: tasks stay for %v, want at most %v", cores, got, limit)
 		}
 		if ttl := c.LeaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
@@ -159,7 +159,7 @@
 	if !c.MayAct() {
 		t.Error("may not act after the renewal")
 	}
-	c.now = c.now.Add(c.LeaseTTL() + c.ConfirmationGrace() + time.Second)
+	c.now = c.now.Add(c.LeaseTTL() + c.LeaderGrace() + time.Second)
 	c.ProcessPaused(time.Minute)
 	if c.Term() != 0 || c.leading {
 		t.Error("still leads after its authority expired")
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -34,7 +34,7 @@
 	l := fullFleet(0)
 	n := l.n
 	n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewCallLimiter(bigResources)
+	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
@@ -79,7 +79,7 @@
 func TestOrdersBeforeProbes(t *testing.T) {
 	l := fullFleet(0)
 	l.n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewCallLimiter(bigResources)
+	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
@@ -197,7 +197,7 @@
 	if got := status(out, 2); got != 200 || !n.mayAct() {
 		t.Errorf("after the renewal a heartbeat is answered %d", got)
 	}
-	n.Step(n.now.Add(n.election.LeaseTTL()+n.election.ConfirmationGrace()+time.Second), nil)
+	n.Step(n.now.Add(n.election.LeaseTTL()+n.election.LeaderGrace()+time.Second), nil)
 	if n.Leading() {
 		t.Error("leads on a leader lease that has expired")
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -83,7 +83,7 @@
 		return
 	}
 	n.store.Transact(protocol.Transaction{
-		Conditions: []protocol.Condition{n.election.LeaseCondition()},
+		Conditions: []protocol.Condition{n.election.Condition()},
 		Changes:    []protocol.Change{{Set: storage.TypesKey, Value: value}},
 	}, func(kv.TransactionResult) {})
 }
