--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -332,8 +332,8 @@
 }
 
 // TestUnrecordedAttemptIsStopped: an attempt with a higher number than any in the records is
-// stopped once when a current heartbeat shows it. The next attempt of the task is numbered above it,
-// unless its number is above tuning.MaxTrustedAttempt.
+// stopped once when a current heartbeat shows it. The next attempt of the task is numbered above
+// it, unless its number is above tuning.MaxTrustedAttempt.
 func TestUnrecordedAttemptIsStopped(t *testing.T) {
 	for _, number := range []protocol.AttemptNumber{9, tuning.MaxTrustedAttempt + 1} {
 		l := newTestLeader()
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -133,8 +133,8 @@
 }
 
 // forgetIsDue reports whether to send a command to forget an exited attempt now. The command is
-// not repeated while the agent may not have reported its effect yet, unless the task is to
-// start again on the same machine.
+// not repeated at once, because the agent may not have reported its effect yet, unless the task
+// is to start again on the same machine.
 func (d *Delivery) forgetIsDue(machine *cluster.Machine, exited protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(exited.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: exited.Attempt}
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -77,7 +77,7 @@
 }
 
 // presentToken shows the fencing token to an agent with tasks that has not sent this leader
-// a heartbeat. It yields to other calls, because most agents send a heartbeat by themselves.
+// a heartbeat. It is a call that can wait, because most agents send a heartbeat by themselves.
 func (d *Delivery) presentToken(machine *cluster.Machine) {
 	if !machine.Agent.Heard && machine.Agent.Incarnation > 0 && !machine.Deleting && d.isCallable(machine) && d.calls.MayProbe() {
 		d.call(machine, nil)
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -141,8 +141,9 @@
 	}
 }
 
-// skipAttemptNumbers numbers the next attempt of a task above one that the records never had. A
-// start with the same number would do nothing on a machine that has the old attempt.
+// skipAttemptNumbers makes sure that the next attempt of a task is numbered above one that the
+// records never had. A start with the same number would do nothing where the old attempt is.
+// Numbers from tuning.MaxTrustedAttempt on are not skipped.
 func (h *Heartbeats) skipAttemptNumbers(job *cluster.Job, key cluster.AttemptID) {
 	if task := &job.Tasks[key.Index]; key.Number > task.LastAttempt && key.Number < tuning.MaxTrustedAttempt {
 		task.LastAttempt = key.Number
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -33,8 +33,8 @@
 
 // maxSinceRenewal returns how long a leader may act after its leader lease was last renewed, and
 // after it last knew every cancellation. A response to an agent at the end of this time keeps
-// the agent's tasks running for another agent lease. By then a cancellation must have taken
-// effect that was confirmed to a user just after the leader last knew every cancellation.
+// the agent's tasks running for another agent lease. A cancellation that was confirmed to
+// a user just after the leader last knew every cancellation must have taken effect by then.
 func (ab authorityBounds) maxSinceRenewal() time.Duration {
 	timings := ab.cluster.Agents
 	bound := config.Seconds(timings.CancelS) - config.WithClockDrift(config.Seconds(timings.LeaseS)) - tuning.CancellationMargin
@@ -42,7 +42,8 @@
 }
 
 // maxSinceConfirmation returns how long a leader may act after it sent a request that all peers
-// confirmed. A successor begins to lead after that request and allows for the grace from then.
+// confirmed. The next leader starts after that request and assumes that the old one may go on
+// answering agents for the grace, counted from that start.
 func (ab authorityBounds) maxSinceConfirmation() time.Duration {
 	return min(ab.grace(), ab.maxSinceRenewal())
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -120,9 +120,9 @@
 
 // MayStartLeading reports whether this controller may begin to lead. The mirror then includes
 // every change that was made before the leader lease was acquired, and the lease has been renewed
-// since. Without that renewal, leader leases expire before their first renewal is sent: reading
-// the records of a large deployment takes a small controller a second, and all agents send
-// heartbeats at the same time.
+// since. If the controller began earlier, its lease could expire before the first renewal is
+// sent: reading the records of a large deployment takes a small controller a second, and all
+// agents return at the same time.
 func (e *Election) MayStartLeading() bool { return e.MayAct() && e.HolderTerm() == e.Term() }
 
 // Condition returns the transaction condition that this controller's term still lasts.
@@ -176,18 +176,19 @@
 	e.lease.renew()
 }
 
-// Due calls by with each time at which the leader lease is to be renewed, given up or acquired.
-func (e *Election) Due(by func(time.Time)) {
+// Due passes to schedule each time at which the leader lease is to be renewed, given up or
+// acquired.
+func (e *Election) Due(schedule func(time.Time)) {
 	if !e.lease.held() {
 		if e.candidate.mayAcquire() {
-			by(e.candidate.retryAt)
+			schedule(e.candidate.retryAt)
 		}
 		return
 	}
 	if !e.lease.renewing {
-		by(e.lease.renewAt)
+		schedule(e.lease.renewAt)
 	}
-	by(e.authority.end())
+	schedule(e.authority.end())
 }
 
 // Acquired records that a request sent at the given time acquired the leader lease for this
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -97,9 +97,9 @@
 	c.leading = true
 }
 
-// TestAuthorityEndsBeforeCancellationDeadline: for every share of a core, the time by which
-// the leader lease lasts longer is taken off the grace. So the tasks that an isolated leader kept
-// alive end within the time that a cancellation may take.
+// TestAuthorityEndsBeforeCancellationDeadline: a smaller share of a core gives the leader
+// lease a longer TTL and the leader a shorter grace. So, for every share, the tasks that an
+// isolated leader kept alive end within the time that a cancellation may take.
 func TestAuthorityEndsBeforeCancellationDeadline(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
@@ -207,7 +207,7 @@
 }
 
 // TestUnsolicitedConfirmationIsIgnored: a leader that has not asked yet ignores a confirmation,
-// even if its number is 0 as that of no request.
+// even if its number is 0, as before the first request.
 func TestUnsolicitedConfirmationIsIgnored(t *testing.T) {
 	c := newController(t, 0, 1)
 	c.elect(t)
