--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -30,7 +30,7 @@
 	// Booting reports whether a machine has yet to send its first heartbeat and is still
 	// expected to.
 	Booting(machine *cluster.Machine) bool
-	// Deleted reports whether a machine has certainly been deleted.
+	// Deleted reports whether a machine is known to be deleted.
 	Deleted(machine protocol.MachineID) bool
 	// DeleteMachine requests the deletion of a machine.
 	DeleteMachine(machine *cluster.Machine, reason string)
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -96,7 +96,7 @@
 	return l.state.AddJob(spec)
 }
 
-// addRecoveredAttempt adds an attempt that a predecessor's record places on a machine.
+// addRecoveredAttempt adds an attempt that the previous leader's record places on a machine.
 func (l *testLeader) addRecoveredAttempt(job *cluster.Job, machine *cluster.Machine) {
 	job.Recovered, job.Epoch, job.EverPlaced = true, 3, true
 	attempt := l.state.AddAttempt(job, 0, 3, machine, 1)
@@ -133,7 +133,8 @@
 }
 
 // TestAttemptIsReleasedOnlyAfterTokenConfirmed: until the agent has shown this leader's token,
-// its heartbeat may be older than a predecessor's start and does not prove an attempt absent.
+// its heartbeat may be older than a start by the previous leader and does not prove an attempt
+// absent.
 func TestAttemptIsReleasedOnlyAfterTokenConfirmed(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
@@ -148,8 +149,9 @@
 	}
 }
 
-// TestRecoveredAttemptIsNeverStarted: an attempt that a predecessor placed may have ended, and
-// its capacity and quota may have gone to others, so the same attempt is never started again.
+// TestRecoveredAttemptIsNeverStarted: an attempt that the previous leader placed may have
+// ended, and its capacity and quota may have gone to others, so the same attempt is never started
+// again.
 func TestRecoveredAttemptIsNeverStarted(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
@@ -212,9 +214,9 @@
 	}
 }
 
-// TestLeaseExpiryIncludesPredecessorGrace: a predecessor may have answered an agent until the
-// end of the predecessor's grace, so the agent's lease expires that much later.
-func TestLeaseExpiryIncludesPredecessorGrace(t *testing.T) {
+// TestLeaseExpiryIncludesPreviousLeadersGrace: the previous leader may have responded to
+// an agent until the end of its grace, so the agent's lease expires that much later.
+func TestLeaseExpiryIncludesPreviousLeadersGrace(t *testing.T) {
 	l := newTestLeader()
 	start := l.state.Now()
 	machine, job := l.state.EnsureMachine("i-1", "h:1", "big", "a", false), l.job(protocol.ShapeGang, 1)
@@ -223,12 +225,12 @@
 	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 1 {
-		t.Fatal("attempt released within the predecessor's grace and the lease")
+		t.Fatal("attempt released within the previous leader's grace and the lease")
 	}
 	l.state.Advance(start.Add(lease + testGrace + 3*time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
 	if len(job.Attempts) != 0 {
-		t.Error("attempt not released after the predecessor's grace and the lease")
+		t.Error("attempt not released after the previous leader's grace and the lease")
 	}
 }
 
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -57,7 +57,7 @@
 	now := d.state.Now()
 	for _, attempt := range attempts {
 		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
-			continue // an attempt of a predecessor is stopped once a heartbeat shows it
+			continue // an attempt of a previous leader is stopped once a heartbeat shows it
 		}
 		if attempt.ReportedState == "" && attempt.StartMayArrive() {
 			// An unanswered start may still arrive. It does nothing if the agent already
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -41,8 +41,8 @@
 }
 
 // LeaseExpiresAt returns the time at which an agent's lease has certainly expired. If this
-// leader has never answered the agent, its predecessor may have done so until the end of the
-// predecessor's grace.
+// leader has never answered the agent, the previous leader may have done so until the end of its
+// grace.
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	lastRenewal := l.state.LeadingSince.Add(grace)
@@ -57,9 +57,9 @@
 type suspectedPartitions struct {
 	suspected map[protocol.ZoneName]bool
 	// suspectedForReplicas holds the same zones by the shorter silence time-out of machines with
-	// replicas, and reportingZones the zones most of whose machines still send heartbeats. Both
+	// replicas, and reachableZones the zones most of whose machines still send heartbeats. Both
 	// are nil until they are needed.
-	suspectedForReplicas, reportingZones map[protocol.ZoneName]bool
+	suspectedForReplicas, reachableZones map[protocol.ZoneName]bool
 }
 
 // Tick checks every agent: it probes silent ones, expires leases and requests the deletion of
@@ -167,12 +167,12 @@
 }
 
 // mayDeleteReplicaHost reports the same of a machine with replicas, or whether its replicas can
-// be placed in zones that still send heartbeats.
+// be placed in reachable zones.
 func (l *Liveness) mayDeleteReplicaHost(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	if partitions.suspectedForReplicas == nil {
-		partitions.suspectedForReplicas, partitions.reportingZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
+		partitions.suspectedForReplicas, partitions.reachableZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.reportingZones)
+	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.reachableZones)
 }
 
 // deleteSilent requests the deletion of an unresponsive machine.
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -53,7 +53,7 @@
 }
 
 // undelivered reports whether a start of an attempt may be on its way or will be sent again. This
-// leader never starts an attempt that a predecessor recorded.
+// leader never starts an attempt that a previous leader recorded.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
 	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startOutcomesKnown {
 		return true
