--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -38,7 +38,7 @@
 
 func newTestLeader() *testLeader {
 	l := &testLeader{state: clustertest.New(), logged: map[string]bool{}}
-	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewPhase()
+	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewRecoveryPhase()
 	state := l.state.State
 	l.lifecycle = lifecycle.New(state, recovery, l, log)
 	l.scheduler = scheduler.New(state, l, log)
@@ -289,7 +289,7 @@
 			for ; l.state.Now().Sub(start) < elapsed; l.state.Advance(tuning.MachineSweepInterval) {
 				for i, machine := range l.state.OrderedMachines {
 					if i >= c.silent {
-						machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.state.Now(), l.state.Now()
+						machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.state.Now(), l.state.Now()
 					}
 				}
 				l.Liveness.Tick()
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -122,7 +122,7 @@
 func (d *Delivery) isForgettable(machine *cluster.Machine, exited protocol.TaskStatus) bool {
 	id, index, _ := protocol.SplitTask(exited.Task)
 	key := cluster.AttemptID{Job: id, Index: index, Number: exited.Attempt}
-	if machine.Delivery.Pinned[key] || machine.Attempts[key] != nil || d.env.Unreadable(id) {
+	if machine.Delivery.MustNotForget[key] || machine.Attempts[key] != nil || d.env.Unreadable(id) {
 		return false
 	}
 	job := d.state.Jobs[id]
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -28,7 +28,7 @@
 type Delivery struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase // counts the commands sent
+	recovery   *reconcile.RecoveryPhase // counts the commands sent
 	calls      *Calls
 	heartbeats *Heartbeats
 	env        DeliveryEnvironment
@@ -73,7 +73,7 @@
 
 // isCallable reports whether the agent can be sent commands in a direct call now.
 func (d *Delivery) isCallable(machine *cluster.Machine) bool {
-	return !machine.Delivery.InFlight && machine.Address != "" && !d.state.Now().Before(machine.Delivery.NotBefore)
+	return !machine.Delivery.InFlight && machine.Address != "" && !d.state.Now().Before(machine.Delivery.CallNotBefore)
 }
 
 // presentToken shows the fencing token to an agent with tasks that has not sent this leader
@@ -97,8 +97,8 @@
 				attempt.EndDirectStart()
 				continue
 			}
-			attempt.LoseDirectStart()
-			machine.Delivery.Pinned[attempt.ID()] = true
+			attempt.MarkDirectStartUnanswered()
+			machine.Delivery.MustNotForget[attempt.ID()] = true
 		}
 		if !answered {
 			d.retryUnanswered(machine)
@@ -106,7 +106,7 @@
 		}
 		d.heartbeats.ObserveCallResult(machine, result)
 		if result.Outcome == Refused {
-			machine.Delivery.NotBefore = d.state.Now().Add(tuning.StopResendDelay)
+			machine.Delivery.CallNotBefore = d.state.Now().Add(tuning.StopResendDelay)
 			d.Enqueue(machine)
 		}
 	})
@@ -132,10 +132,10 @@
 func (d *Delivery) retryUnanswered(machine *cluster.Machine) {
 	now := d.state.Now()
 	machine.Agent.IneffectiveResponses = max(machine.Agent.IneffectiveResponses, 1)
-	machine.Delivery.NotBefore = now.Add(tuning.StopResendDelay)
+	machine.Delivery.CallNotBefore = now.Add(tuning.StopResendDelay)
 	switch {
 	case !machine.Agent.Heard:
-		machine.Delivery.NotBefore = now.Add(d.state.SilenceTimeout()) // let the leader call other agents first
+		machine.Delivery.CallNotBefore = now.Add(d.state.SilenceTimeout()) // let the leader call other agents first
 	case len(machine.Attempts) > 0:
 		d.Enqueue(machine)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -58,7 +58,7 @@
 type Heartbeats struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	fleet      Fleet
 	delivery   *Delivery
 	env        HeartbeatEnvironment
@@ -136,7 +136,7 @@
 	}
 	h.resolve(machine, heartbeat, differences)
 	if machine.Agent.TokenConfirmed {
-		h.recovery.Known(machine.ID)
+		h.recovery.AgentAccountedFor(machine.ID)
 	}
 	return machine
 }
@@ -145,8 +145,8 @@
 // incarnation of an agent has forgotten every attempt of an older one.
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
-		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
-		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
+		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
+		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.RespondedAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
 			// The agent's lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
@@ -168,7 +168,7 @@
 	}
 	machine.Agent.LastHeartbeat = now
 	if from == fromHeartbeat {
-		machine.Agent.AnsweredAt = now
+		machine.Agent.RespondedAt = now
 	} else {
 		machine.Agent.IneffectiveResponses = 0 // the agent has responded to a call
 	}
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -30,7 +30,7 @@
 type Liveness struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	scheduler  *scheduler.Scheduler
 	fleet      Fleet
 	calls      *Calls
@@ -46,8 +46,8 @@
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	lastRenewal := l.state.LeadingSince.Add(grace)
-	if machine.Agent.AnsweredAt.After(lastRenewal) {
-		lastRenewal = machine.Agent.AnsweredAt
+	if machine.Agent.RespondedAt.After(lastRenewal) {
+		lastRenewal = machine.Agent.RespondedAt
 	}
 	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	return lastRenewal.Add(config.WithClockDrift(lease) + config.WithClockDrift(grace) - grace + tuning.LeaseExpiryMargin)
@@ -112,7 +112,7 @@
 	}
 	machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
 	l.log.Info("lease expired", "machine", machine.ID)
-	l.recovery.Known(machine.ID)
+	l.recovery.AgentAccountedFor(machine.ID)
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		l.lifecycle.RemoveGone(attempt)
 	}
@@ -163,7 +163,7 @@
 // mayDeleteSilent reports whether the fault is in the machine and not in the network, or the
 // machine has been gone for longer than a replacement takes to boot.
 func (l *Liveness) mayDeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
-	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBoot(machine)
+	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBootTime(machine)
 }
 
 // mayDeleteReplicaHost reports the same of a machine with replicas, or whether its replicas can
@@ -172,7 +172,7 @@
 	if partitions.suspectedForReplicas == nil {
 		partitions.suspectedForReplicas, partitions.reachableZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBoot(machine) || l.scheduler.ReplicasHavePlacesElsewhere(machine, partitions.reachableZones)
+	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.MostReplicasFitElsewhere(machine, partitions.reachableZones)
 }
 
 // deleteSilent requests the deletion of an unresponsive machine.
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -73,28 +73,28 @@
 	for _, d := range differences {
 		h.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
-		if d.Entry >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.Entry].State == protocol.TaskExited {
-			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.Entry])
+		if d.EntryIndex >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.EntryIndex].State == protocol.TaskExited {
+			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.EntryIndex])
 		}
 		switch d.Class.Resolution() {
 		case reconcile.Keep:
 			if d.Class == reconcile.Unreadable {
-				hasUnnamedEntry = !h.handleUnreadableEntry(machine, &heartbeat.Tasks[d.Entry]) || hasUnnamedEntry
+				hasUnnamedEntry = !h.handleUnreadableEntry(machine, &heartbeat.Tasks[d.EntryIndex]) || hasUnnamedEntry
 				continue
 			}
-			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.Entry].State != protocol.TaskExited {
-				h.recordState(attempt, heartbeat.Tasks[d.Entry].State)
+			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.EntryIndex].State != protocol.TaskExited {
+				h.recordState(attempt, heartbeat.Tasks[d.EntryIndex].State)
 			}
 		case reconcile.Await:
-			absenceUnproven = absenceUnproven || d.Current
+			absenceUnproven = absenceUnproven || d.TokenCurrent
 		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
 				h.lifecycle.RemoveGone(attempt)
 			}
 		case reconcile.Stop:
-			h.stopOrphan(machine, key, &heartbeat.Tasks[d.Entry], d)
+			h.stopOrphan(machine, key, &heartbeat.Tasks[d.EntryIndex], d)
 		case reconcile.RecordEnd:
-			h.recordEnd(machine, key, &heartbeat.Tasks[d.Entry])
+			h.recordEnd(machine, key, &heartbeat.Tasks[d.EntryIndex])
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
@@ -121,7 +121,7 @@
 func (h *Heartbeats) stopOrphan(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d reconcile.Difference) {
 	job := h.state.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
-		if d.Current {
+		if d.TokenCurrent {
 			machine.Delivery.Orphans = append(machine.Delivery.Orphans, key)
 		}
 		return
@@ -133,7 +133,7 @@
 	}
 	h.recordState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
-	if d.Current || job.Cancelled {
+	if d.TokenCurrent || job.Cancelled {
 		if !attempt.Stopping {
 			h.log.Info("stopping orphaned attempt", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
@@ -161,7 +161,7 @@
 		return
 	}
 	if attempt.StartMayArrive() {
-		machine.Delivery.Pinned[key] = true
+		machine.Delivery.MustNotForget[key] = true
 	}
 	attempt.ObserveExit()
 	h.lifecycle.HandleExit(attempt, entry)
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -96,7 +96,7 @@
 func (c *consolidation) moveOne(attempt *cluster.Attempt, taken map[*cluster.Machine]cluster.Resources) bool {
 	state := c.autoscaler.state
 	for _, target := range c.targets {
-		if target == attempt.Machine || c.emptied[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Usable(attempt.Job, target) {
+		if target == attempt.Machine || c.emptied[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Eligible(attempt.Job, target) {
 			continue
 		}
 		free := c.freeOn(target, taken)
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -19,7 +19,7 @@
 // serves says whether a job could use a slot. What the job avoids must not count, or it
 // would wait for that instead of for a further machine.
 func (as *Autoscaler) serves(slot *capacitySlot, job *cluster.Job) bool {
-	return cluster.Allows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
+	return cluster.SpecAllows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
 		(slot.machine == nil || !as.state.Avoids(job, slot.machine))
 }
 
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -33,13 +33,13 @@
 // Manager ends attempts.
 type Manager struct {
 	state    *cluster.State
-	recovery *reconcile.Phase // counts the gangs that are found incomplete
+	recovery *reconcile.RecoveryPhase // counts the gangs that are found incomplete
 	env      Environment
 	log      *slog.Logger
 }
 
 // New makes a manager of attempts' lives.
-func New(state *cluster.State, recovery *reconcile.Phase, env Environment, log *slog.Logger) *Manager {
+func New(state *cluster.State, recovery *reconcile.RecoveryPhase, env Environment, log *slog.Logger) *Manager {
 	return &Manager{state: state, recovery: recovery, env: env, log: log}
 }
 
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -40,7 +40,7 @@
 // Preempt stops an attempt for a job that waits: gracefully if a checkpoint is worth that
 // job's wait.
 func (m *Manager) Preempt(attempt *cluster.Attempt) {
-	if scheduler.CheckpointPays(attempt.Job.Spec) {
+	if scheduler.ShouldCheckpointOnPreemption(attempt.Job.Spec) {
 		m.stopGracefully(attempt)
 	} else {
 		m.stopWithGang(attempt, 0)
