--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -15,17 +15,18 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is an election's surroundings: its calls wait to be answered.
+// controller implements everything around an Election. Calls to the store wait until a test
+// answers them.
 type controller struct {
 	*Election
-	now       time.Time
-	synced    time.Time
-	peerCount int
-	requests  uint64 // for confirmation
-	revisions int    // fetched
-	leading   bool
-	cancelled []protocol.JobID
-	calls     []pendingCall
+	now             time.Time
+	synced          time.Time
+	peerCount       int
+	confirmRequests uint64
+	revisionFetches int
+	leading         bool
+	cancelled       []protocol.JobID
+	calls           []pendingCall
 }
 
 type pendingCall struct {
@@ -35,7 +36,7 @@
 
 const testLease protocol.LeaseID = 5
 
-// newController makes an election on so much of a core, with so many peers.
+// newController returns a controller with the given share of a core and number of peers.
 func newController(t *testing.T, cores float64, peers int) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
@@ -56,64 +57,64 @@
 func (c *controller) Ready() bool             { return true }
 func (c *controller) SyncedAt() time.Time     { return c.synced }
 func (c *controller) MarkSynced(at time.Time) { c.synced = at }
-func (c *controller) FetchRevision()          { c.revisions++ }
+func (c *controller) FetchRevision()          { c.revisionFetches++ }
 func (c *controller) Count() int              { return c.peerCount }
 func (c *controller) RequestConfirmation() uint64 {
-	c.requests++
-	return c.requests
+	c.confirmRequests++
+	return c.confirmRequests
 }
 func (c *controller) CancellationConfirmed(jobID protocol.JobID) {
 	c.cancelled = append(c.cancelled, jobID)
 }
 
-// answer answers the only call under way with success.
-func (c *controller) answer(t *testing.T, path string, body any) {
+// succeed answers the only call in flight with success.
+func (c *controller) succeed(t *testing.T, path string, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
-		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
+		t.Fatalf("calls in flight: %+v, want one to %s", c.calls, path)
 	}
 	call := c.calls[0]
 	c.calls = nil
 	call.done(http.StatusOK, storage.Encode(body))
 }
 
-// elect has the controller win and renew the leader lease, and lead.
+// elect makes the controller acquire and renew the leader lease, and lead.
 func (c *controller) elect(t *testing.T) {
 	t.Helper()
 	c.synced = c.now
 	c.Tick()
-	c.answer(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
+	c.succeed(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
 	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
-	c.answer(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
+	c.succeed(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
 	if c.Term() != 9 || c.MayAct() || c.MayStartLeading() {
-		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
+		t.Fatalf("term %d, may act %v, before the leader lease was renewed", c.Term(), c.MayAct())
 	}
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), nil)
+	c.succeed(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() || !c.MayStartLeading() {
-		t.Fatal("may not act though the leader lease was renewed")
+		t.Fatal("may not act although the leader lease was renewed")
 	}
 	c.leading = true
 }
 
-// TestAuthorityIsBounded: whatever the share of a core, a leader lease that outlives its last
-// renewal for longer takes it from the grace: what a leader that was cut off kept
-// alive is gone within the time that a cancellation may take.
-func TestAuthorityIsBounded(t *testing.T) {
+// TestAuthorityEndsBeforeCancellationDeadline: a smaller share of a core gives the leader
+// lease a longer TTL and the leader a shorter grace. So, for every share, the tasks that an
+// isolated leader kept alive end within the time that a cancellation may take.
+func TestAuthorityEndsBeforeCancellationDeadline(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
-		w := c.bounds.cluster.Agents
-		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
-			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
+		timings := c.bounds.cluster.Agents
+		if got, limit := c.LeaseTTL()+c.LeaderGrace()+config.Seconds(timings.LeaseS), config.Seconds(timings.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > limit {
+			t.Errorf("%v of a core: tasks stay for %v, want at most %v", cores, got, limit)
 		}
-		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
-			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
+		if ttl := c.LeaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
+			t.Errorf("%v of a core: TTL of the leader lease is %v", cores, ttl)
 		}
 	}
 }
 
-// TestAuthorityEndsWithoutRenewal: a leader that cannot renew its leader lease, or that can
-// but no longer learns of cancellations, steps down when its authority ends, not earlier.
+// TestAuthorityEndsWithoutRenewal: a leader that cannot renew its leader lease, or that renews it
+// but no longer learns of cancellations, steps down when its authority ends and not earlier.
 func TestAuthorityEndsWithoutRenewal(t *testing.T) {
 	for name, renewed := range map[string]bool{"not renewed": false, "not synced": true} {
 		c := newController(t, 0, 0)
@@ -127,8 +128,8 @@
 				c.synced = c.now
 			}
 		}
-		if lasted := c.now.Sub(start); lasted < c.bounds.sinceRenewal() || lasted > c.bounds.sinceRenewal()+2*tuning.MinTimerInterval {
-			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.bounds.sinceRenewal())
+		if lasted := c.now.Sub(start); lasted < c.bounds.maxSinceRenewal() || lasted > c.bounds.maxSinceRenewal()+2*tuning.MinTimerInterval {
+			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.bounds.maxSinceRenewal())
 		}
 		c.Tick()
 		if c.Term() != 0 || c.leading {
@@ -137,49 +138,50 @@
 	}
 }
 
-// TestProcessPauseNeedsRenewal: after a pause a leader does nothing before a renewal that was
-// sent since; one sent before proves nothing.
-func TestProcessPauseNeedsRenewal(t *testing.T) {
+// TestProcessPauseRequiresRenewal: after a pause a leader does nothing until a renewal that was
+// sent after the pause succeeds. A renewal that was sent before proves nothing.
+func TestProcessPauseRequiresRenewal(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
 	c.now = c.now.Add(tuning.LeaderLeaseRenewInterval)
 	c.Tick()
-	before := c.calls[0]
+	unansweredRenewal := c.calls[0]
 	c.calls = nil
 	c.now = c.now.Add(5 * time.Second)
 	c.ProcessPaused(5 * time.Second)
-	before.done(http.StatusOK, nil)
-	if c.MayAct() || c.Confirmed() || !c.HasAuthority() {
-		t.Fatal("a renewal sent before the pause counts")
+	unansweredRenewal.done(http.StatusOK, nil)
+	if c.MayAct() || c.LeaseConfirmed() || !c.HasAuthority() {
+		t.Fatal("a renewal sent before the pause confirms the leader lease, or the authority has ended")
 	}
 	c.ProcessPaused(0)
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), nil)
+	c.succeed(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() {
 		t.Error("may not act after the renewal")
 	}
-	c.now = c.now.Add(c.TTL() + c.Grace() + time.Second)
+	c.now = c.now.Add(c.LeaseTTL() + c.LeaderGrace() + time.Second)
 	c.ProcessPaused(time.Minute)
 	if c.Term() != 0 || c.leading {
-		t.Error("leads on a leader lease that has expired")
+		t.Error("still leads after its authority expired")
 	}
 }
 
-// TestAllPeersConfirmAuthority: while renewals fail the confirmation of every peer extends a
-// leader's authority, and the cancellations that they name are taken; one that has not
-// answered, leads, or has started since the leader last knew all cancellations ends that.
-func TestAllPeersConfirmAuthority(t *testing.T) {
+// TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail, the confirmation of every peer
+// extends a leader's authority, and the leader takes over the cancellations that they name. One
+// peer that has not answered, that leads, or that has started since the leader last knew every
+// cancellation prevents this.
+func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
-		second protocol.PeerConfirmation
-		want   bool
+		secondAnswer protocol.PeerConfirmation
+		want         bool
 	}{
-		"all confirm":    {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
-		"an old answer":  {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
-		"not all named":  {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
-		"just started":   {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
-		"a lower term":   {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
-		"another leader": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
+		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
+		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
+		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
+		"peer just started":              {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
+		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
+		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
 	} {
 		c := newController(t, 0, 2)
 		c.elect(t)
@@ -189,24 +191,24 @@
 		c.now = c.now.Add(time.Millisecond)
 		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
 		if c.confirmation.holds() {
-			t.Fatalf("%s: confirmed by one of two", name)
+			t.Fatalf("%s: confirmed by one of two peers", name)
 		}
-		c.ReceiveConfirmation("b", test.second)
+		c.ReceiveConfirmation("b", test.secondAnswer)
 		if got := c.confirmation.holds(); got != test.want || got != c.synced.Equal(asked) {
 			t.Errorf("%s: confirmed %v, synced at %v", name, got, c.synced)
 		}
 		if !slices.Equal(c.cancelled, []protocol.JobID{"run-000001"}) {
 			t.Errorf("%s: cancellations %v", name, c.cancelled)
 		}
-		if leads := c.Term() != 0; leads != (test.second.Term <= 9) {
+		if leads := c.Term() != 0; leads != (test.secondAnswer.Term <= 9) {
 			t.Errorf("%s: leads %v", name, leads)
 		}
 	}
 }
 
-// TestUnaskedConfirmation: a confirmation that reaches a leader which has not asked yet
-// answers nothing, also if its number is that of no question.
-func TestUnaskedConfirmation(t *testing.T) {
+// TestUnsolicitedConfirmationIsIgnored: a leader that has not asked yet ignores a confirmation,
+// even if its number is 0, as before the first request.
+func TestUnsolicitedConfirmationIsIgnored(t *testing.T) {
 	c := newController(t, 0, 1)
 	c.elect(t)
 	synced := c.synced
@@ -217,7 +219,7 @@
 	}
 }
 
-// TestLeaderStepsDownForHigherTerm: a leader lease of a later revision is a successor's.
+// TestLeaderStepsDownForHigherTerm: a leader lease with a later revision is a successor's.
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
@@ -228,7 +230,7 @@
 	c.now = c.now.Add(time.Minute)
 	c.Tick()
 	if len(c.calls) > 0 {
-		t.Error("tries for a leader lease that another holds")
+		t.Error("tries to acquire a leader lease that another controller holds")
 	}
 	c.ObserveRelease()
 	var due time.Time
@@ -236,6 +238,6 @@
 	c.now = due
 	c.Tick()
 	if len(c.calls) != 1 || c.calls[0].Path != protocol.PathLeases {
-		t.Errorf("calls %+v, want one for a lease", c.calls)
+		t.Errorf("calls %+v, want one request for a lease", c.calls)
 	}
 }
