--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -20,7 +20,7 @@
 	Now() time.Time
 	// Leading says whether the controller has taken over as leader: jobs wait for its watch.
 	Leading() bool
-	// Condition is the condition of a transaction that the controller's term lasts.
+	// LeaseCondition is the condition of a transaction that the controller's term lasts.
 	LeaseCondition() protocol.Condition
 	// Loaded is called when all records were read.
 	Loaded()
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -21,7 +21,7 @@
 	// Recovering reports whether a recovery after a failover is in progress, during which
 	// some agents named in the stored records have not reported yet.
 	Recovering() bool
-	// WithholdsStarts reports whether the job must not start any task yet.
+	// StartsWithheld reports whether the job must not start any task yet.
 	StartsWithheld(job *cluster.Job) bool
 	// AwaitsRecordSplit reports whether a record of the gang must be split before the gang's
 	// placement can be written. It also marks such records to be split.
