--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -91,7 +91,7 @@
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
 	h.Tick()
-	h.cloud.creations[0].done(CreateResult{Outcome: CreateUnclear})
+	h.cloud.creations[0].done(CreateResult{Outcome: CreateOutcomeUnknown})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
