--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -1,9 +1,10 @@
-// Package autoscaler adds machines for jobs that wait and deletes those that are no longer
-// needed: scale out and in, spares, the reserve for the loss of a zone, consolidation of
-// half-empty machines. It keeps the cloud's list of machines in the cluster model.
+// Package autoscaler creates machines for waiting jobs and deletes machines that are no
+// longer needed. It covers scale-out, scale-in, spares, the capacity reserve for the loss of a
+// zone, and the consolidation of half-empty machines. It also updates the cluster model from
+// the cloud's machine list.
 //
-// It decides on the cluster model and calls the cloud; it places nothing, writes no
-// records and sends agents nothing.
+// It bases its decisions on the cluster model and calls the cloud. It places no tasks, writes
+// no records and sends nothing to agents.
 package autoscaler
 
 import (
@@ -17,45 +18,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Environment is what the autoscaler needs of the leader.
+// Environment is what the autoscaler needs from the leader.
 type Environment interface {
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling requests a scheduling cycle soon.
 	RequestScheduling()
-	// RecordMachine has a machine's entry in its machine record written.
+	// RecordMachine schedules a write of the machine's entry in its machine record.
 	RecordMachine(machine *cluster.Machine)
-	// MachinesDeleted takes machines out of all accounts that are gone for certain.
+	// MachinesDeleted removes machines that are known to be deleted from the cluster model.
 	MachinesDeleted(machines ...protocol.MachineID)
-	// Drain empties a machine that is to go.
+	// Drain cordons a machine and moves its tasks off, so that it can be deleted.
 	Drain(machine *cluster.Machine)
-	// UniqueName makes a name that no other request has.
+	// UniqueName returns a name that no other request has.
 	UniqueName() string
-	// After does something once the time has passed, if this leader still leads.
+	// After calls do once the pause has passed, unless this leader has stepped down by then.
 	After(pause time.Duration, do func())
 }
 
-// dependencies are what every part of the autoscaler works with.
+// dependencies are what all parts of the autoscaler use.
 type dependencies struct {
 	state *cluster.State
 	cloud Cloud
 	env   Environment
 	log   *slog.Logger
-	calls *rate.Limiter // calls to the cloud
+	calls *rate.Limiter // limits the calls to the cloud
 }
 
-// Autoscaler fits the number of machines to the work.
+// Autoscaler adjusts the number of machines to the demand.
 type Autoscaler struct {
 	dependencies
 	scheduler *scheduler.Scheduler
 
-	// Demand is what waited for machines after the last scheduling cycle.
+	// Demand lists the jobs that waited for machines after the last scheduling cycle.
 	Demand []scheduler.Demand
 
-	// lastSubmission is when a job was last submitted, and lastNonSpotSubmission when one
-	// that may not use spot machines was.
+	// lastSubmission is when a job was last submitted. lastNonSpotSubmission is when a job that
+	// may not use spot machines was last submitted.
 	lastSubmission, lastNonSpotSubmission time.Time
 
 	machinesPerZone map[protocol.ZoneName]int // at the last scale-out
-	// zoneReserve are the idle machines that the replicas of a zone would need if it were lost.
+	// zoneReserve holds the idle machines that are kept because the replicas of some zone would
+	// need them if that zone were lost.
 	zoneReserve map[*cluster.Machine]bool
 
 	requests  machineRequests
@@ -67,23 +69,23 @@
 	consolidateNotBefore time.Time
 }
 
-// New makes an autoscaler.
+// New returns an autoscaler.
 func New(state *cluster.State, sched *scheduler.Scheduler, cloud Cloud, env Environment, log *slog.Logger) *Autoscaler {
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
 	calls := rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond)))
-	common := dependencies{state: state, cloud: cloud, env: env, log: log, calls: calls}
-	gone := map[protocol.MachineID]bool{}
+	deps := dependencies{state: state, cloud: cloud, env: env, log: log, calls: calls}
+	deleted := map[protocol.MachineID]bool{}
 	return &Autoscaler{
-		dependencies:    common,
+		dependencies:    deps,
 		scheduler:       sched,
 		machinesPerZone: map[protocol.ZoneName]int{},
-		requests:        machineRequests{dependencies: common, deleted: gone, unavailable: map[Offer]time.Time{}},
-		deletions:       deletions{dependencies: common, deleted: gone},
-		list:            machineList{dependencies: common, deleted: gone},
+		requests:        machineRequests{dependencies: deps, deleted: deleted, unavailable: map[Offer]time.Time{}},
+		deletions:       deletions{dependencies: deps, deleted: deleted},
+		list:            machineList{dependencies: deps, deleted: deleted},
 	}
 }
 
-// JobSubmitted notes that a job came.
+// JobSubmitted notes that a job was submitted now.
 func (as *Autoscaler) JobSubmitted(spec *protocol.Job) {
 	as.lastSubmission = as.state.Now()
 	if !spec.Spot {
@@ -91,8 +93,8 @@
 	}
 }
 
-// Tick takes the next steps: those whose time has come and for which the budget of calls
-// to the cloud allows.
+// Tick runs the steps that are due. Calls to the cloud are made only as far as the call budget
+// allows.
 func (as *Autoscaler) Tick() {
 	now := as.state.Now()
 	as.scheduler.MoveReplicas()
--- a/internal/coordination/autoscaler/cloud.go
+++ b/internal/coordination/autoscaler/cloud.go
@@ -2,37 +2,38 @@
 
 import "github.com/gappond/gappond/internal/protocol"
 
-// Cloud is the cloud's interface. Each call is answered by one call of done, unless the
-// leader that made it leads no more.
+// Cloud is the interface of the cloud. Each method calls done exactly once, unless the leader
+// that made the call has stepped down by then.
 type Cloud interface {
-	// CreateMachines asks for machines. The same request under the same name gives the same
-	// machines.
+	// CreateMachines requests machines. It is idempotent: the same request under the same name
+	// returns the same machines.
 	CreateMachines(request protocol.Rental, done func(CreateResult))
-	// DeleteMachines deletes machines; that some are gone already is no failure.
+	// DeleteMachines deletes machines. Machines that are already deleted don't make it fail.
 	DeleteMachines(machines []protocol.MachineID, done func(deleted bool))
-	// ListMachines reads a page of the machine list; the page is nil if that failed.
+	// ListMachines reads the page of the machine list that follows the machine after. The page
+	// is nil if the call failed.
 	ListMachines(after protocol.MachineID, done func(page *protocol.MachineList))
 }
 
-// CreateOutcome is how a request for machines ended.
+// CreateOutcome is the outcome of a request for machines.
 type CreateOutcome int
 
 // Outcomes of a request for machines.
 const (
-	// CreateOutcomeUnknown: no answer, or one that does not say; there may be new machines all the
-	// same. The same request under the same name gives them.
+	// CreateOutcomeUnknown: no response, or an inconclusive one. The cloud may have created
+	// machines nevertheless; repeating the request under the same name returns them.
 	CreateOutcomeUnknown CreateOutcome = iota
-	// Created: the machines are named, up to as many as were asked for.
+	// Created: the response names the machines, at most as many as were requested.
 	Created
-	// NoCapacity: the cloud has none of this kind.
+	// NoCapacity: the cloud has no machines left of the requested offer.
 	NoCapacity
 	// CreateRejected: the request is malformed.
 	CreateRejected
 )
 
-// CreateResult is the answer to a request for machines.
+// CreateResult is the result of a request for machines.
 type CreateResult struct {
 	Outcome  CreateOutcome
 	Machines []protocol.MachineID
-	Detail   string // what the cloud said, for logs
+	Detail   string // the cloud's response, for logs
 }
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -9,34 +9,34 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// consolidation is one round of emptying half-empty machines.
+// consolidation is one round of draining half-empty machines.
 type consolidation struct {
 	autoscaler *Autoscaler
-	candidates []consolidationCandidate // machines that may be emptied
-	targets    []*cluster.Machine       // machines that take tasks, the fullest first
-	// free is what targets have left after the moves so far.
+	candidates []consolidationCandidate // machines that may be drained, the most wasteful first
+	targets    []*cluster.Machine       // machines that may take their tasks, the fullest first
+	// free is the free capacity that targets have left after the moves planned so far.
 	free    map[*cluster.Machine]cluster.Resources
 	drained map[*cluster.Machine]bool
 }
 
-// consolidationCandidate is a machine that may be emptied.
+// consolidationCandidate is a machine that may be drained.
 type consolidationCandidate struct {
 	machine *cluster.Machine
-	waste   float64 // the price of its idle GPUs
+	waste   float64 // its price times the number of its idle GPUs
 }
 
-// consolidate empties machines that waste most money, if nothing waits and what they
-// carry can be saved and fits elsewhere: the paper's defragmentation, for the
-// sake of deleting machines instead of making larger blocks. The larger the
-// fleet, the more machines at once.
+// consolidate drains the machines that waste the most money, if no job waits and the tasks on
+// them can save their progress and fit on other machines. This is defragmentation with the aim
+// of deleting machines, not of forming larger free blocks. The larger the fleet, the more
+// machines one round drains.
 func (as *Autoscaler) consolidate() {
 	if as.scheduler.Waiting() > 0 {
 		return
 	}
 	c := as.newConsolidation()
-	most := max(1, len(as.state.OrderedMachines)/tuning.ConsolidationFleetDivisor)
-	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.MaxConsolidationCandidates*most)] {
-		if len(c.drained) == most {
+	maxDrained := max(1, len(as.state.OrderedMachines)/tuning.ConsolidationFleetDivisor)
+	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.MaxConsolidationCandidates*maxDrained)] {
+		if len(c.drained) == maxDrained {
 			return
 		}
 		machine := candidate.machine
@@ -44,13 +44,13 @@
 			continue
 		}
 		c.drained[machine] = true
-		as.log.Info("consolidation", "machine", machine.ID, "tasks", len(machine.Attempts))
+		as.log.Info("draining machine for consolidation", "machine", machine.ID, "tasks", len(machine.Attempts))
 		as.env.Drain(machine)
 	}
 }
 
-// newConsolidation lists the machines that may be emptied, the most wasteful first, and
-// those that may take their tasks.
+// newConsolidation lists the machines that may be drained and the machines that may take their
+// tasks.
 func (as *Autoscaler) newConsolidation() *consolidation {
 	c := &consolidation{autoscaler: as, free: map[*cluster.Machine]cluster.Resources{}, drained: map[*cluster.Machine]bool{}}
 	for _, machine := range as.state.OrderedMachines {
@@ -69,21 +69,21 @@
 	return c
 }
 
-// planMoves says whether all that a machine carries is worth moving and fits on other
-// machines that are not dearer; if so the capacity is taken there.
+// planMoves reports whether every attempt on a machine is worth moving and fits on another
+// machine that costs no more. If so, it allocates the capacity on those machines in the plan.
 func (c *consolidation) planMoves(machine *cluster.Machine) bool {
-	taken := map[*cluster.Machine]cluster.Resources{}
+	remaining := map[*cluster.Machine]cluster.Resources{}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		if !c.autoscaler.worthMoving(attempt) || !c.planMove(attempt, taken) {
+		if !c.autoscaler.worthMoving(attempt) || !c.planMove(attempt, remaining) {
 			return false
 		}
 	}
-	maps.Copy(c.free, taken)
+	maps.Copy(c.free, remaining)
 	return true
 }
 
-// worthMoving says whether an attempt can save its work and is likely to run on for long
-// enough.
+// worthMoving reports whether an attempt can save its progress and is likely to run for long
+// enough after the move to justify it.
 func (as *Autoscaler) worthMoving(attempt *cluster.Attempt) bool {
 	spec := attempt.Job.Spec
 	if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 {
@@ -92,26 +92,28 @@
 	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.MinRemainingSecondsToMove
 }
 
-// planMove finds a target for an attempt and notes in taken what is left there.
-func (c *consolidation) planMove(attempt *cluster.Attempt, taken map[*cluster.Machine]cluster.Resources) bool {
+// planMove finds a target for an attempt and stores in remaining the capacity left there. It
+// reports whether there is such a target.
+func (c *consolidation) planMove(attempt *cluster.Attempt, remaining map[*cluster.Machine]cluster.Resources) bool {
 	state := c.autoscaler.state
 	for _, target := range c.targets {
 		if target == attempt.Machine || c.drained[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Usable(attempt.Job, target) {
 			continue
 		}
-		free := c.freeOn(target, taken)
+		free := c.freeOn(target, remaining)
 		if free.Fit(attempt.Job.Spec, 1) == 1 {
 			free.AddTasks(attempt.Job.Spec, -1)
-			taken[target] = free
+			remaining[target] = free
 			return true
 		}
 	}
 	return false
 }
 
-// freeOn is what a target has left after the moves so far, those in taken included.
-func (c *consolidation) freeOn(target *cluster.Machine, taken map[*cluster.Machine]cluster.Resources) cluster.Resources {
-	if free, ok := taken[target]; ok {
+// freeOn returns the free capacity of a target after the moves planned so far, including those
+// in remaining.
+func (c *consolidation) freeOn(target *cluster.Machine, remaining map[*cluster.Machine]cluster.Resources) cluster.Resources {
+	if free, ok := remaining[target]; ok {
 		return free
 	}
 	if free, ok := c.free[target]; ok {
--- a/internal/coordination/autoscaler/deletion.go
+++ b/internal/coordination/autoscaler/deletion.go
@@ -8,15 +8,15 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// deletions are the calls that delete machines.
+// deletions makes the calls that delete machines.
 type deletions struct {
 	dependencies
-	deleted   map[protocol.MachineID]bool // machines that are gone for certain
+	deleted   map[protocol.MachineID]bool // machines that are known to be deleted
 	inFlight  bool
 	notBefore time.Time
 }
 
-// DeleteMachine marks a machine to be deleted.
+// DeleteMachine marks a machine for deletion. The reason is logged.
 func (as *Autoscaler) DeleteMachine(machine *cluster.Machine, reason string) {
 	if !machine.MarkDeleting() {
 		return
@@ -24,37 +24,37 @@
 	as.log.Info("deleting machine", "machine", machine.ID, "reason", reason)
 }
 
-// MachineDeleted notes that a machine is gone for certain.
+// MachineDeleted notes that a machine is known to be deleted.
 func (as *Autoscaler) MachineDeleted(machineID protocol.MachineID) {
 	as.deletions.deleted[machineID] = true
 }
 
-// Deleted says whether a machine is gone for certain.
+// Deleted reports whether a machine is known to be deleted.
 func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool {
 	return as.deletions.deleted[machineID]
 }
 
-// send has the cloud delete machines that are marked, several with one call.
+// send asks the cloud to delete marked machines, several with one call.
 func (d *deletions) send() {
 	if d.inFlight || d.state.Now().Before(d.notBefore) {
 		return
 	}
-	var names []protocol.MachineID
+	var ids []protocol.MachineID
 	for _, machine := range d.state.OrderedMachines {
-		if machine.Deleting && len(names) < tuning.MaxMachinesPerDeletion {
-			names = append(names, machine.ID)
+		if machine.Deleting && len(ids) < tuning.MaxMachinesPerDeletion {
+			ids = append(ids, machine.ID)
 		}
 	}
-	if len(names) == 0 || !d.calls.AllowN(d.state.Now(), 1) {
+	if len(ids) == 0 || !d.calls.AllowN(d.state.Now(), 1) {
 		return
 	}
 	d.inFlight = true
-	d.cloud.DeleteMachines(names, func(deleted bool) {
+	d.cloud.DeleteMachines(ids, func(deleted bool) {
 		d.inFlight = false
 		if !deleted {
 			d.notBefore = d.state.Now().Add(time.Second)
 			return
 		}
-		d.env.MachinesDeleted(names...)
+		d.env.MachinesDeleted(ids...)
 	})
 }
--- a/internal/coordination/autoscaler/harness_test.go
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -13,8 +13,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// harness is an autoscaler and its scheduler over a cluster that the test builds, with a
-// cloud that keeps the calls until the test answers them.
+// harness is an autoscaler with its scheduler, a cluster model that the test builds, and a fake
+// cloud that holds the calls until the test responds to them.
 type harness struct {
 	*Autoscaler
 	cluster     *clustertest.Cluster
@@ -22,22 +22,22 @@
 	cloud       *cloud
 }
 
-// newHarness makes an autoscaler of a cluster without machines and jobs, whose leader has
-// led for long enough to scale out.
+// newHarness returns an autoscaler of a cluster without machines and jobs, whose leader has
+// been elected long enough ago to scale out.
 func newHarness() *harness {
 	c := clustertest.New()
-	surroundings, calls := &environment{cluster: c}, &cloud{}
+	env, cloudCalls := &environment{cluster: c}, &cloud{}
 	log := slog.New(slog.DiscardHandler)
 	sched := scheduler.New(c.State, clustertest.NewEnvironment(c), log)
-	h := &harness{Autoscaler: New(c.State, sched, calls, surroundings, log), cluster: c, environment: surroundings, cloud: calls}
+	h := &harness{Autoscaler: New(c.State, sched, cloudCalls, env, log), cluster: c, environment: env, cloud: cloudCalls}
 	c.Advance(tuning.ScaleOutDelayAfterFailover + time.Second)
 	return h
 }
 
-// schedule runs a scheduling cycle, whose demand the autoscaler then has.
+// schedule runs a scheduling cycle and gives its demand to the autoscaler.
 func (h *harness) schedule() { h.Demand = h.scheduler.RunCycle() }
 
-// requested counts the machines that the cloud was asked for, by offer.
+// requested counts the requested machines by offer.
 func (h *harness) requested() map[Offer]int {
 	count := map[Offer]int{}
 	for _, call := range h.cloud.creations {
@@ -46,7 +46,7 @@
 	return count
 }
 
-// cloud is a cloud whose calls the test answers.
+// cloud is a fake cloud that records the calls; the test responds to them.
 type cloud struct {
 	creations []createCall
 	deletions []deleteCall
@@ -83,8 +83,8 @@
 	c.lists = append(c.lists, listCall{after: after, done: done})
 }
 
-// environment stands for the leader around an autoscaler: it takes notes, names requests
-// and keeps timers until the test has them run.
+// environment is a fake of the leader: it records what the autoscaler asks for, generates
+// request names, and keeps timers until the test runs them.
 type environment struct {
 	cluster  *clustertest.Cluster
 	recorded []*cluster.Machine
@@ -129,7 +129,7 @@
 	e.timers = append(e.timers, timer{at: e.cluster.Now().Add(pause), do: do})
 }
 
-// runTimers runs the timers whose time has come.
+// runTimers runs the timers that are due.
 func (e *environment) runTimers() {
 	var due []timer
 	e.timers = slices.DeleteFunc(e.timers, func(t timer) bool {
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -10,20 +10,20 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// maxListedAgeSeconds is the greatest age, in seconds, that is believed of a listed machine: more
-// would be a fault of the list.
+// maxListedAgeSeconds is the upper limit for the age of a listed machine, in seconds. A higher
+// age is an error in the list.
 const maxListedAgeSeconds = 1e6
 
-// machineList is the reading of the cloud's machine list, page by page.
+// machineList reads the cloud's machine list, page by page.
 type machineList struct {
 	dependencies
-	deleted   map[protocol.MachineID]bool // machines that are gone for certain
+	deleted   map[protocol.MachineID]bool // machines that are known to be deleted
 	inFlight  bool
-	pages     int // of the list under way, or of the last one
+	pages     int // pages requested of the list being read, or of the last one
 	notBefore time.Time
 }
 
-// refresh begins to read the machine list if that is due.
+// refresh starts to read the machine list if that is due.
 func (ml *machineList) refresh() {
 	now := ml.state.Now()
 	if ml.inFlight || now.Before(ml.notBefore) || !ml.calls.AllowN(now, 1) {
@@ -33,14 +33,14 @@
 	ml.requestPage("")
 }
 
-// interval is the interval between two machine lists. The pages of a large fleet's
-// list take no more than their part of the calls.
+// interval returns the pause between two reads of the machine list. It grows with the number of
+// pages, so that the list of a large fleet uses no more than its share of the call budget.
 func (ml *machineList) interval() time.Duration {
-	perPage := config.Seconds(1 / (float64(ml.calls.Limit()) * tuning.MachineListBudgetShare))
-	return max(tuning.MachineListInterval, time.Duration(ml.pages)*perPage)
+	intervalPerPage := config.Seconds(1 / (float64(ml.calls.Limit()) * tuning.MachineListBudgetShare))
+	return max(tuning.MachineListInterval, time.Duration(ml.pages)*intervalPerPage)
 }
 
-// requestNextPage asks for the next page when the budget of calls allows it.
+// requestNextPage requests the next page as soon as the call budget allows it.
 func (ml *machineList) requestNextPage(after protocol.MachineID) {
 	pause := ml.calls.ReserveN(ml.state.Now(), 1).DelayFrom(ml.state.Now())
 	if pause == 0 {
@@ -50,13 +50,13 @@
 	ml.env.After(pause, func() { ml.requestPage(after) })
 }
 
-// requestPage asks for the page after a machine.
+// requestPage requests the page that follows a machine.
 func (ml *machineList) requestPage(after protocol.MachineID) {
 	ml.pages++
 	ml.cloud.ListMachines(after, ml.handlePage)
 }
 
-// handlePage takes a page of the list; nil if it could not be read.
+// handlePage processes a page of the list. The page is nil if it could not be read.
 func (ml *machineList) handlePage(page *protocol.MachineList) {
 	if page == nil {
 		ml.inFlight, ml.notBefore = false, ml.state.Now().Add(time.Second)
@@ -74,8 +74,8 @@
 	ml.inFlight, ml.notBefore = false, ml.state.Now().Add(ml.interval())
 }
 
-// updateFromEntry takes one machine of the list. Machines that nobody expected are
-// used like any other, and deleted when they are idle.
+// updateFromEntry updates the cluster model from one entry of the list. Machines that this
+// leader did not know of are used like any other, and deleted when they are idle.
 func (ml *machineList) updateFromEntry(listed *protocol.Machine) {
 	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || ml.deleted[listed.ID] {
 		return
@@ -90,11 +90,12 @@
 	machine.Phase = listed.Phase
 }
 
-// addListedMachine enters a machine that only the list names.
+// addListedMachine adds a machine that is known only from the list.
 func (ml *machineList) addListedMachine(listed *protocol.Machine) *cluster.Machine {
 	machine := ml.state.EnsureMachine(listed.ID, listed.Address, listed.Type, listed.Zone, listed.Spot)
 	if listed.Phase == protocol.MachineRunning {
-		// It is up but has yet to report to this leader: it gets its time.
+		// It is running but has not sent this leader a heartbeat yet. Its boot time-out starts
+		// now, so that it has the time to do so.
 		machine.CreatedAt = ml.state.Now()
 	} else {
 		machine.CreatedAt = ml.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), maxListedAgeSeconds)))
@@ -102,9 +103,9 @@
 	return machine
 }
 
-// Booting says whether a machine that never reported is still expected to. One
-// that a predecessor recorded may have been deleted since; unless the machine
-// list shows it, it is not waited for.
+// Booting reports whether a machine whose agent has never sent a heartbeat is still expected to
+// send one. A machine that a previous leader recorded may have been deleted since: unless the
+// machine list shows it as booting, it is expected only for a limited time after the failover.
 func (as *Autoscaler) Booting(machine *cluster.Machine) bool {
 	if machine.Agent.Heard || machine.Agent.Incarnation > 0 {
 		return false
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -9,26 +9,25 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// machineRequest is a request for machines under way.
+// machineRequest is a request for machines in flight.
 type machineRequest struct {
 	offer Offer
 	body  protocol.Rental
 	tries int
 }
 
-// machineRequests are the requests for machines.
+// machineRequests sends the requests for machines.
 type machineRequests struct {
 	dependencies
-	deleted     map[protocol.MachineID]bool // machines that are gone for certain
+	deleted     map[protocol.MachineID]bool // machines that are known to be deleted
 	inFlight    []*machineRequest
-	unavailable map[Offer]time.Time // offers that the cloud had no capacity for, and until when they rest
+	unavailable map[Offer]time.Time // offers without capacity, and until when they are not requested
 }
 
-// RequestMachines asks the cloud for machines.
+// RequestMachines requests machines of an offer from the cloud.
 func (as *Autoscaler) RequestMachines(offer Offer, count int) { as.requests.submit(offer, count) }
 
-// submitAll asks the cloud for the machines that are wanted, as far as the budget of calls
-// goes.
+// submitAll requests the wanted machines from the cloud, as far as the call budget allows.
 func (mr *machineRequests) submitAll(want map[Offer]int) {
 	offers := slices.SortedFunc(maps.Keys(want), compareOffers)
 	for _, offer := range offers {
@@ -39,7 +38,7 @@
 	}
 }
 
-// addSlot asks the cloud for machines.
+// submit requests machines of an offer from the cloud.
 func (mr *machineRequests) submit(offer Offer, count int) {
 	request := &machineRequest{
 		offer: offer,
@@ -48,18 +47,18 @@
 		},
 	}
 	mr.inFlight = append(mr.inFlight, request)
-	mr.log.Info("scale out", "type", offer.TypeName, "zone", offer.Zone, "spot", offer.Spot, "count", count)
+	mr.log.Info("requesting machines", "type", offer.TypeName, "zone", offer.Zone, "spot", offer.Spot, "count", count)
 	mr.send(request)
 }
 
-// send sends a request. One whose answer is lost is sent again under the same name: the
-// cloud then gives the same machines.
+// send sends a request. A request whose response is lost is sent again under the same name, for
+// which the cloud returns the same machines.
 func (mr *machineRequests) send(request *machineRequest) {
 	request.tries++
 	mr.cloud.CreateMachines(request.body, func(result CreateResult) { mr.handleCreateResult(request, result) })
 }
 
-// handleCreateResult takes the answer to a request.
+// handleCreateResult handles the result of a request.
 func (mr *machineRequests) handleCreateResult(request *machineRequest, result CreateResult) {
 	switch result.Outcome {
 	case Created:
@@ -71,15 +70,15 @@
 			mr.env.After(time.Second, func() { mr.send(request) })
 			return
 		}
-		mr.log.Error("scale out failed", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
+		mr.log.Error("machine request failed", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
 	case CreateRejected:
-		mr.log.Error("scale out rejected", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
+		mr.log.Error("machine request rejected", "zone", request.offer.Zone, "type", request.offer.TypeName, "error", result.Detail)
 	}
 	mr.inFlight = slices.DeleteFunc(mr.inFlight, func(other *machineRequest) bool { return other == request })
 	mr.env.RequestScheduling()
 }
 
-// addCreatedMachines enters the machines that the cloud has given.
+// addCreatedMachines adds the machines that the cloud has created.
 func (mr *machineRequests) addCreatedMachines(request *machineRequest, machines []protocol.MachineID) {
 	for _, id := range machines {
 		if mr.deleted[id] || id == "" {
@@ -88,7 +87,7 @@
 		machine := mr.state.EnsureMachine(id, "", request.offer.TypeName, request.offer.Zone, request.offer.Spot)
 		machine.CreatedAt = mr.state.Now()
 		if machine.Record == nil {
-			mr.env.RecordMachine(machine) // all at once, and before they are up
+			mr.env.RecordMachine(machine) // all in one write, and before they have booted
 		}
 	}
 	if len(machines) < request.body.Count {
@@ -96,7 +95,7 @@
 	}
 }
 
-// markUnavailable leaves an offer alone for a while that the cloud has no capacity for.
+// markUnavailable stops requests for an offer without capacity for a while.
 func (mr *machineRequests) markUnavailable(offer Offer) {
 	mr.unavailable[offer] = mr.state.Now().Add(tuning.NoCapacityBackoff)
 }
--- a/internal/coordination/autoscaler/offer.go
+++ b/internal/coordination/autoscaler/offer.go
@@ -8,35 +8,36 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Offer is what the cloud gives on request: a type in a zone, ordinary or spot.
+// Offer is a kind of machine that can be requested from the cloud: a machine type in a zone,
+// on-demand or spot.
 type Offer struct {
 	TypeName protocol.MachineTypeName
 	Zone     protocol.ZoneName
 	Spot     bool
 }
 
-// offerOf is the offer that a machine came from.
+// offerOf returns the offer that a machine belongs to.
 func offerOf(machine *cluster.Machine) Offer {
 	return Offer{TypeName: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// compareOffers orders offers for a fixed order of the requests.
+// compareOffers orders offers, so that requests are made in a deterministic order.
 func compareOffers(a, b Offer) int {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.TypeName, b.TypeName), cluster.TrueFirst(a.Spot, b.Spot))
 }
 
-// capacityOf is what a machine of an offer would have.
+// capacityOf returns the capacity of an empty machine of an offer.
 func (as *Autoscaler) capacityOf(offer Offer) cluster.Resources {
 	return cluster.CapacityOf(as.state.Types[offer.TypeName])
 }
 
-// pricedOffer is an offer and its price for each task of the job that it is for.
+// pricedOffer is an offer and its price per task of the job for which it is considered.
 type pricedOffer struct {
 	Offer
 	price float64
 }
 
-// offers lists what the cloud could give for a job, the cheapest first; zone "" stands for
+// offers lists the offers that a job may use, the cheapest per task first. Zone "" stands for
 // all zones.
 func (as *Autoscaler) offers(job *cluster.Job, zone protocol.ZoneName) []Offer {
 	var list []pricedOffer
@@ -65,7 +66,8 @@
 	return offers
 }
 
-// appendOffers adds the offers of a type in a zone that a job may use.
+// appendOffers appends the offers of a machine type in a zone that a job may use, without those
+// that lack capacity at present.
 func (as *Autoscaler) appendOffers(list []pricedOffer, job *cluster.Job, machineType *protocol.MachineType, zone protocol.ZoneName) []pricedOffer {
 	tasks := float64(max(1, cluster.CapacityOf(machineType).Fit(job.Spec, len(job.Tasks))))
 	for _, spot := range []bool{true, false} {
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -7,7 +7,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// scaleIn marks the machines to be deleted that failed or that nothing needs.
+// scaleIn marks machines for deletion that have failed or are no longer needed.
 func (as *Autoscaler) scaleIn() {
 	spares := as.countSpares()
 	for _, machine := range as.state.OrderedMachines {
@@ -15,27 +15,27 @@
 	}
 }
 
-// evaluateScaleIn decides whether a machine is to go.
+// evaluateScaleIn decides whether a machine is deleted.
 func (as *Autoscaler) evaluateScaleIn(machine *cluster.Machine, spares map[protocol.ZoneName]int) {
 	if machine.Deleting {
 		return
 	}
 	switch {
 	case machine.Phase == protocol.MachineFailed:
-		as.DeleteMachine(machine, "failed")
+		as.DeleteMachine(machine, "reported as failed by the cloud")
 	case as.bootTimedOut(machine):
-		as.DeleteMachine(machine, "never came up")
+		as.DeleteMachine(machine, "no heartbeat within the boot time-out")
 	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
 	case machine.Cordoned:
-		as.DeleteMachine(machine, "emptied")
+		as.DeleteMachine(machine, "drained")
 	case machine.ReservedFor == nil && as.state.Now().Sub(machine.IdleSince) > as.state.Config.Operator.MachineIdleTimeout &&
 		!as.keepAsSpare(machine, spares) && !as.zoneReserve[machine]:
 		as.DeleteMachine(machine, "idle")
 	}
 }
 
-// bootTimedOut says whether a machine has had time enough to boot and its agent never
-// reported.
+// bootTimedOut reports whether a machine has had enough time to boot but its agent has never
+// sent a heartbeat.
 func (as *Autoscaler) bootTimedOut(machine *cluster.Machine) bool {
 	machineType := as.state.TypeOf(machine)
 	if machine.Agent.Heard || machine.Agent.Incarnation != 0 || machineType == nil {
@@ -44,10 +44,10 @@
 	return as.state.Now().Sub(machine.CreatedAt) > config.Seconds(machineType.BootS*tuning.BootTimeoutFactor)+tuning.BootTimeoutSlack
 }
 
-// countSpares counts the machines of every zone that could serve as spares. Spares
-// are kept while jobs come; a machine that only carries work of the lowest
-// priority is a spare too, for that is preempted at once. Jobs that may not use spot
-// machines need spares that are none.
+// countSpares counts the machines in each zone that could serve as spares. Spares are kept as
+// long as jobs are being submitted. A machine whose tasks all have the lowest priority counts as
+// a spare too, because they are preempted at once. Jobs that may not use spot machines need
+// on-demand spares.
 func (as *Autoscaler) countSpares() map[protocol.ZoneName]int {
 	count := map[protocol.ZoneName]int{}
 	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareRetention {
@@ -61,14 +61,14 @@
 	return count
 }
 
-// qualifiesAsSpare says whether a machine could take a job that comes now.
+// qualifiesAsSpare reports whether a machine could take tasks of a job that is submitted now.
 func (as *Autoscaler) qualifiesAsSpare(machine *cluster.Machine) bool {
-	mustNotBeSpot := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareRetention
-	return as.state.Schedulable(machine) && !(mustNotBeSpot && machine.Spot) && machine.OnlyLowestPriority()
+	onDemandOnly := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareRetention
+	return as.state.Schedulable(machine) && !(onDemandOnly && machine.Spot) && machine.OnlyLowestPriority()
 }
 
-// keepAsSpare says whether an idle machine is one of its zone's spares. One
-// that is not no longer counts as such.
+// keepAsSpare reports whether an idle machine is kept as one of its zone's spares. If the zone
+// has more spares than it needs, the machine is not kept and is subtracted from spares.
 func (as *Autoscaler) keepAsSpare(machine *cluster.Machine, spares map[protocol.ZoneName]int) bool {
 	if spares[machine.Zone] == 0 || !as.qualifiesAsSpare(machine) {
 		return false
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -11,77 +11,77 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestZoneReserve: what the replicas of a zone need elsewhere is asked for only as far as
-// their limits allow them there and neither free capacity, nor that of work of lower
-// priority, nor an idle machine is there; the idle machine is kept.
+// TestZoneReserve: a machine is requested for the loss of a zone only if the zone's replicas may
+// run in the other zone and find neither free nor preemptible capacity there. An idle machine
+// that they would need is kept.
 func TestZoneReserve(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		change    func(spec *protocol.Job)                   // of the service
-		other     func(h *harness, machine *cluster.Machine) // fills the machine in the other zone
-		idle      bool                                       // there is such a machine at all
-		off       bool
-		requested int
-		kept      bool
+		name          string
+		changeSpec    func(spec *protocol.Job)                   // changes the service
+		fillMachine   func(h *harness, machine *cluster.Machine) // puts tasks on the machine in zone b
+		hasMachineInB bool                                       // there is a machine in zone b
+		disabled      bool
+		wantRequested int
+		wantReserved  bool
 	}{
-		{name: "nothing elsewhere", requested: 1},
-		{name: "an idle machine", idle: true, kept: true},
-		{name: "bound to its zone", change: func(spec *protocol.Job) { spec.Zone = "a" }},
-		{name: "spread over the zones, half may go there", change: func(spec *protocol.Job) { spec.Spread = true }, requested: 1},
-		{name: "a machine full of preemptible work", idle: true, other: fillWith("idle", protocol.ShapeArray)},
-		{name: "a machine full of work of the same priority", idle: true, other: fillWith("critical", protocol.ShapeArray), requested: 1},
-		{name: "a machine full of a gang", idle: true, other: fillWith("idle", protocol.ShapeGang), requested: 1},
-		{name: "turned off", off: true},
+		{name: "no machine in the other zone", wantRequested: 1},
+		{name: "idle machine in the other zone", hasMachineInB: true, wantReserved: true},
+		{name: "service bound to its zone", changeSpec: func(spec *protocol.Job) { spec.Zone = "a" }},
+		{name: "service spread over zones, half may move", changeSpec: func(spec *protocol.Job) { spec.Spread = true }, wantRequested: 1},
+		{name: "machine full of preemptible tasks", hasMachineInB: true, fillMachine: fillWith("idle", protocol.ShapeArray)},
+		{name: "machine full of tasks of the same priority", hasMachineInB: true, fillMachine: fillWith("critical", protocol.ShapeArray), wantRequested: 1},
+		{name: "machine full of gang tasks", hasMachineInB: true, fillMachine: fillWith("idle", protocol.ShapeGang), wantRequested: 1},
+		{name: "zone reserve disabled", disabled: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
-			h.cluster.Config.Operator.ZoneReserve = !c.off
+			h.cluster.Config.Operator.ZoneReserve = !c.disabled
 			h.cluster.Config.Cluster.Zones = []protocol.ZoneName{"a", "b"}
 			spec := clustertest.Service(4, 4)
-			if c.change != nil {
-				c.change(&spec)
+			if c.changeSpec != nil {
+				c.changeSpec(&spec)
 			}
 			h.cluster.PlaceAll(h.cluster.AddJob(spec), h.cluster.AddMachine("i-1", "big", "a"))
 			var other *cluster.Machine
-			if c.idle {
+			if c.hasMachineInB {
 				other = h.cluster.AddMachine("i-2", "big", "b")
-				if c.other != nil {
-					c.other(h, other)
+				if c.fillMachine != nil {
+					c.fillMachine(h, other)
 				}
 			}
 			h.Tick()
-			checkReserve(t, h, c.requested)
-			if other != nil && h.zoneReserve[other] != c.kept {
-				t.Errorf("kept %v", h.zoneReserve[other])
+			checkRequestedInZoneB(t, h, c.wantRequested)
+			if other != nil && h.zoneReserve[other] != c.wantReserved {
+				t.Errorf("machine kept for the reserve: %v, want the opposite", h.zoneReserve[other])
 			}
-			if c.kept {
+			if c.wantReserved {
 				h.cluster.Advance(h.cluster.Config.Operator.MachineIdleTimeout + time.Second)
 				h.cluster.Heartbeat()
 				h.Tick()
 				if other.Deleting {
-					t.Error("the machine is scaled in")
+					t.Error("the reserved machine is scaled in")
 				}
 			}
 		})
 	}
 }
 
-// checkReserve checks how many machines were asked for, all in the other zone.
-func checkReserve(t *testing.T, h *harness, want int) {
+// checkRequestedInZoneB checks that the given number of machines was requested, all in zone b.
+func checkRequestedInZoneB(t *testing.T, h *harness, want int) {
 	t.Helper()
 	total := 0
 	for offer, count := range h.requested() {
 		total += count
 		if offer.Zone != "b" {
-			t.Errorf("requested in %s", offer.Zone)
+			t.Errorf("machine requested in zone %s, want b", offer.Zone)
 		}
 	}
 	if total != want {
-		t.Errorf("%d machines are requested, want %d", total, want)
+		t.Errorf("%d machines requested, want %d", total, want)
 	}
 }
 
-// fillWith puts tasks that take all of a machine's processors onto it.
+// fillWith returns a function that places tasks on a machine that take all of its CPUs.
 func fillWith(priority string, shape protocol.Shape) func(*harness, *cluster.Machine) {
 	return func(h *harness, machine *cluster.Machine) {
 		job := h.cluster.AddJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8,
@@ -90,14 +90,14 @@
 	}
 }
 
-// TestIdleMachineIsDeletedUnlessSpare: a machine that is idle for long is deleted; while
-// jobs come, one a zone is kept as a spare.
+// TestIdleMachineIsDeletedUnlessSpare: a machine that is idle for longer than the idle time-out
+// is deleted. While jobs are being submitted, one idle machine per zone is kept as a spare.
 func TestIdleMachineIsDeletedUnlessSpare(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		jobsCome bool
 		want     int
-	}{{name: "no jobs", want: 2}, {name: "jobs come", jobsCome: true, want: 1}} {
+	}{{name: "no jobs submitted", want: 2}, {name: "job submitted", jobsCome: true, want: 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
 			h.cluster.AddMachine("i-1", "big", "a")
@@ -110,36 +110,38 @@
 			h.cluster.Heartbeat()
 			h.Tick()
 			if len(h.cloud.deletions) != 1 || len(h.cloud.deletions[0].machines) != c.want {
-				t.Fatalf("deletions %+v, want one of %d machines", h.cloud.deletions, c.want)
+				t.Fatalf("deletion calls %+v, want one with %d machines", h.cloud.deletions, c.want)
 			}
 			h.cloud.deletions[0].done(true)
 			if !slices.Equal(h.environment.deleted, h.cloud.deletions[0].machines) {
-				t.Errorf("told of %v", h.environment.deleted)
+				t.Errorf("machines removed from the model: %v, want those of the deletion call", h.environment.deleted)
 			}
 		})
 	}
 }
 
-// TestFailedDeletionIsRepeated: machines whose deletion failed are not taken for gone, and
-// it is sent again a little later.
-func TestFailedDeletionIsRepeated(t *testing.T) {
+// TestFailedDeletionIsRetried: machines whose deletion failed are not removed from the model, and
+// the deletion is sent again a second later.
+func TestFailedDeletionIsRetried(t *testing.T) {
 	h := newHarness()
 	h.DeleteMachine(h.cluster.AddMachine("i-1", "big", "a"), "a test")
 	h.Tick()
 	h.cloud.deletions[0].done(false)
 	h.Tick()
 	if len(h.cloud.deletions) != 1 || len(h.environment.deleted) != 0 {
-		t.Fatalf("%d deletions at once, told of %v", len(h.cloud.deletions), h.environment.deleted)
+		t.Fatalf("%d deletion calls before the retry is due, machines removed from the model: %v", len(h.cloud.deletions), h.environment.deleted)
 	}
 	h.cluster.Advance(time.Second)
 	h.Tick()
 	if len(h.cloud.deletions) != 2 {
-		t.Errorf("%d deletions", len(h.cloud.deletions))
+		t.Errorf("%d deletion calls after a second, want 2", len(h.cloud.deletions))
 	}
 }
 
-// TestMachineThatIsGoneDoesNotComeBackFromList: the list may lag behind a deletion.
-func TestMachineThatIsGoneDoesNotComeBackFromList(t *testing.T) {
+// TestDeletedMachineIsNotAddedAgainFromLaggingList: the machine list may lag behind a deletion. A
+// deleted machine that it still contains is not added to the model again, nor is an entry with an
+// invalid name.
+func TestDeletedMachineIsNotAddedAgainFromLaggingList(t *testing.T) {
 	h := newHarness()
 	h.MachineDeleted("i-1")
 	h.Tick()
@@ -149,19 +151,19 @@
 		{ID: "not a name", Type: "big", Zone: "a", Phase: protocol.MachineRunning},
 	}})
 	if len(h.cluster.Machines) != 1 || h.cluster.Machines["i-2"] == nil {
-		t.Errorf("%d machines", len(h.cluster.Machines))
+		t.Errorf("%d machines in the model, want only i-2", len(h.cluster.Machines))
 	}
 }
 
-// TestConsolidationEmptiesHalfEmptyMachine: a machine whose work can be saved and fits on
-// another that is not dearer is drained; not so if something waits, or if its work cannot
-// be saved.
-func TestConsolidationEmptiesHalfEmptyMachine(t *testing.T) {
+// TestConsolidationDrainsHalfEmptyMachine: a machine is drained if its tasks can save their
+// progress and fit on another machine that costs no more. It is not drained if they can't save
+// their progress.
+func TestConsolidationDrainsHalfEmptyMachine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		checkpointS float64
 		want        int
-	}{{name: "work that can be saved", checkpointS: 10, want: 1}, {name: "work that cannot", checkpointS: 0}} {
+	}{{name: "tasks can save their progress", checkpointS: 10, want: 1}, {name: "tasks cannot save their progress", checkpointS: 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
 			spec := clustertest.Array(1)
@@ -175,7 +177,7 @@
 			h.schedule()
 			h.Tick()
 			if len(h.environment.drained) != c.want {
-				t.Errorf("%d machines are drained, want %d", len(h.environment.drained), c.want)
+				t.Errorf("%d machines drained, want %d", len(h.environment.drained), c.want)
 			}
 		})
 	}
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -11,8 +11,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// scaleOut asks for the machines that waiting jobs lack, beyond those that are
-// there, on their way or being emptied for them.
+// scaleOut requests the machines that waiting jobs need in addition to the capacity that
+// exists, has been requested or is being freed.
 func (as *Autoscaler) scaleOut() {
 	plan := as.newScaleOutPlan()
 	for _, demand := range as.Demand {
@@ -34,7 +34,7 @@
 	as.requests.submitAll(plan.toRequest)
 }
 
-// newScaleOutPlan begins with the capacity that is there and on its way.
+// newScaleOutPlan returns a plan with the capacity that exists or has been requested.
 func (as *Autoscaler) newScaleOutPlan() *scaleOutPlan {
 	as.machinesPerZone = map[protocol.ZoneName]int{}
 	plan := &scaleOutPlan{
@@ -57,8 +57,9 @@
 	return plan
 }
 
-// countsAsCapacity says whether jobs can expect to have a machine. What is booting, or has
-// yet to report to a new leader, is not asked for again.
+// countsAsCapacity reports whether waiting jobs can expect to use a machine. A machine that is
+// booting, or has not sent a new leader a heartbeat yet, counts too: otherwise a replacement
+// for it would be requested.
 func (as *Autoscaler) countsAsCapacity(machine *cluster.Machine) bool {
 	if as.state.TypeOf(machine) == nil || machine.Deleting || machine.Cordoned {
 		return false
@@ -70,7 +71,8 @@
 		(machine.Agent.TokenConfirmed || machine.Recorded)
 }
 
-// freeSoon is what is free on a machine, or will be before another would be up.
+// freeSoon returns the capacity that is free on a machine or will be before a new machine would
+// have booted.
 func (as *Autoscaler) freeSoon(machine *cluster.Machine) cluster.Resources {
 	free := as.state.FreeResources(machine)
 	boot := config.Seconds(as.state.TypeOf(machine).BootS)
@@ -82,19 +84,19 @@
 	return free
 }
 
-// endsWithin says whether an attempt is likely to end within a span, by its
-// owner's estimate; one that has outrun its estimate may take as long again.
+// endsWithin reports whether an attempt is likely to end within a time span, judging by the
+// user's estimate. An attempt that has exceeded its estimate may take as long again.
 func (as *Autoscaler) endsWithin(attempt *cluster.Attempt, span time.Duration) bool {
 	if attempt.RunningSince.IsZero() || attempt.Job.Spec.Service() {
 		return false
 	}
 	estimate := config.Seconds(attempt.Job.Spec.EstimateS * tuning.EstimateSlackFactor)
-	left := estimate - as.state.Now().Sub(attempt.RunningSince)
-	return left > 0 && left <= span
+	remaining := estimate - as.state.Now().Sub(attempt.RunningSince)
+	return remaining > 0 && remaining <= span
 }
 
-// hasSlack says whether a job's deadline leaves time to wait for machines that
-// others free: asking for one later would still do.
+// hasSlack reports whether a job's deadline leaves time to wait for capacity that other jobs
+// free: a machine that is requested later would still be in time.
 func (as *Autoscaler) hasSlack(job *cluster.Job) bool {
 	if job.Spec.DeadlineS <= 0 || job.Spec.Gang() || job.Spec.Service() {
 		return false
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -9,38 +9,38 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// capacitySlot is a machine, there or on its way, as a place for what waits.
+// capacitySlot is the capacity of an existing or requested machine that waiting tasks may use.
 type capacitySlot struct {
-	machine *cluster.Machine // nil while it is only asked for
+	machine *cluster.Machine // nil while the machine is only requested
 	offer   Offer
 	free    cluster.Resources
 }
 
-// canHost says whether a job could use a slot. What the job avoids must not count, or it
-// would wait for that instead of for a further machine.
+// canHost reports whether a job could use a slot. A machine that the job avoids must not count:
+// the job would wait for it instead of getting another machine.
 func (as *Autoscaler) canHost(slot *capacitySlot, job *cluster.Job) bool {
 	return cluster.Allows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
 		(slot.machine == nil || !as.state.Avoids(job, slot.machine))
 }
 
-// scaleOutPlan compares what waits with what is there and on its way. Slots that are used
-// up are left out at once: with the machines full, that is nearly all of them, and every
-// job that waits examines the rest.
+// scaleOutPlan matches the waiting jobs with the capacity that exists or has been requested.
+// Exhausted slots are left out at once, because every waiting job examines the remaining ones.
+// When the machines are full, nearly all slots are exhausted.
 type scaleOutPlan struct {
 	autoscaler     *Autoscaler
-	slots          map[protocol.ZoneName][]*capacitySlot // of every zone
-	toRequest      map[Offer]int                         // machines to ask for
-	anyWithoutGPUs bool                                  // something that waits takes no GPUs
+	slots          map[protocol.ZoneName][]*capacitySlot // by zone
+	toRequest      map[Offer]int                         // number of machines to request
+	anyWithoutGPUs bool                                  // some waiting job takes no GPUs
 }
 
-// addSlot enters a slot.
+// addSlot adds a slot unless it is exhausted.
 func (p *scaleOutPlan) addSlot(slot *capacitySlot) {
 	if !p.exhausted(slot) {
 		p.slots[slot.offer.Zone] = append(p.slots[slot.offer.Zone], slot)
 	}
 }
 
-// exhausted says whether nothing that waits can have any of a slot.
+// exhausted reports whether no waiting job can use what is left of a slot.
 func (p *scaleOutPlan) exhausted(slot *capacitySlot) bool {
 	if slot.free.CPUs < cluster.AmountTolerance || slot.free.MemoryGB < cluster.AmountTolerance {
 		return true
@@ -49,7 +49,7 @@
 	return !p.anyWithoutGPUs && machineType.GPUs > 0 && slot.free.GPUs < cluster.AmountTolerance
 }
 
-// shortage is how many of some tasks find no capacity in a zone.
+// shortage returns how many of the given number of tasks find no capacity in a zone.
 func (p *scaleOutPlan) shortage(job *cluster.Job, zone protocol.ZoneName, tasks int) int {
 	for _, slot := range p.slots[zone] {
 		if tasks == 0 {
@@ -62,27 +62,28 @@
 	return tasks
 }
 
-// allocate gives up to so many tasks capacity in a zone and returns how many have it.
-func (p *scaleOutPlan) allocate(job *cluster.Job, zone protocol.ZoneName, tasks int) (taken int) {
+// allocate allocates capacity in a zone to at most the given number of tasks and returns how
+// many it was allocated to.
+func (p *scaleOutPlan) allocate(job *cluster.Job, zone protocol.ZoneName, tasks int) (allocated int) {
 	someExhausted := false
 	for _, slot := range p.slots[zone] {
-		if taken == tasks {
+		if allocated == tasks {
 			break
 		}
 		if p.autoscaler.canHost(slot, job) {
-			fits := slot.free.Fit(job.Spec, tasks-taken)
+			fits := slot.free.Fit(job.Spec, tasks-allocated)
 			slot.free.AddTasks(job.Spec, -fits)
-			taken += fits
+			allocated += fits
 			someExhausted = someExhausted || fits > 0 && p.exhausted(slot)
 		}
 	}
 	if someExhausted {
 		p.slots[zone] = slices.DeleteFunc(p.slots[zone], p.exhausted)
 	}
-	return taken
+	return allocated
 }
 
-// addMachines wants machines of an offer for so many tasks.
+// addMachines plans requests for as many machines of an offer as the tasks need.
 func (p *scaleOutPlan) addMachines(job *cluster.Job, offer Offer, tasks int) {
 	for tasks > 0 {
 		slot := &capacitySlot{offer: offer, free: p.autoscaler.capacityOf(offer)}
@@ -94,8 +95,8 @@
 	}
 }
 
-// planGang finds the zone where a gang lacks least and takes what it needs there,
-// capacity that is there first.
+// planGang finds the zone with the smallest shortage for a gang and allocates the capacity that
+// the gang needs there, existing capacity first.
 func (p *scaleOutPlan) planGang(demand scheduler.Demand) {
 	zone, offers := p.zoneWithSmallestShortage(demand)
 	if zone == "" {
@@ -106,33 +107,33 @@
 	}
 }
 
-// zoneWithSmallestShortage finds the zone where a job lacks least, and the offers for what it
-// lacks there; zone "" if none has capacity or offers enough.
+// zoneWithSmallestShortage finds the zone with the smallest shortage for a job, and the offers
+// that could cover the shortage. The zone is "" if no zone has enough capacity or any offer.
 func (p *scaleOutPlan) zoneWithSmallestShortage(demand scheduler.Demand) (best protocol.ZoneName, offers []Offer) {
-	least := math.MaxInt
+	smallest := math.MaxInt
 	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
 		shortage := p.shortage(demand.Job, zone, demand.Tasks)
 		if shortage == 0 {
 			return zone, nil
 		}
 		available := p.autoscaler.offers(demand.Job, zone)
-		if len(available) > 0 && shortage < least {
-			best, least, offers = zone, shortage, available
+		if len(available) > 0 && shortage < smallest {
+			best, smallest, offers = zone, shortage, available
 		}
 	}
 	return best, offers
 }
 
-// planTasks takes capacity for tasks that may be anywhere, within what the job allows
-// of each zone.
+// planTasks allocates capacity for tasks that need not all be in one zone, within the job's
+// limits for each zone.
 func (p *scaleOutPlan) planTasks(demand scheduler.Demand) {
 	job, need := demand.Job, demand.Tasks
 	limits := p.autoscaler.state.ZoneLimits(job)
 	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
 		if limits.Only == "" || limits.Only == zone {
-			taken := p.allocate(job, zone, min(need, limits.Remaining[zone]))
-			need -= taken
-			limits.Remaining[zone] -= taken
+			allocated := p.allocate(job, zone, min(need, limits.Remaining[zone]))
+			need -= allocated
+			limits.Remaining[zone] -= allocated
 		}
 	}
 	if need == 0 {
@@ -141,7 +142,7 @@
 	mayWait := p.autoscaler.hasSlack(job)
 	for _, offer := range p.autoscaler.offers(job, limits.Only) {
 		if mayWait && !offer.Spot {
-			continue // an ordinary machine is for when time runs out
+			continue // on-demand machines are requested only when time runs out
 		}
 		tasks := min(need, limits.Remaining[offer.Zone])
 		p.addMachines(job, offer, tasks)
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -9,18 +9,19 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestOrdinaryMachineOnlyWhenDeadlineIsNear: an array with time to spare has no ordinary
-// machine asked for, only spot ones; one without has.
-func TestOrdinaryMachineOnlyWhenDeadlineIsNear(t *testing.T) {
+// TestOnDemandMachineOnlyWhenDeadlineIsNear: while an array's deadline leaves time to wait, only
+// spot machines are requested for it, and only if it allows them. Otherwise on-demand machines
+// are requested.
+func TestOnDemandMachineOnlyWhenDeadlineIsNear(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		deadlineS float64
 		spot      bool
 		want      map[Offer]int
 	}{
-		{name: "time to spare", deadlineS: 1000},
-		{name: "time to spare, spot allowed", deadlineS: 1000, spot: true, want: map[Offer]int{{TypeName: "big", Zone: "a", Spot: true}: 1}},
-		{name: "no time to spare", deadlineS: 60, want: map[Offer]int{{TypeName: "small", Zone: "a"}: 2}},
+		{name: "deadline far away", deadlineS: 1000},
+		{name: "deadline far away, spot allowed", deadlineS: 1000, spot: true, want: map[Offer]int{{TypeName: "big", Zone: "a", Spot: true}: 1}},
+		{name: "deadline near", deadlineS: 60, want: map[Offer]int{{TypeName: "small", Zone: "a"}: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
@@ -34,7 +35,7 @@
 	}
 }
 
-// checkRequested checks which machines the cloud was asked for, one request an offer.
+// checkRequested checks which machines were requested, with one request per offer.
 func checkRequested(t *testing.T, h *harness, want map[Offer]int) {
 	t.Helper()
 	got := h.requested()
@@ -43,15 +44,15 @@
 	}
 	for offer, count := range want {
 		if got[offer] != count {
-			t.Errorf("%d machines of %+v requested, want %d", got[offer], offer, count)
+			t.Errorf("%d machines requested of offer %+v, want %d", got[offer], offer, count)
 		}
 	}
 }
 
-// TestTaskWithoutGPUsFitsBesideFullGPUs: a task that takes no GPUs has the processors that
-// are left on a machine whose GPUs are all taken; no machine is asked for. One that takes
-// GPUs has none there.
-func TestTaskWithoutGPUsFitsBesideFullGPUs(t *testing.T) {
+// TestTaskWithoutGPUsFitsOnMachineWithoutFreeGPUs: on a machine whose GPUs are all in use, a task
+// that takes no GPUs is placed on the free CPUs, and no machine is requested. For a task that
+// takes a GPU, a machine is requested.
+func TestTaskWithoutGPUsFitsOnMachineWithoutFreeGPUs(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		gpus     float64
@@ -67,14 +68,14 @@
 			full := h.cluster.AddJob(clustertest.Gang(1, clustertest.BigType.GPUs))
 			h.schedule()
 			if !full.FullyPlaced() {
-				t.Fatal("the machine does not hold the first gang")
+				t.Fatal("the first gang is not fully placed on the machine")
 			}
 			spec := clustertest.Gang(1, c.gpus)
 			spec.Zone = "a"
 			job := h.cluster.AddJob(spec)
 			h.schedule()
 			if placed := len(job.Attempts) == 1; placed != c.placed {
-				t.Errorf("placed %v", placed)
+				t.Errorf("task placed: %v, want the opposite", placed)
 			}
 			h.Tick()
 			if len(h.cloud.creations) != c.requests {
@@ -84,9 +85,9 @@
 	}
 }
 
-// TestUnansweredRequestIsRepeatedUnderItsName: a request whose answer is lost is sent again
-// under the same name, and what it gave is not asked for twice meanwhile.
-func TestUnansweredRequestIsRepeatedUnderItsName(t *testing.T) {
+// TestRequestWithoutResponseIsRetriedUnderItsName: a request whose response is lost is sent again
+// under the same name. Until then, its machines are not requested a second time.
+func TestRequestWithoutResponseIsRetriedUnderItsName(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
@@ -101,13 +102,13 @@
 	}
 	h.cloud.creations[1].done(CreateResult{Outcome: Created, Machines: []protocol.MachineID{"i-1"}})
 	if len(h.environment.recorded) != 1 || h.cluster.Machines["i-1"] == nil {
-		t.Errorf("%d machines are recorded", len(h.environment.recorded))
+		t.Errorf("%d machines recorded, want only i-1", len(h.environment.recorded))
 	}
 }
 
-// TestOfferWithoutCapacityRests: what the cloud has no capacity for is not asked for again
-// at once; another zone's is.
-func TestOfferWithoutCapacityRests(t *testing.T) {
+// TestOfferWithoutCapacityIsNotRequestedAgainAtOnce: when the cloud has no capacity for an offer,
+// machines are requested in another zone instead. A rejected request leaves the job waiting.
+func TestOfferWithoutCapacityIsNotRequestedAgainAtOnce(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
@@ -123,13 +124,12 @@
 	h.cloud.creations[1].done(CreateResult{Outcome: CreateRejected, Detail: "a test"})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	if h.schedule(); len(h.Demand) != 1 {
-		t.Errorf("%d jobs wait", len(h.Demand))
+		t.Errorf("%d jobs waiting, want 1", len(h.Demand))
 	}
 }
 
-// TestLargeFleetIsListedWithinBudget: the pages of a large fleet's machine list are asked
-// for within the budget of calls and leave most of it to scale-out, whatever the number
-// of pages.
+// TestLargeFleetIsListedWithinBudget: reading the machine list of a large fleet stays within the
+// call budget and leaves most of it for scale-out, whatever the number of pages.
 func TestLargeFleetIsListedWithinBudget(t *testing.T) {
 	const seconds, pagesOfList = 60, 12
 	h := newHarness()
@@ -144,10 +144,10 @@
 			h.cloud.lists[pages].done(&protocol.MachineList{More: (pages+1)%pagesOfList != 0, Machines: []protocol.Machine{{ID: id}}})
 		}
 	}
-	if most := int(callsPerSecond*float64(seconds)/2) + pagesOfList; pages > most {
-		t.Errorf("%d pages in %d s of a budget of %.1f calls a second", pages, seconds, callsPerSecond)
+	if maxPages := int(callsPerSecond*float64(seconds)/2) + pagesOfList; pages > maxPages {
+		t.Errorf("%d pages requested in %d s, too many for a budget of %.1f calls per second", pages, seconds, callsPerSecond)
 	}
 	if pages < pagesOfList {
-		t.Errorf("only %d pages", pages)
+		t.Errorf("%d pages requested, fewer than one list has", pages)
 	}
 }
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -9,38 +9,40 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// The replicas of a zone that is lost must run again in the others without waiting for a
-// machine to boot. So for every zone the others together keep what its replicas would
-// need there: free capacity, or that of work of lower priority, which leaves at once.
-// Only one zone is lost at a time. The reserve is what it takes beyond the capacity that
-// is there anyway: idle machines that are not scaled in, and machines that are asked for.
-
-// zoneReservePlan works the reserve out.
+// When a zone is lost, its replicas must run again in the other zones without waiting for a
+// machine to boot. So for every zone, the other zones together keep the capacity that its
+// replicas would need there: free capacity, or capacity used by tasks of lower priority, which
+// are preempted at once. The reserve assumes that only one zone is lost at a time. It consists
+// of what is needed in addition to the capacity that exists anyway: idle machines that are not
+// scaled in, and requested machines.
+
+// zoneReservePlan computes the reserve.
 type zoneReservePlan struct {
 	autoscaler *Autoscaler
 	slots      []*reserveSlot
-	neededIdle map[*cluster.Machine]bool // idle machines that are needed
-	toRequest  map[Offer]int             // machines that are missing
+	neededIdle map[*cluster.Machine]bool // idle machines that the reserve needs
+	toRequest  map[Offer]int             // number of machines to request
 }
 
-// reserveSlot is a machine, there or on its way, as a place for replicas.
+// reserveSlot is the capacity of an existing or requested machine that replicas may use.
 type reserveSlot struct {
 	capacitySlot
-	preemptible []preemptibleTask // work on it that stops at once for a higher priority
-	remaining   cluster.Resources // what is left while the loss of one zone is considered
+	preemptible []preemptibleTask // tasks on it that stop at once for a higher priority
+	remaining   cluster.Resources // capacity left while the loss of one zone is evaluated
 }
 
-// preemptibleTask is what a task that is preempted for higher priorities leaves.
+// preemptibleTask holds the resources that a task frees when it is preempted by a higher
+// priority.
 type preemptibleTask struct {
 	priority  protocol.Priority
 	resources cluster.Resources
 }
 
-// planZoneReserve finds which idle machines the reserve needs, and adds to want what must
-// be asked for.
+// planZoneReserve determines which idle machines the reserve needs, and adds the machines that
+// must be requested to want.
 func (as *Autoscaler) planZoneReserve(want map[Offer]int) {
 	if as.state.SomeZoneSilent() {
-		return // what is kept is needed now, and what is silent may be back
+		return // the reserve is in use now, and the silent machines may come back
 	}
 	services := as.servicesByZone()
 	as.zoneReserve = nil
@@ -55,14 +57,14 @@
 	as.zoneReserve = plan.neededIdle
 }
 
-// zoneReplicas is how many replicas of a service a zone has.
+// zoneReplicas is a service and the number of its replicas in a zone that may run in other zones.
 type zoneReplicas struct {
 	job   *cluster.Job
 	count int
 }
 
-// servicesByZone lists the services that have replicas in each zone, the largest
-// replicas first.
+// servicesByZone lists, for each zone, the services with replicas there that may run in other
+// zones, the largest replicas first.
 func (as *Autoscaler) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
 	services := map[protocol.ZoneName][]zoneReplicas{}
 	for _, job := range as.state.Jobs {
@@ -94,7 +96,7 @@
 	return perZone
 }
 
-// compareReplicas puts the largest replicas first.
+// compareReplicas orders the largest replicas first.
 func compareReplicas(a, b zoneReplicas) int {
 	return cmp.Or(
 		cmp.Compare(b.job.Spec.CPUs, a.job.Spec.CPUs),
@@ -102,8 +104,8 @@
 		cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// addSlots lists what there is and what is on its way: machines with work first, then
-// idle ones, so that no more of these are kept than are needed.
+// addSlots adds the slots of existing machines, those with tasks first, then of requested ones.
+// Idle machines come after machines with tasks, so that no more idle ones are kept than needed.
 func (p *zoneReservePlan) addSlots() {
 	state := p.autoscaler.state
 	for _, machine := range state.OrderedMachines {
@@ -124,7 +126,8 @@
 	}
 }
 
-// newReserveSlot is the slot of a machine. A task of a gang leaves nothing at once.
+// newReserveSlot returns the slot of a machine. Tasks of gangs don't count as preemptible,
+// because they don't free their resources at once.
 func newReserveSlot(machine *cluster.Machine, free cluster.Resources) *reserveSlot {
 	slot := &reserveSlot{capacitySlot: capacitySlot{machine: machine, offer: offerOf(machine), free: free}}
 	for _, attempt := range machine.Attempts {
@@ -138,14 +141,15 @@
 	return slot
 }
 
-// addRequested adds a machine that is only asked for.
+// addRequested adds the slot of a machine that is only requested.
 func (p *zoneReservePlan) addRequested(offer Offer) *reserveSlot {
 	slot := &reserveSlot{capacitySlot: capacitySlot{offer: offer, free: p.autoscaler.capacityOf(offer)}}
 	p.slots = append(p.slots, slot)
 	return slot
 }
 
-// capacityFor is what a slot gives to work of a priority.
+// capacityFor returns the capacity of a slot for tasks of a priority: what is free and what
+// tasks of lower priority use.
 func (s *reserveSlot) capacityFor(priority protocol.Priority) cluster.Resources {
 	capacity := s.free
 	for _, task := range s.preemptible {
@@ -156,7 +160,7 @@
 	return capacity
 }
 
-// planLossOfZone sees to it that the replicas of one zone have places in the others.
+// planLossOfZone plans capacity in the other zones for the replicas of a zone that is lost.
 func (p *zoneReservePlan) planLossOfZone(lost protocol.ZoneName, services []zoneReplicas) {
 	if len(services) == 0 {
 		return
@@ -164,7 +168,7 @@
 	for _, slot := range p.slots {
 		slot.remaining = slot.capacityFor(services[0].job.Priority)
 	}
-	next := 0 // slots before this one have nothing left for anything
+	next := 0 // the slots before this one have no CPUs left
 	for _, replicas := range services {
 		need := replicas.count
 		for i := next; i < len(p.slots) && need > 0; i++ {
@@ -181,17 +185,18 @@
 	}
 }
 
-// allocate gives replicas a slot's capacity and returns how many have it.
+// allocate allocates a slot's capacity to replicas and returns how many fit.
 func (p *zoneReservePlan) allocate(slot *reserveSlot, job *cluster.Job, need int) int {
-	taken := slot.remaining.Fit(job.Spec, need)
-	slot.remaining.AddTasks(job.Spec, -taken)
-	if taken > 0 && slot.machine != nil && len(slot.machine.Attempts) == 0 {
+	allocated := slot.remaining.Fit(job.Spec, need)
+	slot.remaining.AddTasks(job.Spec, -allocated)
+	if allocated > 0 && slot.machine != nil && len(slot.machine.Attempts) == 0 {
 		p.neededIdle[slot.machine] = true
 	}
-	return taken
+	return allocated
 }
 
-// addMachines wants machines for replicas that have no place outside a zone.
+// addMachines plans requests for machines for replicas that find no capacity outside the lost
+// zone.
 func (p *zoneReservePlan) addMachines(lost protocol.ZoneName, job *cluster.Job, need int) {
 	for need > 0 && len(p.slots) < tuning.MaxZoneReserveMachines {
 		offer, ok := p.bestOffer(lost, job)
@@ -200,18 +205,18 @@
 		}
 		slot := p.addRequested(offer)
 		slot.remaining = slot.free
-		taken := p.allocate(slot, job, need)
-		if taken == 0 {
+		allocated := p.allocate(slot, job, need)
+		if allocated == 0 {
 			return
 		}
-		need -= taken
+		need -= allocated
 		p.toRequest[offer]++
 		p.autoscaler.machinesPerZone[offer.Zone]++
 	}
 }
 
-// bestOffer is the cheapest kind of machine in the zone of the others that has the fewest
-// machines.
+// bestOffer returns the cheapest offer in the zone that has the fewest machines, among the zones
+// other than the lost one that have an offer for the job.
 func (p *zoneReservePlan) bestOffer(lost protocol.ZoneName, job *cluster.Job) (best Offer, ok bool) {
 	machines := p.autoscaler.machinesPerZone
 	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -6,7 +6,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// HandleExit decides what follows from the exit of an attempt, as its agent reported it.
+// HandleExit handles the exit of an attempt that its agent has reported.
 func (m *Manager) HandleExit(attempt *cluster.Attempt, exit *protocol.TaskStatus) {
 	job, machine := attempt.Job, attempt.Machine
 	m.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", exit.Cause, "saved", exit.Saved)
@@ -20,13 +20,13 @@
 	case protocol.CauseNoCapacity, protocol.CauseBusy:
 		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineRefusalBackoff)
 	default:
-		// no_such, or a cause of a later version: try again, but not at once.
+		// no_such, or a cause that only a later version knows: retry, but not at once.
 		job.RetryAt = m.state.Now().Add(tuning.StoreRetryDelay * 8)
 	}
 }
 
-// attributeError holds a task's error against its machine, until the job has failed on so
-// many that it must be the job's.
+// attributeError attributes a task's error to its machine. Once the job has failed on
+// tuning.MaxJobFailures machines, it attributes the errors to the job instead.
 func (m *Manager) attributeError(job *cluster.Job, machine *cluster.Machine) {
 	job.Failures.Machines[machine.ID] = true
 	job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineFailureBackoff)
@@ -41,9 +41,10 @@
 	}
 }
 
-// attributeToJob clears the machines on which a job has failed. It goes on trying, ever
-// more rarely, on what is free: it must not preempt sound work of lower priority for ever.
-// The replicas of a service have pauses of their own.
+// attributeToJob attributes a job's failures to the job itself, and no longer to the machines on
+// which it failed. The job is retried with growing pauses and only on free capacity: otherwise it
+// could preempt working tasks of lower priority again and again. The replicas of a service have
+// their own backoff.
 func (m *Manager) attributeToJob(job *cluster.Job) {
 	if job.Spec.Service() {
 		clear(job.Failures.Machines)
@@ -57,10 +58,10 @@
 	clear(job.Failures.AvoidUntil)
 }
 
-// handleReplicaExit notes that a replica ended by itself, though it is to run until the user
-// cancels its service. It starts again elsewhere at
-// once; one that ends again and again does so ever more rarely. One that ran for a
-// while is stable: neither it nor its machine caused the exit.
+// handleReplicaExit handles the exit of a replica that ended on its own, although it should run
+// until the user cancels its service. It is restarted elsewhere at once. If it keeps ending soon
+// after its start, the pauses before the restarts grow. A replica that ran for at least
+// tuning.ReplicaStableTime is stable: its exit counts neither against it nor against its machine.
 func (m *Manager) handleReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
 	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -7,19 +7,20 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// stopIncompleteGang ends an attempt of a gang of which some task is proven gone.
+// stopIncompleteGang stops a gang's attempt that can no longer become complete, and reports the
+// gang to the recovery as incomplete.
 func (m *Manager) stopIncompleteGang(job *cluster.Job) {
 	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, Entry: -1,
 		ID: reconcile.AttemptID{TaskID: reconcile.TaskID{Job: job.ID}, Attempt: job.Epoch}})
 	m.stopGang(job, 0)
 }
 
-// isIncomplete says whether a gang's attempt can no longer become whole.
+// isIncomplete reports whether a gang's attempt can no longer become complete.
 func (m *Manager) isIncomplete(job *cluster.Job) bool {
 	g := reconcile.GangAttempt{Tasks: len(job.Tasks)}
 	for _, attempt := range job.Attempts {
 		switch {
-		case attempt.Orphaned: // an older attempt that is being ended
+		case attempt.Orphaned: // an older attempt that is being stopped
 		case attempt.Key.Number == job.Epoch:
 			g.Present++
 		default:
@@ -29,8 +30,9 @@
 	return g.Incomplete()
 }
 
-// stopGang ends a gang's attempt: every task is told to stop at once, so that
-// a graceful stop reaches all of them within the gang's patience.
+// stopGang stops a gang's attempt. All tasks are told to stop at once, so that a graceful stop
+// reaches each of them before it exits on its own, which it does within the agents' gang_peer_s
+// after another task of the gang has ended.
 func (m *Manager) stopGang(job *cluster.Job, graceS float64) {
 	if !job.BeginStop() {
 		return
@@ -41,8 +43,8 @@
 	}
 }
 
-// reserveSurvivingMachines keeps the machines of a broken gang's other tasks for its next
-// attempt: the repair then only has to find capacity for what was lost.
+// reserveSurvivingMachines reserves the machines of a broken gang's remaining tasks for its next
+// attempt, which then only needs new capacity for the tasks that were lost.
 func (m *Manager) reserveSurvivingMachines(job *cluster.Job) {
 	job.Survivors = map[protocol.MachineID]bool{}
 	for _, attempt := range job.SortedAttempts() {
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -1,9 +1,11 @@
-// Package lifecycle ends attempts of tasks: what an exit means for its job and its machine,
-// what stops with what, when a job is over. A gang's attempt ends as a whole; a machine that
-// is to go is emptied gracefully; failures are attributed to the machine or to the job.
+// Package lifecycle handles the end of task attempts: what an exit means for the job and the
+// machine, which attempts stop together, and when a job is over. All attempts of a gang end
+// together. A machine that is to be deleted is drained gracefully. Failures are attributed to
+// the machine or to the job.
 //
-// It changes the cluster model alone. It places nothing, and neither sends commands nor
-// writes records: it says which machines and records have something to be sent or written.
+// It changes only the cluster model. It places no tasks, sends no commands and writes no
+// records, but tells the leader which machines have commands pending and which records must be
+// written.
 package lifecycle
 
 import (
@@ -14,36 +16,36 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Environment is what the life of attempts needs of the leader.
+// Environment is what this package needs from the leader.
 type Environment interface {
-	// RequestScheduling has the next scheduling cycle run soon.
+	// RequestScheduling requests a scheduling cycle soon.
 	RequestScheduling()
-	// RecordChanged has one of a job's records written.
+	// RecordChanged schedules a write of one of a job's records.
 	RecordChanged(job *cluster.Job, record int)
-	// RecordMachine has a machine's entry in its machine record written.
+	// RecordMachine schedules a write of the machine's entry in its machine record.
 	RecordMachine(machine *cluster.Machine)
-	// CommandsPending has commands to a machine's agent sent without waiting for its next
-	// heartbeat.
+	// CommandsPending has the pending commands for a machine's agent sent without waiting for
+	// its next heartbeat.
 	CommandsPending(machine *cluster.Machine)
-	// Unreadable says whether a record of a job cannot be read, so that the job is left as
-	// it is.
+	// Unreadable reports whether a record of a job cannot be read. Such a job is left as it is.
 	Unreadable(job protocol.JobID) bool
 }
 
-// Manager ends attempts.
+// Manager handles the end of attempts.
 type Manager struct {
 	state    *cluster.State
-	recovery *reconcile.Phase // counts the gangs that are found incomplete
+	recovery *reconcile.Phase // counts the gangs found incomplete
 	env      Environment
 	log      *slog.Logger
 }
 
-// New makes a manager of attempts' lives.
+// New returns a manager.
 func New(state *cluster.State, recovery *reconcile.Phase, env Environment, log *slog.Logger) *Manager {
 	return &Manager{state: state, recovery: recovery, env: env, log: log}
 }
 
-// RemoveGone takes an attempt that is proven gone out of every account.
+// RemoveGone removes an attempt that is proven gone from the accounting, and handles what
+// follows for its gang and its job.
 func (m *Manager) RemoveGone(attempt *cluster.Attempt) {
 	job, machine := attempt.Job, attempt.Machine
 	if !m.state.RemoveAttempt(attempt) {
@@ -58,8 +60,8 @@
 	m.CheckEnded(job)
 }
 
-// CheckEnded takes the consequences if a gang's attempt, or the whole job, is over or can no
-// longer become whole.
+// CheckEnded checks whether the job or a gang's attempt is over, or whether a gang's attempt can
+// no longer become complete, and acts accordingly.
 func (m *Manager) CheckEnded(job *cluster.Job) {
 	if job.Finished || m.env.Unreadable(job.ID) && !job.Cancelled {
 		return
@@ -82,11 +84,11 @@
 	}
 }
 
-// MarkDone notes that a task has completed. The tasks of a gang complete
-// together: if one is done, every one is.
+// MarkDone marks a task as done. The tasks of a gang complete together: if one is done, all
+// are.
 func (m *Manager) MarkDone(job *cluster.Job, index int) {
 	if job.Finished || job.Tasks[index].Done || job.Spec.Service() {
-		return // a replica is never done, whatever it says
+		return // a replica is never done, whatever its agent reports
 	}
 	mark := func(i int) {
 		if job.CompleteTask(i) {
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -6,8 +6,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Stop asks an attempt to end. One whose start never left is gone at once,
-// unless the transaction that places it is still in flight.
+// Stop requests that an attempt stop within graceS seconds. An attempt whose start was never sent
+// is removed at once, unless the transaction that stores its placement is still in flight.
 func (m *Manager) Stop(attempt *cluster.Attempt, graceS float64) {
 	attempt.RequestStop(graceS)
 	if !attempt.StartSent && !(attempt.Job.Write.InFlight && !attempt.Committed) {
@@ -17,28 +17,29 @@
 	m.env.CommandsPending(attempt.Machine)
 }
 
-// Drain empties a machine that is to go: everything that can save its progress
-// stops now, what cannot may finish if it can.
+// Drain cordons a machine that is to be deleted and stops the tasks that can save their progress.
+// Tasks that cannot may run to their end, but not on a quarantined machine.
 func (m *Manager) Drain(machine *cluster.Machine) {
 	m.env.RequestScheduling()
 	if machine.Cordon() {
-		m.env.RecordMachine(machine) // so that no leader places anything there any more
+		m.env.RecordMachine(machine) // so that no later leader places tasks there either
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointS == 0 && !machine.Quarantined {
-			continue // replicas move one by one
+			continue // replicas are moved one at a time by the scheduler
 		}
 		m.stopGracefully(attempt)
 	}
 }
 
-// stopGracefully stops an attempt with the time to save its progress; a gang stops as a whole.
+// stopGracefully stops an attempt and gives it time to save its progress. If it belongs to a gang,
+// the whole gang stops.
 func (m *Manager) stopGracefully(attempt *cluster.Attempt) {
 	m.stopWithGang(attempt, attempt.Job.Spec.SaveS+tuning.StopGraceSeconds)
 }
 
-// Preempt stops an attempt for a job that waits: gracefully if a checkpoint is worth that
-// job's wait.
+// Preempt stops an attempt in favour of a waiting job. It stops the attempt gracefully if saving
+// its progress is worth the time for which the waiting job is delayed.
 func (m *Manager) Preempt(attempt *cluster.Attempt) {
 	if scheduler.CheckpointPays(attempt.Job.Spec) {
 		m.stopGracefully(attempt)
@@ -47,10 +48,10 @@
 	}
 }
 
-// stopWithGang stops an attempt, and with it the other tasks of its gang.
+// stopWithGang stops an attempt and, if it belongs to a gang, all other tasks of the gang.
 func (m *Manager) stopWithGang(attempt *cluster.Attempt, graceS float64) {
 	if attempt.Job.Attempts[attempt.Key] != attempt {
-		return // went with another task of its gang
+		return // already removed together with another task of its gang
 	}
 	if attempt.Job.Spec.Gang() {
 		if !attempt.Job.Stopping {
