--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name          string
 		changeSpec    func(spec *protocol.Job)                   // changes the service
-		fillMachine   func(h *harness, machine *cluster.Machine) // puts tasks on the machine in zone b
+		other         func(h *harness, machine *cluster.Machine) // puts tasks on the machine in zone b
 		hasMachineInB bool                                       // there is a machine in zone b
 		disabled      bool
 		wantRequested int
@@ -28,9 +28,9 @@
 		{name: "idle machine in the other zone", hasMachineInB: true, wantReserved: true},
 		{name: "service bound to its zone", changeSpec: func(spec *protocol.Job) { spec.Zone = "a" }},
 		{name: "service spread over zones, half may move", changeSpec: func(spec *protocol.Job) { spec.Spread = true }, wantRequested: 1},
-		{name: "machine full of preemptible tasks", hasMachineInB: true, fillMachine: fillWith("idle", protocol.ShapeArray)},
-		{name: "machine full of tasks of the same priority", hasMachineInB: true, fillMachine: fillWith("critical", protocol.ShapeArray), wantRequested: 1},
-		{name: "machine full of gang tasks", hasMachineInB: true, fillMachine: fillWith("idle", protocol.ShapeGang), wantRequested: 1},
+		{name: "machine full of preemptible tasks", hasMachineInB: true, other: fillWith("idle", protocol.ShapeArray)},
+		{name: "machine full of tasks of the same priority", hasMachineInB: true, other: fillWith("critical", protocol.ShapeArray), wantRequested: 1},
+		{name: "machine full of gang tasks", hasMachineInB: true, other: fillWith("idle", protocol.ShapeGang), wantRequested: 1},
 		{name: "zone reserve disabled", disabled: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,8 +45,8 @@
 			var other *cluster.Machine
 			if c.hasMachineInB {
 				other = h.cluster.AddMachine("i-2", "big", "b")
-				if c.fillMachine != nil {
-					c.fillMachine(h, other)
+				if c.other != nil {
+					c.other(h, other)
 				}
 			}
 			h.Tick()
@@ -94,15 +94,15 @@
 // is deleted. While jobs are being submitted, one idle machine per zone is kept as a spare.
 func TestIdleMachineIsDeletedUnlessSpare(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		jobsCome bool
-		want     int
-	}{{name: "no jobs submitted", want: 2}, {name: "job submitted", jobsCome: true, want: 1}} {
+		name         string
+		jobSubmitted bool
+		want         int
+	}{{name: "no jobs submitted", want: 2}, {name: "job submitted", jobSubmitted: true, want: 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
 			h.cluster.AddMachine("i-1", "big", "a")
 			h.cluster.AddMachine("i-2", "big", "a")
-			if c.jobsCome {
+			if c.jobSubmitted {
 				spec := clustertest.Gang(1, 1)
 				h.JobSubmitted(&spec)
 			}
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -39,8 +39,8 @@
 }
 
 // planZoneReserve determines which idle machines the reserve needs, and adds the machines that
-// must be requested to want.
-func (as *Autoscaler) planZoneReserve(want map[Offer]int) {
+// must be requested to toRequest.
+func (as *Autoscaler) planZoneReserve(toRequest map[Offer]int) {
 	if as.state.SomeZoneSilent() {
 		return // the reserve is in use now, and the silent machines may come back
 	}
@@ -49,7 +49,7 @@
 	if len(services) == 0 || !as.state.Config.Operator.ZoneReserve {
 		return
 	}
-	plan := &zoneReservePlan{autoscaler: as, neededIdle: map[*cluster.Machine]bool{}, toRequest: want}
+	plan := &zoneReservePlan{autoscaler: as, neededIdle: map[*cluster.Machine]bool{}, toRequest: toRequest}
 	plan.addSlots()
 	for _, zone := range as.state.Config.Cluster.Zones {
 		plan.planLossOfZone(zone, services[zone])
