--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -20,13 +20,13 @@
 
 // Environment is what the autoscaler needs from the leader.
 type Environment interface {
-	// RequestScheduling requests a scheduling cycle soon.
+	// RequestScheduling requests that a scheduling cycle run soon.
 	RequestScheduling()
 	// RecordMachine schedules a write of the machine's entry in its machine record.
 	RecordMachine(machine *cluster.Machine)
 	// MachinesDeleted removes machines that are known to be deleted from the cluster model.
 	MachinesDeleted(machines ...protocol.MachineID)
-	// Drain cordons a machine and moves its tasks off, so that it can be deleted.
+	// Drain cordons a machine and empties it of tasks, so that it can be deleted.
 	Drain(machine *cluster.Machine)
 	// UniqueName returns a name that no other request has.
 	UniqueName() string
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -11,7 +11,7 @@
 )
 
 // maxListedAgeSeconds is the upper limit for the age of a listed machine, in seconds. A higher
-// age is an error in the list.
+// age is an error in the list and is reduced to this limit.
 const maxListedAgeSeconds = 1e6
 
 // machineList reads the cloud's machine list, page by page.
@@ -19,7 +19,7 @@
 	dependencies
 	deleted   map[protocol.MachineID]bool // machines that are known to be deleted
 	inFlight  bool
-	pages     int // pages requested of the list being read, or of the last one
+	pages     int // number of pages requested for the list being read, or for the last one
 	notBefore time.Time
 }
 
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -46,8 +46,8 @@
 
 // countSpares counts the machines in each zone that could serve as spares. Spares are kept as
 // long as jobs are being submitted. A machine whose tasks all have the lowest priority counts as
-// a spare too, because they are preempted at once. Jobs that may not use spot machines need
-// on-demand spares.
+// a spare too, because such tasks are preempted at once. Jobs that may not use spot machines
+// need on-demand spares.
 func (as *Autoscaler) countSpares() map[protocol.ZoneName]int {
 	count := map[protocol.ZoneName]int{}
 	if as.state.Now().Sub(as.lastSubmission) > tuning.SpareRetention {
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// fillWith returns a function that places tasks on a machine that take all of its CPUs.
+// fillWith returns a function that fills a machine with tasks that take all of its CPUs.
 func fillWith(priority string, shape protocol.Shape) func(*harness, *cluster.Machine) {
 	return func(h *harness, machine *cluster.Machine) {
 		job := h.cluster.AddJob(protocol.Job{Class: "c", Team: "free", Shape: shape, Priority: priority, Tasks: 8,
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -85,7 +85,8 @@
 }
 
 // endsWithin reports whether an attempt is likely to end within a time span, judging by the
-// user's estimate. An attempt that has exceeded its estimate may take as long again.
+// user's estimate. It returns false for an attempt that has exceeded its estimate, which may take
+// as long again.
 func (as *Autoscaler) endsWithin(attempt *cluster.Attempt, span time.Duration) bool {
 	if attempt.RunningSince.IsZero() || attempt.Job.Spec.Service() {
 		return false
@@ -96,7 +97,7 @@
 }
 
 // hasSlack reports whether a job's deadline leaves time to wait for capacity that other jobs
-// free: a machine that is requested later would still be in time.
+// free: a machine that is requested later would still boot in time.
 func (as *Autoscaler) hasSlack(job *cluster.Job) bool {
 	if job.Spec.DeadlineS <= 0 || job.Spec.Gang() || job.Spec.Service() {
 		return false
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -24,7 +24,7 @@
 }
 
 // scaleOutPlan matches the waiting jobs with the capacity that exists or has been requested.
-// Exhausted slots are left out at once, because every waiting job examines the remaining ones.
+// Exhausted slots are removed immediately, because every waiting job examines the remaining ones.
 // When the machines are full, nearly all slots are exhausted.
 type scaleOutPlan struct {
 	autoscaler     *Autoscaler
@@ -62,8 +62,8 @@
 	return tasks
 }
 
-// allocate allocates capacity in a zone to at most the given number of tasks and returns how
-// many it was allocated to.
+// allocate assigns capacity in a zone to at most the given number of tasks and returns the number
+// of tasks that got it.
 func (p *scaleOutPlan) allocate(job *cluster.Job, zone protocol.ZoneName, tasks int) (allocated int) {
 	someExhausted := false
 	for _, slot := range p.slots[zone] {
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestOnDemandMachineOnlyWhenDeadlineIsNear: while an array's deadline leaves time to wait, only
-// spot machines are requested for it, and only if it allows them. Otherwise on-demand machines
-// are requested.
+// TestOnDemandMachineOnlyWhenDeadlineIsNear: as long as an array's deadline leaves time to wait, no
+// on-demand machine is requested for it, but a spot machine is if the array allows spot machines.
+// When the deadline is near, on-demand machines are requested.
 func TestOnDemandMachineOnlyWhenDeadlineIsNear(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -104,8 +104,9 @@
 		cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// addSlots adds the slots of existing machines, those with tasks first, then of requested ones.
-// Idle machines come after machines with tasks, so that no more idle ones are kept than needed.
+// addSlots adds the slots of existing machines and then those of requested machines. Among the
+// existing machines, those with tasks come first, so that no more idle machines are kept than
+// needed.
 func (p *zoneReservePlan) addSlots() {
 	state := p.autoscaler.state
 	for _, machine := range state.OrderedMachines {
@@ -185,7 +186,7 @@
 	}
 }
 
-// allocate allocates a slot's capacity to replicas and returns how many fit.
+// allocate assigns a slot's capacity to replicas and returns how many fit.
 func (p *zoneReservePlan) allocate(slot *reserveSlot, job *cluster.Job, need int) int {
 	allocated := slot.remaining.Fit(job.Spec, need)
 	slot.remaining.AddTasks(job.Spec, -allocated)
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -6,7 +6,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// HandleExit handles the exit of an attempt that its agent has reported.
+// HandleExit handles the exit of an attempt, as reported by its agent.
 func (m *Manager) HandleExit(attempt *cluster.Attempt, exit *protocol.TaskStatus) {
 	job, machine := attempt.Job, attempt.Machine
 	m.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", exit.Cause, "saved", exit.Saved)
@@ -59,9 +59,10 @@
 }
 
 // handleReplicaExit handles the exit of a replica that ended on its own, although it should run
-// until the user cancels its service. It is restarted elsewhere at once. If it keeps ending soon
-// after its start, the pauses before the restarts grow. A replica that ran for at least
-// tuning.ReplicaStableTime is stable: its exit counts neither against it nor against its machine.
+// until the user cancels its service, and returns whether the replica was stable. A replica that
+// ran for at least tuning.ReplicaStableTime is stable: its exit counts neither against it nor
+// against its machine. The replica is restarted elsewhere at once. If it keeps ending soon after
+// its start, it is restarted after growing pauses.
 func (m *Manager) handleReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
 	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -18,7 +18,7 @@
 
 // Environment is what this package needs from the leader.
 type Environment interface {
-	// RequestScheduling requests a scheduling cycle soon.
+	// RequestScheduling requests that a scheduling cycle run soon.
 	RequestScheduling()
 	// RecordChanged schedules a write of one of a job's records.
 	RecordChanged(job *cluster.Job, record int)
@@ -60,8 +60,9 @@
 	m.CheckEnded(job)
 }
 
-// CheckEnded checks whether the job or a gang's attempt is over, or whether a gang's attempt can
-// no longer become complete, and acts accordingly.
+// CheckEnded checks whether a job is over, and whether the attempt of a gang has ended or can no
+// longer become complete. If so, it stops the remaining attempts, has the job's record written or
+// requests scheduling, as needed.
 func (m *Manager) CheckEnded(job *cluster.Job) {
 	if job.Finished || m.env.Unreadable(job.ID) && !job.Cancelled {
 		return
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -101,7 +101,7 @@
 		l.Stop(job.Tasks[0].Active, 0)
 	}
 	if len(planned.Attempts) != 0 || len(inFlight.Attempts) != 1 || clustertest.Stopping(inFlight) != 1 {
-		t.Errorf("%d attempts left of the planned job, want 0; %d of the job in the transaction, want 1, stopping", len(planned.Attempts), len(inFlight.Attempts))
+		t.Errorf("%d attempts left of the planned job, want 0; %d of the job in the transaction, want 1 that is stopping", len(planned.Attempts), len(inFlight.Attempts))
 	}
 	attempt := l.addRunningJob(clustertest.Array(1), machine).Tasks[0].Active
 	for _, c := range []struct{ graceS, want float64 }{{20, 20}, {30, 20}, {5, 5}} {
@@ -124,7 +124,7 @@
 		machine.Quarantined = quarantined
 		l.Drain(machine)
 		if !machine.Cordoned || !l.recorded[machine] || !l.scheduling {
-			t.Error("the machine is not cordoned and recorded, or no scheduling cycle is requested")
+			t.Error("the machine is not cordoned, its record is not written, or no scheduling cycle is requested")
 		}
 		attempt := saving.Tasks[0].Active
 		if !attempt.Stopping || attempt.GraceS != 7+tuning.StopGraceSeconds {
@@ -165,7 +165,7 @@
 	}
 	for _, other := range l.OrderedMachines {
 		if other.FailedJobs[job.ID] || other != machine && other.Quarantined {
-			t.Errorf("%s: it has a failure of the job, or is wrongly quarantined (quarantined %v)", other.ID, other.Quarantined)
+			t.Errorf("%s: the job's failure counts against it, or it is wrongly quarantined (quarantined %v)", other.ID, other.Quarantined)
 		}
 	}
 }
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -26,7 +26,7 @@
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointS == 0 && !machine.Quarantined {
-			continue // replicas are moved one at a time by the scheduler
+			continue // the scheduler moves replicas, one of a service at a time
 		}
 		m.stopGracefully(attempt)
 	}
