--- a/internal/buddy/buddy.go
+++ b/internal/buddy/buddy.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-// Aligned counts the free aligned blocks of an order.
-func (b *Map) Aligned(k int) int {
+// FreeBlocks counts the free aligned blocks of an order.
+func (b *Map) FreeBlocks(k int) int {
 	count := 0
 	for size, start := 1<<k, 0; start+size <= len(b.used); start += size {
 		if b.blockFree(start, size) {
@@ -50,11 +50,11 @@
 	return count
 }
 
-// Carve takes slots: an aligned block of Order(n) split off the smallest free
+// Allocate takes slots: an aligned block of Order(n) split off the smallest free
 // block that has one, or, when there is none, any free slots (the union of
 // smaller blocks). It may return fewer than n when the machine has no more:
 // slots only guide the placement, the resources bind it.
-func (b *Map) Carve(n int) []int {
+func (b *Map) Allocate(n int) []int {
 	k := Order(n)
 	best, bestOrder := -1, 0
 	for start := 0; start+1<<k <= len(b.used); start += 1 << k {
--- a/internal/buddy/buddy_test.go
+++ b/internal/buddy/buddy_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// buddyModel is the classical allocator: lists of free blocks by order, split
+// freeListAllocator is the classical allocator: lists of free blocks by order, split
 // on allocation and merged with their buddies on release.
-type buddyModel struct {
+type freeListAllocator struct {
 	n    int
 	free map[int]map[int]bool // order -> starts
 }
 
-func newBuddyModel(n int) *buddyModel {
-	m := &buddyModel{n: n, free: map[int]map[int]bool{}}
+func newFreeListAllocator(n int) *freeListAllocator {
+	m := &freeListAllocator{n: n, free: map[int]map[int]bool{}}
 	for i := range n {
 		m.release(i)
 	}
 	return m
 }
 
-func (m *buddyModel) release(start int) {
+func (m *freeListAllocator) release(start int) {
 	k := 0
 	for {
 		buddy := start ^ 1<<k
@@ -38,8 +38,8 @@
 	}
 }
 
-// take removes one slot, splitting the block that holds it.
-func (m *buddyModel) take(slot int) bool {
+// allocateSlot removes one slot, splitting the block that holds it.
+func (m *freeListAllocator) allocateSlot(slot int) bool {
 	for k, starts := range m.free {
 		for start := range starts {
 			if slot < start || slot >= start+1<<k {
@@ -57,8 +57,8 @@
 	return false
 }
 
-// smallest is the order of the smallest free block of at least order k, or -1.
-func (m *buddyModel) smallest(k int) int {
+// smallestFreeOrder is the order of the smallest free block of at least order k, or -1.
+func (m *freeListAllocator) smallestFreeOrder(k int) int {
 	for ; k < 16; k++ {
 		if len(m.free[k]) > 0 {
 			return k
@@ -67,7 +67,7 @@
 	return -1
 }
 
-func (m *buddyModel) aligned(k int) int {
+func (m *freeListAllocator) freeBlocks(k int) int {
 	n := 0
 	for o, starts := range m.free {
 		if o >= k {
@@ -77,12 +77,12 @@
 	return n
 }
 
-// TestBuddyAgainstModel compares the slot map with the classical allocator.
-func TestBuddyAgainstModel(t *testing.T) {
+// TestMapMatchesFreeListAllocator compares the slot map with the classical allocator.
+func TestMapMatchesFreeListAllocator(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		n := 1 + rng.IntN(20)
-		b, m := New(n), newBuddyModel(n)
+		b, m := New(n), newFreeListAllocator(n)
 		var held [][]int
 		for range 60 {
 			if len(held) > 0 && rng.IntN(2) == 0 {
@@ -95,9 +95,9 @@
 			} else {
 				size := 1 + rng.IntN(5)
 				k := Order(size)
-				from := m.smallest(k)
+				from := m.smallestFreeOrder(k)
 				free := b.free
-				got := b.Carve(size)
+				got := b.Allocate(size)
 				if want := min(size, free); len(got) != want {
 					t.Fatalf("%d of %d slots for %d with %d free", len(got), n, size, free)
 				}
@@ -112,15 +112,15 @@
 					}
 				}
 				for _, s := range got {
-					if !m.take(s) {
+					if !m.allocateSlot(s) {
 						t.Fatalf("slot %d was not free", s)
 					}
 				}
 				held = append(held, got)
 			}
 			for k := range 5 {
-				if b.Aligned(k) != m.aligned(k) {
-					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, b.Aligned(k), m.aligned(k))
+				if b.FreeBlocks(k) != m.freeBlocks(k) {
+					t.Fatalf("%d slots, order %d: %d blocks, the model has %d", n, k, b.FreeBlocks(k), m.freeBlocks(k))
 				}
 			}
 		}
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -61,19 +61,19 @@
 }
 
 // MaySendCommands says whether an agent may be called now to send it commands.
-func (c *Calls) MaySendCommands() bool { return c.within(c.maxInFlight(), 1) }
+func (c *Calls) MaySendCommands() bool { return c.hasCapacity(c.maxInFlight(), 1) }
 
 // MayProbe says whether an agent may be called now for what can wait. That leaves half of
 // the pace and of the sockets to commands: probes of a silent zone take their whole time-out.
 func (c *Calls) MayProbe() bool {
-	return c.within(c.maxInFlight()/2, float64(c.Limiter.Burst())/2)
+	return c.hasCapacity(c.maxInFlight()/2, float64(c.Limiter.Burst())/2)
 }
 
 func (c *Calls) maxInFlight() int {
 	return max(tuning.MinConcurrentAgentCalls, int(float64(c.state.Config.Cluster.Process.FDLimit)*tuning.AgentCallConnectionShare))
 }
 
-func (c *Calls) within(inFlight int, tokens float64) bool {
+func (c *Calls) hasCapacity(inFlight int, tokens float64) bool {
 	return c.InFlight < inFlight && (c.Limiter.Limit() == rate.Inf || c.Limiter.TokensAt(c.state.Now()) >= tokens)
 }
 
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -27,7 +27,7 @@
 type Delivery struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase // counts the commands
+	recovery   *reconcile.RecoveryPhase // counts the commands
 	calls      *Calls
 	heartbeats *Heartbeats
 	env        DeliveryEnvironment
@@ -63,7 +63,7 @@
 			d.Enqueue(machine)
 			continue
 		}
-		if commands := d.commands(machine, inCall); len(commands) > 0 {
+		if commands := d.commands(machine, viaCall); len(commands) > 0 {
 			d.call(machine, commands)
 		}
 	}
@@ -71,7 +71,7 @@
 
 // isCallable says whether commands may be sent to an agent in a call of its own.
 func (d *Delivery) isCallable(machine *cluster.Machine) bool {
-	return !machine.Delivery.InFlight && machine.Address != "" && !d.state.Now().Before(machine.Delivery.NotBefore)
+	return !machine.Delivery.InFlight && machine.Address != "" && !d.state.Now().Before(machine.Delivery.CallNotBefore)
 }
 
 // presentToken shows the fencing token to an agent with tasks that has not sent this leader
@@ -95,8 +95,8 @@
 				attempt.EndDirectStart()
 				continue
 			}
-			attempt.LoseDirectStart()
-			machine.Delivery.Pinned[attempt.ID()] = true
+			attempt.MarkDirectStartUnanswered()
+			machine.Delivery.MustNotForget[attempt.ID()] = true
 		}
 		if !answered {
 			d.retryUnanswered(machine)
@@ -104,7 +104,7 @@
 		}
 		d.heartbeats.ObserveAnswer(machine, result)
 		if result.Outcome == Refused {
-			machine.Delivery.NotBefore = d.state.Now().Add(tuning.StopResendDelay)
+			machine.Delivery.CallNotBefore = d.state.Now().Add(tuning.StopResendDelay)
 			d.Enqueue(machine)
 		}
 	})
@@ -129,10 +129,10 @@
 func (d *Delivery) retryUnanswered(machine *cluster.Machine) {
 	now := d.state.Now()
 	machine.Agent.IneffectiveResponses = max(machine.Agent.IneffectiveResponses, 1)
-	machine.Delivery.NotBefore = now.Add(tuning.StopResendDelay)
+	machine.Delivery.CallNotBefore = now.Add(tuning.StopResendDelay)
 	switch {
 	case !machine.Agent.Heard:
-		machine.Delivery.NotBefore = now.Add(d.state.SilenceTimeout()) // others have their turn
+		machine.Delivery.CallNotBefore = now.Add(d.state.SilenceTimeout()) // others have their turn
 	case len(machine.Attempts) > 0:
 		d.Enqueue(machine)
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -57,7 +57,7 @@
 type Heartbeats struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	fleet      Fleet
 	delivery   *Delivery
 	env        HeartbeatEnvironment
@@ -88,7 +88,7 @@
 
 // Accept takes a heartbeat. If it is accepted it has to be answered, with the commands.
 func (h *Heartbeats) Accept(heartbeat *protocol.Heartbeat) HeartbeatResult {
-	machine := h.take(heartbeat, fromHeartbeat)
+	machine := h.process(heartbeat, fromHeartbeat)
 	if machine == nil {
 		return HeartbeatResult{Outcome: Stale}
 	}
@@ -103,12 +103,12 @@
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
-		h.take(result.Heartbeat, fromCall)
+		h.process(result.Heartbeat, fromCall)
 	}
 }
 
-// take takes an agent's state and gives its machine; nil if something newer is known.
-func (h *Heartbeats) take(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
+// process takes an agent's state and gives its machine; nil if something newer is known.
+func (h *Heartbeats) process(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
 		return nil // what is deleted can only have sent this before
 	}
@@ -116,7 +116,7 @@
 	if !heartbeat.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
 		return nil
 	}
-	h.stored.startsAnswered = from == fromHeartbeat
+	h.stored.startOutcomesKnown = from == fromHeartbeat
 	differences := h.reconciler.Compare(&h.stored, h.term, heartbeat)
 	h.observeIncarnation(machine, heartbeat)
 	h.observeLiveness(machine, heartbeat, from)
@@ -133,7 +133,7 @@
 	}
 	h.resolve(machine, heartbeat, differences)
 	if machine.Agent.TokenConfirmed {
-		h.recovery.Known(machine.ID)
+		h.recovery.AgentAccountedFor(machine.ID)
 	}
 	return machine
 }
@@ -142,8 +142,8 @@
 // has forgotten every attempt of an older one.
 func (h *Heartbeats) observeIncarnation(machine *cluster.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
-		machine.Delivery.Pinned = map[cluster.AttemptID]bool{}
-		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.AnsweredAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
+		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
+		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.RespondedAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
 			// Its lease expired although its heartbeats were answered all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
@@ -165,7 +165,7 @@
 	}
 	machine.Agent.LastHeartbeat = now
 	if from == fromHeartbeat {
-		machine.Agent.AnsweredAt = now
+		machine.Agent.RespondedAt = now
 	} else {
 		machine.Agent.IneffectiveResponses = 0 // it has answered a call
 	}
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -97,7 +97,7 @@
 func (c *consolidation) planMove(attempt *cluster.Attempt, remaining map[*cluster.Machine]cluster.Resources) bool {
 	state := c.autoscaler.state
 	for _, target := range c.targets {
-		if target == attempt.Machine || c.drained[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Usable(attempt.Job, target) {
+		if target == attempt.Machine || c.drained[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Eligible(attempt.Job, target) {
 			continue
 		}
 		free := c.freeOn(target, remaining)
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -19,7 +19,7 @@
 // canHost reports whether a job could use a slot. A machine that the job avoids must not count:
 // the job would wait for it instead of getting another machine.
 func (as *Autoscaler) canHost(slot *capacitySlot, job *cluster.Job) bool {
-	return cluster.Allows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
+	return cluster.SpecAllows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
 		(slot.machine == nil || !as.state.Avoids(job, slot.machine))
 }
 
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -41,7 +41,7 @@
 // planZoneReserve determines which idle machines the reserve needs, and adds the machines that
 // must be requested to toRequest.
 func (as *Autoscaler) planZoneReserve(toRequest map[Offer]int) {
-	if as.state.SomeZoneSilent() {
+	if as.state.AnyZoneSuspected() {
 		return // the reserve is in use now, and the silent machines may come back
 	}
 	services := as.servicesByZone()
@@ -68,12 +68,12 @@
 func (as *Autoscaler) servicesByZone() map[protocol.ZoneName][]zoneReplicas {
 	services := map[protocol.ZoneName][]zoneReplicas{}
 	for _, job := range as.state.Jobs {
-		if !job.Spec.Service() || job.Cancelled || job.Failures.Attributed > 0 {
+		if !job.Spec.Service() || job.Cancelled || job.Failures.AttributedToJob > 0 {
 			continue
 		}
 		perZone := activePerZone(job)
 		for zone, count := range perZone {
-			count = min(count, job.MovableFrom(zone, perZone, as.state.Config.Cluster.Zones))
+			count = min(count, job.ReplicasMovableFrom(zone, perZone, as.state.Config.Cluster.Zones))
 			if count > 0 {
 				services[zone] = append(services[zone], zoneReplicas{job: job, count: count})
 			}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -81,7 +81,7 @@
 		}
 		l.runSchedulingCycle()
 	}
-	b.ReportMetric(float64(l.scheduler.Examined()), "machines-examined/op")
+	b.ReportMetric(float64(l.scheduler.MachinesExamined()), "machines-examined/op")
 }
 
 // TestBytesKept bounds what a leader keeps for each machine with its task and for
--- a/internal/coordination/cluster/accounts_test.go
+++ b/internal/coordination/cluster/accounts_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestAttemptIsInEveryAccountUntilRemoved: an attempt takes capacity, slots and quota while
+// TestAttemptUsesCapacityAndQuotaUntilRemoved: an attempt takes capacity, slots and quota while
 // it exists, and nothing once it is removed, however often that happens.
-func TestAttemptIsInEveryAccountUntilRemoved(t *testing.T) {
+func TestAttemptUsesCapacityAndQuotaUntilRemoved(t *testing.T) {
 	c := clustertest.New()
 	machine := c.AddMachine("i-1", "big", "a")
 	job := c.AddJob(clustertest.Gang(2, 1.5))
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestMachineTypeThatBecomesKnownCarvesSlots: attempts that were entered before the type of
+// TestSlotsAreAllocatedOnceMachineTypeIsKnown: attempts that were entered before the type of
 // their machine was known have slots once it is.
-func TestMachineTypeThatBecomesKnownCarvesSlots(t *testing.T) {
+func TestSlotsAreAllocatedOnceMachineTypeIsKnown(t *testing.T) {
 	c := clustertest.New()
 	machine := c.EnsureMachine("i-1", "", "", "", false)
 	c.PlaceAll(c.AddJob(clustertest.Gang(1, 2)), machine)
@@ -67,14 +67,14 @@
 	}
 }
 
-// TestReservationIsOfOneJob: a machine is reserved for the last job that asked, and the
+// TestMachineIsReservedForOneJobAtATime: a machine is reserved for the last job that asked, and the
 // accounts of both jobs agree.
-func TestReservationIsOfOneJob(t *testing.T) {
+func TestMachineIsReservedForOneJobAtATime(t *testing.T) {
 	c := clustertest.New()
 	machine := c.AddMachine("i-1", "big", "a")
 	first, second := c.AddJob(clustertest.Gang(1, 1)), c.AddJob(clustertest.Gang(1, 1))
 	machine.ReserveFor(first, c.Now())
-	if c.Usable(second, machine) || !c.Usable(first, machine) {
+	if c.Eligible(second, machine) || !c.Eligible(first, machine) {
 		t.Error("the reservation does not keep others out")
 	}
 	machine.ReserveFor(second, c.Now())
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestResourcesFit: what fits is bounded by the scarcest kind, and rounding of decimal
+// TestFitIsBoundedByScarcestResource: what fits is bounded by the scarcest kind, and rounding of decimal
 // amounts takes no task away.
-func TestResourcesFit(t *testing.T) {
+func TestFitIsBoundedByScarcestResource(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		free cluster.Resources
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestQuota: limits and guarantees, of which 0 means none.
-func TestQuota(t *testing.T) {
+// TestQuotaLimitAndGuarantee: limits and guarantees, of which 0 means none.
+func TestQuotaLimitAndGuarantee(t *testing.T) {
 	c := clustertest.New()
 	spec := clustertest.Gang(8, 2)
 	spec.Team = "tight"
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -15,11 +15,11 @@
 	TokenConfirmed bool                 // it has shown this leader's fencing token
 	HigherToken    protocol.Term        // a token above this leader's term that it has shown
 	LastHeartbeat  time.Time            // newest message of any kind
-	AnsweredAt     time.Time            // the last answered heartbeat: the lease counts from here at most
+	RespondedAt    time.Time            // the last answered heartbeat: the lease counts from here at most
 	LeaseExpired   bool                 // the lease has surely run out since
 	LeaseExpiredAt time.Time            // when that was found
 
-	LastAnswered         bool // its last heartbeat was answered
+	EverResponded        bool // its last heartbeat was answered
 	IneffectiveResponses int  // responses and commands in a row that seem not to have reached it
 
 	Exited []protocol.TaskStatus // as last reported
@@ -33,10 +33,10 @@
 
 // CommandDelivery is the state of the commands to an agent.
 type CommandDelivery struct {
-	Queued    bool // in the leader's list of machines with commands to send
-	InFlight  bool // a direct call is under way
-	NotBefore time.Time
-	Pinned    map[AttemptID]bool // attempts that must not be forgotten
+	Queued        bool // in the leader's list of machines with commands to send
+	InFlight      bool // a direct call is under way
+	CallNotBefore time.Time
+	MustNotForget map[AttemptID]bool // attempts that must not be forgotten
 	// ForgetSentAt is when the agent was last told to forget an attempt that it goes on
 	// reporting.
 	ForgetSentAt map[AttemptID]time.Time
@@ -54,7 +54,7 @@
 // CountIneffectiveResponses examines whether the last response has shown an effect in the next
 // heartbeat: the token, or the starts that were in it.
 func (m *Machine) CountIneffectiveResponses(heartbeat *protocol.Heartbeat) {
-	unseen, seen := m.Agent.LastAnswered && !m.Agent.TokenConfirmed, false
+	unseen, seen := m.Agent.EverResponded && !m.Agent.TokenConfirmed, false
 	for _, attempt := range m.Attempts {
 		if !attempt.StartInResponse {
 			continue
@@ -72,5 +72,5 @@
 	case seen:
 		m.Agent.IneffectiveResponses = 0
 	}
-	m.Agent.LastAnswered = true
+	m.Agent.EverResponded = true
 }
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -85,9 +85,9 @@
 // EndDirectStart notes that such a command was answered.
 func (a *Attempt) EndDirectStart() { a.StartsInFlight-- }
 
-// LoseDirectStart notes that such a command was not answered: it may arrive at any later
+// MarkDirectStartUnanswered notes that such a command was not answered: it may arrive at any later
 // time while incarnation and fencing token match.
-func (a *Attempt) LoseDirectStart() {
+func (a *Attempt) MarkDirectStartUnanswered() {
 	a.StartsInFlight--
 	a.StartUnanswered = true
 }
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -57,20 +57,20 @@
 		!st.NotReceiving(machine) && !st.NotReporting(machine) && st.ConfirmedAlive(machine) && st.TypeOf(machine) != nil
 }
 
-// Allows says whether the job may use machines of this type, zone and kind.
-func Allows(spec *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
+// SpecAllows says whether the job may use machines of this type, zone and kind.
+func SpecAllows(spec *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
 	return protocol.Allowed(spec.Types, typeName) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
 
-// Usable says whether a job may start on a machine now.
-func (st *State) Usable(job *Job, machine *Machine) bool {
-	return st.Schedulable(machine) && st.Suits(job, machine)
+// Eligible says whether a job may start on a machine now.
+func (st *State) Eligible(job *Job, machine *Machine) bool {
+	return st.Schedulable(machine) && st.MeetsConstraints(job, machine)
 }
 
-// Suits says the same of a machine that is known to be open.
-func (st *State) Suits(job *Job, machine *Machine) bool {
+// MeetsConstraints says the same of a machine that is known to be open.
+func (st *State) MeetsConstraints(job *Job, machine *Machine) bool {
 	return (machine.ReservedFor == nil || machine.ReservedFor == job) &&
-		Allows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) && !st.Avoids(job, machine)
+		SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) && !st.Avoids(job, machine)
 }
 
 // Avoids says whether a job's task was refused or failed on a machine lately.
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -37,9 +37,9 @@
 	RetryAt  time.Time
 	Failures FailureHistory
 	Queue    QueueState
-	// Survivors are the machines of a gang's broken attempt that are still there.
-	Survivors map[protocol.MachineID]bool
-	Reserved  []*Machine // machines whose free capacity is reserved for it
+	// SurvivingMachines are the machines of a gang's broken attempt that are still there.
+	SurvivingMachines map[protocol.MachineID]bool
+	Reserved          []*Machine // machines whose free capacity is reserved for it
 
 	Records RecordLayout
 	Write   WriteState
@@ -48,9 +48,9 @@
 // FailureHistory is what is known of a job's failed attempts.
 type FailureHistory struct {
 	Machines map[protocol.MachineID]bool // machines on which a task failed
-	// Attributed counts how often failures were attributed to the job, not to machines.
-	Attributed int
-	AvoidUntil map[protocol.MachineID]time.Time
+	// AttributedToJob counts how often failures were attributed to the job, not to machines.
+	AttributedToJob int
+	AvoidUntil      map[protocol.MachineID]time.Time
 }
 
 // QueueState is what the scheduler remembers of a job between two cycles.
@@ -59,10 +59,10 @@
 	MayReclaim      bool // it may preempt other teams' work to get that quota
 	ReclaimDecided  bool // whether MayReclaim was first decided
 	WaitingSince    time.Time
-	// PreemptionNotBefore is when victims may be searched for again, and
-	// ImageLocalNotBefore the same on machines that have its image.
-	PreemptionNotBefore time.Time
-	ImageLocalNotBefore time.Time
+	// PreemptionSearchNotBefore is when victims may be searched for again, and
+	// ImageLocalSearchNotBefore the same on machines that have its image.
+	PreemptionSearchNotBefore time.Time
+	ImageLocalSearchNotBefore time.Time
 }
 
 // WriteState says which of a job's records have yet to be written.
@@ -206,9 +206,9 @@
 	return true
 }
 
-// MovableFrom is how many replicas the rules allow in other zones when a zone is lost,
+// ReplicasMovableFrom is how many replicas the rules allow in other zones when a zone is lost,
 // beyond those that are there.
-func (j *Job) MovableFrom(lost protocol.ZoneName, perZone map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
+func (j *Job) ReplicasMovableFrom(lost protocol.ZoneName, perZone map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
 	if j.Spec.Zone != "" {
 		return 0
 	}
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -31,8 +31,8 @@
 // its lease is about to expire, or does so again and again: it takes no work.
 func (st *State) NotReporting(machine *Machine) bool {
 	from := st.LeadingSince
-	if machine.Agent.AnsweredAt.After(from) {
-		from = machine.Agent.AnsweredAt
+	if machine.Agent.RespondedAt.After(from) {
+		from = machine.Agent.RespondedAt
 	}
 	return st.Now().Sub(from) > config.Seconds(st.Config.Cluster.Agents.LeaseS/2)
 }
@@ -97,9 +97,9 @@
 	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silence
 }
 
-// GoneLongerThanBoot says whether a machine behind a suspected partition has been gone for so
+// GoneLongerThanBootTime says whether a machine behind a suspected partition has been gone for so
 // long after its lease that another would have booted.
-func (st *State) GoneLongerThanBoot(machine *Machine) bool {
+func (st *State) GoneLongerThanBootTime(machine *Machine) bool {
 	machineType := st.TypeOf(machine)
 	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
 }
@@ -119,8 +119,8 @@
 	return min(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
 }
 
-// SomeZoneSilent says whether machines of some zone are missed at the same time.
-func (st *State) SomeZoneSilent() bool {
+// AnyZoneSuspected says whether machines of some zone are missed at the same time.
+func (st *State) AnyZoneSuspected() bool {
 	suspected, _ := st.SuspectedZones(st.ReplicaSilenceTimeout())
 	for _, silent := range suspected {
 		if silent {
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestZoneIsSuspectedWhenManyAreSilent: more than half of a zone's machines that are silent
+// TestZoneIsSuspectedWhenManyMachinesAreSilent: more than half of a zone's machines that are silent
 // at once, and more than two, make the zone suspected, not the machines.
-func TestZoneIsSuspectedWhenManyAreSilent(t *testing.T) {
+func TestZoneIsSuspectedWhenManyMachinesAreSilent(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		silent           int
@@ -30,15 +30,15 @@
 			if suspected["a"] != c.suspected || heard["a"] != c.heard || suspected["b"] || !heard["b"] {
 				t.Errorf("suspected %v, heard %v", suspected, heard)
 			}
-			if model.SomeZoneSilent() != c.suspected {
-				t.Errorf("some zone silent %v", model.SomeZoneSilent())
+			if model.AnyZoneSuspected() != c.suspected {
+				t.Errorf("some zone silent %v", model.AnyZoneSuspected())
 			}
 		})
 	}
 }
 
-// TestNewLeaderSuspectsNoZone: soon after a failover agents have yet to find the leader.
-func TestNewLeaderSuspectsNoZone(t *testing.T) {
+// TestNewLeaderSuspectsNoZoneAtFirst: soon after a failover agents have yet to find the leader.
+func TestNewLeaderSuspectsNoZoneAtFirst(t *testing.T) {
 	model := clustertest.New()
 	for i := range 6 {
 		model.AddMachine(protocol.MachineID(fmt.Sprintf("i-%d", i)), "big", "a").Agent.Heard = false
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestMachineTakesWorkOnlyWhileSurelyAlive: a machine takes tasks only if its agent has
+// TestMachineIsSchedulableOnlyWhileConfirmedAlive: a machine takes tasks only if its agent has
 // shown this leader's token, lately, and if responses reach it.
-func TestMachineTakesWorkOnlyWhileSurelyAlive(t *testing.T) {
+func TestMachineIsSchedulableOnlyWhileConfirmedAlive(t *testing.T) {
 	model := clustertest.New()
 	machine := model.AddMachine("i-1", "big", "a")
 	if !model.Schedulable(machine) {
@@ -71,7 +71,7 @@
 	}
 	model.Heartbeat()
 	for range 10 {
-		machine.Agent.LastAnswered, machine.Agent.TokenConfirmed = true, false
+		machine.Agent.EverResponded, machine.Agent.TokenConfirmed = true, false
 		machine.CountIneffectiveResponses(&protocol.Heartbeat{})
 	}
 	machine.Agent.TokenConfirmed = true
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -38,9 +38,9 @@
 	ReservedFor   *Job
 	ReservedUntil time.Time
 
-	Record          *MachineRecord // shared with other machines of the zone
-	RecordEntrySize int            // of its entry there, at most
-	Recorded        bool           // the stored record has it
+	Record           *MachineRecord // shared with other machines of the zone
+	RecordEntryBytes int            // of its entry there, at most
+	Recorded         bool           // the stored record has it
 
 	Agent    AgentState
 	Delivery CommandDelivery
@@ -123,8 +123,8 @@
 	return list
 }
 
-// account accounts for a job's tasks on the machine; a negative count gives back.
-func (m *Machine) account(spec *protocol.Job, tasks int) {
+// addUsage accounts for a job's tasks on the machine; a negative count gives back.
+func (m *Machine) addUsage(spec *protocol.Job, tasks int) {
 	m.Used.AddTasks(spec, tasks)
 	if len(m.Attempts) == 0 {
 		m.Used = Resources{} // no rounding is left behind
--- a/internal/coordination/cluster/machine_record.go
+++ b/internal/coordination/cluster/machine_record.go
@@ -25,7 +25,7 @@
 
 // Add enters a machine whose entry takes up to so many bytes.
 func (r *MachineRecord) Add(machine *Machine, entryBytes int) {
-	machine.Record, machine.RecordEntrySize = r, entryBytes
+	machine.Record, machine.RecordEntryBytes = r, entryBytes
 	r.Members = append(r.Members, machine)
 	r.Bytes += entryBytes
 }
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -51,12 +51,12 @@
 	attempt := &Attempt{
 		Job: job, Machine: machine, Incarnation: incarnation,
 		Key:   AttemptKey{Index: index, Number: number, Machine: machine.ID},
-		Slots: machine.Slots.Carve(TaskSlots(job.Spec)),
+		Slots: machine.Slots.Allocate(TaskSlots(job.Spec)),
 	}
 	job.Attempts[attempt.Key] = attempt
 	job.Tasks[index].LiveAttempts++
 	machine.Attempts[attempt.ID()] = attempt
-	machine.account(job.Spec, 1)
+	machine.addUsage(job.Spec, 1)
 	if quota := st.Quotas[job.Spec.Team]; quota != nil {
 		quota.UsedCPUs += job.Spec.CPUs
 		quota.UsedGPUs += job.Spec.GPUs
@@ -73,7 +73,7 @@
 	delete(job.Attempts, attempt.Key)
 	delete(machine.Attempts, attempt.ID())
 	machine.Slots.Release(attempt.Slots)
-	machine.account(job.Spec, -1)
+	machine.addUsage(job.Spec, -1)
 	if len(machine.Attempts) == 0 {
 		machine.IdleSince = st.Now()
 	}
@@ -128,7 +128,7 @@
 	if machine == nil {
 		machine = newMachine(id, st.Now())
 		st.Machines[id] = machine
-		st.enroll(machine)
+		st.insertOrdered(machine)
 	}
 	if typeName != "" {
 		machine.Address, machine.TypeName, machine.Zone, machine.Spot = cmp.Or(address, machine.Address), typeName, zone, spot
@@ -141,7 +141,7 @@
 	return &Machine{
 		ID:         id,
 		Attempts:   map[AttemptID]*Attempt{},
-		Delivery:   CommandDelivery{Pinned: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}},
+		Delivery:   CommandDelivery{MustNotForget: map[AttemptID]bool{}, ForgetSentAt: map[AttemptID]time.Time{}},
 		FailedJobs: map[protocol.JobID]bool{},
 		IdleSince:  now,
 		CreatedAt:  now,
@@ -149,9 +149,9 @@
 	}
 }
 
-// enroll adds a machine to OrderedMachines, which is never changed in place. Machines are
+// insertOrdered adds a machine to OrderedMachines, which is never changed in place. Machines are
 // named in the order of their creation, so that most come last.
-func (st *State) enroll(machine *Machine) {
+func (st *State) insertOrdered(machine *Machine) {
 	at, _ := slices.BinarySearchFunc(st.OrderedMachines, machine, compareMachineIDs)
 	if at == len(st.OrderedMachines) {
 		st.OrderedMachines = append(st.OrderedMachines, machine)
@@ -170,7 +170,7 @@
 		}
 		machine.Slots = buddy.New(MachineSlots(machine.Type))
 		for _, attempt := range SortedAttemptsOn(machine) {
-			attempt.Slots = machine.Slots.Carve(TaskSlots(attempt.Job.Spec))
+			attempt.Slots = machine.Slots.Allocate(TaskSlots(attempt.Job.Spec))
 		}
 	}
 	return machine.Type
--- a/internal/coordination/cluster/states_test.go
+++ b/internal/coordination/cluster/states_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestLostDirectStartMayArriveForEver: a direct start that was answered can't arrive again;
+// TestUnansweredDirectStartMayArriveAtAnyTime: a direct start that was answered can't arrive again;
 // one that was not answered may at any time.
-func TestLostDirectStartMayArriveForEver(t *testing.T) {
+func TestUnansweredDirectStartMayArriveAtAnyTime(t *testing.T) {
 	attempt := newAttempt(clustertest.New())
 	attempt.BeginDirectStart(time.Unix(1, 0))
 	if !attempt.StartMayArrive() {
@@ -43,15 +43,15 @@
 		t.Error("an answered start may arrive")
 	}
 	attempt.BeginDirectStart(time.Unix(2, 0))
-	attempt.LoseDirectStart()
+	attempt.MarkDirectStartUnanswered()
 	if !attempt.StartMayArrive() || attempt.StartsInFlight != 0 {
 		t.Errorf("may arrive %v, %d in flight", attempt.StartMayArrive(), attempt.StartsInFlight)
 	}
 }
 
-// TestStopIsOnlyShortened: a later request to stop never gives an attempt more time, and a
+// TestRepeatedStopOnlyShortensGrace: a later request to stop never gives an attempt more time, and a
 // shorter one is to be sent again.
-func TestStopIsOnlyShortened(t *testing.T) {
+func TestRepeatedStopOnlyShortensGrace(t *testing.T) {
 	attempt := newAttempt(clustertest.New())
 	for _, step := range []struct{ request, want float64 }{{30, 30}, {60, 30}, {5, 5}, {30, 5}} {
 		attempt.MarkStopSent(time.Unix(9, 0))
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestRunningSinceIsTheFirstSight: later heartbeats do not move it, and whatever is
+// TestRunningSinceIsFirstReportOfRunning: later heartbeats do not move it, and whatever is
 // reported shows that a start has left.
-func TestRunningSinceIsTheFirstSight(t *testing.T) {
+func TestRunningSinceIsFirstReportOfRunning(t *testing.T) {
 	attempt := newAttempt(clustertest.New())
 	if attempt.ObserveState(protocol.TaskFetching, time.Unix(1, 0)) || !attempt.StartSent {
 		t.Error("an attempt that fetches its image counts as running, or as never started")
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestGangStopsUntilNoAttemptIsLeft: a stop without attempts would never end, and one with
+// TestGangStopEndsWithItsLastAttempt: a stop without attempts would never end, and one with
 // attempts ends with the last of them.
-func TestGangStopsUntilNoAttemptIsLeft(t *testing.T) {
+func TestGangStopEndsWithItsLastAttempt(t *testing.T) {
 	c := clustertest.New()
 	attempt := newAttempt(c)
 	job := attempt.Job
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestMachineMarksOnce: cordon, quarantine and deletion are each decided once.
-func TestMachineMarksOnce(t *testing.T) {
+// TestRepeatedMachineMarksReturnFalse: cordon, quarantine and deletion are each decided once.
+func TestRepeatedMachineMarksReturnFalse(t *testing.T) {
 	c := clustertest.New()
 	machine := c.AddMachine("i-1", "big", "a")
 	for name, mark := range map[string]func() bool{"cordon": machine.Cordon, "quarantine": machine.Quarantine, "deletion": machine.MarkDeleting} {
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestSplitRecordKeepsEveryTaskOnce: however often records are split, each task is in
+// TestSplitRecordKeepsEachTaskInOneRecord: however often records are split, each task is in
 // exactly one, the one that RecordOf names.
-func TestSplitRecordKeepsEveryTaskOnce(t *testing.T) {
+func TestSplitRecordKeepsEachTaskInOneRecord(t *testing.T) {
 	c := clustertest.New()
 	job := c.AddJob(clustertest.Array(9))
 	for _, record := range []int{0, 1, 0} {
--- a/internal/coordination/clustertest/cluster.go
+++ b/internal/coordination/clustertest/cluster.go
@@ -58,7 +58,7 @@
 		machines = c.OrderedMachines
 	}
 	for _, machine := range machines {
-		machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = c.now, c.now
+		machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = c.now, c.now
 	}
 }
 
@@ -91,7 +91,7 @@
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: c.now},
 		Records: cluster.RecordLayout{TasksPerRecord: spec.Tasks, Revisions: make([]protocol.Revision, 1),
-			Abandoned: map[int]protocol.Revision{}},
+			AbandonedParts: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
 	job.StartDeadlines = c.StartDeadlines(job)
@@ -150,7 +150,7 @@
 	for _, attempt := range job.Attempts {
 		machine := attempt.Machine
 		perZone[machine.Zone]++
-		if !cluster.Allows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
+		if !cluster.SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) {
 			t.Fatalf("%+v on %s in %s, spot %v", job.Spec, machine.TypeName, machine.Zone, machine.Spot)
 		}
 	}
--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -35,11 +35,11 @@
 func (e *Environment) Preempt(victim *cluster.Attempt) {
 	e.Preempted = append(e.Preempted, victim)
 	if !victim.Job.Spec.Gang() {
-		e.end(victim)
+		e.stopAttempt(victim)
 		return
 	}
 	for _, attempt := range victim.Job.SortedAttempts() {
-		e.end(attempt)
+		e.stopAttempt(attempt)
 	}
 	victim.Job.BeginStop()
 }
@@ -47,11 +47,11 @@
 // Stop implements scheduler.Environment.
 func (e *Environment) Stop(attempt *cluster.Attempt, _ float64) {
 	e.Stopped = append(e.Stopped, attempt)
-	e.end(attempt)
+	e.stopAttempt(attempt)
 }
 
-// end marks an attempt as stopping; one whose start never left is gone at once.
-func (e *Environment) end(attempt *cluster.Attempt) {
+// stopAttempt marks an attempt as stopping; one whose start never left is gone at once.
+func (e *Environment) stopAttempt(attempt *cluster.Attempt) {
 	if !attempt.StartSent {
 		e.cluster.RemoveAttempt(attempt)
 		return
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -213,7 +213,7 @@
 		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
 			break
 		}
-		delete(job.Records.Staged, r)
+		delete(job.Records.StagedParts, r)
 	}
 	write.staging = len(write.records) > 0
 }
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -77,7 +77,7 @@
 	}
 	machine.Record, machine.Recorded = nil, false
 	record.Members = slices.DeleteFunc(record.Members, func(member *cluster.Machine) bool { return member == machine })
-	record.Bytes -= machine.RecordEntrySize
+	record.Bytes -= machine.RecordEntryBytes
 	if record.StaleSince.IsZero() {
 		record.StaleSince = mr.state.Now()
 	}
@@ -100,15 +100,15 @@
 	mr.records = append(mr.records, record)
 }
 
-// SplitOutgrown moves machines out of records that have outgrown the limits. Until
+// MarkOversizedRecords moves machines out of records that have outgrown the limits. Until
 // the new record is written such a machine takes no task; then both name it.
-func (mr *MachineRecords) SplitOutgrown() {
+func (mr *MachineRecords) SplitOversized() {
 	capacity := mr.capacity()
 	for _, record := range slices.Clone(mr.records) {
 		for record.Bytes > capacity && len(record.Members) > 1 {
 			machine := record.Members[len(record.Members)-1]
 			record.Members = record.Members[:len(record.Members)-1]
-			record.Bytes -= machine.RecordEntrySize
+			record.Bytes -= machine.RecordEntryBytes
 			record.MovedOut = append(record.MovedOut, machine)
 			record.StaleSince = mr.state.Now()
 			machine.Recorded = false
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -25,23 +25,23 @@
 
 // maySplit says whether records may be written that version 0.2 does not read whole:
 // it takes the parts for abandoned ones and deletes them.
-func (s *recordSplitter) maySplit() bool { return s.env.PeersKnow(protocol.PeerKnowsCancelled) }
+func (s *recordSplitter) maySplit() bool { return s.env.PeersSupport(protocol.PeerKnowsCancelled) }
 
 // mayStage says whether the parts of a record may be written over several
 // transactions. An earlier version that takes over deletes parts that the job's own
 // record does not name, perhaps after it has split the record itself.
-func (s *recordSplitter) mayStage() bool { return s.env.PeersKnow(protocol.PeerKnowsStaged) }
+func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.PeerKnowsStaged) }
 
 // currentLimits are those that a record must keep within now.
 func (s *recordSplitter) currentLimits() config.StoreLimits {
 	if s.maySplit() {
-		return s.limits.configured()
+		return s.limits.afterLowering()
 	}
-	return s.limits.present()
+	return s.limits.beforeLowering()
 }
 
-// outgrown says whether a record must be split before it is written.
-func (s *recordSplitter) outgrown(job *cluster.Job, r int, limits config.StoreLimits) bool {
+// oversized says whether a record must be split before it is written.
+func (s *recordSplitter) oversized(job *cluster.Job, r int, limits config.StoreLimits) bool {
 	list := job.TasksOf(r)
 	if len(list) < 2 {
 		return false
@@ -51,10 +51,10 @@
 	}
 	capacity := int(limits.ValueKB * 1024)
 	if r == 0 {
-		if job.Records.SpecSize == 0 {
-			job.Records.SpecSize = len(storage.Encode(job.Spec))
+		if job.Records.SpecBytes == 0 {
+			job.Records.SpecBytes = len(storage.Encode(job.Spec))
 		}
-		capacity -= job.Records.SpecSize
+		capacity -= job.Records.SpecBytes
 	}
 	if len(list)*tuning.BytesPerTask+tuning.RecordHeaderBytes <= capacity {
 		return false // with entries of any size
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Write.Dirty)) {
-		if s.outgrown(job, r, limits) {
+		if s.oversized(job, r, limits) {
 			s.split(job, r, limits)
 			return
 		}
@@ -87,12 +87,12 @@
 		return nil
 	}
 	// The job's own record, which is always written, may have outgrown them too.
-	if s.outgrown(job, 0, limits) {
+	if s.oversized(job, 0, limits) {
 		s.split(job, 0, limits)
 	}
 	var list []int
 	for part, source := range job.Records.UnnamedParts {
-		if !job.Records.Staged[part] || job.Write.Dirty[part] {
+		if !job.Records.StagedParts[part] || job.Write.Dirty[part] {
 			list = append(list, part)
 		}
 		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
@@ -116,24 +116,24 @@
 	for len(open) > 0 && len(job.Records.UnnamedParts) < maxParts {
 		r := open[0]
 		open = open[1:]
-		if s.outgrown(job, r, limits) {
+		if s.oversized(job, r, limits) {
 			open = append(open, r, job.SplitRecord(r))
 		}
 	}
 	s.log.Info("record split", "job", job.ID, "record", r, "records", len(job.Records.Revisions))
 }
 
-// noteWritten notes that a job's records are committed. The job's own record names all
+// noteRecordsCommitted notes that a job's records are committed. The job's own record names all
 // parts, so that a write of it completes a split.
-func noteWritten(job *cluster.Job, write *jobWrite) {
+func noteRecordsCommitted(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
-		job.Records.UnnamedParts, job.Records.Staged, job.Records.Splitting = nil, nil, false
+		job.Records.UnnamedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
 		return
 	}
-	if job.Records.Staged == nil {
-		job.Records.Staged = map[int]bool{}
+	if job.Records.StagedParts == nil {
+		job.Records.StagedParts = map[int]bool{}
 	}
 	for _, r := range write.records {
-		job.Records.Staged[r] = true // until it changes again
+		job.Records.StagedParts[r] = true // until it changes again
 	}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -77,8 +77,8 @@
 func New(cfg *config.Config, log *slog.Logger, rng *rand.Rand, store kv.Client, env Environment, mirror Mirror, peers Peers) *Election {
 	bounds := authorityBounds{&cfg.Cluster}
 	e := &Election{log: log, env: env, mirror: mirror, bounds: bounds}
-	e.candidate = &candidate{name: cfg.Name, rng: rng, store: store, env: env, mirror: mirror, bounds: bounds, won: e.Acquired}
-	e.lease = &heldLease{store: store, env: env, ended: e.StepDown}
+	e.candidate = &candidate{name: cfg.Name, rng: rng, store: store, env: env, mirror: mirror, bounds: bounds, onAcquired: e.Acquired}
+	e.lease = &heldLease{store: store, env: env, onEnded: e.StepDown}
 	e.confirmation = &peerConfirmation{bounds: bounds, env: env, mirror: mirror, peers: peers}
 	e.authority = &authority{bounds: bounds, env: env, mirror: mirror, lease: e.lease, confirmation: e.confirmation}
 	return e
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -43,7 +43,7 @@
 	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, false)
 	l.committer.Machines.Assign(machine)
 	machine.Record.Revision = 1
-	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation, machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = true, true, true, 1, l.n.now, l.n.now
+	machine.Recorded, machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.Incarnation, machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = true, true, true, 1, l.n.now, l.n.now
 	l.cluster.TypeOf(machine)
 	return machine
 }
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -49,8 +49,8 @@
 	if job.Spec.Service() {
 		clear(job.Failures.Machines)
 	} else {
-		job.RetryAt = m.state.Now().Add(tuning.FailureBackoff << min(job.Failures.Attributed, tuning.MaxFailureBackoffDoublings))
-		job.Failures.Attributed++
+		job.RetryAt = m.state.Now().Add(tuning.FailureBackoff << min(job.Failures.AttributedToJob, tuning.MaxFailureBackoffDoublings))
+		job.Failures.AttributedToJob++
 	}
 	for _, other := range m.state.Machines {
 		delete(other.FailedJobs, job.ID)
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -10,7 +10,7 @@
 // stopIncompleteGang stops a gang's attempt that can no longer become complete, and reports the
 // gang to the recovery as incomplete.
 func (m *Manager) stopIncompleteGang(job *cluster.Job) {
-	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, Entry: -1,
+	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, EntryIndex: -1,
 		ID: reconcile.AttemptID{TaskID: reconcile.TaskID{Job: job.ID}, Attempt: job.Epoch}})
 	m.stopGang(job, 0)
 }
@@ -46,9 +46,9 @@
 // reserveSurvivingMachines reserves the machines of a broken gang's remaining tasks for its next
 // attempt, which then only needs new capacity for the tasks that were lost.
 func (m *Manager) reserveSurvivingMachines(job *cluster.Job) {
-	job.Survivors = map[protocol.MachineID]bool{}
+	job.SurvivingMachines = map[protocol.MachineID]bool{}
 	for _, attempt := range job.SortedAttempts() {
-		job.Survivors[attempt.Machine.ID] = true
+		job.SurvivingMachines[attempt.Machine.ID] = true
 		if attempt.Machine.ReservedFor == nil {
 			attempt.Machine.ReserveFor(job, m.state.Now().Add(tuning.ReservationTimeout))
 		}
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -34,13 +34,13 @@
 // Manager handles the end of attempts.
 type Manager struct {
 	state    *cluster.State
-	recovery *reconcile.Phase // counts the gangs found incomplete
+	recovery *reconcile.RecoveryPhase // counts the gangs found incomplete
 	env      Environment
 	log      *slog.Logger
 }
 
 // New returns a manager.
-func New(state *cluster.State, recovery *reconcile.Phase, env Environment, log *slog.Logger) *Manager {
+func New(state *cluster.State, recovery *reconcile.RecoveryPhase, env Environment, log *slog.Logger) *Manager {
 	return &Manager{state: state, recovery: recovery, env: env, log: log}
 }
 
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -27,7 +27,7 @@
 func newTestLeader() *testLeader {
 	l := &testLeader{Cluster: clustertest.New(), changed: map[*cluster.Job]bool{}, recorded: map[*cluster.Machine]bool{},
 		pending: map[*cluster.Machine]bool{}, unreadable: map[protocol.JobID]bool{}}
-	l.Manager = lifecycle.New(l.State, reconcile.NewPhase(), l, slog.New(slog.DiscardHandler))
+	l.Manager = lifecycle.New(l.State, reconcile.NewRecoveryPhase(), l, slog.New(slog.DiscardHandler))
 	return l
 }
 
@@ -56,8 +56,8 @@
 	if len(job.Attempts) != 2 || clustertest.Stopping(job) != 2 || !job.Stopping || !l.pending[machine] || !l.scheduling {
 		t.Errorf("%d attempts, %d of them stopping, commands pending: %v", len(job.Attempts), clustertest.Stopping(job), l.pending[machine])
 	}
-	if !job.Survivors[machine.ID] || machine.ReservedFor != job {
-		t.Errorf("surviving machines %v, machine reserved for %v", job.Survivors, machine.ReservedFor)
+	if !job.SurvivingMachines[machine.ID] || machine.ReservedFor != job {
+		t.Errorf("surviving machines %v, machine reserved for %v", job.SurvivingMachines, machine.ReservedFor)
 	}
 	for _, attempt := range job.SortedAttempts() {
 		l.RemoveGone(attempt)
@@ -160,8 +160,8 @@
 		other := l.AddMachine(protocol.MachineID("i-1"+string(rune('0'+i))), "small", "b")
 		l.HandleExit(l.AddAttempt(job, 0, protocol.AttemptNumber(i+1), other, 1), failed)
 	}
-	if job.Failures.Attributed != 1 || !job.RetryAt.Equal(l.Now().Add(tuning.FailureBackoff)) || len(job.Failures.AvoidUntil) != 0 {
-		t.Errorf("failures attributed to the job %d times, next retry at %v", job.Failures.Attributed, job.RetryAt)
+	if job.Failures.AttributedToJob != 1 || !job.RetryAt.Equal(l.Now().Add(tuning.FailureBackoff)) || len(job.Failures.AvoidUntil) != 0 {
+		t.Errorf("failures attributed to the job %d times, next retry at %v", job.Failures.AttributedToJob, job.RetryAt)
 	}
 	for _, other := range l.OrderedMachines {
 		if other.FailedJobs[job.ID] || other != machine && other.Quarantined {
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -41,7 +41,7 @@
 // Preempt stops an attempt in favour of a waiting job. It stops the attempt gracefully if saving
 // its progress is worth the time for which the waiting job is delayed.
 func (m *Manager) Preempt(attempt *cluster.Attempt) {
-	if scheduler.CheckpointPays(attempt.Job.Spec) {
+	if scheduler.ShouldCheckpointOnPreemption(attempt.Job.Spec) {
 		m.stopGracefully(attempt)
 	} else {
 		m.stopWithGang(attempt, 0)
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -19,7 +19,7 @@
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: ld.state.Now()},
 		Records: cluster.RecordLayout{TasksPerRecord: record.RecordTasks, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.Parts)),
-			Abandoned: map[int]protocol.Revision{}},
+			AbandonedParts: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
 	if job.ArrivalOrder == 0 {
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -29,7 +29,7 @@
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
 			l.n.keepAuthority()
-			machine.Agent.LastHeartbeat, machine.Agent.AnsweredAt = l.n.now, l.n.now
+			machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.agents.Liveness.Tick()
 			for _, a := range l.n.out {
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -12,8 +12,8 @@
 type imageRequirement int
 
 const (
-	imageAnywhere  imageRequirement = iota // also machines that would have to fetch the image
-	imageLocalOnly                         // only machines that have the image
+	imageOptional imageRequirement = iota // also machines that would have to fetch the image
+	imageRequired                         // only machines that have the image
 )
 
 // placeTasks places waiting tasks of an array or a service where there is free capacity;
@@ -28,8 +28,8 @@
 // placeArray places each waiting task on the best machine with free capacity; it returns
 // how many still wait.
 func (sc *Scheduler) placeArray(job *cluster.Job, image imageRequirement) (waiting int) {
-	quota := arrayQuota(job, sc.state)
-	var choice arrayChoice
+	quota := arrayPlacementLimit(job, sc.state)
+	var choice arrayCandidateList
 	for index := range job.Tasks {
 		task := &job.Tasks[index]
 		if task.Done || task.LiveAttempts > 0 {
@@ -40,7 +40,7 @@
 			continue
 		}
 		if choice.list == nil {
-			choice = sc.currentCycle().newArrayChoice(job, image)
+			choice = sc.currentCycle().newArrayCandidateList(job, image)
 		}
 		best := choice.best()
 		if best == nil {
@@ -55,9 +55,9 @@
 	return waiting
 }
 
-// arrayQuota is how many tasks an array may place now: an overdue one goes first with one
+// arrayPlacementLimit is how many tasks an array may place now: an overdue one goes first with one
 // task, then takes its turn again.
-func arrayQuota(job *cluster.Job, state *cluster.State) int {
+func arrayPlacementLimit(job *cluster.Job, state *cluster.State) int {
 	quota := state.TasksWithinLimit(job)
 	if job.Overdue(state.Now()) {
 		return min(quota, 1)
@@ -65,27 +65,27 @@
 	return quota
 }
 
-// arrayChoice is the machines that an array's tasks are placed on one after the other.
-type arrayChoice struct {
+// arrayCandidateList is the machines that an array's tasks are placed on one after the other.
+type arrayCandidateList struct {
 	list  []candidate // the best first
 	next  int         // candidates before this one are full or not allowed
 	zones cluster.ZoneLimits
 }
 
-// newArrayChoice lists the machines for an array.
-func (c *cycle) newArrayChoice(job *cluster.Job, image imageRequirement) arrayChoice {
+// newArrayCandidateList lists the machines for an array.
+func (c *cycle) newArrayCandidateList(job *cluster.Job, image imageRequirement) arrayCandidateList {
 	zones := c.state.ZoneLimits(job)
 	list := c.candidates(job, zones.Only)
-	if image == imageLocalOnly {
+	if image == imageRequired {
 		list = slices.DeleteFunc(list, func(place candidate) bool { return !place.imageLocal })
 	}
 	slices.SortFunc(list, compareByImage)
-	return arrayChoice{list: list, zones: zones}
+	return arrayCandidateList{list: list, zones: zones}
 }
 
 // best is the machine for the next task, nil if there is none. One that was taken stays
 // the best until it is full: it has the image then, and less free capacity.
-func (a *arrayChoice) best() *candidate {
+func (a *arrayCandidateList) best() *candidate {
 	for ; a.next < len(a.list); a.next++ {
 		if c := &a.list[a.next]; c.tasks > 0 && a.zones.Allow(c.machine.Zone) {
 			return c
@@ -106,16 +106,16 @@
 		if sc.WaitingTasks(job) == 0 {
 			continue
 		}
-		if canWaitForImage(job, sc.state) {
-			sc.placeTasks(job, imageLocalOnly)
+		if canWaitForImageLocalMachine(job, sc.state) {
+			sc.placeTasks(job, imageRequired)
 		} else {
-			sc.placeTasks(job, imageAnywhere)
+			sc.placeTasks(job, imageOptional)
 		}
 	}
 }
 
-// canWaitForImage says whether an array can wait for machines that have its image.
-func canWaitForImage(job *cluster.Job, state *cluster.State) bool {
+// canWaitForImageLocalMachine says whether an array can wait for machines that have its image.
+func canWaitForImageLocalMachine(job *cluster.Job, state *cluster.State) bool {
 	if job.Spec.Service() {
 		return false
 	}
--- a/internal/coordination/scheduler/candidate.go
+++ b/internal/coordination/scheduler/candidate.go
@@ -12,11 +12,11 @@
 type candidate struct {
 	machine         *cluster.Machine
 	tasks           int  // tasks that fit
-	residualSlots   int  // slots that are free before they are placed
+	freeSlots       int  // slots that are free before they are placed
 	suspected       bool // a task has failed there and none has succeeded since
 	siblingReplicas int  // replicas of the same service there
 	starvesGPUs     bool // one more task without GPUs would leave its GPUs idle
-	survivor        bool // held a task of the job's broken attempt
+	surviving       bool // held a task of the job's broken attempt
 	imageLocal      bool // has the job's image
 	price           float64
 }
@@ -25,13 +25,13 @@
 // "" stands for all zones.
 func (c *cycle) candidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
 	var list []candidate
-	machines := c.vacant
+	machines := c.withFreeCapacity
 	if job.Spec.GPUs == 0 {
 		machines = c.schedulable // it may fit beside tasks that have all of a machine's GPUs
 	}
-	c.examined += len(machines)
+	c.machinesExamined += len(machines)
 	for _, machine := range machines {
-		if zone != "" && machine.Zone != zone || !c.state.Suits(job, machine) {
+		if zone != "" && machine.Zone != zone || !c.state.MeetsConstraints(job, machine) {
 			continue
 		}
 		tasks := c.state.FreeResources(machine).Fit(job.Spec, len(job.Tasks))
@@ -39,13 +39,13 @@
 			continue
 		}
 		list = append(list, candidate{
-			machine:       machine,
-			tasks:         tasks,
-			residualSlots: machine.Slots.Free(),
-			suspected:     len(machine.FailedJobs) > 0,
-			survivor:      job.Survivors[machine.ID],
-			imageLocal:    machine.HasImage(job.Spec.Image),
-			price:         c.state.PriceOf(machine),
+			machine:    machine,
+			tasks:      tasks,
+			freeSlots:  machine.Slots.Free(),
+			suspected:  len(machine.FailedJobs) > 0,
+			surviving:  job.SurvivingMachines[machine.ID],
+			imageLocal: machine.HasImage(job.Spec.Image),
+			price:      c.state.PriceOf(machine),
 		})
 	}
 	return list
@@ -65,8 +65,8 @@
 func compareByFit(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
-		cluster.TrueFirst(a.survivor, b.survivor),
-		cmp.Compare(a.residualSlots, b.residualSlots),
+		cluster.TrueFirst(a.surviving, b.surviving),
+		cmp.Compare(a.freeSlots, b.freeSlots),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
 		cmp.Compare(a.machine.ID, b.machine.ID))
@@ -79,7 +79,7 @@
 		cluster.TrueFirst(b.suspected, a.suspected),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
-		cmp.Compare(a.residualSlots, b.residualSlots),
+		cmp.Compare(a.freeSlots, b.freeSlots),
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
 
@@ -87,7 +87,7 @@
 func compareForPacking(a, b candidate) int {
 	return cmp.Or(
 		cluster.TrueFirst(b.suspected, a.suspected),
-		cluster.TrueFirst(a.survivor, b.survivor),
+		cluster.TrueFirst(a.surviving, b.surviving),
 		compareByImage(a, b))
 }
 
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -17,51 +17,51 @@
 // RunCycle is one scheduling cycle over the queue: by priority, then in order of arrival,
 // within the teams' limits. What it returns waits for machines.
 func (sc *Scheduler) RunCycle() []Demand {
-	sc.releaseReservations()
+	sc.releaseObsoleteReservations()
 	sc.cycle = newCycle(sc.state)
-	defer func() { sc.examined, sc.cycle = sc.cycle.examined, nil }()
-	sc.gpuNeeds.measure(sc.state.Jobs)
+	defer func() { sc.machinesExamined, sc.cycle = sc.cycle.machinesExamined, nil }()
+	sc.perGPURequirements.update(sc.state.Jobs)
 	queue := sc.Queue()
 	markWithinGuarantee(queue, sc.state.Quotas)
-	markReclaimers(queue)
+	markMayReclaim(queue)
 	var demand []Demand
 	for i, job := range queue {
-		if beginsArrays(queue, i) {
+		if startsNonGangGroup(queue, i) {
 			sc.placeImageLocal(queue[i:])
 		}
-		if tasks := sc.place(job); tasks > 0 {
+		if tasks := sc.placeJob(job); tasks > 0 {
 			demand = append(demand, Demand{Job: job, Tasks: tasks})
 			sc.freeCapacityFor(job, tasks)
 		}
 	}
-	sc.waiting = len(demand)
+	sc.waitingJobs = len(demand)
 	return demand
 }
 
-// beginsArrays says whether arrays or services of one priority begin at a place of the
+// startsNonGangGroup says whether arrays or services of one priority begin at a place of the
 // queue.
-func beginsArrays(queue []*cluster.Job, at int) bool {
+func startsNonGangGroup(queue []*cluster.Job, at int) bool {
 	if queue[at].Spec.Gang() {
 		return false
 	}
 	return at == 0 || queue[at-1].Spec.Gang() || queue[at-1].Priority != queue[at].Priority
 }
 
-// place places a job as far as it can and returns for how many tasks machines are to be
+// placeJob places a job as far as it can and returns for how many tasks machines are to be
 // freed or added.
-func (sc *Scheduler) place(job *cluster.Job) int {
+func (sc *Scheduler) placeJob(job *cluster.Job) int {
 	tasks := sc.WaitingTasks(job)
 	if tasks == 0 {
 		return 0
 	}
 	if job.Spec.Gang() {
-		if job.Failures.Attributed == 0 && sc.waitsForImageLocalMachines(job) || sc.placeGang(job) {
+		if job.Failures.AttributedToJob == 0 && sc.preemptOnImageLocalMachines(job) || sc.placeGang(job) {
 			return 0
 		}
-	} else if tasks = sc.placeTasks(job, imageAnywhere); tasks == 0 {
+	} else if tasks = sc.placeTasks(job, imageOptional); tasks == 0 {
 		return 0
 	}
-	if job.Failures.Attributed > 0 {
+	if job.Failures.AttributedToJob > 0 {
 		return 0 // it is tried on what is free alone
 	}
 	tasks = min(tasks, sc.state.TasksWithinLimit(job))
@@ -84,19 +84,19 @@
 // the smaller the controller's share of a core is, so that scheduling leaves time for
 // heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Process.Pause(time.Duration(sc.examined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
+	pause := sc.state.Config.Cluster.Process.Pause(time.Duration(sc.machinesExamined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
 // cycle is what one cycle knows of all machines. What every job would have to find out in
 // the whole fleet is found out once; what no search can find is not searched for.
 type cycle struct {
-	state        *cluster.State
-	schedulable  []*cluster.Machine // machines that take tasks
-	vacant       []*cluster.Machine // those of them that can take a task with GPUs, if they have any
-	examined     int                // machines examined so far
-	examineLimit int                // from which on no more work is preempted in this cycle
-	supply       map[protocol.ZoneName]*zoneSupply
+	state            *cluster.State
+	schedulable      []*cluster.Machine // machines that take tasks
+	withFreeCapacity []*cluster.Machine // those of them that can take a task with GPUs, if they have any
+	machinesExamined int                // machines examined so far
+	examineLimit     int                // from which on no more work is preempted in this cycle
+	capacity         map[protocol.ZoneName]*zoneCapacity
 	// unreported is the free capacity of every zone's machines that have yet to report in
 	// a recovery.
 	unreported map[protocol.ZoneName]cluster.Resources
@@ -105,7 +105,7 @@
 // newCycle examines every machine.
 func newCycle(state *cluster.State) *cycle {
 	machines := state.OrderedMachines
-	c := &cycle{state: state, examined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
+	c := &cycle{state: state, machinesExamined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
 	if cores := state.Config.Cluster.Process.Cores; cores > 0 {
 		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
 	}
@@ -115,7 +115,7 @@
 		}
 		c.schedulable = append(c.schedulable, machine)
 		if machine.HasFree(state.TypeOf(machine)) {
-			c.vacant = append(c.vacant, machine)
+			c.withFreeCapacity = append(c.withFreeCapacity, machine)
 		}
 	}
 	return c
@@ -129,6 +129,6 @@
 	return newCycle(sc.state)
 }
 
-// exhausted says whether the cycle has examined so much that the rest of the queue takes
+// examineLimitReached says whether the cycle has examined so much that the rest of the queue takes
 // its turn at preemption in the next one.
-func (c *cycle) exhausted() bool { return c.examined >= c.examineLimit }
+func (c *cycle) examineLimitReached() bool { return c.machinesExamined >= c.examineLimit }
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -19,7 +19,7 @@
 	spec.Shape, spec.Priority = protocol.ShapeArray, "idle"
 	for range 40 {
 		job := h.cluster.AddJob(spec)
-		h.placeArray(job, imageAnywhere)
+		h.placeArray(job, imageOptional)
 		h.cluster.Run(job)
 	}
 }
@@ -48,7 +48,7 @@
 		h.checkExamined(t, waiting, 4*len(h.cluster.OrderedMachines)+budget+len(h.cluster.OrderedMachines)*len(h.cluster.Config.Cluster.Zones))
 		searched := 0
 		for _, job := range waiting {
-			if !job.Queue.PreemptionNotBefore.IsZero() || len(job.Reserved) > 0 {
+			if !job.Queue.PreemptionSearchNotBefore.IsZero() || len(job.Reserved) > 0 {
 				searched++
 			}
 		}
@@ -75,8 +75,8 @@
 		h.cluster.Advance(tuning.MinSchedulingInterval)
 		h.cluster.Heartbeat()
 		h.RunCycle()
-		if h.Examined() > limit {
-			t.Fatalf("%d machines examined of %d in one cycle with %d jobs waiting", h.Examined(), len(h.cluster.OrderedMachines), len(waiting))
+		if h.MachinesExamined() > limit {
+			t.Fatalf("%d machines examined of %d in one cycle with %d jobs waiting", h.MachinesExamined(), len(h.cluster.OrderedMachines), len(waiting))
 		}
 	}
 }
--- a/internal/coordination/scheduler/fair_share.go
+++ b/internal/coordination/scheduler/fair_share.go
@@ -28,12 +28,12 @@
 	}
 }
 
-// markReclaimers tells the jobs that other teams' work may be preempted for: those that were
+// markMayReclaim tells the jobs that other teams' work may be preempted for: those that were
 // within their team's guarantee when they came, and all of a team whose whole
 // backlog is. A job that only comes within it while others of its team wait
 // behind takes its turn: else the teams of an overloaded deployment would
 // take the same machines from each other again and again.
-func markReclaimers(queue []*cluster.Job) {
+func markMayReclaim(queue []*cluster.Job) {
 	over := map[protocol.TeamName]bool{}
 	for _, job := range queue {
 		if !job.Cancelled && !job.Queue.WithinGuarantee {
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	search := gangSearch{cycle: sc.currentCycle(), job: job}
-	places := search.smallestDomain()
+	places := search.findSmallestDomain()
 	if places == nil {
 		return false
 	}
@@ -40,30 +40,30 @@
 	job   *cluster.Job
 }
 
-// smallestDomain finds machines for the gang within the smallest domain that holds it;
+// findSmallestDomain finds machines for the gang within the smallest domain that holds it;
 // nil if none does.
-func (g gangSearch) smallestDomain() []candidate {
+func (g gangSearch) findSmallestDomain() []candidate {
 	job := g.job
 	zones := g.cycle.state.ZoneLimits(job)
 	if !job.Spec.Spread || len(job.Tasks) == 1 {
-		if place := g.placeOnMachine(zones.Only); place != nil {
+		if place := g.fitOnMachine(zones.Only); place != nil {
 			return place
 		}
-		if places := g.placeInZone(zones.Only); places != nil {
+		if places := g.fitInZone(zones.Only); places != nil {
 			return places
 		}
 	}
 	if job.Spec.OneZone || job.Spec.Zone != "" {
 		return nil
 	}
-	return g.placeInRegion(zones)
+	return g.fitInRegion(zones)
 }
 
-// placeOnMachine finds one machine for the gang, if possible one with an aligned block
+// fitOnMachine finds one machine for the gang, if possible one with an aligned block
 // of the gang's order.
-func (g gangSearch) placeOnMachine(zone protocol.ZoneName) []candidate {
+func (g gangSearch) fitOnMachine(zone protocol.ZoneName) []candidate {
 	order := buddy.Order(len(g.job.Tasks) * cluster.TaskSlots(g.job.Spec))
-	aligned := func(machine *cluster.Machine) bool { return machine.Slots.Aligned(order) > 0 }
+	aligned := func(machine *cluster.Machine) bool { return machine.Slots.FreeBlocks(order) > 0 }
 	if place := g.bestMachine(zone, aligned); place != nil {
 		return place
 	}
@@ -89,18 +89,18 @@
 
 // zonePlacement is a gang's placement within one zone.
 type zonePlacement struct {
-	places     []candidate
-	aligned    bool // the zone has a free block of the gang's order
-	residual   int  // tasks that would fit beside it
-	survivors  int  // tasks that return to the machines of the broken attempt
-	imageLocal int  // tasks that find their image
-	price      float64
+	chosen                []candidate
+	aligned               bool // the zone has a free block of the gang's order
+	residualTasks         int  // tasks that would fit beside it
+	survivingMachineTasks int  // tasks that return to the machines of the broken attempt
+	imageLocal            int  // tasks that find their image
+	price                 float64
 }
 
-// placeInZone finds the zone with a free block of the gang's order and the least
+// fitInZone finds the zone with a free block of the gang's order and the least
 // residual capacity; without one, the zone that holds the gang as a union of smaller
 // blocks.
-func (g gangSearch) placeInZone(only protocol.ZoneName) []candidate {
+func (g gangSearch) fitInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
 	for _, zone := range g.cycle.state.Config.Cluster.Zones {
 		if only != "" && zone != only {
@@ -112,22 +112,22 @@
 			continue
 		}
 		placement := newZonePlacement(list, fits, len(g.job.Tasks))
-		if best.places == nil || comparePlacements(placement, best) < 0 {
+		if best.chosen == nil || comparePlacements(placement, best) < 0 {
 			best = placement
 		}
 	}
-	return best.places
+	return best.chosen
 }
 
 // newZonePlacement packs a gang of a size into a zone where so many of its tasks fit.
 func newZonePlacement(list []candidate, fits, size int) zonePlacement {
-	p := zonePlacement{places: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residual: fits - size}
-	for _, place := range p.places {
+	p := zonePlacement{chosen: pack(list, size), aligned: fits >= 1<<buddy.Order(size), residualTasks: fits - size}
+	for _, place := range p.chosen {
 		if place.imageLocal {
 			p.imageLocal += place.tasks
 		}
-		if place.survivor {
-			p.survivors += place.tasks
+		if place.surviving {
+			p.survivingMachineTasks += place.tasks
 		}
 		p.price += place.price
 	}
@@ -137,15 +137,15 @@
 // comparePlacements orders placements in different zones, the best first.
 func comparePlacements(a, b zonePlacement) int {
 	return cmp.Or(
-		cmp.Compare(b.survivors, a.survivors),
+		cmp.Compare(b.survivingMachineTasks, a.survivingMachineTasks),
 		cluster.TrueFirst(a.aligned, b.aligned),
-		cmp.Compare(a.residual, b.residual),
+		cmp.Compare(a.residualTasks, b.residualTasks),
 		cmp.Compare(b.imageLocal, a.imageLocal),
 		cmp.Compare(a.price, b.price))
 }
 
-// placeInRegion spreads the gang over the fewest zones that its limits allow.
-func (g gangSearch) placeInRegion(limits cluster.ZoneLimits) []candidate {
+// fitInRegion spreads the gang over the fewest zones that its limits allow.
+func (g gangSearch) fitInRegion(limits cluster.ZoneLimits) []candidate {
 	type zoneCandidates struct {
 		list []candidate
 		fits int
--- a/internal/coordination/scheduler/gpu_needs.go
+++ b/internal/coordination/scheduler/gpu_needs.go
@@ -5,13 +5,13 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// gpuNeeds is the most that work on GPUs needs beside each of them.
-type gpuNeeds struct{ cpus, memoryGB float64 }
+// perGPURequirements is the most that work on GPUs needs beside each of them.
+type perGPURequirements struct{ cpus, memoryGB float64 }
 
-// measure works the needs out from the jobs that there are. Without any on GPUs they stay
+// update works the needs out from the jobs that there are. Without any on GPUs they stay
 // as they were: more such work may come.
-func (g *gpuNeeds) measure(jobs map[protocol.JobID]*cluster.Job) {
-	var needs gpuNeeds
+func (g *perGPURequirements) update(jobs map[protocol.JobID]*cluster.Job) {
+	var needs perGPURequirements
 	for _, job := range jobs {
 		if spec := job.Spec; spec.GPUs > 0 {
 			needs.cpus = max(needs.cpus, spec.CPUs/spec.GPUs)
@@ -23,9 +23,9 @@
 	}
 }
 
-// starved says whether one more task without GPUs would leave a machine's GPUs without the
+// wouldStarveGPUs says whether one more task without GPUs would leave a machine's GPUs without the
 // processors or memory that work on them needs.
-func (g gpuNeeds) starved(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType) bool {
+func (g perGPURequirements) wouldStarveGPUs(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType) bool {
 	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
 		return false
 	}
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -5,32 +5,32 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// waitsForImageLocalMachines says whether a gang that could start on machines without its
+// preemptOnImageLocalMachines says whether a gang that could start on machines without its
 // image had better wait a moment for machines that have it, which work of lower
 // priority can leave sooner than the image would arrive. That work is preempted then.
-func (sc *Scheduler) waitsForImageLocalMachines(job *cluster.Job) bool {
-	if preempting(job) {
+func (sc *Scheduler) preemptOnImageLocalMachines(job *cluster.Job) bool {
+	if preemptionInProgress(job) {
 		return true
 	}
 	fetch := sc.state.ImageFetchSeconds(job.Spec)
-	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalNotBefore) ||
-		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().exhausted() || sc.currentCycle().preemptionIsHopeless(job, len(job.Tasks)) {
+	if fetch < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
+		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().examineLimitReached() || sc.currentCycle().preemptionImpossible(job, len(job.Tasks)) {
 		return false
 	}
-	if sc.currentCycle().fitsImageLocally(job) {
+	if sc.currentCycle().fitsOnImageLocalMachines(job) {
 		return false // the placement finds the machines
 	}
-	job.Queue.ImageLocalNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
-	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageLocalOnly)
-	if len(plan.machines) == 0 || !fasterThanFetch(job, plan, fetch) {
+	job.Queue.ImageLocalSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+	plan := sc.currentCycle().findPreemptions(job, len(job.Tasks), imageRequired)
+	if len(plan.machines) == 0 || !preferableToFetch(job, plan, fetch) {
 		return false
 	}
-	sc.preempt(job, plan)
+	sc.executePreemptions(job, plan)
 	return true
 }
 
-// fitsImageLocally says whether all tasks of a job fit on free machines with its image.
-func (c *cycle) fitsImageLocally(job *cluster.Job) bool {
+// fitsOnImageLocalMachines says whether all tasks of a job fit on free machines with its image.
+func (c *cycle) fitsOnImageLocalMachines(job *cluster.Job) bool {
 	tasks := 0
 	for _, place := range c.candidates(job, "") {
 		if place.imageLocal {
@@ -40,12 +40,12 @@
 	return tasks >= len(job.Tasks)
 }
 
-// fasterThanFetch says whether a plan loses less work, and frees its machines sooner, than
+// preferableToFetch says whether a plan loses less work, and frees its machines sooner, than
 // fetching the image would.
-func fasterThanFetch(job *cluster.Job, plan preemptionPlan, fetch float64) bool {
+func preferableToFetch(job *cluster.Job, plan preemptionPlan, fetch float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
-			if CheckpointPays(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
+			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.SaveS > fetch*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -11,10 +11,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestGangIsPlacedWholeInSmallestDomain places generated jobs on generated fleets. Every
+// TestGangIsPlacedInSmallestDomainThatFits places generated jobs on generated fleets. Every
 // placement keeps every limit; a gang is placed whole, in the smallest domain that holds
 // it, and is turned away only if no domain does.
-func TestGangIsPlacedWholeInSmallestDomain(t *testing.T) {
+func TestGangIsPlacedInSmallestDomainThatFits(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	placed, refused := 0, 0
 	for round := range 400 {
@@ -24,11 +24,11 @@
 			job := h.cluster.AddJob(randomSpec(random))
 			switch {
 			case !job.Spec.Gang():
-				waiting := h.placeArray(job, imageAnywhere)
+				waiting := h.placeArray(job, imageOptional)
 				if waiting+len(job.Attempts) != job.Spec.Tasks {
 					t.Fatalf("round %d: %d wait and %d are placed of %d", round, waiting, len(job.Attempts), job.Spec.Tasks)
 				}
-			case h.gangGoesIntoSmallestDomain(t, job):
+			case h.placeGangInSmallestDomain(t, job):
 				placed++
 			default:
 				refused++
@@ -74,10 +74,10 @@
 	return spec
 }
 
-// gangGoesIntoSmallestDomain places a gang, checks where, and says whether it was placed.
-func (h *harness) gangGoesIntoSmallestDomain(t *testing.T, job *cluster.Job) bool {
+// placeGangInSmallestDomain places a gang, checks where, and says whether it was placed.
+func (h *harness) placeGangInSmallestDomain(t *testing.T, job *cluster.Job) bool {
 	t.Helper()
-	onOneMachine, inOneZone, inRegion := h.couldHold(job)
+	onOneMachine, inOneZone, inRegion := h.feasibleDomains(job)
 	if !h.placeGang(job) {
 		if inRegion {
 			t.Fatalf("%+v is turned away though it fits", job.Spec)
@@ -97,15 +97,15 @@
 	return true
 }
 
-// couldHold works out by counting which domains could hold a gang.
-func (h *harness) couldHold(job *cluster.Job) (onOneMachine, inOneZone, inRegion bool) {
+// feasibleDomains works out by counting which domains could hold a gang.
+func (h *harness) feasibleDomains(job *cluster.Job) (onOneMachine, inOneZone, inRegion bool) {
 	spec, size := job.Spec, len(job.Tasks)
 	if h.cluster.TasksWithinLimit(job) < size {
 		return false, false, false
 	}
 	perZone := map[protocol.ZoneName]int{}
 	for _, machine := range h.cluster.Machines {
-		if !h.cluster.Usable(job, machine) {
+		if !h.cluster.Eligible(job, machine) {
 			continue
 		}
 		fits := h.cluster.FreeResources(machine).Fit(spec, size)
@@ -126,9 +126,9 @@
 	return onOneMachine, inOneZone, inOneZone || onOneMachine || !spec.OneZone && spec.Zone == "" && total >= size
 }
 
-// TestGangTakesFullestThenImageLocalThenCheaperMachine: among machines that hold the gang,
+// TestGangPrefersFullestThenImageLocalThenCheaperMachine: among machines that hold the gang,
 // the fullest is taken; among equals the one that has the image, then the cheaper one.
-func TestGangTakesFullestThenImageLocalThenCheaperMachine(t *testing.T) {
+func TestGangPrefersFullestThenImageLocalThenCheaperMachine(t *testing.T) {
 	h := newHarness()
 	empty, half := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "b")
 	h.cluster.PlaceAll(h.cluster.AddJob(clustertest.Gang(1, 2)), half)
@@ -182,25 +182,25 @@
 	job := h.cluster.AddJob(spec)
 	h.cluster.AddAttempt(job, 0, 1, a, 1)
 	old := h.cluster.AddAttempt(job, 1, 1, b, 1)
-	if waiting := h.placeArray(job, imageAnywhere); waiting != 2 {
+	if waiting := h.placeArray(job, imageOptional); waiting != 2 {
 		t.Errorf("%d wait", waiting)
 	}
 	h.cluster.RemoveAttempt(old)
-	if waiting := h.placeArray(job, imageAnywhere); waiting != 0 {
+	if waiting := h.placeArray(job, imageOptional); waiting != 0 {
 		t.Errorf("%d wait once the other zone's attempt is gone", waiting)
 	}
 	h.cluster.CheckPlacement(t, job)
 }
 
-// TestReplicaAvoidsSilentMachineAndZoneOfLoss: a replica is not placed on a machine whose
+// TestReplicaAvoidsSilentMachineAndZoneWithLostMachine: a replica is not placed on a machine whose
 // heartbeat is late nor, if there is another place, in a zone that a machine was just
 // lost in: the rest of the zone may be lost too and only not missed yet.
-func TestReplicaAvoidsSilentMachineAndZoneOfLoss(t *testing.T) {
+func TestReplicaAvoidsSilentMachineAndZoneWithLostMachine(t *testing.T) {
 	h := newHarness()
 	late, same, far := h.cluster.AddMachine("i-1", "big", "a"), h.cluster.AddMachine("i-2", "big", "a"), h.cluster.AddMachine("i-3", "big", "b")
 	h.cluster.Advance(h.cluster.ReplicaSilenceTimeout() + time.Second)
 	h.cluster.Heartbeat(same, far)
-	late.Agent.AnsweredAt = h.cluster.Now()
+	late.Agent.RespondedAt = h.cluster.Now()
 	job := h.cluster.AddJob(clustertest.Service(1, 4))
 	if list := h.replicaCandidates(job, ""); len(list) != 2 {
 		t.Errorf("%d candidates", len(list))
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -10,10 +10,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// CheckpointPays says whether a task that is preempted should save first. Saving takes
+// ShouldCheckpointOnPreemption says whether a task that is preempted should save first. Saving takes
 // its machine's time and the waiting job's; without it half of the interval
 // between two checkpoints is lost, about.
-func CheckpointPays(spec *protocol.Job) bool {
+func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
 	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
 }
 
@@ -36,8 +36,8 @@
 	return victimQuota != nil && victimQuota.ExceedsGuarantee() && !victim.Queue.WithinGuarantee && victim.Priority <= job.Priority
 }
 
-// preemption is what must stop on one machine so that some tasks fit there.
-type preemption struct {
+// machinePreemption is what must stop on one machine so that some tasks fit there.
+type machinePreemption struct {
 	machine  *cluster.Machine
 	tasks    int
 	victims  []*cluster.Attempt
@@ -49,19 +49,19 @@
 // capacity for it, and reserves the capacity for it. A search that found nothing is not
 // repeated at once: it examines every machine.
 func (sc *Scheduler) preemptFor(job *cluster.Job, tasks int) {
-	if preempting(job) || sc.state.Now().Before(job.Queue.PreemptionNotBefore) || sc.currentCycle().exhausted() ||
-		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionIsHopeless(job, tasks) {
+	if preemptionInProgress(job) || sc.state.Now().Before(job.Queue.PreemptionSearchNotBefore) || sc.currentCycle().examineLimitReached() ||
+		sc.awaitsUnreportedCapacity(job, tasks) || sc.currentCycle().preemptionImpossible(job, tasks) {
 		return
 	}
-	plan := sc.currentCycle().findPreemptions(job, tasks, imageAnywhere)
+	plan := sc.currentCycle().findPreemptions(job, tasks, imageOptional)
 	if len(plan.machines) == 0 {
-		job.Queue.PreemptionNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
+		job.Queue.PreemptionSearchNotBefore = sc.state.Now().Add(tuning.PreemptionSearchBackoff)
 	}
-	sc.preempt(job, plan)
+	sc.executePreemptions(job, plan)
 }
 
-// preempting says whether capacity is being freed for a job already.
-func preempting(job *cluster.Job) bool {
+// preemptionInProgress says whether capacity is being freed for a job already.
+func preemptionInProgress(job *cluster.Job) bool {
 	for _, machine := range job.Reserved {
 		for _, attempt := range machine.Attempts {
 			if attempt.Stopping {
@@ -72,8 +72,8 @@
 	return false
 }
 
-// preempt carries a plan out: the victims stop and their machines are reserved.
-func (sc *Scheduler) preempt(job *cluster.Job, plan preemptionPlan) {
+// executePreemptions carries a plan out: the victims stop and their machines are reserved.
+func (sc *Scheduler) executePreemptions(job *cluster.Job, plan preemptionPlan) {
 	for i := range plan.machines {
 		p := &plan.machines[i]
 		p.machine.ReserveFor(job, sc.state.Now().Add(tuning.ReservationTimeout))
@@ -85,7 +85,7 @@
 
 // preemptionPlan is what must stop, and where, so that tasks of a job fit.
 type preemptionPlan struct {
-	machines []preemption // empty if nothing can be done
+	machines []machinePreemption // empty if nothing can be done
 	cost     float64
 }
 
@@ -107,11 +107,11 @@
 		job: job, tasks: tasks, image: image, zones: c.state.ZoneLimits(job),
 	}
 	if !job.Spec.OneZone {
-		return search.choose(search.collect(""))
+		return search.choosePlan(search.machineOptions(""))
 	}
 	var best preemptionPlan
 	for _, zone := range c.state.Config.Cluster.Zones {
-		plan := search.choose(search.collect(zone))
+		plan := search.choosePlan(search.machineOptions(zone))
 		if plan.machines != nil && (best.machines == nil || plan.cost < best.cost) {
 			best = plan
 		}
@@ -119,26 +119,26 @@
 	return best
 }
 
-// collect lists the machines on which some of the tasks could fit; zone "" stands for all.
-func (s *preemptionSearch) collect(zone protocol.ZoneName) (list []preemption) {
-	s.cycle.examined += len(s.cycle.schedulable)
+// machineOptions lists the machines on which some of the tasks could fit; zone "" stands for all.
+func (s *preemptionSearch) machineOptions(zone protocol.ZoneName) (list []machinePreemption) {
+	s.cycle.machinesExamined += len(s.cycle.schedulable)
 	for _, machine := range s.cycle.schedulable {
-		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.Suits(s.job, machine) {
+		if zone != "" && machine.Zone != zone || s.zones.Only != "" && machine.Zone != s.zones.Only || !s.state.MeetsConstraints(s.job, machine) {
 			continue
 		}
-		if s.image == imageLocalOnly && !machine.HasImage(s.job.Spec.Image) {
+		if s.image == imageRequired && !machine.HasImage(s.job.Spec.Image) {
 			continue
 		}
-		if p := s.victimsOn(machine, s.tasks); p.tasks > 0 {
+		if p := s.selectVictims(machine, s.tasks); p.tasks > 0 {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// choose takes the cheapest of the machines until all tasks have a place. Without enough of
+// choosePlan takes the cheapest of the machines until all tasks have a place. Without enough of
 // them a gang has no plan, others have one for some of their tasks.
-func (s *preemptionSearch) choose(list []preemption) preemptionPlan {
+func (s *preemptionSearch) choosePlan(list []machinePreemption) preemptionPlan {
 	slices.SortStableFunc(list, comparePreemptions)
 	var plan preemptionPlan
 	need := s.tasks
@@ -149,7 +149,7 @@
 		if tasks <= 0 {
 			continue
 		}
-		p := s.victimsOn(machine, tasks)
+		p := s.selectVictims(machine, tasks)
 		perZone[machine.Zone] += tasks
 		need -= p.tasks
 		plan.cost += p.cost
@@ -162,19 +162,19 @@
 }
 
 // comparePreemptions orders machines by what stops there, the least loss first.
-func comparePreemptions(a, b preemption) int {
+func comparePreemptions(a, b machinePreemption) int {
 	return cmp.Or(
 		cmp.Compare(a.priority, b.priority),
 		cmp.Compare(a.cost/float64(a.tasks), b.cost/float64(b.tasks)),
 		cmp.Compare(b.tasks, a.tasks))
 }
 
-// victimsOn works out what to stop on a machine so that up to so many tasks fit.
-func (s *preemptionSearch) victimsOn(machine *cluster.Machine, tasks int) preemption {
+// selectVictims works out what to stop on a machine so that up to so many tasks fit.
+func (s *preemptionSearch) selectVictims(machine *cluster.Machine, tasks int) machinePreemption {
 	job := s.job
 	free := s.state.FreeResources(machine)
 	if free.Fit(job.Spec, 1) == 0 && !s.hasPreemptible(machine) {
-		return preemption{machine: machine} // most machines: nothing is sorted for them
+		return machinePreemption{machine: machine} // most machines: nothing is sorted for them
 	}
 	var preemptible []*cluster.Attempt
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
@@ -185,9 +185,9 @@
 		}
 	}
 	s.sortByLoss(preemptible)
-	p := preemption{machine: machine, tasks: free.Fit(job.Spec, tasks)}
+	p := machinePreemption{machine: machine, tasks: free.Fit(job.Spec, tasks)}
 	p.addVictims(job.Spec, tasks, preemptible, &free)
-	p.spareVictims(job.Spec, tasks, &free)
+	p.removeUnneededVictims(job.Spec, tasks, &free)
 	for _, victim := range p.victims {
 		p.cost += 1 + workLost(victim, s.state.Now())
 		p.priority = max(p.priority, victim.Job.Priority)
@@ -217,7 +217,7 @@
 }
 
 // addVictims takes victims until so many tasks fit.
-func (p *preemption) addVictims(spec *protocol.Job, tasks int, preemptible []*cluster.Attempt, free *cluster.Resources) {
+func (p *machinePreemption) addVictims(spec *protocol.Job, tasks int, preemptible []*cluster.Attempt, free *cluster.Resources) {
 	for _, attempt := range preemptible {
 		if p.tasks >= tasks {
 			return
@@ -228,8 +228,8 @@
 	}
 }
 
-// spareVictims lets those victims go on that are not needed after all.
-func (p *preemption) spareVictims(spec *protocol.Job, tasks int, free *cluster.Resources) {
+// removeUnneededVictims lets those victims go on that are not needed after all.
+func (p *machinePreemption) removeUnneededVictims(spec *protocol.Job, tasks int, free *cluster.Resources) {
 	for i := len(p.victims) - 1; i >= 0; i-- {
 		victim := p.victims[i]
 		free.AddTasks(victim.Job.Spec, -1)
--- a/internal/coordination/scheduler/preemption_test.go
+++ b/internal/coordination/scheduler/preemption_test.go
@@ -8,9 +8,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestHigherPriorityPreemptsWhatItNeeds: a higher priority takes what it needs and no
+// TestHigherPriorityPreemptsOnlyWhatItNeeds: a higher priority takes what it needs and no
 // more; work of equal priority stays.
-func TestHigherPriorityPreemptsWhatItNeeds(t *testing.T) {
+func TestHigherPriorityPreemptsOnlyWhatItNeeds(t *testing.T) {
 	h := newHarness()
 	machine := h.cluster.AddMachine("i-1", "big", "a")
 	spec := clustertest.Array(4)
@@ -48,7 +48,7 @@
 	high := clustertest.Gang(1, 2)
 	high.Priority = "high"
 	job := h.cluster.AddJob(high)
-	job.Failures.Attributed = 1
+	job.Failures.AttributedToJob = 1
 	if demand := h.RunCycle(); len(demand) != 0 {
 		t.Errorf("%d jobs want machines", len(demand))
 	}
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestJobThatComesWithinGuaranteeLaterReclaimsNothing: a job that was beyond its team's
+// TestJobThatFitsGuaranteeLaterReclaimsNothing: a job that was beyond its team's
 // guarantee when it came, and comes within it while more of its team waits, stops nobody's
 // work: the teams of an overloaded deployment would go on taking machines in turn.
-func TestJobThatComesWithinGuaranteeLaterReclaimsNothing(t *testing.T) {
+func TestJobThatFitsGuaranteeLaterReclaimsNothing(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddMachine("i-1", "big", "a")
 	spec := clustertest.Gang(4, 1)
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -14,25 +14,25 @@
 // Of a service one moves at a time, unless the cloud takes the machine away.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
-		if !mustLoseReplicas(machine, sc.state) {
+		if !replicasShouldLeave(machine, sc.state) {
 			continue
 		}
 		for _, attempt := range cluster.SortedAttemptsOn(machine) {
-			if mayMove(attempt) {
+			if mayMoveReplica(attempt) {
 				sc.moveReplica(attempt)
 			}
 		}
 	}
 }
 
-// mustLoseReplicas says whether the replicas on a machine should go elsewhere while it can
+// replicasShouldLeave says whether the replicas on a machine should go elsewhere while it can
 // still end them in good order.
-func mustLoseReplicas(machine *cluster.Machine, state *cluster.State) bool {
+func replicasShouldLeave(machine *cluster.Machine, state *cluster.State) bool {
 	return (machine.Cordoned || state.NotReporting(machine)) && !machine.Deleting && state.ConfirmedAlive(machine)
 }
 
-// mayMove says whether an attempt is a replica that may be moved now.
-func mayMove(attempt *cluster.Attempt) bool {
+// mayMoveReplica says whether an attempt is a replica that may be moved now.
+func mayMoveReplica(attempt *cluster.Attempt) bool {
 	job := attempt.Job
 	if !job.Spec.Service() || job.Cancelled {
 		return false
@@ -45,7 +45,7 @@
 
 // moveReplica ends a replica once a place for its successor is reserved.
 func (sc *Scheduler) moveReplica(attempt *cluster.Attempt) {
-	target := sc.successorMachine(attempt, anyZone)
+	target := sc.replacementMachine(attempt, anyZone)
 	if target == nil {
 		return
 	}
@@ -55,17 +55,17 @@
 	sc.env.Stop(attempt, 0)
 }
 
-// successorZone says where the successor of a replica may be.
-type successorZone int
+// replacementZone says where the successor of a replica may be.
+type replacementZone int
 
 const (
-	anyZone       successorZone = iota // also in the replica's own zone, in whose place it comes
-	otherZoneOnly                      // not there
+	anyZone       replacementZone = iota // also in the replica's own zone, in whose place it comes
+	otherZoneOnly                        // not there
 )
 
-// successorMachine finds the best machine for a replica whose own place is given up; nil if
+// replacementMachine finds the best machine for a replica whose own place is given up; nil if
 // there is none.
-func (sc *Scheduler) successorMachine(attempt *cluster.Attempt, where successorZone) *cluster.Machine {
+func (sc *Scheduler) replacementMachine(attempt *cluster.Attempt, where replacementZone) *cluster.Machine {
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	if where == otherZoneOnly {
@@ -93,11 +93,11 @@
 	return best.machine
 }
 
-// ReplicasHavePlacesElsewhere says whether a machine behind a suspected partition is better given up for
+// MostReplicasFitElsewhere says whether a machine behind a suspected partition is better given up for
 // its replicas' sake: another zone is heard, so it is not this controller's own
 // network, and most of them have places there that their limits allow. The others are
 // back only with the partition's end, and then where a machine boots for them.
-func (sc *Scheduler) ReplicasHavePlacesElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
+func (sc *Scheduler) MostReplicasFitElsewhere(machine *cluster.Machine, heard map[protocol.ZoneName]bool) bool {
 	otherHeard := func(zone protocol.ZoneName) bool { return zone != machine.Zone && heard[zone] }
 	if !slices.ContainsFunc(sc.state.Config.Cluster.Zones, otherHeard) {
 		return false
@@ -106,7 +106,7 @@
 	for _, attempt := range machine.Attempts {
 		switch {
 		case !attempt.Job.Spec.Service() || attempt.Stopping:
-		case sc.hasPlaceInOtherZone(attempt):
+		case sc.fitsInOtherZone(attempt):
 			gain++
 		default:
 			gain--
@@ -115,16 +115,16 @@
 	return gain > 0
 }
 
-// hasPlaceInOtherZone says whether a replica could start in another zone at once, on
+// fitsInOtherZone says whether a replica could start in another zone at once, on
 // capacity that is free or that work of lower priority leaves.
-func (sc *Scheduler) hasPlaceInOtherZone(attempt *cluster.Attempt) bool {
-	if sc.successorMachine(attempt, otherZoneOnly) != nil {
+func (sc *Scheduler) fitsInOtherZone(attempt *cluster.Attempt) bool {
+	if sc.replacementMachine(attempt, otherZoneOnly) != nil {
 		return true
 	}
 	job := attempt.Job
 	limits := sc.state.ZoneLimits(job)
 	for _, machine := range sc.currentCycle().schedulable {
-		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.Suits(job, machine) || isLate(machine, sc.state) {
+		if machine.Zone == attempt.Machine.Zone || limits.Remaining[machine.Zone] == 0 || !sc.state.MeetsConstraints(job, machine) || heartbeatLate(machine, sc.state) {
 			continue
 		}
 		free := capacityAfterPreemption(machine, job, sc.state)
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// releaseReservations ends the reservations that have expired or whose job is over or does
+// releaseObsoleteReservations ends the reservations that have expired or whose job is over or does
 // not wait any more.
-func (sc *Scheduler) releaseReservations() {
+func (sc *Scheduler) releaseObsoleteReservations() {
 	now := sc.state.Now()
 	for _, machine := range sc.state.OrderedMachines {
 		if job := machine.ReservedFor; job != nil && (now.After(machine.ReservedUntil) || !sc.needsReservation(job)) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -40,11 +40,11 @@
 	env   Environment
 	log   *slog.Logger
 
-	cycle    *cycle // the cycle under way, nil between two
-	gpuNeeds gpuNeeds
+	cycle              *cycle // the cycle under way, nil between two
+	perGPURequirements perGPURequirements
 
-	examined int // machines examined in the last cycle
-	waiting  int // jobs that waited for machines after the last cycle
+	machinesExamined int // machines examined in the last cycle
+	waitingJobs      int // jobs that waited for machines after the last cycle
 	// machineLostAt is when a machine of a zone was last given up as silent.
 	machineLostAt map[protocol.ZoneName]time.Time
 }
@@ -54,11 +54,11 @@
 	return &Scheduler{state: state, env: env, log: log, machineLostAt: map[protocol.ZoneName]time.Time{}}
 }
 
-// Examined is how many machines the last cycle examined, each time counted.
-func (sc *Scheduler) Examined() int { return sc.examined }
+// MachinesExamined is how many machines the last cycle examined, each time counted.
+func (sc *Scheduler) MachinesExamined() int { return sc.machinesExamined }
 
 // Waiting is how many jobs waited for machines after the last cycle.
-func (sc *Scheduler) Waiting() int { return sc.waiting }
+func (sc *Scheduler) Waiting() int { return sc.waitingJobs }
 
 // MachineLost notes that a machine was given up as silent.
 func (sc *Scheduler) MachineLost(machine *cluster.Machine) {
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -16,7 +16,7 @@
 // placeService finds each waiting replica the best place; it returns how many still wait.
 func (sc *Scheduler) placeService(job *cluster.Job) (waiting int) {
 	quota := sc.state.TasksWithinLimit(job)
-	var choice replicaChoice
+	var choice replicaCandidateList
 	for index := range job.Tasks {
 		task := &job.Tasks[index]
 		if task.LiveAttempts > 0 || sc.state.Now().Before(task.RetryAt) {
@@ -38,21 +38,21 @@
 		sc.assign(job, index, task.LastAttempt+1, best.machine)
 		quota--
 		choice.zones.Take(job, best.machine.Zone)
-		sc.addReplica(job, best)
+		sc.updateAfterPlacement(job, best)
 	}
 	return waiting
 }
 
-// replicaChoice is the machines that a service's replicas are placed on one after the
+// replicaCandidateList is the machines that a service's replicas are placed on one after the
 // other.
-type replicaChoice struct {
+type replicaCandidateList struct {
 	list  []candidate
 	zones cluster.ZoneLimits
 }
 
 // best is the machine for the next replica, nil if there is none. Those that are full or
 // not allowed any more are dropped.
-func (r *replicaChoice) best() *candidate {
+func (r *replicaCandidateList) best() *candidate {
 	r.list = slices.DeleteFunc(r.list, func(c candidate) bool {
 		return c.tasks == 0 || !r.zones.Allow(c.machine.Zone)
 	})
@@ -65,22 +65,22 @@
 	return best
 }
 
-// addReplica accounts for a replica that was placed on a candidate.
-func (sc *Scheduler) addReplica(job *cluster.Job, c *candidate) {
+// updateAfterPlacement accounts for a replica that was placed on a candidate.
+func (sc *Scheduler) updateAfterPlacement(job *cluster.Job, c *candidate) {
 	c.tasks = sc.state.FreeResources(c.machine).Fit(job.Spec, 1)
 	c.siblingReplicas++
 	c.imageLocal = true
-	c.starvesGPUs = sc.gpuNeeds.starved(job.Spec, c.machine, sc.state.TypeOf(c.machine))
+	c.starvesGPUs = sc.perGPURequirements.wouldStarveGPUs(job.Spec, c.machine, sc.state.TypeOf(c.machine))
 }
 
 // replicaCandidates lists the machines that can take a replica. One whose heartbeat is late
 // may be lost with its zone, and its loss is noticed later than that of a machine that
 // has replicas.
 func (sc *Scheduler) replicaCandidates(job *cluster.Job, zone protocol.ZoneName) []candidate {
-	list := slices.DeleteFunc(sc.currentCycle().candidates(job, zone), func(c candidate) bool { return isLate(c.machine, sc.state) })
+	list := slices.DeleteFunc(sc.currentCycle().candidates(job, zone), func(c candidate) bool { return heartbeatLate(c.machine, sc.state) })
 	for i := range list {
 		c := &list[i]
-		c.starvesGPUs = sc.gpuNeeds.starved(job.Spec, c.machine, sc.state.TypeOf(c.machine))
+		c.starvesGPUs = sc.perGPURequirements.wouldStarveGPUs(job.Spec, c.machine, sc.state.TypeOf(c.machine))
 		c.suspected = c.suspected || sc.lostMachineRecently(c.machine.Zone)
 		for _, attempt := range c.machine.Attempts {
 			if attempt.Job == job {
@@ -91,8 +91,8 @@
 	return list
 }
 
-// isLate says whether a machine's heartbeat is later than a machine with replicas may be.
-func isLate(machine *cluster.Machine, state *cluster.State) bool {
+// heartbeatLate says whether a machine's heartbeat is later than a machine with replicas may be.
+func heartbeatLate(machine *cluster.Machine, state *cluster.State) bool {
 	return state.Now().Sub(machine.Agent.LastHeartbeat) > state.ReplicaSilenceTimeout()
 }
 
@@ -113,6 +113,6 @@
 		cluster.TrueFirst(b.starvesGPUs, a.starvesGPUs),
 		cluster.TrueFirst(a.imageLocal, b.imageLocal),
 		cmp.Compare(a.price, b.price),
-		cmp.Compare(a.residualSlots, b.residualSlots),
+		cmp.Compare(a.freeSlots, b.freeSlots),
 		cmp.Compare(a.machine.ID, b.machine.ID))
 }
--- a/internal/coordination/scheduler/supply.go
+++ b/internal/coordination/scheduler/supply.go
@@ -8,33 +8,33 @@
 // Bounds on what preemption can achieve, from sums over whole zones: they spare most jobs
 // a search over every machine.
 
-// zoneSupply is the most that a zone could give to a job: what is free or about to be,
+// zoneCapacity is the most that a zone could give to a job: what is free or about to be,
 // and what runs there, by its priority.
-type zoneSupply struct {
+type zoneCapacity struct {
 	free        cluster.Resources
 	preemptible [protocol.PriorityCritical + 1]cluster.Resources
 }
 
-// supplies adds up what the zones could give, once in a cycle.
-func (c *cycle) supplies() map[protocol.ZoneName]*zoneSupply {
-	if c.supply != nil {
-		return c.supply
+// zoneCapacities adds up what the zones could give, once in a cycle.
+func (c *cycle) zoneCapacities() map[protocol.ZoneName]*zoneCapacity {
+	if c.capacity != nil {
+		return c.capacity
 	}
-	c.supply = map[protocol.ZoneName]*zoneSupply{}
-	c.examined += len(c.schedulable)
+	c.capacity = map[protocol.ZoneName]*zoneCapacity{}
+	c.machinesExamined += len(c.schedulable)
 	for _, machine := range c.schedulable {
-		supply := c.supply[machine.Zone]
+		supply := c.capacity[machine.Zone]
 		if supply == nil {
-			supply = &zoneSupply{}
-			c.supply[machine.Zone] = supply
+			supply = &zoneCapacity{}
+			c.capacity[machine.Zone] = supply
 		}
-		supply.add(machine, c.state.FreeResources(machine))
+		supply.addMachine(machine, c.state.FreeResources(machine))
 	}
-	return c.supply
+	return c.capacity
 }
 
-// add adds a machine and what is free there.
-func (s *zoneSupply) add(machine *cluster.Machine, free cluster.Resources) {
+// addMachine adds a machine and what is free there.
+func (s *zoneCapacity) addMachine(machine *cluster.Machine, free cluster.Resources) {
 	s.free.Add(free)
 	for _, attempt := range machine.Attempts {
 		if attempt.Stopping {
@@ -45,8 +45,8 @@
 	}
 }
 
-// below is what the zone could give if all work below a priority stopped.
-func (s *zoneSupply) below(priority protocol.Priority) cluster.Resources {
+// belowPriority is what the zone could give if all work below a priority stopped.
+func (s *zoneCapacity) belowPriority(priority protocol.Priority) cluster.Resources {
 	sum := s.free
 	for p := protocol.PriorityIdle; p < priority && int(p) < len(s.preemptible); p++ {
 		sum.Add(s.preemptible[p])
@@ -54,11 +54,11 @@
 	return sum
 }
 
-// preemptionIsHopeless says that no search can free capacity for so many tasks of a job:
+// preemptionImpossible says that no search can free capacity for so many tasks of a job:
 // all that may be stopped for it, whoever runs it, and all that is free are not enough.
 // With the machines full of work that may not be preempted, which is when most jobs
 // wait, this spares examining every machine for each of them.
-func (c *cycle) preemptionIsHopeless(job *cluster.Job, tasks int) bool {
+func (c *cycle) preemptionImpossible(job *cluster.Job, tasks int) bool {
 	if !job.Spec.Gang() {
 		tasks = 1
 	}
@@ -70,11 +70,11 @@
 		return true
 	}
 	var all cluster.Resources
-	for zone, supply := range c.supplies() {
+	for zone, supply := range c.zoneCapacities() {
 		if job.Spec.Zone != "" && zone != job.Spec.Zone {
 			continue
 		}
-		sum := supply.below(below)
+		sum := supply.belowPriority(below)
 		if sum.Fit(job.Spec, tasks) == tasks {
 			return false
 		}
@@ -111,7 +111,7 @@
 		return c.unreported
 	}
 	c.unreported = map[protocol.ZoneName]cluster.Resources{}
-	c.examined += len(c.state.OrderedMachines)
+	c.machinesExamined += len(c.state.OrderedMachines)
 	for _, machine := range c.state.OrderedMachines {
 		if awaitsHeartbeat(machine) {
 			free := c.unreported[machine.Zone]
