--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -6,7 +6,7 @@
 func (n *Node) startLeading() {
 	l := newLeader(n)
 	n.lead = l
-	n.peers.HeartbeatSoon()     // the peers learn how many agents it keeps
+	n.peers.TriggerHeartbeat()  // the peers learn how many agents it keeps
 	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -68,7 +68,7 @@
 	if requestID&receivedID != 0 {
 		return false
 	}
-	served := f.peers.ServedNames()
+	served := f.peers.NamesWithStoreAccess()
 	if len(served) == 0 {
 		return false
 	}
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -177,8 +177,8 @@
 	hr.replies.Redirect(q.requestID, to)
 }
 
-// ForgetContacts drops what no longer decides anything.
-func (hr *HeartbeatRouter) ForgetContacts() {
+// PruneContacts drops what no longer decides anything.
+func (hr *HeartbeatRouter) PruneContacts() {
 	now := hr.leader.Now()
 	for machineID, contact := range hr.contacts {
 		if now.Sub(contact.redirectedAt) > tuning.RedirectRetention && now.Sub(contact.proxiedAt) > tuning.RedirectRetention {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -67,7 +67,7 @@
 
 // connect makes a link to a peer that says so of itself.
 func (c *controller) connect(name protocol.NodeName, status protocol.PeerStatus) {
-	c.Up(name)
+	c.LinkUp(name)
 	c.Receive(name, 1, status)
 }
 
@@ -166,11 +166,11 @@
 	if got := b.heartbeat(own); got != forwardedToLeader {
 		t.Fatalf("its own agent is %s", got)
 	}
-	b.Down("c")
+	b.LinkDown("c")
 	if got := b.heartbeat(other); got != forwardedToLeader {
 		t.Errorf("with c gone its agent is %s", got)
 	}
-	b.Down("a")
+	b.LinkDown("a")
 	if got := b.heartbeat(own); got != redirectedToA {
 		t.Errorf("with the leader's link gone its own agent is %s", got)
 	}
@@ -322,7 +322,7 @@
 		{4, protocol.Announcement("n"), true},
 	} {
 		c.Receive("s", step.link, step.message)
-		if got := c.AllKnow(protocol.PeerLevel); got != step.want {
+		if got := c.AllSupport(protocol.PeerLevel); got != step.want {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
@@ -340,8 +340,8 @@
 		want   []string
 	}{
 		{func() {}, []string{"protocol.PeerCancellation to a"}},
-		{func() { b.Down("a") }, []string{"protocol.PeerCancellation to c"}},
-		{func() { b.Down("c") }, nil},
+		{func() { b.LinkDown("a") }, []string{"protocol.PeerCancellation to c"}},
+		{func() { b.LinkDown("c") }, nil},
 	} {
 		b.log = nil
 		step.change()
@@ -392,7 +392,7 @@
 		{"protocol.PeerResponse to a", "protocol.PeerStatus to a", "protocol.PeerResponse to c", "protocol.PeerStatus to c"},
 	} {
 		b.log = nil
-		b.HeartbeatSoon()
+		b.TriggerHeartbeat()
 		if !b.HeartbeatDue() {
 			t.Fatal("no heartbeat is due")
 		}
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -80,16 +80,16 @@
 // Count is how many peers there are.
 func (p *Peers) Count() int { return len(p.peers) }
 
-// Up notes that there is a link to a peer.
-func (p *Peers) Up(name protocol.NodeName) {
+// LinkUp notes that there is a link to a peer.
+func (p *Peers) LinkUp(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
 		peer.up, peer.heard = true, p.env.Now()
 		p.heartbeatAt = time.Time{}
 	}
 }
 
-// Down notes that the last link to a peer is gone.
-func (p *Peers) Down(name protocol.NodeName) {
+// LinkDown notes that the last link to a peer is gone.
+func (p *Peers) LinkDown(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
 		peer.up = false
 	}
@@ -148,23 +148,23 @@
 	return protocol.PeerStatus{}
 }
 
-// ServedNames lists the peers within reach that the store serves, in order of their names.
-func (p *Peers) ServedNames() []protocol.NodeName {
+// NamesWithStoreAccess lists the peers within reach that the store serves, in order of their names.
+func (p *Peers) NamesWithStoreAccess() []protocol.NodeName {
 	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.StateOK })
 }
 
-// Knows says whether a peer can be reached and has announced a level on its newest link.
-func (p *Peers) Knows(name protocol.NodeName, level uint64) bool {
+// Supports says whether a peer can be reached and has announced a level on its newest link.
+func (p *Peers) Supports(name protocol.NodeName, level uint64) bool {
 	return p.Reachable(name) && p.peers[name].level >= level
 }
 
-// AllKnow says whether every peer has announced a level on its newest link.
-func (p *Peers) AllKnow(level uint64) bool {
+// AllSupport says whether every peer has announced a level on its newest link.
+func (p *Peers) AllSupport(level uint64) bool {
 	return p.everyKnows(level, func(*peer) bool { return true })
 }
 
-// AllLinkedKnow says the same of the peers that there is a link to.
-func (p *Peers) AllLinkedKnow(level uint64) bool {
+// AllConnectedSupport says the same of the peers that there is a link to.
+func (p *Peers) AllConnectedSupport(level uint64) bool {
 	return p.everyKnows(level, func(peer *peer) bool { return peer.up })
 }
 
@@ -243,8 +243,8 @@
 	return true
 }
 
-// PassAlong carries a message between two peers, unless it goes in circles.
-func (p *Peers) PassAlong(target protocol.NodeName, hops uint64, message protocol.PeerMessage) {
+// ForwardMessage carries a message between two peers, unless it goes in circles.
+func (p *Peers) ForwardMessage(target protocol.NodeName, hops uint64, message protocol.PeerMessage) {
 	if hops <= tuning.MaxPeerHops {
 		p.Send(target, message)
 	}
@@ -253,8 +253,8 @@
 // HeartbeatDue says whether the peers are to hear of this controller's status now.
 func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.heartbeatAt) }
 
-// HeartbeatSoon has the peers hear of this controller's status in the next step.
-func (p *Peers) HeartbeatSoon() { p.heartbeatAt = p.env.Now() }
+// TriggerHeartbeat has the peers hear of this controller's status in the next step.
+func (p *Peers) TriggerHeartbeat() { p.heartbeatAt = p.env.Now() }
 
 // SendHeartbeats tells the peers of this controller's status, and resets links that have
 // gone silent.
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -126,9 +126,9 @@
 	case AgentHeartbeat:
 		n.router.Route(e.ID, e.Heartbeat)
 	case PeerUp:
-		n.peers.Up(e.Peer)
+		n.peers.LinkUp(e.Peer)
 	case PeerDown:
-		n.peers.Down(e.Peer)
+		n.peers.LinkDown(e.Peer)
 	case PeerReceive:
 		n.receive(e.Peer, e.Link, e.Message)
 	}
@@ -161,7 +161,7 @@
 	if n.storeContact.servedWithin(n.now, tuning.IsolationTimeout) {
 		return true
 	}
-	if len(n.peers.ServedNames()) > 0 {
+	if len(n.peers.NamesWithStoreAccess()) > 0 {
 		return false
 	}
 	// Cut off from everybody: users should go elsewhere.
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -35,7 +35,7 @@
 	if !n.peers.HeartbeatDue() {
 		return
 	}
-	n.router.ForgetContacts()
+	n.router.PruneContacts()
 	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness)}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
@@ -65,7 +65,7 @@
 	case protocol.PeerForwardedHeartbeat:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
 		reply := n.takeHeartbeat(m.Heartbeat)
@@ -81,7 +81,7 @@
 	case protocol.PeerResponse:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
 		n.forwarder.HandleResponse(m)
@@ -115,7 +115,7 @@
 		n.lead.cancelFromPeer(jobID)
 		return
 	}
-	if to := n.election.Holder(); n.peers.Knows(to, protocol.PeerKnowsCancelled) {
+	if to := n.election.Holder(); n.peers.Supports(to, protocol.PeerKnowsCancelled) {
 		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -15,7 +15,7 @@
 
 // connect makes a link to a peer that says so of itself.
 func (n *Node) connect(name protocol.NodeName, status protocol.PeerStatus) {
-	n.peers.Up(name)
+	n.peers.LinkUp(name)
 	n.peers.Receive(name, 1, status)
 }
 
@@ -192,7 +192,7 @@
 	if a, _ := send(probe); a.(Request).To != ToAgent {
 		t.Errorf("a probe leaves as %+v", a)
 	}
-	n.peers.Down("p")
+	n.peers.LinkDown("p")
 	if a, _ := send(commands); a.(Request).To != ToAgent {
 		t.Errorf("with a link missing commands leave as %+v", a)
 	}
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -63,7 +63,7 @@
 	for _, up := range []bool{false, true} {
 		l, job := lowering(t)
 		if up {
-			l.n.peers.Up("s")
+			l.n.peers.LinkUp("s")
 		}
 		l.committer.MarkDirty(job, 0)
 		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
