--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -1,11 +1,11 @@
-// Package api answers users' requests: submissions, status queries and cancellations. All
-// of them are idempotent: a repeated submission of a known job changes nothing and is
-// answered with the job's state.
+// Package api handles users' requests: submissions, status queries and cancellations. All
+// of them are idempotent: submitting a known job again changes nothing and returns the job's
+// state.
 //
-// Every controller answers them by itself, from its mirror and by guarded transactions; it
-// need not lead. No user is told anything that is not durable, or an older state than any
-// controller has told before. The package decides nothing on placement and sends agents
-// nothing.
+// Every controller handles these requests itself, leader or not. It uses its mirror of the
+// records and conditional transactions. Users are told only what is durable, and never a
+// state older than one that any controller has already reported. The package makes no
+// placement decisions and sends nothing to agents.
 package api
 
 import (
@@ -20,42 +20,43 @@
 // Environment is what the service needs of the controller.
 type Environment interface {
 	Now() time.Time
-	// UniqueName makes a name that no other write has.
+	// UniqueName returns a name that no other write uses.
 	UniqueName() string
-	// StoreUnreachable says whether requests to the key-value store hang: a user is better
-	// told at once to come back, perhaps to another controller.
+	// StoreUnreachable reports whether requests to the key-value store go unanswered. Users
+	// are then told at once to try again, possibly at another controller.
 	StoreUnreachable() bool
-	// ForwardSubmission has a peer answer a submission; false if none can.
+	// ForwardSubmission has a peer handle a submission. It returns false if no peer can.
 	ForwardSubmission(requestID uint64, spec *protocol.Job) bool
-	// AnnounceCancellation tells the leader of a cancellation that is in the records.
+	// AnnounceCancellation notifies the leader of a cancellation that has been stored.
 	AnnounceCancellation(jobID protocol.JobID)
 	// CancellationConfirmed is called before a user is told that a job is cancelled.
 	CancellationConfirmed(jobID protocol.JobID)
 }
 
-// Budgets say what may be asked of the key-value store for users now.
+// Budgets limit the requests to the key-value store that are made for users.
 type Budgets interface {
 	AllowsUserRead(now time.Time) bool
+	// TakeUserWrite reports whether a write is allowed, and counts it if so.
 	TakeUserWrite(now time.Time) bool
 }
 
-// Replies answers users' requests by their numbers, each once.
+// Replies sends the replies to users' requests, one for each request ID.
 type Replies interface {
 	// Created: the job was new and is stored.
 	Created(requestID uint64, accepted protocol.Accepted)
-	// Accepted: the submission or the cancellation stands.
+	// Accepted: the submission or the cancellation has been accepted.
 	Accepted(requestID uint64, accepted protocol.Accepted)
-	// Status is the state of a job.
+	// Status replies with the state of a job.
 	Status(requestID uint64, status protocol.Status)
 	// UnknownJob: there is no such job.
 	UnknownJob(requestID uint64)
 	// Unrunnable: the job can never run.
 	Unrunnable(requestID uint64, reason string)
-	// Unavailable: the request cannot be taken now.
+	// Unavailable: the request cannot be handled now.
 	Unavailable(requestID uint64, reason string)
 }
 
-// Service answers users' requests at one controller.
+// Service handles the users' requests that one controller receives.
 type Service struct {
 	replies       *responder
 	finished      *finishedJobs
@@ -64,10 +65,10 @@
 	cancellations *cancellations
 }
 
-// New makes a service that reads from the owner's mirror and machine types.
+// New returns a service that reads mirror and types, which the caller keeps up to date.
 func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *storage.Mirror,
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
-	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
+	confirmed := &confirmedCancellations{cfg: cfg, env: env, confirmedAt: map[protocol.JobID]time.Time{}}
 	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
 	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
 	lookups := &lookups{store: store, env: env, replies: responder, finished: finished}
@@ -83,31 +84,32 @@
 	}
 }
 
-// Submit answers a submission: the job is stored, unless it is known already.
+// Submit handles a submission: it stores the job unless the job is already known.
 func (s *Service) Submit(requestID uint64, spec *protocol.Job) { s.submissions.answer(requestID, spec) }
 
-// Query answers a status query.
+// Query handles a status query.
 func (s *Service) Query(requestID uint64, jobID protocol.JobID) { s.queries.answer(requestID, jobID) }
 
-// Cancel answers a cancellation: the job is marked as cancelled, unless it is finished.
+// Cancel handles a cancellation: it marks the job as cancelled unless the job is finished.
 func (s *Service) Cancel(requestID uint64, jobID protocol.JobID) {
 	s.cancellations.answer(requestID, jobID)
 }
 
-// CheckQueries checks the records of the status queries that wait, if it is time to.
+// CheckQueries compares the mirror with the store for the waiting status queries, if that is
+// due, and answers them.
 func (s *Service) CheckQueries() { s.queries.check() }
 
-// Shed is how many requests were turned away because too much is asked.
+// Shed returns the number of requests that were refused as too many.
 func (s *Service) Shed() uint64 { return s.replies.shed }
 
-// Due tells when status queries that wait are to be checked.
-func (s *Service) Due(by func(time.Time)) { s.queries.due(by) }
+// Due calls wakeBy with the time of the next check of status queries, if any are waiting.
+func (s *Service) Due(wakeBy func(time.Time)) { s.queries.due(wakeBy) }
 
-// JobFinished remembers the final state of a job.
+// JobFinished caches the final state of a job.
 func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
 	s.finished.add(jobID, final)
 }
 
-// ConfirmedCancellations lists the jobs that users were told are cancelled, in order,
-// without those whose cancellation has taken effect by now.
+// ConfirmedCancellations returns, sorted by ID, the jobs that users were told are cancelled
+// and whose cancellation may not have taken effect yet.
 func (s *Service) ConfirmedCancellations() []protocol.JobID { return s.replies.confirmed.list() }
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -20,14 +20,14 @@
 	lookups  *lookups
 }
 
-// answer answers a cancellation: it marks the job as cancelled by a guarded transaction.
-// Whoever leads learns it from its watch.
+// answer handles a cancellation: it marks the job as cancelled in a conditional transaction.
+// The leader learns of it from its watch.
 func (c *cancellations) answer(requestID uint64, jobID protocol.JobID) {
 	if status, ok := c.finished.status(jobID); ok {
 		c.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 		return
 	}
-	if c.replies.refuseUnserved(requestID, c.mirror.Ready()) {
+	if c.replies.refuseIfUnavailable(requestID, c.mirror.Ready()) {
 		return
 	}
 	if !c.budgets.TakeUserWrite(c.env.Now()) {
@@ -42,7 +42,7 @@
 	c.cancelFromStore(requestID, jobID, deadline)
 }
 
-// cancelFromStore cancels a job by the record that the store has now.
+// cancelFromStore reads a job's current record from the store and cancels the job.
 func (c *cancellations) cancelFromStore(requestID uint64, jobID protocol.JobID, deadline time.Time) {
 	c.lookups.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry != nil {
@@ -53,9 +53,10 @@
 	})
 }
 
-// answerFinished answers the cancellation of a job that has no unfinished record.
+// answerFinished replies to the cancellation of a job that had no main record when it was
+// read: the job is finished or does not exist.
 func (c *cancellations) answerFinished(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	c.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
+	c.lookups.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		switch {
 		case status == nil:
 			c.replies.UnknownJob(requestID)
@@ -67,15 +68,15 @@
 	})
 }
 
-// cancelRecord marks a job's record as cancelled, unless it is.
+// cancelRecord marks a job's main record as cancelled, unless it is marked already.
 func (c *cancellations) cancelRecord(requestID uint64, jobID protocol.JobID, entry *protocol.Entry, deadline time.Time) {
 	record, err := storage.DecodeJob(entry.Value)
 	if err != nil {
-		c.replies.Unavailable(requestID, reasonUnreadableRecord)
+		c.replies.Unavailable(requestID, reasonMalformedRecord)
 		return
 	}
 	if record.Cancelled {
-		c.confirmCancellation(requestID, jobID) // by a transaction whose answer was lost, perhaps
+		c.confirmCancellation(requestID, jobID) // marked, possibly, by a transaction whose response was lost
 		return
 	}
 	record.Cancelled, record.Writer = true, c.env.UniqueName()
@@ -93,12 +94,12 @@
 		case (result.Outcome == kv.ConditionFailed || result.Outcome == kv.Unknown) && c.env.Now().Before(deadline):
 			c.cancelFromStore(requestID, jobID, deadline)
 		default:
-			c.replies.Unavailable(requestID, reasonStoreSilent)
+			c.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
 
-// confirmCancellation tells the leader and the user of a cancellation that is in the records.
+// confirmCancellation notifies the leader of a stored cancellation and confirms it to the user.
 func (c *cancellations) confirmCancellation(requestID uint64, jobID protocol.JobID) {
 	c.env.AnnounceCancellation(jobID)
 	c.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhaseCancelled})
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -9,27 +9,27 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// confirmedCancellations are the cancellations that users were told of and that may not
-// have taken effect yet.
+// confirmedCancellations tracks the cancellations that were confirmed to users and that may
+// not have taken effect yet.
 type confirmedCancellations struct {
-	cfg      *config.Config
-	env      Environment
-	jobs     map[protocol.JobID]time.Time // and since when
-	expireAt int                          // how many of them are kept before old ones are dropped
+	cfg             *config.Config
+	env             Environment
+	confirmedAt     map[protocol.JobID]time.Time // when each was first confirmed
+	expireThreshold int                          // the number of entries at which old ones are removed
 }
 
-// list is the jobs whose cancellation may not have taken effect yet, in order.
+// list returns, sorted by ID, the jobs whose cancellation may not have taken effect yet.
 func (cc *confirmedCancellations) list() []protocol.JobID {
 	cc.expire()
 	var jobs []protocol.JobID
-	for jobID := range cc.jobs {
+	for jobID := range cc.confirmedAt {
 		jobs = append(jobs, jobID)
 	}
 	slices.Sort(jobs)
 	return jobs
 }
 
-// recordIfCancelled records a cancellation that a user is being told of.
+// recordIfCancelled records the job if the phase that a user is about to be told is cancelled.
 func (cc *confirmedCancellations) recordIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
 	if phase == protocol.PhaseCancelled {
 		cc.env.CancellationConfirmed(jobID)
@@ -38,22 +38,23 @@
 }
 
 func (cc *confirmedCancellations) add(jobID protocol.JobID) {
-	if _, known := cc.jobs[jobID]; known {
+	if _, known := cc.confirmedAt[jobID]; known {
 		return
 	}
-	if len(cc.jobs) >= cc.expireAt {
+	if len(cc.confirmedAt) >= cc.expireThreshold {
 		cc.expire()
-		cc.expireAt = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
+		cc.expireThreshold = max(tuning.MaxRememberedCancellations, 2*len(cc.confirmedAt))
 	}
-	cc.jobs[jobID] = cc.env.Now()
+	cc.confirmedAt[jobID] = cc.env.Now()
 }
 
-// expire drops the cancellations that have taken effect.
+// expire removes the cancellations that have taken effect: a cancellation takes CancelS
+// seconds at most, plus clock drift.
 func (cc *confirmedCancellations) expire() {
-	now, effective := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
-	for jobID, at := range cc.jobs {
-		if now.Sub(at) > effective {
-			delete(cc.jobs, jobID)
+	now, maxDelay := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
+	for jobID, at := range cc.confirmedAt {
+		if now.Sub(at) > maxDelay {
+			delete(cc.confirmedAt, jobID)
 		}
 	}
 }
--- a/internal/coordination/api/finished_jobs.go
+++ b/internal/coordination/api/finished_jobs.go
@@ -11,7 +11,7 @@
 	finals map[protocol.JobID]storage.Final
 }
 
-// add caches the final state of a job; a full cache is emptied first.
+// add caches the final state of a job. A full cache is cleared first.
 func (fj *finishedJobs) add(jobID protocol.JobID, final storage.Final) {
 	if len(fj.finals) >= tuning.MaxCachedFinalStates {
 		clear(fj.finals)
@@ -19,7 +19,7 @@
 	fj.finals[jobID] = final
 }
 
-// status is the state of a job, if its final state is cached.
+// status returns the final state of a job and whether it is cached.
 func (fj *finishedJobs) status(jobID protocol.JobID) (protocol.Status, bool) {
 	final, ok := fj.finals[jobID]
 	return finishedStatus(jobID, final), ok
--- a/internal/coordination/api/lookups.go
+++ b/internal/coordination/api/lookups.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// lookups reads jobs' records from the store itself, for requests that the mirror cannot
-// answer. It answers those whose record cannot be read.
+// lookups reads jobs' records from the store for requests that the mirror cannot answer. If
+// a record cannot be read, it replies to the request itself.
 type lookups struct {
 	store    kv.Client
 	env      Environment
@@ -18,62 +18,63 @@
 	finished *finishedJobs
 }
 
-// read reads one key; found is called with nil if it does not exist, and not
-// at all if the store does not say.
-func (l *lookups) read(requestID uint64, key string, deadline time.Time, found func(entry *protocol.Entry)) {
+// read reads one key from the store and calls done with the entry, or with nil if the key does
+// not exist. It retries until the deadline while responses are lost. If the store gives no
+// usable response, it replies that the request is unavailable and does not call done.
+func (l *lookups) read(requestID uint64, key string, deadline time.Time, done func(entry *protocol.Entry)) {
 	l.store.Get(key, func(result kv.GetResult) {
 		switch {
 		case result.Outcome == kv.Done && !result.Malformed:
-			found(&result.Entry)
+			done(&result.Entry)
 		case result.Outcome == kv.NotFound:
-			found(nil)
+			done(nil)
 		case result.Outcome == kv.Unknown && l.env.Now().Before(deadline):
-			l.read(requestID, key, deadline, found)
+			l.read(requestID, key, deadline, done)
 		default:
-			l.replies.Unavailable(requestID, reasonStoreSilent)
+			l.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
 
-// job reads a job's state from the store itself. The unfinished record is read first: a
-// job moves from there to its final record and never back, so one of the two reads finds it.
-func (l *lookups) job(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+// readStatus reads a job's state from the store. It reads the main record first: a job moves
+// from its main record to its final record and never back, so one of the two reads finds it.
+func (l *lookups) readStatus(requestID uint64, jobID protocol.JobID, deadline time.Time, done func(status *protocol.Status)) {
 	l.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
-			l.finishedJob(requestID, jobID, deadline, found)
+			l.readFinalStatus(requestID, jobID, deadline, done)
 			return
 		}
 		record, err := storage.DecodeJob(entry.Value)
 		if err != nil {
-			l.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonMalformedRecord)
 			return
 		}
 		status := record.Status()
-		found(&status)
+		done(&status)
 	})
 }
 
-// finishedJob reads a job's final record.
-func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+// readFinalStatus reads a job's state from its final record.
+func (l *lookups) readFinalStatus(requestID uint64, jobID protocol.JobID, deadline time.Time, done func(status *protocol.Status)) {
 	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
-			found(nil)
+			done(nil)
 			return
 		}
 		var final storage.Final
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
-			l.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonMalformedRecord)
 			return
 		}
 		l.finished.add(jobID, final)
 		status := finishedStatus(jobID, final)
-		found(&status)
+		done(&status)
 	})
 }
 
-// answerStatus answers a status query from the store itself.
+// answerStatus replies to a status query with the job's state in the store.
 func (l *lookups) answerStatus(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+	l.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.UnknownJob(requestID)
 			return
@@ -82,9 +83,9 @@
 	})
 }
 
-// answerRepeated answers the submission of a job that is known already.
-func (l *lookups) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+// answerResubmission replies to the submission of a job that is already known.
+func (l *lookups) answerResubmission(requestID uint64, jobID protocol.JobID, deadline time.Time) {
+	l.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.Unavailable(requestID, reasonTryAgain)
 			return
--- a/internal/coordination/api/responder.go
+++ b/internal/coordination/api/responder.go
@@ -2,18 +2,18 @@
 
 import "github.com/gappond/gappond/internal/protocol"
 
-// Reasons why a request cannot be taken now.
+// Reasons why a request cannot be handled now.
 const (
-	reasonStarting         = "starting"
-	reasonStoreUnreachable = "state service out of reach"
-	reasonStoreSilent      = "state service does not answer"
-	reasonUnreadableRecord = "record does not parse"
-	reasonBusy             = "busy"
-	reasonTryAgain         = "try again"
+	reasonStarting           = "starting"
+	reasonStoreUnreachable   = "state service out of reach"
+	reasonStoreNotResponding = "state service does not answer"
+	reasonMalformedRecord    = "record does not parse"
+	reasonBusy               = "busy"
+	reasonTryAgain           = "try again"
 )
 
-// responder sends all replies. It records each cancellation before a user is told of it,
-// and counts the requests that are turned away because too much is asked.
+// responder sends all replies. It records each cancellation before a user is told of it, and
+// counts the requests that are refused as too many.
 type responder struct {
 	Replies
 	env       Environment
@@ -33,9 +33,9 @@
 	r.Replies.Status(requestID, status)
 }
 
-// refuseUnserved refuses a request at once while the controller is starting or the store
-// does not answer it.
-func (r *responder) refuseUnserved(requestID uint64, started bool) bool {
+// refuseIfUnavailable refuses a request at once while the controller is starting or the store
+// does not respond to it. It reports whether it has refused the request.
+func (r *responder) refuseIfUnavailable(requestID uint64, started bool) bool {
 	switch {
 	case !started:
 		r.Unavailable(requestID, reasonStarting)
@@ -47,7 +47,7 @@
 	return true
 }
 
-// shedLoad turns a request away because too much is asked.
+// shedLoad refuses a request as one too many, and counts it.
 func (r *responder) shedLoad(requestID uint64) {
 	r.shed++
 	r.Unavailable(requestID, reasonBusy)
--- a/internal/coordination/api/runnable.go
+++ b/internal/coordination/api/runnable.go
@@ -9,26 +9,27 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// runnableCheck tells which jobs can never run.
+// runnableCheck determines which jobs can never run.
 type runnableCheck struct {
 	cfg   *config.Config
-	types map[protocol.MachineTypeName]*protocol.MachineType // known so far, filled by the owner
+	types map[protocol.MachineTypeName]*protocol.MachineType // known so far; the caller of New adds to it
 }
 
-// ready says whether machine types are known, without which no job could run.
+// ready reports whether any machine types are known. Without them every job would look as if
+// it could never run.
 func (rc *runnableCheck) ready() bool { return len(rc.types) > 0 }
 
-// unrunnableReason says why a job can never run, or "".
+// unrunnableReason returns the reason why a job can never run, or "" if there is none.
 func (rc *runnableCheck) unrunnableReason(spec *protocol.Job) string {
 	if !storage.Storable(rc.cfg.Cluster.Store.ValueKB, spec) {
 		return "its description is too long to be kept"
 	}
 	teams := rc.cfg.Cluster.Teams
-	at := slices.IndexFunc(teams, func(team config.Team) bool { return team.Name == spec.Team })
-	if at < 0 {
+	index := slices.IndexFunc(teams, func(team config.Team) bool { return team.Name == spec.Team })
+	if index < 0 {
 		return "unknown team"
 	}
-	if exceedsLimit(&teams[at], spec) {
+	if exceedsLimit(&teams[index], spec) {
 		return "more than the team's limit"
 	}
 	zones := rc.allowedZones(spec)
@@ -41,8 +42,8 @@
 	return ""
 }
 
-// exceedsLimit says whether a job that is alone in its team needs more than the team's
-// limit at one time.
+// exceedsLimit reports whether a job needs more at one time than the limit of its team, even
+// if no other job of the team is running.
 func exceedsLimit(team *config.Team, spec *protocol.Job) bool {
 	count := 1.0
 	if spec.Gang() || spec.Service() { // all its tasks run at the same time
@@ -52,7 +53,8 @@
 		team.MaxCPUs > 0 && spec.CPUs*count > team.MaxCPUs+cluster.AmountTolerance
 }
 
-// allowedZones is how many zones a job may run in that have a machine type that a task of it fits.
+// allowedZones returns the number of zones in which the job may run and which have a machine
+// type that fits a task of the job.
 func (rc *runnableCheck) allowedZones(spec *protocol.Job) int {
 	allowed := map[protocol.ZoneName]bool{}
 	for _, machineType := range rc.types {
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -10,18 +10,18 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// statusQuery is a question about an unfinished job that waits to be checked: the
-// mirror's record may be old, and no user may get an older answer than one
-// that any controller has given.
+// statusQuery is a query about an unfinished job that waits until the mirror's record has been
+// compared with the store: the mirror may be behind, and no user may be told an older state
+// than any controller has already reported.
 type statusQuery struct {
-	requestID  uint64
-	job        protocol.JobID
-	submission bool // a repeated one, which has the short answer
-	expire     time.Time
+	requestID    uint64
+	job          protocol.JobID
+	resubmission bool // the request submits the job again; its reply is the shorter protocol.Accepted
+	deadline     time.Time
 }
 
-// statusQueries answers status queries. The queries about unfinished jobs, and the repeated
-// submissions of such jobs, wait to be checked together.
+// statusQueries handles status queries. Queries about unfinished jobs and repeated submissions
+// of such jobs are collected, and their records are checked in one transaction.
 type statusQueries struct {
 	cfg      *config.Config
 	mirror   *storage.Mirror
@@ -32,28 +32,29 @@
 	finished *finishedJobs
 	lookups  *lookups
 
-	waiting []statusQuery
-	checkAt time.Time // when those that wait are checked
+	waiting     []statusQuery
+	nextCheckAt time.Time // when the waiting queries are checked
 }
 
-// due tells when queries that wait are to be checked.
-func (sq *statusQueries) due(by func(time.Time)) {
+// due calls wakeBy with the time of the next check, if any queries are waiting.
+func (sq *statusQueries) due(wakeBy func(time.Time)) {
 	if len(sq.waiting) > 0 {
-		by(sq.checkAt)
+		wakeBy(sq.nextCheckAt)
 	}
 }
 
-// answer answers a status query, at once or after the records have been checked.
+// answer handles a status query. It replies at once, or after the record has been checked or
+// read.
 func (sq *statusQueries) answer(requestID uint64, jobID protocol.JobID) {
 	if status, ok := sq.finished.status(jobID); ok {
 		sq.replies.Status(requestID, status)
 		return
 	}
-	if sq.replies.refuseUnserved(requestID, sq.mirror.Ready()) {
+	if sq.replies.refuseIfUnavailable(requestID, sq.mirror.Ready()) {
 		return
 	}
 	if _, ok := sq.mirror.Get(storage.JobKey(jobID)); ok {
-		sq.add(statusQuery{requestID: requestID, job: jobID})
+		sq.enqueue(statusQuery{requestID: requestID, job: jobID})
 		return
 	}
 	if !sq.budgets.AllowsUserRead(sq.env.Now()) {
@@ -63,11 +64,11 @@
 	sq.lookups.answerStatus(requestID, jobID, sq.env.Now().Add(tuning.UserRequestTimeout))
 }
 
-// shedExpired turns away the status queries that have waited too long for the budget.
+// shedExpired refuses the status queries whose deadline passed while they waited for the budget.
 func (sq *statusQueries) shedExpired() {
 	kept := sq.waiting[:0]
 	for _, query := range sq.waiting {
-		if sq.env.Now().Before(query.expire) {
+		if sq.env.Now().Before(query.deadline) {
 			kept = append(kept, query)
 		} else {
 			sq.replies.shedLoad(query.requestID)
@@ -76,28 +77,30 @@
 	sq.waiting = kept
 }
 
-// add has a query wait to be checked with others.
-func (sq *statusQueries) add(query statusQuery) {
+// enqueue adds a query to those that wait to be checked together, or refuses it if too many
+// are waiting.
+func (sq *statusQueries) enqueue(query statusQuery) {
 	resources := sq.cfg.Cluster.Process
 	if len(sq.waiting) >= resources.UserRequests() {
 		sq.replies.shedLoad(query.requestID)
 		return
 	}
 	if len(sq.waiting) == 0 {
-		sq.checkAt = sq.env.Now().Add(resources.RequestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
+		sq.nextCheckAt = sq.env.Now().Add(resources.RequestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
-	query.expire = sq.env.Now().Add(tuning.UserRequestTimeout)
+	query.deadline = sq.env.Now().Add(tuning.UserRequestTimeout)
 	sq.waiting = append(sq.waiting, query)
 }
 
-// check checks the records of the waiting status queries by one transaction that
-// only compares: when it succeeds, the mirror's records are the newest there are.
+// check checks the records of the waiting queries by a transaction that has conditions but no
+// changes: if it succeeds, the mirror's records are the current ones. A check starts at
+// nextCheckAt, or earlier once the queries fill a transaction.
 func (sq *statusQueries) check() {
 	if len(sq.waiting) == 0 {
 		return
 	}
 	limit := sq.cfg.Cluster.Store.TxnOps * kv.ConditionsPerChange
-	if sq.env.Now().Before(sq.checkAt) && len(sq.waiting) < limit {
+	if sq.env.Now().Before(sq.nextCheckAt) && len(sq.waiting) < limit {
 		return
 	}
 	if !sq.budgets.AllowsUserRead(sq.env.Now()) {
@@ -105,10 +108,10 @@
 		return
 	}
 	batch := sq.takeBatch(limit)
-	sq.store.Transact(batch.compare, func(result kv.TransactionResult) {
-		if !batch.checked(result) {
+	sq.store.Transact(batch.comparison, func(result kv.TransactionResult) {
+		if !batch.applyResult(result) {
 			for _, query := range batch.queries {
-				sq.replies.Unavailable(query.requestID, reasonStoreSilent)
+				sq.replies.Unavailable(query.requestID, reasonStoreNotResponding)
 			}
 			return
 		}
@@ -118,21 +121,21 @@
 	})
 }
 
-// queryBatch is a number of status queries that are checked together.
+// queryBatch is a group of status queries that are checked by one transaction.
 type queryBatch struct {
-	queries []statusQuery
-	compare protocol.Transaction
-	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
-	stale   map[string]bool                    // keys whose records have changed since
+	queries    []statusQuery
+	comparison protocol.Transaction
+	statuses   map[protocol.JobID]protocol.Status // by job, according to the mirror
+	stale      map[string]bool                    // keys whose records in the store are newer than in the mirror
 }
 
-// takeBatch takes the first of the waiting status queries.
+// takeBatch removes up to limit queries from the front of the queue.
 func (sq *statusQueries) takeBatch(limit int) *queryBatch {
 	count := min(limit, len(sq.waiting))
-	batch := &queryBatch{queries: sq.waiting[:count], status: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
+	batch := &queryBatch{queries: sq.waiting[:count], statuses: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
 	sq.waiting = append([]statusQuery(nil), sq.waiting[count:]...)
 	for _, query := range batch.queries {
-		if _, ok := batch.status[query.job]; ok {
+		if _, ok := batch.statuses[query.job]; ok {
 			continue
 		}
 		key := storage.JobKey(query.job)
@@ -140,20 +143,21 @@
 		if !ok {
 			continue
 		}
-		batch.status[query.job] = status
-		batch.compare.Conditions = append(batch.compare.Conditions, protocol.Condition{Key: key, Revision: revision})
+		batch.statuses[query.job] = status
+		batch.comparison.Conditions = append(batch.comparison.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return batch
 }
 
-// checked takes the answer to the comparison; false if there is none.
-func (qb *queryBatch) checked(result kv.TransactionResult) bool {
+// applyResult processes the store's response to the comparison. It returns false if there is
+// no response that says which records are current.
+func (qb *queryBatch) applyResult(result kv.TransactionResult) bool {
 	switch result.Outcome {
 	case kv.Done:
 		return true
 	case kv.ConditionFailed:
 		if result.Malformed || len(result.Failed) == 0 {
-			clear(qb.status) // nothing is known to be fresh
+			clear(qb.statuses) // no record is known to be current
 		}
 		for _, key := range result.Failed {
 			qb.stale[key] = true
@@ -163,17 +167,17 @@
 	return false
 }
 
-// answerChecked answers from the mirror's record if that was the newest, else after
-// another look.
+// answerChecked replies from the mirror's record if that was current, and otherwise reads the
+// record from the store first.
 func (sq *statusQueries) answerChecked(query statusQuery, batch *queryBatch) {
-	status, ok := batch.status[query.job]
+	status, ok := batch.statuses[query.job]
 	fresh := ok && !batch.stale[storage.JobKey(query.job)]
 	switch {
-	case !fresh && query.submission:
-		sq.lookups.answerRepeated(query.requestID, query.job, query.expire)
+	case !fresh && query.resubmission:
+		sq.lookups.answerResubmission(query.requestID, query.job, query.deadline)
 	case !fresh:
-		sq.lookups.answerStatus(query.requestID, query.job, query.expire)
-	case query.submission:
+		sq.lookups.answerStatus(query.requestID, query.job, query.deadline)
+	case query.resubmission:
 		sq.replies.Accepted(query.requestID, protocol.Accepted{ID: query.job, Phase: status.Phase})
 	default:
 		sq.replies.Status(query.requestID, status)
--- a/internal/coordination/api/status_queries_test.go
+++ b/internal/coordination/api/status_queries_test.go
@@ -9,38 +9,38 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestStatusQueryIsAnsweredFromNewestRecord: the mirror's record answers a status query
-// only after the store has said that there is no newer one.
+// TestStatusQueryIsAnsweredFromNewestRecord: a status query is answered from the mirror's
+// record only after the store has confirmed that there is no newer one.
 func TestStatusQueryIsAnsweredFromNewestRecord(t *testing.T) {
 	c := newController(t)
 	spec := testSpec()
-	c.store(t, &spec, 5)
+	c.storeJob(t, &spec, 5)
 	c.Query(1, spec.ID)
-	c.Submit(2, &spec) // a repeated one
+	c.Submit(2, &spec) // a repeated submission
 	c.CheckQueries()
 	if len(c.calls) > 0 {
-		t.Fatal("checked at once, with no time for others to join")
+		t.Fatal("checked at once, without waiting for other queries to join the batch")
 	}
 	var due time.Time
 	c.Due(func(at time.Time) { due = at })
 	c.now = due
 	c.CheckQueries()
-	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
+	c.respond(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	c.expect(t, "1 status pending 0", "2 accepted pending")
 
 	c.Query(3, spec.ID)
 	c.now = c.now.Add(time.Second)
 	c.CheckQueries()
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
-	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
+	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
+	c.respond(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
 		protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone, Done: 2})})
 	c.expect(t, "3 status done 2")
-	c.Query(4, spec.ID) // remembered: it never changes
+	c.Query(4, spec.ID) // cached: a final state never changes
 	c.expect(t, "4 status done 2")
 
 	c.Query(5, "run-000002")
-	c.answer(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
 	c.expect(t, "5 unknown")
 }
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -20,21 +20,21 @@
 	replies  *responder
 	finished *finishedJobs
 	lookups  *lookups
-	queries  *statusQueries // repeated submissions wait there
+	queries  *statusQueries // also holds repeated submissions that wait to be checked
 	runnable *runnableCheck
 }
 
-// answer answers a submission: the job is stored, unless it is known already.
+// answer handles a submission: it stores the job unless the job is already known.
 func (s *submissions) answer(requestID uint64, spec *protocol.Job) {
 	if status, ok := s.finished.status(spec.ID); ok {
 		s.replies.Accepted(requestID, protocol.Accepted{ID: spec.ID, Phase: status.Phase})
 		return
 	}
-	if s.replies.refuseUnserved(requestID, s.mirror.Ready() && s.runnable.ready()) {
+	if s.replies.refuseIfUnavailable(requestID, s.mirror.Ready() && s.runnable.ready()) {
 		return
 	}
 	if _, ok := s.mirror.Get(storage.JobKey(spec.ID)); ok {
-		s.queries.add(statusQuery{requestID: requestID, job: spec.ID, submission: true})
+		s.queries.enqueue(statusQuery{requestID: requestID, job: spec.ID, resubmission: true})
 		return
 	}
 	if reason := s.runnable.unrunnableReason(spec); reason != "" {
@@ -50,10 +50,10 @@
 	s.storeSubmission(requestID, spec.ID, s.submissionTxn(spec), s.env.Now().Add(tuning.UserRequestTimeout))
 }
 
-// refuseUnrunnable refuses a job that can never run. It may have been accepted by a
-// peer and be over; only a job that nobody knows is refused.
+// refuseUnrunnable refuses a job that can never run, unless the store has a record of it: a
+// peer may have accepted the job, and it may even be finished.
 func (s *submissions) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
-	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
+	s.lookups.readStatus(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
 			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 			return
@@ -62,8 +62,8 @@
 	})
 }
 
-// submissionTxn is the transaction that makes a submission durable: the job must be
-// unknown, finished or not.
+// submissionTxn returns the encoded transaction that makes a submission durable. It requires
+// that the job has neither a main record nor a final record.
 func (s *submissions) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.Store
 	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
@@ -74,19 +74,20 @@
 	})
 }
 
-// storeSubmission sends it, and again while its answer is lost: it may yet apply, and
-// the same one again finds out.
+// storeSubmission sends the transaction, and sends it again, until the deadline, while its
+// response is lost: the lost transaction may still be applied. If it was, the conditions of
+// the repeated one fail, which shows that the job is stored.
 func (s *submissions) storeSubmission(requestID uint64, jobID protocol.JobID, txn []byte, deadline time.Time) {
 	s.store.TransactEncoded(txn, func(result kv.TransactionResult) {
 		switch {
 		case result.Outcome == kv.Done:
 			s.replies.Created(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
 		case result.Outcome == kv.ConditionFailed:
-			s.lookups.answerRepeated(requestID, jobID, deadline)
+			s.lookups.answerResubmission(requestID, jobID, deadline)
 		case result.Outcome == kv.Unknown && s.env.Now().Before(deadline):
 			s.storeSubmission(requestID, jobID, txn, deadline)
 		default:
-			s.replies.Unavailable(requestID, reasonStoreSilent)
+			s.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -9,90 +9,92 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// ForwarderEnvironment is what a forwarder needs of the controller.
+// ForwarderEnvironment is what a forwarder needs from the controller.
 type ForwarderEnvironment interface {
 	Now() time.Time
-	// NextID numbers a request; no other request of this process has that number.
+	// NextID returns a request ID that no other request of this process has.
 	NextID() uint64
-	// Forwarded passes on a peer's answer to a forwarded request.
+	// Forwarded passes on a peer's response to a forwarded request.
 	Forwarded(requestID uint64, response protocol.PeerResponse)
-	// Unavailable refuses a request that cannot be taken now.
+	// Unavailable refuses a request that cannot be handled now.
 	Unavailable(requestID uint64, reason string)
 }
 
-// Forwarder keeps account of what peers do for this controller and it for them: requests of
-// users and agents that another controller answers, and calls to agents.
+// Forwarder tracks the work that this controller and its peers do for each other: requests of
+// users and agents that another controller responds to, and calls to agents.
 type Forwarder struct {
 	self  protocol.NodeName
 	peers *Peers
 	env   ForwarderEnvironment
 
-	forwarded map[uint64]forwardedRequest // requests that peers answer
-	received  map[uint64]receivedRequest  // requests of peers that this controller answers
-	delegated map[uint64]delegatedCall    // calls to agents that peers make
-	expireAt  time.Time                   // when they are checked for late ones
+	forwarded    map[uint64]forwardedRequest // requests that peers respond to
+	received     map[uint64]receivedRequest  // requests of peers that this controller responds to
+	delegated    map[uint64]delegatedCall    // calls to agents that peers make
+	nextExpiryAt time.Time                   // when they are next checked for overdue responses
 }
 
-// forwardedRequest is a request that was sent on to a peer.
+// forwardedRequest is a request that this controller forwarded to a peer.
 type forwardedRequest struct {
 	requestID uint64
-	expire    time.Time
+	deadline  time.Time
 }
 
-// receivedRequest is a request that a peer sent on to this controller.
+// receivedRequest is a request that a peer forwarded to this controller.
 type receivedRequest struct {
 	origin protocol.NodeName
 	id     uint64
 }
 
-// delegatedCall is a call to an agent that a peer makes for the leader. Status 0 stands for
-// no answer.
+// delegatedCall is a call to an agent that a peer makes for the leader. Status 0 means that no
+// response came.
 type delegatedCall struct {
-	done   func(status int, body []byte)
-	expire time.Time
+	done     func(status int, body []byte)
+	deadline time.Time
 }
 
-// receivedID marks the numbers of requests that peers sent on, which the transport does not
-// know.
-const receivedID = 1 << 63
+// peerRequestBit is set in the IDs of requests that peers forwarded here. The transport does not
+// know these IDs.
+const peerRequestBit = 1 << 63
 
-// NewForwarder makes a forwarder.
+// NewForwarder returns a forwarder that tracks nothing yet.
 func NewForwarder(self protocol.NodeName, peers *Peers, env ForwarderEnvironment) *Forwarder {
 	return &Forwarder{self: self, peers: peers, env: env,
 		forwarded: map[uint64]forwardedRequest{}, received: map[uint64]receivedRequest{}, delegated: map[uint64]delegatedCall{}}
 }
 
-// ForwardRequest sends a user's request on to a peer that the store serves, to each in
-// turn. What a peer sent here goes no further.
+// ForwardRequest forwards a user's request to a peer that the store serves, taking such peers in
+// turn. It reports whether the request was sent. A request that came from a peer is not
+// forwarded again.
 func (f *Forwarder) ForwardRequest(requestID uint64, request protocol.PeerUserRequest) bool {
-	if requestID&receivedID != 0 {
+	if requestID&peerRequestBit != 0 {
 		return false
 	}
-	served := f.peers.NamesWithStoreAccess()
-	if len(served) == 0 {
+	candidates := f.peers.NamesWithStoreAccess()
+	if len(candidates) == 0 {
 		return false
 	}
 	id := f.env.NextID()
-	request.ID, request.Origin, request.Target = id, f.self, served[id%uint64(len(served))]
+	request.ID, request.Origin, request.Target = id, f.self, candidates[id%uint64(len(candidates))]
 	f.forwarded[id] = forwardedRequest{requestID, f.env.Now().Add(tuning.UserRequestTimeout)}
 	return f.peers.Send(request.Target, request)
 }
 
-// ForwardHeartbeat fetches the leader's answer to an agent's heartbeat; false if there is no
-// way to the leader.
-func (f *Forwarder) ForwardHeartbeat(requestID uint64, leader protocol.NodeName, heartbeat *protocol.Heartbeat, expire time.Time) bool {
+// ForwardHeartbeat forwards an agent's heartbeat to the leader, to pass its response on to the
+// agent. It returns false if there is no path to the leader.
+func (f *Forwarder) ForwardHeartbeat(requestID uint64, leader protocol.NodeName, heartbeat *protocol.Heartbeat, deadline time.Time) bool {
 	id := f.env.NextID()
 	if !f.peers.Send(leader, protocol.PeerForwardedHeartbeat{ID: id, Origin: f.self, Target: leader, Heartbeat: heartbeat}) {
 		return false
 	}
-	f.forwarded[id] = forwardedRequest{requestID, expire}
+	f.forwarded[id] = forwardedRequest{requestID, deadline}
 	return true
 }
 
-// Delegate has an agent's proxy send it commands, if all links are there: a call
-// is a new connection mostly, which costs much of a small share of a core. What
-// the peer does not answer in time may still be executed, as any command that
-// was not answered. Probes are not delegated: they judge a machine.
+// Delegate has an agent's proxy send commands to the agent. It returns false if not all links
+// between controllers are up. Commands are delegated because most calls need a new connection,
+// which is expensive for a controller with a small share of a core. Commands whose outcome the
+// peer does not report in time may still be executed, like any others without a response.
+// Probes are not delegated, because their outcome decides whether a machine counts as alive.
 func (f *Forwarder) Delegate(machineID protocol.MachineID, address string, body []byte, done func(status int, body []byte)) bool {
 	if !f.peers.FullyConnected() {
 		return false
@@ -103,24 +105,26 @@
 	return true
 }
 
-// ReceiveRequest numbers a request that a peer sent on to this controller.
+// ReceiveRequest records a request that a peer forwarded to this controller, and returns the ID
+// that the request has here.
 func (f *Forwarder) ReceiveRequest(request protocol.PeerUserRequest) (requestID uint64) {
-	requestID = f.env.NextID() | receivedID
+	requestID = f.env.NextID() | peerRequestBit
 	f.received[requestID] = receivedRequest{request.Origin, request.ID}
 	return requestID
 }
 
-// Respond sends the answer to a request to the peer that sent it on; false if none did.
+// Respond sends the response to a request to the peer that forwarded the request. It returns
+// false if no peer did.
 func (f *Forwarder) Respond(requestID uint64, status int, body []byte) bool {
-	from, ok := f.received[requestID]
+	received, ok := f.received[requestID]
 	if ok {
 		delete(f.received, requestID)
-		f.peers.Send(from.origin, protocol.PeerResponse{ID: from.id, Target: from.origin, Status: uint64(status), Body: body})
+		f.peers.Send(received.origin, protocol.PeerResponse{ID: received.id, Target: received.origin, Status: uint64(status), Body: body})
 	}
 	return ok
 }
 
-// HandleResponse takes a peer's answer.
+// HandleResponse passes a peer's response to whoever waits for it.
 func (f *Forwarder) HandleResponse(response protocol.PeerResponse) {
 	if call, ok := f.delegated[response.ID]; ok {
 		delete(f.delegated, response.ID)
@@ -131,31 +135,32 @@
 	}
 }
 
-// ExpiryDue says whether it is time to check for late answers.
-func (f *Forwarder) ExpiryDue() bool { return !f.env.Now().Before(f.expireAt) }
+// ExpiryDue reports whether it is time to check for overdue responses.
+func (f *Forwarder) ExpiryDue() bool { return !f.env.Now().Before(f.nextExpiryAt) }
 
-// Expire gives up what has waited too long for a peer's answer, in the order of the
-// numbers: the same seed must give the same run.
+// Expire gives up requests and calls that have waited too long for a peer's response. It does so
+// in the order of their IDs, because a simulation must run identically for the same seed.
 func (f *Forwarder) Expire() {
 	now := f.env.Now()
-	f.expireAt = now.Add(tuning.ForwardExpiryInterval)
+	f.nextExpiryAt = now.Add(tuning.ForwardExpiryInterval)
 	for _, id := range slices.Sorted(maps.Keys(f.forwarded)) {
-		if request := f.forwarded[id]; now.After(request.expire) {
+		if request := f.forwarded[id]; now.After(request.deadline) {
 			delete(f.forwarded, id)
 			f.env.Unavailable(request.requestID, "leader does not answer")
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.delegated)) {
-		if call, ok := f.delegated[id]; ok && now.After(call.expire) {
+		if call, ok := f.delegated[id]; ok && now.After(call.deadline) {
 			delete(f.delegated, id)
 			call.done(0, nil)
 		}
 	}
 }
 
-// Due tells when late answers are checked for, also for so many others that wait.
-func (f *Forwarder) Due(by func(time.Time), othersWaiting int) {
+// Due calls wakeBy with the time of the next check for overdue responses, if anything waits for
+// one. othersWaiting is the number of waiting items that the forwarder does not keep itself.
+func (f *Forwarder) Due(wakeBy func(time.Time), othersWaiting int) {
 	if len(f.forwarded)+len(f.delegated)+othersWaiting > 0 {
-		by(f.expireAt)
+		wakeBy(f.nextExpiryAt)
 	}
 }
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -9,32 +9,35 @@
 	"golang.org/x/time/rate"
 )
 
-// Leadership is what a heartbeat router needs to know of the leader.
+// Leadership is what a heartbeat router needs to know about the leader.
 type Leadership interface {
 	Now() time.Time
-	// Leading says whether this controller has taken over as leader.
+	// Leading reports whether this controller has taken over as leader.
 	Leading() bool
-	// Holder is who holds the leader lease as far as this controller knows, "" if nobody does.
+	// Holder returns the holder of the leader lease as far as this controller knows, or "" if
+	// nobody holds it.
 	Holder() protocol.NodeName
 	HolderTerm() protocol.Term
-	// DirectShare is how many of a thousand agents this controller answers itself as leader.
+	// DirectShare returns how many of every 1000 agents this controller responds to directly
+	// while it leads.
 	DirectShare() uint64
-	// RecordsLoaded says whether this controller has read the store's records.
+	// RecordsLoaded reports whether this controller has loaded the records from the store.
 	RecordsLoaded() bool
 }
 
-// HeartbeatReplies answers agents' heartbeats by the numbers of their requests, each once.
+// HeartbeatReplies sends the responses to agents' heartbeats, one for each request ID.
 type HeartbeatReplies interface {
-	// Answer answers as leader.
+	// Answer handles the heartbeat as leader and sends the leader's response.
 	Answer(requestID uint64, heartbeat *protocol.Heartbeat)
-	// Redirect sends an agent to another controller, to whichever it likes if that is "".
+	// Redirect sends an agent to another controller, or to any controller of its choice if to
+	// is "".
 	Redirect(requestID uint64, to protocol.NodeName)
 	// Refuse tells an agent that its heartbeat has no effect.
 	Refuse(requestID uint64, reason string)
 }
 
-// HeartbeatRouter finds who answers an agent's heartbeat: this controller as leader, the
-// leader by way of this one, or another controller that the agent is sent to.
+// HeartbeatRouter determines who responds to an agent's heartbeat: this controller as leader, the
+// leader through this controller, or another controller that the agent is redirected to.
 type HeartbeatRouter struct {
 	self      protocol.NodeName
 	peers     *Peers
@@ -42,28 +45,29 @@
 	leader    Leadership
 	replies   HeartbeatReplies
 
-	redirects       *rate.Limiter                  // of agents to their proxies
-	leaderRedirects *rate.Limiter                  // the same by the leader, to all peers
-	contacts        map[protocol.MachineID]contact // agents that send heartbeats here, or did
+	redirects       *rate.Limiter                  // limits redirects by this controller while it does not lead
+	leaderRedirects *rate.Limiter                  // limits redirects by this controller while it leads
+	contacts        map[protocol.MachineID]contact // agents that send heartbeats here, or recently did
 	queued          []queuedHeartbeat
 }
 
-// contact is what a controller remembers of an agent that sends it heartbeats.
+// contact records how this controller last treated an agent that sent it heartbeats.
 type contact struct {
-	term         protocol.Term // of the leader at that time
-	redirectedAt time.Time     // when it was sent to another controller, zero if it was not
-	proxiedAt    time.Time     // when this controller last answered it for the leader as its proxy
+	term         protocol.Term // the leader's term when the agent was redirected
+	redirectedAt time.Time     // when the agent was redirected, zero if it was not
+	proxiedAt    time.Time     // when this controller last kept the agent, as a proxy of the leader
 }
 
-// queuedHeartbeat is a heartbeat that came while nobody was known to lead.
+// queuedHeartbeat is a heartbeat that arrived while no leader was known.
 type queuedHeartbeat struct {
 	requestID uint64
 	heartbeat *protocol.Heartbeat
-	expire    time.Time
+	deadline  time.Time
 }
 
-// NewHeartbeatRouter makes a router that paces redirects by what they cost of a controller's
-// share of a core.
+// NewHeartbeatRouter returns a router that limits the rate of redirects to a part of the
+// controller's share of a core, given what a redirect costs. While the controller leads, the
+// limit is that of all peers together, because they take the redirected agents.
 func NewHeartbeatRouter(cfg *config.Config, peers *Peers, forwarder *Forwarder, leader Leadership, replies HeartbeatReplies) *HeartbeatRouter {
 	hr := &HeartbeatRouter{self: cfg.Name, peers: peers, forwarder: forwarder, leader: leader, replies: replies,
 		redirects: rate.NewLimiter(rate.Inf, 0), leaderRedirects: rate.NewLimiter(rate.Inf, 0),
@@ -75,57 +79,60 @@
 	return hr
 }
 
-// Route answers an agent's heartbeat if this controller leads; otherwise the
-// leader's answer is fetched or the agent is sent to it.
+// Route responds to an agent's heartbeat if this controller leads. Otherwise it forwards the
+// heartbeat to the leader, redirects the agent, or queues the heartbeat until a leader is known.
 func (hr *HeartbeatRouter) Route(requestID uint64, heartbeat *protocol.Heartbeat) {
 	hr.route(queuedHeartbeat{requestID, heartbeat, hr.leader.Now().Add(tuning.HeartbeatForwardTimeout)})
 }
 
-// route does so for a heartbeat that must be answered by a certain time.
+// route does the same for a heartbeat that has a deadline.
 func (hr *HeartbeatRouter) route(q queuedHeartbeat) {
 	machineID, leader := q.heartbeat.Machine, hr.leader.Holder()
 	switch {
 	case hr.leader.Leading():
 		hr.routeAsLeader(q)
 	case !hr.knowsLeader():
-		if to := hr.leaderFromPeers(); to != "" && !hr.redirectedLately(machineID) {
+		if to := hr.leaderFromPeers(); to != "" && !hr.recentlyRedirected(machineID) {
 			hr.redirect(q, to)
 			return
 		}
-		// The agent would try one controller after the other, a second each, until one
-		// leads; all of them at once cost the time that an election needs.
+		// Otherwise the agent would try one controller after another, one second each, until
+		// one leads. All agents doing so at once would use up the CPU time that an election
+		// needs.
 		hr.queued = append(hr.queued, q)
 	default:
 		if to := hr.redirectTarget(machineID, leader); to != "" {
 			hr.redirect(q, to)
-		} else if !hr.forwarder.ForwardHeartbeat(q.requestID, leader, q.heartbeat, q.expire) {
+		} else if !hr.forwarder.ForwardHeartbeat(q.requestID, leader, q.heartbeat, q.deadline) {
 			hr.replies.Redirect(q.requestID, "")
 		}
 	}
 }
 
-// routeAsLeader answers a heartbeat, or sends the agent to its proxy.
+// routeAsLeader responds to a heartbeat, or redirects the agent to its proxy.
 func (hr *HeartbeatRouter) routeAsLeader(q queuedHeartbeat) {
 	machineID := q.heartbeat.Machine
 	proxy := hr.peers.ProxyFor(machineID, hr.self, hr.leader.DirectShare())
-	if proxy != hr.self && !hr.redirectedLately(machineID) && hr.peers.FullyConnected() && hr.mayRedirect() {
+	if proxy != hr.self && !hr.recentlyRedirected(machineID) && hr.peers.FullyConnected() && hr.takeRedirectToken() {
 		hr.redirect(q, proxy)
 		return
 	}
 	hr.replies.Answer(q.requestID, q.heartbeat)
 }
 
-// redirectTarget is the controller that an agent should rather send heartbeats to, "" if this one
-// fetches the leader's answer for it.
+// redirectTarget returns the controller that an agent should send its heartbeats to, or "" if
+// this controller forwards them to the leader.
 func (hr *HeartbeatRouter) redirectTarget(machineID protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
 	now, contact := hr.leader.Now(), hr.contacts[machineID]
-	if hr.redirectedLately(machineID) {
+	if hr.recentlyRedirected(machineID) {
 		return ""
 	}
 	if !hr.peers.Reachable(leader) {
-		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.mayRedirect() {
-			// It is here for the leader's sake, and may well reach it. All at once would be
-			// more connections than the leader can open; the store relays some meanwhile.
+		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.takeRedirectToken() {
+			// The agent is here only because this controller acted as the leader's proxy, and
+			// may well reach the leader. The limit on redirects applies because all agents at
+			// once would be more connections than the leader can open. Until their turn comes,
+			// the store carries some of the heartbeats.
 			return leader
 		}
 		return ""
@@ -135,13 +142,14 @@
 	}
 	status := hr.peers.Status(leader)
 	if status.Term != hr.leader.HolderTerm() || status.Leader != leader {
-		return "" // it has yet to say how many it answers itself
+		return "" // the leader has not announced its direct share yet
 	}
 	to := hr.peers.ProxyFor(machineID, leader, status.DirectShare)
 	switch {
 	case status.DirectShare >= tuning.DirectShareScale:
-	case to == hr.self, !hr.peers.FullyConnected(), !hr.mayRedirect():
-		// It stays here: the proxy may be what is missing, or others move first.
+	case to == hr.self, !hr.peers.FullyConnected(), !hr.takeRedirectToken():
+		// The agent stays here: this controller is its proxy, or the proxy may be the
+		// controller whose links are missing, or other agents are redirected first.
 		contact.proxiedAt = now
 		hr.contacts[machineID] = contact
 		return ""
@@ -149,35 +157,36 @@
 	return to
 }
 
-// mayRedirect says whether one more agent may be sent to its proxy now. After all
-// controllers were lost every agent is somewhere, and answering it there costs
-// less than the connection that it would open elsewhere: moves have their part of
-// the processor time, so that they do not take the time of an election.
-// A leader pays nothing for a move that an answer would not cost, and has all of
-// its peers to take the agents in.
-func (hr *HeartbeatRouter) mayRedirect() bool {
+// takeRedirectToken reports whether one more agent may be redirected now, and counts the
+// redirect if so. After all controllers have been down, agents send their heartbeats to
+// any controller. Responding to an agent where it is costs less than the new connection that it
+// would open elsewhere. Redirects are therefore limited to a part of the CPU time, so that they do not
+// take the time that an election needs. A redirect by the leader costs it no more than a
+// response, and all of its peers take the agents, so its limit is higher.
+func (hr *HeartbeatRouter) takeRedirectToken() bool {
 	if hr.leader.Leading() {
 		return hr.leaderRedirects.AllowN(hr.leader.Now(), 1)
 	}
 	return hr.redirects.AllowN(hr.leader.Now(), 1)
 }
 
-// redirectedLately says whether an agent was sent to another controller lately and came
-// back: it cannot reach that one then. After a while it is sent again, for the cut may be
-// over, and answering it here costs more.
-func (hr *HeartbeatRouter) redirectedLately(machineID protocol.MachineID) bool {
+// recentlyRedirected reports whether an agent that sends a heartbeat here was redirected within
+// tuning.RedirectRetention, under the current leader. Such an agent cannot reach the controller
+// it was redirected to. After that time it is redirected again, because the network partition
+// may be over and responding to it here costs more.
+func (hr *HeartbeatRouter) recentlyRedirected(machineID protocol.MachineID) bool {
 	contact := hr.contacts[machineID]
 	return !contact.redirectedAt.IsZero() && contact.term == hr.leader.HolderTerm() &&
 		hr.leader.Now().Sub(contact.redirectedAt) < tuning.RedirectRetention
 }
 
-// redirect sends an agent to another controller.
+// redirect redirects an agent to another controller and records that.
 func (hr *HeartbeatRouter) redirect(q queuedHeartbeat, to protocol.NodeName) {
 	hr.contacts[q.heartbeat.Machine] = contact{term: hr.leader.HolderTerm(), redirectedAt: hr.leader.Now()}
 	hr.replies.Redirect(q.requestID, to)
 }
 
-// PruneContacts drops what no longer decides anything.
+// PruneContacts removes the contacts that are too old to affect routing.
 func (hr *HeartbeatRouter) PruneContacts() {
 	now := hr.leader.Now()
 	for machineID, contact := range hr.contacts {
@@ -187,14 +196,15 @@
 	}
 }
 
-// knowsLeader says whether somebody leads, as far as this controller knows.
+// knowsLeader reports whether this controller leads or knows another leader.
 func (hr *HeartbeatRouter) knowsLeader() bool {
 	holder := hr.leader.Holder()
 	return hr.leader.Leading() || holder != "" && holder != hr.self
 }
 
-// leaderFromPeers is the leader that some peer knows of while this controller, which has
-// just started or cannot read the store, does not; "" if none does.
+// leaderFromPeers returns a leader that a reachable peer knows of, or "" if none does. It serves a
+// controller that has just started or cannot read the store; one that has loaded the records
+// relies on them and gets "".
 func (hr *HeartbeatRouter) leaderFromPeers() protocol.NodeName {
 	if hr.leader.RecordsLoaded() {
 		return ""
@@ -207,11 +217,11 @@
 	return ""
 }
 
-// Queued is how many heartbeats wait for a leader.
+// Queued returns the number of heartbeats that wait for a leader.
 func (hr *HeartbeatRouter) Queued() int { return len(hr.queued) }
 
-// RouteQueued routes the heartbeats that waited for a leader once there is one, and, when it
-// is time to check for late ones, refuses those that have waited long enough.
+// RouteQueued routes the waiting heartbeats once a leader is known. If expiryDue is set and no
+// leader is known, it refuses those whose deadline has passed.
 func (hr *HeartbeatRouter) RouteQueued(expiryDue bool) {
 	if len(hr.queued) == 0 || !expiryDue && !hr.knowsLeader() {
 		return
@@ -222,7 +232,7 @@
 		switch {
 		case hr.knowsLeader():
 			hr.route(q)
-		case hr.leader.Now().After(q.expire):
+		case hr.leader.Now().After(q.deadline):
 			hr.replies.Refuse(q.requestID, "no leader known")
 		default:
 			hr.queued = append(hr.queued, q)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -15,7 +15,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is one of three controllers; what it sends and replies is noted in order.
+// controller is one of three controllers. What it sends and replies is recorded in order.
 type controller struct {
 	*Peers
 	*Forwarder
@@ -26,7 +26,7 @@
 	term          protocol.Term
 	loaded        bool
 	noRelayBudget bool
-	served        time.Time
+	storeServedAt time.Time
 	log           []string
 	sent          []protocol.PeerMessage
 	delivered     []protocol.PeerMessage
@@ -38,9 +38,9 @@
 	done func(status int, body []byte)
 }
 
-// newController makes a controller on so much of a core, 0 for no limit, that is linked to
-// the other two, which are linked to each other. "a" leads under term 9 and answers so many
-// of a thousand agents itself.
+// newController returns a controller that may use this share of a core, 0 for no limit. It has
+// links to the other two, which are linked to each other. "a" leads under term 9 and responds to
+// directShare of every 1000 agents itself.
 func newController(t *testing.T, cores float64, name protocol.NodeName, directShare uint64) *controller {
 	t.Helper()
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
@@ -65,13 +65,15 @@
 	return c
 }
 
-// connect makes a link to a peer that says so of itself.
+// connect sets up a link to a peer, which sends this status.
 func (c *controller) connect(name protocol.NodeName, status protocol.PeerStatus) {
 	c.LinkUp(name)
 	c.Receive(name, 1, status)
 }
 
-func (c *controller) note(format string, a ...any) { c.log = append(c.log, fmt.Sprintf(format, a...)) }
+func (c *controller) record(format string, a ...any) {
+	c.log = append(c.log, fmt.Sprintf(format, a...))
+}
 
 func (c *controller) CallStore(call kv.Call, done func(status int, body []byte)) {
 	c.calls = append(c.calls, pendingCall{call, done})
@@ -79,27 +81,31 @@
 func (c *controller) Now() time.Time           { return c.now }
 func (c *controller) UniqueName() string       { return fmt.Sprint("n-", c.NextID()) }
 func (c *controller) NextID() uint64           { c.lastID++; return c.lastID }
-func (c *controller) StoreServedAt() time.Time { return c.served }
+func (c *controller) StoreServedAt() time.Time { return c.storeServedAt }
 func (c *controller) TakeRelayWrite() bool     { return !c.noRelayBudget }
 func (c *controller) Deliver(message protocol.PeerMessage) {
 	c.delivered = append(c.delivered, message)
 }
-func (c *controller) ResetLink(peer protocol.NodeName)         { c.note("reset %s", peer) }
-func (c *controller) Leading() bool                            { return false }
-func (c *controller) Holder() protocol.NodeName                { return c.holder }
-func (c *controller) HolderTerm() protocol.Term                { return c.term }
-func (c *controller) DirectShare() uint64                      { return tuning.DirectShareScale }
-func (c *controller) RecordsLoaded() bool                      { return c.loaded }
-func (c *controller) Answer(id uint64, _ *protocol.Heartbeat)  { c.note("%d answered", id) }
-func (c *controller) Redirect(id uint64, to protocol.NodeName) { c.note("%d redirected to %s", id, to) }
-func (c *controller) Refuse(id uint64, reason string)          { c.note("%d refused: %s", id, reason) }
-func (c *controller) Unavailable(id uint64, reason string)     { c.note("%d unavailable: %s", id, reason) }
+func (c *controller) ResetLink(peer protocol.NodeName)        { c.record("reset %s", peer) }
+func (c *controller) Leading() bool                           { return false }
+func (c *controller) Holder() protocol.NodeName               { return c.holder }
+func (c *controller) HolderTerm() protocol.Term               { return c.term }
+func (c *controller) DirectShare() uint64                     { return tuning.DirectShareScale }
+func (c *controller) RecordsLoaded() bool                     { return c.loaded }
+func (c *controller) Answer(id uint64, _ *protocol.Heartbeat) { c.record("%d answered", id) }
+func (c *controller) Redirect(id uint64, to protocol.NodeName) {
+	c.record("%d redirected to %s", id, to)
+}
+func (c *controller) Refuse(id uint64, reason string) { c.record("%d refused: %s", id, reason) }
+func (c *controller) Unavailable(id uint64, reason string) {
+	c.record("%d unavailable: %s", id, reason)
+}
 func (c *controller) Forwarded(id uint64, r protocol.PeerResponse) {
-	c.note("%d answered with %d", id, r.Status)
+	c.record("%d got response %d", id, r.Status)
 }
 func (c *controller) Send(peer protocol.NodeName, message protocol.PeerMessage) {
 	c.sent = append(c.sent, message)
-	c.note("%T to %s", message, peer)
+	c.record("%T to %s", message, peer)
 }
 
 const (
@@ -109,7 +115,7 @@
 	redirectedToC     = "1 redirected to c"
 )
 
-// heartbeat tells what becomes of a machine's heartbeat, "" if it waits.
+// heartbeat routes a machine's heartbeat and returns what was done with it, "" if it waits.
 func (c *controller) heartbeat(machineID protocol.MachineID) string {
 	c.log = nil
 	c.Route(1, &protocol.Heartbeat{Machine: machineID, Incarnation: 1, Sequence: 1})
@@ -121,9 +127,9 @@
 
 func machine(i int) protocol.MachineID { return protocol.MachineID(fmt.Sprintf("i-%06d", i)) }
 
-// TestAgentsAreSpreadOverProxies: the leader answers its part of the agents itself, the other
-// controllers are proxies of equal parts of the rest, and each agent is sent to the same
-// controller by all.
+// TestAgentsAreSpreadOverProxies: the leader responds to its direct share of the agents itself,
+// and the other controllers are proxies for equal parts of the rest. All controllers redirect an
+// agent to the same controller.
 func TestAgentsAreSpreadOverProxies(t *testing.T) {
 	b, c := newController(t, 0, "b", 250), newController(t, 0, "c", 250)
 	count := map[string]int{}
@@ -141,7 +147,7 @@
 			t.Fatalf("%s: %s at b, %s at c", m, atB, atC)
 		}
 		if atB == redirectedToC && b.heartbeat(m) != forwardedToLeader {
-			t.Fatalf("%s could not reach c and is not answered by b", m)
+			t.Fatalf("%s cannot reach c, and b does not forward its heartbeat", m)
 		}
 	}
 	if count["a"] < 400 || count["a"] > 600 || count["b"] < 650 || count["c"] < 650 {
@@ -149,11 +155,11 @@
 	}
 }
 
-// TestAnyControllerIsProxyWhileLinkIsMissing: while a link is missing whichever controller an
-// agent comes to forwards its heartbeats, and an agent is sent to the leader itself when its
-// proxy has lost the leader: by way of third controllers or of the store only some could be
-// forwarded.
-func TestAnyControllerIsProxyWhileLinkIsMissing(t *testing.T) {
+// TestAnyControllerActsAsProxyWhileLinkIsDown: while a link is down, the controller
+// that an agent sends its heartbeats to forwards them, whichever it is. When an agent's proxy has
+// lost its link to the leader, the agent is redirected to the leader itself, because third
+// controllers and the store could carry the heartbeats of only some agents.
+func TestAnyControllerActsAsProxyWhileLinkIsDown(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	var own, other protocol.MachineID
 	for i := 0; own == "" || other == ""; i++ {
@@ -164,47 +170,47 @@
 		}
 	}
 	if got := b.heartbeat(own); got != forwardedToLeader {
-		t.Fatalf("its own agent is %s", got)
+		t.Fatalf("heartbeat of its own agent: %s", got)
 	}
 	b.LinkDown("c")
 	if got := b.heartbeat(other); got != forwardedToLeader {
-		t.Errorf("with c gone its agent is %s", got)
+		t.Errorf("heartbeat of c's agent without a link to c: %s", got)
 	}
 	b.LinkDown("a")
 	if got := b.heartbeat(own); got != redirectedToA {
-		t.Errorf("with the leader's link gone its own agent is %s", got)
+		t.Errorf("heartbeat of its own agent without a link to the leader: %s", got)
 	}
 	if got := b.heartbeat(own); got == redirectedToA {
-		t.Error("sent to the leader again at once, though it came back")
+		t.Error("redirected to the leader again at once, although the agent came back")
 	}
 	if got := newController(t, 0, "b", tuning.DirectShareScale).heartbeat(own); got != redirectedToA {
-		t.Errorf("the leader answers all itself: %s", got)
+		t.Errorf("heartbeat while the leader responds to all agents itself: %s", got)
 	}
 }
 
-// TestHeartbeatsWaitForLeader: while nobody leads, agents' heartbeats wait for the
-// next leader instead of going round the controllers, but not for longer than an agent
-// waits.
+// TestHeartbeatsWaitForLeader: while no leader is known, heartbeats wait for the next
+// leader, so that the agents need not try one controller after another. They wait no longer than
+// an agent waits for its response.
 func TestHeartbeatsWaitForLeader(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	b.holder, b.term = "", 0
-	// A controller that has just started takes a peer's word.
+	// A controller that has just started relies on what a peer knows.
 	if got := b.heartbeat("i-1"); got != redirectedToA {
-		t.Fatalf("a peer knows the leader: %s", got)
+		t.Fatalf("heartbeat while a peer knows the leader: %s", got)
 	}
 	b.connect("a", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"b", "c"}})
 	b.connect("c", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"x", "y"}})
 	if got := b.heartbeat("i-1"); got != "" || b.Queued() != 1 {
-		t.Fatalf("without a leader: %s", got)
+		t.Fatalf("heartbeat without a leader: %s", got)
 	}
 	b.RouteQueued(false)
 	if len(b.log) > 0 || b.Queued() != 1 {
-		t.Fatalf("without a leader and early: %s", b.log)
+		t.Fatalf("queued heartbeat without a leader, before its deadline: %s", b.log)
 	}
 	b.holder, b.term = "a", 10
 	b.RouteQueued(false)
 	if !slices.Equal(b.log, []string{forwardedToLeader}) || b.Queued() != 0 {
-		t.Errorf("with a new leader: %s", b.log)
+		t.Errorf("queued heartbeat with a new leader: %s", b.log)
 	}
 	b.holder, b.term = "", 0
 	b.heartbeat("i-2")
@@ -214,13 +220,14 @@
 		b.RouteQueued(true)
 	}
 	if waited := b.now.Sub(start); waited > tuning.HeartbeatForwardTimeout+tuning.MinTimerInterval || !slices.Equal(b.log, []string{"1 refused: no leader known"}) {
-		t.Errorf("after %v: %s", waited, b.log)
+		t.Errorf("queued heartbeat without a leader after %v: %s", waited, b.log)
 	}
 }
 
-// TestRedirectsArePaced: after all controllers were lost every agent is at some controller;
-// they are sent to their proxies by and by, and answered meanwhile.
-func TestRedirectsArePaced(t *testing.T) {
+// TestRedirectsAreRateLimited: after all controllers have been down, agents send their
+// heartbeats to any controller. They are redirected to their proxies at a limited rate, and
+// their heartbeats are forwarded until then.
+func TestRedirectsAreRateLimited(t *testing.T) {
 	const cores = 0.018
 	b := newController(t, cores, "b", 250)
 	redirected := 0
@@ -232,7 +239,7 @@
 		}
 	}
 	if redirected != tuning.MaxConcurrentRedirects {
-		t.Errorf("%d agents are redirected at once", redirected)
+		t.Errorf("%d agents redirected at once", redirected)
 	}
 	more := 0
 	for i := range 600 {
@@ -247,12 +254,12 @@
 	}
 	pause := config.ProcessLimits{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
 	if want := int(5 / pause.Seconds()); more < want-1 || more > want+1 {
-		t.Errorf("%d agents are redirected in 5 s, want %d", more, want)
+		t.Errorf("%d agents redirected in 5 s, want %d", more, want)
 	}
 }
 
-// TestExpiredForwardsAreRefusedInOrder: requests that expire in one step were refused in
-// the order of a map, so that the same seed did not give the same run.
+// TestExpiredForwardsAreRefusedInOrder: requests that expire in the same step are refused in the
+// order of their IDs. In the random order of a map, simulations with the same seed would differ.
 func TestExpiredForwardsAreRefusedInOrder(t *testing.T) {
 	for range 20 {
 		b := newController(t, 0, "b", 0)
@@ -273,8 +280,9 @@
 	}
 }
 
-// TestForwardedRequestIsAnsweredOnce: a peer's answer goes to whoever asked, once; what a peer
-// sent here is answered to that peer and goes no further.
+// TestForwardedRequestIsAnsweredOnce: a peer's response is passed on once, for the request that
+// was forwarded. The response to a request that a peer forwarded here goes to that peer, and the
+// request is not forwarded again.
 func TestForwardedRequestIsAnsweredOnce(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	if b.ForwardRequest(7, protocol.PeerUserRequest{}) {
@@ -287,25 +295,25 @@
 	for range 2 {
 		b.HandleResponse(protocol.PeerResponse{ID: request.ID, Target: "b", Status: http.StatusCreated})
 	}
-	if !slices.Equal(b.log, []string{"7 answered with 201"}) {
-		t.Errorf("%q", b.log)
+	if !slices.Equal(b.log, []string{"7 got response 201"}) {
+		t.Errorf("replies %q", b.log)
 	}
 	id := b.ReceiveRequest(protocol.PeerUserRequest{ID: 33, Origin: "c"})
 	if b.ForwardRequest(id, protocol.PeerUserRequest{}) {
 		t.Error("a peer's request is forwarded again")
 	}
 	if !b.Respond(id, http.StatusOK, nil) || b.Respond(id, http.StatusOK, nil) || b.Respond(7, http.StatusOK, nil) {
-		t.Error("not answered once")
+		t.Error("not responded to exactly once")
 	}
 	if got := b.sent[len(b.sent)-1].(protocol.PeerResponse); got.ID != 33 || got.Target != "c" || got.Status != http.StatusOK {
-		t.Errorf("answered with %+v", got)
+		t.Errorf("response %+v", got)
 	}
 }
 
-// TestAnnouncementCountsForItsLink: what a peer knows counts for the link on which it said so:
-// a process that comes back as an older version says nothing, and a word that was
-// held back on an earlier link does not speak for it.
-func TestAnnouncementCountsForItsLink(t *testing.T) {
+// TestFeatureLevelAppliesToLinkThatAnnouncedIt: an announced feature level applies only to the link on
+// which it was announced. A peer that restarts with an older version announces nothing on its new
+// link, and a delayed announcement from an earlier link does not apply to it.
+func TestFeatureLevelAppliesToLinkThatAnnouncedIt(t *testing.T) {
 	c := newController(t, 0, "n", 0)
 	c.Peers = NewPeers(&config.Config{Name: "n", Peers: []config.Peer{{Name: "s"}}}, slog.New(slog.DiscardHandler), kv.New(c), c)
 	for i, step := range []struct {
@@ -316,7 +324,7 @@
 		{3, protocol.PeerHello{Node: "s"}, false},
 		{3, protocol.Announcement("n"), true},
 		{3, protocol.PeerStatus{}, true},
-		{4, protocol.PeerHello{Node: "s"}, false}, // back as an older version
+		{4, protocol.PeerHello{Node: "s"}, false}, // restarted with an older version
 		{3, protocol.Announcement("n"), false},
 		{4, protocol.PeerStatus{}, false},
 		{4, protocol.Announcement("n"), true},
@@ -328,10 +336,10 @@
 	}
 }
 
-// TestMessagesWithoutPathAreRelayedByStore: a message goes over the link, by way of a third
-// controller, or, when there is no path, through the store in one value for each peer; what
-// comes that way is delivered, and what cannot be read counts as lost.
-func TestMessagesWithoutPathAreRelayedByStore(t *testing.T) {
+// TestMessagesWithoutPathAreRelayedThroughStore: a message goes over the link to its target, or
+// through a third controller, or, if no path is left, through the store in one value for each
+// peer. Messages from the store are delivered; a malformed value counts as lost.
+func TestMessagesWithoutPathAreRelayedThroughStore(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	message := protocol.PeerCancellation{Job: "run-000001"}
 	b.connect("c", protocol.PeerStatus{Links: []protocol.NodeName{"a"}})
@@ -350,26 +358,26 @@
 			t.Errorf("%q, want %q", b.log, step.want)
 		}
 	}
-	b.served = b.now
+	b.storeServedAt = b.now
 	for range 2 {
 		if !b.Peers.Send("a", message) {
-			t.Error("not taken for the store")
+			t.Error("message not queued for the store")
 		}
 	}
 	if b.Peers.Send("nobody", message) {
-		t.Error("taken for nobody")
+		t.Error("message to an unknown peer was queued")
 	}
 	b.noRelayBudget = true
 	b.WriteRelayed()
 	if len(b.calls) > 0 {
-		t.Error("written beyond the budget")
+		t.Error("messages written to the store beyond the budget")
 	}
 	b.noRelayBudget = false
 	b.WriteRelayed()
 	b.Peers.Send("a", message)
 	b.WriteRelayed()
 	if len(b.calls) != 1 {
-		t.Fatalf("%d calls of the store, want one at a time", len(b.calls))
+		t.Fatalf("%d calls to the store, want one at a time", len(b.calls))
 	}
 	change := b.calls[0].Body.(protocol.Transaction).Changes[0]
 	a := newController(t, 0, "a", 0)
@@ -377,12 +385,13 @@
 	a.ReceiveRelayed(&protocol.WatchEvent{Set: change.Set, Value: storage.Encode(storage.RelayedFrames{Frames: []byte("x")})})
 	a.ReceiveRelayed(&protocol.WatchEvent{Set: storage.RelayKey("a", "b"), Value: change.Value})
 	if !slices.Equal(a.delivered, []protocol.PeerMessage{message, message}) {
-		t.Errorf("delivered %+v", a.delivered)
+		t.Errorf("delivered messages: %+v", a.delivered)
 	}
 }
 
-// TestSilentLinkIsReset: peers hear of this controller at intervals; one that has said nothing
-// for twice the time after which it counts as unreachable is dialled anew, once at a time.
+// TestSilentLinkIsReset: this controller sends its peers heartbeats at intervals. The link to a peer
+// that has been silent for twice the time after which it counts as unreachable is reset; the next
+// reset comes only after another such silence.
 func TestSilentLinkIsReset(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	b.now = b.now.Add(2*tuning.PeerSilenceTimeout + time.Millisecond)
@@ -394,7 +403,7 @@
 		b.log = nil
 		b.TriggerHeartbeat()
 		if !b.HeartbeatDue() {
-			t.Fatal("no heartbeat is due")
+			t.Fatal("no heartbeat due")
 		}
 		b.SendHeartbeats(protocol.PeerStatus{})
 		if !slices.Equal(b.log, want) || b.HeartbeatDue() {
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -1,10 +1,10 @@
-// Package membership is a controller's dealings with its peers: which of them it reaches,
-// what they know and say of themselves, messages by way of links, of third controllers or
-// of the key-value store, users' requests and agents' heartbeats that another controller
-// has to answer, and which controller answers an agent as the leader's proxy.
+// Package membership handles a controller's communication with its peers. It tracks which
+// peers are reachable, and the status and feature level that each has announced. It sends
+// messages over links between controllers, through a third controller or through the key-value
+// store. It forwards users' requests and agents' heartbeats that another controller has to
+// handle, and determines which controller responds to an agent as the leader's proxy.
 //
-// It decides on nothing of jobs or machines, and what a message asks for is carried out by
-// its callers.
+// It makes no decisions about jobs or machines. Its callers carry out what a message asks for.
 package membership
 
 import (
@@ -19,50 +19,51 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Environment is what peers need of the controller.
+// Environment is what Peers needs from the controller.
 type Environment interface {
 	Now() time.Time
-	// UniqueName makes a name that no other write has.
+	// UniqueName returns a name that no other write uses.
 	UniqueName() string
 	// Send sends a message over the link to a peer.
 	Send(peer protocol.NodeName, message protocol.PeerMessage)
-	// ResetLink closes the link to a peer, so that it is dialled anew.
+	// ResetLink closes the link to a peer, so that the peer is dialled again.
 	ResetLink(peer protocol.NodeName)
-	// StoreServedAt is when the key-value store last served this controller.
+	// StoreServedAt returns the time at which the key-value store last served this controller.
 	StoreServedAt() time.Time
-	// TakeRelayWrite says whether store-relayed messages may be written now, and counts that.
+	// TakeRelayWrite reports whether messages for a peer may be written to the store now, and
+	// counts the write if so.
 	TakeRelayWrite() bool
-	// Deliver takes a message that came by way of the store.
+	// Deliver handles a message that arrived through the store.
 	Deliver(message protocol.PeerMessage)
 }
 
 // peer is a peer as this controller sees it.
 type peer struct {
-	up     bool
-	heard  time.Time
-	status protocol.PeerStatus
-	link   uint64 // the newest link from it
-	level  uint64 // what it has announced on that link that it knows
-	outbox outbox
+	linkUp       bool
+	lastHeardAt  time.Time
+	status       protocol.PeerStatus
+	newestLink   uint64 // number of the newest link from the peer
+	featureLevel uint64 // announced by the peer on that link
+	outbox       outbox
 }
 
-// Peers are the other controllers.
+// Peers tracks the other controllers and sends them messages.
 type Peers struct {
 	cfg   *config.Config
 	log   *slog.Logger
 	env   Environment
 	store kv.Client
 
-	peers       map[protocol.NodeName]*peer
-	order       []protocol.NodeName // of the settings
-	names       []protocol.NodeName // of all controllers, sorted
-	heartbeatAt time.Time
+	peers           map[protocol.NodeName]*peer
+	configOrder     []protocol.NodeName // peers in the order of the settings
+	controllers     []protocol.NodeName // names of all controllers, this one included, sorted
+	nextHeartbeatAt time.Time
 }
 
-// NewPeers makes the peers of the settings, none of them reached yet.
+// NewPeers returns the peers that the settings name, none of them connected yet.
 func NewPeers(cfg *config.Config, log *slog.Logger, store kv.Client, env Environment) *Peers {
 	p := &Peers{cfg: cfg, log: log, store: store, env: env,
-		peers: map[protocol.NodeName]*peer{}, names: []protocol.NodeName{cfg.Name}}
+		peers: map[protocol.NodeName]*peer{}, controllers: []protocol.NodeName{cfg.Name}}
 	for _, settings := range cfg.Peers {
 		p.Add(settings.Name)
 	}
@@ -72,43 +73,44 @@
 // Add adds a peer.
 func (p *Peers) Add(name protocol.NodeName) {
 	p.peers[name] = &peer{}
-	p.order = append(p.order, name)
-	p.names = append(p.names, name)
-	slices.Sort(p.names)
+	p.configOrder = append(p.configOrder, name)
+	p.controllers = append(p.controllers, name)
+	slices.Sort(p.controllers)
 }
 
-// Count is how many peers there are.
+// Count returns the number of peers.
 func (p *Peers) Count() int { return len(p.peers) }
 
-// LinkUp notes that there is a link to a peer.
+// LinkUp records that there is a link to a peer, and makes a heartbeat to the peers due.
 func (p *Peers) LinkUp(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
-		peer.up, peer.heard = true, p.env.Now()
-		p.heartbeatAt = time.Time{}
+		peer.linkUp, peer.lastHeardAt = true, p.env.Now()
+		p.nextHeartbeatAt = time.Time{}
 	}
 }
 
-// LinkDown notes that the last link to a peer is gone.
+// LinkDown records that the last link to a peer is gone.
 func (p *Peers) LinkDown(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
-		peer.up = false
+		peer.linkUp = false
 	}
 }
 
-// Receive notes what a message over a link says of the peer itself; false if it comes
-// from nobody, or says nothing else.
+// Receive processes what a message from a link says about the peer itself. It reports whether
+// the caller has to handle the message: not if the sender is unknown or the message says
+// nothing else.
 func (p *Peers) Receive(from protocol.NodeName, link uint64, message protocol.PeerMessage) bool {
 	peer := p.peers[from]
 	if peer == nil {
 		return false
 	}
-	peer.heard = p.env.Now()
-	if link > peer.link {
-		peer.link, peer.level = link, 0 // another process perhaps, and an older version
+	peer.lastHeardAt = p.env.Now()
+	if link > peer.newestLink {
+		peer.newestLink, peer.featureLevel = link, 0 // the peer may have restarted with an older version
 	}
 	if level, ok := protocol.Announced(message); ok {
-		if link == peer.link {
-			peer.level = level // one held back on an earlier link says nothing of this one
+		if link == peer.newestLink {
+			peer.featureLevel = level // one delayed on an earlier link does not apply to the newest
 		}
 		return false
 	}
@@ -122,16 +124,16 @@
 	return true
 }
 
-// Reachable says whether the link to a peer is there and alive.
+// Reachable reports whether the link to a peer is up and has not been silent for too long.
 func (p *Peers) Reachable(name protocol.NodeName) bool {
 	peer := p.peers[name]
-	return peer != nil && peer.up && p.env.Now().Sub(peer.heard) < tuning.PeerSilenceTimeout
+	return peer != nil && peer.linkUp && p.env.Now().Sub(peer.lastHeardAt) < tuning.PeerSilenceTimeout
 }
 
-// ReachableNames lists the peers within reach, in order of their names.
+// ReachableNames returns the names of the reachable peers, sorted.
 func (p *Peers) ReachableNames() []protocol.NodeName {
 	var names []protocol.NodeName
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		if p.Reachable(name) {
 			names = append(names, name)
 		}
@@ -140,7 +142,7 @@
 	return names
 }
 
-// Status is what a peer last said of itself.
+// Status returns the latest status that a peer has sent.
 func (p *Peers) Status(name protocol.NodeName) protocol.PeerStatus {
 	if peer := p.peers[name]; peer != nil {
 		return peer.status
@@ -148,37 +150,40 @@
 	return protocol.PeerStatus{}
 }
 
-// NamesWithStoreAccess lists the peers within reach that the store serves, in order of their names.
+// NamesWithStoreAccess returns the names of the reachable peers that the store serves, sorted.
 func (p *Peers) NamesWithStoreAccess() []protocol.NodeName {
 	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.StateOK })
 }
 
-// Supports says whether a peer can be reached and has announced a level on its newest link.
+// Supports reports whether a peer is reachable and has announced at least this feature level on
+// its newest link.
 func (p *Peers) Supports(name protocol.NodeName, level uint64) bool {
-	return p.Reachable(name) && p.peers[name].level >= level
+	return p.Reachable(name) && p.peers[name].featureLevel >= level
 }
 
-// AllSupport says whether every peer has announced a level on its newest link.
+// AllSupport reports whether every peer has announced at least this feature level on its newest
+// link.
 func (p *Peers) AllSupport(level uint64) bool {
-	return p.everyKnows(level, func(*peer) bool { return true })
+	return p.everyPeerSupports(level, func(*peer) bool { return true })
 }
 
-// AllConnectedSupport says the same of the peers that there is a link to.
+// AllConnectedSupport reports the same for only those peers to which a link is up.
 func (p *Peers) AllConnectedSupport(level uint64) bool {
-	return p.everyKnows(level, func(peer *peer) bool { return peer.up })
+	return p.everyPeerSupports(level, func(peer *peer) bool { return peer.linkUp })
 }
 
-func (p *Peers) everyKnows(level uint64, counts func(*peer) bool) bool {
+func (p *Peers) everyPeerSupports(level uint64, include func(*peer) bool) bool {
 	for _, peer := range p.peers {
-		if counts(peer) && peer.level < level {
+		if include(peer) && peer.featureLevel < level {
 			return false
 		}
 	}
 	return true
 }
 
-// Partitioned says whether a peer that this controller reaches is out of the leader's
-// reach: the network has a cut, and agents behind it cannot reach the leader.
+// Partitioned reports whether a peer that this controller can reach is missing from the
+// leader's links. The network is partitioned then, and agents on that peer's side of the
+// partition cannot reach the leader.
 func (p *Peers) Partitioned(leader protocol.NodeName) bool {
 	for _, name := range p.ReachableNames() {
 		if name != leader && !slices.Contains(p.peers[leader].status.Links, name) {
@@ -188,39 +193,40 @@
 	return false
 }
 
-// FullyConnected says whether every link between controllers that this one knows of is there.
+// FullyConnected reports whether every controller has links to all others, according to this
+// controller's own links and those that its peers report.
 func (p *Peers) FullyConnected() bool {
 	reachable := p.ReachableNames()
-	if len(reachable) < len(p.order) {
+	if len(reachable) < len(p.configOrder) {
 		return false
 	}
 	for _, name := range reachable {
-		if len(p.peers[name].status.Links) < len(p.order) {
+		if len(p.peers[name].status.Links) < len(p.configOrder) {
 			return false
 		}
 	}
 	return true
 }
 
-// ProxyFor is the controller that answers an agent when all links are there: the leader
-// for as many agents of a thousand as its direct share, the others in equal parts for the
-// rest. All controllers reckon the same.
+// ProxyFor returns the controller that responds to an agent's heartbeats while all links are up.
+// That is the leader itself for directShare of every 1000 agents; the other controllers divide
+// the rest equally. All controllers compute the same result.
 func (p *Peers) ProxyFor(machineID protocol.MachineID, leader protocol.NodeName, directShare uint64) protocol.NodeName {
 	h := fnv.New32a()
 	h.Write([]byte(machineID))
-	sum := uint64(h.Sum32())
-	if sum%tuning.DirectShareScale < directShare || len(p.names) < 2 {
+	hash := uint64(h.Sum32())
+	if hash%tuning.DirectShareScale < directShare || len(p.controllers) < 2 {
 		return leader
 	}
-	at := sum / tuning.DirectShareScale % uint64(len(p.names)-1)
-	if p.names[at] >= leader {
-		at++ // the leader is left out
+	index := hash / tuning.DirectShareScale % uint64(len(p.controllers)-1)
+	if p.controllers[index] >= leader {
+		index++ // skips the leader
 	}
-	return p.names[at]
+	return p.controllers[index]
 }
 
-// route finds the peer to hand a message for target to: the target itself,
-// or a third controller that reaches it. "" if there is none.
+// route returns the peer to which a message for target is sent: the target itself, or a third
+// controller that has a link to it. It returns "" if there is none.
 func (p *Peers) route(target protocol.NodeName) protocol.NodeName {
 	if p.Reachable(target) {
 		return target
@@ -233,7 +239,8 @@
 	return ""
 }
 
-// Send sends a message to a peer by the best way there is; false if there is none.
+// Send sends a message to a peer over the best path available, or else queues it to go through
+// the store. It returns false if neither is possible.
 func (p *Peers) Send(target protocol.NodeName, message protocol.PeerMessage) bool {
 	via := p.route(target)
 	if via == "" {
@@ -243,31 +250,32 @@
 	return true
 }
 
-// ForwardMessage carries a message between two peers, unless it goes in circles.
+// ForwardMessage passes on a message between two peers. It drops a message that has made more
+// than tuning.MaxPeerHops hops, so that none circulates forever.
 func (p *Peers) ForwardMessage(target protocol.NodeName, hops uint64, message protocol.PeerMessage) {
 	if hops <= tuning.MaxPeerHops {
 		p.Send(target, message)
 	}
 }
 
-// HeartbeatDue says whether the peers are to hear of this controller's status now.
-func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.heartbeatAt) }
+// HeartbeatDue reports whether it is time to send the peers this controller's status.
+func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.nextHeartbeatAt) }
 
-// TriggerHeartbeat has the peers hear of this controller's status in the next step.
-func (p *Peers) TriggerHeartbeat() { p.heartbeatAt = p.env.Now() }
+// TriggerHeartbeat makes the next heartbeat to the peers due at once.
+func (p *Peers) TriggerHeartbeat() { p.nextHeartbeatAt = p.env.Now() }
 
-// SendHeartbeats tells the peers of this controller's status, and resets links that have
-// gone silent.
+// SendHeartbeats sends the connected peers this controller's feature level and status, and
+// resets links that have been silent for more than twice tuning.PeerSilenceTimeout.
 func (p *Peers) SendHeartbeats(status protocol.PeerStatus) {
 	now := p.env.Now()
-	p.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+	p.nextHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
 	status.Links = p.ReachableNames()
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		peer := p.peers[name]
 		switch {
-		case !peer.up:
-		case now.Sub(peer.heard) > 2*tuning.PeerSilenceTimeout:
-			peer.heard = now // one reset at a time
+		case !peer.linkUp:
+		case now.Sub(peer.lastHeardAt) > 2*tuning.PeerSilenceTimeout:
+			peer.lastHeardAt = now // the next reset comes only after another such silence
 			p.env.ResetLink(name)
 		default:
 			p.env.Send(name, protocol.Announcement(name))
@@ -276,13 +284,13 @@
 	}
 }
 
-// Due tells when the peers are to hear of this controller, and when store-relayed messages
-// may be written.
-func (p *Peers) Due(by func(time.Time)) {
-	by(p.heartbeatAt)
-	for _, name := range p.order {
-		if box := &p.peers[name].outbox; len(box.frames) > 0 && !box.sending {
-			by(box.sendAt)
+// Due calls wakeBy with the time of the next heartbeat to the peers, and with the times at which
+// queued messages may be written to the store.
+func (p *Peers) Due(wakeBy func(time.Time)) {
+	wakeBy(p.nextHeartbeatAt)
+	for _, name := range p.configOrder {
+		if box := &p.peers[name].outbox; len(box.frames) > 0 && !box.writing {
+			wakeBy(box.nextWriteAt)
 		}
 	}
 }
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -12,16 +12,17 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// outbox is what waits to be sent to a peer by way of the key-value store,
-// which belongs to no zone: the last resort when a cut leaves no path over the
-// controllers' own links. A zone that is cut off so keeps its leader.
+// outbox holds the messages that wait to be sent to a peer through the key-value store. The store
+// is the last resort when a network partition leaves no path over the links between controllers.
+// It belongs to no zone, so a zone that is cut off in this way still has the leader.
 type outbox struct {
-	frames  []byte
-	sending bool
-	sendAt  time.Time
+	frames      []byte
+	writing     bool
+	nextWriteAt time.Time
 }
 
-// relay queues a message for a peer that no link leads to.
+// relay queues a message to be sent through the store to a peer that no path over links leads to.
+// It reports whether the message was queued.
 func (p *Peers) relay(target protocol.NodeName, message protocol.PeerMessage) bool {
 	peer := p.peers[target]
 	if peer == nil || p.env.Now().Sub(p.env.StoreServedAt()) > tuning.IsolationTimeout {
@@ -29,31 +30,32 @@
 	}
 	frame := protocol.AppendPeerFrame(nil, message)
 	if len(peer.outbox.frames)+len(frame) > storage.RelayCapacity(p.cfg.Cluster.Store.ValueKB) {
-		return false // the sender tries again, as after a lost packet
+		return false // the sender retries, as after a lost packet
 	}
 	peer.outbox.frames = append(peer.outbox.frames, frame...)
 	return true
 }
 
-// WriteRelayed writes the store-relayed messages that wait, a value for each peer.
+// WriteRelayed writes the queued messages to the store, as one value for each peer.
 func (p *Peers) WriteRelayed() {
 	now := p.env.Now()
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		box := &p.peers[name].outbox
-		if len(box.frames) == 0 || box.sending || now.Before(box.sendAt) || !p.env.TakeRelayWrite() {
+		if len(box.frames) == 0 || box.writing || now.Before(box.nextWriteAt) || !p.env.TakeRelayWrite() {
 			continue
 		}
 		txn := protocol.Transaction{Changes: []protocol.Change{{Set: storage.RelayKey(p.cfg.Name, name),
 			Value: storage.Encode(storage.RelayedFrames{Writer: p.env.UniqueName(), Frames: box.frames})}}}
-		box.frames, box.sending = nil, true
-		box.sendAt = now.Add(tuning.RelayWriteInterval)
+		box.frames, box.writing = nil, true
+		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.sending = false // what was lost is sent again by whoever misses it
+			box.writing = false // if the write failed, whoever misses the messages has them sent again
 		})
 	}
 }
 
-// ReceiveRelayed takes a value that a peer wrote for this controller.
+// ReceiveRelayed delivers the messages in a value that a peer wrote to the store for this
+// controller. It ignores changes of other keys.
 func (p *Peers) ReceiveRelayed(event *protocol.WatchEvent) {
 	from, to, ok := storage.ParseRelayKey(event.Set)
 	if !ok || to != p.cfg.Name || p.peers[from] == nil {
@@ -75,5 +77,5 @@
 	}
 }
 
-// IsRelayKey says whether a key is that of store-relayed messages.
+// IsRelayKey reports whether a key holds messages that are sent through the store.
 func IsRelayKey(key string) bool { return strings.HasPrefix(key, storage.RelayPrefix) }
