--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if record.Cancelled {
-		c.confirmCancellation(requestID, jobID) // marked, possibly, by a transaction whose response was lost
+		c.confirmCancellation(requestID, jobID) // perhaps by a transaction whose response was lost
 		return
 	}
 	record.Cancelled, record.Writer = true, c.env.UniqueName()
--- a/internal/coordination/api/runnable.go
+++ b/internal/coordination/api/runnable.go
@@ -12,7 +12,7 @@
 // runnableCheck determines which jobs can never run.
 type runnableCheck struct {
 	cfg   *config.Config
-	types map[protocol.MachineTypeName]*protocol.MachineType // known so far; the caller of New adds to it
+	types map[protocol.MachineTypeName]*protocol.MachineType // known so far; New's caller adds more
 }
 
 // ready reports whether any machine types are known. Without them every job would look as if
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -16,7 +16,7 @@
 type statusQuery struct {
 	requestID    uint64
 	job          protocol.JobID
-	resubmission bool // the request submits the job again; its reply is the shorter protocol.Accepted
+	resubmission bool // a repeated submission; its reply is a protocol.Accepted
 	deadline     time.Time
 }
 
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -29,8 +29,7 @@
 type HeartbeatReplies interface {
 	// Answer handles the heartbeat as leader and sends the leader's response.
 	Answer(requestID uint64, heartbeat *protocol.Heartbeat)
-	// Redirect sends an agent to another controller, or to any controller of its choice if to
-	// is "".
+	// Redirect tells an agent to use another controller, or any controller if to is "".
 	Redirect(requestID uint64, to protocol.NodeName)
 	// Refuse tells an agent that its heartbeat has no effect.
 	Refuse(requestID uint64, reason string)
@@ -45,8 +44,8 @@
 	leader    Leadership
 	replies   HeartbeatReplies
 
-	redirects       *rate.Limiter                  // limits redirects by this controller while it does not lead
-	leaderRedirects *rate.Limiter                  // limits redirects by this controller while it leads
+	redirects       *rate.Limiter                  // limit on redirects while this controller does not lead
+	leaderRedirects *rate.Limiter                  // limit on redirects while it leads
 	contacts        map[protocol.MachineID]contact // agents that send heartbeats here, or recently did
 	queued          []queuedHeartbeat
 }
@@ -96,9 +95,9 @@
 			hr.redirect(q, to)
 			return
 		}
-		// Otherwise the agent would try one controller after another, one second each, until
-		// one leads. All agents doing so at once would use up the CPU time that an election
-		// needs.
+		// If its heartbeat were refused, the agent would try one controller after another, one
+		// second each, until one leads. All agents doing so at once would use up the CPU time
+		// that an election needs.
 		hr.queued = append(hr.queued, q)
 	default:
 		if to := hr.redirectTarget(machineID, leader); to != "" {
@@ -130,9 +129,9 @@
 	if !hr.peers.Reachable(leader) {
 		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.takeRedirectToken() {
 			// The agent is here only because this controller acted as the leader's proxy, and
-			// may well reach the leader. The limit on redirects applies because all agents at
-			// once would be more connections than the leader can open. Until their turn comes,
-			// the store carries some of the heartbeats.
+			// can probably reach the leader. Redirects are limited even so: all agents at once
+			// would be more connections than the leader can open. Until an agent's turn comes,
+			// its heartbeats may be relayed through the store.
 			return leader
 		}
 		return ""
@@ -148,8 +147,8 @@
 	switch {
 	case status.DirectShare >= tuning.DirectShareScale:
 	case to == hr.self, !hr.peers.FullyConnected(), !hr.takeRedirectToken():
-		// The agent stays here: this controller is its proxy, or the proxy may be the
-		// controller whose links are missing, or other agents are redirected first.
+		// The agent stays here: this controller is its proxy, a link is missing that may be
+		// the proxy's, or other agents are redirected first.
 		contact.proxiedAt = now
 		hr.contacts[machineID] = contact
 		return ""
@@ -158,11 +157,11 @@
 }
 
 // takeRedirectToken reports whether one more agent may be redirected now, and counts the
-// redirect if so. After all controllers have been down, agents send their heartbeats to
-// any controller. Responding to an agent where it is costs less than the new connection that it
-// would open elsewhere. Redirects are therefore limited to a part of the CPU time, so that they do not
-// take the time that an election needs. A redirect by the leader costs it no more than a
-// response, and all of its peers take the agents, so its limit is higher.
+// redirect if so. After an outage of all controllers, agents send their heartbeats to any
+// controller. Responding to an agent where it is costs less than the new connection that it
+// would open elsewhere. Redirects are therefore limited to a part of the CPU time, so that they
+// do not take the time that an election needs. A redirect by the leader costs the leader no more
+// than a response, and all of its peers take in the agents, so its limit is higher.
 func (hr *HeartbeatRouter) takeRedirectToken() bool {
 	if hr.leader.Leading() {
 		return hr.leaderRedirects.AllowN(hr.leader.Now(), 1)
@@ -171,9 +170,9 @@
 }
 
 // recentlyRedirected reports whether an agent that sends a heartbeat here was redirected within
-// tuning.RedirectRetention, under the current leader. Such an agent cannot reach the controller
-// it was redirected to. After that time it is redirected again, because the network partition
-// may be over and responding to it here costs more.
+// tuning.RedirectRetention, under the current leader. Such an agent came back because it cannot
+// reach the controller that it was redirected to. After that time it may be redirected again: the
+// network partition may be over, and responding to the agent here costs more.
 func (hr *HeartbeatRouter) recentlyRedirected(machineID protocol.MachineID) bool {
 	contact := hr.contacts[machineID]
 	return !contact.redirectedAt.IsZero() && contact.term == hr.leader.HolderTerm() &&
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -310,8 +310,8 @@
 	}
 }
 
-// TestFeatureLevelAppliesToLinkThatAnnouncedIt: an announced feature level applies only to the link on
-// which it was announced. A peer that restarts with an older version announces nothing on its new
+// TestFeatureLevelAppliesToLinkThatAnnouncedIt: a feature level applies only to the link on which
+// it was announced. A peer that restarts with an older version announces nothing on its new
 // link, and a delayed announcement from an earlier link does not apply to it.
 func TestFeatureLevelAppliesToLinkThatAnnouncedIt(t *testing.T) {
 	c := newController(t, 0, "n", 0)
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Receive processes what a message from a link says about the peer itself. It reports whether
-// the caller has to handle the message: not if the sender is unknown or the message says
-// nothing else.
+// Receive updates what is known about a peer from a message that arrived over a link. It returns
+// true if the caller must handle the message too, and false if the message only describes the
+// peer itself or its sender is unknown.
 func (p *Peers) Receive(from protocol.NodeName, link uint64, message protocol.PeerMessage) bool {
 	peer := p.peers[from]
 	if peer == nil {
@@ -106,7 +106,7 @@
 	}
 	peer.lastHeardAt = p.env.Now()
 	if link > peer.newestLink {
-		peer.newestLink, peer.featureLevel = link, 0 // the peer may have restarted with an older version
+		peer.newestLink, peer.featureLevel = link, 0 // perhaps restarted with an older version
 	}
 	if level, ok := protocol.Announced(message); ok {
 		if link == peer.newestLink {
@@ -239,8 +239,8 @@
 	return ""
 }
 
-// Send sends a message to a peer over the best path available, or else queues it to go through
-// the store. It returns false if neither is possible.
+// Send sends a message to a peer over its link or through a third controller, or else queues it
+// to go through the store. It returns false if none of these is possible.
 func (p *Peers) Send(target protocol.NodeName, message protocol.PeerMessage) bool {
 	via := p.route(target)
 	if via == "" {
@@ -261,7 +261,7 @@
 // HeartbeatDue reports whether it is time to send the peers this controller's status.
 func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.nextHeartbeatAt) }
 
-// TriggerHeartbeat makes the next heartbeat to the peers due at once.
+// TriggerHeartbeat makes a heartbeat to the peers due at once.
 func (p *Peers) TriggerHeartbeat() { p.nextHeartbeatAt = p.env.Now() }
 
 // SendHeartbeats sends the connected peers this controller's feature level and status, and
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -14,7 +14,7 @@
 
 // outbox holds the messages that wait to be sent to a peer through the key-value store. The store
 // is the last resort when a network partition leaves no path over the links between controllers.
-// It belongs to no zone, so a zone that is cut off in this way still has the leader.
+// It belongs to no zone, so agents in a zone that is cut off can still reach the leader.
 type outbox struct {
 	frames      []byte
 	writing     bool
@@ -49,7 +49,7 @@
 		box.frames, box.writing = nil, true
 		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.writing = false // if the write failed, whoever misses the messages has them sent again
+			box.writing = false // lost messages are sent again by whoever gets no response
 		})
 	}
 }
