--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -17,7 +17,7 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// Environment is what the service needs of the controller.
+// Environment is what the service needs from the controller.
 type Environment interface {
 	Now() time.Time
 	// UniqueName returns a name that no other write uses.
@@ -44,7 +44,8 @@
 type Replies interface {
 	// Created: the job was new and is stored.
 	Created(requestID uint64, accepted protocol.Accepted)
-	// Accepted: the submission or the cancellation has been accepted.
+	// Accepted: the submitted job was already known, or the job to cancel is cancelled or
+	// finished.
 	Accepted(requestID uint64, accepted protocol.Accepted)
 	// Status replies with the state of a job.
 	Status(requestID uint64, status protocol.Status)
@@ -68,7 +69,7 @@
 // New returns a service that reads mirror and types, which the caller keeps up to date.
 func New(cfg *config.Config, types map[protocol.MachineTypeName]*protocol.MachineType, mirror *storage.Mirror,
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
-	confirmed := &confirmedCancellations{cfg: cfg, env: env, confirmedAt: map[protocol.JobID]time.Time{}}
+	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
 	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
 	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
 	lookups := &lookups{store: store, env: env, replies: responder, finished: finished}
@@ -99,7 +100,7 @@
 // due, and answers them.
 func (s *Service) CheckQueries() { s.queries.check() }
 
-// Shed returns the number of requests that were refused as too many.
+// Shed returns the number of requests that were refused because of overload.
 func (s *Service) Shed() uint64 { return s.replies.shed }
 
 // Due calls wakeBy with the time of the next check of status queries, if any are waiting.
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -14,7 +14,7 @@
 type confirmedCancellations struct {
 	cfg             *config.Config
 	env             Environment
-	confirmedAt     map[protocol.JobID]time.Time // when each was first confirmed
+	jobs            map[protocol.JobID]time.Time // with the time of the first confirmation
 	expireThreshold int                          // the number of entries at which old ones are removed
 }
 
@@ -22,14 +22,15 @@
 func (cc *confirmedCancellations) list() []protocol.JobID {
 	cc.expire()
 	var jobs []protocol.JobID
-	for jobID := range cc.confirmedAt {
+	for jobID := range cc.jobs {
 		jobs = append(jobs, jobID)
 	}
 	slices.Sort(jobs)
 	return jobs
 }
 
-// recordIfCancelled records the job if the phase that a user is about to be told is cancelled.
+// recordIfCancelled records a job as cancelled if its phase says so. It is called before a user
+// is told the phase.
 func (cc *confirmedCancellations) recordIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
 	if phase == protocol.PhaseCancelled {
 		cc.env.CancellationConfirmed(jobID)
@@ -38,23 +39,23 @@
 }
 
 func (cc *confirmedCancellations) add(jobID protocol.JobID) {
-	if _, known := cc.confirmedAt[jobID]; known {
+	if _, known := cc.jobs[jobID]; known {
 		return
 	}
-	if len(cc.confirmedAt) >= cc.expireThreshold {
+	if len(cc.jobs) >= cc.expireThreshold {
 		cc.expire()
-		cc.expireThreshold = max(tuning.MaxRememberedCancellations, 2*len(cc.confirmedAt))
+		cc.expireThreshold = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
 	}
-	cc.confirmedAt[jobID] = cc.env.Now()
+	cc.jobs[jobID] = cc.env.Now()
 }
 
 // expire removes the cancellations that have taken effect: a cancellation takes CancelS
 // seconds at most, plus clock drift.
 func (cc *confirmedCancellations) expire() {
 	now, maxDelay := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
-	for jobID, at := range cc.confirmedAt {
+	for jobID, at := range cc.jobs {
 		if now.Sub(at) > maxDelay {
-			delete(cc.confirmedAt, jobID)
+			delete(cc.jobs, jobID)
 		}
 	}
 }
--- a/internal/coordination/api/responder.go
+++ b/internal/coordination/api/responder.go
@@ -13,7 +13,7 @@
 )
 
 // responder sends all replies. It records each cancellation before a user is told of it, and
-// counts the requests that are refused as too many.
+// counts the requests that are refused because of overload.
 type responder struct {
 	Replies
 	env       Environment
@@ -47,7 +47,7 @@
 	return true
 }
 
-// shedLoad refuses a request as one too many, and counts it.
+// shedLoad refuses a request because of overload, and counts it.
 func (r *responder) shedLoad(requestID uint64) {
 	r.shed++
 	r.Unavailable(requestID, reasonBusy)
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -92,9 +92,9 @@
 	sq.waiting = append(sq.waiting, query)
 }
 
-// check checks the records of the waiting queries by a transaction that has conditions but no
-// changes: if it succeeds, the mirror's records are the current ones. A check starts at
-// nextCheckAt, or earlier once the queries fill a transaction.
+// check compares the mirror's records of the waiting queries with the store. It uses a
+// transaction with conditions but no changes: if that succeeds, the records are current. The
+// check starts at nextCheckAt, or earlier once the queries fill a transaction.
 func (sq *statusQueries) check() {
 	if len(sq.waiting) == 0 {
 		return
@@ -125,17 +125,17 @@
 type queryBatch struct {
 	queries    []statusQuery
 	comparison protocol.Transaction
-	statuses   map[protocol.JobID]protocol.Status // by job, according to the mirror
-	stale      map[string]bool                    // keys whose records in the store are newer than in the mirror
+	status     map[protocol.JobID]protocol.Status // by job, according to the mirror
+	stale      map[string]bool                    // keys whose records have changed in the store
 }
 
 // takeBatch removes up to limit queries from the front of the queue.
 func (sq *statusQueries) takeBatch(limit int) *queryBatch {
 	count := min(limit, len(sq.waiting))
-	batch := &queryBatch{queries: sq.waiting[:count], statuses: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
+	batch := &queryBatch{queries: sq.waiting[:count], status: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
 	sq.waiting = append([]statusQuery(nil), sq.waiting[count:]...)
 	for _, query := range batch.queries {
-		if _, ok := batch.statuses[query.job]; ok {
+		if _, ok := batch.status[query.job]; ok {
 			continue
 		}
 		key := storage.JobKey(query.job)
@@ -143,7 +143,7 @@
 		if !ok {
 			continue
 		}
-		batch.statuses[query.job] = status
+		batch.status[query.job] = status
 		batch.comparison.Conditions = append(batch.comparison.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return batch
@@ -157,7 +157,7 @@
 		return true
 	case kv.ConditionFailed:
 		if result.Malformed || len(result.Failed) == 0 {
-			clear(qb.statuses) // no record is known to be current
+			clear(qb.status) // no record is known to be current
 		}
 		for _, key := range result.Failed {
 			qb.stale[key] = true
@@ -170,7 +170,7 @@
 // answerChecked replies from the mirror's record if that was current, and otherwise reads the
 // record from the store first.
 func (sq *statusQueries) answerChecked(query statusQuery, batch *queryBatch) {
-	status, ok := batch.statuses[query.job]
+	status, ok := batch.status[query.job]
 	fresh := ok && !batch.stale[storage.JobKey(query.job)]
 	switch {
 	case !fresh && query.resubmission:
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -116,10 +116,10 @@
 // Respond sends the response to a request to the peer that forwarded the request. It returns
 // false if no peer did.
 func (f *Forwarder) Respond(requestID uint64, status int, body []byte) bool {
-	received, ok := f.received[requestID]
+	request, ok := f.received[requestID]
 	if ok {
 		delete(f.received, requestID)
-		f.peers.Send(received.origin, protocol.PeerResponse{ID: received.id, Target: received.origin, Status: uint64(status), Body: body})
+		f.peers.Send(request.origin, protocol.PeerResponse{ID: request.id, Target: request.origin, Status: uint64(status), Body: body})
 	}
 	return ok
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// Due calls wakeBy with the time of the next check for overdue responses, if anything waits for
-// one. othersWaiting is the number of waiting items that the forwarder does not keep itself.
+// Due calls wakeBy with the time of the next check for overdue responses, if anything waits.
+// othersWaiting is the number of waiting items that the forwarder does not keep itself.
 func (f *Forwarder) Due(wakeBy func(time.Time), othersWaiting int) {
 	if len(f.forwarded)+len(f.delegated)+othersWaiting > 0 {
 		wakeBy(f.nextExpiryAt)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -155,10 +155,10 @@
 	}
 }
 
-// TestAnyControllerActsAsProxyWhileLinkIsDown: while a link is down, the controller
-// that an agent sends its heartbeats to forwards them, whichever it is. When an agent's proxy has
-// lost its link to the leader, the agent is redirected to the leader itself, because third
-// controllers and the store could carry the heartbeats of only some agents.
+// TestAnyControllerActsAsProxyWhileLinkIsDown: while a link is down, every controller forwards
+// the heartbeats that agents send to it. When an agent's proxy has lost its link to the leader, the
+// agent is redirected to the leader itself, because third controllers and the store could carry the
+// heartbeats of only some agents.
 func TestAnyControllerActsAsProxyWhileLinkIsDown(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	var own, other protocol.MachineID
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -42,7 +42,7 @@
 	linkUp       bool
 	lastHeardAt  time.Time
 	status       protocol.PeerStatus
-	newestLink   uint64 // number of the newest link from the peer
+	link         uint64 // number of the newest link from the peer
 	featureLevel uint64 // announced by the peer on that link
 	outbox       outbox
 }
@@ -105,12 +105,12 @@
 		return false
 	}
 	peer.lastHeardAt = p.env.Now()
-	if link > peer.newestLink {
-		peer.newestLink, peer.featureLevel = link, 0 // perhaps restarted with an older version
+	if link > peer.link {
+		peer.link, peer.featureLevel = link, 0 // perhaps restarted with an older version
 	}
-	if level, ok := protocol.Announced(message); ok {
-		if link == peer.newestLink {
-			peer.featureLevel = level // one delayed on an earlier link does not apply to the newest
+	if featureLevel, ok := protocol.Announced(message); ok {
+		if link == peer.link {
+			peer.featureLevel = featureLevel // an announcement from an earlier link does not count
 		}
 		return false
 	}
@@ -157,24 +157,24 @@
 
 // Supports reports whether a peer is reachable and has announced at least this feature level on
 // its newest link.
-func (p *Peers) Supports(name protocol.NodeName, level uint64) bool {
-	return p.Reachable(name) && p.peers[name].featureLevel >= level
+func (p *Peers) Supports(name protocol.NodeName, featureLevel uint64) bool {
+	return p.Reachable(name) && p.peers[name].featureLevel >= featureLevel
 }
 
 // AllSupport reports whether every peer has announced at least this feature level on its newest
 // link.
-func (p *Peers) AllSupport(level uint64) bool {
-	return p.everyPeerSupports(level, func(*peer) bool { return true })
+func (p *Peers) AllSupport(featureLevel uint64) bool {
+	return p.everyPeerSupports(featureLevel, func(*peer) bool { return true })
 }
 
 // AllConnectedSupport reports the same for only those peers to which a link is up.
-func (p *Peers) AllConnectedSupport(level uint64) bool {
-	return p.everyPeerSupports(level, func(peer *peer) bool { return peer.linkUp })
+func (p *Peers) AllConnectedSupport(featureLevel uint64) bool {
+	return p.everyPeerSupports(featureLevel, func(peer *peer) bool { return peer.linkUp })
 }
 
-func (p *Peers) everyPeerSupports(level uint64, include func(*peer) bool) bool {
+func (p *Peers) everyPeerSupports(featureLevel uint64, include func(*peer) bool) bool {
 	for _, peer := range p.peers {
-		if include(peer) && peer.featureLevel < level {
+		if include(peer) && peer.featureLevel < featureLevel {
 			return false
 		}
 	}
