--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -38,8 +38,8 @@
 	After(pause time.Duration, do func())
 	// UniqueName makes a name that no other request or record has.
 	UniqueName() string
-	// PeersKnow says whether every peer that counts has announced a level.
-	PeersKnow(level uint64) bool
+	// PeersSupport says whether every peer that counts has announced a level.
+	PeersSupport(level uint64) bool
 	// RequestScheduling has the next scheduling cycle run soon.
 	RequestScheduling()
 	// StepDown ends this leader's term.
@@ -81,9 +81,9 @@
 	// Machines are the records of the machines.
 	Machines *MachineRecords
 
-	reader         *recordReader
-	splitter       *recordSplitter
-	outgrownMarked bool // all records that had outgrown the limits are marked
+	reader          *recordReader
+	splitter        *recordSplitter
+	oversizedMarked bool // all records that had outgrown the limits are marked
 
 	dirty     dirtyJobs
 	obsolete  []string // keys to delete when there is time
@@ -146,7 +146,7 @@
 	}
 	limiter := c.store.WriteBudget()
 	budget := availableBudget(limiter, now)
-	if budget.free < 1 {
+	if budget.available < 1 {
 		return
 	}
 	tx := &transaction{writer: c.env.UniqueName(), sentAt: now}
@@ -154,7 +154,7 @@
 	b.guard(storage.LeaderKey, protocol.Revision(c.term))
 	b.addMachineRecords(c.Machines, isQueued)
 	c.addDirtyJobs(b, budget)
-	if budget.plenty() {
+	if budget.allowsBackgroundWrites() {
 		b.addMachineRecords(c.Machines, c.Machines.isStale)
 		c.addDeletions(b)
 	}
@@ -174,7 +174,7 @@
 	for _, entry := range c.dirty.byUrgency(c.state.Now()) {
 		job := entry.job
 		job.Write.Queued = false
-		if entry.urgency == urgent || entry.urgency != notDue && budget.allowsOrdinary(b.changes()) {
+		if entry.urgency == urgent || entry.urgency != notDue && budget.allowsNonUrgent(b.changes()) {
 			b.addJob(job)
 		}
 		if len(job.Write.Dirty) > 0 {
@@ -197,35 +197,35 @@
 // AwaitsRecordSplit says whether a gang has a record that must be split before its places
 // are written, and marks those records.
 func (c *Committer) AwaitsRecordSplit(job *cluster.Job) bool {
-	limits := c.limits.configured()
+	limits := c.limits.afterLowering()
 	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.GangRecordTasks(limits.TxnOps) {
 		return false
 	}
-	return c.markOutgrown(job) || len(job.Records.UnnamedParts) > 0
+	return c.markOversized(job) || len(job.Records.UnnamedParts) > 0
 }
 
 // JobQueue lists the jobs in the order in which they are scheduled.
 type JobQueue interface{ Queue() []*cluster.Job }
 
-// SplitOutgrown has all records that have outgrown the limits split, once they may be:
+// MarkOversizedRecords has all records that have outgrown the limits split, once they may be:
 // nobody knows when the limits are lowered, and a peer that marks a job as cancelled
 // writes its first record as it is.
-func (c *Committer) SplitOutgrown(jobs JobQueue) {
-	if c.outgrownMarked || !c.splitter.maySplit() {
+func (c *Committer) MarkOversizedRecords(jobs JobQueue) {
+	if c.oversizedMarked || !c.splitter.maySplit() {
 		return
 	}
-	c.outgrownMarked = true
+	c.oversizedMarked = true
 	for _, job := range jobs.Queue() {
-		c.markOutgrown(job)
+		c.markOversized(job)
 	}
 }
 
-// markOutgrown marks those of a job's records that have outgrown the configured limits, and
+// markOversized marks those of a job's records that have outgrown the configured limits, and
 // says whether there are any.
-func (c *Committer) markOutgrown(job *cluster.Job) (found bool) {
-	limits := c.limits.configured()
+func (c *Committer) markOversized(job *cluster.Job) (found bool) {
+	limits := c.limits.afterLowering()
 	for r := range job.Records.Revisions {
-		if c.splitter.outgrown(job, r, limits) {
+		if c.splitter.oversized(job, r, limits) {
 			c.MarkDirty(job, r)
 			found = true
 		}
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -11,10 +11,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// placedGang is a leader that has sent the placement of a gang.
-func placedGang(t *testing.T, tasks int) (l *leader, id protocol.JobID, txn *sentTransaction) {
+// leaderWithPlacedGang is a leader that has sent the placement of a gang.
+func leaderWithPlacedGang(t *testing.T, tasks int) (l *leader, id protocol.JobID, txn *sentTransaction) {
 	t.Helper()
-	l = newLeader(newTestStore(), wideLimits, protocol.PeerLevel)
+	l = newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
 	machine := l.addMachine("i-1")
 	job := l.AddJob(clustertest.Gang(tasks, 1))
 	job.Records.Revisions[0] = 4
@@ -29,7 +29,7 @@
 // TestPlacementIsGuarded: a placement is written only if the leader still leads, and the
 // job's record and the machine's are those on which it was decided.
 func TestPlacementIsGuarded(t *testing.T) {
-	l, id, txn := placedGang(t, 2)
+	l, id, txn := leaderWithPlacedGang(t, 2)
 	want := map[string]protocol.Revision{storage.LeaderKey: testTerm, storage.JobKey(id): 4, l.Machines["i-1"].Record.Key: 1}
 	for _, condition := range txn.Conditions {
 		if revision, ok := want[condition.Key]; ok && revision == condition.Revision {
@@ -42,7 +42,7 @@
 	if l.Jobs[id].SortedAttempts()[0].Committed {
 		t.Error("committed before the answer")
 	}
-	txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
+	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
 	if !l.Jobs[id].SortedAttempts()[0].Committed || l.Jobs[id].Records.Revisions[0] != 99 {
 		t.Error("not committed by the answer")
 	}
@@ -67,8 +67,8 @@
 		"machine record raised": {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachinePrefix + "x"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, id, txn := placedGang(t, 2)
-			txn.answer(test.result)
+			l, id, txn := leaderWithPlacedGang(t, 2)
+			txn.respond(test.result)
 			if got := len(l.Jobs[id].Attempts); got != test.attemptsLeft {
 				t.Errorf("%d attempts are left, want %d", got, test.attemptsLeft)
 			}
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestLostAnswerIsReadBack: the repetition of a transaction whose answer was lost is
+// TestLostResponseIsResolvedByReadingRecord: the repetition of a transaction whose answer was lost is
 // refused, by its own first copy or by another's write: the record says which.
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestLostResponseIsResolvedByReadingRecord(t *testing.T) {
 	for name, test := range map[string]struct {
 		ownWrite  bool
 		committed bool
@@ -103,10 +103,10 @@
 		"another was faster":     {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, id, txn := placedGang(t, 1)
-			txn.answer(kv.TransactionResult{Outcome: kv.Unknown})
+			l, id, txn := leaderWithPlacedGang(t, 1)
+			txn.respond(kv.TransactionResult{Outcome: kv.Unknown})
 			l.timers[0]()
-			l.lastSent(t).answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
+			l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 			entry := protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(storage.Job{Writer: "another"}), Revision: 50}
 			if test.ownWrite {
 				entry.Value = txn.Changes[len(txn.Changes)-1].Value
@@ -126,28 +126,28 @@
 	}
 }
 
-// TestWatchConfirmsTransactionWithLostAnswer: a transaction whose answer is lost is done
+// TestWatchConfirmsTransactionWithLostResponse: a transaction whose answer is lost is done
 // once the watch shows it; the answer to its repetition then means nothing.
-func TestWatchConfirmsTransactionWithLostAnswer(t *testing.T) {
-	l, id, txn := placedGang(t, 1)
+func TestWatchConfirmsTransactionWithLostResponse(t *testing.T) {
+	l, id, txn := leaderWithPlacedGang(t, 1)
 	last := txn.Changes[len(txn.Changes)-1]
 	l.loader.ObserveChange(&protocol.WatchEvent{Set: last.Set, Value: last.Value, Revision: 44})
 	job := l.Jobs[id]
 	if attempt := job.SortedAttempts()[0]; !attempt.Committed || job.Records.Revisions[0] != 44 || l.committer.InFlight() {
 		t.Fatalf("committed %v at revision %d", attempt.Committed, job.Records.Revisions[0])
 	}
-	txn.answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{last.Set}})
+	txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{last.Set}})
 	if len(job.Attempts) != 1 {
 		t.Error("the place is dropped by a late answer")
 	}
 }
 
-// TestLoserMergesWinnersCancellation: a refused transaction leaves nothing of its plan
+// TestConflictMergesConcurrentCancellation: a refused transaction leaves nothing of its plan
 // behind, and a cancellation that came first is kept.
-func TestLoserMergesWinnersCancellation(t *testing.T) {
-	l, id, txn := placedGang(t, 2)
+func TestConflictMergesConcurrentCancellation(t *testing.T) {
+	l, id, txn := leaderWithPlacedGang(t, 2)
 	job := l.Jobs[id]
-	txn.answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
+	txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 	if len(job.Attempts) != 0 || l.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d attempts of the plan are left", len(job.Attempts))
 	}
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestJobWhoseRecordIsGoneTakesItsStoredEnd: a conflict may come from an earlier copy of the
+// TestJobWithMissingRecordTakesStoredFinalRecord: a conflict may come from an earlier copy of the
 // transaction that ended the job: what is stored of its end holds.
-func TestJobWhoseRecordIsGoneTakesItsStoredEnd(t *testing.T) {
+func TestJobWithMissingRecordTakesStoredFinalRecord(t *testing.T) {
 	for name, test := range map[string]struct {
 		final    kv.GetResult
 		finished bool
@@ -172,9 +172,9 @@
 		"no answer":             {final: kv.GetResult{Outcome: kv.Unknown}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, id, txn := placedGang(t, 1)
+			l, id, txn := leaderWithPlacedGang(t, 1)
 			job := l.Jobs[id]
-			txn.answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
+			txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 			l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.NotFound})
 			read := l.reads[storage.FinalKey(id)]
 			if read == nil {
@@ -191,7 +191,7 @@
 // TestUrgentChangesUseTheReservedBudget: with little of the write budget left the place of
 // a gang is written, and that of an array when there is more.
 func TestUrgentChangesUseTheReservedBudget(t *testing.T) {
-	l := newLeader(newTestStore(), wideLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
 	l.addMachine("i-1")
 	array, gang := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Gang(1, 1))
 	l.scheduler.RunCycle()
@@ -205,7 +205,7 @@
 	if len(txn.Changes) != 1 || txn.Changes[0].Set != storage.JobKey(gang.ID) {
 		t.Fatalf("%+v", txn.Changes)
 	}
-	txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
+	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 99})
 	if l.committer.InFlight() {
 		t.Fatal("the array's place is written out of what is kept for gangs")
 	}
@@ -218,7 +218,7 @@
 // TestOrphanedMachineRecordIsDeleted: the creation of a machine record is carried out late,
 // after the record was deleted: the machines that it names must not come back with it.
 func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
-	l := newLeader(newTestStore(), wideLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
 	machine := l.addMachine("i-1")
 	key := machine.Record.Key
 	deletion := func(revision protocol.Revision) *sentTransaction {
@@ -231,7 +231,7 @@
 		return txn
 	}
 	l.MachinesDeleted(machine.ID)
-	deletion(1).answer(kv.TransactionResult{Outcome: kv.Done, Revision: 50})
+	deletion(1).respond(kv.TransactionResult{Outcome: kv.Done, Revision: 50})
 	value := storage.Encode(storage.MachineRecord{Writer: l.UniqueName(), Machines: []storage.MachineEntry{{ID: machine.ID, Address: "h:1", Type: "big", Zone: "a"}}})
 	l.loader.ObserveChange(&protocol.WatchEvent{Set: key, Value: value, Revision: 60})
 	deletion(60)
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -27,8 +27,8 @@
 const testTerm = 7
 
 var (
-	wideLimits    = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
-	loweredLimits = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	originalLimits = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
+	loweredLimits  = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 )
 
 // loweredValueBytes is the largest value that the lowered limits allow.
@@ -79,8 +79,8 @@
 // sentTransaction is a transaction that a leader has sent.
 type sentTransaction struct {
 	protocol.Transaction
-	body   string
-	answer func(kv.TransactionResult)
+	body    string
+	respond func(kv.TransactionResult)
 }
 
 // leader stands for a leader around a committer: it has the parts that decide what is
@@ -111,15 +111,15 @@
 	l := &leader{Cluster: clustertest.New(), store: store, peerLevel: peerLevel, peerUp: true, reads: map[string]func(kv.GetResult){}}
 	settings := &l.Config.Cluster
 	settings.Store = limits
-	if limits != wideLimits {
-		present := wideLimits
+	if limits != originalLimits {
+		present := originalLimits
 		settings.Present = &present
 	}
 	log := slog.New(slog.DiscardHandler)
 	l.limits = commit.NewKnownLimits(l.Config)
 	writes := limits.WriteRPS * tuning.WriteBudgetShare
 	l.budget = rate.NewLimiter(rate.Limit(writes), int(writes))
-	l.lifecycle = lifecycle.New(l.State, reconcile.NewPhase(), l, log)
+	l.lifecycle = lifecycle.New(l.State, reconcile.NewRecoveryPhase(), l, log)
 	l.scheduler = scheduler.New(l.State, l, log)
 	l.committer = commit.New(commit.Dependencies{State: l.State, Store: l, Limits: l.limits, Environment: l, Outcomes: l, Log: log, Term: testTerm})
 	l.loader = loader.New(l.State, l.committer, l, log)
@@ -142,11 +142,11 @@
 	return &l.sent[len(l.sent)-1]
 }
 
-// next has the leader commit and returns what is in flight then, nil if that is nothing.
-func (l *leader) next(t *testing.T) *sentTransaction {
+// nextTransaction has the leader commit and returns what is in flight then, nil if that is nothing.
+func (l *leader) nextTransaction(t *testing.T) *sentTransaction {
 	t.Helper()
 	if !l.committer.InFlight() {
-		l.committer.SplitOutgrown(l.scheduler)
+		l.committer.MarkOversizedRecords(l.scheduler)
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
@@ -155,13 +155,13 @@
 	return l.lastSent(t)
 }
 
-// carryOut has the store carry out what a leader has sent, and answers it.
-func (l *leader) carryOut(t *testing.T, txn *sentTransaction) {
+// applyAndRespond has the store carry out what a leader has sent, and answers it.
+func (l *leader) applyAndRespond(t *testing.T, txn *sentTransaction) {
 	t.Helper()
 	if !l.store.apply(&txn.Transaction) {
 		t.Fatal("refused")
 	}
-	txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: l.store.revision})
+	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: l.store.revision})
 }
 
 // addMachine adds a machine that a stored record has.
@@ -174,7 +174,7 @@
 
 // TransactEncoded implements commit.Store.
 func (l *leader) TransactEncoded(body []byte, answer func(kv.TransactionResult)) {
-	txn := sentTransaction{body: string(body), answer: answer}
+	txn := sentTransaction{body: string(body), respond: answer}
 	if err := json.Unmarshal(body, &txn.Transaction); err != nil {
 		panic(err)
 	}
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("boot-%d", l.names)
 }
 
-// PeersKnow implements commit.Environment.
-func (l *leader) PeersKnow(level uint64) bool {
+// PeersSupport implements commit.Environment.
+func (l *leader) PeersSupport(level uint64) bool {
 	return l.peerLevel >= level || !l.peerUp && l.limits.Lowered()
 }
 
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -22,11 +22,11 @@
 	kl.lowered = kl.lowered || kl.settings.Cluster.Present != nil
 }
 
-// configured are the limits that hold once they are lowered.
-func (kl *KnownLimits) configured() config.StoreLimits { return kl.settings.Cluster.Store }
+// afterLowering are the limits that hold once they are lowered.
+func (kl *KnownLimits) afterLowering() config.StoreLimits { return kl.settings.Cluster.Store }
 
-// present are the limits of today.
-func (kl *KnownLimits) present() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
+// beforeLowering are the limits of today.
+func (kl *KnownLimits) beforeLowering() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
 
 // rejects says whether the store is known to reject a value of that size.
 func (kl *KnownLimits) rejects(bytes int) bool {
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -100,9 +100,9 @@
 	mr.records = append(mr.records, record)
 }
 
-// SplitOutgrown moves machines out of records that have outgrown the limits. Until
+// MarkOversizedRecords moves machines out of records that have outgrown the limits. Until
 // the new record is written such a machine takes no task; then both name it.
-func (mr *MachineRecords) SplitOutgrown() {
+func (mr *MachineRecords) SplitOversized() {
 	capacity := mr.capacity()
 	for _, record := range slices.Clone(mr.records) {
 		for record.Bytes > capacity && len(record.Members) > 1 {
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -28,14 +28,14 @@
 	switch outcome := result.Outcome; {
 	case outcome == kv.Done && !result.Malformed:
 		c.handleCommit(tx, result.Revision)
-	case outcome == kv.ConditionFailed && !result.Malformed && tx.answerLost && tx.probe != "":
-		c.resolveLostAnswer(tx)
+	case outcome == kv.ConditionFailed && !result.Malformed && tx.responseLost && tx.probeKey != "":
+		c.resolveLostResponse(tx)
 	case outcome == kv.ConditionFailed && !result.Malformed:
 		c.handleConflict(tx, result.Failed)
 	case outcome == kv.Unknown:
 		// The transaction may have been applied, or may be yet. The same one again can be
 		// applied only once.
-		tx.answerLost = true
+		tx.responseLost = true
 		c.retryAfter(tx, tuning.StoreRetryDelay, c.send)
 	case outcome == kv.Throttled:
 		c.retryAfter(tx, c.store.NoteThrottled(tx.changes), c.send)
@@ -62,9 +62,9 @@
 	})
 }
 
-// resolveLostAnswer reads back whether a transaction whose answer was lost was applied.
-func (c *Committer) resolveLostAnswer(tx *transaction) {
-	c.store.Get(tx.probe, func(result kv.GetResult) {
+// resolveLostResponse reads back whether a transaction whose answer was lost was applied.
+func (c *Committer) resolveLostResponse(tx *transaction) {
+	c.store.Get(tx.probeKey, func(result kv.GetResult) {
 		if c.inFlight != tx {
 			return
 		}
@@ -78,7 +78,7 @@
 		case kv.NotFound:
 			c.handleConflict(tx, nil)
 		default:
-			c.retryAfter(tx, tuning.StoreRetryDelay, c.resolveLostAnswer)
+			c.retryAfter(tx, tuning.StoreRetryDelay, c.resolveLostResponse)
 		}
 	})
 }
@@ -95,7 +95,7 @@
 // concern: it confirms the transaction in flight, whose answer may be lost, or it is of a
 // machine record.
 func (c *Committer) ObserveChange(change *protocol.WatchEvent) (handled bool) {
-	if tx := c.inFlight; tx != nil && change.Set != "" && change.Set == tx.probe && c.Wrote(change.Value) {
+	if tx := c.inFlight; tx != nil && change.Set != "" && change.Set == tx.probeKey && c.Wrote(change.Value) {
 		c.handleCommit(tx, change.Revision)
 		return true
 	}
@@ -131,7 +131,7 @@
 		for _, r := range write.records {
 			job.Records.Revisions[r] = max(job.Records.Revisions[r], revision)
 		}
-		noteWritten(job, write)
+		noteRecordsCommitted(job, write)
 		c.outcomes.JobCommitted(job, write.placed)
 	}
 	c.outcomes.TransactionCommitted(c.state.Now().Sub(tx.sentAt))
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -25,23 +25,23 @@
 
 // maySplit says whether records may be written that version 0.2 does not read whole:
 // it takes the parts for abandoned ones and deletes them.
-func (s *recordSplitter) maySplit() bool { return s.env.PeersKnow(protocol.PeerKnowsCancelled) }
+func (s *recordSplitter) maySplit() bool { return s.env.PeersSupport(protocol.PeerKnowsCancelled) }
 
 // mayStage says whether the parts of a record may be written over several
 // transactions. An earlier version that takes over deletes parts that the job's own
 // record does not name, perhaps after it has split the record itself.
-func (s *recordSplitter) mayStage() bool { return s.env.PeersKnow(protocol.PeerKnowsStaged) }
+func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.PeerKnowsStaged) }
 
 // currentLimits are those that a record must keep within now.
 func (s *recordSplitter) currentLimits() config.StoreLimits {
 	if s.maySplit() {
-		return s.limits.configured()
+		return s.limits.afterLowering()
 	}
-	return s.limits.present()
+	return s.limits.beforeLowering()
 }
 
-// outgrown says whether a record must be split before it is written.
-func (s *recordSplitter) outgrown(job *cluster.Job, r int, limits config.StoreLimits) bool {
+// oversized says whether a record must be split before it is written.
+func (s *recordSplitter) oversized(job *cluster.Job, r int, limits config.StoreLimits) bool {
 	list := job.TasksOf(r)
 	if len(list) < 2 {
 		return false
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Write.Dirty)) {
-		if s.outgrown(job, r, limits) {
+		if s.oversized(job, r, limits) {
 			s.split(job, r, limits)
 			return
 		}
@@ -87,7 +87,7 @@
 		return nil
 	}
 	// The job's own record, which is always written, may have outgrown them too.
-	if s.outgrown(job, 0, limits) {
+	if s.oversized(job, 0, limits) {
 		s.split(job, 0, limits)
 	}
 	var list []int
@@ -116,16 +116,16 @@
 	for len(open) > 0 && len(job.Records.UnnamedParts) < maxParts {
 		r := open[0]
 		open = open[1:]
-		if s.outgrown(job, r, limits) {
+		if s.oversized(job, r, limits) {
 			open = append(open, r, job.SplitRecord(r))
 		}
 	}
 	s.log.Info("record split", "job", job.ID, "record", r, "records", len(job.Records.Revisions))
 }
 
-// noteWritten notes that a job's records are committed. The job's own record names all
+// noteRecordsCommitted notes that a job's records are committed. The job's own record names all
 // parts, so that a write of it completes a split.
-func noteWritten(job *cluster.Job, write *jobWrite) {
+func noteRecordsCommitted(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
 		job.Records.UnnamedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
 		return
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -17,8 +17,8 @@
 // many parts.
 var hostID = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// narrowJob is a job of an earlier version whose record has outgrown the lowered limits.
-func narrowJob() *storage.Job {
+// oversizedJob is a job of an earlier version whose record has outgrown the lowered limits.
+func oversizedJob() *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
 	record := &storage.Job{Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, RecordTasks: 98}
 	for i := range spec.Tasks {
@@ -31,8 +31,8 @@
 	return record
 }
 
-// wideJob is a job whose description leaves space for few tasks in its first record.
-func wideJob(shape protocol.Shape) *storage.Job {
+// jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
+func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
 	record := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
@@ -46,8 +46,8 @@
 	return record
 }
 
-// storeWith is a store that has a job and a machine for all of its tasks.
-func storeWith(record *storage.Job) *testStore {
+// storeWithJob is a store that has a job and a machine for all of its tasks.
+func storeWithJob(record *storage.Job) *testStore {
 	s := newTestStore()
 	s.put(storage.JobKey(record.Spec.ID), record, 9)
 	s.put("g/m/one", storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostID, Address: "h:1", Type: "big", Zone: "a"}}}, 8)
@@ -82,12 +82,12 @@
 	}
 }
 
-// narrowLeader is a leader whose store will lower its limits, with a peer that has yet to
+// leaderWithOversizedJob is a leader whose store will lower its limits, with a peer that has yet to
 // say what it knows and a job whose record has outgrown the new limits, to be written.
-func narrowLeader(t *testing.T) (*leader, *cluster.Job) {
+func leaderWithOversizedJob(t *testing.T) (*leader, *cluster.Job) {
 	t.Helper()
 	l := newLeader(newTestStore(), loweredLimits, 0)
-	job := l.loader.AddJob(narrowJob(), 9)
+	job := l.loader.AddJob(oversizedJob(), 9)
 	l.committer.MarkDirty(job, 0)
 	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	return l, job
@@ -97,15 +97,15 @@
 // would not find a further record, a job's record is written whole; then in parts, within
 // the lowered limits and in one transaction, and what another leader reads is the same.
 func TestRecordIsSplitOnceAllPeersReadParts(t *testing.T) {
-	l, job := narrowLeader(t)
+	l, job := leaderWithOversizedJob(t)
 	l.peerUp = false
 	txn := l.lastSent(t)
 	if len(txn.Changes) != 1 || len(txn.Changes[0].Value) <= loweredValueBytes {
 		t.Fatalf("%d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
 	}
-	txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
+	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
 	l.peerLevel = protocol.PeerLevel
-	split := l.next(t)
+	split := l.nextTransaction(t)
 	checkSizes(t, split)
 	head := split.Changes[len(split.Changes)-1]
 	if len(split.Changes) < 2 || head.Set != storage.JobKey(job.ID) {
@@ -113,7 +113,7 @@
 	}
 	checkReadBack(t, job, split)
 	// Refused by a race, it is sent again with all its parts.
-	split.answer(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(job.ID)}})
+	split.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(job.ID)}})
 	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	if second := l.lastSent(t); len(second.Changes) != len(split.Changes) {
 		t.Errorf("%d changes, then %d", len(split.Changes), len(second.Changes))
@@ -149,16 +149,16 @@
 	}
 }
 
-// TestRejectedRecordIsNotSentAgainWhole: a store that rejects a value has lowered its
+// TestRejectedRecordIsNotResentUnsplit: a store that rejects a value has lowered its
 // limits, which it does only once all controllers have the new version: the record is split
 // and not sent again as it was, whatever the leader has heard of a peer that is down.
 // While one is up that may be of version 0.2, which would delete the parts, the record
 // waits, and is not sent again either.
-func TestRejectedRecordIsNotSentAgainWhole(t *testing.T) {
+func TestRejectedRecordIsNotResentUnsplit(t *testing.T) {
 	for _, up := range []bool{false, true} {
-		l, _ := narrowLeader(t)
+		l, _ := leaderWithOversizedJob(t)
 		l.peerUp = up
-		l.lastSent(t).answer(kv.TransactionResult{Outcome: kv.Rejected, Detail: "too large"})
+		l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Rejected, Detail: "too large"})
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
@@ -173,16 +173,16 @@
 	}
 }
 
-// TestStagedSplitIsReadAlikeAtEveryStep: a record that needs more parts than one
+// TestStagedSplitLoadsTheSameTasksAfterEveryTransaction: a record that needs more parts than one
 // transaction has changes is split over several. After each of them another leader, which
 // begins from what is stored then, reads the same tasks and completes the split; every value
 // and transaction keeps within the lowered limits. (A leader without the steps wrote the
 // record as it was, again and again, and was refused.)
-func TestStagedSplitIsReadAlikeAtEveryStep(t *testing.T) {
+func TestStagedSplitLoadsTheSameTasksAfterEveryTransaction(t *testing.T) {
 	for _, shape := range []protocol.Shape{protocol.ShapeArray, protocol.ShapeGang} {
 		for failoverAfter := range 6 {
-			record := wideJob(shape)
-			s := storeWith(record)
+			record := jobWithLargeSpec(shape)
+			s := storeWithJob(record)
 			if steps := splitInSteps(t, s, record, failoverAfter); steps < 2 {
 				t.Errorf("%s: %d steps", shape, steps)
 			}
@@ -209,33 +209,33 @@
 			l = newLeader(s, loweredLimits, protocol.PeerLevel)
 			checkTasks(t, l, record)
 		}
-		txn := l.next(t)
+		txn := l.nextTransaction(t)
 		if txn == nil {
 			break
 		}
 		steps++
 		checkSizes(t, txn)
-		l.carryOut(t, txn)
+		l.applyAndRespond(t, txn)
 		checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 	}
 	return steps
 }
 
-// TestTaskThatEndsDuringSplitIsWritten: a task that ends while its part is being staged, or
+// TestTaskDoneDuringSplitIsStored: a task that ends while its part is being staged, or
 // after that, is written anew before the job's own record names the part, and nothing is
 // placed meanwhile.
-func TestTaskThatEndsDuringSplitIsWritten(t *testing.T) {
+func TestTaskDoneDuringSplitIsStored(t *testing.T) {
 	for _, staged := range []bool{false, true} {
-		record := wideJob(protocol.ShapeArray)
-		s := storeWith(record)
+		record := jobWithLargeSpec(protocol.ShapeArray)
+		s := storeWithJob(record)
 		l := newLeader(s, loweredLimits, protocol.PeerLevel)
 		job := l.Jobs[record.Spec.ID]
-		if txn := l.next(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
+		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
 			t.Fatalf("%d parts", len(job.Records.UnnamedParts))
 		}
 		first := job.TasksOf(1) // the first part is in the first step
 		if staged {
-			l.carryOut(t, l.next(t))
+			l.applyAndRespond(t, l.nextTransaction(t))
 			if !job.Records.StagedParts[1] || !job.Records.Splitting {
 				t.Fatal("not staged")
 			}
@@ -253,7 +253,7 @@
 		}
 		for range 10 {
 			if job.Records.Splitting {
-				l.carryOut(t, l.next(t))
+				l.applyAndRespond(t, l.nextTransaction(t))
 			}
 		}
 		// No later: what the parts say holds from the moment at which they are named.
@@ -269,15 +269,15 @@
 	}
 }
 
-// TestNothingIsStagedBesideEarlierVersion: version 0.3 deletes parts that a job's own record
+// TestNothingIsStagedWhilePeerMayRunEarlierVersion: version 0.3 deletes parts that a job's own record
 // does not name. While a peer may be of that version nothing is staged.
-func TestNothingIsStagedBesideEarlierVersion(t *testing.T) {
-	record := wideJob(protocol.ShapeArray)
-	s := storeWith(record)
+func TestNothingIsStagedWhilePeerMayRunEarlierVersion(t *testing.T) {
+	record := jobWithLargeSpec(protocol.ShapeArray)
+	s := storeWithJob(record)
 	l := newLeader(s, loweredLimits, protocol.PeerKnowsCancelled)
 	l.limits.NoteRejection()
 	for range 5 {
-		txn := l.next(t)
+		txn := l.nextTransaction(t)
 		if txn == nil {
 			break
 		}
@@ -290,7 +290,7 @@
 				t.Errorf("part %d is staged", r)
 			}
 		}
-		l.carryOut(t, txn)
+		l.applyAndRespond(t, txn)
 	}
 	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 }
@@ -299,14 +299,14 @@
 // named are no state of the job: they are used by the next split and deleted with the job,
 // not before, for a deletion may be carried out late.
 func TestAbandonedPartsAreReusedOrDeletedWithJob(t *testing.T) {
-	record := wideJob(protocol.ShapeArray)
-	s := storeWith(record)
+	record := jobWithLargeSpec(protocol.ShapeArray)
+	s := storeWithJob(record)
 	key := storage.TaskRecordKey(record.Spec.ID, 1)
 	s.put(key, storage.TaskRecord{Writer: "w-3", Tasks: storage.Tasks{{Index: 40, Attempt: 1}}}, 7)
 	l := newLeader(s, loweredLimits, protocol.PeerLevel)
 	checkTasks(t, l, record)
 	for range 40 {
-		txn := l.next(t)
+		txn := l.nextTransaction(t)
 		if txn == nil {
 			break
 		}
@@ -315,7 +315,7 @@
 				t.Error("deleted while the job is there")
 			}
 		}
-		l.carryOut(t, txn) // refused if the abandoned part's revision was not taken
+		l.applyAndRespond(t, txn) // refused if the abandoned part's revision was not taken
 	}
 	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
 	job := l.Jobs[record.Spec.ID]
@@ -325,36 +325,36 @@
 	}
 	deleted := false
 	for range 5 {
-		txn := l.next(t)
+		txn := l.nextTransaction(t)
 		if txn == nil {
 			break
 		}
 		for _, change := range txn.Changes {
 			deleted = deleted || change.Delete == key
 		}
-		l.carryOut(t, txn)
+		l.applyAndRespond(t, txn)
 	}
 	if !deleted {
 		t.Error("not deleted with the job")
 	}
 }
 
-// TestRecordBeyondLimitsIsQuarantined: a record whose description alone is beyond the
+// TestRecordThatCannotBeSplitIsQuarantined: a record whose description alone is beyond the
 // lowered limits is refused once and not sent again; it stays readable, and others are
 // written.
-func TestRecordBeyondLimitsIsQuarantined(t *testing.T) {
-	record := wideJob(protocol.ShapeArray)
+func TestRecordThatCannotBeSplitIsQuarantined(t *testing.T) {
+	record := jobWithLargeSpec(protocol.ShapeArray)
 	record.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
-	s := storeWith(record)
+	s := storeWithJob(record)
 	l := newLeader(s, loweredLimits, protocol.PeerLevel)
 	l.limits.NoteRejection()
 	for range 3 {
-		txn := l.next(t)
+		txn := l.nextTransaction(t)
 		if txn == nil {
 			break
 		}
 		checkSizes(t, txn)
-		txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: s.revision + 1})
+		txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: s.revision + 1})
 	}
 	if job := l.Jobs[record.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("quarantined %v, waits for %d places", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
@@ -365,8 +365,8 @@
 // TestMachineIsAlwaysInSomeRecord: machines move out of a machine record that has outgrown
 // the limits into others, which are written first: none may be in no record for a moment.
 func TestMachineIsAlwaysInSomeRecord(t *testing.T) {
-	l, _ := narrowLeader(t)
-	l.lastSent(t).answer(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
+	l, _ := leaderWithOversizedJob(t)
+	l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
 	outgrown := storage.MachineRecord{}
 	keyOf := map[protocol.MachineID]string{}
 	for i := range 90 {
@@ -376,7 +376,7 @@
 	}
 	l.committer.Machines.Load("g/m/old", 9, &outgrown)
 	old := l.Machines[outgrown.Machines[0].ID].Record
-	l.committer.Machines.SplitOutgrown()
+	l.committer.Machines.SplitOversized()
 	l.RecordMachine(old.Members[0]) // it is to be written at once
 	for step := range 10 {
 		l.commitAfter(time.Second)
@@ -385,13 +385,13 @@
 		}
 		txn := l.lastSent(t)
 		checkSizes(t, txn)
-		noteMachineRecords(keyOf, txn)
+		trackMachineRecords(keyOf, txn)
 		for id, key := range keyOf {
 			if key == "" {
 				t.Fatalf("%s is in no record", id)
 			}
 		}
-		txn.answer(kv.TransactionResult{Outcome: kv.Done, Revision: protocol.Revision(30 + step)})
+		txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: protocol.Revision(30 + step)})
 	}
 	for _, machine := range old.MovedOut {
 		if !machine.Recorded && l.Machines[machine.ID] == machine {
@@ -400,9 +400,9 @@
 	}
 }
 
-// noteMachineRecords notes which machines the records of a transaction name and no longer
+// trackMachineRecords notes which machines the records of a transaction name and no longer
 // name.
-func noteMachineRecords(keyOf map[protocol.MachineID]string, txn *sentTransaction) {
+func trackMachineRecords(keyOf map[protocol.MachineID]string, txn *sentTransaction) {
 	for _, change := range txn.Changes {
 		var record storage.MachineRecord
 		if json.Unmarshal(change.Value, &record) != nil || len(record.Machines) == 0 {
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -14,9 +14,9 @@
 
 // What changes and conditions add to the size of a transaction, at most.
 const (
-	overheadBytes    = 40  // of a change or a condition, beside key and value
-	smallRecordBytes = 200 // of a change and its conditions, beside a large value
-	finalRecordBytes = 400 // of a job's final record and the deletion of its own
+	operationOverheadBytes = 40  // of a change or a condition, beside key and value
+	smallRecordBytes       = 200 // of a change and its conditions, beside a large value
+	finalRecordBytes       = 400 // of a job's final record and the deletion of its own
 )
 
 // transaction is a transaction that was built, with all that its outcome decides on.
@@ -24,9 +24,9 @@
 	writer         string // names it in each record that it writes
 	body           []byte // as it is sent, and sent again
 	changes        int
-	probe          string // a key that it sets, by which a lost answer is found out
+	probeKey       string // a key that it sets, by which a lost answer is found out
 	sentAt         time.Time
-	answerLost     bool // it may have been applied
+	responseLost   bool // it may have been applied
 	jobs           []*jobWrite
 	machineRecords []machineRecordWrite
 	deletions      []string
@@ -58,7 +58,7 @@
 	return &transactionBuilder{
 		splitter: c.splitter, limits: c.splitter.currentLimits(), outcomes: c.outcomes, tx: tx,
 		guarded:    map[*cluster.MachineRecord]bool{},
-		maxChanges: min(c.limits.configured().TxnOps, int(budget.free)),
+		maxChanges: min(c.limits.afterLowering().TxnOps, int(budget.available)),
 	}
 }
 
@@ -78,20 +78,20 @@
 // guard demands that a key has a revision: the compare-and-swap guard.
 func (b *transactionBuilder) guard(key string, revision protocol.Revision) {
 	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Revision: revision})
-	b.bytes += len(key) + overheadBytes
+	b.bytes += len(key) + operationOverheadBytes
 }
 
 // set writes a key.
 func (b *transactionBuilder) set(key string, value json.RawMessage) {
 	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
-	b.bytes += len(key) + len(value) + overheadBytes
-	if b.tx.probe == "" {
-		b.tx.probe = key
+	b.bytes += len(key) + len(value) + operationOverheadBytes
+	if b.tx.probeKey == "" {
+		b.tx.probeKey = key
 	}
 }
 
 // remove deletes a key.
 func (b *transactionBuilder) remove(key string) {
 	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
-	b.bytes += len(key) + overheadBytes
+	b.bytes += len(key) + operationOverheadBytes
 }
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -19,9 +19,9 @@
 	urgent urgency = iota
 	// ordinary changes are new places of arrays and ends of jobs.
 	ordinary
-	// marks of single tasks that are done, which their agents go on reporting until they
+	// taskCompletions of single tasks that are done, which their agents go on reporting until they
 	// are stored.
-	marks
+	taskCompletions
 	// notDue are marks that can wait: the tasks of an array end one after the other, and
 	// mostly their record is written with the next place anyway.
 	notDue
@@ -53,7 +53,7 @@
 		}
 		return ordinary
 	case age > tuning.DoneMarkDelay:
-		return marks
+		return taskCompletions
 	}
 	return notDue
 }
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -50,10 +50,10 @@
 // commitEnvironment implements commit.Environment.
 type commitEnvironment struct{ leaderEnvironment }
 
-// PeersKnow implements commit.Environment. Once the store's limits are known to be lowered,
+// PeersSupport implements commit.Environment. Once the store's limits are known to be lowered,
 // which happens after the upgrade, a peer that is down does not count: a job must not wait
 // for its return.
-func (ce commitEnvironment) PeersKnow(level uint64) bool {
+func (ce commitEnvironment) PeersSupport(level uint64) bool {
 	if ce.l.n.storeLimits.Lowered() {
 		return ce.l.n.peers.AllConnectedSupport(level)
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -197,7 +197,7 @@
 	if got := status(out, 2); got != 200 || !n.mayAct() {
 		t.Errorf("after the renewal a heartbeat is answered %d", got)
 	}
-	n.Step(n.now.Add(n.election.TTL()+n.election.Grace()+time.Second), nil)
+	n.Step(n.now.Add(n.election.LeaseTTL()+n.election.LeaderGrace()+time.Second), nil)
 	if n.Leading() {
 		t.Error("leads on a leader lease that has expired")
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -30,7 +30,7 @@
 	autoscaler *autoscaler.Autoscaler
 	lifecycle  *lifecycle.Manager
 	agents     *agents.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	restored   *restore.Monitor
 
 	schedulingRequested bool            // something changed that placement may depend on
@@ -44,7 +44,7 @@
 // and what else it needs by its environment.
 func newLeader(n *Node) *leader {
 	l := &leader{
-		n: n, logged: map[string]bool{}, recovery: reconcile.NewPhase(), schedulingRequested: true,
+		n: n, logged: map[string]bool{}, recovery: reconcile.NewRecoveryPhase(), schedulingRequested: true,
 		cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }),
 	}
 	shared, store, term := leaderEnvironment{l}, leaderStore{l}, n.election.Term()
@@ -98,7 +98,7 @@
 		l.runSchedulingCycle()
 		l.nextCycleAt = l.n.now.Add(l.scheduler.CyclePause())
 	}
-	l.committer.SplitOutgrown(l.scheduler)
+	l.committer.MarkOversizedRecords(l.scheduler)
 	l.committer.Commit()
 	l.agents.Delivery.SendPending()
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -143,7 +143,7 @@
 		return agents.HeartbeatResult{Outcome: agents.NotLeading}
 	case n.lead.agents.Heartbeats.RefuseHigherToken(heartbeat):
 		return agents.HeartbeatResult{Outcome: agents.HigherToken}
-	case !n.election.Confirmed():
+	case !n.election.LeaseConfirmed():
 		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
 	}
 	return n.lead.agents.Heartbeats.Accept(heartbeat)
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -181,12 +181,12 @@
 	}
 	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
-	if *ended != agents.Answered || l.agents.Calls.InFlight != 0 {
+	if *ended != agents.Executed || l.agents.Calls.InFlight != 0 {
 		t.Errorf("answered 200: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
 	}
 	_, ended = send(commands)
 	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
-	if *ended != agents.Unknown || l.agents.Calls.InFlight != 0 {
+	if *ended != agents.NoResponse || l.agents.Calls.InFlight != 0 {
 		t.Errorf("not answered: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
 	}
 	if a, _ := send(probe); a.(Request).To != ToAgent {
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -8,13 +8,13 @@
 // beginRecovery begins to follow the recovery, when all records are read: what is found
 // and ordered until every agent that the records name is known or its lease has expired.
 func (l *leader) beginRecovery() {
-	if !l.n.cfg.Operator.RecoveryPhase && !l.restored.Marked() {
+	if !l.n.cfg.Operator.RecoveryPhase && !l.restored.HasMarker() {
 		return
 	}
 	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
 	l.recovery.Begin(l.n.now, expiry, l.agents.StoredAttempts())
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.Agents, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.RecordedAgents, "stored", s.RecordedAttempts, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the phase when it is time.
@@ -25,7 +25,7 @@
 	l.schedulingRequested = true // what was held may start
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
-		"workers", s.Agents, "silent", s.Silent, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
+		"workers", s.RecordedAgents, "silent", s.SilentAgents, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
 	for class, n := range s.Classes {
 		attributes = append(attributes, reconcile.Class(class).String(), n)
 	}
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -136,7 +136,7 @@
 func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if !l.committer.InFlight() {
-		l.committer.SplitOutgrown(l.scheduler)
+		l.committer.MarkOversizedRecords(l.scheduler)
 		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
