--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -9,16 +9,16 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// confirmedCancellations are the cancellations that users were told of and that may not
-// have taken effect yet.
+// confirmedCancellations tracks the cancellations that were confirmed to users and that may
+// not have taken effect yet.
 type confirmedCancellations struct {
-	cfg      *config.Config
-	env      Environment
-	jobs     map[protocol.JobID]time.Time // and since when
-	expireAt int                          // how many of them are kept before old ones are dropped
+	cfg             *config.Config
+	env             Environment
+	jobs            map[protocol.JobID]time.Time // with the time of the first confirmation
+	expireThreshold int                          // the number of entries at which old ones are removed
 }
 
-// list is the jobs whose cancellation may not have taken effect yet, in order.
+// list returns, sorted by ID, the jobs whose cancellation may not have taken effect yet.
 func (cc *confirmedCancellations) list() []protocol.JobID {
 	cc.expire()
 	var jobs []protocol.JobID
@@ -29,7 +29,8 @@
 	return jobs
 }
 
-// recordIfCancelled records a cancellation that a user is being told of.
+// recordIfCancelled records a job as cancelled if its phase says so. It is called before a user
+// is told the phase.
 func (cc *confirmedCancellations) recordIfCancelled(jobID protocol.JobID, phase protocol.Phase) {
 	if phase == protocol.PhaseCancelled {
 		cc.env.CancellationConfirmed(jobID)
@@ -41,18 +42,19 @@
 	if _, known := cc.jobs[jobID]; known {
 		return
 	}
-	if len(cc.jobs) >= cc.expireAt {
+	if len(cc.jobs) >= cc.expireThreshold {
 		cc.expire()
-		cc.expireAt = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
+		cc.expireThreshold = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
 	}
 	cc.jobs[jobID] = cc.env.Now()
 }
 
-// expire drops the cancellations that have taken effect.
+// expire removes the cancellations that have taken effect: a cancellation takes CancelS
+// seconds at most, plus clock drift.
 func (cc *confirmedCancellations) expire() {
-	now, effective := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
+	now, maxDelay := cc.env.Now(), config.WithClockDrift(config.Seconds(cc.cfg.Cluster.Agents.CancelS))
 	for jobID, at := range cc.jobs {
-		if now.Sub(at) > effective {
+		if now.Sub(at) > maxDelay {
 			delete(cc.jobs, jobID)
 		}
 	}
