--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -31,7 +31,7 @@
 // TaskStarting implements agents.DeliveryEnvironment.
 func (ae agentsEnvironment) TaskStarting(attempt *cluster.Attempt) {
 	ae.l.n.metrics.Starts++
-	ae.l.n.metrics.WaitSeconds = append(ae.l.n.metrics.WaitSeconds, ae.l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
+	ae.l.n.metrics.StartWaitSeconds = append(ae.l.n.metrics.StartWaitSeconds, ae.l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
 }
 
 // Leads implements agents.LivenessEnvironment.
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -6,12 +6,12 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Due is how long the node need not be woken if nothing happens: until then no
+// TimeUntilWakeUp is how long the node need not be woken if nothing happens: until then no
 // timer of its own is due. A wake-up costs a process several system calls, so
 // that ten of them a second were a tenth of the smallest controllers' time.
 // Timers are kept to the tick, so that what is due at about the same time is
 // done in one.
-func (n *Node) Due() time.Duration {
+func (n *Node) TimeUntilWakeUp() time.Duration {
 	due := n.now.Add(tuning.MaxTimerInterval)
 	by := func(t time.Time) {
 		if t.Before(due) {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -222,7 +222,7 @@
 		seq++
 		var events []Event
 		for _, name := range peers {
-			events = append(events, PeerUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
+			events = append(events, PeerLinkUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
 				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
 		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: seq, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -27,7 +27,7 @@
 
 // ResetLink implements membership.Environment.
 func (pe peerEnvironment) ResetLink(peer protocol.NodeName) {
-	pe.n.out = append(pe.n.out, PeerReset{Peer: peer})
+	pe.n.out = append(pe.n.out, PeerLinkReset{Peer: peer})
 }
 
 // StoreServedAt implements membership.Environment.
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -125,9 +125,9 @@
 		}
 	case AgentHeartbeat:
 		n.router.Route(e.ID, e.Heartbeat)
-	case PeerUp:
+	case PeerLinkUp:
 		n.peers.Up(e.Peer)
-	case PeerDown:
+	case PeerLinkDown:
 		n.peers.Down(e.Peer)
 	case PeerReceive:
 		n.receive(e.Peer, e.Link, e.Message)
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -46,7 +46,7 @@
 		for _, a := range l.node.Step(time.Now(), batch) {
 			l.execute(ctx, a)
 		}
-		timer.Reset(l.node.Due())
+		timer.Reset(l.node.TimeUntilWakeUp())
 		l.ready.Store(l.node.Ready())
 		l.metrics.take(l.node, int(l.connections.open.Load()), l.queues.depth())
 	}
@@ -106,7 +106,7 @@
 		l.pending.deliver(a)
 	case coordination.PeerSend:
 		l.peers.send(a.Peer, a.Message)
-	case coordination.PeerReset:
+	case coordination.PeerLinkReset:
 		l.peers.reset(a.Peer)
 	}
 }
