--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -16,11 +16,11 @@
 
 // SendCommands implements agents.Client.
 func (c agentClient) SendCommands(machine *cluster.Machine, commands protocol.CommandBatch, done func(agents.CallResult)) {
-	body, answered := storage.Encode(commands), c.whileLeading(done)
-	if c.l.usesProxies() && c.l.n.forwarder.Delegate(machine.ID, machine.Address, body, answered) {
+	body, handleResponse := storage.Encode(commands), c.whileLeading(done)
+	if c.l.usesProxies() && c.l.n.forwarder.Delegate(machine.ID, machine.Address, body, handleResponse) {
 		return
 	}
-	c.l.n.request(ToAgent, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, answered)
+	c.l.n.request(ToAgent, machine.Address, http.MethodPost, protocol.PathCommands, body, tuning.ProbeTimeout, handleResponse)
 }
 
 // RequestHeartbeat implements agents.Client.
@@ -30,7 +30,7 @@
 
 func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
 	return func(status int, body []byte) {
-		if c.l.n.lead == c.l {
+		if c.l.n.leader == c.l {
 			done(callResult(status, body))
 		}
 	}
@@ -53,8 +53,8 @@
 	return result
 }
 
-// callFor sends commands to an agent for the leader.
-func (n *Node) callFor(c protocol.PeerAgentCall) {
+// callAgentFor sends commands to an agent for the leader.
+func (n *Node) callAgentFor(c protocol.PeerAgentCall) {
 	n.request(ToAgent, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -12,12 +12,12 @@
 
 // TokenConfirmed implements agents.HeartbeatEnvironment.
 func (ae agentsEnvironment) TokenConfirmed(machine *cluster.Machine) {
-	ae.l.restored.ObserveConfirmedToken(machine)
+	ae.l.restoreMonitor.ObserveConfirmedToken(machine)
 }
 
 // HigherTokenSeen implements agents.HeartbeatEnvironment.
 func (ae agentsEnvironment) HigherTokenSeen(heartbeat *protocol.Heartbeat) {
-	ae.l.restored.ObserveHigherToken(heartbeat)
+	ae.l.restoreMonitor.ObserveHigherToken(heartbeat)
 }
 
 // LogOnce implements agents.HeartbeatEnvironment.
@@ -35,7 +35,7 @@
 }
 
 // Leads implements agents.LivenessEnvironment.
-func (ae agentsEnvironment) Leads() bool { return ae.l.n.lead == ae.l }
+func (ae agentsEnvironment) Leads() bool { return ae.l.n.leader == ae.l }
 
 // AllPeersReachable implements agents.LivenessEnvironment.
 func (ae agentsEnvironment) AllPeersReachable() bool {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// bigResources are those of a controller of two thousand machines.
-var bigResources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
+// largeProcessLimits are those of a controller of two thousand machines.
+var largeProcessLimits = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 
 // fullFleet is a leader with two thousand machines, all taken by arrays of the
 // lowest priority, and jobs that wait.
@@ -41,15 +41,15 @@
 	return l
 }
 
-// BenchmarkReport is the path of an agent's heartbeat at two thousand machines,
+// BenchmarkHeartbeat is the path of an agent's heartbeat at two thousand machines,
 // decoding included.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	l := fullFleet(600)
-	bodies := make([]*cluster.Machine, 0, len(l.cluster.OrderedMachines))
-	bodies = append(bodies, l.cluster.OrderedMachines...)
+	machines := make([]*cluster.Machine, 0, len(l.cluster.OrderedMachines))
+	machines = append(machines, l.cluster.OrderedMachines...)
 	b.ReportAllocs()
 	for i := range b.N {
-		machine := bodies[i%len(bodies)]
+		machine := machines[i%len(machines)]
 		body := fmt.Appendf(nil, `{"berth":%q,"address":"h:1","build":"big","yard":%q,"loaners":false,"tenure":1,"tally":%d,"warrant":%d,"recall_s":null,"pieces":[`,
 			machine.ID, machine.Zone, machine.Agent.Sequence+1, l.n.election.Term())
 		for k, attempt := range cluster.SortedAttemptsOn(machine) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// BenchmarkPlan is a pass over a queue of six hundred gangs that do not fit at
+// BenchmarkSchedulingCycle is a pass over a queue of six hundred gangs that do not fit at
 // two thousand machines, searches for work to stop included.
-func BenchmarkPlan(b *testing.B) {
+func BenchmarkSchedulingCycle(b *testing.B) {
 	l := fullFleet(600)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -84,23 +84,23 @@
 	b.ReportMetric(float64(l.scheduler.MachinesExamined()), "machines-examined/op")
 }
 
-// TestBytesKept bounds what a leader keeps for each machine with its task and for
+// TestMemoryPerMachineAndWaitingJob bounds what a leader keeps for each machine with its task and for
 // each job that waits, with a margin: at half as many machines again as the
 // smallest controllers have, that is a few of their megabytes.
-func TestBytesKept(t *testing.T) {
-	heap := func() uint64 {
+func TestMemoryPerMachineAndWaitingJob(t *testing.T) {
+	heapBytes := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	empty := heap()
+	heapEmpty := heapBytes()
 	small := fullFleet(0)
-	full := heap()
+	heapFull := heapBytes()
 	large := fullFleet(4000)
-	waiting := heap()
-	machines := float64(full-empty) / float64(len(small.cluster.OrderedMachines))
-	jobs := (float64(waiting-full) - float64(full-empty)) / 4000
+	heapWaiting := heapBytes()
+	machines := float64(heapFull-heapEmpty) / float64(len(small.cluster.OrderedMachines))
+	jobs := (float64(heapWaiting-heapFull) - float64(heapFull-heapEmpty)) / 4000
 	t.Logf("%.0f bytes a machine with two tasks, %.0f a job that waits", machines, jobs)
 	if machines > 6<<10 {
 		t.Errorf("%.0f bytes for each machine", machines)
@@ -112,9 +112,9 @@
 	runtime.KeepAlive(large)
 }
 
-// BenchmarkTakeover is a failover of four thousand machines with two tasks each and as many
+// BenchmarkFailover is a failover of four thousand machines with two tasks each and as many
 // jobs that wait, from the mirror to the first heartbeats' turn.
-func BenchmarkTakeover(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	page := protocol.Entries{Revision: 9}
 	add := func(key string, v any) {
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -21,15 +21,15 @@
 
 // newStoreBudgets divides the store's limits.
 func newStoreBudgets(cfg *config.Config) storeBudgets {
-	budget := func(limit float64, burst int) *rate.Limiter {
+	newLimiter := func(limit float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(limit), max(burst, int(limit)))
 	}
-	nodes, state := float64(len(cfg.Peers)+1), cfg.Cluster.Store
+	nodes, limits := float64(len(cfg.Peers)+1), cfg.Cluster.Store
 	return storeBudgets{
-		calls:  budget(state.RPS*tuning.RequestBudgetShare/nodes, 1),
-		writes: budget(state.WriteRPS*tuning.WriteBudgetShare, 2),
-		users:  budget(state.WriteRPS*tuning.UserWriteBudgetShare/nodes, state.TxnOps),
-		relay:  budget(state.WriteRPS*tuning.RelayWriteBudgetShare/nodes, state.TxnOps),
+		calls:  newLimiter(limits.RPS*tuning.RequestBudgetShare/nodes, 1),
+		writes: newLimiter(limits.WriteRPS*tuning.WriteBudgetShare, 2),
+		users:  newLimiter(limits.WriteRPS*tuning.UserWriteBudgetShare/nodes, limits.TxnOps),
+		relay:  newLimiter(limits.WriteRPS*tuning.RelayWriteBudgetShare/nodes, limits.TxnOps),
 	}
 }
 
@@ -69,15 +69,15 @@
 	return false
 }
 
-// throttled takes note that the store refused changes as too many: whatever the budget
+// noteThrottled takes note that the store refused changes as too many: whatever the budget
 // says, the store has no more to give now. The budget fills again from nothing. It
 // returns the time after which that many changes may be sent again.
-func (sb *storeBudgets) throttled(now time.Time, changes int) time.Duration {
+func (sb *storeBudgets) noteThrottled(now time.Time, changes int) time.Duration {
 	for _, budget := range []*rate.Limiter{sb.writes, sb.users, sb.relay} {
 		if tokens := int(budget.TokensAt(now)); tokens > 0 {
 			budget.AllowN(now, tokens)
 		}
 	}
-	pause := time.Duration(float64(changes) / float64(sb.writes.Limit()) * float64(time.Second))
-	return max(tuning.StoreRetryDelay, pause)
+	delay := time.Duration(float64(changes) / float64(sb.writes.Limit()) * float64(time.Second))
+	return max(tuning.StoreRetryDelay, delay)
 }
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -17,12 +17,12 @@
 func (c cloudClient) CreateMachines(request protocol.Rental, done func(autoscaler.CreateResult)) {
 	c.call(http.MethodPost, protocol.PathMachines, request, func(status int, body []byte) {
 		names, isNames := parse[protocol.MachineNames](body)
-		refusal, _ := parse[protocol.ErrorBody](body)
+		errorBody, _ := parse[protocol.ErrorBody](body)
 		result := autoscaler.CreateResult{Detail: fmt.Sprintf("status %d: %s", status, body)}
 		switch {
 		case status == http.StatusOK && isNames:
 			result.Outcome, result.Machines = autoscaler.Created, names.Machines
-		case status == http.StatusServiceUnavailable && refusal.Error == protocol.NoCapacity:
+		case status == http.StatusServiceUnavailable && errorBody.Error == protocol.NoCapacity:
 			result.Outcome = autoscaler.NoCapacity
 		case status == http.StatusBadRequest:
 			result.Outcome = autoscaler.CreateRejected
@@ -52,7 +52,7 @@
 
 func (c cloudClient) call(method, path string, body any, done func(status int, body []byte)) {
 	c.l.n.request(ToCloud, "", method, path, body, tuning.CloudTimeout, func(status int, body []byte) {
-		if c.l.n.lead == c.l {
+		if c.l.n.leader == c.l {
 			done(status, body)
 		}
 	})
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -15,7 +15,7 @@
 // Transact carries out a transaction on conditions.
 func (s leaderStore) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
 	s.l.n.store.Transact(txn, func(result kv.TransactionResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.leader == s.l {
 			done(result)
 		}
 	})
@@ -24,7 +24,7 @@
 // TransactEncoded implements commit.Store.
 func (s leaderStore) TransactEncoded(txn []byte, done func(kv.TransactionResult)) {
 	s.l.n.store.TransactEncoded(txn, func(result kv.TransactionResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.leader == s.l {
 			done(result)
 		}
 	})
@@ -33,7 +33,7 @@
 // Get implements commit.Store.
 func (s leaderStore) Get(key string, done func(kv.GetResult)) {
 	s.l.n.store.Get(key, func(result kv.GetResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.leader == s.l {
 			done(result)
 		}
 	})
@@ -44,7 +44,7 @@
 
 // NoteThrottled implements commit.Store.
 func (s leaderStore) NoteThrottled(changes int) time.Duration {
-	return s.l.n.budgets.throttled(s.l.n.now, changes)
+	return s.l.n.budgets.noteThrottled(s.l.n.now, changes)
 }
 
 // commitEnvironment implements commit.Environment.
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -12,41 +12,41 @@
 // Timers are kept to the tick, so that what is due at about the same time is
 // done in one.
 func (n *Node) TimeUntilWakeUp() time.Duration {
-	due := n.now.Add(tuning.MaxTimerInterval)
-	by := func(t time.Time) {
-		if t.Before(due) {
-			due = t
+	wakeAt := n.now.Add(tuning.MaxTimerInterval)
+	wakeBy := func(t time.Time) {
+		if t.Before(wakeAt) {
+			wakeAt = t
 		}
 	}
 	for _, t := range n.timers {
-		by(t.at)
+		wakeBy(t.at)
 	}
-	n.mirror.Due(by)
+	n.mirror.Due(wakeBy)
 	if n.mirror.Ready() {
-		by(n.storeContact.probeAt())
+		wakeBy(n.storeAccess.nextProbeAt())
 	}
-	n.machineTypes.due(by)
-	n.election.Due(by)
-	n.peers.Due(by)
-	n.forwarder.Due(by, n.router.Queued())
-	n.api.Due(by)
+	n.machineTypes.due(wakeBy)
+	n.election.Due(wakeBy)
+	n.peers.Due(wakeBy)
+	n.forwarder.Due(wakeBy, n.router.Queued())
+	n.api.Due(wakeBy)
 	if n.mayAct() {
-		n.lead.due(by)
+		n.leader.due(wakeBy)
 	}
-	return max(due.Sub(n.now), tuning.MinTimerInterval)
+	return max(wakeAt.Sub(n.now), tuning.MinTimerInterval)
 }
 
 // due tells when the leader has something to do.
-func (l *leader) due(by func(time.Time)) {
-	by(l.nextSweepAt)
+func (l *leader) due(wakeBy func(time.Time)) {
+	wakeBy(l.nextSweepAt)
 	if l.schedulingRequested {
-		by(l.nextCycleAt)
+		wakeBy(l.nextCycleAt)
 	}
-	by(l.nextCycleAt.Add(tuning.MaxSchedulingInterval))
+	wakeBy(l.nextCycleAt.Add(tuning.MaxSchedulingInterval))
 	if at, due := l.committer.NextCommit(); due {
-		by(at)
+		wakeBy(at)
 	}
 	if len(l.agents.Delivery.Pending()) > 0 {
-		by(l.n.now)
+		wakeBy(l.n.now)
 	}
 }
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -13,17 +13,17 @@
 func (ee electionEnvironment) Now() time.Time { return ee.n.now }
 
 // UniqueName implements election.Environment.
-func (ee electionEnvironment) UniqueName() string { return ee.n.unique() }
+func (ee electionEnvironment) UniqueName() string { return ee.n.uniqueName() }
 
 // Leading implements election.Environment.
-func (ee electionEnvironment) Leading() bool { return ee.n.lead != nil }
+func (ee electionEnvironment) Leading() bool { return ee.n.leader != nil }
 
 // SteppedDown implements election.Environment.
-func (ee electionEnvironment) SteppedDown() { ee.n.lead = nil }
+func (ee electionEnvironment) SteppedDown() { ee.n.leader = nil }
 
 // CancellationConfirmed implements election.Environment.
 func (ee electionEnvironment) CancellationConfirmed(jobID protocol.JobID) {
-	ee.n.lead.cancelFromPeer(jobID)
+	ee.n.leader.cancelByID(jobID)
 }
 
 // Count implements election.Peers.
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -13,39 +13,39 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// sentTo counts a step's requests to a system, and those of them whose path is
+// countRequests counts a step's requests to a system, and those of them whose path is
 // the given one.
-func sentTo(out []Action, to Target, path string) (all, such int) {
+func countRequests(out []Action, to Target, path string) (all, withPath int) {
 	for _, a := range out {
 		if r, ok := a.(Request); ok && r.To == to {
 			all++
 			if r.Path == path {
-				such++
+				withPath++
 			}
 		}
 	}
-	return all, such
+	return all, withPath
 }
 
-// TestFailoverIsPaced: a new leader of two thousand machines calls no more of
+// TestNewLeaderPacesAgentCalls: a new leader of two thousand machines calls no more of
 // them than its share of a core allows, and renews its leader lease meanwhile. One that
 // called all at once did not come to renew it and was replaced, and so in turn.
-func TestFailoverIsPaced(t *testing.T) {
+func TestNewLeaderPacesAgentCalls(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
-	n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
 	start := n.now
 	calls, renewals := 0, 0
-	open := map[uint64]time.Time{}
+	inFlight := map[uint64]time.Time{}
 	for n.now.Sub(start) < 5*time.Second {
 		var events []Event
-		for id, at := range open {
+		for id, at := range inFlight {
 			if n.now.Sub(at) >= tuning.ProbeTimeout {
-				delete(open, id)
+				delete(inFlight, id)
 				events = append(events, Response{ID: id}) // none of them answers
 			}
 		}
@@ -55,52 +55,52 @@
 			switch {
 			case ok && r.To == ToAgent:
 				calls++
-				open[r.ID] = n.now
+				inFlight[r.ID] = n.now
 			case ok && r.Path == protocol.RenewPath(testLease):
 				renewals++
 				n.pending[r.ID](200, nil)
 			}
 		}
-		if limit := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
-			t.Fatalf("%d calls under way", len(open))
+		if limit := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); len(inFlight) > limit {
+			t.Fatalf("%d calls under way", len(inFlight))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
-	if calls == 0 || float64(calls) > most {
-		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
+	maxCalls := 5*largeProcessLimits.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
+	if calls == 0 || float64(calls) > maxCalls {
+		t.Errorf("%d calls in 5 s, %v are allowed", calls, maxCalls)
 	}
 	if renewals < 4 {
 		t.Errorf("%d renewals in 5 s", renewals)
 	}
 }
 
-// TestOrdersBeforeProbes: however many silent machines are probed, half of the
+// TestProbesLeaveCallsForCommands: however many silent machines are probed, half of the
 // calls are left for orders.
-func TestOrdersBeforeProbes(t *testing.T) {
+func TestProbesLeaveCallsForCommands(t *testing.T) {
 	l := fullFleet(0)
-	l.n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	l.n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.agents.Liveness.Tick()
-	probes, _ := sentTo(l.n.out, ToAgent, protocol.PathInspect)
-	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
+	probes, _ := countRequests(l.n.out, ToAgent, protocol.PathInspect)
+	if sockets := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.agents.Delivery.SendPending()
-	if _, orders := sentTo(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
+	if _, orders := countRequests(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
 }
 
-// TestNoLimits: without a share of a core in the settings calls are not paced,
+// TestNoCoreLimitAndFewWrites: without a share of a core in the settings calls are not paced,
 // and with two changes a second jobs still end.
-func TestNoLimits(t *testing.T) {
+func TestNoCoreLimitAndFewWrites(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
 		t.Error("no agent may be called")
@@ -114,22 +114,22 @@
 		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.committer.Commit()
 	}
-	_, writes := sentTo(n.out, ToStore, protocol.PathTransactions)
-	if txn, _ := l.sentTxn(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
+	_, writes := countRequests(n.out, ToStore, protocol.PathTransactions)
+	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
 
-// TestOthersWritesCount: the leader's decisions have what others leave of the
+// TestWritesOfOthersReduceBudget: the leader's decisions have what others leave of the
 // state service's writes, which it learns from its watch; its own it counts when
 // it sends them.
-func TestOthersWritesCount(t *testing.T) {
+func TestWritesOfOthersReduceBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	free := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
-	before := free()
+	available := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
+	before := available()
 	watch := protocol.WatchResponse{Revision: 90}
-	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
+	for i, writer := range []string{n.uniqueName(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
@@ -139,15 +139,15 @@
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
 	n.mirror.Tick()
 	n.handle(Response{ID: n.lastRequest(t, ToStore).ID, Status: 200, Body: storage.Encode(watch)})
-	if got := before - free(); got != 2 {
+	if got := before - available(); got != 2 {
 		t.Errorf("%d writes counted of two by others and one of its own", got)
 	}
 }
 
-// TestProcessPause: a leader that was paused for seconds, its clocks running on,
+// TestPausedLeaderWaitsForLeaseRenewal: a leader that was paused for seconds, its clocks running on,
 // answers no heartbeat, sends no command and writes nothing before its leader lease was
 // renewed; one whose leader lease must have expired meanwhile leads no more.
-func TestProcessPause(t *testing.T) {
+func TestPausedLeaderWaitsForLeaseRenewal(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	machine := l.testMachine("i-1", "big", "a")
@@ -170,7 +170,7 @@
 	if got := status(out, 1); got != 503 {
 		t.Errorf("the heartbeat that waited is answered %d", got)
 	}
-	if calls, _ := sentTo(out, ToAgent, ""); calls > 0 {
+	if calls, _ := countRequests(out, ToAgent, ""); calls > 0 {
 		t.Errorf("%d calls to agents", calls)
 	}
 	// It may ask how far the records have come: that changes nothing.
@@ -183,7 +183,7 @@
 	if len(job.Attempts) > 0 {
 		t.Errorf("%d tasks placed", len(job.Attempts))
 	}
-	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(testLease))
+	_, renewals := countRequests(out, ToLeaderLease, protocol.RenewPath(testLease))
 	if renewals != 1 {
 		t.Fatalf("%d renewals", renewals)
 	}
@@ -214,22 +214,22 @@
 	for _, name := range peers {
 		n.peers.Add(name)
 	}
-	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), stamp)
+	setLeader := func(name protocol.NodeName, revision protocol.Revision) {
+		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), revision)
 	}
-	seq := uint64(0)
-	send := func(after time.Duration) string {
-		seq++
+	sequence := uint64(0)
+	sendHeartbeat := func(after time.Duration) string {
+		sequence++
 		var events []Event
 		for _, name := range peers {
 			events = append(events, PeerLinkUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
 				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
-		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: seq, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
+		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: sequence, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(sequence)}}))
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
-				if a.ID == seq {
+				if a.ID == sequence {
 					return fmt.Sprint(a.Status)
 				}
 			case PeerSend:
@@ -240,7 +240,7 @@
 		}
 		return "nothing"
 	}
-	lead("first", 20)
+	setLeader("first", 20)
 	for i, step := range []struct {
 		after time.Duration
 		want  string
@@ -248,20 +248,20 @@
 		{time.Second, "421"}, {5 * time.Second, "forwarded to first"}, {5 * time.Second, "forwarded to first"},
 		{tuning.RedirectRetention, "421"}, {5 * time.Second, "forwarded to first"},
 	} {
-		if got := send(step.after); got != step.want {
+		if got := sendHeartbeat(step.after); got != step.want {
 			t.Errorf("heartbeat %d: %s, want %s", i, got, step.want)
 		}
 	}
-	lead("second", 21)
-	if got := send(time.Second); got != "421" {
+	setLeader("second", 21)
+	if got := sendHeartbeat(time.Second); got != "421" {
 		t.Errorf("with another leader: %s", got)
 	}
 }
 
-// TestRenewedBeforeFailover: a node that has won the leader lease renews it before it
+// TestLeaseIsRenewedBeforeFailover: a node that has won the leader lease renews it before it
 // reads the records, which takes a small controller a second, and plans nothing in
 // the step in which it does.
-func TestRenewedBeforeFailover(t *testing.T) {
+func TestLeaseIsRenewedBeforeFailover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.election.StepDown("a test")
@@ -296,8 +296,8 @@
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
-	if !n.Leading() || !n.mayAct() || n.lead.nextCycleAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.nextCycleAt)
+	if !n.Leading() || !n.mayAct() || n.leader.nextCycleAt != (time.Time{}) {
+		t.Fatalf("leads %v, planned at %v", n.Leading(), n.leader.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestRecordedPlaceOfDeletedMachine: a machine leaves its machine record only after
+// TestPlacementOnUnrecordedMachineIsDropped: a machine leaves its machine record only after
 // its deletion was answered, so a place on a machine that no record has is
 // proven gone; a new leader need not wait for the lease to expire.
-func TestRecordedPlaceOfDeletedMachine(t *testing.T) {
+func TestPlacementOnUnrecordedMachineIsDropped(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
@@ -78,7 +78,7 @@
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
 		n.startLeading()
-		if got := len(n.lead.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
+		if got := len(n.leader.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
 			t.Errorf("recorded %v: %d attempts", recorded, got)
 		}
 	}
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -18,7 +18,7 @@
 func (pe peerEnvironment) Now() time.Time { return pe.n.now }
 
 // UniqueName implements membership.Environment.
-func (pe peerEnvironment) UniqueName() string { return pe.n.unique() }
+func (pe peerEnvironment) UniqueName() string { return pe.n.uniqueName() }
 
 // Send implements membership.Environment.
 func (pe peerEnvironment) Send(peer protocol.NodeName, message protocol.PeerMessage) {
@@ -31,7 +31,7 @@
 }
 
 // StoreServedAt implements membership.Environment.
-func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeContact.servedAt }
+func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeAccess.lastServedAt }
 
 // TakeRelayWrite implements membership.Environment.
 func (pe peerEnvironment) TakeRelayWrite() bool { return pe.n.budgets.takeRelayWrite(pe.n.now) }
@@ -52,7 +52,7 @@
 func (ls leadership) Now() time.Time { return ls.n.now }
 
 // Leading implements membership.Leadership.
-func (ls leadership) Leading() bool { return ls.n.lead != nil }
+func (ls leadership) Leading() bool { return ls.n.leader != nil }
 
 // Holder implements membership.Leadership.
 func (ls leadership) Holder() protocol.NodeName { return ls.n.election.Holder() }
@@ -61,7 +61,7 @@
 func (ls leadership) HolderTerm() protocol.Term { return ls.n.election.HolderTerm() }
 
 // DirectShare implements membership.Leadership.
-func (ls leadership) DirectShare() uint64 { return ls.n.lead.directShare() }
+func (ls leadership) DirectShare() uint64 { return ls.n.leader.directShare() }
 
 // RecordsLoaded implements membership.Leadership.
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
@@ -71,22 +71,22 @@
 // pay for, so that planning has the rest. The others' heartbeats come over the
 // controllers' links, many in one read.
 func (l *leader) directShare() uint64 {
-	r := l.n.cfg.Cluster.Process
-	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
+	limits := l.n.cfg.Cluster.Process
+	if limits.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
 		return tuning.DirectShareScale
 	}
-	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Agents.ReportS
-	if r.FDLimit > 0 {
-		most = min(most, float64(r.FDLimit)*tuning.AgentKeepAliveShare)
+	maxDirect := limits.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Agents.ReportS
+	if limits.FDLimit > 0 {
+		maxDirect = min(maxDirect, float64(limits.FDLimit)*tuning.AgentKeepAliveShare)
 	}
-	fleet := float64(len(l.cluster.OrderedMachines))
+	machines := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyReleaseShare
-	if !l.proxying {
+	l.usingProxies = machines > maxDirect || l.usingProxies && machines > maxDirect*tuning.ProxyReleaseShare
+	if !l.usingProxies {
 		return tuning.DirectShareScale
 	}
 	// In steps, so that few agents change their proxy as the fleet grows.
-	return uint64(min(most*tuning.RetainedAgentShare/fleet, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
+	return uint64(min(maxDirect*tuning.RetainedAgentShare/machines, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
 }
 
 // usesProxies says whether the peers do a part of the leader's dealings with
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -22,10 +22,10 @@
 	m := n.metrics
 	m.ShedRequests = n.api.Shed()
 	n.metrics.CommitSeconds, n.metrics.StartWaitSeconds = nil, nil
-	if n.lead != nil {
-		m.Machines, m.WaitingJobs = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting()
+	if n.leader != nil {
+		m.Machines, m.WaitingJobs = len(n.leader.cluster.Machines), n.leader.scheduler.Waiting()
 		m.Term = n.election.Term()
-		m.Now, m.Recovery = n.now, n.lead.recovery.Summary()
+		m.Now, m.Recovery = n.now, n.leader.recovery.Summary()
 	}
 	return m
 }
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -19,8 +19,8 @@
 	n.peers.Receive(name, 1, status)
 }
 
-// connectNewPeers adds two peers that are linked to each other and to the node.
-func (n *Node) connectNewPeers() {
+// connectTwoPeers adds two peers that are linked to each other and to the node.
+func (n *Node) connectTwoPeers() {
 	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
 	for _, s := range n.cfg.Peers {
 		n.peers.Add(s.Name)
@@ -28,9 +28,9 @@
 	}
 }
 
-// follower is one of three nodes, each linked to the others, while "a" leads
+// connectedFollower is one of three nodes, each linked to the others, while "a" leads
 // and keeps so many of a thousand agents.
-func follower(name protocol.NodeName, keeps uint64) *Node {
+func connectedFollower(name protocol.NodeName, directShare uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
 	for _, s := range []protocol.NodeName{"a", "b", "c"} {
 		if s != name {
@@ -43,7 +43,7 @@
 	for _, s := range cfg.Peers {
 		status := protocol.PeerStatus{Term: 9, Leader: "a", Links: []protocol.NodeName{"x", "y"}}
 		if s.Name == "a" {
-			status.DirectShare, status.Links = keeps, []protocol.NodeName{"b", "c"}
+			status.DirectShare, status.Links = directShare, []protocol.NodeName{"b", "c"}
 		}
 		n.connect(s.Name, status)
 	}
@@ -78,21 +78,21 @@
 // its agents sends the others to their proxies, once; one that
 // comes back is answered. A large share keeps all.
 func TestLeaderRedirectsAgentsToProxies(t *testing.T) {
-	for cores, sends := range map[float64]bool{0.018: true, 0.24: false} {
+	for cores, redirects := range map[float64]bool{0.018: true, 0.24: false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		n := l.n
 		n.cfg.Cluster.Process.Cores = cores
-		n.connectNewPeers()
+		n.connectTwoPeers()
 		for i := range 300 {
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 		}
-		away := 0
+		redirected := 0
 		for i := range 300 {
 			m := protocol.MachineID(fmt.Sprintf("i-%06d", i))
 			switch got := heartbeatOutcome(n, m); got {
 			case "200":
 			case "o", "p":
-				away++
+				redirected++
 				if got := heartbeatOutcome(n, m); got != "200" {
 					t.Fatalf("%s came back and has %s", m, got)
 				}
@@ -100,8 +100,8 @@
 				t.Fatalf("%s: %s", m, got)
 			}
 		}
-		if sends != (away > 0) || away > 290 {
-			t.Errorf("on %v of a core %d of 300 agents are redirected", cores, away)
+		if redirects != (redirected > 0) || redirected > 290 {
+			t.Errorf("on %v of a core %d of 300 agents are redirected", cores, redirected)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 // next leader instead of going round the nodes, but not for longer than an agent
 // waits.
 func TestHeartbeatsAreAnsweredByNextLeader(t *testing.T) {
-	b := follower("b", 0)
+	b := connectedFollower("b", 0)
 	b.election.ObserveRelease()
 	// A node that has just started takes a peer's confirmation.
 	if got := heartbeatOutcome(b, "i-1"); got != "a" {
@@ -157,37 +157,37 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.cfg.Cluster.Process.Cores = 0.001
-	n.connectNewPeers()
+	n.connectTwoPeers()
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 	}
 	machine := l.cluster.OrderedMachines[0]
 	pending := agents.CallOutcome(-1)
-	send := func(call func(done func(agents.CallResult))) (action Action, ended *agents.CallOutcome) {
+	send := func(call func(done func(agents.CallResult))) (action Action, outcome *agents.CallOutcome) {
 		n.out = nil
-		ended = new(agents.CallOutcome)
-		*ended = pending
-		call(func(result agents.CallResult) { *ended = result.Outcome })
-		return n.out[len(n.out)-1], ended
+		outcome = new(agents.CallOutcome)
+		*outcome = pending
+		call(func(result agents.CallResult) { *outcome = result.Outcome })
+		return n.out[len(n.out)-1], outcome
 	}
 	commands := func(done func(agents.CallResult)) {
 		l.agents.Calls.SendCommands(machine, protocol.CommandBatch{FencingToken: 7}, done)
 	}
 	probe := func(done func(agents.CallResult)) { l.agents.Calls.RequestHeartbeat(machine, done) }
-	a, ended := send(commands)
+	a, outcome := send(commands)
 	toPeer, ok := a.(PeerSend)
 	if !ok {
 		t.Fatalf("commands leave as %T", a)
 	}
 	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
-	if *ended != agents.Answered || l.agents.Calls.InFlight != 0 {
-		t.Errorf("answered 200: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
+	if *outcome != agents.Answered || l.agents.Calls.InFlight != 0 {
+		t.Errorf("answered 200: ended with %d, %d under way", *outcome, l.agents.Calls.InFlight)
 	}
-	_, ended = send(commands)
+	_, outcome = send(commands)
 	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
-	if *ended != agents.Unknown || l.agents.Calls.InFlight != 0 {
-		t.Errorf("not answered: ended with %d, %d under way", *ended, l.agents.Calls.InFlight)
+	if *outcome != agents.Unknown || l.agents.Calls.InFlight != 0 {
+		t.Errorf("not answered: ended with %d, %d under way", *outcome, l.agents.Calls.InFlight)
 	}
 	if a, _ := send(probe); a.(Request).To != ToAgent {
 		t.Errorf("a probe leaves as %+v", a)
@@ -197,7 +197,7 @@
 		t.Errorf("with a link missing commands leave as %+v", a)
 	}
 	// The peer's part.
-	b := follower("b", 0)
+	b := connectedFollower("b", 0)
 	b.out = nil
 	b.deliver(protocol.PeerAgentCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
 	r := b.out[0].(Request)
@@ -205,8 +205,8 @@
 		t.Fatalf("sent to the agent: %+v", r)
 	}
 	b.handle(Response{ID: r.ID, Status: 409, Body: []byte("{}")})
-	back := b.out[len(b.out)-1].(PeerSend)
-	if got := back.Message.(protocol.PeerResponse); back.Peer != "a" || got.ID != 5 || got.Status != 409 {
-		t.Errorf("the answer goes back as %+v", back)
+	sent := b.out[len(b.out)-1].(PeerSend)
+	if got := sent.Message.(protocol.PeerResponse); sent.Peer != "a" || got.ID != 5 || got.Status != 409 {
+		t.Errorf("the answer goes back as %+v", sent)
 	}
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,11 +9,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestNotReceiving: an agent whose heartbeats go on coming, but never show what the
+// TestUnresponsiveAgentIsDeletedDespiteHeartbeats: an agent whose heartbeats go on coming, but never show what the
 // answers told it, takes no new work; one that does not answer calls either is
 // returned, which proves its tasks gone. One that answers a call is kept.
-func TestNotReceiving(t *testing.T) {
-	for _, answers := range []bool{false, true} {
+func TestUnresponsiveAgentIsDeletedDespiteHeartbeats(t *testing.T) {
+	for _, responds := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		machine := l.testMachine("i-1", "big", "a")
 		job := l.testJob(gangOf(1, 1))
@@ -28,7 +28,7 @@
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
-			l.n.keepAuthority()
+			l.n.renewAuthority()
 			machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.agents.Liveness.Tick()
@@ -37,7 +37,7 @@
 				if !ok || r.To != ToAgent {
 					continue
 				}
-				if answers {
+				if responds {
 					l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
 						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()})})
 				} else {
@@ -45,8 +45,8 @@
 				}
 			}
 		}
-		if machine.Deleting == answers || l.cluster.Schedulable(machine) != answers {
-			t.Errorf("answers calls %v: returned %v, takes work %v", answers, machine.Deleting, l.cluster.Schedulable(machine))
+		if machine.Deleting == responds || l.cluster.Schedulable(machine) != responds {
+			t.Errorf("answers calls %v: returned %v, takes work %v", responds, machine.Deleting, l.cluster.Schedulable(machine))
 		}
 		if l.removeMachines(machine.ID); len(job.Attempts) != 0 {
 			t.Errorf("%d copies are left once it is gone", len(job.Attempts))
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -16,17 +16,17 @@
 
 // Created implements api.Replies.
 func (ur userReplies) Created(requestID uint64, accepted protocol.Accepted) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusCreated, Body: storage.Encode(accepted)})
+	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusCreated, Body: storage.Encode(accepted)})
 }
 
 // Accepted implements api.Replies.
 func (ur userReplies) Accepted(requestID uint64, accepted protocol.Accepted) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(accepted)})
+	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(accepted)})
 }
 
 // Status implements api.Replies.
 func (ur userReplies) Status(requestID uint64, status protocol.Status) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
+	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
 }
 
 // UnknownJob implements api.Replies.
@@ -46,21 +46,21 @@
 
 // Unavailable implements api.Replies.
 func (ur userReplies) Unavailable(requestID uint64, reason string) {
-	ur.n.answer(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
+	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
 		Body: storage.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
 }
 
 // Forwarded passes on what a peer answered to a forwarded request.
-func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerResponse) {
-	reply := Reply{ID: requestID, Status: int(answer.Status), Body: answer.Body}
+func (ur userReplies) Forwarded(requestID uint64, response protocol.PeerResponse) {
+	reply := Reply{ID: requestID, Status: int(response.Status), Body: response.Body}
 	if reply.Status == http.StatusServiceUnavailable {
 		reply.RetryAfter = time.Second
 	}
-	ur.n.answer(reply)
+	ur.n.sendReply(reply)
 }
 
 func (ur userReplies) fail(requestID uint64, status int, reason string) {
-	ur.n.answer(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
+	ur.n.sendReply(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
 }
 
 // heartbeatReply answers an agent's heartbeat: with commands, a redirect or a refusal.
@@ -69,18 +69,18 @@
 	body   []byte
 }
 
-// heartbeatAnswer is the leader's answer with commands.
-func heartbeatAnswer(answer protocol.HeartbeatResponse) heartbeatReply {
-	return heartbeatReply{http.StatusOK, storage.Encode(answer)}
+// acceptedHeartbeat is the leader's answer with commands.
+func acceptedHeartbeat(response protocol.HeartbeatResponse) heartbeatReply {
+	return heartbeatReply{http.StatusOK, storage.Encode(response)}
 }
 
-// heartbeatRedirect sends an agent to another controller; to whichever it likes if that is "".
-func heartbeatRedirect(to protocol.NodeName) heartbeatReply {
+// redirectedHeartbeat sends an agent to another controller; to whichever it likes if that is "".
+func redirectedHeartbeat(to protocol.NodeName) heartbeatReply {
 	return heartbeatReply{http.StatusMisdirectedRequest, storage.Encode(protocol.Redirect{Target: to})}
 }
 
-// heartbeatRefusal tells an agent that its heartbeat has no effect; it sends another.
-func heartbeatRefusal(reason string) heartbeatReply {
+// refusedHeartbeat tells an agent that its heartbeat has no effect; it sends another.
+func refusedHeartbeat(reason string) heartbeatReply {
 	return heartbeatReply{http.StatusServiceUnavailable, storage.Encode(protocol.ErrorBody{Error: reason})}
 }
 
@@ -89,19 +89,19 @@
 
 // Answer implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Answer(requestID uint64, heartbeat *protocol.Heartbeat) {
-	hr.reply(requestID, hr.n.takeHeartbeat(heartbeat))
+	hr.reply(requestID, hr.n.respondToHeartbeat(heartbeat))
 }
 
 // Redirect implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Redirect(requestID uint64, to protocol.NodeName) {
-	hr.reply(requestID, heartbeatRedirect(to))
+	hr.reply(requestID, redirectedHeartbeat(to))
 }
 
 // Refuse implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Refuse(requestID uint64, reason string) {
-	hr.reply(requestID, heartbeatRefusal(reason))
+	hr.reply(requestID, refusedHeartbeat(reason))
 }
 
 func (hr heartbeatReplies) reply(requestID uint64, reply heartbeatReply) {
-	hr.n.answer(Reply{ID: requestID, Status: reply.status, Body: reply.body})
+	hr.n.sendReply(Reply{ID: requestID, Status: reply.status, Body: reply.body})
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -10,21 +10,21 @@
 // request calls an outside system. Status 0 stands for no answer.
 func (n *Node) request(to Target, address, method, path string, body any, timeout time.Duration, done func(status int, body []byte)) {
 	n.nextID++
-	var raw []byte
+	var encoded []byte
 	switch b := body.(type) {
 	case nil:
 	case []byte:
-		raw = b
+		encoded = b
 	default:
-		raw = storage.Encode(b)
+		encoded = storage.Encode(b)
 	}
 	n.pending[n.nextID] = done
-	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: raw, Timeout: timeout})
+	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: encoded, Timeout: timeout})
 }
 
-// answer gives a reply to whoever asked: a connection of this node, or a
+// confirmation gives a reply to whoever asked: a connection of this node, or a
 // peer that forwarded the request here.
-func (n *Node) answer(r Reply) {
+func (n *Node) sendReply(r Reply) {
 	if n.forwarder.Respond(r.ID, r.Status, r.Body) {
 		return
 	}
--- a/internal/coordination/scheduler_environment.go
+++ b/internal/coordination/scheduler_environment.go
@@ -6,7 +6,9 @@
 type schedulerEnvironment struct{ leaderEnvironment }
 
 // StartsWithheld implements scheduler.Environment.
-func (se schedulerEnvironment) StartsWithheld(job *cluster.Job) bool { return se.l.restored.Holds(job) }
+func (se schedulerEnvironment) StartsWithheld(job *cluster.Job) bool {
+	return se.l.restoreMonitor.Holds(job)
+}
 
 // AwaitsRecordSplit implements scheduler.Environment.
 func (se schedulerEnvironment) AwaitsRecordSplit(job *cluster.Job) bool {
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -16,9 +16,9 @@
 }
 
 func (n *Node) tickTimers() {
-	due := n.timers
+	pending := n.timers
 	n.timers = nil
-	for _, t := range due {
+	for _, t := range pending {
 		if n.now.Before(t.at) {
 			n.timers = append(n.timers, t)
 		} else {
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -13,32 +13,32 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestUnreadableRecords: a job of which a record cannot be read, because a later
+// TestJobWithUnreadableRecordIsLeftAlone: a job of which a record cannot be read, because a later
 // version wrote it or because it is damaged, is left alone: nothing of it is written
 // or deleted, its tasks run on and are not started again, their machine is kept, and
 // other jobs are served. One whose own record can be read may still be cancelled.
-func TestUnreadableRecords(t *testing.T) {
-	for name, spoil := range map[string]func(s *storedRecords, key, part string){
-		"later version": func(s *storedRecords, key, _ string) {
-			e := s.entries[key]
+func TestJobWithUnreadableRecordIsLeftAlone(t *testing.T) {
+	for name, corrupt := range map[string]func(s *storedRecords, mainKey, taskKey string){
+		"later version": func(s *storedRecords, mainKey, _ string) {
+			e := s.entries[mainKey]
 			e.Value = json.RawMessage(strings.Replace(string(e.Value), `{"w":"w-1",`, `{"w":"w-1","v":9,`, 1))
-			s.entries[key] = e
+			s.entries[mainKey] = e
 		},
-		"damaged job record": func(s *storedRecords, key, _ string) {
-			s.entries[key] = protocol.Entry{Key: key, Value: json.RawMessage(`{"w":"w-1"}`), Revision: 9}
+		"damaged job record": func(s *storedRecords, mainKey, _ string) {
+			s.entries[mainKey] = protocol.Entry{Key: mainKey, Value: json.RawMessage(`{"w":"w-1"}`), Revision: 9}
 		},
-		"damaged part": func(s *storedRecords, _, part string) {
-			s.entries[part] = protocol.Entry{Key: part, Value: json.RawMessage(`{"w":"w-1","tasks":7}`), Revision: 9}
+		"damaged part": func(s *storedRecords, _, taskKey string) {
+			s.entries[taskKey] = protocol.Entry{Key: taskKey, Value: json.RawMessage(`{"w":"w-1","tasks":7}`), Revision: 9}
 		},
 	} {
-		rec := wideJob(protocol.ShapeGang)
+		rec := jobWithLargeSpec(protocol.ShapeGang)
 		rec.RecordTasks, rec.Tasks = 49, rec.Tasks[:49]
-		s := stored(rec)
-		key, part := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
-		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
-			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
-		spoil(s, key, part)
-		l := s.leader(protocol.PeerLevel)
+		s := storeWith(rec)
+		mainKey, taskKey := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
+		s.entries[taskKey] = protocol.Entry{Key: taskKey, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
+			Tasks: jobWithLargeSpec(protocol.ShapeGang).Tasks[49:]})}
+		corrupt(s, mainKey, taskKey)
+		l := s.startLeader(protocol.PeerLevel)
 		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
@@ -51,7 +51,7 @@
 			}
 			l.runSchedulingCycle()
 			l.autoscaler.Tick()
-			if txn, _ := l.nextTxn(t); txn != nil {
+			if txn, _ := l.nextTransaction(t); txn != nil {
 				for _, c := range txn.Changes {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
 						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
@@ -68,7 +68,7 @@
 		}
 		if job != nil {
 			l.cancelJob(job)
-			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
+			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(commandKinds(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
 		}
@@ -81,9 +81,9 @@
 	revision protocol.Revision
 }
 
-// leader begins to lead from the stored records, in a deployment whose limits will
+// startLeader begins to lead from the stored records, in a deployment whose limits will
 // be, or are, lowered to a sixteenth.
-func (s *storedRecords) leader(level uint64) *leader {
+func (s *storedRecords) startLeader(level uint64) *leader {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	present := n.cfg.Cluster.Store
 	n.cfg.Cluster.Present = &present
@@ -101,7 +101,7 @@
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&page)
 	n.startLeading()
-	return n.lead
+	return n.leader
 }
 
 // hostName is the name of the machine that has all tasks; a long one, so that a record
@@ -109,7 +109,7 @@
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
 // jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
-func wideJob(shape protocol.Shape) *storage.Job {
+func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
 	rec := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
@@ -123,7 +123,7 @@
 	return rec
 }
 
-func stored(rec *storage.Job) *storedRecords {
+func storeWith(rec *storage.Job) *storedRecords {
 	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
 	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
 	machines := storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
@@ -131,13 +131,13 @@
 	return s
 }
 
-// nextTxn lets a leader commit and returns what is under way then, nil if that is
+// nextTransaction lets a leader commit and returns what is under way then, nil if that is
 // nothing.
-func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
+func (l *leader) nextTransaction(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil, Request{}
