--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -10,8 +10,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// agentClient makes the leader's calls to agents. What is answered after that leader has
-// stepped down is dropped.
+// agentClient makes the leader's calls to agents. Responses that arrive after the leader has
+// stepped down are dropped.
 type agentClient struct{ l *leader }
 
 // SendCommands implements agents.Client.
@@ -28,6 +28,7 @@
 	c.l.n.request(ToAgent, machine.Address, http.MethodGet, protocol.PathInspect, nil, tuning.ProbeTimeout, c.whileLeading(done))
 }
 
+// whileLeading returns a response handler that calls done only while the leader still leads.
 func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
 	return func(status int, body []byte) {
 		if c.l.n.leader == c.l {
@@ -36,7 +37,8 @@
 	}
 }
 
-// callResult is what an agent's answer to a call says.
+// callResult returns the result of a call from the agent's response. Status 0 means that no
+// response arrived.
 func callResult(status int, body []byte) agents.CallResult {
 	var result agents.CallResult
 	switch status {
@@ -53,7 +55,8 @@
 	return result
 }
 
-// callAgentFor sends commands to an agent for the leader.
+// callAgentFor sends commands to an agent on behalf of the leader, which delegated the call,
+// and returns the agent's response to the leader.
 func (n *Node) callAgentFor(c protocol.PeerAgentCall) {
 	n.request(ToAgent, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -25,12 +25,12 @@
 	return ae.n.forwarder.ForwardRequest(requestID, submissionRequest(spec))
 }
 
-// AnnounceCancellation implements api.Environment: a leader need not wait for its watch, or
-// for the store to serve it again.
+// AnnounceCancellation implements api.Environment. It tells the leader at once, so that the
+// leader need not wait for its watch, or until the store serves it again.
 func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancellation(jobID) }
 
-// CancellationConfirmed implements api.Environment: this node's own leader may have to be
-// told, for the cancellation may have been read while its watch hangs.
+// CancellationConfirmed implements api.Environment. If this node leads, its leader may not know
+// of the cancellation yet: it may have been read from the store while the watch hangs.
 func (ae apiEnvironment) CancellationConfirmed(jobID protocol.JobID) {
 	if ae.n.leader != nil {
 		ae.n.leader.cancelByID(jobID)
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -8,18 +8,18 @@
 	"golang.org/x/time/rate"
 )
 
-// storeBudgets are this node's shares of what the key-value store accepts. Of the writes
-// the users of every node and store-relayed messages have parts of their own; the leader's
-// decisions have whatever these leave, which it knows from the changes that its watch sees.
-// Requests are divided in equal parts.
+// storeBudgets holds this node's shares of the key-value store's rate limits. Requests are
+// divided equally among the nodes. Of the writes, users and store-relayed messages have fixed
+// shares on every node. The leader's decisions may use what these leave unused, which the leader
+// learns from the changes that its watch shows.
 type storeBudgets struct {
-	calls  *rate.Limiter // requests of any kind
+	calls  *rate.Limiter // requests of all kinds
 	writes *rate.Limiter // puts and deletes of the leader's decisions
 	users  *rate.Limiter // puts for users: submissions and cancellations
 	relay  *rate.Limiter // puts of store-relayed messages
 }
 
-// newStoreBudgets divides the store's limits.
+// newStoreBudgets derives a node's budgets from the store's limits.
 func newStoreBudgets(cfg *config.Config) storeBudgets {
 	newLimiter := func(limit float64, burst int) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(limit), max(burst, int(limit)))
@@ -33,15 +33,17 @@
 	}
 }
 
-// countCall takes a request from the budget in any case; users' requests check it first.
+// countCall takes one request from the budget. It never refuses: only users' requests are
+// checked against the budget beforehand.
 func (sb *storeBudgets) countCall(now time.Time) { sb.calls.AllowN(now, 1) }
 
-// countWrite takes one write from what the store accepts: one of this node's own or one
-// that the watch shows. It never runs into debt: what was missed in a gap of the watch
-// is over.
+// countWrite takes one write from the write budget: one of this node's own or one that the watch
+// shows. The budget never goes below zero: writes that the watch shows late, after a gap,
+// lie in the past and must not delay later ones.
 func (sb *storeBudgets) countWrite(now time.Time) { sb.writes.AllowN(now, 1) }
 
-// takeRelayWrite says whether store-relayed messages may be written now, and counts that.
+// takeRelayWrite reports whether a store-relayed message may be written now. If so, it takes the
+// write from the budgets.
 func (sb *storeBudgets) takeRelayWrite(now time.Time) bool {
 	if !sb.relay.AllowN(now, 1) {
 		return false
@@ -50,14 +52,16 @@
 	return true
 }
 
-// AllowsUserRead says whether the budget suffices for a user's request: what the node
-// itself needs, renewals and decisions above all, comes first.
+// AllowsUserRead reports whether the request budget suffices for a user's request. A part of the
+// budget is reserved for the node's own requests, mainly lease renewals and the leader's
+// decisions.
 func (sb *storeBudgets) AllowsUserRead(now time.Time) bool {
 	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.NodeRequestReserve
 }
 
-// TakeUserWrite says the same of a user's write, and takes it from the budget: the users'
-// own or what is kept for store-relayed messages and mostly not needed.
+// TakeUserWrite reports whether a user's write may be sent now. If so, it takes the write from the
+// budget for users or, when that is used up, from the one for store-relayed messages, which is
+// rarely needed, as long as that one is more than half full.
 func (sb *storeBudgets) TakeUserWrite(now time.Time) bool {
 	if !sb.AllowsUserRead(now) {
 		return false
@@ -69,9 +73,9 @@
 	return false
 }
 
-// noteThrottled takes note that the store refused changes as too many: whatever the budget
-// says, the store has no more to give now. The budget fills again from nothing. It
-// returns the time after which that many changes may be sent again.
+// noteThrottled records that the store refused this many changes because of its rate limit. The
+// store accepts no more writes now, whatever the budgets say, so they are emptied and refill from
+// zero. noteThrottled returns the time after which that many changes may be sent again.
 func (sb *storeBudgets) noteThrottled(now time.Time, changes int) time.Duration {
 	for _, budget := range []*rate.Limiter{sb.writes, sb.users, sb.relay} {
 		if tokens := int(budget.TokensAt(now)); tokens > 0 {
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// cloudClient makes the autoscaler's calls to the cloud. What is answered after the leader
-// that asked has stepped down is dropped.
+// cloudClient makes the autoscaler's calls to the cloud. Responses that arrive after the leader
+// has stepped down are dropped.
 type cloudClient struct{ l *leader }
 
 // CreateMachines implements autoscaler.Cloud.
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -8,11 +8,11 @@
 	"golang.org/x/time/rate"
 )
 
-// leaderStore is the key-value store as a leader uses it: what is answered after it has
-// stepped down is dropped.
+// leaderStore is a leader's access to the key-value store. Responses that arrive after the leader
+// has stepped down are dropped.
 type leaderStore struct{ l *leader }
 
-// Transact carries out a transaction on conditions.
+// Transact implements restore.Store.
 func (s leaderStore) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
 	s.l.n.store.Transact(txn, func(result kv.TransactionResult) {
 		if s.l.n.leader == s.l {
@@ -50,9 +50,9 @@
 // commitEnvironment implements commit.Environment.
 type commitEnvironment struct{ leaderEnvironment }
 
-// PeersSupport implements commit.Environment. Once the store's limits are known to be lowered,
-// which happens after the upgrade, a peer that is down does not count: a job must not wait
-// for its return.
+// PeersSupport implements commit.Environment. The store's limits are lowered only after all
+// controllers were upgraded. Once they are known to be lowered, peers without a link to this
+// node are left out: a job must not wait for their return.
 func (ce commitEnvironment) PeersSupport(level uint64) bool {
 	if ce.l.n.storeLimits.Lowered() {
 		return ce.l.n.peers.AllLinkedKnow(level)
--- a/internal/coordination/commit_outcomes.go
+++ b/internal/coordination/commit_outcomes.go
@@ -17,7 +17,7 @@
 // DropUncommitted implements commit.Outcomes.
 func (co commitOutcomes) DropUncommitted(job *cluster.Job) { co.l.dropUncommitted(job) }
 
-// JobCommitted implements commit.Outcomes: commands that waited for the records leave.
+// JobCommitted implements commit.Outcomes. It releases the commands that waited for the commit.
 func (co commitOutcomes) JobCommitted(job *cluster.Job, placed []*cluster.Attempt) {
 	for _, attempt := range placed {
 		if job.Attempts[attempt.Key] != attempt {
@@ -28,11 +28,11 @@
 	}
 	for _, attempt := range placed {
 		if attempt.Stopping && !attempt.StartSent {
-			co.l.lifecycle.RemoveGone(attempt) // stopped before its start could leave
+			co.l.lifecycle.RemoveGone(attempt) // stopped before its start was sent
 		}
 	}
 	for _, attempt := range job.SortedAttempts() {
-		co.l.agents.Delivery.Enqueue(attempt.Machine) // a gang's starts wait for all of its records
+		co.l.agents.Delivery.Enqueue(attempt.Machine) // a gang's starts wait until all of its records are committed
 	}
 	co.l.lifecycle.CheckEnded(job)
 }
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -6,11 +6,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TimeUntilWakeUp is how long the node need not be woken if nothing happens: until then no
-// timer of its own is due. A wake-up costs a process several system calls, so
-// that ten of them a second were a tenth of the smallest controllers' time.
-// Timers are kept to the tick, so that what is due at about the same time is
-// done in one.
+// TimeUntilWakeUp returns how long the node need not be stepped if no event arrives: none of its
+// timers is due earlier. A wake-up costs the process several system calls: ten wake-ups a second
+// take a tenth of the processor time of the smallest controllers. The result is never shorter
+// than MinTimerInterval, so that timers that are due at about the same time share a wake-up.
 func (n *Node) TimeUntilWakeUp() time.Duration {
 	wakeAt := n.now.Add(tuning.MaxTimerInterval)
 	wakeBy := func(t time.Time) {
@@ -36,7 +35,7 @@
 	return max(wakeAt.Sub(n.now), tuning.MinTimerInterval)
 }
 
-// due tells when the leader has something to do.
+// due calls wakeBy with each time at which the leader has something to do.
 func (l *leader) due(wakeBy func(time.Time)) {
 	wakeBy(l.nextSweepAt)
 	if l.schedulingRequested {
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -6,32 +6,32 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Target is the outside system that a request goes to.
+// Target is the external system that a request goes to.
 type Target int
 
-// The outside systems.
+// The external systems.
 const (
 	ToStore       Target = iota
-	ToLeaderLease        // the key-value store, on a connection kept for renewals of the leader lease
+	ToLeaderLease        // the key-value store, on a connection reserved for renewals of the leader lease
 	ToCloud
 	ToAgent
 )
 
-// Action is something the owner must do for the node.
+// Action is something that the caller of Step must do for the node.
 type Action interface{ action() }
 
-// Request calls an outside system. Exactly one Response with its ID follows.
+// Request is a call to an external system. Exactly one Response with the same ID must follow.
 type Request struct {
 	ID      uint64
 	To      Target
-	Address string // of an agent
+	Address string // of the agent, if To is ToAgent
 	Method  string
 	Path    string
 	Body    []byte
 	Timeout time.Duration
 }
 
-// Reply answers a user or an agent.
+// Reply is the response to a request of a user or an agent.
 type Reply struct {
 	ID         uint64
 	Status     int
@@ -39,13 +39,14 @@
 	RetryAfter time.Duration
 }
 
-// PeerSend sends a message to a peer, if there is a link.
+// PeerSend sends a message to a peer, if there is a link to it.
 type PeerSend struct {
 	Peer    protocol.NodeName
 	Message protocol.PeerMessage
 }
 
-// PeerLinkReset closes a link that has gone silent, so that it is dialled anew.
+// PeerLinkReset closes a link on which nothing has arrived for too long, so that it is dialled
+// again.
 type PeerLinkReset struct{ Peer protocol.NodeName }
 
 func (Request) action() {}
@@ -56,11 +57,11 @@
 
 func (PeerLinkReset) action() {}
 
-// Event is something that happened to the node.
+// Event is an input of the node.
 type Event interface{ event() }
 
-// Response ends a Request. Status 0: no answer came, the request may have been
-// executed or may yet be.
+// Response is the outcome of a Request. Status 0 means that no response arrived: the request may
+// have been executed, or may yet be.
 type Response struct {
 	ID     uint64
 	Status int
@@ -73,32 +74,32 @@
 	Job *protocol.Job
 }
 
-// StatusQuery asks for the status of a job.
+// StatusQuery is a user's query for the status of a job.
 type StatusQuery struct {
 	ID  uint64
 	Job protocol.JobID
 }
 
-// Cancel is a user's cancellation.
+// Cancel is a user's request to cancel a job.
 type Cancel struct {
 	ID  uint64
 	Job protocol.JobID
 }
 
-// AgentHeartbeat is an agent's heartbeat that this node was sent.
+// AgentHeartbeat is a heartbeat that an agent sent to this node.
 type AgentHeartbeat struct {
 	ID        uint64
 	Heartbeat *protocol.Heartbeat
 }
 
-// PeerLinkUp and PeerLinkDown say that a link to a peer exists or no longer does.
+// PeerLinkUp is the event that there is a link to a peer now.
 type PeerLinkUp struct{ Peer protocol.NodeName }
 
-// PeerLinkDown says that the last link to a peer is gone.
+// PeerLinkDown is the event that the last link to a peer is closed.
 type PeerLinkDown struct{ Peer protocol.NodeName }
 
-// PeerReceive is a message from a peer. The links that a process accepts are
-// numbered as they come; a link begins with PeerHello.
+// PeerReceive is a message from a peer. Link is the number of the link that it arrived on: the
+// process numbers the links that it accepts in order. The first message on a link is PeerHello.
 type PeerReceive struct {
 	Peer    protocol.NodeName
 	Link    uint64
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -2,21 +2,21 @@
 
 import "github.com/gappond/gappond/internal/storage"
 
-// startLeading begins to lead with what the records say.
+// startLeading makes this node the leader, with the state that the records hold.
 func (n *Node) startLeading() {
 	l := newLeader(n)
 	n.leader = l
-	n.peers.HeartbeatSoon()         // the peers learn how many agents it keeps
-	n.machineTypes.requestRefresh() // today's prices, and a record of the types if there is none
+	n.peers.HeartbeatSoon()         // tells the peers its share of direct heartbeats
+	n.machineTypes.requestRefresh() // fetches current prices, and writes the record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
 		l.restoreMonitor.LoadMarker(marker)
 	}
 	l.beginRecovery()
-	// Jobs and machines come out of the mirror in no order; what follows must
-	// not depend on that.
+	// The mirror returns jobs and machines in no particular order. What follows must not depend on
+	// that order.
 	for _, job := range l.scheduler.Queue() {
 		l.lifecycle.CheckEnded(job)
 	}
-	n.log.Info("leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
+	n.log.Info("started leading", "term", n.election.Term(), "jobs", len(l.cluster.Jobs), "machines", len(l.cluster.Machines))
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -7,7 +7,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// removeMachines takes machines out that are gone for certain.
+// removeMachines removes machines that are known to be deleted, with their attempts and their
+// entries in the machine records.
 func (l *leader) removeMachines(names ...protocol.MachineID) {
 	for _, id := range names {
 		machine := l.cluster.Machines[id]
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -16,10 +16,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// leader is everything that only the leading controller knows. It is rebuilt
-// from the records at every failover and dropped when the node steps down. Its
-// parts do the work; here stands what concerns several of them. What they need
-// of each other and of the node is in the environments.
+// leader is the state that only the leading controller has. It is rebuilt from the records at
+// every failover and dropped when the node steps down. The packages below this one do the work.
+// The methods here coordinate several of them. The environment types give each of them access to
+// the others and to the node.
 type leader struct {
 	n       *Node
 	cluster *cluster.State
@@ -33,15 +33,15 @@
 	recovery       *reconcile.Phase
 	restoreMonitor *restore.Monitor
 
-	schedulingRequested bool            // something changed that placement may depend on
-	nextCycleAt         time.Time       // before it no scheduling cycle begins that is only requested
-	nextSweepAt         time.Time       // when the machines are checked again
-	usingProxies        bool            // the peers answer a part of the agents
-	loggedKeys          map[string]bool // keys of bad input that was logged
+	schedulingRequested bool            // something changed that may affect placement
+	nextCycleAt         time.Time       // a requested scheduling cycle does not start earlier
+	nextSweepAt         time.Time       // next check of machines, recovery and store restore
+	usingProxies        bool            // the peers handle a part of the agents for the leader
+	loggedKeys          map[string]bool // keys of invalid input that was logged already
 }
 
-// newLeader composes a leader without any record: every part gets the others that it calls,
-// and what else it needs by its environment.
+// newLeader returns a leader that has loaded no records yet. Each part gets the other parts that
+// it calls, and access to everything else through its environment.
 func newLeader(n *Node) *leader {
 	l := &leader{
 		n: n, loggedKeys: map[string]bool{}, recovery: reconcile.NewPhase(), schedulingRequested: true,
@@ -64,21 +64,21 @@
 	return l
 }
 
-// runSchedulingCycle has the scheduler go over the queue; what waits then is the demand
-// for machines.
+// runSchedulingCycle runs a scheduling cycle. The jobs that still wait afterwards are the
+// autoscaler's demand for machines.
 func (l *leader) runSchedulingCycle() { l.autoscaler.Demand = l.scheduler.RunCycle() }
 
-// cancelByID takes a peer's confirmation that a job's cancellation is in the
-// records. What is written of the job before the watch shows that is refused, and
-// read again.
+// cancelByID cancels a job whose cancellation is in the records, as this node or a peer has
+// confirmed. Until the leader's watch shows the changed record, transactions that write the job
+// are refused, and the record is read again.
 func (l *leader) cancelByID(id protocol.JobID) {
 	if job := l.cluster.Jobs[id]; job != nil {
 		l.cancelJob(job)
 	}
 }
 
-// tick does what is due: the machines are checked, a scheduling cycle runs, records are
-// written, commands leave.
+// tick does what is due: it checks the machines, runs a scheduling cycle, commits records and sends
+// commands.
 func (l *leader) tick() {
 	if !l.n.now.Before(l.nextSweepAt) {
 		l.nextSweepAt = l.n.now.Add(tuning.MachineSweepInterval)
@@ -103,7 +103,7 @@
 	l.agents.Delivery.SendPending()
 }
 
-// logOnce logs bad input at its first sight.
+// logOnce logs invalid input when its key occurs for the first time.
 func (l *leader) logOnce(message, key string, attributes ...any) {
 	if l.loggedKeys[key] {
 		return
@@ -115,7 +115,7 @@
 	l.n.log.Error(message, attributes...)
 }
 
-// cancelJob marks a job as cancelled, and stops what runs of it.
+// cancelJob marks a job as cancelled and stops its attempts.
 func (l *leader) cancelJob(job *cluster.Job) {
 	if job.Cancel() {
 		l.schedulingRequested = true
@@ -123,7 +123,8 @@
 	}
 }
 
-// dropUncommitted takes out the places of a job that are not committed: they are planned again.
+// dropUncommitted removes a job's uncommitted attempts, so that the scheduler places their tasks
+// again.
 func (l *leader) dropUncommitted(job *cluster.Job) {
 	for _, attempt := range job.SortedAttempts() {
 		if !attempt.Committed {
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -12,21 +12,22 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// machineTypes are the cloud's machine types: every node needs them to judge submissions,
-// the leader their prices too.
+// machineTypes holds the cloud's machine types. Every node needs them to validate submissions.
+// The leader also needs their prices.
 type machineTypes struct {
 	n             *Node
 	byName        map[protocol.MachineTypeName]*protocol.MachineType
 	nextRefreshAt time.Time
 }
 
-// requestRefresh has the cloud asked in the next step.
+// requestRefresh requests the types from the cloud with the next tick.
 func (mt *machineTypes) requestRefresh() { mt.nextRefreshAt = mt.n.now }
 
-// due tells when the cloud is to be asked.
+// due calls wakeBy with the time of the next request to the cloud.
 func (mt *machineTypes) due(wakeBy func(time.Time)) { wakeBy(mt.nextRefreshAt) }
 
-// tick keeps the machine types up to date.
+// tick requests the machine types from the cloud when they are due. Nodes that do not lead and know
+// the types request them less often.
 func (mt *machineTypes) tick() {
 	n, interval := mt.n, tuning.MachineTypesInterval
 	if n.leader == nil && len(mt.byName) > 0 {
@@ -50,18 +51,19 @@
 	})
 }
 
+// update adds the listed types and updates known ones in place.
 func (mt *machineTypes) update(list *protocol.MachineTypes) {
 	for i := range list.Types {
 		machineType := &list.Types[i]
 		if known := mt.byName[machineType.Name]; known != nil {
-			*known = *machineType // machines point to their type
+			*known = *machineType // machines hold pointers to their type
 		} else {
 			mt.byName[machineType.Name] = machineType
 		}
 	}
 }
 
-// loadRecorded takes the machine types that the records name, while none are known.
+// loadRecorded loads the machine types from their record if none are known yet.
 func (mt *machineTypes) loadRecorded() {
 	if entry, ok := mt.n.mirror.Get(storage.TypesKey); ok && len(mt.byName) == 0 {
 		if list, ok := parse[protocol.MachineTypes](entry.Value); ok {
@@ -70,8 +72,8 @@
 	}
 }
 
-// store records the machine types, so that a node that starts while the
-// cloud does not answer can judge submissions all the same.
+// store writes the record of the machine types, so that a node that starts while the cloud does
+// not respond can still validate submissions.
 func (mt *machineTypes) store(list *protocol.MachineTypes) {
 	n := mt.n
 	entry, _ := n.mirror.Get(storage.TypesKey)
@@ -88,7 +90,8 @@
 	}, func(kv.TransactionResult) {})
 }
 
-// sameType compares what does not move with the market.
+// sameType reports whether two types are equal, apart from the spot price, which changes with the
+// market.
 func sameType(a, b protocol.MachineType) bool {
 	return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB &&
 		a.CacheGB == b.CacheGB && a.FetchGBPerS == b.FetchGBPerS && a.Price == b.Price && a.BootS == b.BootS &&
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -7,8 +7,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment;
-// the replies to forwarded requests are those to users.
+// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment. Forwarded
+// requests are replied to like requests that users send to this node.
 type peerEnvironment struct {
 	n *Node
 	userReplies
@@ -66,10 +66,10 @@
 // RecordsLoaded implements membership.Leadership.
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
 
-// directShare is how many of a thousand agents the leader answers itself: all if its
-// share of a core and of sockets can pay for them, else a part of what it could
-// pay for, so that planning has the rest. The others' heartbeats come over the
-// controllers' links, many in one read.
+// directShare returns how many of a thousand agents send their heartbeats to the leader directly:
+// all, if the leader's limits on processor time and sockets suffice for them. Otherwise it is a
+// part of those for which they suffice, so that enough processor time is left for scheduling.
+// The heartbeats of the other agents arrive on the links between controllers, many in one read.
 func (l *leader) directShare() uint64 {
 	limits := l.n.cfg.Cluster.Process
 	if limits.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
@@ -80,15 +80,15 @@
 		maxDirect = min(maxDirect, float64(limits.FDLimit)*tuning.AgentKeepAliveShare)
 	}
 	machines := float64(len(l.cluster.OrderedMachines))
-	// A fleet about as large as the limit must not come and go.
+	// Hysteresis: a fleet about as large as the limit must not make agents switch back and forth.
 	l.usingProxies = machines > maxDirect || l.usingProxies && machines > maxDirect*tuning.ProxyReleaseShare
 	if !l.usingProxies {
 		return tuning.DirectShareScale
 	}
-	// In steps, so that few agents change their proxy as the fleet grows.
+	// The share changes in steps, so that few agents change their proxy as the fleet grows.
 	return uint64(min(maxDirect*tuning.RetainedAgentShare/machines, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
 }
 
-// usesProxies says whether the peers do a part of the leader's dealings with
-// agents.
+// usesProxies reports whether peers handle heartbeats and commands of a part of the agents for the
+// leader.
 func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectShareScale }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -7,17 +7,17 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Metrics are the node's counters, read after a step.
+// Metrics holds the node's counters and gauges. TakeMetrics returns them after a step.
 type Metrics struct {
 	Term                                                                 protocol.Term
 	Commits, CommitConflicts, ShedRequests, Repairs, Preemptions, Starts uint64
 	Machines, WaitingJobs                                                int
-	CommitSeconds, StartWaitSeconds                                      []float64 // since the last step
+	CommitSeconds, StartWaitSeconds                                      []float64 // observations since the last TakeMetrics
 	Now                                                                  time.Time
 	Recovery                                                             reconcile.Summary // of this leader's failover
 }
 
-// TakeMetrics returns the counters and forgets the observations.
+// TakeMetrics returns the metrics and clears the observations.
 func (n *Node) TakeMetrics() Metrics {
 	m := n.metrics
 	m.ShedRequests = n.api.Shed()
--- a/internal/coordination/mirror_environment.go
+++ b/internal/coordination/mirror_environment.go
@@ -24,7 +24,8 @@
 // Diverged implements mirror.Environment.
 func (me mirrorEnvironment) Diverged(reason string) { me.n.election.StepDown(reason) }
 
-// Loaded implements mirror.Environment: the machine types and the leader lease are read.
+// Loaded implements mirror.Environment. It reads the machine types and the leader lease from the
+// mirror.
 func (me mirrorEnvironment) Loaded() {
 	n := me.n
 	n.machineTypes.loadRecorded()
@@ -36,8 +37,8 @@
 	n.election.ObserveLease(entry.Value, entry.Revision)
 }
 
-// Changed implements mirror.Environment: others' writes are counted, and each change goes to
-// whom it concerns.
+// Changed implements mirror.Environment. It counts writes of other processes against the write
+// budget and passes each change to the part of the node that it concerns.
 func (me mirrorEnvironment) Changed(event *protocol.WatchEvent) {
 	n := me.n
 	isWrite := event.Set != ""
@@ -57,7 +58,7 @@
 	}
 }
 
-// isOwnWrite says whether a record was written by this life of this node.
+// isOwnWrite reports whether this process of the node wrote the record.
 func (n *Node) isOwnWrite(event *protocol.WatchEvent) bool {
 	return strings.HasPrefix(storage.Writer(event.Value), n.boot+"-")
 }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -1,7 +1,7 @@
-// Package coordination is the state machine at the heart of every controller. It composes
-// the packages below it: Node owns election, mirror, peers, users' requests and, while it
-// leads, a leader with scheduler, autoscaler and agents; it hands them events and steps them.
-// It is deterministic: time and events go in, actions come out. It starts no
+// Package coordination is the state machine of a controller. It composes the packages below it: a
+// Node owns the election, the mirror, the peers, the users' requests and, while it leads, a leader
+// with scheduler, autoscaler and agents. The node passes events to them and runs their timers.
+// It is deterministic: its inputs are the time and events, its outputs are actions. It starts no
 // goroutine, reads no clock and does no I/O.
 package coordination
 
@@ -29,7 +29,7 @@
 	rng  *rand.Rand
 	boot string
 
-	startedAt time.Time // of this life
+	startedAt time.Time // of this process
 
 	now     time.Time
 	out     []Action
@@ -56,8 +56,8 @@
 	router    *membership.HeartbeatRouter
 }
 
-// New makes a node. The seed feeds its random pauses; boot tells this life of
-// the process from earlier ones.
+// New returns a node. The seed initialises the random number generator for its random delays.
+// boot distinguishes this process from earlier processes of the node.
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
 		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewKnownLimits(cfg),
@@ -75,19 +75,19 @@
 	n.router = membership.NewHeartbeatRouter(cfg, n.peers, n.forwarder, leadership{n}, heartbeatReplies{n})
 	electionEnv := electionEnvironment{n}
 	n.election = election.New(cfg, log, n.rng, n.store, electionEnv, n.mirror, electionEnv)
-	// Answers name the request by its number and may come late, after the process
-	// has ended and begun again: numbers of different lives must not meet.
+	// Responses carry the ID of the request and may arrive late, after the process was restarted.
+	// A random start keeps the IDs of successive processes apart.
 	n.nextID = n.rng.Uint64() >> 24
 	return n
 }
 
-// mayAct says whether the node may command agents and write records now.
+// mayAct reports whether the node may send commands to agents and write records now.
 func (n *Node) mayAct() bool { return n.leader != nil && n.election.MayAct() }
 
-// Leading says whether the node leads.
+// Leading reports whether the node leads.
 func (n *Node) Leading() bool { return n.leader != nil }
 
-// Step takes events and the present time and returns what is to be done.
+// Step handles events and timers at the given time and returns the actions to be carried out.
 func (n *Node) Step(now time.Time, events []Event) []Action {
 	gap := now.Sub(n.now)
 	if n.now.IsZero() {
@@ -147,13 +147,12 @@
 	}
 	n.api.CheckQueries()
 	if n.leader == nil && n.election.MayStartLeading() {
-		n.startLeading() // at the end: what it leads to is done in the next step
+		n.startLeading() // last, so that the new leader's first tick runs in the next step
 	}
 }
 
-// Ready says whether the node can take requests. An outage of the
-// store that all nodes share makes none of them unready: they answer at
-// once that the user should come back.
+// Ready reports whether the node can handle users' requests. In an outage of the store that
+// affects all nodes, every node stays ready and tells users at once to try again.
 func (n *Node) Ready() bool {
 	if !n.mirror.Ready() || len(n.machineTypes.byName) == 0 {
 		return false
@@ -164,11 +163,11 @@
 	if len(n.peers.ServedNames()) > 0 {
 		return false
 	}
-	// Cut off from everybody: users should go elsewhere.
+	// A node that is cut off from the store and all peers is not ready: users should go to others.
 	return n.peers.Count() == 0 || len(n.peers.ReachableNames()) > 0
 }
 
-// uniqueName makes a string that no other write, rental or process uses.
+// uniqueName returns a string that no other write, machine request or process uses.
 func (n *Node) uniqueName() string {
 	n.nextID++
 	return n.boot + "-" + strconv.FormatUint(n.nextID, 36)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -7,25 +7,26 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// What a user's forwarded request asks for.
+// The operations of forwarded user requests. The values are sent to peers.
 const (
 	operationSubmit = "submit"
 	operationQuery  = "query"
 	operationCancel = "cancel"
 )
 
-// submissionRequest is a submission on its way to a peer.
+// submissionRequest returns the message that forwards a submission to a peer.
 func submissionRequest(spec *protocol.Job) protocol.PeerUserRequest {
 	return protocol.PeerUserRequest{Operation: operationSubmit, Job: spec.ID, Body: storage.Encode(spec)}
 }
 
-// forwardIfStoreUnavailable sends a user's request on to a peer that the store serves while it does
-// not serve this node.
+// forwardIfStoreUnavailable forwards a user's request to a peer with access to the store, if the
+// store does not serve this node. It reports whether the request was forwarded.
 func (n *Node) forwardIfStoreUnavailable(requestID uint64, request protocol.PeerUserRequest) bool {
 	return !n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness) && n.forwarder.ForwardRequest(requestID, request)
 }
 
-// tickPeers handles what waits for other controllers, and tells them this node's status.
+// tickPeers routes heartbeats that wait for a leader, expires forwarded requests without a response
+// and sends the peers this node's status.
 func (n *Node) tickPeers() {
 	expiryDue := n.forwarder.ExpiryDue()
 	n.router.RouteQueued(expiryDue)
@@ -43,7 +44,7 @@
 	n.peers.SendHeartbeats(status)
 }
 
-// receive takes a message that came over a link.
+// receive handles a message that arrived on a link.
 func (n *Node) receive(from protocol.NodeName, link uint64, message protocol.PeerMessage) {
 	if !n.peers.Receive(from, link, message) {
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// deliver takes a message that came over a link or through the store.
+// deliver handles a message that arrived on a link or was relayed through the store.
 func (n *Node) deliver(message protocol.PeerMessage) {
 	switch m := message.(type) {
 	case protocol.PeerForwardedHeartbeat:
@@ -88,7 +89,7 @@
 	}
 }
 
-// handleForwardedRequest answers a user's request that a peer sent on.
+// handleForwardedRequest handles a user's request that a peer forwarded.
 func (n *Node) handleForwardedRequest(request protocol.PeerUserRequest) {
 	id := n.forwarder.ReceiveRequest(request)
 	switch request.Operation {
@@ -108,8 +109,8 @@
 	}
 }
 
-// announceCancellation tells the leader of a cancellation that is in the records, so that
-// it need not wait for its watch, or for the store to serve it again.
+// announceCancellation tells the leader of a cancellation that is in the records, so that the
+// leader need not wait for its watch, or until the store serves it again.
 func (n *Node) announceCancellation(jobID protocol.JobID) {
 	if n.leader != nil {
 		n.leader.cancelByID(jobID)
@@ -120,7 +121,7 @@
 	}
 }
 
-// respondToHeartbeat is the leader's answer to a heartbeat, forwarded or not.
+// respondToHeartbeat handles a heartbeat, forwarded or not, and returns the response to it.
 func (n *Node) respondToHeartbeat(heartbeat *protocol.Heartbeat) heartbeatReply {
 	result := n.processHeartbeat(heartbeat)
 	switch result.Outcome {
@@ -136,7 +137,7 @@
 	return redirectedHeartbeat("")
 }
 
-// processHeartbeat takes a heartbeat if this node leads.
+// processHeartbeat accepts a heartbeat if this node leads, and returns the result.
 func (n *Node) processHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
 	switch {
 	case n.leader == nil || !n.election.HasAuthority():
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -5,8 +5,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// beginRecovery begins to follow the recovery, when all records are read: what is found
-// and ordered until every agent that the records name is known or its lease has expired.
+// beginRecovery begins the recovery phase, after all records are loaded. The phase tracks
+// differences between records and agents and the commands sent, until every agent that the records
+// name is accounted for or its lease has expired.
 func (l *leader) beginRecovery() {
 	if !l.n.cfg.Operator.RecoveryPhase && !l.restoreMonitor.Marked() {
 		return
@@ -17,12 +18,12 @@
 	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.Agents, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
-// tickRecovery ends the phase when it is time.
+// tickRecovery ends the recovery phase when one of its conditions is met.
 func (l *leader) tickRecovery() {
 	if !l.recovery.Tick(l.n.now) {
 		return
 	}
-	l.schedulingRequested = true // what was held may start
+	l.schedulingRequested = true // starts that were withheld are now allowed
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
 		"workers", s.Agents, "silent", s.Silent, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// The replies to users and agents, and the HTTP statuses that stand for them, which are
-// named nowhere else in this package.
+// This file has all replies to users and agents. No other file of this package sets their HTTP
+// statuses.
 
 // userReplies implements api.Replies.
 type userReplies struct{ n *Node }
@@ -39,7 +39,7 @@
 	ur.fail(requestID, http.StatusUnprocessableEntity, reason)
 }
 
-// Malformed refuses a request that cannot be read.
+// Malformed refuses a request that cannot be parsed.
 func (ur userReplies) Malformed(requestID uint64, reason string) {
 	ur.fail(requestID, http.StatusBadRequest, reason)
 }
@@ -50,7 +50,7 @@
 		Body: storage.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
 }
 
-// Forwarded passes on what a peer answered to a forwarded request.
+// Forwarded passes on a peer's response to a forwarded request.
 func (ur userReplies) Forwarded(requestID uint64, response protocol.PeerResponse) {
 	reply := Reply{ID: requestID, Status: int(response.Status), Body: response.Body}
 	if reply.Status == http.StatusServiceUnavailable {
@@ -63,23 +63,23 @@
 	ur.n.sendReply(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
 }
 
-// heartbeatReply answers an agent's heartbeat: with commands, a redirect or a refusal.
+// heartbeatReply is the response to an agent's heartbeat: commands, a redirect or a refusal.
 type heartbeatReply struct {
 	status int
 	body   []byte
 }
 
-// acceptedHeartbeat is the leader's answer with commands.
+// acceptedHeartbeat returns the leader's response, which carries commands.
 func acceptedHeartbeat(response protocol.HeartbeatResponse) heartbeatReply {
 	return heartbeatReply{http.StatusOK, storage.Encode(response)}
 }
 
-// redirectedHeartbeat sends an agent to another controller; to whichever it likes if that is "".
+// redirectedHeartbeat redirects an agent to another controller, or to any other one if to is "".
 func redirectedHeartbeat(to protocol.NodeName) heartbeatReply {
 	return heartbeatReply{http.StatusMisdirectedRequest, storage.Encode(protocol.Redirect{Target: to})}
 }
 
-// refusedHeartbeat tells an agent that its heartbeat has no effect; it sends another.
+// refusedHeartbeat tells an agent that its heartbeat has no effect. The agent sends another one.
 func refusedHeartbeat(reason string) heartbeatReply {
 	return heartbeatReply{http.StatusServiceUnavailable, storage.Encode(protocol.ErrorBody{Error: reason})}
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -7,7 +7,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// request calls an outside system. Status 0 stands for no answer.
+// request sends a request to an external system. done is called with status 0 if no response
+// arrives.
 func (n *Node) request(to Target, address, method, path string, body any, timeout time.Duration, done func(status int, body []byte)) {
 	n.nextID++
 	var encoded []byte
@@ -22,8 +23,8 @@
 	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: encoded, Timeout: timeout})
 }
 
-// confirmation gives a reply to whoever asked: a connection of this node, or a
-// peer that forwarded the request here.
+// sendReply sends a reply to the peer that forwarded the request or, for a request that this node
+// received itself, on the connection it came from.
 func (n *Node) sendReply(r Reply) {
 	if n.forwarder.Respond(r.ID, r.Status, r.Body) {
 		return
@@ -31,7 +32,7 @@
 	n.out = append(n.out, r)
 }
 
-// parse reads a JSON answer.
+// parse parses JSON and reports whether it succeeded.
 func parse[T any](body []byte) (T, bool) {
 	var v T
 	return v, json.Unmarshal(body, &v) == nil
--- a/internal/coordination/store_access.go
+++ b/internal/coordination/store_access.go
@@ -9,14 +9,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// storeAccess is whether the key-value store serves this node, as its calls show.
+// storeAccess tracks whether the key-value store serves this node, from the responses to its calls.
 type storeAccess struct {
 	lastServedAt time.Time // when the store last served this node
-	lastCallAt   time.Time // when it was last asked
-	noResponse   bool      // it did not answer the last call
+	lastCallAt   time.Time // when it was last called
+	noResponse   bool      // the last call got no response
 }
 
-// recordResponse takes the status of an answer, 0 if none came.
+// recordResponse records the status of a response, 0 if none arrived.
 func (sc *storeAccess) recordResponse(now time.Time, status int) {
 	sc.noResponse = status == 0
 	if status != 0 && status != http.StatusServiceUnavailable {
@@ -24,20 +24,22 @@
 	}
 }
 
-// servedWithin says whether the store served this node within a time.
+// servedWithin reports whether the store served this node within the period before now.
 func (sc *storeAccess) servedWithin(now time.Time, period time.Duration) bool {
 	return now.Sub(sc.lastServedAt) < period
 }
 
-// unreachable says whether calls hang.
+// unreachable reports whether calls to the store time out: the last one got no response, and none
+// was served within StoreUnreachableTimeout.
 func (sc *storeAccess) unreachable(now time.Time) bool {
 	return sc.noResponse && !sc.servedWithin(now, tuning.StoreUnreachableTimeout)
 }
 
-// nextProbeAt is when the store is asked if nothing else is asked before.
+// nextProbeAt returns when the store is probed, if it is not called before.
 func (sc *storeAccess) nextProbeAt() time.Time { return sc.lastCallAt.Add(tuning.StoreProbeInterval) }
 
-// CallStore implements kv.Transport. It keeps note of whether the store serves this node.
+// CallStore implements kv.Transport. Except for watches, it records whether the store serves this
+// node.
 func (n *Node) CallStore(call kv.Call, done func(status int, body []byte)) {
 	if call.Connection == kv.Watching {
 		n.request(ToStore, "", call.Method, call.Path, call.Body, tuning.WatchLongPoll+tuning.WatchTimeoutMargin, done)
@@ -55,8 +57,8 @@
 	})
 }
 
-// probeStore asks the store for something small when nothing else has been asked lately,
-// so that every node knows whether it is served.
+// probeStore reads a small value if the store was not called lately, so that every node knows
+// whether the store serves it.
 func (n *Node) probeStore() {
 	if n.mirror.Ready() && !n.now.Before(n.storeAccess.nextProbeAt()) {
 		n.store.Get(storage.LeaderKey, func(kv.GetResult) {})
--- a/internal/coordination/timers.go
+++ b/internal/coordination/timers.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// timer is something to do later.
+// timer is a function to be called at a given time.
 type timer struct {
 	at time.Time
 	do func()
 }
 
-// after does something once the time has passed.
+// after calls do once the duration has passed.
 func (n *Node) after(d time.Duration, do func()) {
 	n.timers = append(n.timers, timer{n.now.Add(d), do})
 }
