--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -31,7 +31,7 @@
 // whileLeading returns a response handler that calls done only while the leader still leads.
 func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
 	return func(status int, body []byte) {
-		if c.l.n.leader == c.l {
+		if c.l.n.ownLeader == c.l {
 			done(callResult(status, body))
 		}
 	}
--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -35,7 +35,7 @@
 }
 
 // Leads implements agents.LivenessEnvironment.
-func (ae agentsEnvironment) Leads() bool { return ae.l.n.leader == ae.l }
+func (ae agentsEnvironment) Leads() bool { return ae.l.n.ownLeader == ae.l }
 
 // AllPeersReachable implements agents.LivenessEnvironment.
 func (ae agentsEnvironment) AllPeersReachable() bool {
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -32,7 +32,7 @@
 // CancellationConfirmed implements api.Environment. If this node leads, its leader may not know
 // of the cancellation yet: it may have been read from the store while the watch hangs.
 func (ae apiEnvironment) CancellationConfirmed(jobID protocol.JobID) {
-	if ae.n.leader != nil {
-		ae.n.leader.cancelByID(jobID)
+	if ae.n.ownLeader != nil {
+		ae.n.ownLeader.cancelByID(jobID)
 	}
 }
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -15,7 +15,7 @@
 // Transact implements restore.Store.
 func (s leaderStore) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
 	s.l.n.store.Transact(txn, func(result kv.TransactionResult) {
-		if s.l.n.leader == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
@@ -24,7 +24,7 @@
 // TransactEncoded implements commit.Store.
 func (s leaderStore) TransactEncoded(txn []byte, done func(kv.TransactionResult)) {
 	s.l.n.store.TransactEncoded(txn, func(result kv.TransactionResult) {
-		if s.l.n.leader == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
@@ -33,7 +33,7 @@
 // Get implements commit.Store.
 func (s leaderStore) Get(key string, done func(kv.GetResult)) {
 	s.l.n.store.Get(key, func(result kv.GetResult) {
-		if s.l.n.leader == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -6,15 +6,15 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TimeUntilWakeUp returns how long the node need not be stepped if no event arrives: none of its
+// Due returns how long the node need not be stepped if no event arrives: none of its
 // timers is due earlier. A wake-up costs the process several system calls: ten wake-ups a second
 // take a tenth of the processor time of the smallest controllers. The result is never shorter
 // than MinTimerInterval, so that timers that are due at about the same time share a wake-up.
-func (n *Node) TimeUntilWakeUp() time.Duration {
-	wakeAt := n.now.Add(tuning.MaxTimerInterval)
+func (n *Node) Due() time.Duration {
+	due := n.now.Add(tuning.MaxTimerInterval)
 	wakeBy := func(t time.Time) {
-		if t.Before(wakeAt) {
-			wakeAt = t
+		if t.Before(due) {
+			due = t
 		}
 	}
 	for _, t := range n.timers {
@@ -30,9 +30,9 @@
 	n.forwarder.Due(wakeBy, n.router.Queued())
 	n.api.Due(wakeBy)
 	if n.mayAct() {
-		n.leader.due(wakeBy)
+		n.ownLeader.due(wakeBy)
 	}
-	return max(wakeAt.Sub(n.now), tuning.MinTimerInterval)
+	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
 
 // due calls wakeBy with each time at which the leader has something to do.
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -16,14 +16,14 @@
 func (ee electionEnvironment) UniqueName() string { return ee.n.uniqueName() }
 
 // Leading implements election.Environment.
-func (ee electionEnvironment) Leading() bool { return ee.n.leader != nil }
+func (ee electionEnvironment) Leading() bool { return ee.n.ownLeader != nil }
 
 // SteppedDown implements election.Environment.
-func (ee electionEnvironment) SteppedDown() { ee.n.leader = nil }
+func (ee electionEnvironment) SteppedDown() { ee.n.ownLeader = nil }
 
 // CancellationConfirmed implements election.Environment.
 func (ee electionEnvironment) CancellationConfirmed(jobID protocol.JobID) {
-	ee.n.leader.cancelByID(jobID)
+	ee.n.ownLeader.cancelByID(jobID)
 }
 
 // Count implements election.Peers.
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -5,7 +5,7 @@
 // startLeading makes this node the leader, with the state that the records hold.
 func (n *Node) startLeading() {
 	l := newLeader(n)
-	n.leader = l
+	n.ownLeader = l
 	n.peers.HeartbeatSoon()         // tells the peers its share of direct heartbeats
 	n.machineTypes.requestRefresh() // fetches current prices, and writes the record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -296,8 +296,8 @@
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
-	if !n.Leading() || !n.mayAct() || n.leader.nextCycleAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.leader.nextCycleAt)
+	if !n.Leading() || !n.mayAct() || n.ownLeader.nextCycleAt != (time.Time{}) {
+		t.Fatalf("leads %v, planned at %v", n.Leading(), n.ownLeader.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -83,13 +83,13 @@
 	if !l.n.now.Before(l.nextSweepAt) {
 		l.nextSweepAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.agents.Liveness.Tick()
-		if l.n.leader != l {
+		if l.n.ownLeader != l {
 			return
 		}
 		l.autoscaler.Tick()
 		l.tickRecovery()
 		l.restoreMonitor.Tick()
-		if l.n.leader != l {
+		if l.n.ownLeader != l {
 			return
 		}
 	}
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -20,7 +20,7 @@
 // After calls do after the pause, unless the leader has stepped down by then.
 func (le leaderEnvironment) After(pause time.Duration, do func()) {
 	le.l.n.after(pause, func() {
-		if le.l.n.leader == le.l {
+		if le.l.n.ownLeader == le.l {
 			do()
 		}
 	})
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -36,7 +36,7 @@
 	n.election.Acquired(7, testLease, now)
 	n.renewAuthority()
 	n.startLeading()
-	return n.leader
+	return n.ownLeader
 }
 
 func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -78,7 +78,7 @@
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
 		n.startLeading()
-		if got := len(n.leader.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
+		if got := len(n.ownLeader.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
 			t.Errorf("recorded %v: %d attempts", recorded, got)
 		}
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -30,7 +30,7 @@
 // the types request them less often.
 func (mt *machineTypes) tick() {
 	n, interval := mt.n, tuning.MachineTypesInterval
-	if n.leader == nil && len(mt.byName) > 0 {
+	if n.ownLeader == nil && len(mt.byName) > 0 {
 		interval *= 4
 	}
 	if !mt.nextRefreshAt.IsZero() && n.now.Before(mt.nextRefreshAt) {
@@ -45,8 +45,8 @@
 		}
 		mt.nextRefreshAt = n.now.Add(interval)
 		mt.update(&list)
-		if n.leader != nil {
-			mt.store(&list)
+		if n.ownLeader != nil {
+			mt.writeRecord(&list)
 		}
 	})
 }
@@ -72,9 +72,9 @@
 	}
 }
 
-// store writes the record of the machine types, so that a node that starts while the cloud does
+// writeRecord writes the record of the machine types, so that a node that starts while the cloud does
 // not respond can still validate submissions.
-func (mt *machineTypes) store(list *protocol.MachineTypes) {
+func (mt *machineTypes) writeRecord(list *protocol.MachineTypes) {
 	n := mt.n
 	entry, _ := n.mirror.Get(storage.TypesKey)
 	if known, ok := parse[protocol.MachineTypes](entry.Value); ok && slices.EqualFunc(known.Types, list.Types, sameType) {
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -52,7 +52,7 @@
 func (ls leadership) Now() time.Time { return ls.n.now }
 
 // Leading implements membership.Leadership.
-func (ls leadership) Leading() bool { return ls.n.leader != nil }
+func (ls leadership) Leading() bool { return ls.n.ownLeader != nil }
 
 // Holder implements membership.Leadership.
 func (ls leadership) Holder() protocol.NodeName { return ls.n.election.Holder() }
@@ -61,7 +61,7 @@
 func (ls leadership) HolderTerm() protocol.Term { return ls.n.election.HolderTerm() }
 
 // DirectShare implements membership.Leadership.
-func (ls leadership) DirectShare() uint64 { return ls.n.leader.directShare() }
+func (ls leadership) DirectShare() uint64 { return ls.n.ownLeader.directShare() }
 
 // RecordsLoaded implements membership.Leadership.
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -11,7 +11,7 @@
 type Metrics struct {
 	Term                                                                 protocol.Term
 	Commits, CommitConflicts, ShedRequests, Repairs, Preemptions, Starts uint64
-	Machines, WaitingJobs                                                int
+	Machines, Waiting                                                    int
 	CommitSeconds, StartWaitSeconds                                      []float64 // observations since the last TakeMetrics
 	Now                                                                  time.Time
 	Recovery                                                             reconcile.Summary // of this leader's failover
@@ -22,10 +22,10 @@
 	m := n.metrics
 	m.ShedRequests = n.api.Shed()
 	n.metrics.CommitSeconds, n.metrics.StartWaitSeconds = nil, nil
-	if n.leader != nil {
-		m.Machines, m.WaitingJobs = len(n.leader.cluster.Machines), n.leader.scheduler.Waiting()
+	if n.ownLeader != nil {
+		m.Machines, m.Waiting = len(n.ownLeader.cluster.Machines), n.ownLeader.scheduler.Waiting()
 		m.Term = n.election.Term()
-		m.Now, m.Recovery = n.now, n.leader.recovery.Summary()
+		m.Now, m.Recovery = n.now, n.ownLeader.recovery.Summary()
 	}
 	return m
 }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -48,8 +48,8 @@
 
 	timers []timer
 
-	election *election.Election
-	leader   *leader
+	election  *election.Election
+	ownLeader *leader
 
 	peers     *membership.Peers
 	forwarder *membership.Forwarder
@@ -82,10 +82,10 @@
 }
 
 // mayAct reports whether the node may send commands to agents and write records now.
-func (n *Node) mayAct() bool { return n.leader != nil && n.election.MayAct() }
+func (n *Node) mayAct() bool { return n.ownLeader != nil && n.election.MayAct() }
 
 // Leading reports whether the node leads.
-func (n *Node) Leading() bool { return n.leader != nil }
+func (n *Node) Leading() bool { return n.ownLeader != nil }
 
 // Step handles events and timers at the given time and returns the actions to be carried out.
 func (n *Node) Step(now time.Time, events []Event) []Action {
@@ -143,10 +143,10 @@
 	n.tickPeers()
 	n.peers.WriteRelayed()
 	if n.mayAct() {
-		n.leader.tick()
+		n.ownLeader.tick()
 	}
 	n.api.CheckQueries()
-	if n.leader == nil && n.election.MayStartLeading() {
+	if n.ownLeader == nil && n.election.MayStartLeading() {
 		n.startLeading() // last, so that the new leader's first tick runs in the next step
 	}
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -38,8 +38,8 @@
 	}
 	n.router.ForgetContacts()
 	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness)}
-	if n.leader != nil {
-		status.DirectShare = n.leader.directShare()
+	if n.ownLeader != nil {
+		status.DirectShare = n.ownLeader.directShare()
 	}
 	n.peers.SendHeartbeats(status)
 }
@@ -76,8 +76,8 @@
 	case protocol.PeerAgentCall:
 		n.callAgentFor(m)
 	case protocol.PeerCancellation:
-		if n.leader != nil {
-			n.leader.cancelByID(m.Job)
+		if n.ownLeader != nil {
+			n.ownLeader.cancelByID(m.Job)
 		}
 	case protocol.PeerResponse:
 		if m.Target != n.cfg.Name {
@@ -112,8 +112,8 @@
 // announceCancellation tells the leader of a cancellation that is in the records, so that the
 // leader need not wait for its watch, or until the store serves it again.
 func (n *Node) announceCancellation(jobID protocol.JobID) {
-	if n.leader != nil {
-		n.leader.cancelByID(jobID)
+	if n.ownLeader != nil {
+		n.ownLeader.cancelByID(jobID)
 		return
 	}
 	if leader := n.election.Holder(); n.peers.Knows(leader, protocol.PeerKnowsCancelled) {
@@ -140,12 +140,12 @@
 // processHeartbeat accepts a heartbeat if this node leads, and returns the result.
 func (n *Node) processHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
 	switch {
-	case n.leader == nil || !n.election.HasAuthority():
+	case n.ownLeader == nil || !n.election.HasAuthority():
 		return agents.HeartbeatResult{Outcome: agents.NotLeading}
-	case n.leader.agents.Heartbeats.RefuseHigherToken(heartbeat):
+	case n.ownLeader.agents.Heartbeats.RefuseHigherToken(heartbeat):
 		return agents.HeartbeatResult{Outcome: agents.HigherToken}
 	case !n.election.Confirmed():
 		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
 	}
-	return n.leader.agents.Heartbeats.Accept(heartbeat)
+	return n.ownLeader.agents.Heartbeats.Accept(heartbeat)
 }
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -16,17 +16,17 @@
 
 // Created implements api.Replies.
 func (ur userReplies) Created(requestID uint64, accepted protocol.Accepted) {
-	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusCreated, Body: storage.Encode(accepted)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusCreated, Body: storage.Encode(accepted)})
 }
 
 // Accepted implements api.Replies.
 func (ur userReplies) Accepted(requestID uint64, accepted protocol.Accepted) {
-	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(accepted)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(accepted)})
 }
 
 // Status implements api.Replies.
 func (ur userReplies) Status(requestID uint64, status protocol.Status) {
-	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
 }
 
 // UnknownJob implements api.Replies.
@@ -46,21 +46,21 @@
 
 // Unavailable implements api.Replies.
 func (ur userReplies) Unavailable(requestID uint64, reason string) {
-	ur.n.sendReply(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
+	ur.n.answer(Reply{ID: requestID, Status: http.StatusServiceUnavailable,
 		Body: storage.Encode(protocol.ErrorBody{Error: reason}), RetryAfter: time.Second})
 }
 
 // Forwarded passes on a peer's response to a forwarded request.
-func (ur userReplies) Forwarded(requestID uint64, response protocol.PeerResponse) {
-	reply := Reply{ID: requestID, Status: int(response.Status), Body: response.Body}
+func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerResponse) {
+	reply := Reply{ID: requestID, Status: int(answer.Status), Body: answer.Body}
 	if reply.Status == http.StatusServiceUnavailable {
 		reply.RetryAfter = time.Second
 	}
-	ur.n.sendReply(reply)
+	ur.n.answer(reply)
 }
 
 func (ur userReplies) fail(requestID uint64, status int, reason string) {
-	ur.n.sendReply(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
+	ur.n.answer(Reply{ID: requestID, Status: status, Body: storage.Encode(protocol.ErrorBody{Error: reason})})
 }
 
 // heartbeatReply is the response to an agent's heartbeat: commands, a redirect or a refusal.
@@ -103,5 +103,5 @@
 }
 
 func (hr heartbeatReplies) reply(requestID uint64, reply heartbeatReply) {
-	hr.n.sendReply(Reply{ID: requestID, Status: reply.status, Body: reply.body})
+	hr.n.answer(Reply{ID: requestID, Status: reply.status, Body: reply.body})
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -23,9 +23,9 @@
 	n.out = append(n.out, Request{ID: n.nextID, To: to, Address: address, Method: method, Path: path, Body: encoded, Timeout: timeout})
 }
 
-// sendReply sends a reply to the peer that forwarded the request or, for a request that this node
+// answer sends a reply to the peer that forwarded the request or, for a request that this node
 // received itself, on the connection it came from.
-func (n *Node) sendReply(r Reply) {
+func (n *Node) answer(r Reply) {
 	if n.forwarder.Respond(r.ID, r.Status, r.Body) {
 		return
 	}
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -38,7 +38,7 @@
 		s.entries[taskKey] = protocol.Entry{Key: taskKey, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
 			Tasks: jobWithLargeSpec(protocol.ShapeGang).Tasks[49:]})}
 		corrupt(s, mainKey, taskKey)
-		l := s.startLeader(protocol.PeerLevel)
+		l := s.leader(protocol.PeerLevel)
 		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
@@ -81,9 +81,9 @@
 	revision protocol.Revision
 }
 
-// startLeader begins to lead from the stored records, in a deployment whose limits will
+// leader begins to lead from the stored records, in a deployment whose limits will
 // be, or are, lowered to a sixteenth.
-func (s *storedRecords) startLeader(level uint64) *leader {
+func (s *storedRecords) leader(level uint64) *leader {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	present := n.cfg.Cluster.Store
 	n.cfg.Cluster.Present = &present
@@ -101,7 +101,7 @@
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&page)
 	n.startLeading()
-	return n.leader
+	return n.ownLeader
 }
 
 // hostName is the name of the machine that has all tasks; a long one, so that a record
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -128,7 +128,7 @@
 		return
 	}
 	c.carryOut(c.node.Step(c.w.Now, events))
-	c.setTimer(c.node.TimeUntilWakeUp())
+	c.setTimer(c.node.Due())
 }
 
 // applyAndRespond does what the node wants done.
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -79,6 +79,6 @@
 			c.takeBatch()
 			return
 		}
-		c.setTimer(c.node.TimeUntilWakeUp())
+		c.setTimer(c.node.Due())
 	})
 }
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -46,7 +46,7 @@
 		for _, a := range l.node.Step(time.Now(), batch) {
 			l.execute(ctx, a)
 		}
-		timer.Reset(l.node.TimeUntilWakeUp())
+		timer.Reset(l.node.Due())
 		l.ready.Store(l.node.Ready())
 		l.metrics.take(l.node, int(l.connections.open.Load()), l.queues.depth())
 	}
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -67,7 +67,7 @@
 		m.leading.Set(1)
 	}
 	m.machines.Set(float64(now.Machines))
-	m.waiting.Set(float64(now.WaitingJobs))
+	m.waiting.Set(float64(now.Waiting))
 	m.conns.Set(float64(connections))
 	m.queue.Set(float64(queued))
 	add := func(c prometheus.Counter, now, last uint64) {
