--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestCallResultFromStatus: each status of an agent's answer is one outcome, and only an agent that
-// says whether it has executed a call has its heartbeat read.
+// TestCallResultFromStatus: each status of an agent's response maps to one outcome. The heartbeat
+// in the body is parsed only if the status says whether the agent executed the call.
 func TestCallResultFromStatus(t *testing.T) {
 	body := storage.Encode(protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 4})
 	for status, want := range map[int]agents.CallOutcome{0: agents.Unknown, 200: agents.Answered, 409: agents.Refused,
@@ -22,12 +22,12 @@
 		}
 	}
 	if result := callResult(200, []byte("{}")); result.Outcome != agents.Answered || result.Malformed == nil || result.Heartbeat != nil {
-		t.Errorf("an answer that is no heartbeat: %+v", result)
+		t.Errorf("a response that is no heartbeat: %+v", result)
 	}
 }
 
-// TestHeartbeatOutcomeAndStatus: what a controller makes of a heartbeat, and the status that tells
-// its agent.
+// TestHeartbeatOutcomeAndStatus: the outcome of a heartbeat at a controller, and the status of the
+// response to its agent.
 func TestHeartbeatOutcomeAndStatus(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -48,12 +48,12 @@
 				Incarnation: 1, Sequence: 1, FencingToken: l.n.election.Term()}
 			c.prepare(l, heartbeat)
 			result := l.n.processHeartbeat(heartbeat)
-			heartbeat.Sequence++ // so that what was accepted is not stale
+			heartbeat.Sequence++ // so that a heartbeat that was just accepted is not stale
 			if c.outcome == agents.Stale {
 				heartbeat.Sequence = 0
 			}
 			if reply := l.n.respondToHeartbeat(heartbeat); result.Outcome != c.outcome || reply.status != c.status {
-				t.Errorf("%+v is answered %+v, want %d and %d", result, reply, c.outcome, c.status)
+				t.Errorf("result %+v, reply %+v, want outcome %d and status %d", result, reply, c.outcome, c.status)
 			}
 		})
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// largeProcessLimits are those of a controller of two thousand machines.
+// largeProcessLimits are the limits of a controller for two thousand machines.
 var largeProcessLimits = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 
-// fullFleet is a leader with two thousand machines, all taken by arrays of the
-// lowest priority, and jobs that wait.
+// fullFleet returns a leader with two thousand machines, all used by arrays of the lowest priority,
+// and the given number of waiting jobs.
 func fullFleet(waiting int) *leader {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 2000 {
@@ -41,8 +41,8 @@
 	return l
 }
 
-// BenchmarkHeartbeat is the path of an agent's heartbeat at two thousand machines,
-// decoding included.
+// BenchmarkHeartbeat measures handling an agent's heartbeat with two thousand machines, decoding
+// included.
 func BenchmarkHeartbeat(b *testing.B) {
 	l := fullFleet(600)
 	machines := make([]*cluster.Machine, 0, len(l.cluster.OrderedMachines))
@@ -64,13 +64,13 @@
 			b.Fatal(err)
 		}
 		if l.agents.Heartbeats.Accept(r).Outcome != agents.Accepted {
-			b.Fatal("not taken")
+			b.Fatal("heartbeat is not accepted")
 		}
 	}
 }
 
-// BenchmarkSchedulingCycle is a pass over a queue of six hundred gangs that do not fit at
-// two thousand machines, searches for work to stop included.
+// BenchmarkSchedulingCycle measures a scheduling cycle over a queue of six hundred gangs that do
+// not fit, with two thousand machines, searches for preemption victims included.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	l := fullFleet(600)
 	b.ReportAllocs()
@@ -84,9 +84,9 @@
 	b.ReportMetric(float64(l.scheduler.MachinesExamined()), "machines-examined/op")
 }
 
-// TestMemoryPerMachineAndWaitingJob bounds what a leader keeps for each machine with its task and for
-// each job that waits, with a margin: at half as many machines again as the
-// smallest controllers have, that is a few of their megabytes.
+// TestMemoryPerMachineAndWaitingJob bounds the memory that a leader uses for each machine with its
+// tasks and for each waiting job. The bounds have a margin: with half as many machines again as the
+// smallest controllers have, they amount to a few megabytes.
 func TestMemoryPerMachineAndWaitingJob(t *testing.T) {
 	heapBytes := func() uint64 {
 		runtime.GC()
@@ -101,19 +101,19 @@
 	heapWaiting := heapBytes()
 	machines := float64(heapFull-heapEmpty) / float64(len(small.cluster.OrderedMachines))
 	jobs := (float64(heapWaiting-heapFull) - float64(heapFull-heapEmpty)) / 4000
-	t.Logf("%.0f bytes a machine with two tasks, %.0f a job that waits", machines, jobs)
+	t.Logf("%.0f bytes for a machine with two tasks, %.0f for a waiting job", machines, jobs)
 	if machines > 6<<10 {
 		t.Errorf("%.0f bytes for each machine", machines)
 	}
 	if jobs > 6<<10 {
-		t.Errorf("%.0f bytes for each job that waits", jobs)
+		t.Errorf("%.0f bytes for each waiting job", jobs)
 	}
 	runtime.KeepAlive(small)
 	runtime.KeepAlive(large)
 }
 
-// BenchmarkFailover is a failover of four thousand machines with two tasks each and as many
-// jobs that wait, from the mirror to the first heartbeats' turn.
+// BenchmarkFailover measures a failover with four thousand machines that have two tasks each, in
+// eight hundred jobs: from the loaded mirror until the leader can handle the first heartbeat.
 func BenchmarkFailover(b *testing.B) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	page := protocol.Entries{Revision: 9}
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -11,8 +11,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestMachineOnWhichJobsFailIsQuarantined: a machine on which two jobs failed takes no more tasks, and its
-// machine record says so to every later leader.
+// TestMachineOnWhichJobsFailIsQuarantined: a machine on which two jobs failed accepts no more
+// tasks. Its machine record stores this for every later leader.
 func TestMachineOnWhichJobsFailIsQuarantined(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a")
@@ -28,16 +28,16 @@
 	l.committer.Commit()
 	txn, _ := l.lastTransaction(t)
 	if rec, _ := parse[storage.MachineRecord](txn.Changes[0].Value); txn.Changes[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
-		t.Errorf("the machine record does not say so: %s", txn.Changes[0].Value)
+		t.Errorf("the machine record does not show it as cordoned: %s", txn.Changes[0].Value)
 	}
 	l.autoscaler.Tick()
 	if !machine.Deleting {
-		t.Error("not deleted once it is empty")
+		t.Error("not deleted although it has no tasks")
 	}
 }
 
-// TestJobThatFailsEverywherePreemptsNothing: a job that failed on several machines is tried on what
-// is free, but nothing is stopped for it and no machine wanted any more.
+// TestJobThatFailsEverywherePreemptsNothing: a job that failed on several machines is still tried
+// on free machines, but no tasks are preempted and no machines are requested for it any more.
 func TestJobThatFailsEverywherePreemptsNothing(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.testMachine("i-1", "big", "a")
@@ -54,16 +54,17 @@
 		l.lifecycle.RemoveGone(attempt)
 		machine.Cordoned = true
 		if machine.Quarantined {
-			t.Errorf("%s is quarantined for a job that fails everywhere", machine.ID)
+			t.Errorf("%s is quarantined because of a job that fails everywhere", machine.ID)
 		}
 	}
 	l.n.now = l.n.now.Add(tuning.FailureBackoff)
 	l.runSchedulingCycle()
 	if n := stopping(low); n != 0 || len(low.Attempts) != 4 || len(l.autoscaler.Demand) != 0 {
-		t.Errorf("%d tasks of %d stop, %d jobs want machines", n, len(low.Attempts), len(l.autoscaler.Demand))
+		t.Errorf("%d tasks of %d are stopping, %d jobs demand machines", n, len(low.Attempts), len(l.autoscaler.Demand))
 	}
 }
 
+// stopping returns the number of a job's attempts that have been asked to stop.
 func stopping(job *cluster.Job) (n int) {
 	for _, attempt := range job.Attempts {
 		if attempt.Stopping {
@@ -73,9 +74,9 @@
 	return n
 }
 
-// TestRepairedGangReusesSurvivingMachines: a gang that lost a machine goes back to the machines
-// of its other tasks and takes its zone's spare for the lost one, though
-// another zone could hold it whole.
+// TestRepairedGangReusesSurvivingMachines: a gang that lost a machine is placed on its surviving
+// machines again, and on its zone's spare machine instead of the lost one, although the whole gang
+// would fit in another zone.
 func TestRepairedGangReusesSurvivingMachines(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	dead, survivor := l.testMachine("i-1", "big", "b"), l.testMachine("i-2", "big", "b")
@@ -93,10 +94,10 @@
 	l.removeMachines(dead.ID)
 	l.runSchedulingCycle()
 	if len(job.Attempts) != 1 || !job.Stopping {
-		t.Fatalf("%d attempts, stopping %v: the survivor has yet to exit", len(job.Attempts), job.Stopping)
+		t.Fatalf("%d attempts, stopping %v: want the surviving attempt to be stopping", len(job.Attempts), job.Stopping)
 	}
 	if survivor.ReservedFor != job {
-		t.Error("the survivor's machine is not reserved")
+		t.Error("the surviving machine is not reserved")
 	}
 	l.lifecycle.RemoveGone(job.SortedAttempts()[0])
 	l.runSchedulingCycle()
@@ -105,6 +106,6 @@
 		on[attempt.Machine] = true
 	}
 	if !on[survivor] || !on[spare] || job.Epoch != epoch+1 {
-		t.Errorf("repaired on %v at epoch %d", job.SortedAttempts(), job.Epoch)
+		t.Errorf("placed again as %v at epoch %d", job.SortedAttempts(), job.Epoch)
 	}
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -13,8 +13,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// countRequests counts a step's requests to a system, and those of them whose path is
-// the given one.
+// countRequests counts the requests to an external system among a step's actions, and those of them
+// with the given path.
 func countRequests(out []Action, to Target, path string) (all, withPath int) {
 	for _, a := range out {
 		if r, ok := a.(Request); ok && r.To == to {
@@ -27,9 +27,10 @@
 	return all, withPath
 }
 
-// TestNewLeaderPacesAgentCalls: a new leader of two thousand machines calls no more of
-// them than its share of a core allows, and renews its leader lease meanwhile. One that
-// called all at once did not come to renew it and was replaced, and so in turn.
+// TestNewLeaderPacesAgentCalls: a new leader of two thousand machines calls agents no faster than
+// its share of a core allows, and renews its leader lease meanwhile. A leader that calls all agents
+// at once does not renew its lease in time and is replaced, and the same then happens to each new
+// one.
 func TestNewLeaderPacesAgentCalls(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
@@ -46,7 +47,7 @@
 		for id, at := range inFlight {
 			if n.now.Sub(at) >= tuning.ProbeTimeout {
 				delete(inFlight, id)
-				events = append(events, Response{ID: id}) // none of them answers
+				events = append(events, Response{ID: id}) // no agent responds
 			}
 		}
 		out := n.Step(n.now.Add(tuning.MinTimerInterval), events)
@@ -62,20 +63,20 @@
 			}
 		}
 		if limit := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); len(inFlight) > limit {
-			t.Fatalf("%d calls under way", len(inFlight))
+			t.Fatalf("%d calls in flight", len(inFlight))
 		}
 	}
 	maxCalls := 5*largeProcessLimits.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
 	if calls == 0 || float64(calls) > maxCalls {
-		t.Errorf("%d calls in 5 s, %v are allowed", calls, maxCalls)
+		t.Errorf("%d calls in 5 s, want 1 to %v", calls, maxCalls)
 	}
 	if renewals < 4 {
-		t.Errorf("%d renewals in 5 s", renewals)
+		t.Errorf("%d renewals in 5 s, want at least 4", renewals)
 	}
 }
 
-// TestProbesLeaveCallsForCommands: however many silent machines are probed, half of the
-// calls are left for orders.
+// TestProbesLeaveCallsForCommands: however many silent machines are probed, half of the concurrent
+// calls are left for commands.
 func TestProbesLeaveCallsForCommands(t *testing.T) {
 	l := fullFleet(0)
 	l.n.cfg.Cluster.Process = largeProcessLimits
@@ -94,16 +95,16 @@
 	}
 	l.agents.Delivery.SendPending()
 	if _, orders := countRequests(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
-		t.Errorf("%d orders leave", orders)
+		t.Errorf("%d command calls are sent, want 1", orders)
 	}
 }
 
-// TestNoCoreLimitAndFewWrites: without a share of a core in the settings calls are not paced,
-// and with two changes a second jobs still end.
+// TestNoCoreLimitAndFewWrites: calls to agents are not paced if the settings limit no processor
+// time, and with two writes a second the end of a job is still stored.
 func TestNoCoreLimitAndFewWrites(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
-		t.Error("no agent may be called")
+		t.Error("agents may not be called")
 	}
 	n := l.n
 	n.cfg.Cluster.Store.WriteRPS = 2
@@ -116,13 +117,13 @@
 	}
 	_, writes := countRequests(n.out, ToStore, protocol.PathTransactions)
 	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
-		t.Errorf("%d transactions: the end of the job is not written", writes)
+		t.Errorf("%d transactions, want one that writes the end of the job", writes)
 	}
 }
 
-// TestWritesOfOthersReduceBudget: the leader's decisions have what others leave of the
-// state service's writes, which it learns from its watch; its own it counts when
-// it sends them.
+// TestWritesOfOthersReduceBudget: the leader's decisions may use what other processes leave of the
+// store's write limit. The leader counts writes of others when its watch shows them, and its own
+// writes when it sends them.
 func TestWritesOfOthersReduceBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -140,13 +141,13 @@
 	n.mirror.Tick()
 	n.handle(Response{ID: n.lastRequest(t, ToStore).ID, Status: 200, Body: storage.Encode(watch)})
 	if got := before - available(); got != 2 {
-		t.Errorf("%d writes counted of two by others and one of its own", got)
+		t.Errorf("%d writes counted, want the two by others and not its own", got)
 	}
 }
 
-// TestPausedLeaderWaitsForLeaseRenewal: a leader that was paused for seconds, its clocks running on,
-// answers no heartbeat, sends no command and writes nothing before its leader lease was
-// renewed; one whose leader lease must have expired meanwhile leads no more.
+// TestPausedLeaderWaitsForLeaseRenewal: a leader whose process was paused for seconds, while its
+// clocks went on, accepts no heartbeat, sends no command and writes nothing before its leader lease
+// is renewed. If the lease must have expired during the pause, it steps down.
 func TestPausedLeaderWaitsForLeaseRenewal(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -168,16 +169,16 @@
 	l.schedulingRequested = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{heartbeat(1)})
 	if got := status(out, 1); got != 503 {
-		t.Errorf("the heartbeat that waited is answered %d", got)
+		t.Errorf("status %d for the heartbeat that waited during the pause, want 503", got)
 	}
 	if calls, _ := countRequests(out, ToAgent, ""); calls > 0 {
 		t.Errorf("%d calls to agents", calls)
 	}
-	// It may ask how far the records have come: that changes nothing.
+	// It may send transactions without changes, which ask for the store's revision.
 	for _, a := range out {
 		var txn protocol.Transaction
 		if r, ok := a.(Request); ok && r.Path == protocol.PathTransactions && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Changes) > 0) {
-			t.Errorf("it writes %s", r.Body)
+			t.Errorf("writes before the renewal: %s", r.Body)
 		}
 	}
 	if len(job.Attempts) > 0 {
@@ -195,17 +196,17 @@
 	}
 	out = n.Step(n.now.Add(time.Millisecond), []Event{Response{ID: renew.ID, Status: 200}, heartbeat(2)})
 	if got := status(out, 2); got != 200 || !n.mayAct() {
-		t.Errorf("after the renewal a heartbeat is answered %d", got)
+		t.Errorf("status %d for a heartbeat after the renewal, want 200", got)
 	}
 	n.Step(n.now.Add(n.election.TTL()+n.election.Grace()+time.Second), nil)
 	if n.Leading() {
-		t.Error("leads on a leader lease that has expired")
+		t.Error("leads although its leader lease has expired")
 	}
 }
 
-// TestForwardedAgentIsRedirectedAgain: an agent that could not reach the leader is
-// carried, but not for ever: it is sent to the leader again after a while, and
-// at once when another leads.
+// TestForwardedAgentIsRedirectedAgain: heartbeats of an agent that cannot reach the leader are
+// forwarded for a limited time. Then the agent is redirected to the leader again, or at once when
+// there is another leader.
 func TestForwardedAgentIsRedirectedAgain(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -254,13 +255,13 @@
 	}
 	setLeader("second", 21)
 	if got := sendHeartbeat(time.Second); got != "421" {
-		t.Errorf("with another leader: %s", got)
+		t.Errorf("with another leader: %s, want 421", got)
 	}
 }
 
-// TestLeaseIsRenewedBeforeFailover: a node that has won the leader lease renews it before it
-// reads the records, which takes a small controller a second, and plans nothing in
-// the step in which it does.
+// TestLeaseIsRenewedBeforeFailover: a node that has acquired the leader lease renews it before it
+// loads the records, which takes a small controller a second. It runs no scheduling cycle in the
+// step in which it loads them.
 func TestLeaseIsRenewedBeforeFailover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -276,7 +277,7 @@
 				return r
 			}
 		}
-		t.Fatalf("nothing is sent to %s", path)
+		t.Fatalf("no request to %s", path)
 		return Request{}
 	}
 	out := n.Step(n.now, nil)
@@ -287,17 +288,17 @@
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
-		t.Fatal("leads before its claim was renewed")
+		t.Fatal("leads before its lease was renewed")
 	}
 	out = n.Step(n.now, []Event{AgentHeartbeat{ID: 77, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
-			t.Fatalf("a heartbeat is answered %d meanwhile", r.Status)
+			t.Fatalf("status %d for a heartbeat before the renewal, want no reply", r.Status)
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
 	if !n.Leading() || !n.mayAct() || n.ownLeader.nextCycleAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.ownLeader.nextCycleAt)
+		t.Fatalf("leads %v, next scheduling cycle at %v", n.Leading(), n.ownLeader.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
@@ -306,6 +307,6 @@
 		}
 	}
 	if !answered {
-		t.Error("the heartbeat that waited has no answer")
+		t.Error("no reply with status 200 to the heartbeat that waited")
 	}
 }
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -15,16 +15,16 @@
 var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 
-// testLease is the lease of the store under which testLeader leads.
+// testLease is the store's lease to which the leader lease of testLeader is attached.
 const testLease protocol.LeaseID = 3
 
-// renewAuthority renews the leader lease and has the mirror know every change.
+// renewAuthority renews the leader lease and marks the mirror as up to date.
 func (n *Node) renewAuthority() {
 	n.election.Renewed(n.now)
 	n.mirror.MarkSynced(n.now)
 }
 
-// testLeader is a leader that never had to be elected.
+// testLeader returns the leader of a node that leads without an election.
 func testLeader(now time.Time) *leader {
 	cfg := &config.Config{Name: "n", Operator: tuning.Defaults()}
 	cfg.Cluster = config.Cluster{Zones: []protocol.ZoneName{"a", "b", "c"}, Teams: []config.Team{{Name: "free"}, {Name: "tight", MaxGPUs: 6, GPUs: 2}},
@@ -39,6 +39,7 @@
 	return n.ownLeader
 }
 
+// testMachine adds a recorded machine whose agent has just sent a heartbeat.
 func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
 	machine := l.cluster.EnsureMachine(id, "h:1", typeName, zone, false)
 	l.committer.Machines.Assign(machine)
@@ -48,6 +49,7 @@
 	return machine
 }
 
+// testJob adds a job that is submitted now.
 func (l *leader) testJob(s protocol.Job) *cluster.Job {
 	s.ID = protocol.JobID(fmt.Sprintf("run-%06d", len(l.cluster.Jobs)+1))
 	if s.Priority == "" {
@@ -56,13 +58,14 @@
 	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
-// cycleFullyPlaces runs a scheduling cycle and says whether it has left a job with a place for
-// every task.
+// cycleFullyPlaces runs a scheduling cycle and reports whether every task of the job has a
+// placement then.
 func (l *leader) cycleFullyPlaces(job *cluster.Job) bool {
 	l.runSchedulingCycle()
 	return job.FullyPlaced()
 }
 
+// gangOf returns a gang whose tasks use the given number of GPUs each.
 func gangOf(tasks int, gpus float64) protocol.Job {
 	return protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: tasks, CPUs: 2, GPUs: gpus, MemoryGB: 8, Image: "x"}
 }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -10,9 +10,9 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestMachinesOfOneRentalShareRecords: machines that are rented at once share a few records, each within
-// the value limit; a new leader reads every one of them back, and those that
-// are gone leave the records in time.
+// TestMachinesOfOneRentalShareRecords: machines that are created by one request share a few
+// records, each within the value limit. A new leader loads all of them. Once the machines are
+// deleted, their records are deleted, too.
 func TestMachinesOfOneRentalShareRecords(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.autoscaler.RequestMachines(autoscaler.Offer{TypeName: "big", Zone: "a", Spot: true}, 100)
@@ -25,21 +25,21 @@
 	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
 	if len(txn.Changes) > 2 {
-		t.Errorf("%d changes for 100 machines of one rental", len(txn.Changes))
+		t.Errorf("%d changes for 100 machines of one request", len(txn.Changes))
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 
 	next := testLeader(l.n.now)
 	for _, c := range txn.Changes {
 		if n := len(c.Value); float64(n) > l.n.cfg.Cluster.Store.ValueKB*1024 {
-			t.Errorf("a record of %d bytes", n)
+			t.Errorf("a record of %d bytes exceeds the value limit", n)
 		}
 		rec, _ := parse[storage.MachineRecord](c.Value)
 		next.committer.Machines.Load(c.Set, 99, &rec)
 	}
 	for _, id := range names {
 		if machine := next.cluster.Machines[id]; machine == nil || !machine.Recorded || !l.cluster.Machines[id].Recorded {
-			t.Fatalf("%s is not recorded", id)
+			t.Fatalf("%s is not marked as recorded", id)
 		}
 	}
 
@@ -53,7 +53,7 @@
 	next.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":100}`)})
 	for _, c := range txn.Changes {
 		if c.Delete == "" {
-			t.Errorf("%s is written again", c.Set)
+			t.Errorf("%s is written, not deleted", c.Set)
 		}
 	}
 	if !next.committer.Machines.Empty() {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestPlacementOnUnrecordedMachineIsDropped: a machine leaves its machine record only after
-// its deletion was answered, so a place on a machine that no record has is
-// proven gone; a new leader need not wait for the lease to expire.
+// TestPlacementOnUnrecordedMachineIsDropped: a machine is removed from its machine record only
+// after the cloud has confirmed its deletion. So an attempt on a machine that no record names is
+// known to be gone, and a new leader need not wait for the agent's lease to expire.
 func TestPlacementOnUnrecordedMachineIsDropped(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// writeRecord writes the record of the machine types, so that a node that starts while the cloud does
-// not respond can still validate submissions.
+// writeRecord writes the record of the machine types, so that a node that starts while the cloud
+// does not respond can still validate submissions.
 func (mt *machineTypes) writeRecord(list *protocol.MachineTypes) {
 	n := mt.n
 	entry, _ := n.mirror.Get(storage.TypesKey)
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -13,13 +13,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// connect makes a link to a peer that says so of itself.
+// connect makes a link to a peer, on which the peer sends this status.
 func (n *Node) connect(name protocol.NodeName, status protocol.PeerStatus) {
 	n.peers.Up(name)
 	n.peers.Receive(name, 1, status)
 }
 
-// connectTwoPeers adds two peers that are linked to each other and to the node.
+// connectTwoPeers adds two peers that have links to each other and to the node.
 func (n *Node) connectTwoPeers() {
 	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
 	for _, s := range n.cfg.Peers {
@@ -28,8 +28,8 @@
 	}
 }
 
-// connectedFollower is one of three nodes, each linked to the others, while "a" leads
-// and keeps so many of a thousand agents.
+// connectedFollower returns one of the three nodes a, b and c, which all have links to each other.
+// Node a leads, and this many of a thousand agents send their heartbeats to it directly.
 func connectedFollower(name protocol.NodeName, directShare uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
 	for _, s := range []protocol.NodeName{"a", "b", "c"} {
@@ -50,8 +50,8 @@
 	return n
 }
 
-// heartbeatOutcome tells what becomes of a machine's heartbeat at a node: where the agent
-// is sent, "forwarded", or the status.
+// heartbeatOutcome returns what a node does with a machine's heartbeat: the target of a redirect,
+// "forwarded to" and the peer, the status of any other reply, or "queued".
 func heartbeatOutcome(n *Node, machineID protocol.MachineID) string {
 	n.nextID++
 	id := n.nextID
@@ -74,9 +74,9 @@
 	return "queued"
 }
 
-// TestLeaderRedirectsAgentsToProxies: a leader whose share of a core pays for some of
-// its agents sends the others to their proxies, once; one that
-// comes back is answered. A large share keeps all.
+// TestLeaderRedirectsAgentsToProxies: a leader whose share of a core suffices for only a part of
+// the agents redirects the others to their proxies once. The heartbeat of an agent that comes back
+// is accepted. With a large share no agent is redirected.
 func TestLeaderRedirectsAgentsToProxies(t *testing.T) {
 	for cores, redirects := range map[float64]bool{0.018: true, 0.24: false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
@@ -94,32 +94,32 @@
 			case "o", "p":
 				redirected++
 				if got := heartbeatOutcome(n, m); got != "200" {
-					t.Fatalf("%s came back and has %s", m, got)
+					t.Fatalf("%s came back: outcome %s, want 200", m, got)
 				}
 			default:
 				t.Fatalf("%s: %s", m, got)
 			}
 		}
 		if redirects != (redirected > 0) || redirected > 290 {
-			t.Errorf("on %v of a core %d of 300 agents are redirected", cores, redirected)
+			t.Errorf("with %v cores %d of 300 agents are redirected", cores, redirected)
 		}
 	}
 }
 
-// TestHeartbeatsAreAnsweredByNextLeader: while nobody leads, agents' heartbeats wait for the
-// next leader instead of going round the nodes, but not for longer than an agent
-// waits.
+// TestHeartbeatsAreAnsweredByNextLeader: while there is no leader, agents' heartbeats wait for the
+// next one, so that agents do not try one node after the other. They wait no longer than an agent
+// waits for a response.
 func TestHeartbeatsAreAnsweredByNextLeader(t *testing.T) {
 	b := connectedFollower("b", 0)
 	b.election.ObserveRelease()
-	// A node that has just started takes a peer's confirmation.
+	// A node that has not loaded the records relies on peers for who leads.
 	if got := heartbeatOutcome(b, "i-1"); got != "a" {
-		t.Fatalf("a peer knows the leader: %s", got)
+		t.Fatalf("a peer knows the leader: %s, want a redirect to a", got)
 	}
 	b.connect("a", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"b", "c"}})
 	b.connect("c", protocol.PeerStatus{Term: 9, Links: []protocol.NodeName{"x", "y"}})
 	if got := heartbeatOutcome(b, "i-1"); got != "queued" {
-		t.Fatalf("without a leader: %s", got)
+		t.Fatalf("without a leader: %s, want queued", got)
 	}
 	at := b.now
 	b.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: "a"}), 10)
@@ -141,18 +141,18 @@
 		for _, a := range b.Step(at.Add(time.Second+d), nil) {
 			if r, ok := a.(Reply); ok && r.ID == id {
 				if r.Status != 503 || d > 4*time.Second {
-					t.Errorf("%d after %v", r.Status, d)
+					t.Errorf("status %d after %v, want 503 within 4 s", r.Status, d)
 				}
 				return
 			}
 		}
 	}
-	t.Error("never answered")
+	t.Error("no reply")
 }
 
-// TestCommandsAreDelegatedToProxies: where agents have proxies, their commands go by way of the
-// peers; an answer ends the call, none in time counts as lost, and while a link
-// is missing, and for probes, the leader calls itself.
+// TestCommandsAreDelegatedToProxies: if agents have proxies, the leader sends commands through the
+// peers. A response ends the call. A call without a response in time has the outcome unknown. The
+// leader itself calls agents for probes, and for commands while a link between nodes is missing.
 func TestCommandsAreDelegatedToProxies(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -177,26 +177,26 @@
 	a, outcome := send(commands)
 	toPeer, ok := a.(PeerSend)
 	if !ok {
-		t.Fatalf("commands leave as %T", a)
+		t.Fatalf("commands are sent as %T, want a delegated call", a)
 	}
 	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
 	if *outcome != agents.Answered || l.agents.Calls.InFlight != 0 {
-		t.Errorf("answered 200: ended with %d, %d under way", *outcome, l.agents.Calls.InFlight)
+		t.Errorf("response 200: outcome %d, %d calls in flight", *outcome, l.agents.Calls.InFlight)
 	}
 	_, outcome = send(commands)
 	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
 	if *outcome != agents.Unknown || l.agents.Calls.InFlight != 0 {
-		t.Errorf("not answered: ended with %d, %d under way", *outcome, l.agents.Calls.InFlight)
+		t.Errorf("no response: outcome %d, %d calls in flight", *outcome, l.agents.Calls.InFlight)
 	}
 	if a, _ := send(probe); a.(Request).To != ToAgent {
-		t.Errorf("a probe leaves as %+v", a)
+		t.Errorf("a probe is sent as %+v", a)
 	}
 	n.peers.Down("p")
 	if a, _ := send(commands); a.(Request).To != ToAgent {
-		t.Errorf("with a link missing commands leave as %+v", a)
+		t.Errorf("with a link missing commands are sent as %+v", a)
 	}
-	// The peer's part.
+	// The peer calls the agent and returns its response.
 	b := connectedFollower("b", 0)
 	b.out = nil
 	b.deliver(protocol.PeerAgentCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
@@ -207,6 +207,6 @@
 	b.handle(Response{ID: r.ID, Status: 409, Body: []byte("{}")})
 	sent := b.out[len(b.out)-1].(PeerSend)
 	if got := sent.Message.(protocol.PeerResponse); sent.Peer != "a" || got.ID != 5 || got.Status != 409 {
-		t.Errorf("the answer goes back as %+v", sent)
+		t.Errorf("the response is returned as %+v", sent)
 	}
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,9 +9,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestUnresponsiveAgentIsDeletedDespiteHeartbeats: an agent whose heartbeats go on coming, but never show what the
-// answers told it, takes no new work; one that does not answer calls either is
-// returned, which proves its tasks gone. One that answers a call is kept.
+// TestUnresponsiveAgentIsDeletedDespiteHeartbeats: an agent whose heartbeats arrive, but never show
+// an effect of the responses, gets no new tasks. If it does not respond to calls either, its
+// machine is deleted, which proves that its tasks are gone. If it responds to a call, its machine
+// is kept.
 func TestUnresponsiveAgentIsDeletedDespiteHeartbeats(t *testing.T) {
 	for _, responds := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
@@ -24,7 +25,7 @@
 			l.testHeartbeat(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
-			t.Fatal("takes new work")
+			t.Fatal("accepts new tasks")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
@@ -46,10 +47,10 @@
 			}
 		}
 		if machine.Deleting == responds || l.cluster.Schedulable(machine) != responds {
-			t.Errorf("answers calls %v: returned %v, takes work %v", responds, machine.Deleting, l.cluster.Schedulable(machine))
+			t.Errorf("responds to calls %v: deleting %v, schedulable %v", responds, machine.Deleting, l.cluster.Schedulable(machine))
 		}
 		if l.removeMachines(machine.ID); len(job.Attempts) != 0 {
-			t.Errorf("%d copies are left once it is gone", len(job.Attempts))
+			t.Errorf("%d attempts are left after the machine was removed", len(job.Attempts))
 		}
 	}
 }
--- a/internal/coordination/safety_test.go
+++ b/internal/coordination/safety_test.go
@@ -12,13 +12,17 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// These tests hold one guard each that whole days break too rarely to show.
+// Each of these tests covers one safety rule. Simulations of whole days rarely reach the states in
+// which a violation of the rule would show.
 
+// testHeartbeat lets the leader accept a heartbeat of a machine's agent and returns the commands in
+// the response.
 func (l *leader) testHeartbeat(machine *cluster.Machine, token protocol.Term, tasks ...protocol.TaskStatus) []protocol.Command {
 	return l.agents.Heartbeats.Accept(&protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
 		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}).Commands
 }
 
+// commandKinds returns the kinds of the commands, each followed by a space.
 func commandKinds(cmds []protocol.Command) (s string) {
 	for _, c := range cmds {
 		s += string(c.Kind) + " "
@@ -26,7 +30,7 @@
 	return s
 }
 
-// lastRequest is the newest request to a system.
+// lastRequest returns the latest request to an external system.
 func (n *Node) lastRequest(t *testing.T, to Target) Request {
 	t.Helper()
 	for i := len(n.out) - 1; i >= 0; i-- {
@@ -38,8 +42,8 @@
 	return Request{}
 }
 
-// TestNoStartBeforeCommit: a placement is guarded on the leader lease, the job and the capacity it
-// takes, and no start leaves before it is committed.
+// TestNoStartBeforeCommit: the transaction that stores a placement has conditions on the leader
+// lease, the job and the machine record. No start command is sent before it is committed.
 func TestNoStartBeforeCommit(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
 		checkNoStartBeforeCommit(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.cycleFullyPlaces(job) })
@@ -60,7 +64,7 @@
 		t.Fatal("not placed")
 	}
 	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
-		t.Fatalf("orders %q before the commit", got)
+		t.Fatalf("commands %q before the commit", got)
 	}
 	l.committer.Commit()
 	r := l.n.lastRequest(t, ToStore)
@@ -71,27 +75,27 @@
 	}
 	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.election.Term()), storage.JobKey(job.ID): revision, machine.Record.Key: machine.Record.Revision} {
 		if got, ok := guards[key]; !ok || got != want {
-			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
+			t.Errorf("the condition on %s has revision %d (%v), want %d", key, got, ok, want)
 		}
 	}
 	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
-		t.Fatalf("orders %q during the commit", got)
+		t.Fatalf("commands %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToAgent); strings.Count(string(direct.Body), `"start"`) != 2 {
-		t.Errorf("sent at once after it: %s", direct.Body)
+		t.Errorf("sent directly after the commit: %s, want two starts", direct.Body)
 	}
 	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
-		t.Errorf("orders %q while the same are on their way", got)
+		t.Errorf("commands %q while direct starts may still arrive", got)
 	}
 	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
 	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "start start " {
-		t.Errorf("orders %q after it", got)
+		t.Errorf("commands %q after the commit, want two starts", got)
 	}
 }
 
-// TestSubmissionIsRefusedWhenBudgetIsSpent: a submission of the largest job for which the budget is
-// too small is refused at once, with a time to come back, and not held.
+// TestSubmissionIsRefusedWhenBudgetIsSpent: a submission that the write budget does not allow, here
+// of the largest job, is refused at once with a Retry-After time. It is not queued.
 func TestSubmissionIsRefusedWhenBudgetIsSpent(t *testing.T) {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	n.mirror.BeginLoad()
@@ -111,7 +115,7 @@
 			continue
 		}
 		if len(n.out) != 1 {
-			t.Fatalf("%d actions", len(n.out))
+			t.Fatalf("%d actions, want one reply", len(n.out))
 		}
 		r, ok := n.out[0].(Reply)
 		if !ok || r.Status != 503 || r.RetryAfter <= 0 {
@@ -120,8 +124,8 @@
 	}
 }
 
-// TestRequestIDsDifferAcrossRestarts: a process that is back at once numbers its requests
-// apart from those of its earlier life, whose answers may still come.
+// TestRequestIDsDifferAcrossRestarts: a process that is restarted at once uses other request IDs
+// than the earlier process, because responses to that process may still arrive.
 func TestRequestIDsDifferAcrossRestarts(t *testing.T) {
 	cfg := testLeader(time.Unix(1_800_000_000, 0)).n.cfg
 	seen := map[uint64]bool{}
@@ -130,7 +134,7 @@
 		for range 1000 {
 			n.nextID++
 			if seen[n.nextID] {
-				t.Fatal("a number of an earlier life")
+				t.Fatal("a request ID was used by an earlier process")
 			}
 			seen[n.nextID] = true
 		}
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -12,10 +12,10 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// These tests hold the bounds that a fleet of some thousand machines once met.
+// These tests cover limits that fleets of some thousand machines reach.
 
-// TestGangStartsAreQueuedInTaskOrder: the starts of a gang leave in the order of its tasks, not of a
-// map, so that the same seed gives the same run.
+// TestGangStartsAreQueuedInTaskOrder: the starts of a gang are sent in task order, not in map
+// order, so that the same seed gives the same simulation run.
 func TestGangStartsAreQueuedInTaskOrder(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	for i := range 24 {
@@ -23,9 +23,9 @@
 	}
 	job := l.testJob(gangOf(24, 4))
 	if !l.cycleFullyPlaces(job) {
-		t.Fatal("no place")
+		t.Fatal("the gang is not placed")
 	}
-	l.agents.Calls.Limiter.SetBurst(0) // nothing leaves: what is to be sent stays in the queue
+	l.agents.Calls.Limiter.SetBurst(0) // no calls are allowed: pending commands stay in the queue
 	l.agents.Calls.Limiter.SetLimit(1)
 	commitOutcomes{l}.JobCommitted(job, nil)
 	var want []*cluster.Machine
@@ -33,12 +33,12 @@
 		want = append(want, attempt.Machine)
 	}
 	if !slices.Equal(l.agents.Delivery.Pending(), want) {
-		t.Error("the starts leave in another order than the tasks have")
+		t.Error("the starts are not queued in task order")
 	}
 }
 
-// TestConfirmationNamesManyCancellations: a node that has told users of more cancellations than four
-// thousand names them all, as far as a frame holds them.
+// TestConfirmationNamesManyCancellations: a node that has confirmed more than four thousand
+// cancellations to users names them all to the leader, as long as they fit in one frame.
 func TestConfirmationNamesManyCancellations(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.peers.Add("p")
@@ -53,14 +53,14 @@
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
 	if m := confirmAfterQueries(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
-		t.Errorf("complete %v, %d named", m.Complete, len(m.Cancels))
+		t.Errorf("complete %v, %d cancellations, want all 9000", m.Complete, len(m.Cancels))
 	}
 	m := confirmAfterQueries(9000, 60_000)
 	if m.Complete || len(m.Cancels) > 0 {
-		t.Errorf("beyond a frame: complete %v, %d named", m.Complete, len(m.Cancels))
+		t.Errorf("more than a frame holds: complete %v, %d cancellations, want none", m.Complete, len(m.Cancels))
 	}
 	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Agents.CancelS))
 	if m := confirmAfterQueries(60_000, 60_001); !m.Complete || len(m.Cancels) != 1 {
-		t.Errorf("old ones stay: complete %v, %d named", m.Complete, len(m.Cancels))
+		t.Errorf("after the old ones expired: complete %v, %d cancellations, want 1", m.Complete, len(m.Cancels))
 	}
 }
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -12,9 +12,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// leaderBeforeLoweredLimits is a leader whose state service will lower its limits, with a peer
-// that has yet to say what it knows, and a job of an earlier version whose record
-// has outgrown the new limits.
+// leaderBeforeLoweredLimits returns a leader whose store will lower its limits, with a peer that
+// has not announced its feature level yet, and a job from an earlier version whose record exceeds
+// the new limits.
 func leaderBeforeLoweredLimits(t *testing.T) (*leader, *cluster.Job) {
 	t.Helper()
 	l := testLeader(time.Unix(1_800_000_000, 0))
@@ -36,14 +36,14 @@
 	return l, l.loader.AddJob(rec, 9)
 }
 
-// commitAfter sends what there is to write after a while.
+// commitAfter advances the clock and commits what is to be written.
 func (l *leader) commitAfter(d time.Duration) {
 	l.n.now = l.n.now.Add(d)
 	l.n.renewAuthority()
 	l.committer.Commit()
 }
 
-// lastTransaction is the transaction that the leader sent last.
+// lastTransaction returns the transaction that the leader sent last.
 func (l *leader) lastTransaction(t *testing.T) (protocol.Transaction, Request) {
 	t.Helper()
 	r := l.n.lastRequest(t, ToStore)
@@ -54,11 +54,11 @@
 	return txn, r
 }
 
-// TestRejectedRecordIsSplit: a state service that refuses a value has lowered its limits,
-// which it does only once all controllers have the new version: the record is split
-// and not sent again as it was, whatever the leader has heard of a peer that is down.
-// While one is up that may be of version 0.2, which would delete the parts, the record
-// waits, and is not sent again either.
+// TestRejectedRecordIsSplit: a store that refuses a value as too large has lowered its limits,
+// which happens only after all controllers were upgraded. So the record is split and not sent
+// unchanged again, whatever a peer without a link has announced. A connected peer that may have
+// version 0.2 would delete the task records. As long as there is one, the record is not sent at
+// all.
 func TestRejectedRecordIsSplit(t *testing.T) {
 	for _, connected := range []bool{false, true} {
 		l, job := leaderBeforeLoweredLimits(t)
@@ -72,19 +72,19 @@
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		if connected {
 			if l.committer.InFlight() {
-				t.Error("sent again beside a peer that may be of version 0.2")
+				t.Error("sent again while a connected peer may have version 0.2")
 			}
 			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
 			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		}
 		if txn, _ := l.lastTransaction(t); len(txn.Changes) < 2 {
-			t.Errorf("up %v: %d changes, the first of %d bytes", connected, len(txn.Changes), len(txn.Changes[0].Value))
+			t.Errorf("connected %v: %d changes, the first of %d bytes, want a split record", connected, len(txn.Changes), len(txn.Changes[0].Value))
 		}
 	}
 }
 
-// TestThrottledTransactionWaitsForTheBudget: after a 429 the budget begins from nothing, whatever it had, and the
-// same transaction is sent again when its changes may be.
+// TestThrottledTransactionWaitsForTheBudget: after a response 429 the write budget is emptied. The
+// same transaction is sent again once the refilled budget allows its changes.
 func TestThrottledTransactionWaitsForTheBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.budgets.writes.SetLimit(1)
@@ -93,7 +93,7 @@
 	_, r := l.lastTransaction(t)
 	l.n.handle(Response{ID: r.ID, Status: 429})
 	if tokens := l.n.budgets.writes.TokensAt(l.n.now); tokens >= 1 {
-		t.Errorf("%v writes are left", tokens)
+		t.Errorf("%v writes are left in the budget", tokens)
 	}
 	l.n.out = nil
 	l.n.now = l.n.now.Add(tuning.StoreRetryDelay)
@@ -108,7 +108,7 @@
 	}
 }
 
-// commitMachineRecord has a machine's record written.
+// commitMachineRecord marks a machine's record as changed and commits it.
 func (l *leader) commitMachineRecord(machine *cluster.Machine) {
 	l.committer.Machines.Record(machine)
 	l.commitAfter(time.Second)
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -13,10 +13,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestJobWithUnreadableRecordIsLeftAlone: a job of which a record cannot be read, because a later
-// version wrote it or because it is damaged, is left alone: nothing of it is written
-// or deleted, its tasks run on and are not started again, their machine is kept, and
-// other jobs are served. One whose own record can be read may still be cancelled.
+// TestJobWithUnreadableRecordIsLeftAlone: if a record of a job cannot be read, because a later
+// version wrote it or because it is malformed, the job is left alone. None of its records are
+// written or deleted, its tasks go on running and are not started again, their machine is kept, and
+// other jobs are handled normally. If the main record is readable, the job can still be cancelled.
 func TestJobWithUnreadableRecordIsLeftAlone(t *testing.T) {
 	for name, corrupt := range map[string]func(s *storedRecords, mainKey, taskKey string){
 		"later version": func(s *storedRecords, mainKey, _ string) {
@@ -24,10 +24,10 @@
 			e.Value = json.RawMessage(strings.Replace(string(e.Value), `{"w":"w-1",`, `{"w":"w-1","v":9,`, 1))
 			s.entries[mainKey] = e
 		},
-		"damaged job record": func(s *storedRecords, mainKey, _ string) {
+		"malformed main record": func(s *storedRecords, mainKey, _ string) {
 			s.entries[mainKey] = protocol.Entry{Key: mainKey, Value: json.RawMessage(`{"w":"w-1"}`), Revision: 9}
 		},
-		"damaged part": func(s *storedRecords, _, taskKey string) {
+		"malformed task record": func(s *storedRecords, _, taskKey string) {
 			s.entries[taskKey] = protocol.Entry{Key: taskKey, Value: json.RawMessage(`{"w":"w-1","tasks":7}`), Revision: 9}
 		},
 	} {
@@ -47,42 +47,42 @@
 		machine.TypeName, machine.Zone = "big", "a"
 		for range 20 {
 			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) > 0 {
-				t.Fatalf("%s: orders %v", name, cmds)
+				t.Fatalf("%s: commands %v", name, cmds)
 			}
 			l.runSchedulingCycle()
 			l.autoscaler.Tick()
 			if txn, _ := l.nextTransaction(t); txn != nil {
 				for _, c := range txn.Changes {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
-						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
+						t.Fatalf("%s: a transaction changes %s%s", name, c.Set, c.Delete)
 					}
 				}
 			}
 		}
 		if machine.Deleting {
-			t.Errorf("%s: its machine is returned", name)
+			t.Errorf("%s: its machine is being deleted", name)
 		}
 		job := l.cluster.Jobs[rec.Spec.ID]
-		if (job != nil) != (name == "damaged part") {
-			t.Fatalf("%s: known %v", name, job != nil)
+		if (job != nil) != (name == "malformed task record") {
+			t.Fatalf("%s: job loaded %v", name, job != nil)
 		}
 		if job != nil {
 			l.cancelJob(job)
 			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(commandKinds(cmds), "halt ") {
-				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
+				t.Errorf("%s: %d commands after the cancellation", name, len(cmds))
 			}
 		}
 	}
 }
 
-// storedRecords is what a state service holds, for leaders that begin from it.
+// storedRecords is the content of a store, from which leaders are started.
 type storedRecords struct {
 	entries  map[string]protocol.Entry
 	revision protocol.Revision
 }
 
-// leader begins to lead from the stored records, in a deployment whose limits will
-// be, or are, lowered to a sixteenth.
+// leader starts a leader from the stored records, with a peer of the given feature level. The
+// store's limits will be lowered, or already are.
 func (s *storedRecords) leader(level uint64) *leader {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	present := n.cfg.Cluster.Store
@@ -104,11 +104,12 @@
 	return n.ownLeader
 }
 
-// hostName is the name of the machine that has all tasks; a long one, so that a record
-// of 98 tasks needs many parts.
+// hostName is the name of the machine that runs all tasks. It is long, so that 98 tasks need many
+// task records.
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
+// jobWithLargeSpec returns the record of a job whose specification leaves space for few tasks in
+// the main record.
 func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
@@ -123,6 +124,7 @@
 	return rec
 }
 
+// storeWith returns a store that holds a job's record and its machine's record.
 func storeWith(rec *storage.Job) *storedRecords {
 	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
 	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
@@ -131,8 +133,8 @@
 	return s
 }
 
-// nextTransaction lets a leader commit and returns what is under way then, nil if that is
-// nothing.
+// nextTransaction lets the leader commit and returns the transaction in flight, nil if there is
+// none.
 func (l *leader) nextTransaction(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if !l.committer.InFlight() {
@@ -153,6 +155,6 @@
 		}
 		return &txn, r
 	}
-	t.Fatal("what is under way was not sent")
+	t.Fatal("the transaction in flight was not sent")
 	return nil, Request{}
 }
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestSubmissionIsOnlyJudgedOnceAllIsKnown: before a node knows the machine types, or
-// has read the records, it says that it cannot tell yet whether a job can run.
+// TestSubmissionIsOnlyJudgedOnceAllIsKnown: before a node knows the machine types and has loaded
+// the records, it replies that it cannot tell yet whether a job can run.
 func TestSubmissionIsOnlyJudgedOnceAllIsKnown(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	base := gangOf(2, 1)
@@ -20,17 +20,18 @@
 	unrunnable := base
 	unrunnable.Team = "nobody"
 	for _, recordsLoaded := range []bool{false, true} {
-		if recordsLoaded { // the records, but not the types
+		if recordsLoaded { // load the records, but not the types
 			n.mirror.BeginLoad()
 			n.mirror.LoadPage(&protocol.Entries{Revision: 1})
 		}
 		n.out = nil
 		n.api.Submit(7, &unrunnable)
 		if r, ok := n.out[0].(Reply); !ok || r.Status != 503 || r.RetryAfter == 0 {
-			t.Errorf("records read %v: %+v", recordsLoaded, n.out[0])
+			t.Errorf("records loaded %v: %+v", recordsLoaded, n.out[0])
 		}
 	}
-	// With the types known too, only a job that nobody knows is refused.
+	// Once the types are known too, a job that cannot run is refused only if the store does not
+	// know it.
 	n.machineTypes.byName["big"] = &bigType
 	n.storeAccess.lastServedAt = n.now
 	n.out = nil
@@ -44,6 +45,6 @@
 		n.handle(Response{ID: read.ID, Status: status, Body: body})
 	}
 	if r, ok := n.out[len(n.out)-1].(Reply); !ok || r.Status != 200 {
-		t.Errorf("a finished job is answered %+v", n.out[len(n.out)-1])
+		t.Errorf("reply for a finished job: %+v", n.out[len(n.out)-1])
 	}
 }
