--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -59,9 +59,9 @@
 	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.NodeRequestReserve
 }
 
-// TakeUserWrite reports whether a user's write may be sent now. If so, it takes the write from the
-// budget for users or, when that is used up, from the one for store-relayed messages, which is
-// rarely needed, as long as that one is more than half full.
+// TakeUserWrite reports whether a user's write may be sent now, which the request budget must
+// allow, too. If so, it takes the write from the budget for users or, when that is used up, from
+// the one for store-relayed messages, which are rarely needed, as long as it is more than half full.
 func (sb *storeBudgets) TakeUserWrite(now time.Time) bool {
 	if !sb.AllowsUserRead(now) {
 		return false
--- a/internal/coordination/commit_outcomes.go
+++ b/internal/coordination/commit_outcomes.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, attempt := range job.SortedAttempts() {
-		co.l.agents.Delivery.Enqueue(attempt.Machine) // a gang's starts wait until all of its records are committed
+		co.l.agents.Delivery.Enqueue(attempt.Machine) // a gang's starts wait for all of its records
 	}
 	co.l.lifecycle.CheckEnded(job)
 }
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -15,7 +15,7 @@
 var bigType = protocol.MachineType{Name: "big", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 3, BootS: 30, Zones: []protocol.ZoneName{"a", "b", "c"}}
 var smallType = protocol.MachineType{Name: "small", CPUs: 16, GPUs: 2, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 1, Price: 6, SpotPrice: 2, BootS: 30, Zones: []protocol.ZoneName{"a", "b"}}
 
-// testLease is the store's lease to which the leader lease of testLeader is attached.
+// testLease is the ID of the store's lease that testLeader holds as leader lease.
 const testLease protocol.LeaseID = 3
 
 // renewAuthority renews the leader lease and marks the mirror as up to date.
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -10,10 +10,10 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestMachinesOfOneRentalShareRecords: machines that are created by one request share a few
+// TestMachinesOfOneRequestShareRecords: machines that are created by one request share a few
 // records, each within the value limit. A new leader loads all of them. Once the machines are
 // deleted, their records are deleted, too.
-func TestMachinesOfOneRentalShareRecords(t *testing.T) {
+func TestMachinesOfOneRequestShareRecords(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.autoscaler.RequestMachines(autoscaler.Offer{TypeName: "big", Zone: "a", Spot: true}, 100)
 	var names []protocol.MachineID
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -7,8 +7,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment. Forwarded
-// requests are replied to like requests that users send to this node.
+// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment. The
+// embedded userReplies sends the replies to forwarded requests.
 type peerEnvironment struct {
 	n *Node
 	userReplies
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -27,14 +27,14 @@
 	cfg  *config.Config
 	log  *slog.Logger
 	rng  *rand.Rand
-	boot string
+	boot string // identifies this process
 
 	startedAt time.Time // of this process
 
 	now     time.Time
-	out     []Action
+	out     []Action // of the current step
 	nextID  uint64
-	pending map[uint64]func(status int, body []byte)
+	pending map[uint64]func(status int, body []byte) // response handlers by request ID
 	budgets storeBudgets
 	metrics Metrics
 
@@ -49,7 +49,7 @@
 	timers []timer
 
 	election  *election.Election
-	ownLeader *leader
+	ownLeader *leader // nil unless this node leads
 
 	peers     *membership.Peers
 	forwarder *membership.Forwarder
--- a/internal/coordination/safety_test.go
+++ b/internal/coordination/safety_test.go
@@ -43,7 +43,8 @@
 }
 
 // TestNoStartBeforeCommit: the transaction that stores a placement has conditions on the leader
-// lease, the job and the machine record. No start command is sent before it is committed.
+// lease, the job's main record and the machine record, which stands for the capacity that the
+// placement takes. No start command is sent before the transaction is committed.
 func TestNoStartBeforeCommit(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
 		checkNoStartBeforeCommit(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.cycleFullyPlaces(job) })
--- a/internal/coordination/store_access.go
+++ b/internal/coordination/store_access.go
@@ -17,26 +17,26 @@
 }
 
 // recordResponse records the status of a response, 0 if none arrived.
-func (sc *storeAccess) recordResponse(now time.Time, status int) {
-	sc.noResponse = status == 0
+func (sa *storeAccess) recordResponse(now time.Time, status int) {
+	sa.noResponse = status == 0
 	if status != 0 && status != http.StatusServiceUnavailable {
-		sc.lastServedAt = now
+		sa.lastServedAt = now
 	}
 }
 
 // servedWithin reports whether the store served this node within the period before now.
-func (sc *storeAccess) servedWithin(now time.Time, period time.Duration) bool {
-	return now.Sub(sc.lastServedAt) < period
+func (sa *storeAccess) servedWithin(now time.Time, period time.Duration) bool {
+	return now.Sub(sa.lastServedAt) < period
 }
 
 // unreachable reports whether calls to the store time out: the last one got no response, and none
 // was served within StoreUnreachableTimeout.
-func (sc *storeAccess) unreachable(now time.Time) bool {
-	return sc.noResponse && !sc.servedWithin(now, tuning.StoreUnreachableTimeout)
+func (sa *storeAccess) unreachable(now time.Time) bool {
+	return sa.noResponse && !sa.servedWithin(now, tuning.StoreUnreachableTimeout)
 }
 
 // nextProbeAt returns when the store is probed, if it is not called before.
-func (sc *storeAccess) nextProbeAt() time.Time { return sc.lastCallAt.Add(tuning.StoreProbeInterval) }
+func (sa *storeAccess) nextProbeAt() time.Time { return sa.lastCallAt.Add(tuning.StoreProbeInterval) }
 
 // CallStore implements kv.Transport. Except for watches, it records whether the store serves this
 // node.
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestRejectedRecordIsSplit: a store that refuses a value as too large has lowered its limits,
-// which happens only after all controllers were upgraded. So the record is split and not sent
+// which happens only after all controllers were upgraded. So the record is split, and not sent
 // unchanged again, whatever a peer without a link has announced. A connected peer that may have
 // version 0.2 would delete the task records. As long as there is one, the record is not sent at
 // all.
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -82,7 +82,7 @@
 }
 
 // leader starts a leader from the stored records, with a peer of the given feature level. The
-// store's limits will be lowered, or already are.
+// store's limits on values and transactions will be lowered, or already are.
 func (s *storedRecords) leader(level uint64) *leader {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	present := n.cfg.Cluster.Store
