--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -43,15 +43,15 @@
 	var result agents.CallResult
 	switch status {
 	case 0:
-		return agents.CallResult{Outcome: agents.Unknown}
+		return agents.CallResult{Outcome: agents.NoResponse}
 	case http.StatusOK:
-		result.Outcome = agents.Answered
+		result.Outcome = agents.Executed
 	case http.StatusConflict:
 		result.Outcome = agents.Refused
 	default:
-		return agents.CallResult{Outcome: agents.Failed}
+		return agents.CallResult{Outcome: agents.UnexpectedResponse}
 	}
-	result.Heartbeat, result.Malformed = protocol.ParseHeartbeat(body)
+	result.Heartbeat, result.ParseError = protocol.ParseHeartbeat(body)
 	return result
 }
 
--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -13,15 +13,15 @@
 // in the body is parsed only if the status says whether the agent executed the call.
 func TestCallResultFromStatus(t *testing.T) {
 	body := storage.Encode(protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 4})
-	for status, want := range map[int]agents.CallOutcome{0: agents.Unknown, 200: agents.Answered, 409: agents.Refused,
-		400: agents.Failed, 404: agents.Failed, 421: agents.Failed, 500: agents.Failed, 503: agents.Failed} {
+	for status, want := range map[int]agents.CallOutcome{0: agents.NoResponse, 200: agents.Executed, 409: agents.Refused,
+		400: agents.UnexpectedResponse, 404: agents.UnexpectedResponse, 421: agents.UnexpectedResponse, 500: agents.UnexpectedResponse, 503: agents.UnexpectedResponse} {
 		result := callResult(status, body)
 		hasHeartbeat := result.Heartbeat != nil && result.Heartbeat.Sequence == 4
-		if result.Outcome != want || result.Malformed != nil || hasHeartbeat != (want == agents.Answered || want == agents.Refused) {
+		if result.Outcome != want || result.ParseError != nil || hasHeartbeat != (want == agents.Executed || want == agents.Refused) {
 			t.Errorf("status %d: %+v, want outcome %d", status, result, want)
 		}
 	}
-	if result := callResult(200, []byte("{}")); result.Outcome != agents.Answered || result.Malformed == nil || result.Heartbeat != nil {
+	if result := callResult(200, []byte("{}")); result.Outcome != agents.Executed || result.ParseError == nil || result.Heartbeat != nil {
 		t.Errorf("a response that is no heartbeat: %+v", result)
 	}
 }
--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -39,7 +39,7 @@
 type Dependencies struct {
 	State       *cluster.State
 	Lifecycle   *lifecycle.Manager
-	Recovery    *reconcile.Phase
+	Recovery    *reconcile.RecoveryPhase
 	Scheduler   *scheduler.Scheduler
 	Fleet       Fleet
 	Client      Client
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -38,7 +38,7 @@
 
 func newTestLeader() *testLeader {
 	l := &testLeader{state: clustertest.New(), logged: map[string]bool{}}
-	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewPhase()
+	log, recovery := slog.New(slog.DiscardHandler), reconcile.NewRecoveryPhase()
 	state := l.state.State
 	l.lifecycle = lifecycle.New(state, recovery, l, log)
 	l.scheduler = scheduler.New(state, l, log)
@@ -96,8 +96,8 @@
 	return l.state.AddJob(spec)
 }
 
-// recordPlace enters an attempt that a predecessor's record places on a machine.
-func (l *testLeader) recordPlace(job *cluster.Job, machine *cluster.Machine) {
+// addRecoveredAttempt enters an attempt that a predecessor's record places on a machine.
+func (l *testLeader) addRecoveredAttempt(job *cluster.Job, machine *cluster.Machine) {
 	job.Recovered, job.Epoch, job.EverPlaced = true, 3, true
 	attempt := l.state.AddAttempt(job, 0, 3, machine, 1)
 	attempt.Committed, attempt.StartSent, attempt.Recovered = true, true, true
@@ -123,21 +123,21 @@
 	return kinds
 }
 
-// leaveUnanswered ends all calls under way without an answer.
-func (l *testLeader) leaveUnanswered() {
+// failCalls ends all calls under way without an answer.
+func (l *testLeader) failCalls() {
 	calls := l.calls
 	l.calls = nil
 	for _, call := range calls {
-		call.done(agents.CallResult{Outcome: agents.Unknown})
+		call.done(agents.CallResult{Outcome: agents.NoResponse})
 	}
 }
 
-// TestAbsenceNeedsFencingToken: until the agent has shown this leader's token its heartbeat
+// TestAttemptIsReleasedOnlyAfterTokenConfirmed: until the agent has shown this leader's token its heartbeat
 // may be older than a predecessor's start.
-func TestAbsenceNeedsFencingToken(t *testing.T) {
+func TestAttemptIsReleasedOnlyAfterTokenConfirmed(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeGang, 1)
-	l.recordPlace(job, machine)
+	l.addRecoveredAttempt(job, machine)
 	l.accept(t, heartbeat(machine, testTerm-1))
 	if len(job.Attempts) != 1 {
 		t.Fatal("gone by a heartbeat that has not seen the token")
@@ -153,7 +153,7 @@
 func TestRecoveredAttemptIsNeverStarted(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
-	l.recordPlace(l.job(protocol.ShapeGang, 1), machine)
+	l.addRecoveredAttempt(l.job(protocol.ShapeGang, 1), machine)
 	for _, token := range []protocol.Term{testTerm - 1, testTerm} {
 		if got := l.accept(t, heartbeat(machine, token)); got != "" {
 			t.Errorf("token %d: commands %s", token, got)
@@ -175,7 +175,7 @@
 	if len(l.calls) != 1 || l.calls[0].machine != machine || attempt.StartsInFlight != 1 {
 		t.Fatalf("%d calls, %d starts under way", len(l.calls), attempt.StartsInFlight)
 	}
-	l.leaveUnanswered()
+	l.failCalls()
 	l.accept(t, heartbeat(machine, testTerm))
 	l.accept(t, heartbeat(machine, testTerm))
 	if len(job.Attempts) != 1 {
@@ -212,13 +212,13 @@
 	}
 }
 
-// TestLeaseExpiryCountsPredecessorsGrace: a predecessor may have answered an agent until the
+// TestLeaseExpiryIncludesPreviousLeadersGrace: a predecessor may have answered an agent until the
 // end of its grace, so its lease expires that much later.
-func TestLeaseExpiryCountsPredecessorsGrace(t *testing.T) {
+func TestLeaseExpiryIncludesPreviousLeadersGrace(t *testing.T) {
 	l := newTestLeader()
 	start := l.state.Now()
 	machine, job := l.state.EnsureMachine("i-1", "h:1", "big", "a", false), l.job(protocol.ShapeGang, 1)
-	l.recordPlace(job, machine)
+	l.addRecoveredAttempt(job, machine)
 	lease := config.Seconds(l.state.Config.Cluster.Agents.LeaseS)
 	l.state.Advance(start.Add(lease + testGrace - time.Second).Sub(l.state.Now()))
 	l.Liveness.Tick()
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestLeaseExpiredThoughAnswered: a newer incarnation of an agent that was answered all the
+// TestRestartWithinAnsweredLeaseStopsScheduling: a newer incarnation of an agent that was answered all the
 // time shows that the answers do not reach it.
-func TestLeaseExpiredThoughAnswered(t *testing.T) {
+func TestRestartWithinAnsweredLeaseStopsScheduling(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
 	for range 6 {
@@ -253,15 +253,15 @@
 	}
 }
 
-// TestAgentThatOnlyAnswersCallsTakesNoWork: an agent that answers calls while no heartbeat of
+// TestAgentWithoutHeartbeatsTakesNoWork: an agent that answers calls while no heartbeat of
 // it comes loses its tasks with its lease, so it gets none; it is asked for none of its
 // capacity.
-func TestAgentThatOnlyAnswersCallsTakesNoWork(t *testing.T) {
+func TestAgentWithoutHeartbeatsTakesNoWork(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
 	for range int(config.Seconds(l.state.Config.Cluster.Agents.LeaseS) / time.Second) {
 		l.state.Advance(time.Second)
-		l.Heartbeats.ObserveAnswer(machine, agents.CallResult{Outcome: agents.Answered, Heartbeat: heartbeat(machine, testTerm)})
+		l.Heartbeats.ObserveCallResult(machine, agents.CallResult{Outcome: agents.Executed, Heartbeat: heartbeat(machine, testTerm)})
 	}
 	if !l.state.ConfirmedAlive(machine) || l.state.Schedulable(machine) {
 		t.Errorf("alive %v, takes work %v", l.state.ConfirmedAlive(machine), l.state.Schedulable(machine))
@@ -272,10 +272,10 @@
 	}
 }
 
-// TestSilentZoneIsReturnedAfterItsLeases: when a whole zone falls silent its machines are not
+// TestSilentZoneIsDeletedOnlyAfterBootTime: when a whole zone falls silent its machines are not
 // returned at once, though they are only a third of all: they are back when the cut ends.
 // Two that die in a zone that goes on sending heartbeats are.
-func TestSilentZoneIsReturnedAfterItsLeases(t *testing.T) {
+func TestSilentZoneIsDeletedOnlyAfterBootTime(t *testing.T) {
 	for _, c := range []struct{ silent, returned int }{{2, 2}, {8, 0}} {
 		l := newTestLeader()
 		start := l.state.Now()
@@ -290,7 +290,7 @@
 					}
 				}
 				l.Liveness.Tick()
-				l.leaveUnanswered()
+				l.failCalls()
 			}
 			for _, machine := range l.state.OrderedMachines {
 				if machine.Deleting {
@@ -309,12 +309,12 @@
 	}
 }
 
-// TestUnreadableHeartbeat: heartbeats with an entry that names no task prove nothing absent,
+// TestMachineWithUnreadableHeartbeatsIsDeleted: heartbeats with an entry that names no task prove nothing absent,
 // are logged once, and after a lease the machine that sends them is returned, which proves it.
-func TestUnreadableHeartbeat(t *testing.T) {
+func TestMachineWithUnreadableHeartbeatsIsDeleted(t *testing.T) {
 	l := newTestLeader()
 	machine, job := l.machine("i-1", "a"), l.job(protocol.ShapeArray, 2)
-	l.recordPlace(job, machine)
+	l.addRecoveredAttempt(job, machine)
 	nonsense := protocol.TaskStatus{Task: "?", Attempt: 1, State: "dreaming"}
 	for range 5 {
 		l.accept(t, heartbeat(machine, testTerm, nonsense))
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -21,15 +21,15 @@
 
 // Outcomes of a call to an agent.
 const (
-	// Unknown: no answer came. The call may have been executed, or may be yet.
-	Unknown CallOutcome = iota
-	// Answered: the agent has executed the call.
-	Answered
+	// NoResponse: no answer came. The call may have been executed, or may be yet.
+	NoResponse CallOutcome = iota
+	// Executed: the agent has executed the call.
+	Executed
 	// Refused: the agent has not executed it, for it knows a higher fencing token or is of
 	// another incarnation.
 	Refused
-	// Failed: the answer says neither.
-	Failed
+	// UnexpectedResponse: the answer says neither.
+	UnexpectedResponse
 )
 
 // CallResult is the answer to a call.
@@ -37,8 +37,8 @@
 	Outcome CallOutcome
 	// Heartbeat is the agent's state after the call, nil if Malformed says why it cannot be
 	// read. Only answered and refused calls have one of them.
-	Heartbeat *protocol.Heartbeat
-	Malformed error
+	Heartbeat  *protocol.Heartbeat
+	ParseError error
 }
 
 // Calls paces the calls to agents.
@@ -61,19 +61,19 @@
 }
 
 // MaySendCommands says whether an agent may be called now to send it commands.
-func (c *Calls) MaySendCommands() bool { return c.within(c.maxInFlight(), 1) }
+func (c *Calls) MaySendCommands() bool { return c.hasCapacity(c.maxInFlight(), 1) }
 
 // MayProbe says whether an agent may be called now for what can wait. That leaves half of
 // the pace and of the sockets to commands: probes of a silent zone take their whole time-out.
 func (c *Calls) MayProbe() bool {
-	return c.within(c.maxInFlight()/2, float64(c.Limiter.Burst())/2)
+	return c.hasCapacity(c.maxInFlight()/2, float64(c.Limiter.Burst())/2)
 }
 
 func (c *Calls) maxInFlight() int {
 	return max(tuning.MinConcurrentAgentCalls, int(float64(c.state.Config.Cluster.Process.FDLimit)*tuning.AgentCallConnectionShare))
 }
 
-func (c *Calls) within(inFlight int, tokens float64) bool {
+func (c *Calls) hasCapacity(inFlight int, tokens float64) bool {
 	return c.InFlight < inFlight && (c.Limiter.Limit() == rate.Inf || c.Limiter.TokensAt(c.state.Now()) >= tokens)
 }
 
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -6,22 +6,22 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// channel is the way on which commands reach an agent.
-type channel int
+// deliveryPath is the way on which commands reach an agent.
+type deliveryPath int
 
 const (
-	inResponse channel = iota // in the response to a heartbeat
-	inCall                    // in a call of the leader
+	viaResponse deliveryPath = iota // in the response to a heartbeat
+	viaCall                         // in a call of the leader
 )
 
 // CommandsForResponse lists the commands for the response to an agent's heartbeat.
 func (d *Delivery) CommandsForResponse(machine *cluster.Machine) []protocol.Command {
-	return d.commands(machine, inResponse)
+	return d.commands(machine, viaResponse)
 }
 
 // commands lists what an agent should do: forget first, for a task may come back to a
 // machine that still holds its old attempt, then stop, then start.
-func (d *Delivery) commands(machine *cluster.Machine, via channel) []protocol.Command {
+func (d *Delivery) commands(machine *cluster.Machine, via deliveryPath) []protocol.Command {
 	commands := d.appendForgets(nil, machine)
 	for _, orphan := range machine.Delivery.Orphans {
 		commands = append(commands, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(orphan.Job, orphan.Index), Attempt: orphan.Number})
@@ -53,7 +53,7 @@
 }
 
 // appendStops stops the attempts that are to end.
-func (d *Delivery) appendStops(commands []protocol.Command, attempts []*cluster.Attempt, via channel) []protocol.Command {
+func (d *Delivery) appendStops(commands []protocol.Command, attempts []*cluster.Attempt, via deliveryPath) []protocol.Command {
 	now := d.state.Now()
 	for _, attempt := range attempts {
 		if !attempt.Stopping || !attempt.StartSent || attempt.Recovered && attempt.ReportedState == "" {
@@ -64,7 +64,7 @@
 			// a late copy of it does nothing: so start it and end it at once.
 			commands = append(commands, d.startCommand(attempt, via))
 		}
-		if via == inResponse || now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
+		if via == viaResponse || now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
 			attempt.MarkStopSent(now)
 			commands = append(commands, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
@@ -73,7 +73,7 @@
 }
 
 // appendStarts starts the attempts whose places are committed.
-func (d *Delivery) appendStarts(commands []protocol.Command, attempts []*cluster.Attempt, via channel) []protocol.Command {
+func (d *Delivery) appendStarts(commands []protocol.Command, attempts []*cluster.Attempt, via deliveryPath) []protocol.Command {
 	for _, attempt := range attempts {
 		if attempt.Stopping || !attempt.Committed || attempt.ReportedState != "" || attempt.Recovered {
 			continue
@@ -81,7 +81,7 @@
 		if attempt.Job.Spec.Gang() && (len(attempt.Job.Write.Dirty) > 0 || attempt.Job.Write.InFlight) {
 			continue // not every task's place is written yet
 		}
-		if d.startIsUnderWay(attempt, via) {
+		if d.mustDeferStart(attempt, via) {
 			continue
 		}
 		if machine := attempt.Machine; machine.Cordoned || machine.Deleting {
@@ -93,22 +93,22 @@
 	return commands
 }
 
-// startIsUnderWay says whether an attempt's start need not be sent this way, for it may be
+// mustDeferStart says whether an attempt's start need not be sent this way, for it may be
 // on another.
-func (d *Delivery) startIsUnderWay(attempt *cluster.Attempt, via channel) bool {
-	if via == inCall {
+func (d *Delivery) mustDeferStart(attempt *cluster.Attempt, via deliveryPath) bool {
+	if via == viaCall {
 		return attempt.StartsInFlight > 0 || attempt.StartInResponse || !d.state.Config.Operator.DirectStarts
 	}
 	// The heartbeat may have been sent before the command came.
 	return attempt.StartsInFlight > 0 && d.state.Now().Sub(attempt.StartSentAt) < tuning.DirectStartSettleTime
 }
 
-func (d *Delivery) startCommand(attempt *cluster.Attempt, via channel) protocol.Command {
-	d.log.Debug("start sent", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID, "direct", via == inCall)
+func (d *Delivery) startCommand(attempt *cluster.Attempt, via deliveryPath) protocol.Command {
+	d.log.Debug("start sent", "job", attempt.Job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", attempt.Machine.ID, "direct", via == viaCall)
 	if !attempt.StartSent {
 		d.env.TaskStarting(attempt)
 	}
-	if via == inResponse {
+	if via == viaResponse {
 		attempt.MarkStartInResponse()
 	} else {
 		attempt.MarkStartSent()
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -27,7 +27,7 @@
 type Delivery struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase // counts the commands
+	recovery   *reconcile.RecoveryPhase // counts the commands
 	calls      *Calls
 	heartbeats *Heartbeats
 	env        DeliveryEnvironment
@@ -63,7 +63,7 @@
 			d.Enqueue(machine)
 			continue
 		}
-		if commands := d.commands(machine, inCall); len(commands) > 0 {
+		if commands := d.commands(machine, viaCall); len(commands) > 0 {
 			d.call(machine, commands)
 		}
 	}
@@ -89,7 +89,7 @@
 	batch := protocol.CommandBatch{FencingToken: d.term, Incarnation: machine.Agent.Incarnation, Commands: commands}
 	d.calls.SendCommands(machine, batch, func(result CallResult) {
 		machine.Delivery.InFlight = false
-		answered := result.Outcome == Answered || result.Outcome == Refused
+		answered := result.Outcome == Executed || result.Outcome == Refused
 		for _, attempt := range starts {
 			if answered {
 				attempt.EndDirectStart()
@@ -102,7 +102,7 @@
 			d.retryUnanswered(machine)
 			return
 		}
-		d.heartbeats.ObserveAnswer(machine, result)
+		d.heartbeats.ObserveCallResult(machine, result)
 		if result.Outcome == Refused {
 			machine.Delivery.CallNotBefore = d.state.Now().Add(tuning.StopResendDelay)
 			d.Enqueue(machine)
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -57,7 +57,7 @@
 type Heartbeats struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	fleet      Fleet
 	delivery   *Delivery
 	env        HeartbeatEnvironment
@@ -88,7 +88,7 @@
 
 // Accept takes a heartbeat. If it is accepted it has to be answered, with the commands.
 func (h *Heartbeats) Accept(heartbeat *protocol.Heartbeat) HeartbeatResult {
-	machine := h.take(heartbeat, fromHeartbeat)
+	machine := h.process(heartbeat, fromHeartbeat)
 	if machine == nil {
 		return HeartbeatResult{Outcome: Stale}
 	}
@@ -96,19 +96,19 @@
 	return HeartbeatResult{Outcome: Accepted, FencingToken: h.term, Commands: h.delivery.CommandsForResponse(machine)}
 }
 
-// ObserveAnswer takes the heartbeat that an agent gave as the answer to a call.
-func (h *Heartbeats) ObserveAnswer(machine *cluster.Machine, result CallResult) {
-	if result.Malformed != nil || result.Heartbeat.Machine != machine.ID {
-		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.Malformed)
+// ObserveCallResult takes the heartbeat that an agent gave as the answer to a call.
+func (h *Heartbeats) ObserveCallResult(machine *cluster.Machine, result CallResult) {
+	if result.ParseError != nil || result.Heartbeat.Machine != machine.ID {
+		h.log.Error("answer to a call is not the agent's heartbeat", "machine", machine.ID, "error", result.ParseError)
 		return
 	}
 	if !h.RefuseHigherToken(result.Heartbeat) {
-		h.take(result.Heartbeat, fromCall)
+		h.process(result.Heartbeat, fromCall)
 	}
 }
 
-// take takes an agent's state and gives its machine; nil if something newer is known.
-func (h *Heartbeats) take(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
+// process takes an agent's state and gives its machine; nil if something newer is known.
+func (h *Heartbeats) process(heartbeat *protocol.Heartbeat, from source) *cluster.Machine {
 	if h.fleet.Deleted(heartbeat.Machine) {
 		return nil // what is deleted can only have sent this before
 	}
@@ -116,7 +116,7 @@
 	if !heartbeat.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
 		return nil
 	}
-	h.stored.startsAnswered = from == fromHeartbeat
+	h.stored.startOutcomesKnown = from == fromHeartbeat
 	differences := h.reconciler.Compare(&h.stored, h.term, heartbeat)
 	h.observeIncarnation(machine, heartbeat)
 	h.observeLiveness(machine, heartbeat, from)
@@ -133,7 +133,7 @@
 	}
 	h.resolve(machine, heartbeat, differences)
 	if machine.Agent.TokenConfirmed {
-		h.recovery.Known(machine.ID)
+		h.recovery.AgentAccountedFor(machine.ID)
 	}
 	return machine
 }
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -30,7 +30,7 @@
 type Liveness struct {
 	state      *cluster.State
 	lifecycle  *lifecycle.Manager
-	recovery   *reconcile.Phase
+	recovery   *reconcile.RecoveryPhase
 	scheduler  *scheduler.Scheduler
 	fleet      Fleet
 	calls      *Calls
@@ -58,7 +58,7 @@
 	suspected map[protocol.ZoneName]bool
 	// The same as soon as a machine with replicas may be missing, and the zones most of whose
 	// machines report as ever; nil until they are needed.
-	early, heard map[protocol.ZoneName]bool
+	suspectedForReplicas, reachableZones map[protocol.ZoneName]bool
 }
 
 // Tick finds the agents that are silent, whose lease has expired, or that are gone.
@@ -71,7 +71,7 @@
 		}
 		l.delivery.presentToken(machine)
 		missing := l.isReplicaHostMissing(machine)
-		if l.isExpectedSilent(machine) || l.state.HeardRecently(machine) && !l.state.NotReceiving(machine) && !missing {
+		if l.isSilenceExpected(machine) || l.state.HeardRecently(machine) && !l.state.NotReceiving(machine) && !missing {
 			continue
 		}
 		l.expireLease(machine)
@@ -83,7 +83,7 @@
 			continue
 		}
 		switch {
-		case !missing && l.maydeleteSilent(machine, &partitions):
+		case !missing && l.mayDeleteSilent(machine, &partitions):
 			l.deleteSilent(machine, "silent")
 		case missing && l.mayDeleteReplicaHost(machine, &partitions):
 			l.deleteSilent(machine, "silent, with replicas")
@@ -91,8 +91,8 @@
 	}
 }
 
-// isExpectedSilent says whether an agent need not have been heard of yet.
-func (l *Liveness) isExpectedSilent(machine *cluster.Machine) bool {
+// isSilenceExpected says whether an agent need not have been heard of yet.
+func (l *Liveness) isSilenceExpected(machine *cluster.Machine) bool {
 	return l.fleet.Booting(machine) || l.state.Now().Sub(l.state.LeadingSince) < l.state.SilenceTimeout()
 }
 
@@ -110,7 +110,7 @@
 	}
 	machine.Agent.LeaseExpired, machine.Agent.LeaseExpiredAt = true, now
 	l.log.Info("lease expired", "machine", machine.ID)
-	l.recovery.Known(machine.ID)
+	l.recovery.AgentAccountedFor(machine.ID)
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
 		l.lifecycle.RemoveGone(attempt)
 	}
@@ -129,24 +129,24 @@
 	if whole && l.state.NotReceiving(machine) {
 		return true
 	}
-	patience := l.patienceBehindPartition(hasReplicas)
+	patience := l.maxSilenceBehindPartition(hasReplicas)
 	if whole {
-		patience = l.patience(hasReplicas)
+		patience = l.maxSilence(hasReplicas)
 	}
 	return l.state.Now().Sub(machine.Agent.LastHeartbeat) > patience
 }
 
-// patience is how long an agent whose probes are not answered may be silent.
-func (l *Liveness) patience(hasReplicas bool) time.Duration {
+// maxSilence is how long an agent whose probes are not answered may be silent.
+func (l *Liveness) maxSilence(hasReplicas bool) time.Duration {
 	if hasReplicas {
 		return l.state.ReplicaSilenceTimeout()
 	}
 	return l.state.SilenceTimeout()
 }
 
-// patienceBehindPartition is the same while a peer is out of reach: a machine with replicas is
+// maxSilenceBehindPartition is the same while a peer is out of reach: a machine with replicas is
 // given no more time than the way to a controller that forwards its heartbeats takes.
-func (l *Liveness) patienceBehindPartition(hasReplicas bool) time.Duration {
+func (l *Liveness) maxSilenceBehindPartition(hasReplicas bool) time.Duration {
 	if hasReplicas {
 		interval := config.Seconds(l.state.Config.Cluster.Agents.ReportS * tuning.MaxHeartbeatIntervalFactor)
 		return max(l.state.ReplicaSilenceTimeout(), interval+tuning.HeartbeatRerouteTime)
@@ -154,19 +154,19 @@
 	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
 }
 
-// maydeleteSilent says whether a machine, not the network, is at fault, or has been gone for
+// mayDeleteSilent says whether a machine, not the network, is at fault, or has been gone for
 // longer than another takes to boot.
-func (l *Liveness) maydeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
+func (l *Liveness) mayDeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBootTime(machine)
 }
 
 // mayDeleteReplicaHost says the same of a machine with replicas, or that these have places
 // in zones that are heard of.
 func (l *Liveness) mayDeleteReplicaHost(machine *cluster.Machine, partitions *suspectedPartitions) bool {
-	if partitions.early == nil {
-		partitions.early, partitions.heard = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
+	if partitions.suspectedForReplicas == nil {
+		partitions.suspectedForReplicas, partitions.reachableZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
 	}
-	return !partitions.early[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.MostReplicasFitElsewhere(machine, partitions.heard)
+	return !partitions.suspectedForReplicas[machine.Zone] || l.state.GoneLongerThanBootTime(machine) || l.scheduler.MostReplicasFitElsewhere(machine, partitions.reachableZones)
 }
 
 // deleteSilent has a machine deleted that does not answer.
@@ -186,10 +186,10 @@
 		if l.state.HasReplicas(machine) {
 			machine.Agent.ProbeNotBefore = l.state.Now()
 		}
-		if result.Outcome != Answered {
+		if result.Outcome != Executed {
 			machine.Agent.FailedProbes++
 			return
 		}
-		l.heartbeats.ObserveAnswer(machine, result)
+		l.heartbeats.ObserveCallResult(machine, result)
 	})
 }
--- a/internal/coordination/agents/reconciliation.go
+++ b/internal/coordination/agents/reconciliation.go
@@ -16,9 +16,9 @@
 type storedRecords struct {
 	state *cluster.State
 	env   HeartbeatEnvironment
-	// startsAnswered: the agent's state came in a heartbeat that is answered, so that a start
+	// startOutcomesKnown: the agent's state came in a heartbeat that is answered, so that a start
 	// in an earlier response is known to have come or not.
-	startsAnswered bool
+	startOutcomesKnown bool
 }
 
 // Job implements reconcile.Records.
@@ -54,7 +54,7 @@
 
 // undelivered says whether a start of an attempt may be on its way, or will be sent again. One that a predecessor recorded is never started by this leader.
 func (s *storedRecords) undelivered(attempt *cluster.Attempt) bool {
-	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startsAnswered {
+	if !attempt.StartSent || attempt.StartMayArrive() || attempt.StartInResponse && !s.startOutcomesKnown {
 		return true
 	}
 	return attempt.ReportedState == "" && !attempt.Stopping && !attempt.Recovered
@@ -72,36 +72,36 @@
 	for _, d := range differences {
 		h.recovery.Observe(d)
 		key := cluster.AttemptID{Job: d.ID.Job, Index: d.ID.Index, Number: d.ID.Attempt}
-		if d.Entry >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.Entry].State == protocol.TaskExited {
-			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.Entry])
+		if d.EntryIndex >= 0 && d.Class != reconcile.Unreadable && heartbeat.Tasks[d.EntryIndex].State == protocol.TaskExited {
+			machine.Agent.Exited = append(machine.Agent.Exited, heartbeat.Tasks[d.EntryIndex])
 		}
 		switch d.Class.Resolution() {
 		case reconcile.Keep:
 			if d.Class == reconcile.Unreadable {
-				unnamed = !h.noteUnreadable(machine, &heartbeat.Tasks[d.Entry]) || unnamed
+				unnamed = !h.handleUnreadableEntry(machine, &heartbeat.Tasks[d.EntryIndex]) || unnamed
 				continue
 			}
-			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.Entry].State != protocol.TaskExited {
-				h.observeState(attempt, heartbeat.Tasks[d.Entry].State)
+			if attempt := machine.Attempts[key]; attempt != nil && heartbeat.Tasks[d.EntryIndex].State != protocol.TaskExited {
+				h.recordState(attempt, heartbeat.Tasks[d.EntryIndex].State)
 			}
 		case reconcile.Await:
-			unproven = unproven || d.Current
+			unproven = unproven || d.TokenCurrent
 		case reconcile.Release:
 			if attempt := machine.Attempts[key]; attempt != nil {
 				h.lifecycle.RemoveGone(attempt)
 			}
 		case reconcile.Stop:
-			h.stopOrphan(machine, key, &heartbeat.Tasks[d.Entry], d)
+			h.stopOrphan(machine, key, &heartbeat.Tasks[d.EntryIndex], d)
 		case reconcile.RecordEnd:
-			h.recordEnd(machine, key, &heartbeat.Tasks[d.Entry])
+			h.recordEnd(machine, key, &heartbeat.Tasks[d.EntryIndex])
 		}
 	}
 	maps.DeleteFunc(machine.Delivery.ForgetSentAt, func(key cluster.AttemptID, _ time.Time) bool { return !machine.ShowsExited(key) })
 	h.deleteIfUnreadable(machine, unnamed, unproven)
 }
 
-// observeState notes the state of an attempt that an agent has.
-func (h *Heartbeats) observeState(attempt *cluster.Attempt, state protocol.TaskState) {
+// recordState notes the state of an attempt that an agent has.
+func (h *Heartbeats) recordState(attempt *cluster.Attempt, state protocol.TaskState) {
 	if state == "" {
 		state = stateUnknown // seen all the same, so that it is not started again
 	}
@@ -120,7 +120,7 @@
 func (h *Heartbeats) stopOrphan(machine *cluster.Machine, key cluster.AttemptID, entry *protocol.TaskStatus, d reconcile.Difference) {
 	job := h.state.Jobs[key.Job]
 	if job == nil || key.Index >= len(job.Tasks) {
-		if d.Current {
+		if d.TokenCurrent {
 			machine.Delivery.Orphans = append(machine.Delivery.Orphans, key)
 		}
 		return
@@ -130,9 +130,9 @@
 		attempt = h.state.AddAttempt(job, key.Index, key.Number, machine, machine.Agent.Incarnation)
 		attempt.MarkOrphaned()
 	}
-	h.observeState(attempt, entry.State)
+	h.recordState(attempt, entry.State)
 	h.skipAttemptNumbers(job, key)
-	if d.Current || job.Cancelled {
+	if d.TokenCurrent || job.Cancelled {
 		if !attempt.Stopping {
 			h.log.Info("stopping orphaned attempt", "class", d.Class.String(), "job", job.ID, "task", key.Index, "attempt", key.Number, "machine", machine.ID)
 		}
@@ -166,9 +166,9 @@
 	h.lifecycle.RemoveGone(attempt)
 }
 
-// noteUnreadable takes an entry that makes no sense, which is logged once for each machine
+// handleUnreadableEntry takes an entry that makes no sense, which is logged once for each machine
 // and name; named is false if it does not even name a task.
-func (h *Heartbeats) noteUnreadable(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
+func (h *Heartbeats) handleUnreadableEntry(machine *cluster.Machine, entry *protocol.TaskStatus) (named bool) {
 	id, _, named := protocol.SplitTask(entry.Task)
 	if named && h.env.Unreadable(id) {
 		machine.IdleSince = h.state.Now() // a job that is left alone runs on, so the machine is not idle
--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -43,4 +43,6 @@
 }
 
 // ConfirmationGrace implements agents.LivenessEnvironment.
-func (ae agentsEnvironment) ConfirmationGrace() time.Duration { return ae.l.n.election.Grace() }
+func (ae agentsEnvironment) ConfirmationGrace() time.Duration {
+	return ae.l.n.election.LeaderGrace()
+}
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -122,7 +122,7 @@
 	l.limits = commit.NewKnownLimits(l.Config)
 	writes := limits.WriteRPS * tuning.WriteBudgetShare
 	l.budget = rate.NewLimiter(rate.Limit(writes), int(writes))
-	l.lifecycle = lifecycle.New(l.State, reconcile.NewPhase(), l, log)
+	l.lifecycle = lifecycle.New(l.State, reconcile.NewRecoveryPhase(), l, log)
 	l.scheduler = scheduler.New(l.State, l, log)
 	l.committer = commit.New(commit.Dependencies{State: l.State, Store: l, Limits: l.limits, Environment: l, Outcomes: l, Log: log, Term: testTerm})
 	l.loader = loader.New(l.State, l.committer, l, log)
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -55,7 +55,7 @@
 // node are left out: a job must not wait for their return.
 func (ce commitEnvironment) PeersSupport(level uint64) bool {
 	if ce.l.n.storeLimits.Lowered() {
-		return ce.l.n.peers.AllLinkedKnow(level)
+		return ce.l.n.peers.AllConnectedSupport(level)
 	}
-	return ce.l.n.peers.AllKnow(level)
+	return ce.l.n.peers.AllSupport(level)
 }
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -31,20 +31,20 @@
 	return tuning.LeaderLeaseTTL + ab.failoverTime()
 }
 
-// sinceRenewal is how long a leader may act since its leader lease was last renewed and
+// maxSinceRenewal is how long a leader may act since its leader lease was last renewed and
 // since it last knew every cancellation. What it answers an agent at the end of it
 // keeps that agent's tasks for a lease: a cancellation that somebody confirmed
 // the moment after it last knew must have taken effect by then.
-func (ab authorityBounds) sinceRenewal() time.Duration {
+func (ab authorityBounds) maxSinceRenewal() time.Duration {
 	w := ab.cluster.Agents
 	bound := config.Seconds(w.CancelS) - config.WithClockDrift(config.Seconds(w.LeaseS)) - tuning.CancellationMargin
 	return min(ab.leaseTTL()+ab.grace(), max(bound, 0))
 }
 
-// sinceConfirmation is how long a leader may act since it asked the peers what all of them
+// maxSinceConfirmation is how long a leader may act since it asked the peers what all of them
 // confirmed: for the grace that a successor, which begins after it was asked for, counts with.
-func (ab authorityBounds) sinceConfirmation() time.Duration {
-	return min(ab.grace(), ab.sinceRenewal())
+func (ab authorityBounds) maxSinceConfirmation() time.Duration {
+	return min(ab.grace(), ab.maxSinceRenewal())
 }
 
 // authority says until when the holder of the leader lease may act for all.
@@ -66,7 +66,7 @@
 
 // holds says whether the authority lasts.
 func (a *authority) holds() bool {
-	return a.lease.held() && (a.env.Now().Sub(a.start()) < a.bounds.sinceRenewal() || a.confirmation.holds())
+	return a.lease.held() && (a.env.Now().Sub(a.start()) < a.bounds.maxSinceRenewal() || a.confirmation.holds())
 }
 
 // end is when the authority ends unless the leader lease is renewed or the peers confirm
@@ -75,5 +75,5 @@
 	if a.confirmation.holds() {
 		return a.confirmation.end()
 	}
-	return a.start().Add(a.bounds.sinceRenewal())
+	return a.start().Add(a.bounds.maxSinceRenewal())
 }
--- a/internal/coordination/election/candidate.go
+++ b/internal/coordination/election/candidate.go
@@ -18,8 +18,8 @@
 	env    Environment
 	mirror Mirror
 	bounds authorityBounds
-	// won is called when the leader lease was acquired by a request sent at that time.
-	won func(term protocol.Term, leaseID protocol.LeaseID, sent time.Time)
+	// onAcquired is called when the leader lease was acquired by a request sent at that time.
+	onAcquired func(term protocol.Term, leaseID protocol.LeaseID, sent time.Time)
 
 	holder    protocol.NodeName // who holds the leader lease, "" while nobody does
 	revision  protocol.Revision // of its record, 0 while nobody holds it
@@ -60,17 +60,17 @@
 	expected, sent := c.revision, c.env.Now()
 	c.store.GrantLease(c.bounds.leaseTTL(), func(granted kv.LeaseResult) {
 		if granted.Outcome != kv.Done || granted.Lease == 0 {
-			c.acquireLater()
+			c.retryLater()
 			return
 		}
 		c.store.Transact(c.claim(granted.Lease, expected), func(result kv.TransactionResult) {
 			if result.Outcome != kv.Done || result.Malformed || result.Revision == 0 {
-				c.acquireLater()
+				c.retryLater()
 				return
 			}
 			c.acquiring = false
 			if c.revision <= result.Revision { // else somebody has taken it over already
-				c.won(protocol.Term(result.Revision), granted.Lease, sent)
+				c.onAcquired(protocol.Term(result.Revision), granted.Lease, sent)
 			}
 		})
 	})
@@ -85,8 +85,8 @@
 	}
 }
 
-// acquireLater ends an attempt that failed.
-func (c *candidate) acquireLater() {
+// retryLater ends an attempt that failed.
+func (c *candidate) retryLater() {
 	c.acquiring = false
 	c.retryAfter(tuning.LeaderLeaseRetryDelay)
 }
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -61,12 +61,12 @@
 
 // holds says whether the peers' confirmation still gives authority.
 func (pc *peerConfirmation) holds() bool {
-	return !pc.confirmedAt.IsZero() && pc.env.Now().Sub(pc.confirmedAt) < pc.bounds.sinceConfirmation()
+	return !pc.confirmedAt.IsZero() && pc.env.Now().Sub(pc.confirmedAt) < pc.bounds.maxSinceConfirmation()
 }
 
 // end is when the peers' confirmation no longer gives authority.
 func (pc *peerConfirmation) end() time.Time {
-	return pc.confirmedAt.Add(pc.bounds.sinceConfirmation())
+	return pc.confirmedAt.Add(pc.bounds.maxSinceConfirmation())
 }
 
 // reset forgets the question under way and what was confirmed.
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -77,8 +77,8 @@
 func New(cfg *config.Config, log *slog.Logger, rng *rand.Rand, store kv.Client, env Environment, mirror Mirror, peers Peers) *Election {
 	bounds := authorityBounds{&cfg.Cluster}
 	e := &Election{log: log, env: env, mirror: mirror, bounds: bounds}
-	e.candidate = &candidate{name: cfg.Name, rng: rng, store: store, env: env, mirror: mirror, bounds: bounds, won: e.Acquired}
-	e.lease = &heldLease{store: store, env: env, ended: e.StepDown}
+	e.candidate = &candidate{name: cfg.Name, rng: rng, store: store, env: env, mirror: mirror, bounds: bounds, onAcquired: e.Acquired}
+	e.lease = &heldLease{store: store, env: env, onEnded: e.StepDown}
 	e.confirmation = &peerConfirmation{bounds: bounds, env: env, mirror: mirror, peers: peers}
 	e.authority = &authority{bounds: bounds, env: env, mirror: mirror, lease: e.lease, confirmation: e.confirmation}
 	return e
@@ -94,25 +94,25 @@
 // HolderTerm is the holder's term, 0 while nobody holds the leader lease.
 func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
 
-// Grace is how long a leader that cannot renew its leader lease goes on answering
+// LeaderGrace is how long a leader that cannot renew its leader lease goes on answering
 // heartbeats.
-func (e *Election) Grace() time.Duration { return e.bounds.grace() }
+func (e *Election) LeaderGrace() time.Duration { return e.bounds.grace() }
 
-// TTL is how long the leader lease outlives its last renewal.
-func (e *Election) TTL() time.Duration { return e.bounds.leaseTTL() }
+// LeaseTTL is how long the leader lease outlives its last renewal.
+func (e *Election) LeaseTTL() time.Duration { return e.bounds.leaseTTL() }
 
 // HasAuthority says whether this controller may act for all: its leader lease was renewed
 // lately enough that a successor still counts with it, and it has known all cancellations
 // lately enough that none can be kept waiting by what it says.
 func (e *Election) HasAuthority() bool { return e.authority.holds() }
 
-// Confirmed says whether the leader lease was renewed since it was won and since the
+// LeaseConfirmed says whether the leader lease was renewed since it was won and since the
 // process was last paused.
-func (e *Election) Confirmed() bool { return !e.lease.unconfirmed }
+func (e *Election) LeaseConfirmed() bool { return !e.lease.unconfirmed }
 
 // MayAct says whether this controller may command agents and write records now, if it has
 // taken over.
-func (e *Election) MayAct() bool { return e.HasAuthority() && e.Confirmed() }
+func (e *Election) MayAct() bool { return e.HasAuthority() && e.LeaseConfirmed() }
 
 // MayStartLeading says whether this controller may begin to lead. The mirror has then seen
 // everything that came before the leader lease, and the leader lease was renewed since it
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -18,14 +18,14 @@
 // controller is an election's surroundings: its calls wait to be answered.
 type controller struct {
 	*Election
-	now       time.Time
-	synced    time.Time
-	peerCount int
-	requests  uint64 // for confirmation
-	revisions int    // fetched
-	leading   bool
-	cancelled []protocol.JobID
-	calls     []pendingCall
+	now             time.Time
+	synced          time.Time
+	peerCount       int
+	confirmRequests uint64 // for confirmation
+	revisionFetches int    // fetched
+	leading         bool
+	cancelled       []protocol.JobID
+	calls           []pendingCall
 }
 
 type pendingCall struct {
@@ -56,18 +56,18 @@
 func (c *controller) Ready() bool             { return true }
 func (c *controller) SyncedAt() time.Time     { return c.synced }
 func (c *controller) MarkSynced(at time.Time) { c.synced = at }
-func (c *controller) FetchRevision()          { c.revisions++ }
+func (c *controller) FetchRevision()          { c.revisionFetches++ }
 func (c *controller) Count() int              { return c.peerCount }
 func (c *controller) RequestConfirmation() uint64 {
-	c.requests++
-	return c.requests
+	c.confirmRequests++
+	return c.confirmRequests
 }
 func (c *controller) CancellationConfirmed(jobID protocol.JobID) {
 	c.cancelled = append(c.cancelled, jobID)
 }
 
-// answer answers the only call under way with success.
-func (c *controller) answer(t *testing.T, path string, body any) {
+// succeed answers the only call under way with success.
+func (c *controller) succeed(t *testing.T, path string, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
 		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
@@ -82,31 +82,31 @@
 	t.Helper()
 	c.synced = c.now
 	c.Tick()
-	c.answer(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
+	c.succeed(t, protocol.PathLeases, protocol.LeaseResponse{Lease: testLease})
 	c.ObserveLease(storage.Encode(storage.LeaderLease{Node: "n"}), 9)
-	c.answer(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
+	c.succeed(t, protocol.PathTransactions, protocol.TransactionResponse{Revision: 9})
 	if c.Term() != 9 || c.MayAct() || c.MayStartLeading() {
 		t.Fatalf("term %d, may act %v before the leader lease was renewed", c.Term(), c.MayAct())
 	}
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), nil)
+	c.succeed(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() || !c.MayStartLeading() {
 		t.Fatal("may not act though the leader lease was renewed")
 	}
 	c.leading = true
 }
 
-// TestAuthorityIsBounded: whatever the share of a core, a leader lease that outlives its last
+// TestAuthorityEndsBeforeCancellationDeadline: whatever the share of a core, a leader lease that outlives its last
 // renewal for longer takes it from the grace: what a leader that was cut off kept
 // alive is gone within the time that a cancellation may take.
-func TestAuthorityIsBounded(t *testing.T) {
+func TestAuthorityEndsBeforeCancellationDeadline(t *testing.T) {
 	for _, cores := range []float64{0, 0.018, 0.06, 0.072, 0.24} {
 		c := newController(t, cores, 0)
 		w := c.bounds.cluster.Agents
-		if got, most := c.TTL()+c.Grace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
+		if got, most := c.LeaseTTL()+c.LeaderGrace()+config.Seconds(w.LeaseS), config.Seconds(w.CancelS)-tuning.AuthorityMargin+tuning.LeaderLeaseTTL; got > most {
 			t.Errorf("%v of a core: tasks stay for %v, at most %v", cores, got, most)
 		}
-		if ttl := c.TTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
+		if ttl := c.LeaseTTL(); ttl < tuning.LeaderLeaseTTL || ttl > tuning.LeaderLeaseTTL+tuning.MaxFailoverAllowance {
 			t.Errorf("%v of a core: a leader lease of %v", cores, ttl)
 		}
 	}
@@ -127,8 +127,8 @@
 				c.synced = c.now
 			}
 		}
-		if lasted := c.now.Sub(start); lasted < c.bounds.sinceRenewal() || lasted > c.bounds.sinceRenewal()+2*tuning.MinTimerInterval {
-			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.bounds.sinceRenewal())
+		if lasted := c.now.Sub(start); lasted < c.bounds.maxSinceRenewal() || lasted > c.bounds.maxSinceRenewal()+2*tuning.MinTimerInterval {
+			t.Errorf("%s: authority lasts %v, want %v", name, lasted, c.bounds.maxSinceRenewal())
 		}
 		c.Tick()
 		if c.Term() != 0 || c.leading {
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestProcessPauseNeedsRenewal: after a pause a leader does nothing before a renewal that was
+// TestProcessPauseRequiresRenewal: after a pause a leader does nothing before a renewal that was
 // sent since; one sent before proves nothing.
-func TestProcessPauseNeedsRenewal(t *testing.T) {
+func TestProcessPauseRequiresRenewal(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
 	c.now = c.now.Add(tuning.LeaderLeaseRenewInterval)
@@ -149,26 +149,26 @@
 	c.now = c.now.Add(5 * time.Second)
 	c.ProcessPaused(5 * time.Second)
 	before.done(http.StatusOK, nil)
-	if c.MayAct() || c.Confirmed() || !c.HasAuthority() {
+	if c.MayAct() || c.LeaseConfirmed() || !c.HasAuthority() {
 		t.Fatal("a renewal sent before the pause counts")
 	}
 	c.ProcessPaused(0)
 	c.Tick()
-	c.answer(t, protocol.RenewPath(testLease), nil)
+	c.succeed(t, protocol.RenewPath(testLease), nil)
 	if !c.MayAct() {
 		t.Error("may not act after the renewal")
 	}
-	c.now = c.now.Add(c.TTL() + c.Grace() + time.Second)
+	c.now = c.now.Add(c.LeaseTTL() + c.LeaderGrace() + time.Second)
 	c.ProcessPaused(time.Minute)
 	if c.Term() != 0 || c.leading {
 		t.Error("leads on a leader lease that has expired")
 	}
 }
 
-// TestAllPeersConfirmAuthority: while renewals fail the confirmation of every peer extends a
+// TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail the confirmation of every peer extends a
 // leader's authority, and the cancellations that they name are taken; one that has not
 // answered, leads, or has started since the leader last knew all cancellations ends that.
-func TestAllPeersConfirmAuthority(t *testing.T) {
+func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
 		second protocol.PeerConfirmation
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestUnaskedConfirmation: a confirmation that reaches a leader which has not asked yet
+// TestUnsolicitedConfirmationIsIgnored: a confirmation that reaches a leader which has not asked yet
 // answers nothing, also if its number is that of no question.
-func TestUnaskedConfirmation(t *testing.T) {
+func TestUnsolicitedConfirmationIsIgnored(t *testing.T) {
 	c := newController(t, 0, 1)
 	c.elect(t)
 	synced := c.synced
--- a/internal/coordination/election/lease.go
+++ b/internal/coordination/election/lease.go
@@ -12,8 +12,8 @@
 type heldLease struct {
 	store kv.Client
 	env   Environment
-	// ended is called when the store knows the leader lease no longer.
-	ended func(reason string)
+	// onEnded is called when the store knows the leader lease no longer.
+	onEnded func(reason string)
 
 	term      protocol.Term // 0 while this controller does not hold it
 	leaseID   protocol.LeaseID
@@ -51,7 +51,7 @@
 		case kv.Done:
 			h.renewed(sent)
 		case kv.NotFound:
-			h.ended("leader lease has ended")
+			h.onEnded("leader lease has ended")
 		default:
 			h.renewAt = h.env.Now().Add(tuning.StoreRetryDelay)
 		}
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -35,7 +35,7 @@
 	n.nextID++
 	request := protocol.PeerConfirmRequest{ID: n.nextID}
 	for _, s := range n.cfg.Peers {
-		if n.peers.Knows(s.Name, protocol.PeerKnowsCancelled) {
+		if n.peers.Supports(s.Name, protocol.PeerKnowsCancelled) {
 			n.out = append(n.out, PeerSend{Peer: s.Name, Message: request})
 		}
 	}
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -6,7 +6,7 @@
 func (n *Node) startLeading() {
 	l := newLeader(n)
 	n.ownLeader = l
-	n.peers.HeartbeatSoon()         // tells the peers its share of direct heartbeats
+	n.peers.TriggerHeartbeat()      // tells the peers its share of direct heartbeats
 	n.machineTypes.requestRefresh() // fetches current prices, and writes the record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -22,7 +22,7 @@
 		machine.ReleaseReservation()
 		delete(l.cluster.Machines, id)
 		l.committer.Machines.Remove(machine)
-		l.recovery.Known(id)
+		l.recovery.AgentAccountedFor(id)
 		l.schedulingRequested = true
 	}
 	l.cluster.OrderedMachines = slices.DeleteFunc(slices.Clone(l.cluster.OrderedMachines), func(machine *cluster.Machine) bool { return l.cluster.Machines[machine.ID] != machine })
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -198,7 +198,7 @@
 	if got := status(out, 2); got != 200 || !n.mayAct() {
 		t.Errorf("status %d for a heartbeat after the renewal, want 200", got)
 	}
-	n.Step(n.now.Add(n.election.TTL()+n.election.Grace()+time.Second), nil)
+	n.Step(n.now.Add(n.election.LeaseTTL()+n.election.LeaderGrace()+time.Second), nil)
 	if n.Leading() {
 		t.Error("leads although its leader lease has expired")
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -30,7 +30,7 @@
 	autoscaler     *autoscaler.Autoscaler
 	lifecycle      *lifecycle.Manager
 	agents         *agents.Manager
-	recovery       *reconcile.Phase
+	recovery       *reconcile.RecoveryPhase
 	restoreMonitor *restore.Monitor
 
 	schedulingRequested bool            // something changed that may affect placement
@@ -44,7 +44,7 @@
 // it calls, and access to everything else through its environment.
 func newLeader(n *Node) *leader {
 	l := &leader{
-		n: n, loggedKeys: map[string]bool{}, recovery: reconcile.NewPhase(), schedulingRequested: true,
+		n: n, loggedKeys: map[string]bool{}, recovery: reconcile.NewRecoveryPhase(), schedulingRequested: true,
 		cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }),
 	}
 	shared, store, term := leaderEnvironment{l}, leaderStore{l}, n.election.Term()
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -9,7 +9,7 @@
 
 // stopIncompleteGang ends an attempt of a gang of which some task is proven gone.
 func (m *Manager) stopIncompleteGang(job *cluster.Job) {
-	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, Entry: -1,
+	m.recovery.Observe(reconcile.Difference{Class: reconcile.GangIncomplete, EntryIndex: -1,
 		ID: reconcile.AttemptID{TaskID: reconcile.TaskID{Job: job.ID}, Attempt: job.Epoch}})
 	m.stopGang(job, 0)
 }
@@ -41,9 +41,9 @@
 	}
 }
 
-// reserveSurvivors keeps the machines of a broken gang's other tasks for its next
+// reserveSurvivingMachines keeps the machines of a broken gang's other tasks for its next
 // attempt: the repair then only has to find capacity for what was lost.
-func (m *Manager) reserveSurvivors(job *cluster.Job) {
+func (m *Manager) reserveSurvivingMachines(job *cluster.Job) {
 	job.SurvivingMachines = map[protocol.MachineID]bool{}
 	for _, attempt := range job.SortedAttempts() {
 		job.SurvivingMachines[attempt.Machine.ID] = true
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -33,13 +33,13 @@
 // Manager ends attempts.
 type Manager struct {
 	state    *cluster.State
-	recovery *reconcile.Phase // counts the gangs that are found incomplete
+	recovery *reconcile.RecoveryPhase // counts the gangs that are found incomplete
 	env      Environment
 	log      *slog.Logger
 }
 
 // New makes a manager of attempts' lives.
-func New(state *cluster.State, recovery *reconcile.Phase, env Environment, log *slog.Logger) *Manager {
+func New(state *cluster.State, recovery *reconcile.RecoveryPhase, env Environment, log *slog.Logger) *Manager {
 	return &Manager{state: state, recovery: recovery, env: env, log: log}
 }
 
@@ -52,7 +52,7 @@
 	m.log.Debug("task gone", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "state", attempt.ReportedState)
 	m.env.RequestScheduling()
 	if job.Spec.Gang() && !attempt.Orphaned && !job.Complete() && !job.Stopping && len(job.Attempts) > 0 {
-		m.reserveSurvivors(job)
+		m.reserveSurvivingMachines(job)
 		m.stopIncompleteGang(job)
 	}
 	m.CheckEnded(job)
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -16,7 +16,7 @@
 	ld.loadTaskRecords(mirror)
 	ld.committer.Machines.SplitOversized()
 	if outcome == allRead {
-		ld.forgetUnrecordedMachines()
+		ld.removeUnrecordedMachines()
 	}
 }
 
@@ -25,7 +25,7 @@
 
 const (
 	allRead readOutcome = iota
-	someMalformed
+	someUnreadable
 )
 
 // storedMachineRecord is a machine record as it was read.
@@ -43,7 +43,7 @@
 		var record storage.MachineRecord
 		// An empty one is deleted, so one without machines is something else.
 		if json.Unmarshal(entry.Value, &record) != nil || len(record.Machines) == 0 {
-			outcome = someMalformed
+			outcome = someUnreadable
 			ld.log.Error("machine record does not parse", "key", entry.Key)
 			return
 		}
@@ -108,10 +108,10 @@
 	ld.committer.DeleteLater(orphaned...)
 }
 
-// forgetUnrecordedMachines forgets the machines that only jobs' records name. Places are
+// removeUnrecordedMachines forgets the machines that only jobs' records name. Places are
 // committed only on machines that a machine record has, and a machine leaves its record
 // only after its deletion was answered: a predecessor has proven it gone.
-func (ld *Loader) forgetUnrecordedMachines() {
+func (ld *Loader) removeUnrecordedMachines() {
 	var ids []protocol.MachineID
 	for _, machine := range ld.state.OrderedMachines {
 		if machine.Record == nil {
--- a/internal/coordination/loader/loader.go
+++ b/internal/coordination/loader/loader.go
@@ -45,15 +45,15 @@
 	env       Environment
 	log       *slog.Logger
 
-	quarantined map[protocol.JobID]bool // jobs with a record that cannot be read
-	malformed   map[protocol.JobID]bool // jobs of which a record that makes no sense was logged
+	quarantined     map[protocol.JobID]bool // jobs with a record that cannot be read
+	loggedMalformed map[protocol.JobID]bool // jobs of which a record that makes no sense was logged
 }
 
 // New makes a loader of records into a model that is empty yet.
 func New(state *cluster.State, committer *commit.Committer, env Environment, log *slog.Logger) *Loader {
 	return &Loader{
 		state: state, committer: committer, env: env, log: log,
-		quarantined: map[protocol.JobID]bool{}, malformed: map[protocol.JobID]bool{},
+		quarantined: map[protocol.JobID]bool{}, loggedMalformed: map[protocol.JobID]bool{},
 	}
 }
 
@@ -115,12 +115,12 @@
 
 // logMalformed logs what makes no sense in the records of a job, once for each job.
 func (ld *Loader) logMalformed(event string, job *cluster.Job, task int) {
-	if ld.malformed[job.ID] {
+	if ld.loggedMalformed[job.ID] {
 		return
 	}
-	if len(ld.malformed) >= tuning.MaxRememberedLogKeys {
-		clear(ld.malformed)
+	if len(ld.loggedMalformed) >= tuning.MaxRememberedLogKeys {
+		clear(ld.loggedMalformed)
 	}
-	ld.malformed[job.ID] = true
+	ld.loggedMalformed[job.ID] = true
 	ld.log.Error(event, "job", job.ID, "task", task)
 }
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -32,7 +32,7 @@
 	loader    *loader.Loader
 	checked   []protocol.JobID
 	dropped   []protocol.JobID
-	forgotten []protocol.MachineID
+	removed   []protocol.MachineID
 }
 
 func newTestLeader() *testLeader {
@@ -50,7 +50,7 @@
 func (l *testLeader) CancelJob(job *cluster.Job)       { job.Cancelled = true }
 func (l *testLeader) DropUncommitted(job *cluster.Job) { l.dropped = append(l.dropped, job.ID) }
 func (l *testLeader) MachinesDeleted(ids ...protocol.MachineID) {
-	l.forgotten = append(l.forgotten, ids...)
+	l.removed = append(l.removed, ids...)
 }
 
 const testJob protocol.JobID = "run-000077"
@@ -62,11 +62,11 @@
 	return storage.Job{Writer: "w-1", Spec: &spec, Seq: 5, Attempt: 1, RecordTasks: 1, Tasks: tasks}
 }
 
-func placed(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
+func placedTask(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
 	return storage.Task{Index: index, Attempt: number, Machine: machine, Incarnation: 1}
 }
 
-func machines(ids ...protocol.MachineID) storage.MachineRecord {
+func machineRecord(ids ...protocol.MachineID) storage.MachineRecord {
 	record := storage.MachineRecord{Writer: "w-2"}
 	for _, id := range ids {
 		record.Machines = append(record.Machines, storage.MachineEntry{ID: id, Address: "h:1", Type: "big", Zone: "a"})
@@ -84,31 +84,31 @@
 		forgotten   int
 	}{
 		"both tasks placed": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1", "i-2")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}, "g/m/x": machineRecord("i-1", "i-2")},
 			attempts: 2,
 		},
 		"one on a machine that no record has": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}, "g/m/x": machines("i-1")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}, "g/m/x": machineRecord("i-1")},
 			attempts: 2, forgotten: 1,
 		},
 		"the same, but a machine record cannot be read": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), "g/m/x": machines(), "g/m/y": machines("i-2")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), "g/m/x": machineRecord(), "g/m/y": machineRecord("i-2")},
 			attempts: 1,
 		},
 		"job record of a later version": {
-			stored:   records{jobKey: map[string]any{"w": "w-1", "v": 99}, partKey: storage.TaskRecord{Tasks: storage.Tasks{placed(1, 1, "i-2")}}},
+			stored:   records{jobKey: map[string]any{"w": "w-1", "v": 99}, partKey: storage.TaskRecord{Tasks: storage.Tasks{placedTask(1, 1, "i-2")}}},
 			attempts: -1, quarantined: true,
 		},
 		"damaged task record": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1")), partKey: map[string]any{"tasks": 7}, "g/m/x": machines("i-1")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1")), partKey: map[string]any{"tasks": 7}, "g/m/x": machineRecord("i-1")},
 			attempts: 1, quarantined: true,
 		},
 		"a task that the job does not have": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(2, 1, "i-1")), "g/m/x": machines("i-1")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1"), placedTask(2, 1, "i-1")), "g/m/x": machineRecord("i-1")},
 			attempts: 1,
 		},
 		"an attempt twice": {
-			stored:   records{jobKey: jobRecord(placed(0, 1, "i-1"), placed(0, 1, "i-1")), "g/m/x": machines("i-1")},
+			stored:   records{jobKey: jobRecord(placedTask(0, 1, "i-1"), placedTask(0, 1, "i-1")), "g/m/x": machineRecord("i-1")},
 			attempts: 1,
 		},
 	} {
@@ -122,22 +122,22 @@
 					t.Errorf("recovered %v, quarantined %v", job.Recovered, job.Records.Quarantined)
 				}
 			}
-			if attempts != test.attempts || len(l.forgotten) != test.forgotten || l.loader.Quarantined(testJob) != test.quarantined {
-				t.Errorf("%d attempts, %v forgotten, quarantined %v", attempts, l.forgotten, l.loader.Quarantined(testJob))
+			if attempts != test.attempts || len(l.removed) != test.forgotten || l.loader.Quarantined(testJob) != test.quarantined {
+				t.Errorf("%d attempts, %v forgotten, quarantined %v", attempts, l.removed, l.loader.Quarantined(testJob))
 			}
 		})
 	}
 }
 
-// TestLaterOfTwoAttemptsIsTheTasksOwn: of two attempts that damaged records give a task the
+// TestLaterOfTwoAttemptsIsActive: of two attempts that damaged records give a task the
 // later one is its own, in whatever order they stand; the other is orphaned.
-func TestLaterOfTwoAttemptsIsTheTasksOwn(t *testing.T) {
+func TestLaterOfTwoAttemptsIsActive(t *testing.T) {
 	for _, tasks := range [][]storage.Task{
-		{placed(0, 1, "i-1"), placed(0, 2, "i-2")},
-		{placed(0, 2, "i-2"), placed(0, 1, "i-1")},
+		{placedTask(0, 1, "i-1"), placedTask(0, 2, "i-2")},
+		{placedTask(0, 2, "i-2"), placedTask(0, 1, "i-1")},
 	} {
 		l := newTestLeader()
-		l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(tasks...), "g/m/x": machines("i-1", "i-2")})
+		l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(tasks...), "g/m/x": machineRecord("i-1", "i-2")})
 		job := l.Jobs[testJob]
 		if own := job.Tasks[0].Active; own.Key.Number != 2 || own.Orphaned {
 			t.Errorf("attempt %d is the task's own", own.Key.Number)
@@ -152,7 +152,7 @@
 
 // TestObserveChange: what the watch shows of a job.
 func TestObserveChange(t *testing.T) {
-	cancelled := jobRecord(placed(0, 1, "i-1"))
+	cancelled := jobRecord(placedTask(0, 1, "i-1"))
 	cancelled.Cancelled = true
 	for name, test := range map[string]struct {
 		known       bool
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := newTestLeader()
 			if test.known {
-				l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(placed(0, 1, "i-1")), "g/m/x": machines("i-1")})
+				l.loader.LoadAll(records{storage.JobKey(testJob): jobRecord(placedTask(0, 1, "i-1")), "g/m/x": machineRecord("i-1")})
 			}
 			l.loader.ObserveChange(&protocol.WatchEvent{Set: storage.JobKey(testJob), Value: storage.Encode(test.record), Revision: test.revision})
 			job := l.Jobs[testJob]
--- a/internal/coordination/mirror_environment.go
+++ b/internal/coordination/mirror_environment.go
@@ -19,7 +19,9 @@
 func (me mirrorEnvironment) Leading() bool { return me.n.ownLeader != nil }
 
 // LeaseCondition implements mirror.Environment.
-func (me mirrorEnvironment) LeaseCondition() protocol.Condition { return me.n.election.Condition() }
+func (me mirrorEnvironment) LeaseCondition() protocol.Condition {
+	return me.n.election.Condition()
+}
 
 // Diverged implements mirror.Environment.
 func (me mirrorEnvironment) Diverged(reason string) { me.n.election.StepDown(reason) }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -126,9 +126,9 @@
 	case AgentHeartbeat:
 		n.router.Route(e.ID, e.Heartbeat)
 	case PeerLinkUp:
-		n.peers.Up(e.Peer)
+		n.peers.LinkUp(e.Peer)
 	case PeerLinkDown:
-		n.peers.Down(e.Peer)
+		n.peers.LinkDown(e.Peer)
 	case PeerReceive:
 		n.receive(e.Peer, e.Link, e.Message)
 	}
@@ -160,7 +160,7 @@
 	if n.storeAccess.servedWithin(n.now, tuning.IsolationTimeout) {
 		return true
 	}
-	if len(n.peers.ServedNames()) > 0 {
+	if len(n.peers.NamesWithStoreAccess()) > 0 {
 		return false
 	}
 	// A node that is cut off from the store and all peers is not ready: users should go to others.
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -36,7 +36,7 @@
 	if !n.peers.HeartbeatDue() {
 		return
 	}
-	n.router.ForgetContacts()
+	n.router.PruneContacts()
 	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness)}
 	if n.ownLeader != nil {
 		status.DirectShare = n.ownLeader.directShare()
@@ -66,7 +66,7 @@
 	case protocol.PeerForwardedHeartbeat:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
 		reply := n.respondToHeartbeat(m.Heartbeat)
@@ -82,7 +82,7 @@
 	case protocol.PeerResponse:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
 		n.forwarder.HandleResponse(m)
@@ -116,7 +116,7 @@
 		n.ownLeader.cancelByID(jobID)
 		return
 	}
-	if leader := n.election.Holder(); n.peers.Knows(leader, protocol.PeerKnowsCancelled) {
+	if leader := n.election.Holder(); n.peers.Supports(leader, protocol.PeerKnowsCancelled) {
 		n.out = append(n.out, PeerSend{Peer: leader, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
@@ -144,7 +144,7 @@
 		return agents.HeartbeatResult{Outcome: agents.NotLeading}
 	case n.ownLeader.agents.Heartbeats.RefuseHigherToken(heartbeat):
 		return agents.HeartbeatResult{Outcome: agents.HigherToken}
-	case !n.election.Confirmed():
+	case !n.election.LeaseConfirmed():
 		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
 	}
 	return n.ownLeader.agents.Heartbeats.Accept(heartbeat)
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -15,7 +15,7 @@
 
 // connect makes a link to a peer, on which the peer sends this status.
 func (n *Node) connect(name protocol.NodeName, status protocol.PeerStatus) {
-	n.peers.Up(name)
+	n.peers.LinkUp(name)
 	n.peers.Receive(name, 1, status)
 }
 
@@ -181,18 +181,18 @@
 	}
 	call := toPeer.Message.(protocol.PeerAgentCall)
 	n.deliver(protocol.PeerResponse{ID: call.ID, Target: "n", Status: 200, Body: []byte("{}")})
-	if *outcome != agents.Answered || l.agents.Calls.InFlight != 0 {
+	if *outcome != agents.Executed || l.agents.Calls.InFlight != 0 {
 		t.Errorf("response 200: outcome %d, %d calls in flight", *outcome, l.agents.Calls.InFlight)
 	}
 	_, outcome = send(commands)
 	n.Step(n.now.Add(tuning.ProbeTimeout+tuning.DelegatedCallMargin+tuning.MinTimerInterval), nil)
-	if *outcome != agents.Unknown || l.agents.Calls.InFlight != 0 {
+	if *outcome != agents.NoResponse || l.agents.Calls.InFlight != 0 {
 		t.Errorf("no response: outcome %d, %d calls in flight", *outcome, l.agents.Calls.InFlight)
 	}
 	if a, _ := send(probe); a.(Request).To != ToAgent {
 		t.Errorf("a probe is sent as %+v", a)
 	}
-	n.peers.Down("p")
+	n.peers.LinkDown("p")
 	if a, _ := send(commands); a.(Request).To != ToAgent {
 		t.Errorf("with a link missing commands are sent as %+v", a)
 	}
--- a/internal/coordination/reconcile/difference.go
+++ b/internal/coordination/reconcile/difference.go
@@ -86,10 +86,10 @@
 	Class   Class
 	ID      AttemptID
 	Machine protocol.MachineID
-	// Entry is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
-	Entry int
-	// Current: the heartbeat shows the present leader's token. One that does not may be a
+	// EntryIndex is the heartbeat's entry, -1 if the heartbeat does not have the attempt.
+	EntryIndex int
+	// TokenCurrent: the heartbeat shows the present leader's token. One that does not may be a
 	// late copy: what it shows may be there, what it lacks may be there as well.
-	Current bool
-	Done    bool // the entry says that the task is done
+	TokenCurrent bool
+	Done         bool // the entry says that the task is done
 }
--- a/internal/coordination/reconcile/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -45,10 +45,10 @@
 
 // Reconciler compares heartbeats with records. It keeps buffers between calls, and no state.
 type Reconciler struct {
-	stored  []Attempt
-	places  map[AttemptID]int // in stored
-	entries map[AttemptID]int // in the heartbeat; contradicted if there are several that differ
-	found   []Difference
+	stored      []Attempt
+	storedIndex map[AttemptID]int // in stored
+	entryIndex  map[AttemptID]int // in the heartbeat; contradicted if there are several that differ
+	differences []Difference
 }
 
 // contradicted marks an attempt that a heartbeat shows in two different ways.
@@ -58,41 +58,41 @@
 // what was known of its agent. token is the present leader's. The result is valid
 // until the next call.
 func (rc *Reconciler) Compare(records Records, token protocol.Term, r *protocol.Heartbeat) []Difference {
-	rc.found = rc.found[:0]
+	rc.differences = rc.differences[:0]
 	rc.stored = records.Attempts(r.Machine, rc.stored[:0])
 	current := r.FencingToken == token
 	readable := rc.index(r)
-	rc.releaseOlderIncarnations(r, current)
+	rc.addOlderIncarnations(r, current)
 	for i := range r.Tasks {
 		rc.addEntry(records, r, i, current)
 	}
 	for i := range rc.stored {
 		a := &rc.stored[i]
-		if _, shown := rc.entries[a.ID]; shown || a.Incarnation < r.Incarnation {
+		if _, shown := rc.entryIndex[a.ID]; shown || a.Incarnation < r.Incarnation {
 			continue
 		}
 		class := NotYetReported
 		if current && readable && !a.Undelivered {
 			class = ReportedAbsent
 		}
-		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+		rc.add(Difference{Class: class, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
 	}
-	return rc.found
+	return rc.differences
 }
 
-func (rc *Reconciler) add(d Difference) { rc.found = append(rc.found, d) }
+func (rc *Reconciler) add(d Difference) { rc.differences = append(rc.differences, d) }
 
 // index finds what is stored and the entries by attempt; false if some entry's name
 // cannot be read, so that the heartbeat does not prove any attempt absent.
 func (rc *Reconciler) index(r *protocol.Heartbeat) (readable bool) {
-	if rc.entries == nil {
-		rc.places, rc.entries = map[AttemptID]int{}, map[AttemptID]int{}
+	if rc.entryIndex == nil {
+		rc.storedIndex, rc.entryIndex = map[AttemptID]int{}, map[AttemptID]int{}
 	}
-	clear(rc.places)
-	clear(rc.entries)
+	clear(rc.storedIndex)
+	clear(rc.entryIndex)
 	for i := range rc.stored {
 		if rc.stored[i].Incarnation >= r.Incarnation {
-			rc.places[rc.stored[i].ID] = i
+			rc.storedIndex[rc.stored[i].ID] = i
 		}
 	}
 	readable = true
@@ -102,13 +102,13 @@
 			readable = false
 			continue
 		}
-		if first, twice := rc.entries[id]; twice {
+		if first, twice := rc.entryIndex[id]; twice {
 			if first == contradicted || r.Tasks[first] != r.Tasks[i] {
-				rc.entries[id] = contradicted
+				rc.entryIndex[id] = contradicted
 			}
 			continue
 		}
-		rc.entries[id] = i
+		rc.entryIndex[id] = i
 	}
 	return readable
 }
@@ -118,12 +118,12 @@
 	return AttemptID{TaskID{jobID, index}, t.Attempt}, valid
 }
 
-// releaseOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
+// addOlderIncarnations adds the attempts of earlier incarnations, all of which a newer one
 // proves gone whatever else the heartbeat says.
-func (rc *Reconciler) releaseOlderIncarnations(r *protocol.Heartbeat, current bool) {
+func (rc *Reconciler) addOlderIncarnations(r *protocol.Heartbeat, current bool) {
 	for i := range rc.stored {
 		if a := &rc.stored[i]; a.Incarnation < r.Incarnation {
-			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, Entry: -1, Current: current})
+			rc.add(Difference{Class: ReportedAbsent, ID: a.ID, Machine: r.Machine, EntryIndex: -1, TokenCurrent: current})
 		}
 	}
 }
@@ -132,8 +132,8 @@
 func (rc *Reconciler) addEntry(records Records, r *protocol.Heartbeat, i int, current bool) {
 	t := &r.Tasks[i]
 	id, valid := entryID(t)
-	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, Entry: i, Current: current}
-	at := rc.entries[id]
+	d := Difference{Class: Unreadable, ID: id, Machine: r.Machine, EntryIndex: i, TokenCurrent: current}
+	at := rc.entryIndex[id]
 	switch {
 	case !valid, at == contradicted:
 		rc.add(d)
@@ -159,13 +159,13 @@
 // classify tells the class of a reported attempt.
 func (rc *Reconciler) classify(records Records, machineID protocol.MachineID, id AttemptID, t *protocol.TaskStatus, current bool) Class {
 	var stored *Attempt
-	if i, ok := rc.places[id]; ok {
+	if i, ok := rc.storedIndex[id]; ok {
 		stored = &rc.stored[i]
 	}
 	job, known := records.Job(id.Job)
 	known = known && id.Index < job.Tasks
 	if t.State == protocol.TaskExited {
-		return classifyEnded(records, id, t, stored, job, known, current)
+		return classifyExited(records, id, t, stored, job, known, current)
 	}
 	switch {
 	case stored != nil && !stored.Orphaned:
@@ -191,9 +191,9 @@
 	return OlderEpoch
 }
 
-// classifyEnded tells the class of an attempt that is reported as ended. That a task is
+// classifyExited tells the class of an attempt that is reported as ended. That a task is
 // done holds whoever says it; any other end is believed only of a current heartbeat.
-func classifyEnded(records Records, id AttemptID, t *protocol.TaskStatus, stored *Attempt, job Job, known, current bool) Class {
+func classifyExited(records Records, id AttemptID, t *protocol.TaskStatus, stored *Attempt, job Job, known, current bool) Class {
 	done := t.Cause == protocol.CauseDone
 	switch {
 	case done && known && !job.Service && !records.Task(id.TaskID).Done:
@@ -227,8 +227,8 @@
 	Machines() []Agent
 	// Gangs lists the gangs that are not over.
 	Gangs() []protocol.JobID
-	// Placed lists where the latest attempt of a gang is placed.
-	Placed(gang protocol.JobID) []Placement
+	// GangPlacements lists where the latest attempt of a gang is placed.
+	GangPlacements(gang protocol.JobID) []Placement
 }
 
 // Placement is an attempt on a machine.
@@ -262,7 +262,7 @@
 	for _, w := range agents {
 		if newest[w.Machine] == nil {
 			for _, a := range s.Attempts(w.Machine, nil) {
-				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, Entry: -1})
+				all = append(all, Difference{Class: NotYetReported, ID: a.ID, Machine: w.Machine, EntryIndex: -1})
 			}
 		}
 	}
@@ -291,13 +291,13 @@
 			continue // the tasks of a gang complete together
 		}
 		g := GangAttempt{Tasks: job.Tasks}
-		for _, p := range s.Placed(id) {
+		for _, p := range s.GangPlacements(id) {
 			if !gone[p] {
 				g.Present++
 			}
 		}
 		if !done[id] && g.Incomplete() {
-			list = append(list, Difference{Class: GangIncomplete, ID: AttemptID{TaskID: TaskID{Job: id}}, Entry: -1})
+			list = append(list, Difference{Class: GangIncomplete, ID: AttemptID{TaskID: TaskID{Job: id}}, EntryIndex: -1})
 		}
 	}
 	return list
@@ -305,5 +305,5 @@
 
 func byAttempt(a, b Difference) int {
 	return cmp.Or(cmp.Compare(a.ID.Job, b.ID.Job), cmp.Compare(a.ID.Index, b.ID.Index), cmp.Compare(a.ID.Attempt, b.ID.Attempt),
-		cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Entry, b.Entry))
+		cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Class, b.Class), cmp.Compare(a.EntryIndex, b.EntryIndex))
 }
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -11,27 +11,27 @@
 	"pgregory.net/rapid"
 )
 
-const token = 9
+const currentToken = 9
 
-// store is a snapshot for the tests.
-type store struct {
+// testSnapshot is a snapshot for the tests.
+type testSnapshot struct {
 	jobs     map[protocol.JobID]Job
 	tasks    map[TaskID]Task
 	attempts map[protocol.MachineID][]Attempt
 	agents   []Agent
 }
 
-func (s *store) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
+func (s *testSnapshot) Job(id protocol.JobID) (Job, bool) { j, ok := s.jobs[id]; return j, ok }
 
-func (s *store) Task(id TaskID) Task { return s.tasks[id] }
+func (s *testSnapshot) Task(id TaskID) Task { return s.tasks[id] }
 
-func (s *store) Attempts(machineID protocol.MachineID, list []Attempt) []Attempt {
+func (s *testSnapshot) Attempts(machineID protocol.MachineID, list []Attempt) []Attempt {
 	return append(list, s.attempts[machineID]...)
 }
 
-func (s *store) Machines() []Agent { return s.agents }
+func (s *testSnapshot) Machines() []Agent { return s.agents }
 
-func (s *store) Gangs() (list []protocol.JobID) {
+func (s *testSnapshot) Gangs() (list []protocol.JobID) {
 	for id, j := range s.jobs {
 		if j.Gang {
 			list = append(list, id)
@@ -41,7 +41,7 @@
 	return list
 }
 
-func (s *store) Placed(gang protocol.JobID) (list []Placement) {
+func (s *testSnapshot) GangPlacements(gang protocol.JobID) (list []Placement) {
 	for machineID, attempts := range s.attempts {
 		for _, a := range attempts {
 			if a.ID.Job == gang && !a.Orphaned {
@@ -52,16 +52,16 @@
 	return list
 }
 
-// truth is what really is on the agents.
-type truth map[protocol.MachineID][]protocol.TaskStatus
+// agentTasks is what really is on the agents.
+type agentTasks map[protocol.MachineID][]protocol.TaskStatus
 
-func job(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
+func jobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", n)) }
 
-// world draws a snapshot, the true state of its agents, which may differ from it in every
+// drawCluster draws a snapshot, the true state of its agents, which may differ from it in every
 // way, and heartbeats of it: current ones, late copies, halves.
-func world(t *rapid.T) (*store, truth, []*protocol.Heartbeat) {
-	s := &store{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
-	real := truth{}
+func drawCluster(t *rapid.T) (*testSnapshot, agentTasks, []*protocol.Heartbeat) {
+	s := &testSnapshot{jobs: map[protocol.JobID]Job{}, tasks: map[TaskID]Task{}, attempts: map[protocol.MachineID][]Attempt{}}
+	real := agentTasks{}
 	machines := []protocol.MachineID{"m0", "m1", "m2", "m3"}
 	for _, m := range machines {
 		s.agents = append(s.agents, Agent{Machine: m, Incarnation: 1})
@@ -76,10 +76,10 @@
 		gangDone := rapid.IntRange(0, 5).Draw(t, "gang done") == 0
 		stored := rapid.IntRange(0, 5).Draw(t, "stored") > 0
 		if stored {
-			s.jobs[job(n)] = j
+			s.jobs[jobID(n)] = j
 		}
 		for i := range j.Tasks {
-			id := TaskID{job(n), i}
+			id := TaskID{jobID(n), i}
 			at := rapid.SampledFrom(machines).Draw(t, "machine")
 			task := Task{LastAttempt: 3, Done: !j.Service && rapid.IntRange(0, 5).Draw(t, "done") == 0}
 			if j.Gang {
@@ -106,13 +106,13 @@
 	}
 	var heartbeats []*protocol.Heartbeat
 	for _, m := range machines {
-		r := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, FencingToken: token, Tasks: real[m]}
+		r := &protocol.Heartbeat{Machine: m, Incarnation: protocol.Incarnation(rapid.Uint64Range(1, 2).Draw(t, "session")), Sequence: 20, FencingToken: currentToken, Tasks: real[m]}
 		if r.Incarnation == 2 { // it has forgotten all
 			r.Tasks, real[m] = nil, nil
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "copies") {
 			old := *r
-			old.Incarnation, old.Sequence, old.FencingToken = 1, protocol.Sequence(1+i), token-1
+			old.Incarnation, old.Sequence, old.FencingToken = 1, protocol.Sequence(1+i), currentToken-1
 			old.Tasks = nil
 			heartbeats = append(heartbeats, &old)
 		}
@@ -123,14 +123,14 @@
 	return s, real, heartbeats
 }
 
-func reconcile(s *store, heartbeats []*protocol.Heartbeat) []Difference {
+func reconcile(s *testSnapshot, heartbeats []*protocol.Heartbeat) []Difference {
 	var c Reconciler
-	return c.Reconcile(s, token, heartbeats)
+	return c.Reconcile(s, currentToken, heartbeats)
 }
 
-// apply does to the snapshot what the resolutions ask for, and to the truth what the
+// applyResolutions does to the snapshot what the resolutions ask for, and to the truth what the
 // stops do.
-func apply(s *store, real truth, found []Difference) {
+func applyResolutions(s *testSnapshot, real agentTasks, found []Difference) {
 	drop := func(d Difference) {
 		s.attempts[d.Machine] = slices.DeleteFunc(s.attempts[d.Machine], func(a Attempt) bool { return a.ID == d.ID })
 		if task, ok := s.tasks[d.ID.TaskID]; ok && task.Machine == d.Machine && task.LastAttempt == d.ID.Attempt {
@@ -173,11 +173,11 @@
 	}
 }
 
-// TestOrderOfHeartbeats: the order in which heartbeats come, late copies among them, does not
+// TestHeartbeatOrderDoesNotMatter: the order in which heartbeats come, late copies among them, does not
 // matter.
-func TestOrderOfHeartbeats(t *testing.T) {
+func TestHeartbeatOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
+		s, _, heartbeats := drawCluster(t)
 		want := reconcile(s, heartbeats)
 		if d := cmp.Diff(want, reconcile(s, rapid.Permutation(heartbeats).Draw(t, "order"))); d != "" {
 			t.Fatal(d)
@@ -185,16 +185,16 @@
 	})
 }
 
-// TestRepeatedApplication: once every difference is resolved and the agents have done what
+// TestNothingToDoAfterResolution: once every difference is resolved and the agents have done what
 // they were told, the same question finds nothing more to do.
-func TestRepeatedApplication(t *testing.T) {
+func TestNothingToDoAfterResolution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, real, heartbeats := world(t)
+		s, real, heartbeats := drawCluster(t)
 		found := reconcile(s, heartbeats)
-		apply(s, real, found)
+		applyResolutions(s, real, found)
 		var again []*protocol.Heartbeat
 		for _, r := range heartbeats {
-			if r.FencingToken == token {
+			if r.FencingToken == currentToken {
 				later := *r
 				later.Sequence, later.Tasks = r.Sequence+1, real[r.Machine]
 				again = append(again, &later)
@@ -211,15 +211,15 @@
 	})
 }
 
-// TestAgainstOracle: each attempt is judged as the plainest reading of the rules does, from
+// TestResolutionsAgainstGroundTruth: each attempt is judged as the plainest reading of the rules does, from
 // the true state alone: what is recorded there and runs is left, what runs unrecorded is
 // stopped, and a place is given up only when its agent, heard anew, does not have it.
-func TestAgainstOracle(t *testing.T) {
+func TestResolutionsAgainstGroundTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
+		s, _, heartbeats := drawCluster(t)
 		heard := map[protocol.MachineID]*protocol.Heartbeat{}
 		for _, r := range heartbeats {
-			if r.FencingToken == token {
+			if r.FencingToken == currentToken {
 				heard[r.Machine] = r
 			}
 		}
@@ -244,7 +244,7 @@
 				}
 				released[d.ID.TaskID] = true
 			case Await:
-				if recorded && r != nil && d.Entry < 0 {
+				if recorded && r != nil && d.EntryIndex < 0 {
 					t.Fatalf("a proof is not taken: %+v", d)
 				}
 			}
@@ -252,11 +252,11 @@
 	})
 }
 
-// TestNothingIsPassedOver: every recorded attempt is judged exactly once, one that its
+// TestEveryStoredAttemptIsClassifiedOnce: every recorded attempt is judged exactly once, one that its
 // agent has lost is given up, and every new end of a task is recorded.
-func TestNothingIsPassedOver(t *testing.T) {
+func TestEveryStoredAttemptIsClassifiedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
+		s, _, heartbeats := drawCluster(t)
 		judged := map[Placement][]Class{}
 		for _, d := range reconcile(s, heartbeats) {
 			at := Placement{d.ID, d.Machine}
@@ -270,7 +270,7 @@
 			}
 		}
 		for _, r := range heartbeats {
-			if r.FencingToken != token {
+			if r.FencingToken != currentToken {
 				continue
 			}
 			for _, a := range s.attempts[r.Machine] {
@@ -293,7 +293,7 @@
 // stay and others do not.
 func TestIncompleteGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, _, heartbeats := world(t)
+		s, _, heartbeats := drawCluster(t)
 		found := reconcile(s, heartbeats)
 		for _, id := range s.Gangs() {
 			stay, over, reported := 0, s.tasks[TaskID{id, 0}].Done, false
@@ -301,7 +301,7 @@
 				if d.ID.Job != id {
 					continue
 				}
-				recorded := slices.Contains(s.Placed(id), Placement{d.ID, d.Machine})
+				recorded := slices.Contains(s.GangPlacements(id), Placement{d.ID, d.Machine})
 				if r := d.Class.Resolution(); recorded && r != Release && r != RecordEnd {
 					stay++
 				}
@@ -315,50 +315,50 @@
 	})
 }
 
-// heartbeat makes a current heartbeat of machine m0.
-func heartbeat(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: token, Tasks: tasks}
+// currentHeartbeat makes a current heartbeat of machine m0.
+func currentHeartbeat(tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, FencingToken: currentToken, Tasks: tasks}
 }
 
 func entry(n, index int, attempt protocol.AttemptNumber, state protocol.TaskState, cause protocol.Cause) protocol.TaskStatus {
-	return protocol.TaskStatus{Task: protocol.TaskName(job(n), index), Attempt: attempt, State: state, Cause: cause}
+	return protocol.TaskStatus{Task: protocol.TaskName(jobID(n), index), Attempt: attempt, State: state, Cause: cause}
 }
 
 // TestClasses has one case for each class, and for input that makes no sense.
 func TestClasses(t *testing.T) {
-	s := &store{
-		jobs:  map[protocol.JobID]Job{job(1): {Tasks: 4}, job(2): {Tasks: 2, Gang: true, Epoch: 3}, job(3): {Tasks: 1, Service: true}, job(4): {Unreadable: true}},
-		tasks: map[TaskID]Task{{job(1), 0}: {3, false, "m0"}, {job(1), 1}: {3, true, ""}, {job(1), 2}: {3, false, "m1"}, {job(3), 0}: {3, false, "m0"}},
-		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{job(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{job(3), 0}, 3}, Incarnation: 1},
-			{ID: AttemptID{TaskID{job(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
+	s := &testSnapshot{
+		jobs:  map[protocol.JobID]Job{jobID(1): {Tasks: 4}, jobID(2): {Tasks: 2, Gang: true, Epoch: 3}, jobID(3): {Tasks: 1, Service: true}, jobID(4): {Unreadable: true}},
+		tasks: map[TaskID]Task{{jobID(1), 0}: {3, false, "m0"}, {jobID(1), 1}: {3, true, ""}, {jobID(1), 2}: {3, false, "m1"}, {jobID(3), 0}: {3, false, "m0"}},
+		attempts: map[protocol.MachineID][]Attempt{"m0": {{ID: AttemptID{TaskID{jobID(1), 0}, 3}, Incarnation: 1}, {ID: AttemptID{TaskID{jobID(3), 0}, 3}, Incarnation: 1},
+			{ID: AttemptID{TaskID{jobID(1), 3}, 1}, Incarnation: 1, Undelivered: true}}},
 		agents: []Agent{{Machine: "m0", Incarnation: 1}},
 	}
 	replica := entry(3, 0, 3, protocol.TaskRunning, "")
-	late := heartbeat(replica)
-	late.FencingToken = token - 1
+	late := currentHeartbeat(replica)
+	late.FencingToken = currentToken - 1
 	for name, c := range map[string]struct {
 		r    *protocol.Heartbeat
 		want map[AttemptID][]Class // of what the heartbeat shows or lacks of job 1
 	}{
-		"matching":         {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"absent":           {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}}},
-		"late copy":        {late, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"undelivered":      {heartbeat(replica), map[AttemptID][]Class{{TaskID{job(1), 3}, 1}: {NotYetReported}}},
-		"ended":            {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedEnded}}},
-		"unknown job":      {heartbeat(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(7), 0}, 1}: {NeverStored}}},
-		"unknown task":     {heartbeat(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 9}, 1}: {NeverStored}}},
-		"higher attempt":   {heartbeat(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 4}: {NeverStored}}},
-		"done":             {heartbeat(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 1}, 3}: {StoredEnded}}},
-		"older":            {heartbeat(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 2}: {OlderEpoch}}},
-		"older gang":       {heartbeat(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(2), 0}, 2}: {OlderEpoch}}},
-		"two machines":     {heartbeat(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 2}, 3}: {OnTwoMachines}}},
-		"unreadable job":   {heartbeat(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(4), 0}, 2}: {Unreadable}}},
-		"unreadable name":  {heartbeat(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {NotYetReported}}},
-		"unknown state":    {heartbeat(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching, Unreadable}}},
-		"contradiction":    {heartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Unreadable, Unreadable}}},
-		"said twice":       {heartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {Matching}}},
-		"done by any copy": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{job(1), 0}, 2}: {ReportedEnded}}},
-		"newer session":    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{job(1), 0}, 3}: {ReportedAbsent}, {TaskID{job(1), 3}, 1}: {ReportedAbsent}}},
+		"matching":         {currentHeartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching}}},
+		"absent":           {currentHeartbeat(replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedAbsent}}},
+		"late copy":        {late, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {NotYetReported}}},
+		"undelivered":      {currentHeartbeat(replica), map[AttemptID][]Class{{TaskID{jobID(1), 3}, 1}: {NotYetReported}}},
+		"ended":            {currentHeartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseError), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedEnded}}},
+		"unknown job":      {currentHeartbeat(entry(7, 0, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(7), 0}, 1}: {NeverStored}}},
+		"unknown task":     {currentHeartbeat(entry(1, 9, 1, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 9}, 1}: {NeverStored}}},
+		"higher attempt":   {currentHeartbeat(entry(1, 2, 4, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 4}: {NeverStored}}},
+		"done":             {currentHeartbeat(entry(1, 1, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 1}, 3}: {StoredEnded}}},
+		"older":            {currentHeartbeat(entry(1, 2, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 2}: {OlderEpoch}}},
+		"older gang":       {currentHeartbeat(entry(2, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(2), 0}, 2}: {OlderEpoch}}},
+		"two machines":     {currentHeartbeat(entry(1, 2, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 2}, 3}: {OnTwoMachines}}},
+		"unreadable job":   {currentHeartbeat(entry(4, 0, 2, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(4), 0}, 2}: {Unreadable}}},
+		"unreadable name":  {currentHeartbeat(protocol.TaskStatus{Task: "run/x", State: protocol.TaskRunning}, replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {NotYetReported}}},
+		"unknown state":    {currentHeartbeat(entry(1, 0, 3, "dreaming", ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching, Unreadable}}},
+		"contradiction":    {currentHeartbeat(entry(1, 0, 3, protocol.TaskExited, protocol.CauseDone), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Unreadable, Unreadable}}},
+		"said twice":       {currentHeartbeat(entry(1, 0, 3, protocol.TaskRunning, ""), entry(1, 0, 3, protocol.TaskRunning, ""), replica), map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {Matching}}},
+		"done by any copy": {&protocol.Heartbeat{Machine: "m0", Incarnation: 1, Sequence: 2, Tasks: []protocol.TaskStatus{entry(1, 0, 2, protocol.TaskExited, protocol.CauseDone)}}, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 2}: {ReportedEnded}}},
+		"newer session":    {&protocol.Heartbeat{Machine: "m0", Incarnation: 2, Sequence: 1}, map[AttemptID][]Class{{TaskID{jobID(1), 0}, 3}: {ReportedAbsent}, {TaskID{jobID(1), 3}, 1}: {ReportedAbsent}}},
 	} {
 		got := map[AttemptID][]Class{}
 		for _, d := range reconcile(s, []*protocol.Heartbeat{c.r}) {
@@ -372,18 +372,18 @@
 	}
 }
 
-// TestPhase: a phase ends when all are known, or when the leases of the silent have expired;
+// TestRecoveryPhase: a phase ends when all are known, or when the leases of the silent have expired;
 // an attempt counts once, in the class that was found.
-func TestPhase(t *testing.T) {
+func TestRecoveryPhase(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	id := AttemptID{TaskID{job(1), 0}, 3}
+	id := AttemptID{TaskID{jobID(1), 0}, 3}
 	stored := map[protocol.MachineID][]Attempt{"m0": {{ID: id, Incarnation: 1}}, "m1": nil}
-	p := NewPhase()
+	p := NewRecoveryPhase()
 	p.Begin(now, now.Add(40*time.Second), stored)
 	for _, class := range []Class{NotYetReported, OlderEpoch, Matching, OlderEpoch} {
 		p.Observe(Difference{Class: class, ID: id, Machine: "m0"})
 	}
-	p.Known("m0")
+	p.AgentAccountedFor("m0")
 	p.CommandSent(protocol.CommandStop)
 	if p.Tick(now.Add(time.Second)) {
 		t.Error("ends while an agent is silent")
@@ -392,15 +392,15 @@
 		t.Error("goes on though every lease has expired")
 	}
 	p.Observe(Difference{Class: Matching, ID: id, Machine: "m0"})
-	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, Agents: 2, Silent: 1, Stored: 1, Commands: CommandCounts{Stops: 1}}
+	want := Summary{Began: now, Ended: now.Add(41 * time.Second), Reason: EndLeasesExpired, RecordedAgents: 2, SilentAgents: 1, RecordedAttempts: 1, Commands: CommandCounts{Stops: 1}}
 	want.Classes[OlderEpoch] = 1
 	if d := cmp.Diff(want, p.Summary()); d != "" {
 		t.Error(d)
 	}
 	p.Begin(now, now.Add(time.Minute), stored)
-	p.Known("m0")
-	p.Known("m1")
-	if !p.Tick(now) || p.Summary().Reason != EndAllKnown {
+	p.AgentAccountedFor("m0")
+	p.AgentAccountedFor("m1")
+	if !p.Tick(now) || p.Summary().Reason != EndAllAccountedFor {
 		t.Errorf("%+v", p.Summary())
 	}
 	p.Begin(now, now, nil)
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -9,13 +9,13 @@
 // differences between records and agents and the commands sent, until every agent that the records
 // name is accounted for or its lease has expired.
 func (l *leader) beginRecovery() {
-	if !l.n.cfg.Operator.RecoveryPhase && !l.restoreMonitor.Marked() {
+	if !l.n.cfg.Operator.RecoveryPhase && !l.restoreMonitor.HasMarker() {
 		return
 	}
 	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
 	l.recovery.Begin(l.n.now, expiry, l.agents.StoredAttempts())
 	s := l.recovery.Summary()
-	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.Agents, "stored", s.Stored, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
+	l.n.log.Info("recovery begins", "term", l.n.election.Term(), "workers", s.RecordedAgents, "stored", s.RecordedAttempts, "jobs", len(l.cluster.Jobs), "until", expiry.Sub(l.n.now).Seconds())
 }
 
 // tickRecovery ends the recovery phase when one of its conditions is met.
@@ -26,7 +26,7 @@
 	l.schedulingRequested = true // starts that were withheld are now allowed
 	s := l.recovery.Summary()
 	attributes := []any{"term", l.n.election.Term(), "reason", string(s.Reason), "seconds", s.Ended.Sub(s.Began).Seconds(),
-		"workers", s.Agents, "silent", s.Silent, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
+		"workers", s.RecordedAgents, "silent", s.SilentAgents, "starts", s.Commands.Starts, "stops", s.Commands.Stops, "forgets", s.Commands.Forgets}
 	for class, n := range s.Classes {
 		attributes = append(attributes, reconcile.Class(class).String(), n)
 	}
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -65,10 +65,10 @@
 	term  protocol.Term
 
 	tokenConfirmed bool // a recorded agent has taken this leader's token
-	marked         bool // the marker stands
-	proven         bool // in this term
+	markerStored   bool // the marker stands
+	restoreProven  bool // in this term
 	highestToken   protocol.Term
-	revision       protocol.Revision // of the store, when it was last told
+	storeRevision  protocol.Revision // of the store, when it was last told
 	confirmingTerm bool              // the store was asked whether the term is the newest
 	writingMarker  bool
 }
@@ -80,12 +80,12 @@
 
 // LoadMarker takes the marker of an earlier leader that found the store restored.
 func (m *Monitor) LoadMarker(marker protocol.Entry) {
-	m.marked = true
+	m.markerStored = true
 	m.log.Error("store was restored to an older state, earlier jobs wait for all agents", "record", string(marker.Value))
 }
 
-// Marked says whether the marker stands.
-func (m *Monitor) Marked() bool { return m.marked }
+// HasMarker says whether the marker stands.
+func (m *Monitor) HasMarker() bool { return m.markerStored }
 
 // ObserveHigherToken takes an agent's token above this leader's term: the agent would drop
 // whatever it is answered.
@@ -107,7 +107,7 @@
 		return
 	}
 	m.confirmingTerm = true
-	m.store.Transact(protocol.Transaction{Conditions: m.guards()}, func(result kv.TransactionResult) {
+	m.store.Transact(protocol.Transaction{Conditions: m.leaseConditions()}, func(result kv.TransactionResult) {
 		m.confirmingTerm = false
 		switch {
 		case result.Outcome == kv.ConditionFailed:
@@ -115,15 +115,15 @@
 		case result.Outcome == kv.Done && !result.Malformed && result.Revision != 0:
 			m.log.Error("store was restored to an older state: an agent holds a token that it never gave",
 				"machine", machineID, "token", m.highestToken, "revision", result.Revision, "term", m.term)
-			m.proven, m.revision = true, result.Revision
+			m.restoreProven, m.storeRevision = true, result.Revision
 		default:
 			m.highestToken = m.term // the next heartbeat asks again
 		}
 	})
 }
 
-// guards demand that this leader still leads.
-func (m *Monitor) guards() []protocol.Condition {
+// leaseConditions demand that this leader still leads.
+func (m *Monitor) leaseConditions() []protocol.Condition {
 	return []protocol.Condition{{Key: storage.LeaderKey, Revision: protocol.Revision(m.term)}}
 }
 
@@ -133,7 +133,7 @@
 func (m *Monitor) reachableToken() (token protocol.Term) {
 	changes := m.state.Config.Cluster.Store.WriteRPS * m.state.Config.Cluster.Agents.LeaseS / 2
 	for _, machine := range m.state.OrderedMachines {
-		if machine.Agent.HigherToken <= protocol.Term(m.revision)+protocol.Term(changes) {
+		if machine.Agent.HigherToken <= protocol.Term(m.storeRevision)+protocol.Term(changes) {
 			token = max(token, machine.Agent.HigherToken)
 		}
 	}
@@ -144,17 +144,17 @@
 // deletes the machines whose agents no term will reach.
 func (m *Monitor) Tick() {
 	switch {
-	case !m.proven:
-		if m.marked && !m.env.Recovering() {
+	case !m.restoreProven:
+		if m.markerStored && !m.env.Recovering() {
 			m.removeMarker()
 		}
-	case !m.marked:
+	case !m.markerStored:
 		m.raiseRevision()
 	default:
 		switch token := m.reachableToken(); {
 		case token <= m.term:
 			m.deleteUnreachable()
-		case protocol.Term(m.revision) >= token:
+		case protocol.Term(m.storeRevision) >= token:
 			m.env.StepDown("agents hold higher tokens, the next term is above them")
 		default:
 			m.raiseRevision()
@@ -176,7 +176,7 @@
 		}
 	}
 	if !left {
-		m.proven, m.highestToken = false, m.term
+		m.restoreProven, m.highestToken = false, m.term
 	}
 }
 
@@ -189,7 +189,7 @@
 	budget.AllowN(now, 1)
 	marker := storage.Restored{Writer: m.env.UniqueName(), Token: m.highestToken}
 	m.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
-		m.marked = true
+		m.markerStored = true
 		m.Tick()
 	})
 }
@@ -199,20 +199,20 @@
 	if m.writingMarker || !m.store.WriteBudget().AllowN(m.state.Now(), 1) {
 		return
 	}
-	m.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { m.marked = false })
+	m.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { m.markerStored = false })
 }
 
 // writeMarker carries a change of the marker out under the leader's term.
 func (m *Monitor) writeMarker(change protocol.Change, done func()) {
 	m.writingMarker = true
-	txn := protocol.Transaction{Conditions: m.guards(), Changes: []protocol.Change{change}}
+	txn := protocol.Transaction{Conditions: m.leaseConditions(), Changes: []protocol.Change{change}}
 	m.store.Transact(txn, func(result kv.TransactionResult) {
 		if result.Outcome != kv.Done || result.Malformed {
 			m.env.After(tuning.StoreRetryDelay, func() { m.writingMarker = false })
 			return
 		}
 		m.writingMarker = false
-		m.revision = max(m.revision, result.Revision)
+		m.storeRevision = max(m.storeRevision, result.Revision)
 		done()
 	})
 }
@@ -226,13 +226,13 @@
 	}
 }
 
-// Holds says whether a job must not start anything yet: attempts that no record has may
+// WithholdsStarts says whether a job must not start anything yet: attempts that no record has may
 // run on machines whose agents have yet to report. Until one of them has shown its token,
 // nobody knows.
-func (m *Monitor) Holds(job *cluster.Job) bool {
+func (m *Monitor) WithholdsStarts(job *cluster.Job) bool {
 	if !job.Recovered || !m.env.Recovering() || !m.env.MachinesRecorded() {
 		return false
 	}
 	unknown := !m.tokenConfirmed && m.state.Now().Sub(m.state.LeadingSince) < m.state.SilenceTimeout()
-	return m.proven || m.marked || unknown
+	return m.restoreProven || m.markerStored || unknown
 }
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -22,25 +22,25 @@
 	monitor *Monitor
 	budget  *rate.Limiter
 
-	sent        []protocol.Transaction
-	answer      func(kv.TransactionResult) // to the transaction sent last
-	timers      []func()
-	steppedDown string
-	deleted     []*cluster.Machine
-	recovering  bool
-	recorded    bool
-	scheduling  bool
+	sent             []protocol.Transaction
+	respond          func(kv.TransactionResult) // to the transaction sent last
+	timers           []func()
+	steppedDown      string
+	deleted          []*cluster.Machine
+	recovering       bool
+	machinesRecorded bool
+	scheduling       bool
 }
 
 func newTestLeader() *testLeader {
-	l := &testLeader{Cluster: clustertest.New(), budget: rate.NewLimiter(10, 10), recovering: true, recorded: true}
+	l := &testLeader{Cluster: clustertest.New(), budget: rate.NewLimiter(10, 10), recovering: true, machinesRecorded: true}
 	l.Config.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
 	l.monitor = NewMonitor(testTerm, l.State, l, l, slog.New(slog.DiscardHandler))
 	return l
 }
 
 func (l *testLeader) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
-	l.sent, l.answer = append(l.sent, txn), done
+	l.sent, l.respond = append(l.sent, txn), done
 }
 func (l *testLeader) WriteBudget() *rate.Limiter                 { return l.budget }
 func (l *testLeader) After(_ time.Duration, do func())           { l.timers = append(l.timers, do) }
@@ -48,7 +48,7 @@
 func (l *testLeader) RequestScheduling()                         { l.scheduling = true }
 func (l *testLeader) StepDown(reason string)                     { l.steppedDown = reason }
 func (l *testLeader) Recovering() bool                           { return l.recovering }
-func (l *testLeader) MachinesRecorded() bool                     { return l.recorded }
+func (l *testLeader) MachinesRecorded() bool                     { return l.machinesRecorded }
 func (l *testLeader) DeleteMachine(m *cluster.Machine, _ string) { l.deleted = append(l.deleted, m) }
 func (l *testLeader) LeaseExpiresAt(*cluster.Machine) time.Time {
 	return l.LeadingSince.Add(24 * time.Second)
@@ -68,15 +68,15 @@
 	l.monitor.ObserveHigherToken(&protocol.Heartbeat{Machine: "i-1", Address: "h:1", Type: "big", Zone: "a", FencingToken: token})
 }
 
-// prove has the store confirm the term.
-func (l *testLeader) prove() {
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 10})
+// confirmTerm has the store confirm the term.
+func (l *testLeader) confirmTerm() {
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 10})
 }
 
-// TestHigherTokenIsConfirmedByTheStore: an agent's token above the term ends the term if the
+// TestHigherTokenMakesMonitorCheckTerm: an agent's token above the term ends the term if the
 // store has a newer one, and is of a lost history if the store has none. Without an answer
 // the next heartbeat asks again.
-func TestHigherTokenIsConfirmedByTheStore(t *testing.T) {
+func TestHigherTokenMakesMonitorCheckTerm(t *testing.T) {
 	for name, test := range map[string]struct {
 		result      kv.TransactionResult
 		stepsDown   bool
@@ -97,7 +97,7 @@
 				t.Fatalf("%+v", l.sent)
 			}
 			l.checkGuarded(t)
-			l.answer(test.result)
+			l.respond(test.result)
 			if (l.steppedDown != "") != test.stepsDown {
 				t.Errorf("steps down: %q", l.steppedDown)
 			}
@@ -120,10 +120,10 @@
 func TestRevisionIsRaisedAboveTokens(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove()
+	l.confirmTerm()
 	l.monitor.Tick()
 	l.checkGuarded(t)
-	l.answer(kv.TransactionResult{Outcome: kv.Unavailable})
+	l.respond(kv.TransactionResult{Outcome: kv.Unavailable})
 	l.monitor.Tick()
 	if len(l.sent) != 2 || len(l.timers) != 1 {
 		t.Fatalf("%d sent, %d to be sent later", len(l.sent), len(l.timers))
@@ -137,7 +137,7 @@
 		if l.steppedDown != "" {
 			t.Fatal("steps down below the token")
 		}
-		l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: revision})
+		l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: revision})
 	}
 	if l.steppedDown == "" {
 		t.Error("the revision is above the token, and the term goes on")
@@ -148,7 +148,7 @@
 func TestRevisionIsRaisedWithinHalfTheBudget(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(12)
-	l.prove()
+	l.confirmTerm()
 	l.budget.AllowN(l.Now(), 6)
 	l.monitor.Tick()
 	if len(l.sent) != 1 {
@@ -156,14 +156,14 @@
 	}
 }
 
-// TestUnreachableTokenCostsItsMachine: a token that the revision cannot reach within half a
+// TestMachineWithUnreachableTokenIsDeleted: a token that the revision cannot reach within half a
 // lease costs its machine, once that has given up what it runs.
-func TestUnreachableTokenCostsItsMachine(t *testing.T) {
+func TestMachineWithUnreachableTokenIsDeleted(t *testing.T) {
 	l := newTestLeader()
 	l.showToken(1_000_000)
-	l.prove()
+	l.confirmTerm()
 	l.monitor.Tick()
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
 	l.monitor.Tick()
 	if len(l.deleted) != 0 {
 		t.Fatal("deleted before its lease has expired")
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestMarkerGoesWithRecovery: the marker of an earlier leader stands while the recovery
+// TestMarkerIsRemovedAfterRecovery: the marker of an earlier leader stands while the recovery
 // lasts.
-func TestMarkerGoesWithRecovery(t *testing.T) {
+func TestMarkerIsRemovedAfterRecovery(t *testing.T) {
 	l := newTestLeader()
 	l.monitor.LoadMarker(protocol.Entry{Key: storage.RestoredKey})
 	l.monitor.Tick()
@@ -199,14 +199,14 @@
 		t.Fatalf("%+v", l.sent)
 	}
 	l.checkGuarded(t)
-	l.answer(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
-	if l.monitor.Marked() {
+	l.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 11})
+	if l.monitor.HasMarker() {
 		t.Error("still marked")
 	}
 }
 
-// TestHolds: which jobs must not start anything, and for how long.
-func TestHolds(t *testing.T) {
+// TestStartsWithheld: which jobs must not start anything, and for how long.
+func TestStartsWithheld(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(l *testLeader)
 		newJob  bool
@@ -215,26 +215,26 @@
 		"no agent has shown its token":         {prepare: func(*testLeader) {}, want: true},
 		"submitted to this leader":             {prepare: func(*testLeader) {}, newJob: true},
 		"no recovery":                          {prepare: func(l *testLeader) { l.recovering = false }},
-		"no machines":                          {prepare: func(l *testLeader) { l.recorded = false }},
-		"an agent has taken the token":         {prepare: func(l *testLeader) { l.confirm() }},
+		"no machines":                          {prepare: func(l *testLeader) { l.machinesRecorded = false }},
+		"an agent has taken the token":         {prepare: func(l *testLeader) { l.confirmToken() }},
 		"no agent reports for long":            {prepare: func(l *testLeader) { l.Advance(l.SilenceTimeout()) }},
-		"restored, an agent took the token":    {prepare: func(l *testLeader) { l.confirm(); l.showToken(90); l.prove() }, want: true},
-		"marked, an agent has taken the token": {prepare: func(l *testLeader) { l.confirm(); l.monitor.LoadMarker(protocol.Entry{}) }, want: true},
+		"restored, an agent took the token":    {prepare: func(l *testLeader) { l.confirmToken(); l.showToken(90); l.confirmTerm() }, want: true},
+		"marked, an agent has taken the token": {prepare: func(l *testLeader) { l.confirmToken(); l.monitor.LoadMarker(protocol.Entry{}) }, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLeader()
 			job := l.AddJob(clustertest.Gang(1, 1))
 			job.Recovered = !test.newJob
 			test.prepare(l)
-			if got := l.monitor.Holds(job); got != test.want {
+			if got := l.monitor.WithholdsStarts(job); got != test.want {
 				t.Errorf("holds %v", got)
 			}
 		})
 	}
 }
 
-// confirm has the agent of a recorded machine take this leader's token.
-func (l *testLeader) confirm() {
+// confirmToken has the agent of a recorded machine take this leader's token.
+func (l *testLeader) confirmToken() {
 	machine := l.AddMachine("i-2", "big", "a")
 	machine.Recovered = true
 	l.monitor.ObserveConfirmedToken(machine)
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -63,7 +63,7 @@
 	for _, connected := range []bool{false, true} {
 		l, job := leaderBeforeLoweredLimits(t)
 		if connected {
-			l.n.peers.Up("s")
+			l.n.peers.LinkUp("s")
 		}
 		l.committer.MarkDirty(job, 0)
 		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -90,7 +90,7 @@
 	n.cfg.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.budgets = newStoreBudgets(n.cfg)
 	n.peers.Add("s")
-	n.peers.Up("s")
+	n.peers.LinkUp("s")
 	announcement := protocol.Announcement("n").(protocol.PeerResponse)
 	announcement.Status = level
 	n.peers.Receive("s", 1, announcement)
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -126,7 +126,7 @@
 			c.crashAllApart(play.away, play.apart)
 			c.Run(play.away)
 			s := c.recovered(20 * time.Second)
-			if s.Reason != reconcile.EndAllKnown || s.Classes[reconcile.Matching] != 11 || s.Stored != 11 {
+			if s.Reason != reconcile.EndAllAccountedFor || s.Classes[reconcile.Matching] != 11 || s.RecordedAttempts != 11 {
 				t.Errorf("%+v", s)
 			}
 			c.Run(15 * time.Second)
@@ -308,7 +308,7 @@
 		t.Errorf("a new job waits %v", took)
 	}
 	s := c.recovered(90 * time.Second)
-	t.Logf("the recovery ends after %v: %s, %d silent", s.Ended.Sub(s.Began), s.Reason, s.Silent)
+	t.Logf("the recovery ends after %v: %s, %d silent", s.Ended.Sub(s.Began), s.Reason, s.SilentAgents)
 	c.finishBoth()
 }
 
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -46,7 +46,7 @@
 	if s.Active() {
 		m.phase.Set(1)
 	}
-	m.silent.Set(float64(s.Silent))
+	m.silent.Set(float64(s.SilentAgents))
 	for class, n := range s.Classes {
 		m.differences.WithLabelValues(reconcile.Class(class).String()).Set(float64(n))
 	}
