--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -6,47 +6,46 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Due is how long the node need not be woken if nothing happens: until then no
-// timer of its own is due. A wake-up costs a process several system calls, so
-// that ten of them a second were a tenth of the smallest controllers' time.
-// Timers are kept to the tick, so that what is due at about the same time is
-// done in one.
+// Due returns how long the node need not be stepped if no event arrives: none of its timers is due
+// earlier. A wake-up costs the process several system calls: ten wake-ups a second take a tenth of
+// the processor time of the smallest controllers. The result is never shorter than
+// MinTimerInterval, so that timers that are due at about the same time share a wake-up.
 func (n *Node) Due() time.Duration {
 	due := n.now.Add(tuning.MaxTimerInterval)
-	by := func(t time.Time) {
+	wakeBy := func(t time.Time) {
 		if t.Before(due) {
 			due = t
 		}
 	}
 	for _, t := range n.timers {
-		by(t.at)
+		wakeBy(t.at)
 	}
-	n.mirror.Due(by)
+	n.mirror.Due(wakeBy)
 	if n.mirror.Ready() {
-		by(n.storeContact.probeAt())
+		wakeBy(n.storeAccess.nextProbeAt())
 	}
-	n.machineTypes.due(by)
-	n.election.Due(by)
-	n.peers.Due(by)
-	n.forwarder.Due(by, n.router.Queued())
-	n.api.Due(by)
+	n.machineTypes.due(wakeBy)
+	n.election.Due(wakeBy)
+	n.peers.Due(wakeBy)
+	n.forwarder.Due(wakeBy, n.router.Queued())
+	n.api.Due(wakeBy)
 	if n.mayAct() {
-		n.lead.due(by)
+		n.ownLeader.due(wakeBy)
 	}
 	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
 
-// due tells when the leader has something to do.
-func (l *leader) due(by func(time.Time)) {
-	by(l.nextSweepAt)
+// due calls wakeBy with each time at which the leader has something to do.
+func (l *leader) due(wakeBy func(time.Time)) {
+	wakeBy(l.nextSweepAt)
 	if l.schedulingRequested {
-		by(l.nextCycleAt)
+		wakeBy(l.nextCycleAt)
 	}
-	by(l.nextCycleAt.Add(tuning.MaxSchedulingInterval))
+	wakeBy(l.nextCycleAt.Add(tuning.MaxSchedulingInterval))
 	if at, due := l.committer.NextCommit(); due {
-		by(at)
+		wakeBy(at)
 	}
 	if len(l.agents.Delivery.Pending()) > 0 {
-		by(l.n.now)
+		wakeBy(l.n.now)
 	}
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -13,40 +13,41 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// sentTo counts a step's requests to a system, and those of them whose path is
-// the given one.
-func sentTo(out []Action, to Target, path string) (all, such int) {
+// countRequests counts the requests to an external system among a step's actions, and those of them
+// with the given path.
+func countRequests(out []Action, to Target, path string) (all, withPath int) {
 	for _, a := range out {
 		if r, ok := a.(Request); ok && r.To == to {
 			all++
 			if r.Path == path {
-				such++
+				withPath++
 			}
 		}
 	}
-	return all, such
+	return all, withPath
 }
 
-// TestFailoverIsPaced: a new leader of two thousand machines calls no more of
-// them than its share of a core allows, and renews its leader lease meanwhile. One that
-// called all at once did not come to renew it and was replaced, and so in turn.
-func TestFailoverIsPaced(t *testing.T) {
+// TestNewLeaderPacesAgentCalls: a new leader of two thousand machines calls agents no faster than
+// its share of a core allows, and renews its leader lease meanwhile. A leader that calls all agents
+// at once does not renew its lease in time and is replaced, and the same then happens to each new
+// one.
+func TestNewLeaderPacesAgentCalls(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
-	n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
 	start := n.now
 	calls, renewals := 0, 0
-	open := map[uint64]time.Time{}
+	inFlight := map[uint64]time.Time{}
 	for n.now.Sub(start) < 5*time.Second {
 		var events []Event
-		for id, at := range open {
+		for id, at := range inFlight {
 			if n.now.Sub(at) >= tuning.ProbeTimeout {
-				delete(open, id)
-				events = append(events, Response{ID: id}) // none of them answers
+				delete(inFlight, id)
+				events = append(events, Response{ID: id}) // no agent responds
 			}
 		}
 		out := n.Step(n.now.Add(tuning.MinTimerInterval), events)
@@ -55,55 +56,55 @@
 			switch {
 			case ok && r.To == ToAgent:
 				calls++
-				open[r.ID] = n.now
+				inFlight[r.ID] = n.now
 			case ok && r.Path == protocol.RenewPath(testLease):
 				renewals++
 				n.pending[r.ID](200, nil)
 			}
 		}
-		if limit := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
-			t.Fatalf("%d calls under way", len(open))
+		if limit := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); len(inFlight) > limit {
+			t.Fatalf("%d calls in flight", len(inFlight))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
-	if calls == 0 || float64(calls) > most {
-		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
+	maxCalls := 5*largeProcessLimits.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
+	if calls == 0 || float64(calls) > maxCalls {
+		t.Errorf("%d calls in 5 s, want 1 to %v", calls, maxCalls)
 	}
 	if renewals < 4 {
-		t.Errorf("%d renewals in 5 s", renewals)
+		t.Errorf("%d renewals in 5 s, want at least 4", renewals)
 	}
 }
 
-// TestOrdersBeforeProbes: however many silent machines are probed, half of the
-// calls are left for orders.
-func TestOrdersBeforeProbes(t *testing.T) {
+// TestProbesLeaveCallsForCommands: however many silent machines are probed, half of the concurrent
+// calls are left for commands.
+func TestProbesLeaveCallsForCommands(t *testing.T) {
 	l := fullFleet(0)
-	l.n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	l.n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.agents.Liveness.Tick()
-	probes, _ := sentTo(l.n.out, ToAgent, protocol.PathInspect)
-	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
+	probes, _ := countRequests(l.n.out, ToAgent, protocol.PathInspect)
+	if sockets := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.agents.Delivery.SendPending()
-	if _, orders := sentTo(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
-		t.Errorf("%d orders leave", orders)
+	if _, orders := countRequests(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
+		t.Errorf("%d command calls are sent, want 1", orders)
 	}
 }
 
-// TestNoLimits: without a share of a core in the settings calls are not paced,
-// and with two changes a second jobs still end.
-func TestNoLimits(t *testing.T) {
+// TestNoCoreLimitAndFewWrites: calls to agents are not paced if the settings limit no processor
+// time, and with two writes a second the end of a job is still stored.
+func TestNoCoreLimitAndFewWrites(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
-		t.Error("no agent may be called")
+		t.Error("agents may not be called")
 	}
 	n := l.n
 	n.cfg.Cluster.Store.WriteRPS = 2
@@ -114,22 +115,22 @@
 		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.committer.Commit()
 	}
-	_, writes := sentTo(n.out, ToStore, protocol.PathTransactions)
-	if txn, _ := l.sentTxn(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
-		t.Errorf("%d transactions: the end of the job is not written", writes)
+	_, writes := countRequests(n.out, ToStore, protocol.PathTransactions)
+	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
+		t.Errorf("%d transactions, want one that writes the end of the job", writes)
 	}
 }
 
-// TestOthersWritesCount: the leader's decisions have what others leave of the
-// state service's writes, which it learns from its watch; its own it counts when
-// it sends them.
-func TestOthersWritesCount(t *testing.T) {
+// TestWritesOfOthersReduceBudget: the leader's decisions may use what other processes leave of the
+// store's write limit. The leader counts writes of others when its watch shows them, and its own
+// writes when it sends them.
+func TestWritesOfOthersReduceBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
-	free := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
-	before := free()
+	available := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
+	before := available()
 	watch := protocol.WatchResponse{Revision: 90}
-	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
+	for i, writer := range []string{n.uniqueName(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
@@ -139,15 +140,15 @@
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
 	n.mirror.Tick()
 	n.handle(Response{ID: n.lastRequest(t, ToStore).ID, Status: 200, Body: storage.Encode(watch)})
-	if got := before - free(); got != 2 {
-		t.Errorf("%d writes counted of two by others and one of its own", got)
+	if got := before - available(); got != 2 {
+		t.Errorf("%d writes counted, want the two by others and not its own", got)
 	}
 }
 
-// TestProcessPause: a leader that was paused for seconds, its clocks running on,
-// answers no heartbeat, sends no command and writes nothing before its leader lease was
-// renewed; one whose leader lease must have expired meanwhile leads no more.
-func TestProcessPause(t *testing.T) {
+// TestPausedLeaderWaitsForLeaseRenewal: a leader whose process was paused for seconds, while its
+// clocks went on, accepts no heartbeat, sends no command and writes nothing before its leader lease
+// is renewed. If the lease must have expired during the pause, it steps down.
+func TestPausedLeaderWaitsForLeaseRenewal(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	machine := l.testMachine("i-1", "big", "a")
@@ -168,22 +169,22 @@
 	l.schedulingRequested = true
 	out := n.Step(n.now.Add(10*time.Second), []Event{heartbeat(1)})
 	if got := status(out, 1); got != 503 {
-		t.Errorf("the heartbeat that waited is answered %d", got)
+		t.Errorf("status %d for the heartbeat that waited during the pause, want 503", got)
 	}
-	if calls, _ := sentTo(out, ToAgent, ""); calls > 0 {
+	if calls, _ := countRequests(out, ToAgent, ""); calls > 0 {
 		t.Errorf("%d calls to agents", calls)
 	}
-	// It may ask how far the records have come: that changes nothing.
+	// It may send transactions without changes, which ask for the store's revision.
 	for _, a := range out {
 		var txn protocol.Transaction
 		if r, ok := a.(Request); ok && r.Path == protocol.PathTransactions && (json.Unmarshal(r.Body, &txn) != nil || len(txn.Changes) > 0) {
-			t.Errorf("it writes %s", r.Body)
+			t.Errorf("writes before the renewal: %s", r.Body)
 		}
 	}
 	if len(job.Attempts) > 0 {
 		t.Errorf("%d tasks placed", len(job.Attempts))
 	}
-	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(testLease))
+	_, renewals := countRequests(out, ToLeaderLease, protocol.RenewPath(testLease))
 	if renewals != 1 {
 		t.Fatalf("%d renewals", renewals)
 	}
@@ -195,17 +196,17 @@
 	}
 	out = n.Step(n.now.Add(time.Millisecond), []Event{Response{ID: renew.ID, Status: 200}, heartbeat(2)})
 	if got := status(out, 2); got != 200 || !n.mayAct() {
-		t.Errorf("after the renewal a heartbeat is answered %d", got)
+		t.Errorf("status %d for a heartbeat after the renewal, want 200", got)
 	}
 	n.Step(n.now.Add(n.election.LeaseTTL()+n.election.LeaderGrace()+time.Second), nil)
 	if n.Leading() {
-		t.Error("leads on a leader lease that has expired")
+		t.Error("leads although its leader lease has expired")
 	}
 }
 
-// TestForwardedAgentIsRedirectedAgain: an agent that could not reach the leader is
-// carried, but not for ever: it is sent to the leader again after a while, and
-// at once when another leads.
+// TestForwardedAgentIsRedirectedAgain: heartbeats of an agent that cannot reach the leader are
+// forwarded for a limited time. Then the agent is redirected to the leader again, or at once when
+// there is another leader.
 func TestForwardedAgentIsRedirectedAgain(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -214,22 +215,22 @@
 	for _, name := range peers {
 		n.peers.Add(name)
 	}
-	lead := func(name protocol.NodeName, stamp protocol.Revision) {
-		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), stamp)
+	setLeader := func(name protocol.NodeName, revision protocol.Revision) {
+		n.election.ObserveLease(storage.Encode(storage.LeaderLease{Node: name}), revision)
 	}
-	seq := uint64(0)
-	send := func(after time.Duration) string {
-		seq++
+	sequence := uint64(0)
+	sendHeartbeat := func(after time.Duration) string {
+		sequence++
 		var events []Event
 		for _, name := range peers {
-			events = append(events, PeerUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
+			events = append(events, PeerLinkUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
 				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
-		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: seq, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
+		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: sequence, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(sequence)}}))
 		for _, a := range out {
 			switch a := a.(type) {
 			case Reply:
-				if a.ID == seq {
+				if a.ID == sequence {
 					return fmt.Sprint(a.Status)
 				}
 			case PeerSend:
@@ -240,7 +241,7 @@
 		}
 		return "nothing"
 	}
-	lead("first", 20)
+	setLeader("first", 20)
 	for i, step := range []struct {
 		after time.Duration
 		want  string
@@ -248,20 +249,20 @@
 		{time.Second, "421"}, {5 * time.Second, "forwarded to first"}, {5 * time.Second, "forwarded to first"},
 		{tuning.RedirectRetention, "421"}, {5 * time.Second, "forwarded to first"},
 	} {
-		if got := send(step.after); got != step.want {
+		if got := sendHeartbeat(step.after); got != step.want {
 			t.Errorf("heartbeat %d: %s, want %s", i, got, step.want)
 		}
 	}
-	lead("second", 21)
-	if got := send(time.Second); got != "421" {
-		t.Errorf("with another leader: %s", got)
+	setLeader("second", 21)
+	if got := sendHeartbeat(time.Second); got != "421" {
+		t.Errorf("with another leader: %s, want 421", got)
 	}
 }
 
-// TestRenewedBeforeFailover: a node that has won the leader lease renews it before it
-// reads the records, which takes a small controller a second, and plans nothing in
-// the step in which it does.
-func TestRenewedBeforeFailover(t *testing.T) {
+// TestLeaseIsRenewedBeforeFailover: a node that has acquired the leader lease renews it before it
+// loads the records, which takes a small controller a second. It runs no scheduling cycle in the
+// step in which it loads them.
+func TestLeaseIsRenewedBeforeFailover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.election.StepDown("a test")
@@ -276,7 +277,7 @@
 				return r
 			}
 		}
-		t.Fatalf("nothing is sent to %s", path)
+		t.Fatalf("no request to %s", path)
 		return Request{}
 	}
 	out := n.Step(n.now, nil)
@@ -287,17 +288,17 @@
 	out = n.Step(n.now, []Event{Response{ID: claim.ID, Status: 200, Body: []byte(`{"ledger":9}`)}})
 	renewal := request(out, protocol.RenewPath(5))
 	if n.Leading() {
-		t.Fatal("leads before its claim was renewed")
+		t.Fatal("leads before its lease was renewed")
 	}
 	out = n.Step(n.now, []Event{AgentHeartbeat{ID: 77, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1}}})
 	for _, a := range out {
 		if r, ok := a.(Reply); ok {
-			t.Fatalf("a heartbeat is answered %d meanwhile", r.Status)
+			t.Fatalf("status %d for a heartbeat before the renewal, want no reply", r.Status)
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
-	if !n.Leading() || !n.mayAct() || n.lead.nextCycleAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.nextCycleAt)
+	if !n.Leading() || !n.mayAct() || n.ownLeader.nextCycleAt != (time.Time{}) {
+		t.Fatalf("leads %v, next scheduling cycle at %v", n.Leading(), n.ownLeader.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
@@ -306,6 +307,6 @@
 		}
 	}
 	if !answered {
-		t.Error("the heartbeat that waited has no answer")
+		t.Error("no reply with status 200 to the heartbeat that waited")
 	}
 }
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -7,8 +7,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment;
-// the replies to forwarded requests are those to users.
+// peerEnvironment implements membership.Environment and membership.ForwarderEnvironment. The
+// embedded userReplies sends the replies to forwarded requests.
 type peerEnvironment struct {
 	n *Node
 	userReplies
@@ -18,7 +18,7 @@
 func (pe peerEnvironment) Now() time.Time { return pe.n.now }
 
 // UniqueName implements membership.Environment.
-func (pe peerEnvironment) UniqueName() string { return pe.n.unique() }
+func (pe peerEnvironment) UniqueName() string { return pe.n.uniqueName() }
 
 // Send implements membership.Environment.
 func (pe peerEnvironment) Send(peer protocol.NodeName, message protocol.PeerMessage) {
@@ -27,11 +27,11 @@
 
 // ResetLink implements membership.Environment.
 func (pe peerEnvironment) ResetLink(peer protocol.NodeName) {
-	pe.n.out = append(pe.n.out, PeerReset{Peer: peer})
+	pe.n.out = append(pe.n.out, PeerLinkReset{Peer: peer})
 }
 
 // StoreServedAt implements membership.Environment.
-func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeContact.servedAt }
+func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeAccess.lastServedAt }
 
 // TakeRelayWrite implements membership.Environment.
 func (pe peerEnvironment) TakeRelayWrite() bool { return pe.n.budgets.takeRelayWrite(pe.n.now) }
@@ -52,7 +52,7 @@
 func (ls leadership) Now() time.Time { return ls.n.now }
 
 // Leading implements membership.Leadership.
-func (ls leadership) Leading() bool { return ls.n.lead != nil }
+func (ls leadership) Leading() bool { return ls.n.ownLeader != nil }
 
 // Holder implements membership.Leadership.
 func (ls leadership) Holder() protocol.NodeName { return ls.n.election.Holder() }
@@ -61,34 +61,34 @@
 func (ls leadership) HolderTerm() protocol.Term { return ls.n.election.HolderTerm() }
 
 // DirectShare implements membership.Leadership.
-func (ls leadership) DirectShare() uint64 { return ls.n.lead.directShare() }
+func (ls leadership) DirectShare() uint64 { return ls.n.ownLeader.directShare() }
 
 // RecordsLoaded implements membership.Leadership.
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
 
-// directShare is how many of a thousand agents the leader answers itself: all if its
-// share of a core and of sockets can pay for them, else a part of what it could
-// pay for, so that planning has the rest. The others' heartbeats come over the
-// controllers' links, many in one read.
+// directShare returns how many of a thousand agents send their heartbeats to the leader directly:
+// all, if the leader's limits on processor time and sockets suffice for them. Otherwise it is a
+// part of those for which they suffice, so that enough processor time is left for scheduling.
+// The heartbeats of the other agents arrive on the links between controllers, many in one read.
 func (l *leader) directShare() uint64 {
-	r := l.n.cfg.Cluster.Process
-	if r.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
+	limits := l.n.cfg.Cluster.Process
+	if limits.Cores <= 0 || len(l.cluster.OrderedMachines) == 0 || len(l.n.cfg.Peers) == 0 {
 		return tuning.DirectShareScale
 	}
-	most := r.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Agents.ReportS
-	if r.FDLimit > 0 {
-		most = min(most, float64(r.FDLimit)*tuning.AgentKeepAliveShare)
+	maxDirect := limits.Cores * tuning.HeartbeatCPUShare / tuning.HeartbeatCPUCost.Seconds() * l.n.cfg.Cluster.Agents.ReportS
+	if limits.FDLimit > 0 {
+		maxDirect = min(maxDirect, float64(limits.FDLimit)*tuning.AgentKeepAliveShare)
 	}
-	fleet := float64(len(l.cluster.OrderedMachines))
-	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyReleaseShare
-	if !l.proxying {
+	machines := float64(len(l.cluster.OrderedMachines))
+	// Hysteresis: a fleet about as large as the limit must not make agents switch back and forth.
+	l.usingProxies = machines > maxDirect || l.usingProxies && machines > maxDirect*tuning.ProxyReleaseShare
+	if !l.usingProxies {
 		return tuning.DirectShareScale
 	}
-	// In steps, so that few agents change their proxy as the fleet grows.
-	return uint64(min(most*tuning.RetainedAgentShare/fleet, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
+	// The share changes in steps, so that few agents change their proxy as the fleet grows.
+	return uint64(min(maxDirect*tuning.RetainedAgentShare/machines, 1)*tuning.DirectShareSteps) * tuning.DirectShareScale / tuning.DirectShareSteps
 }
 
-// usesProxies says whether the peers do a part of the leader's dealings with
-// agents.
+// usesProxies reports whether peers handle heartbeats and commands of a part of the agents for the
+// leader.
 func (l *leader) usesProxies() bool { return l.directShare() < tuning.DirectShareScale }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -1,7 +1,7 @@
-// Package coordination is the state machine at the heart of every controller. It composes
-// the packages below it: Node owns election, mirror, peers, users' requests and, while it
-// leads, a leader with scheduler, autoscaler and agents; it hands them events and steps them.
-// It is deterministic: time and events go in, actions come out. It starts no
+// Package coordination is the state machine of a controller. It composes the packages below it: a
+// Node owns the election, the mirror, the peers, the users' requests and, while it leads, a leader
+// with scheduler, autoscaler and agents. The node passes events to them and runs their timers.
+// It is deterministic: its inputs are the time and events, its outputs are actions. It starts no
 // goroutine, reads no clock and does no I/O.
 package coordination
 
@@ -27,37 +27,37 @@
 	cfg  *config.Config
 	log  *slog.Logger
 	rng  *rand.Rand
-	boot string
+	boot string // identifies this process
 
-	began time.Time // of this life
+	startedAt time.Time // of this process
 
 	now     time.Time
-	out     []Action
+	out     []Action // of the current step
 	nextID  uint64
-	pending map[uint64]func(status int, body []byte)
+	pending map[uint64]func(status int, body []byte) // response handlers by request ID
 	budgets storeBudgets
 	metrics Metrics
 
 	store        kv.Client
 	mirror       *mirror.Mirror
 	machineTypes machineTypes
-	storeContact storeContact
+	storeAccess  storeAccess
 	storeLimits  *commit.KnownLimits
 
 	api *api.Service
 
 	timers []timer
 
-	election *election.Election
-	lead     *leader
+	election  *election.Election
+	ownLeader *leader // nil unless this node leads
 
 	peers     *membership.Peers
 	forwarder *membership.Forwarder
 	router    *membership.HeartbeatRouter
 }
 
-// New makes a node. The seed feeds its random pauses; boot tells this life of
-// the process from earlier ones.
+// New returns a node. The seed initialises the random number generator for its random delays.
+// boot distinguishes this process from earlier processes of the node.
 func New(cfg *config.Config, log *slog.Logger, seed uint64, boot string) *Node {
 	n := &Node{
 		cfg: cfg, log: log, boot: boot, storeLimits: commit.NewKnownLimits(cfg),
@@ -75,23 +75,23 @@
 	n.router = membership.NewHeartbeatRouter(cfg, n.peers, n.forwarder, leadership{n}, heartbeatReplies{n})
 	electionEnv := electionEnvironment{n}
 	n.election = election.New(cfg, log, n.rng, n.store, electionEnv, n.mirror, electionEnv)
-	// Answers name the request by its number and may come late, after the process
-	// has ended and begun again: numbers of different lives must not meet.
+	// Responses carry the ID of the request and may arrive late, after the process was restarted.
+	// A random start keeps the IDs of successive processes apart.
 	n.nextID = n.rng.Uint64() >> 24
 	return n
 }
 
-// mayAct says whether the node may command agents and write records now.
-func (n *Node) mayAct() bool { return n.lead != nil && n.election.MayAct() }
+// mayAct reports whether the node may send commands to agents and write records now.
+func (n *Node) mayAct() bool { return n.ownLeader != nil && n.election.MayAct() }
 
-// Leading says whether the node leads.
-func (n *Node) Leading() bool { return n.lead != nil }
+// Leading reports whether the node leads.
+func (n *Node) Leading() bool { return n.ownLeader != nil }
 
-// Step takes events and the present time and returns what is to be done.
+// Step handles events and timers at the given time and returns the actions to be carried out.
 func (n *Node) Step(now time.Time, events []Event) []Action {
 	gap := now.Sub(n.now)
 	if n.now.IsZero() {
-		gap, n.began = 0, now
+		gap, n.startedAt = 0, now
 	}
 	n.now, n.out = now, nil
 	if gap >= tuning.ProcessPauseThreshold {
@@ -112,22 +112,22 @@
 			done(e.Status, e.Body)
 		}
 	case Submit:
-		if !n.forwardIfUnserved(e.ID, submission(e.Job)) {
+		if !n.forwardIfStoreUnavailable(e.ID, submissionRequest(e.Job)) {
 			n.api.Submit(e.ID, e.Job)
 		}
 	case StatusQuery:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
+		if !n.forwardIfStoreUnavailable(e.ID, protocol.PeerUserRequest{Operation: operationQuery, Job: e.Job}) {
 			n.api.Query(e.ID, e.Job)
 		}
 	case Cancel:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
+		if !n.forwardIfStoreUnavailable(e.ID, protocol.PeerUserRequest{Operation: operationCancel, Job: e.Job}) {
 			n.api.Cancel(e.ID, e.Job)
 		}
 	case AgentHeartbeat:
 		n.router.Route(e.ID, e.Heartbeat)
-	case PeerUp:
+	case PeerLinkUp:
 		n.peers.LinkUp(e.Peer)
-	case PeerDown:
+	case PeerLinkDown:
 		n.peers.LinkDown(e.Peer)
 	case PeerReceive:
 		n.receive(e.Peer, e.Link, e.Message)
@@ -143,33 +143,32 @@
 	n.tickPeers()
 	n.peers.WriteRelayed()
 	if n.mayAct() {
-		n.lead.tick()
+		n.ownLeader.tick()
 	}
 	n.api.CheckQueries()
-	if n.lead == nil && n.election.MayStartLeading() {
-		n.startLeading() // at the end: what it leads to is done in the next step
+	if n.ownLeader == nil && n.election.MayStartLeading() {
+		n.startLeading() // last, so that the new leader's first tick runs in the next step
 	}
 }
 
-// Ready says whether the node can take requests. An outage of the
-// store that all nodes share makes none of them unready: they answer at
-// once that the user should come back.
+// Ready reports whether the node can handle users' requests. In an outage of the store that
+// affects all nodes, every node stays ready and tells users at once to try again.
 func (n *Node) Ready() bool {
 	if !n.mirror.Ready() || len(n.machineTypes.byName) == 0 {
 		return false
 	}
-	if n.storeContact.servedWithin(n.now, tuning.IsolationTimeout) {
+	if n.storeAccess.servedWithin(n.now, tuning.IsolationTimeout) {
 		return true
 	}
 	if len(n.peers.NamesWithStoreAccess()) > 0 {
 		return false
 	}
-	// Cut off from everybody: users should go elsewhere.
+	// A node that is cut off from the store and all peers is not ready: users should go to others.
 	return n.peers.Count() == 0 || len(n.peers.ReachableNames()) > 0
 }
 
-// unique makes a string that no other write, rental or process uses.
-func (n *Node) unique() string {
+// uniqueName returns a string that no other write, machine request or process uses.
+func (n *Node) uniqueName() string {
 	n.nextID++
 	return n.boot + "-" + strconv.FormatUint(n.nextID, 36)
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,11 +9,12 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestNotReceiving: an agent whose heartbeats go on coming, but never show what the
-// answers told it, takes no new work; one that does not answer calls either is
-// returned, which proves its tasks gone. One that answers a call is kept.
-func TestNotReceiving(t *testing.T) {
-	for _, answers := range []bool{false, true} {
+// TestUnresponsiveAgentIsDeletedDespiteHeartbeats: an agent whose heartbeats arrive, but never show
+// an effect of the responses, gets no new tasks. If it does not respond to calls either, its
+// machine is deleted, which proves that its tasks are gone. If it responds to a call, its machine
+// is kept.
+func TestUnresponsiveAgentIsDeletedDespiteHeartbeats(t *testing.T) {
+	for _, responds := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		machine := l.testMachine("i-1", "big", "a")
 		job := l.testJob(gangOf(1, 1))
@@ -24,11 +25,11 @@
 			l.testHeartbeat(machine, l.n.election.Term())
 		}
 		if l.cluster.Schedulable(machine) {
-			t.Fatal("takes new work")
+			t.Fatal("accepts new tasks")
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
-			l.n.keepAuthority()
+			l.n.renewAuthority()
 			machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.agents.Liveness.Tick()
@@ -37,7 +38,7 @@
 				if !ok || r.To != ToAgent {
 					continue
 				}
-				if answers {
+				if responds {
 					l.n.handle(Response{ID: r.ID, Status: 200, Body: storage.Encode(protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName,
 						Zone: machine.Zone, Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: l.n.election.Term()})})
 				} else {
@@ -45,11 +46,11 @@
 				}
 			}
 		}
-		if machine.Deleting == answers || l.cluster.Schedulable(machine) != answers {
-			t.Errorf("answers calls %v: returned %v, takes work %v", answers, machine.Deleting, l.cluster.Schedulable(machine))
+		if machine.Deleting == responds || l.cluster.Schedulable(machine) != responds {
+			t.Errorf("responds to calls %v: deleting %v, schedulable %v", responds, machine.Deleting, l.cluster.Schedulable(machine))
 		}
 		if l.removeMachines(machine.ID); len(job.Attempts) != 0 {
-			t.Errorf("%d copies are left once it is gone", len(job.Attempts))
+			t.Errorf("%d attempts are left after the machine was removed", len(job.Attempts))
 		}
 	}
 }
