--- a/internal/coordination/api/lookups.go
+++ b/internal/coordination/api/lookups.go
@@ -55,12 +55,12 @@
 
 // finishedJob reads a job's final record.
 func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
+	l.read(requestID, storage.FinalRecordKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			found(nil)
 			return
 		}
-		var final storage.Final
+		var final storage.FinalRecord
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
 			l.replies.Unavailable(requestID, reasonUnreadableRecord)
 			return
--- a/internal/coordination/api/status_queries_test.go
+++ b/internal/coordination/api/status_queries_test.go
@@ -33,14 +33,14 @@
 	c.CheckQueries()
 	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
 	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone, Done: 2})})
+	c.answer(t, protocol.KeyPath(storage.FinalRecordKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone, DoneTasks: 2})})
 	c.expect(t, "3 status done 2")
 	c.Query(4, spec.ID) // remembered: it never changes
 	c.expect(t, "4 status done 2")
 
 	c.Query(5, "run-000002")
 	c.answer(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
+	c.answer(t, protocol.KeyPath(storage.FinalRecordKey("run-000002")), http.StatusNotFound, nil)
 	c.expect(t, "5 unknown")
 }
--- a/internal/coordination/commit_outcomes.go
+++ b/internal/coordination/commit_outcomes.go
@@ -38,12 +38,12 @@
 }
 
 // JobFinished implements commit.Outcomes.
-func (co commitOutcomes) JobFinished(id protocol.JobID, final storage.Final) {
+func (co commitOutcomes) JobFinished(id protocol.JobID, final storage.FinalRecord) {
 	co.l.n.api.JobFinished(id, final)
 }
 
 // MergeRecord implements commit.Outcomes.
-func (co commitOutcomes) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
+func (co commitOutcomes) MergeRecord(job *cluster.Job, record *storage.JobRecord, revision protocol.Revision) {
 	co.l.loader.Merge(job, record, revision)
 }
 
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -9,7 +9,7 @@
 	n.peers.HeartbeatSoon()     // the peers learn how many agents it keeps
 	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
-	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
+	if marker, ok := n.mirror.Get(storage.RestoreMarkerKey); ok {
 		l.restored.LoadMarker(marker)
 	}
 	l.beginRecovery()
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -45,7 +45,7 @@
 	tell := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
 			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
-			l.n.api.JobFinished(jobID, storage.Final{Phase: protocol.PhaseCancelled})
+			l.n.api.JobFinished(jobID, storage.FinalRecord{Phase: protocol.PhaseCancelled})
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -17,12 +17,12 @@
 var storedRecords = map[string]reflect.Type{
 	"relayed frames": reflect.TypeFor[RelayedFrames](),
 	"leader lease":   reflect.TypeFor[LeaderLease](),
-	"restored":       reflect.TypeFor[Restored](),
+	"restored":       reflect.TypeFor[RestoreMarker](),
 	"task":           reflect.TypeFor[Task](),
-	"job":            reflect.TypeFor[Job](),
+	"job":            reflect.TypeFor[JobRecord](),
 	"task record":    reflect.TypeFor[TaskRecord](),
 	"machine record": reflect.TypeFor[MachineRecord](),
-	"final":          reflect.TypeFor[Final](),
+	"final":          reflect.TypeFor[FinalRecord](),
 }
 
 // longTaskTags are the fields of the form of a task that version 0.1 wrote, which is only read.
@@ -41,8 +41,8 @@
 
 // storedKeys lists the keys and prefixes, and checks that the sources have no other.
 func storedKeys(t *testing.T) (list []string) {
-	known := []string{LivePrefix, LeaderKey, TypesKey, RestoredKey, JobPrefix, TaskPrefix, MachinePrefix, RelayPrefix, FinalPrefix}
-	for _, key := range append(known, JobKey("run-1"), FinalKey("run-1"), TaskRecordKey("run-1", 2), MachineRecordKey("a-1"), RelayKey("node-0", "node-1")) {
+	known := []string{LivePrefix, LeaderKey, TypesKey, RestoreMarkerKey, JobPrefix, TaskRecordPrefix, MachineRecordPrefix, RelayPrefix, FinalRecordPrefix}
+	for _, key := range append(known, JobKey("run-1"), FinalRecordKey("run-1"), TaskRecordKey("run-1", 2), MachineRecordKey("a-1"), RelayKey("node-0", "node-1")) {
 		list = append(list, "key "+key)
 	}
 	for _, name := range []string{"records.go", "mirror.go"} {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -24,8 +24,8 @@
 		for i := range size {
 			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Incarnation: 9_999, Done: false})
 		}
-		rec := Job{Writer: strings.Repeat("w", 40), Spec: spec, AtMs: 1 << 50, Seq: 1 << 60, Attempt: 1 << 30, Cancelled: true,
-			Done: protocol.MaxTasks, Placed: protocol.MaxTasks, RecordTasks: size, Tasks: tasks}
+		rec := JobRecord{Writer: strings.Repeat("w", 40), Spec: spec, SubmittedAtMs: 1 << 50, SubmissionRevision: 1 << 60, Epoch: 1 << 30, Cancelled: true,
+			DoneTasks: protocol.MaxTasks, PlacedTasks: protocol.MaxTasks, TasksPerRecord: size, Tasks: tasks}
 		if n := len(Encode(rec)); n > int(kb*1024) {
 			t.Errorf("%v KiB: a record of %d bytes", kb, n)
 		}
@@ -90,13 +90,13 @@
 func TestStatus(t *testing.T) {
 	spec := &protocol.Job{ID: "run-1", Tasks: 3}
 	for _, c := range []struct {
-		rec  Job
+		rec  JobRecord
 		want protocol.Phase
 	}{
-		{Job{}, protocol.PhasePending},
-		{Job{Done: 1}, protocol.PhasePending},
-		{Job{Placed: 1}, protocol.PhaseRunning},
-		{Job{Placed: 1, Cancelled: true}, protocol.PhaseCancelled},
+		{JobRecord{}, protocol.PhasePending},
+		{JobRecord{DoneTasks: 1}, protocol.PhasePending},
+		{JobRecord{PlacedTasks: 1}, protocol.PhaseRunning},
+		{JobRecord{PlacedTasks: 1, Cancelled: true}, protocol.PhaseCancelled},
 	} {
 		c.rec.Spec = spec
 		if s := c.rec.Status(); s.Phase != c.want {
@@ -145,7 +145,7 @@
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
 	} {
-		rec := Job{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, RecordTasks: 9, Done: want.Done, Placed: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
+		rec := JobRecord{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, TasksPerRecord: 9, DoneTasks: want.Done, PlacedTasks: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
 		value := Encode(rec)
 		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(stamp + 2)})
 		for range 2 {
@@ -198,15 +198,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if want := (j.Spec.Tasks + 97) / 98; j.BaseRecords() != want || j.Parts != 0 && j.Parts <= want {
-			t.Errorf("%s: %d parts, %d records", key, j.Parts, j.BaseRecords())
+		if want := (j.Spec.Tasks + 97) / 98; j.BaseRecords() != want || j.TotalRecords != 0 && j.TotalRecords <= want {
+			t.Errorf("%s: %d parts, %d records", key, j.TotalRecords, j.BaseRecords())
 		}
 		return Encode(j), nil
-	case strings.HasPrefix(key, TaskPrefix):
+	case strings.HasPrefix(key, TaskRecordPrefix):
 		return through[TaskRecord](value)
-	case strings.HasPrefix(key, FinalPrefix):
-		return through[Final](value)
-	case strings.HasPrefix(key, MachinePrefix):
+	case strings.HasPrefix(key, FinalRecordPrefix):
+		return through[FinalRecord](value)
+	case strings.HasPrefix(key, MachineRecordPrefix):
 		return through[MachineRecord](value)
 	case strings.HasPrefix(key, RelayPrefix):
 		return through[RelayedFrames](value)
