--- a/internal/coordination/kv/kv.go
+++ b/internal/coordination/kv/kv.go
@@ -1,8 +1,8 @@
-// Package kv is the client of the consensus-backed key-value store: typed calls and typed
-// outcomes in place of HTTP methods, paths and statuses.
+// Package kv is the client of the consensus-backed key-value store. It offers typed calls and
+// typed outcomes in place of HTTP methods, paths and statuses.
 //
-// It keeps no state, decides nothing and repeats nothing: what a lost answer means is for
-// the caller to find out.
+// The client keeps no state, makes no decisions and retries nothing. When a response is lost, it
+// is up to the caller to find out whether the call was executed.
 package kv
 
 import (
@@ -13,30 +13,31 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Outcome is how a call ended.
+// Outcome tells how a call ended.
 type Outcome int
 
-// Outcomes of calls.
+// The outcomes of calls.
 const (
-	// Unknown: no answer came; the call may have been carried out, or may be yet.
+	// Unknown: no response arrived. The call may have been executed, or may still be.
 	Unknown Outcome = iota
-	// Done: the call was carried out.
+	// Done: the call was executed.
 	Done
-	// ConditionFailed: a transaction changed nothing, for a condition of it does not hold.
+	// ConditionFailed: a transaction changed nothing because one of its conditions does not hold.
 	ConditionFailed
-	// NotFound: there is no such key or lease.
+	// NotFound: the key or lease does not exist.
 	NotFound
-	// Throttled: refused, more was asked for than the store's limits allow.
+	// Throttled: the call was refused because it exceeds the store's rate limits.
 	Throttled
-	// Rejected: refused as malformed, too large, or under a lease that has expired.
+	// Rejected: the call was refused because it is malformed or too large, or because it uses a
+	// lease that has expired.
 	Rejected
-	// Compacted: a watch begins too far back, or at more changes than one answer holds.
+	// Compacted: a watch starts too far back, or has more changes than one response may hold.
 	Compacted
-	// Unavailable: the store does not serve this node now.
+	// Unavailable: the store does not currently serve this node.
 	Unavailable
 )
 
-// outcomeOf translates a status.
+// outcomeOf returns the outcome for an HTTP status, or for 0 if no response arrived.
 func outcomeOf(status int) Outcome {
 	switch status {
 	case 0:
@@ -57,20 +58,20 @@
 	return Unavailable
 }
 
-// Connection is the connection that a call goes over.
+// Connection selects the connection that carries a call.
 type Connection int
 
-// Connections to the store.
+// The connections to the store.
 const (
 	Shared Connection = iota
-	// LeaderLease is kept for renewals of the leader lease.
+	// LeaderLease is reserved for renewals of the leader lease.
 	LeaderLease
-	// Watching calls hang until something changes, and do not count as asking whether the
-	// store serves this node.
+	// Watching carries watches. A watch stays open until something changes, and it does not
+	// count as a check whether the store serves this node.
 	Watching
 )
 
-// Call is a request to the store. A body that is no []byte is encoded as JSON.
+// Call is a request to the store. A body that is not a []byte is encoded as JSON.
 type Call struct {
 	Connection Connection
 	Method     string
@@ -78,37 +79,38 @@
 	Body       any
 }
 
-// Transport carries calls to the store. Status 0 stands for no answer.
+// Transport carries calls to the store. It passes status 0 to done if no response arrives.
 type Transport interface {
 	CallStore(call Call, done func(status int, body []byte))
 }
 
-// ConditionsPerChange is how many conditions a transaction may have for each change that it
-// may have.
+// ConditionsPerChange is the ratio of the store's limit on a transaction's conditions to its
+// limit on a transaction's changes.
 const ConditionsPerChange = 4
 
-// Client makes calls to the store. Each is answered by one call of done.
+// Client makes calls to the store. The result of each call is passed to done, which is called
+// once.
 type Client struct{ transport Transport }
 
-// New makes a client.
+// New returns a client that uses the transport.
 func New(transport Transport) Client { return Client{transport} }
 
-// TransactionResult is the answer to a transaction: Done if it was committed.
+// TransactionResult is the result of a transaction. The outcome is Done if it was committed.
 type TransactionResult struct {
 	Outcome   Outcome
-	Malformed bool              // the answer does not say revision and keys
-	Revision  protocol.Revision // of the store
+	Malformed bool              // the response cannot be decoded
+	Revision  protocol.Revision // of the store, as the response states it
 	Failed    []string          // keys whose conditions do not hold
-	Detail    string            // what the store said of a rejected one, for logs
+	Detail    string            // response to a rejected transaction, for logs
 }
 
-// Transact carries out a transaction on conditions.
+// Transact executes a transaction if all its conditions hold.
 func (c Client) Transact(txn protocol.Transaction, done func(TransactionResult)) {
 	c.transact(txn, done)
 }
 
-// TransactEncoded is Transact of a transaction that is encoded already, so that the same
-// one can be sent again.
+// TransactEncoded is like Transact, but takes an encoded transaction, so that a caller can send
+// exactly the same transaction again.
 func (c Client) TransactEncoded(txn []byte, done func(TransactionResult)) { c.transact(txn, done) }
 
 func (c Client) transact(body any, done func(TransactionResult)) {
@@ -116,9 +118,9 @@
 		result := TransactionResult{Outcome: outcomeOf(status)}
 		switch result.Outcome {
 		case Done, ConditionFailed:
-			var answer protocol.TransactionResponse
-			result.Malformed = json.Unmarshal(body, &answer) != nil
-			result.Revision, result.Failed = answer.Revision, answer.Failed
+			var response protocol.TransactionResponse
+			result.Malformed = json.Unmarshal(body, &response) != nil
+			result.Revision, result.Failed = response.Revision, response.Failed
 		case Rejected:
 			result.Detail = string(body)
 		}
@@ -126,10 +128,10 @@
 	})
 }
 
-// GetResult is the answer to a read of one key.
+// GetResult is the result of reading one key.
 type GetResult struct {
 	Outcome   Outcome
-	Malformed bool // the entry cannot be read
+	Malformed bool // the entry cannot be decoded
 	Entry     protocol.Entry
 }
 
@@ -144,14 +146,14 @@
 	})
 }
 
-// RangeResult is the answer to a read of a page of keys.
+// RangeResult is the result of reading a page of keys.
 type RangeResult struct {
 	Outcome   Outcome
-	Malformed bool
+	Malformed bool // the page cannot be decoded
 	Page      protocol.Entries
 }
 
-// Range reads a page of the keys with a prefix that come after a key.
+// Range reads a page of up to limit keys that have a prefix and sort after a given key.
 func (c Client) Range(prefix, after string, limit int, done func(RangeResult)) {
 	c.transport.CallStore(Call{Method: http.MethodGet, Path: protocol.RangePath(prefix, after, limit)}, func(status int, body []byte) {
 		result := RangeResult{Outcome: outcomeOf(status)}
@@ -162,14 +164,15 @@
 	})
 }
 
-// WatchResult is the answer to a watch.
+// WatchResult is the result of a watch.
 type WatchResult struct {
 	Outcome   Outcome
-	Malformed bool
+	Malformed bool // the changes cannot be decoded
 	Changes   protocol.WatchResponse
 }
 
-// Watch waits for changes of keys with a prefix after a revision, for so long at most.
+// Watch waits, for at most the duration block, for changes after a revision to keys with a
+// prefix.
 func (c Client) Watch(prefix string, after protocol.Revision, block time.Duration, done func(WatchResult)) {
 	call := Call{Connection: Watching, Method: http.MethodGet, Path: protocol.WatchPath(prefix, after, block.Milliseconds())}
 	c.transport.CallStore(call, func(status int, body []byte) {
@@ -181,25 +184,25 @@
 	})
 }
 
-// LeaseResult is the answer to a request for a lease.
+// LeaseResult is the result of requesting a lease.
 type LeaseResult struct {
 	Outcome Outcome
-	Lease   protocol.LeaseID // 0 if the answer does not name one
+	Lease   protocol.LeaseID // 0 if the response does not name a lease
 }
 
-// GrantLease asks for a lease.
+// GrantLease requests a lease with the given time to live.
 func (c Client) GrantLease(ttl time.Duration, done func(LeaseResult)) {
 	request := protocol.LeaseRequest{TTLMs: ttl.Milliseconds()}
 	c.transport.CallStore(Call{Method: http.MethodPost, Path: protocol.PathLeases, Body: request}, func(status int, body []byte) {
-		var answer protocol.LeaseResponse
-		if json.Unmarshal(body, &answer) != nil {
-			answer.Lease = 0
+		var response protocol.LeaseResponse
+		if json.Unmarshal(body, &response) != nil {
+			response.Lease = 0
 		}
-		done(LeaseResult{Outcome: outcomeOf(status), Lease: answer.Lease})
+		done(LeaseResult{Outcome: outcomeOf(status), Lease: response.Lease})
 	})
 }
 
-// RenewLeaderLease renews a lease on the connection that is kept for that.
+// RenewLeaderLease renews the leader lease, on the connection that is reserved for its renewals.
 func (c Client) RenewLeaderLease(lease protocol.LeaseID, done func(Outcome)) {
 	call := Call{Connection: LeaderLease, Method: http.MethodPost, Path: protocol.RenewPath(lease), Body: struct{}{}}
 	c.transport.CallStore(call, func(status int, _ []byte) { done(outcomeOf(status)) })
--- a/internal/coordination/kv/kv_test.go
+++ b/internal/coordination/kv/kv_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// scriptedStore answers every call alike and keeps the last one.
+// scriptedStore gives the same response to every call and keeps the last call.
 type scriptedStore struct {
 	status int
 	body   string
@@ -22,8 +22,8 @@
 	done(s.status, []byte(s.body))
 }
 
-// TestOutcomeOfEachStatus: every status of the store has its outcome, and one that the
-// protocol does not name means that the store does not serve this node.
+// TestOutcomeOfEachStatus: every status of the store's protocol maps to its outcome. Any other
+// status means that the store does not currently serve this node.
 func TestOutcomeOfEachStatus(t *testing.T) {
 	for status, want := range map[int]Outcome{
 		0: Unknown, http.StatusOK: Done, http.StatusConflict: ConditionFailed, http.StatusNotFound: NotFound,
@@ -39,19 +39,20 @@
 	}
 }
 
-// TestTransactionResult: revision and keys are read from an answer that has them; one that
-// does not say is told apart from its outcome, and a rejection is kept for the logs.
+// TestTransactionResult: the revision and the failed keys are decoded from the response. A
+// response that cannot be decoded is marked as malformed and keeps its outcome. The response to
+// a rejected transaction is kept for the logs.
 func TestTransactionResult(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		body   string
 		want   TransactionResult
 	}{
-		"committed":        {http.StatusOK, `{"ledger":432}`, TransactionResult{Outcome: Done, Revision: 432}},
-		"committed, how?":  {http.StatusOK, `nonsense`, TransactionResult{Outcome: Done, Malformed: true}},
-		"condition failed": {http.StatusConflict, `{"failed":["a/b"],"ledger":431}`, TransactionResult{Outcome: ConditionFailed, Revision: 431, Failed: []string{"a/b"}}},
-		"rejected":         {http.StatusBadRequest, `no such lease`, TransactionResult{Outcome: Rejected, Detail: "no such lease"}},
-		"not answered":     {0, ``, TransactionResult{Outcome: Unknown}},
+		"committed":                     {http.StatusOK, `{"ledger":432}`, TransactionResult{Outcome: Done, Revision: 432}},
+		"committed, malformed response": {http.StatusOK, `nonsense`, TransactionResult{Outcome: Done, Malformed: true}},
+		"condition failed":              {http.StatusConflict, `{"failed":["a/b"],"ledger":431}`, TransactionResult{Outcome: ConditionFailed, Revision: 431, Failed: []string{"a/b"}}},
+		"rejected":                      {http.StatusBadRequest, `no such lease`, TransactionResult{Outcome: Rejected, Detail: "no such lease"}},
+		"no response":                   {0, ``, TransactionResult{Outcome: Unknown}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			New(&scriptedStore{status: c.status, body: c.body}).Transact(protocol.Transaction{}, func(result TransactionResult) {
@@ -63,8 +64,7 @@
 	}
 }
 
-// TestConnectionOfEachCall: renewals of the leader lease and watches have connections of
-// their own.
+// TestConnectionOfEachCall: renewals of the leader lease and watches use separate connections.
 func TestConnectionOfEachCall(t *testing.T) {
 	store := &scriptedStore{}
 	client := New(store)
@@ -79,13 +79,13 @@
 		"watch":   {func() { client.Watch("g/", 4, time.Second, func(WatchResult) {}) }, Watching},
 	} {
 		if c.call(); store.last.Connection != c.want {
-			t.Errorf("%s goes over connection %d, want %d", name, store.last.Connection, c.want)
+			t.Errorf("%s uses connection %d, want %d", name, store.last.Connection, c.want)
 		}
 	}
 }
 
-// TestLeaseWithoutNameIsNone: an answer that names no lease grants none.
-func TestLeaseWithoutNameIsNone(t *testing.T) {
+// TestLeaseResponseWithoutIDGrantsNone: a response that does not name a lease grants none.
+func TestLeaseResponseWithoutIDGrantsNone(t *testing.T) {
 	for body, want := range map[string]protocol.LeaseID{`{"permit":7}`: 7, `{}`: 0, `nonsense`: 0} {
 		New(&scriptedStore{status: http.StatusOK, body: body}).GrantLease(time.Second, func(result LeaseResult) {
 			if result.Outcome != Done || result.Lease != want {
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -1,7 +1,8 @@
-// Package mirror keeps a controller's copy of the key-value store's records: it loads them,
-// follows their changes by a watch, and knows up to when it holds every change.
+// Package mirror maintains a controller's copy of the records in the key-value store. It loads
+// the records, applies the changes that a watch delivers, and tracks the time up to which the
+// copy is known to include every change.
 //
-// It passes changes on in their order and decides nothing on them.
+// It passes the changes on in their order and makes no decisions on them.
 package mirror
 
 import (
@@ -15,23 +16,24 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Environment is what the mirror needs of the controller.
+// Environment is what the Mirror needs from the controller.
 type Environment interface {
 	Now() time.Time
-	// Leading says whether the controller has taken over as leader: jobs wait for its watch.
+	// Leading reports whether the controller has taken over as leader. Jobs wait for the changes
+	// that a leader's watch delivers.
 	Leading() bool
-	// Condition is the condition of a transaction that the controller's term lasts.
+	// LeaseCondition returns the transaction condition that the controller's term still lasts.
 	LeaseCondition() protocol.Condition
-	// Loaded is called when all records were read.
+	// Loaded is called when all records have been loaded.
 	Loaded()
-	// Changed is called for each change that the mirror took.
+	// Changed is called for each change that was applied to the mirror.
 	Changed(event *protocol.WatchEvent)
-	// Diverged is called before the mirror is dropped because it cannot be followed any
-	// further. A leader cannot tell what it missed, so it leads no further on it.
+	// Diverged is called before the mirror is discarded because a watch can no longer bring it
+	// up to date. A leader cannot know which changes it missed, so it must stop leading.
 	Diverged(reason string)
 }
 
-// Mirror is the copy and what keeps it up to date.
+// Mirror is the copy of the records, with the state of loading and watching them.
 type Mirror struct {
 	storage.Mirror
 	limits config.ProcessLimits
@@ -39,75 +41,77 @@
 	store  kv.Client
 	env    Environment
 
-	syncedAt time.Time        // every change made before then is in the mirror
-	awaited  observedRevision // a revision that the mirror has yet to reach
+	syncedAt time.Time        // the mirror includes every change made before this time
+	awaited  observedRevision // the revision that the mirror has to reach, if it has not yet
 
-	loading  bool
-	loadSent time.Time // when the first page was asked for
-	loadAt   time.Time
+	loading       bool
+	loadStartedAt time.Time // when the first page was requested
+	nextLoadAt    time.Time
 
-	watching  bool
-	watchAt   time.Time // when the watch may be opened again
-	watchSent time.Time // when it was opened
+	watching      bool
+	nextWatchAt   time.Time // when the next watch may be opened
+	watchOpenedAt time.Time // when the latest watch was opened
 }
 
-// observedRevision is a revision that the store had when a request sent at that
-// time was carried out, or later.
+// observedRevision is a revision of the store that the response to a request reported. The store
+// had it when it executed the request, or later.
 type observedRevision struct {
 	revision protocol.Revision
-	sentAt   time.Time
+	sentAt   time.Time // when the request was sent
 }
 
-// New makes an empty mirror.
+// New returns a mirror that is not loaded yet.
 func New(limits config.ProcessLimits, log *slog.Logger, store kv.Client, env Environment) *Mirror {
 	return &Mirror{limits: limits, log: log, store: store, env: env}
 }
 
-// SyncedAt is when every change was in the mirror that was made before then.
+// SyncedAt returns a time such that the mirror includes every change made before it.
 func (m *Mirror) SyncedAt() time.Time { return m.syncedAt }
 
-// MarkSynced notes that every change is in the mirror that was made before then.
+// MarkSynced records that the mirror includes every change made before the given time.
 func (m *Mirror) MarkSynced(at time.Time) {
 	if at.After(m.syncedAt) {
 		m.syncedAt = at
 	}
 }
 
-// Tick keeps the mirror loaded and its watch open.
+// Tick loads the mirror if it is not loaded, and otherwise keeps a watch open.
 func (m *Mirror) Tick() {
 	now := m.env.Now()
 	if !m.Ready() {
-		if !m.loading && !now.Before(m.loadAt) {
-			m.loading, m.loadSent = true, now
+		if !m.loading && !now.Before(m.nextLoadAt) {
+			m.loading, m.loadStartedAt = true, now
 			m.BeginLoad()
 			m.requestPage("")
 		}
 		return
 	}
-	m.reopenStuckWatch()
-	if !m.watching && !now.Before(m.watchAt) {
+	m.replaceStalledWatch()
+	if !m.watching && !now.Before(m.nextWatchAt) {
 		m.openWatch()
 	}
 }
 
-// Due tells when the records are to be loaded or the watch is to be opened.
-func (m *Mirror) Due(by func(time.Time)) {
+// Due passes to wakeBy the time at which the records are to be loaded, or the next watch is to
+// be opened.
+func (m *Mirror) Due(wakeBy func(time.Time)) {
 	switch {
 	case !m.Ready():
 		if !m.loading {
-			by(m.loadAt)
+			wakeBy(m.nextLoadAt)
 		}
 	case !m.watching:
-		by(m.watchAt)
+		wakeBy(m.nextWatchAt)
 	case m.awaited.revision > m.Revision:
-		by(m.awaited.sentAt.Add(tuning.WatchStallTimeout))
+		wakeBy(m.awaited.sentAt.Add(tuning.WatchStallTimeout))
 	}
 }
 
+// requestPage loads the page of records after a key, and then all pages that follow.
 func (m *Mirror) requestPage(after string) {
 	m.store.Range(storage.LivePrefix, after, tuning.RangePageSize, func(result kv.RangeResult) {
 		if result.Outcome != kv.Done || result.Malformed {
-			m.loading, m.loadAt = false, m.env.Now().Add(tuning.StoreRetryDelay)
+			m.loading, m.nextLoadAt = false, m.env.Now().Add(tuning.StoreRetryDelay)
 			return
 		}
 		if next := m.LoadPage(&result.Page); next != "" {
@@ -115,71 +119,73 @@
 			return
 		}
 		m.loading = false
-		m.MarkSynced(m.loadSent)
+		m.MarkSynced(m.loadStartedAt)
 		m.log.Info("mirror loaded", "keys", m.Len(), "revision", m.Revision)
 		m.env.Loaded()
 	})
 }
 
 func (m *Mirror) openWatch() {
-	sent, after := m.env.Now(), m.Revision
-	m.watching, m.watchSent = true, sent
+	openedAt, after := m.env.Now(), m.Revision
+	m.watching, m.watchOpenedAt = true, openedAt
 	m.store.Watch(storage.LivePrefix, after, tuning.WatchLongPoll, func(result kv.WatchResult) {
-		m.handleChanges(sent, after, result)
+		m.handleWatchResult(openedAt, after, result)
 	})
 }
 
-// reopenStuckWatch opens another watch when the one that is open does not show what
-// the store is known to have; its answer is taken all the same.
-func (m *Mirror) reopenStuckWatch() {
+// replaceStalledWatch has another watch opened if the open one has not delivered a revision that
+// the store is known to have. A late response to the old watch is still processed.
+func (m *Mirror) replaceStalledWatch() {
 	now := m.env.Now()
 	if m.awaited.revision > m.Revision && m.watching &&
-		now.Sub(m.awaited.sentAt) >= tuning.WatchStallTimeout && now.Sub(m.watchSent) >= tuning.WatchStallTimeout {
+		now.Sub(m.awaited.sentAt) >= tuning.WatchStallTimeout && now.Sub(m.watchOpenedAt) >= tuning.WatchStallTimeout {
 		m.log.Info("watch does not keep up", "revision", m.Revision, "ahead", m.awaited.revision)
-		m.watching, m.watchAt = false, now
+		m.watching, m.nextWatchAt = false, now
 	}
 }
 
-// handleChanges takes the answer to a watch for what came after a revision.
-func (m *Mirror) handleChanges(sent time.Time, after protocol.Revision, result kv.WatchResult) {
-	if sent.Equal(m.watchSent) {
+// handleWatchResult processes the result of a watch for changes after a revision.
+func (m *Mirror) handleWatchResult(openedAt time.Time, after protocol.Revision, result kv.WatchResult) {
+	if openedAt.Equal(m.watchOpenedAt) {
 		m.watching = false
 	}
 	changes := &result.Changes
 	switch {
 	case result.Outcome == kv.Compacted:
-		// Too far behind, or by more than one answer may hold: read everything again.
-		m.env.Diverged("watch too old")
+		// The mirror is too far behind, or misses more changes than one response may hold. All
+		// records are loaded again.
+		m.env.Diverged("watch is too far behind the store")
 		m.Mirror = storage.Mirror{}
 	case result.Outcome != kv.Done || result.Malformed:
-		m.watchAt = m.env.Now().Add(tuning.StoreRetryDelay)
+		m.nextWatchAt = m.env.Now().Add(tuning.StoreRetryDelay)
 	case changes.Revision < after:
 		// The store was restored to an older state.
-		m.log.Error("store has gone back", "revision", changes.Revision, "known", after)
-		m.env.Diverged("store has gone back")
+		m.log.Error("store revision went backwards", "revision", changes.Revision, "known", after)
+		m.env.Diverged("store revision went backwards")
 		m.Mirror, m.awaited = storage.Mirror{}, observedRevision{}
 	default:
-		m.apply(changes, sent)
-		m.watchAt = m.env.Now().Add(m.watchPause())
+		m.apply(changes, openedAt)
+		m.nextWatchAt = m.env.Now().Add(m.watchPause())
 		m.Tick()
 	}
 }
 
-// apply takes the changes that a watch showed that was opened at that time.
-func (m *Mirror) apply(changes *protocol.WatchResponse, sent time.Time) {
+// apply applies the changes that a watch delivered.
+func (m *Mirror) apply(changes *protocol.WatchResponse, openedAt time.Time) {
 	for i := range changes.Events {
 		if event := &changes.Events[i]; m.Apply(event) {
 			m.env.Changed(event)
 		}
 	}
 	m.Revision = max(m.Revision, changes.Revision)
-	m.MarkSynced(sent)
+	m.MarkSynced(openedAt)
 	if m.awaited.revision <= m.Revision {
 		m.MarkSynced(m.awaited.sentAt)
 	}
 }
 
-// watchPause is the pause between two watches: the leader's is short, for jobs wait for it.
+// watchPause returns the pause before the next watch. The leader's pause is short because jobs
+// wait for the changes.
 func (m *Mirror) watchPause() time.Duration {
 	if m.env.Leading() {
 		return tuning.MinWatchDelay
@@ -187,26 +193,29 @@
 	return m.limits.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
 }
 
-// FetchRevision asks how far the records have come. Renewing the leader lease proves only
-// the leader lease: the watch may hang, and somebody may have confirmed cancellations.
+// FetchRevision asks the store for the current revision of its records. A renewal of the leader
+// lease proves only that the lease is held. The watch may be stalled, and another node may have
+// confirmed cancellations that the watch has not delivered.
 func (m *Mirror) FetchRevision() {
-	sent := m.env.Now()
+	sentAt := m.env.Now()
 	txn := protocol.Transaction{Conditions: []protocol.Condition{m.env.LeaseCondition()}}
 	m.store.Transact(txn, func(result kv.TransactionResult) {
-		answered := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
-		if answered && !result.Malformed && result.Revision != 0 {
-			m.awaitRevision(observedRevision{result.Revision, sent})
+		evaluated := result.Outcome == kv.Done || result.Outcome == kv.ConditionFailed
+		if evaluated && !result.Malformed && result.Revision != 0 {
+			m.awaitRevision(observedRevision{result.Revision, sentAt})
 		}
 	})
 }
 
-// awaitRevision takes the revision that the answer to a request gave: once the mirror
-// has come as far, it holds every change made before the request was sent.
+// awaitRevision processes a revision that the response to a request reported. Once the mirror has
+// reached it, the mirror includes every change made before the request was sent.
 func (m *Mirror) awaitRevision(observed observedRevision) {
 	switch {
 	case observed.revision <= m.Revision:
 		m.MarkSynced(observed.sentAt)
 	case m.awaited.revision <= m.Revision:
-		m.awaited = observed // one at a time, or a steady stream of changes would never be caught up with
+		// A revision that is still awaited is not replaced by a newer one: under a steady stream
+		// of changes, the mirror would never reach the awaited revision.
+		m.awaited = observed
 	}
 }
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -17,12 +17,13 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is a mirror's surroundings: calls wait to be answered, what happens is noted.
+// controller is a fake of the controller around a mirror. Calls to the store stay pending until
+// the test responds to them. Calls of the Environment are recorded as events.
 type controller struct {
 	*Mirror
 	now     time.Time
 	leading bool
-	log     []string
+	events  []string
 	calls   []pendingCall
 }
 
@@ -38,6 +39,7 @@
 	return c
 }
 
+// CallStore implements kv.Transport.
 func (c *controller) CallStore(call kv.Call, done func(status int, body []byte)) {
 	c.calls = append(c.calls, pendingCall{call, done})
 }
@@ -46,15 +48,17 @@
 func (c *controller) LeaseCondition() protocol.Condition {
 	return protocol.Condition{Key: storage.LeaderKey, Revision: 7}
 }
-func (c *controller) Loaded()                { c.note("loaded") }
-func (c *controller) Diverged(reason string) { c.note("diverged: %s", reason) }
+func (c *controller) Loaded()                { c.record("loaded") }
+func (c *controller) Diverged(reason string) { c.record("diverged: %s", reason) }
 func (c *controller) Changed(event *protocol.WatchEvent) {
-	c.note("changed %s%s", event.Set, event.Delete)
+	c.record("changed %s%s", event.Set, event.Delete)
+}
+func (c *controller) record(format string, a ...any) {
+	c.events = append(c.events, fmt.Sprintf(format, a...))
 }
-func (c *controller) note(format string, a ...any) { c.log = append(c.log, fmt.Sprintf(format, a...)) }
 
-// answer answers the oldest call whose path begins so, after a while.
-func (c *controller) answer(t *testing.T, path string, status int, body any) {
+// respond responds, one millisecond later, to the oldest pending call whose path has a prefix.
+func (c *controller) respond(t *testing.T, path string, status int, body any) {
 	t.Helper()
 	c.now = c.now.Add(time.Millisecond)
 	for i, call := range c.calls {
@@ -64,16 +68,16 @@
 			return
 		}
 	}
-	t.Fatalf("no call of %s under way: %+v", path, c.calls)
+	t.Fatalf("no call with path %s is pending: %+v", path, c.calls)
 }
 
-// expect compares what was noted since it was last called.
+// expect checks which events were recorded since it was last called.
 func (c *controller) expect(t *testing.T, want ...string) {
 	t.Helper()
-	if !slices.Equal(c.log, want) {
-		t.Errorf("%q, want %q", c.log, want)
+	if !slices.Equal(c.events, want) {
+		t.Errorf("events %q, want %q", c.events, want)
 	}
-	c.log = nil
+	c.events = nil
 }
 
 var (
@@ -86,11 +90,11 @@
 	return path
 }
 
-// load has the mirror read records at revision 5.
+// load loads the mirror at revision 5, without any records.
 func (c *controller) load(t *testing.T) {
 	t.Helper()
 	c.Tick()
-	c.answer(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
+	c.respond(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
 	c.expect(t, "loaded")
 }
 
@@ -98,87 +102,88 @@
 	return protocol.WatchEvent{Set: key, Revision: revision, Value: json.RawMessage(`{}`)}
 }
 
-// TestChangesArePassedOnInOrder: after a load the watch begins where it ended, and each change
-// is passed on once, in its order; after it every change of before it was sent is known.
-func TestChangesArePassedOnInOrder(t *testing.T) {
+// TestLoadAndWatchDeliverEachChangeInOrder: after a load, the watch continues from the load's
+// revision, and each change is passed on once, in order. The mirror is then known to include every
+// change made before the watch was opened. A failed load is repeated only after a pause.
+func TestLoadAndWatchDeliverEachChangeInOrder(t *testing.T) {
 	c := newController(t)
 	start := c.now
 	c.Tick()
-	c.answer(t, rangePath, 0, nil)
+	c.respond(t, rangePath, 0, nil)
 	c.expect(t)
 	c.Tick()
 	if len(c.calls) > 0 {
-		t.Fatal("loaded again at once")
+		t.Fatal("loaded again without a pause")
 	}
 	c.now = c.now.Add(tuning.StoreRetryDelay)
-	asked := c.now
+	loadStartedAt := c.now
 	c.load(t)
-	if !c.SyncedAt().Equal(asked) || !start.Before(asked) {
-		t.Errorf("synced at %v, asked at %v", c.SyncedAt(), asked)
+	if !c.SyncedAt().Equal(loadStartedAt) || !start.Before(loadStartedAt) {
+		t.Errorf("synced at %v, load started at %v", c.SyncedAt(), loadStartedAt)
 	}
 	c.Tick()
-	opened := c.now
-	c.answer(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
+	watchOpenedAt := c.now
+	c.respond(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
 	c.expect(t, "changed g/c/b", "changed g/c/a")
-	if c.Revision != 9 || !c.SyncedAt().Equal(opened) {
+	if c.Revision != 9 || !c.SyncedAt().Equal(watchOpenedAt) {
 		t.Errorf("revision %d, synced at %v", c.Revision, c.SyncedAt())
 	}
 }
 
-// TestMirrorIsLoadedAnewWhenItDiverged: a watch that begins too far back, or a store that has
-// gone back, ends this mirror; the owner hears of it first.
-func TestMirrorIsLoadedAnewWhenItDiverged(t *testing.T) {
-	for want, answer := range map[string]struct {
+// TestDivergedMirrorIsReloaded: if a watch starts too far back, or the store has returned to an
+// older revision, the mirror is discarded and loaded again. The controller is notified first.
+func TestDivergedMirrorIsReloaded(t *testing.T) {
+	for want, response := range map[string]struct {
 		status int
 		body   any
 	}{
-		"diverged: watch too old":       {http.StatusGone, nil},
-		"diverged: store has gone back": {http.StatusOK, protocol.WatchResponse{Revision: 4}},
+		"diverged: watch is too far behind the store": {http.StatusGone, nil},
+		"diverged: store revision went backwards":     {http.StatusOK, protocol.WatchResponse{Revision: 4}},
 	} {
 		c := newController(t)
 		c.load(t)
 		c.Tick()
-		c.answer(t, watchPath, answer.status, answer.body)
+		c.respond(t, watchPath, response.status, response.body)
 		c.expect(t, want)
 		if c.Ready() {
-			t.Errorf("%s: still ready", want)
+			t.Errorf("%s: the mirror is still ready", want)
 		}
 		c.load(t)
 	}
 }
 
-// TestWatchThatHangsIsReopened: a revision that the store is known to have and the open watch
-// does not show has another watch opened beside it; only when the mirror has come as far does
-// it count as synced.
-func TestWatchThatHangsIsReopened(t *testing.T) {
+// TestStalledWatchIsReplaced: if the open watch does not deliver a revision that the store is
+// known to have, another watch is opened in addition to it. SyncedAt advances only when the
+// mirror has reached that revision.
+func TestStalledWatchIsReplaced(t *testing.T) {
 	c := newController(t)
 	c.load(t)
 	c.Tick()
-	loaded := c.SyncedAt()
-	asked := c.now
+	syncedByLoad := c.SyncedAt()
+	requestedAt := c.now
 	c.FetchRevision()
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
-	if !c.SyncedAt().Equal(loaded) {
-		t.Error("synced though the mirror has not come as far")
+	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
+	if !c.SyncedAt().Equal(syncedByLoad) {
+		t.Error("synced before the mirror has reached the revision")
 	}
 	var due time.Time
 	c.Due(func(at time.Time) { due = at })
-	if !due.Equal(asked.Add(tuning.WatchStallTimeout)) {
-		t.Errorf("due at %v", due)
+	if !due.Equal(requestedAt.Add(tuning.WatchStallTimeout)) {
+		t.Errorf("due at %v instead of at the stall timeout", due)
 	}
 	c.now = due.Add(-time.Millisecond)
 	c.Tick()
 	if len(c.calls) != 1 {
-		t.Fatalf("%d watches too early", len(c.calls))
+		t.Fatalf("%d pending watches before the stall timeout", len(c.calls))
 	}
 	c.now = due
 	c.Tick()
 	if len(c.calls) != 2 {
-		t.Fatalf("%d watches", len(c.calls))
+		t.Fatalf("%d pending watches after the stall timeout", len(c.calls))
 	}
-	c.answer(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
-	if c.SyncedAt().Before(asked) {
-		t.Errorf("synced at %v, asked at %v", c.SyncedAt(), asked)
+	c.respond(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
+	if c.SyncedAt().Before(requestedAt) {
+		t.Errorf("synced at %v, revision requested at %v", c.SyncedAt(), requestedAt)
 	}
 	c.expect(t, "changed g/c/a")
 }
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,8 +6,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// BenchmarkDecodeJob is a record of a job of ninety tasks, half of them placed: a
-// new leader decodes every one.
+// BenchmarkDecodeJob decodes the main record of a job with ninety tasks, half of them placed. A new
+// leader decodes the main record of every unfinished job.
 func BenchmarkDecodeJob(b *testing.B) {
 	rec := JobRecord{Writer: "boot-1", Spec: &protocol.Job{ID: "run-000001", Class: "class", Team: "team", Shape: protocol.ShapeArray, Priority: "idle",
 		Tasks: 90, CPUs: 10, GPUs: 1, MemoryGB: 54, Image: "img-1", ImageGB: 6, Types: []protocol.MachineTypeName{"type"}, Spot: true, EstimateS: 40, DeadlineS: 150}, TasksPerRecord: 98}
--- a/internal/storage/mirror.go
+++ b/internal/storage/mirror.go
@@ -6,81 +6,82 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Mirror is a node's copy of the live records: complete up to Revision.
+// Mirror is a node's copy of the live records, whose keys begin with LivePrefix. It includes every
+// change up to Revision. Package mirror loads it and keeps it up to date.
 type Mirror struct {
-	Revision protocol.Revision
-	items    map[string]protocol.Entry
-	loading  map[string]protocol.Entry
-	loadRev  protocol.Revision
-	ready    bool
-	statuses map[string]status
+	Revision      protocol.Revision
+	entries       map[string]protocol.Entry
+	loadedEntries map[string]protocol.Entry // of the pages read so far by a load
+	loadRevision  protocol.Revision         // of the load's first page
+	ready         bool
+	statuses      map[string]cachedStatus
 }
 
-// status is what a job's record says to its user, as of a revision: users ask
-// far more often than records change.
-type status struct {
+// cachedStatus is what a user is told about a job, as of a revision of the job's main record. It is
+// cached because users ask far more often than records change.
+type cachedStatus struct {
 	revision protocol.Revision
-	answer   protocol.Status
+	status   protocol.Status
 }
 
-// Ready says whether the mirror has been loaded.
+// Ready reports whether the mirror has been loaded.
 func (m *Mirror) Ready() bool { return m.ready }
 
-// BeginLoad starts reading everything anew.
+// BeginLoad starts loading all records anew.
 func (m *Mirror) BeginLoad() {
-	m.loading = map[string]protocol.Entry{}
-	m.loadRev = 0
+	m.loadedEntries = map[string]protocol.Entry{}
+	m.loadRevision = 0
 }
 
-// LoadPage takes a page and returns the key to go on after, or "" at the end.
-// The watch starts from the first page's revision: a change between two pages
-// is seen again, which does no harm.
+// LoadPage adds a page of records. It returns the key after which the next page starts, or "" if
+// this page is the last one. The watch starts from the revision of the first page: a change that is
+// made between two pages may be delivered again, which does no harm.
 func (m *Mirror) LoadPage(page *protocol.Entries) (after string) {
-	if m.loadRev == 0 {
-		m.loadRev = page.Revision
+	if m.loadRevision == 0 {
+		m.loadRevision = page.Revision
 	}
 	for _, e := range page.Items {
-		m.loading[e.Key] = e
+		m.loadedEntries[e.Key] = e
 		after = e.Key
 	}
 	if page.More && after != "" {
 		return after
 	}
-	m.items, m.loading = m.loading, nil
-	m.statuses = map[string]status{}
-	m.Revision, m.ready = m.loadRev, true
+	m.entries, m.loadedEntries = m.loadedEntries, nil
+	m.statuses = map[string]cachedStatus{}
+	m.Revision, m.ready = m.loadRevision, true
 	return ""
 }
 
-// Apply takes a change that the watch saw; false: it is older than what is
-// known.
+// Apply applies a change that the watch delivered. It returns false and does nothing if the change
+// is no newer than the mirror's entry, or deletes a key that the mirror does not have.
 func (m *Mirror) Apply(ev *protocol.WatchEvent) bool {
 	if ev.Set != "" {
-		if old, ok := m.items[ev.Set]; ok && old.Revision >= ev.Revision {
+		if old, ok := m.entries[ev.Set]; ok && old.Revision >= ev.Revision {
 			return false
 		}
-		m.items[ev.Set] = protocol.Entry{Key: ev.Set, Value: ev.Value, Revision: ev.Revision}
+		m.entries[ev.Set] = protocol.Entry{Key: ev.Set, Value: ev.Value, Revision: ev.Revision}
 		return true
 	}
-	old, ok := m.items[ev.Delete]
+	old, ok := m.entries[ev.Delete]
 	if !ok || old.Revision >= ev.Revision {
 		return false
 	}
-	delete(m.items, ev.Delete)
+	delete(m.entries, ev.Delete)
 	delete(m.statuses, ev.Delete)
 	return true
 }
 
-// Get reads one key.
+// Get returns the entry of a key, and false if there is none.
 func (m *Mirror) Get(key string) (protocol.Entry, bool) {
-	e, ok := m.items[key]
+	e, ok := m.entries[key]
 	return e, ok
 }
 
-// Status is what a job's user is told by the record under a key, and the
-// record's revision; false if there is no sound one.
+// Status returns what a user is told about the job whose main record has the given key, and the
+// revision of that record. It returns false if there is no valid record.
 func (m *Mirror) Status(key string) (protocol.Status, protocol.Revision, bool) {
-	e, ok := m.items[key]
+	e, ok := m.entries[key]
 	if !ok {
 		return protocol.Status{}, 0, false
 	}
@@ -90,20 +91,20 @@
 		if err != nil {
 			return protocol.Status{}, 0, false
 		}
-		s = status{e.Revision, rec.Status()}
+		s = cachedStatus{e.Revision, rec.Status()}
 		m.statuses[key] = s
 	}
-	return s.answer, s.revision, true
+	return s.status, s.revision, true
 }
 
-// Each visits the keys below a prefix, in no order.
+// Each calls visit for every entry whose key has the prefix, in no particular order.
 func (m *Mirror) Each(prefix string, visit func(protocol.Entry)) {
-	for k, e := range m.items {
+	for k, e := range m.entries {
 		if strings.HasPrefix(k, prefix) {
 			visit(e)
 		}
 	}
 }
 
-// Len is the number of keys.
-func (m *Mirror) Len() int { return len(m.items) }
+// Len returns the number of keys.
+func (m *Mirror) Len() int { return len(m.entries) }
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -13,7 +13,7 @@
 	"github.com/gappond/gappond/internal/golden"
 )
 
-// storedRecords are the records, by names of this test's own.
+// storedRecords are the types of the stored records, by the names that the golden list uses.
 var storedRecords = map[string]reflect.Type{
 	"relayed frames": reflect.TypeFor[RelayedFrames](),
 	"leader lease":   reflect.TypeFor[LeaderLease](),
@@ -25,13 +25,14 @@
 	"final":          reflect.TypeFor[FinalRecord](),
 }
 
-// longTaskTags are the fields of the form of a task that version 0.1 wrote, which is only read.
-var longTaskTags = []string{"tag i", "tag n", "tag m", "tag s", "tag d"}
+// objectFormTags are the fields of a task in the object form, which version 0.1 wrote. This form is
+// decoded but no longer written.
+var objectFormTags = []string{"tag i", "tag n", "tag m", "tag s", "tag d"}
 
-// TestStoredNames: every key of the store, every field of every record, its place and its
-// kind, and the records as a whole are those of the golden list.
+// TestStoredNames: every key of the store, the path and type of every field of every record, and
+// complete sample records match the golden list.
 func TestStoredNames(t *testing.T) {
-	list := golden.JSONNames(t, storedRecords, longTaskTags)
+	list := golden.JSONNames(t, storedRecords, objectFormTags)
 	for _, task := range []Task{{Index: 1, Attempt: 2}, {Index: 1, Attempt: 2, Machine: "m", Incarnation: 3}, {Index: 1, Attempt: 2, Done: true}} {
 		list = append(list, "task "+string(Encode(task)))
 	}
@@ -39,7 +40,7 @@
 	golden.CompareLines(t, "testdata/names.txt", list)
 }
 
-// storedKeys lists the keys and prefixes, and checks that the sources have no other.
+// storedKeys lists the keys and key prefixes, and checks that the sources contain no others.
 func storedKeys(t *testing.T) (list []string) {
 	known := []string{LivePrefix, LeaderKey, TypesKey, RestoreMarkerKey, JobPrefix, TaskRecordPrefix, MachineRecordPrefix, RelayPrefix, FinalRecordPrefix}
 	for _, key := range append(known, JobKey("run-1"), FinalRecordKey("run-1"), TaskRecordKey("run-1", 2), MachineRecordKey("a-1"), RelayKey("node-0", "node-1")) {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,19 +1,19 @@
-// Package storage holds the records that the controllers keep in the state
-// service, the transactions that change them and each node's mirror of them.
+// Package storage defines the records that the controllers keep in the key-value store, and the
+// data of each node's mirror of them.
 //
 // Keys:
 //
-//	g/c/leader      the leader lease, attached to its lease
+//	g/c/leader      the record of the leader lease, attached to a lease of the store
 //	g/c/types       the machine types as the leader last saw them
-//	g/c/restored    the marker of a state service that was restored to an older state
-//	g/j/<job>       an unfinished job: description, state and first tasks
-//	g/t/<job>/<n>   further tasks of a job that does not fit into one record
+//	g/c/restored    the marker of a store that was restored to an older state
+//	g/j/<job>       the main record of an unfinished job: specification, state and first tasks
+//	g/t/<job>/<n>   a task record: further tasks of a job that does not fit into its main record
 //	g/m/<id>        a machine record: some machines of one zone
-//	g/x/<from>/<to> messages between controllers that no link leads to
-//	h/<job>         a finished job, kept for good
+//	g/x/<from>/<to> messages relayed between controllers that have no link to each other
+//	h/<job>         the final record of a finished job, kept for ever
 //
-// Everything below g/ is mirrored by every node; h/ grows for ever and is read
-// one key at a time.
+// Every node mirrors all records below g/. The records below h/ grow without bound and are read one
+// key at a time.
 package storage
 
 import (
@@ -28,7 +28,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Prefixes and keys.
+// Keys and key prefixes.
 const (
 	LivePrefix          = "g/"
 	LeaderKey           = "g/c/leader"
@@ -41,24 +41,26 @@
 	FinalRecordPrefix   = "h/"
 )
 
-// JobKey is the key of an unfinished job.
+// JobKey returns the key of a job's main record.
 func JobKey(id protocol.JobID) string { return JobPrefix + string(id) }
 
-// ParseJobKey takes such a key apart.
+// ParseJobKey returns the job that a main record's key names, and false if the key is of another
+// kind.
 func ParseJobKey(key string) (id protocol.JobID, ok bool) {
 	rest, ok := strings.CutPrefix(key, JobPrefix)
 	return protocol.JobID(rest), ok
 }
 
-// FinalRecordKey is the key of a finished job.
+// FinalRecordKey returns the key of a job's final record.
 func FinalRecordKey(id protocol.JobID) string { return FinalRecordPrefix + string(id) }
 
-// TaskRecordKey is the key of a job's n-th record of tasks, n from 1.
+// TaskRecordKey returns the key of a job's n-th task record, counted from 1.
 func TaskRecordKey(id protocol.JobID, n int) string {
 	return TaskRecordPrefix + string(id) + "/" + strconv.Itoa(n)
 }
 
-// ParseTaskRecordKey takes such a key apart.
+// ParseTaskRecordKey returns the job and the record number that a task record's key names, and false
+// if the key is not valid.
 func ParseTaskRecordKey(key string) (id protocol.JobID, n int, ok bool) {
 	rest, ok := strings.CutPrefix(key, TaskRecordPrefix)
 	if !ok {
@@ -72,15 +74,16 @@
 	return protocol.JobID(job), n, err == nil && n > 0
 }
 
-// MachineRecordKey is the key of a machine record.
+// MachineRecordKey returns the key of a machine record.
 func MachineRecordKey(id string) string { return MachineRecordPrefix + id }
 
-// RelayKey is the key of the messages from one controller to another.
+// RelayKey returns the key of the messages that are relayed from one controller to another.
 func RelayKey(from, to protocol.NodeName) string {
 	return RelayPrefix + string(from) + "/" + string(to)
 }
 
-// ParseRelayKey takes such a key apart.
+// ParseRelayKey returns the sender and the receiver that a key of relayed messages names, and false
+// if the key is not valid.
 func ParseRelayKey(key string) (from, to protocol.NodeName, ok bool) {
 	rest, ok := strings.CutPrefix(key, RelayPrefix)
 	if !ok {
@@ -90,34 +93,35 @@
 	return protocol.NodeName(sender), protocol.NodeName(receiver), ok
 }
 
-// RelayedFrames holds frames of the controllers' binary format.
+// RelayedFrames is the record of relayed messages: frames of the controllers' binary format.
 type RelayedFrames struct {
 	Writer string `json:"w"`
 	Frames []byte `json:"f"`
 }
 
-// RelayCapacity is how many bytes of frames fit into one value: JSON writes three
-// bytes as four characters.
+// RelayCapacity returns how many bytes of frames fit into one value. JSON encodes three bytes as
+// four characters, and 256 bytes are reserved for the rest of the record.
 func RelayCapacity(valueKB float64) int { return (int(valueKB*1024) - 256) / 4 * 3 }
 
-// LeaderLease is the leader lease. Its revision is the term and the token.
+// LeaderLease is the record of the leader lease. Its revision is the leader's term and fencing token.
 type LeaderLease struct {
 	Node protocol.NodeName `json:"node"`
-	// Boot tells two lives of one node apart.
+	// Boot identifies the node's process: a restarted node has another value.
 	Boot string `json:"boot"`
 }
 
-// RestoreMarker marks a state service that lacks what workers have seen of it: jobs of before
-// may run on workers that have yet to report. Token is the highest that a worker held.
+// RestoreMarker marks a store that was restored to an older state and lacks changes whose effects
+// agents have seen. Tasks of jobs submitted earlier may run on machines whose agents have not
+// reported yet. Token is the highest fencing token that an agent held.
 type RestoreMarker struct {
 	Writer string        `json:"w"`
 	Token  protocol.Term `json:"token"`
 }
 
-// Task is the part of a task that must outlive every controller. It is written
-// as [index,attempt] when it has no place, [index,attempt,"machine",incarnation]
-// when it has one, and [index,attempt,1] when it is done: a job of a hundred
-// tasks then fits into one record.
+// Task is the part of a task's state that must survive the loss of every controller. It is encoded
+// as the array [index,attempt] if the task has no placement, [index,attempt,"machine",incarnation]
+// if it has one, and [index,attempt,1] if it is done. In this short form, a job of a hundred tasks
+// fits into one record.
 type Task struct {
 	Index       int
 	Attempt     protocol.AttemptNumber
@@ -126,7 +130,7 @@
 	Done        bool
 }
 
-// MarshalJSON writes the short form.
+// MarshalJSON encodes a task in the array form.
 func (t Task) MarshalJSON() ([]byte, error) {
 	b := make([]byte, 0, 48)
 	b = append(b, '[')
@@ -148,20 +152,20 @@
 	return append(b, ']'), nil
 }
 
-// Tasks are the tasks of a record. They are read all at once: a new leader reads
-// those of every unfinished job before it does anything else.
+// Tasks are the tasks of a record. They are decoded all at once to save time: a new leader decodes
+// the tasks of every unfinished job before it does anything else.
 type Tasks []Task
 
-// UnmarshalJSON reads the short forms, or the long one that version 0.1 wrote.
+// UnmarshalJSON decodes tasks in the array form, or in the object form that version 0.1 wrote.
 func (list *Tasks) UnmarshalJSON(value []byte) error {
-	var short [][]json.RawMessage
-	if err := json.Unmarshal(value, &short); err != nil {
-		return list.unmarshalLong(value)
+	var arrays [][]json.RawMessage
+	if err := json.Unmarshal(value, &arrays); err != nil {
+		return list.unmarshalObjects(value)
 	}
-	*list = make(Tasks, len(short))
-	for i, fields := range short {
+	*list = make(Tasks, len(arrays))
+	for i, fields := range arrays {
 		if len(fields) < 2 || len(fields) > 4 {
-			return fmt.Errorf("a task of %d fields", len(fields))
+			return fmt.Errorf("task has %d fields, want 2 to 4", len(fields))
 		}
 		t := &(*list)[i]
 		t.Done = len(fields) == 3
@@ -179,66 +183,69 @@
 	return nil
 }
 
-// parseNumber reads a number of a short form.
+// parseNumber decodes a number in the array form of a task.
 func parseNumber[N ~uint64](field json.RawMessage) (N, error) {
 	n, err := strconv.ParseUint(string(field), 10, 64)
 	return N(n), err
 }
 
-func (list *Tasks) unmarshalLong(value []byte) error {
-	var long []struct {
+func (list *Tasks) unmarshalObjects(value []byte) error {
+	var objects []struct {
 		Index       int                    `json:"i"`
 		Attempt     protocol.AttemptNumber `json:"n"`
 		Machine     protocol.MachineID     `json:"m"`
 		Incarnation protocol.Incarnation   `json:"s"`
 		Done        bool                   `json:"d"`
 	}
-	err := json.Unmarshal(value, &long)
+	err := json.Unmarshal(value, &objects)
 	*list = nil
-	for _, t := range long {
+	for _, t := range objects {
 		*list = append(*list, Task(t))
 	}
 	return err
 }
 
-// JobRecord is the record of an unfinished job. Writer is unique to every write: by
-// it a transaction whose answer was lost is told from one that never happened.
+// JobRecord is the main record of an unfinished job. Writer is a name that is unique to each write.
+// It distinguishes a transaction that was committed although its response was lost from one that
+// was never executed.
 type JobRecord struct {
 	Writer             string                 `json:"w"`
 	Spec               *protocol.Job          `json:"spec"`
-	SubmittedAtMs      int64                  `json:"at"`            // time of day of the submission
-	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // revision of the submission: the order of arrival
-	Epoch              protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
+	SubmittedAtMs      int64                  `json:"at"`            // wall-clock time of the submission
+	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // gives the order of arrival; 0 until the record is first rewritten
+	Epoch              protocol.AttemptNumber `json:"try,omitempty"` // of a gang
 	Cancelled          bool                   `json:"off,omitempty"`
 	DoneTasks          int                    `json:"done,omitempty"`
 	PlacedTasks        int                    `json:"placed,omitempty"`
-	TasksPerRecord     int                    `json:"chunk"` // tasks per record
-	// TotalRecords is the number of records if there are more than TasksPerRecord says: one that
-	// had outgrown the limits was split, and what it gave away is in the last ones.
-	// Version 0.2 would not find those.
+	TasksPerRecord     int                    `json:"chunk"`
+	// TotalRecords is the number of the job's records if it is higher than BaseRecords, and 0
+	// otherwise. It is higher if an oversized record was split: the tasks that were moved out of
+	// it are in the last records. Version 0.2 does not find those.
 	TotalRecords int   `json:"parts,omitempty"`
 	Tasks        Tasks `json:"tasks,omitempty"`
-	// Version is 0 as long as every version that may run beside this one reads the
-	// record whole. A record of a higher version is left alone.
+	// Version is the version of the record's format. It is 0 as long as every program version
+	// that may run at the same time as this one reads the whole record. A record of a higher
+	// version than maxJobRecordVersion is left as it is.
 	Version int `json:"v,omitempty"`
 }
 
-// ErrUnknownVersion is wrapped by the error about a record of a version that is not known.
+// ErrUnknownVersion is wrapped by the error about a record whose version is not known.
 var ErrUnknownVersion = errors.New("record of an unknown version")
 
-// ErrMalformedRecord is wrapped by the error about a record that makes no sense.
-var ErrMalformedRecord = errors.New("record without a sound description")
+// ErrMalformedRecord is the error about a main record that is valid JSON but has invalid content.
+var ErrMalformedRecord = errors.New("malformed job record: missing or invalid specification or record counts")
 
-// jobVersion is the highest version of a job's record that is known.
-const jobVersion = 0
+// maxJobRecordVersion is the highest version of a JobRecord that this program can read.
+const maxJobRecordVersion = 0
 
-// BaseRecords is the number of records that TasksPerRecord says.
+// BaseRecords returns the number of records that hold all of the job's tasks at TasksPerRecord
+// each. Records that splits have added are not counted.
 func (j *JobRecord) BaseRecords() int {
 	return (j.Spec.Tasks + j.TasksPerRecord - 1) / j.TasksPerRecord
 }
 
-// Writer is the writer's name that a record begins with, found without decoding
-// the rest; "" if it begins otherwise.
+// Writer returns the writer's name with which a record begins, without decoding the rest. It
+// returns "" if the record begins with anything else.
 func Writer(value json.RawMessage) string {
 	rest, ok := bytes.CutPrefix(value, []byte(`{"w":"`))
 	name, _, closed := bytes.Cut(rest, []byte(`"`))
@@ -248,20 +255,21 @@
 	return string(name)
 }
 
-// TaskRecord is a further record of a job's tasks.
+// TaskRecord holds further tasks of a job.
 type TaskRecord struct {
 	Writer string `json:"w"`
 	Tasks  Tasks  `json:"tasks,omitempty"`
 }
 
-// MachineRecord lists some machines of one zone. A placement on one of them
-// is guarded on the revision of this record.
+// MachineRecord lists some machines of one zone. A transaction that stores a placement on one of
+// them is guarded by the revision of this record.
 type MachineRecord struct {
 	Writer   string         `json:"w"`
 	Machines []MachineEntry `json:"rooms"`
 }
 
-// MachineRecordCapacity is how many bytes of entries fit into one record.
+// MachineRecordCapacity returns how many bytes of machine entries fit into one record. 256 bytes
+// are reserved for the rest of the record.
 func MachineRecordCapacity(valueKB float64) int { return int(valueKB*1024) - 256 }
 
 // MachineEntry is a machine's entry in its machine record.
@@ -271,19 +279,19 @@
 	Type    protocol.MachineTypeName `json:"type"`
 	Zone    protocol.ZoneName        `json:"zone"`
 	Spot    bool                     `json:"spot,omitempty"`
-	// Cordoned machines take no further tasks.
+	// Cordoned machines are given no further tasks.
 	Cordoned bool `json:"closed,omitempty"`
 }
 
-// MaxSize is how many bytes an entry takes at most, whatever address it gets and
-// whether or not it is closed.
+// MaxSize returns the largest size of the encoded entry in bytes, whatever address the machine gets
+// and whether or not it is cordoned.
 func (r MachineEntry) MaxSize() int {
 	r.Cordoned, r.Spot = true, true
-	return len(Encode(r)) + 1 + max(0, maxAddress-len(r.Address))
+	return len(Encode(r)) + 1 + max(0, maxAddressBytes-len(r.Address))
 }
 
-// maxAddress is the longest IPv4 address with its port, in bytes.
-const maxAddress = 21
+// maxAddressBytes is the length of the longest IPv4 address with a port.
+const maxAddressBytes = 21
 
 // FinalRecord is the record of a finished job.
 type FinalRecord struct {
@@ -292,8 +300,9 @@
 	DoneTasks int            `json:"done"`
 }
 
-// TasksPerRecord is the number of a job's tasks per record that the limits allow. The
-// places of a gang are all written, and each is guarded on its machine's record.
+// TasksPerRecord returns how many of a job's tasks the store's limits allow in one record. For a
+// gang, all placements in a record are written together, and each is guarded by the revision of its
+// machine's record.
 func TasksPerRecord(valueKB float64, txnOps int, spec *protocol.Job) int {
 	n := (int(valueKB*1024) - len(Encode(spec)) - tuning.RecordHeaderBytes) / tuning.BytesPerTask
 	n = min(n, tuning.MaxTasksPerRecord)
@@ -303,18 +312,19 @@
 	return max(1, n)
 }
 
-// MaxGangTasksPerRecord is how many tasks of a gang a record may have: with every one on
-// another machine, in another machine record, the transaction that places them keeps within
-// its conditions, four for every change, the leader lease and two records among them.
+// MaxGangTasksPerRecord returns how many tasks of a gang one record may hold. Even if each task is
+// on another machine, and each machine in another machine record, the transaction that stores the
+// placements keeps within the limit of four conditions for each change that it may have. The four
+// that are subtracted cover the conditions on the leader lease and on two of the job's records.
 func MaxGangTasksPerRecord(txnOps int) int { return 4*txnOps - 4 }
 
-// Storable says whether a job's description leaves room for a task.
+// Storable reports whether a job's specification leaves room for a task in its main record.
 func Storable(valueKB float64, spec *protocol.Job) bool {
 	return len(Encode(spec))+tuning.RecordHeaderBytes+tuning.BytesPerTask <= int(valueKB*1024)
 }
 
-// Status is what a user is told of an unfinished job. A record counts as
-// running once a task has its place.
+// Status returns what a user is told about an unfinished job. The job counts as running while at
+// least one of its tasks has a placement.
 func (j *JobRecord) Status() protocol.Status {
 	s := protocol.Status{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.DoneTasks, Running: j.PlacedTasks}
 	switch {
@@ -326,13 +336,13 @@
 	return s
 }
 
-// DecodeJob reads a job's record.
+// DecodeJob decodes and validates a job's main record.
 func DecodeJob(value json.RawMessage) (*JobRecord, error) {
 	var j JobRecord
 	if err := json.Unmarshal(value, &j); err != nil {
 		return nil, err
 	}
-	if j.Version > jobVersion {
+	if j.Version > maxJobRecordVersion {
 		return nil, fmt.Errorf("%w: %d", ErrUnknownVersion, j.Version)
 	}
 	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerRecord < 1 {
@@ -341,7 +351,8 @@
 	return &j, nil
 }
 
-// Encode writes a record. Records hold nothing that JSON cannot express.
+// Encode returns the JSON encoding of a value. It panics if the value cannot be expressed in JSON;
+// records contain no such values.
 func Encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -10,63 +10,64 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestRecordsFit: a job's records keep within the value limit with the largest
-// description, numbers and names that they may hold.
-func TestRecordsFit(t *testing.T) {
-	for _, kb := range []float64{2, 4, 8, 64} {
+// TestJobRecordFitsValueLimit: a main record keeps within the store's value limit even with the
+// longest specification, the largest numbers and the longest names that it may hold.
+func TestJobRecordFitsValueLimit(t *testing.T) {
+	for _, valueKB := range []float64{2, 4, 8, 64} {
 		spec := &protocol.Job{ID: protocol.JobID("run-" + strings.Repeat("9", 30)), Tasks: protocol.MaxTasks}
-		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(kb, spec) {
+		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(valueKB, spec) {
 			spec.Image += "x"
 		}
 		spec.Image = spec.Image[1:]
-		size := TasksPerRecord(kb, 12, spec)
+		tasksPerRecord := TasksPerRecord(valueKB, 12, spec)
 		var tasks []Task
-		for i := range size {
+		for i := range tasksPerRecord {
 			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Incarnation: 9_999, Done: false})
 		}
 		rec := JobRecord{Writer: strings.Repeat("w", 40), Spec: spec, SubmittedAtMs: 1 << 50, SubmissionRevision: 1 << 60, Epoch: 1 << 30, Cancelled: true,
-			DoneTasks: protocol.MaxTasks, PlacedTasks: protocol.MaxTasks, TasksPerRecord: size, Tasks: tasks}
-		if n := len(Encode(rec)); n > int(kb*1024) {
-			t.Errorf("%v KiB: a record of %d bytes", kb, n)
+			DoneTasks: protocol.MaxTasks, PlacedTasks: protocol.MaxTasks, TasksPerRecord: tasksPerRecord, Tasks: tasks}
+		if n := len(Encode(rec)); n > int(valueKB*1024) {
+			t.Errorf("value limit of %v KiB: the record has %d bytes", valueKB, n)
 		}
 	}
 }
 
-func TestChunkKeys(t *testing.T) {
+// TestParseTaskRecordKey: the key of a task record is parsed, and other or invalid keys are rejected.
+func TestParseTaskRecordKey(t *testing.T) {
 	id, n, ok := ParseTaskRecordKey(TaskRecordKey("run-1", 12))
 	if id != "run-1" || n != 12 || !ok {
-		t.Errorf("%s %d %v", id, n, ok)
+		t.Errorf("parsed as job %s, number %d, valid %v", id, n, ok)
 	}
 	for _, bad := range []string{"g/t/run-1", "g/t/run-1/x", "g/t/run-1/0", "g/j/run-1"} {
 		if _, _, ok := ParseTaskRecordKey(bad); ok {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("%s is accepted as the key of a task record", bad)
 		}
 	}
 }
 
-func entry(key string, stamp protocol.Revision) protocol.Entry {
-	return protocol.Entry{Key: key, Value: []byte(fmt.Sprint(stamp)), Revision: stamp}
+func entry(key string, revision protocol.Revision) protocol.Entry {
+	return protocol.Entry{Key: key, Value: []byte(fmt.Sprint(revision)), Revision: revision}
 }
 
-// TestMirrorBetweenPages: what changes while the pages are read is neither
-// missed nor undone when the watch shows it again.
-func TestMirrorBetweenPages(t *testing.T) {
+// TestChangesDuringLoad: a change that is made between the reads of two pages is not missed, and it
+// is not undone when the watch delivers the same or an earlier change of the key.
+func TestChangesDuringLoad(t *testing.T) {
 	var m Mirror
 	m.BeginLoad()
 	if after := m.LoadPage(&protocol.Entries{Revision: 100, More: true, Items: []protocol.Entry{entry("g/a", 5), entry("g/b", 6)}}); after != "g/b" {
-		t.Fatalf("goes on after %q", after)
+		t.Fatalf("the next page starts after %q", after)
 	}
 	if m.Ready() {
-		t.Error("ready after half of the pages")
+		t.Error("ready after the first of two pages")
 	}
-	// g/c was written at 105 and again at 107, before its page was read.
+	// g/c was written at revision 105, and again at 107 before its page was read.
 	m.LoadPage(&protocol.Entries{Revision: 110, Items: []protocol.Entry{entry("g/c", 107)}})
 	if !m.Ready() || m.Revision != 100 {
-		t.Fatalf("ready %v at %d", m.Ready(), m.Revision)
+		t.Fatalf("ready %v at revision %d", m.Ready(), m.Revision)
 	}
 	steps := []struct {
-		ev   protocol.WatchEvent
-		took bool
+		ev      protocol.WatchEvent
+		applied bool
 	}{
 		{protocol.WatchEvent{Set: "g/c", Revision: 105}, false},
 		{protocol.WatchEvent{Set: "g/c", Revision: 107}, false},
@@ -75,19 +76,21 @@
 		{protocol.WatchEvent{Set: "g/a", Value: []byte("9"), Revision: 111}, true},
 	}
 	for i, s := range steps {
-		if got := m.Apply(&s.ev); got != s.took {
-			t.Errorf("step %d: taken %v", i, got)
+		if got := m.Apply(&s.ev); got != s.applied {
+			t.Errorf("step %d: applied %v", i, got)
 		}
 	}
 	if e, _ := m.Get("g/c"); e.Revision != 107 {
-		t.Errorf("g/c at %d", e.Revision)
+		t.Errorf("g/c at revision %d", e.Revision)
 	}
 	if e, ok := m.Get("g/a"); !ok || e.Revision != 111 {
-		t.Errorf("g/a at %d", e.Revision)
+		t.Errorf("g/a at revision %d", e.Revision)
 	}
 }
 
-func TestStatus(t *testing.T) {
+// TestJobStatus: a job is running while a task has a placement, and a cancelled job is cancelled in
+// any case. Otherwise an unfinished job is pending, even if some of its tasks are done.
+func TestJobStatus(t *testing.T) {
 	spec := &protocol.Job{ID: "run-1", Tasks: 3}
 	for _, c := range []struct {
 		rec  JobRecord
@@ -100,13 +103,14 @@
 	} {
 		c.rec.Spec = spec
 		if s := c.rec.Status(); s.Phase != c.want {
-			t.Errorf("%+v is %s", c.rec, s.Phase)
+			t.Errorf("%+v has phase %s", c.rec, s.Phase)
 		}
 	}
 }
 
-// TestTaskForm: the short form of a task says all that it must.
-func TestTaskForm(t *testing.T) {
+// TestTaskEncoding: the array form of a task keeps all of its fields. The object form that version
+// 0.1 wrote is decoded too, and everything else is rejected.
+func TestTaskEncoding(t *testing.T) {
 	for want, task := range map[string]Task{
 		`[3,2]`:            {Index: 3, Attempt: 2},
 		`[3,2,1]`:          {Index: 3, Attempt: 2, Done: true},
@@ -114,62 +118,63 @@
 		`[9,1,"i-0001",0]`: {Index: 9, Attempt: 1, Machine: "i-0001"},
 	} {
 		if got := string(Encode(task)); got != want {
-			t.Errorf("%+v is written %s, want %s", task, got, want)
+			t.Errorf("%+v is encoded as %s, want %s", task, got, want)
 		}
-		var back Tasks
-		if err := json.Unmarshal([]byte("["+want+"]"), &back); err != nil || len(back) != 1 || back[0] != task {
-			t.Errorf("%s is read %+v, %v", want, back, err)
+		var decoded Tasks
+		if err := json.Unmarshal([]byte("["+want+"]"), &decoded); err != nil || len(decoded) != 1 || decoded[0] != task {
+			t.Errorf("%s is decoded as %+v, error %v", want, decoded, err)
 		}
 	}
-	var old Tasks
-	if err := json.Unmarshal([]byte(`[{"i":3,"n":2,"m":"i-1","s":4}]`), &old); err != nil || len(old) != 1 || old[0] != (Task{Index: 3, Attempt: 2, Machine: "i-1", Incarnation: 4}) {
-		t.Errorf("the long form is read %+v, %v", old, err)
+	var fromObjects Tasks
+	if err := json.Unmarshal([]byte(`[{"i":3,"n":2,"m":"i-1","s":4}]`), &fromObjects); err != nil || len(fromObjects) != 1 || fromObjects[0] != (Task{Index: 3, Attempt: 2, Machine: "i-1", Incarnation: 4}) {
+		t.Errorf("the object form is decoded as %+v, error %v", fromObjects, err)
 	}
 	for _, bad := range []string{`[]`, `[1]`, `[1,2,"m",1,5]`, `["a",1]`, `[1,-1]`, `[1,2,3,4]`, `{"i":"1"}`} {
-		var back Tasks
-		if json.Unmarshal([]byte("["+bad+"]"), &back) == nil {
-			t.Errorf("%s is taken", bad)
+		var decoded Tasks
+		if json.Unmarshal([]byte("["+bad+"]"), &decoded) == nil {
+			t.Errorf("%s is accepted as a task", bad)
 		}
 	}
 }
 
-// TestMirrorStatus: what users are told follows a record's revisions, though it is
-// decoded only once for each, and a record's writer is found without decoding.
+// TestMirrorStatus: what users are told changes with each revision of a job's main record, although
+// each revision is decoded only once. The writer of a record is found without decoding the record.
 func TestMirrorStatus(t *testing.T) {
 	var m Mirror
 	m.BeginLoad()
 	m.LoadPage(&protocol.Entries{Revision: 1})
 	key := JobKey("run-1")
-	for stamp, want := range []protocol.Status{
+	for i, want := range []protocol.Status{
 		{ID: "run-1", Phase: protocol.PhasePending},
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
 	} {
 		rec := JobRecord{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, TasksPerRecord: 9, DoneTasks: want.Done, PlacedTasks: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
 		value := Encode(rec)
-		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(stamp + 2)})
+		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(i + 2)})
 		for range 2 {
 			got, at, ok := m.Status(key)
-			if !ok || got != want || at != protocol.Revision(stamp+2) {
-				t.Errorf("revision %d: %+v at %d, %v, want %+v", stamp+2, got, at, ok, want)
+			if !ok || got != want || at != protocol.Revision(i+2) {
+				t.Errorf("revision %d: %+v at %d, %v, want %+v", i+2, got, at, ok, want)
 			}
 		}
 		if Writer(value) != "w-1" {
-			t.Errorf("%s: written by %q", value, Writer(value))
+			t.Errorf("%s: the writer is %q", value, Writer(value))
 		}
 	}
 	m.Apply(&protocol.WatchEvent{Delete: key, Revision: 9})
 	if _, _, ok := m.Status(key); ok || len(m.statuses) > 0 {
-		t.Error("a deleted record has a status")
+		t.Error("there is a status for a deleted record")
 	}
 	if Writer([]byte(`{"spec":{}}`)) != "" || Writer([]byte(`{"w":"x`)) != "" {
-		t.Error("a writer where there is none")
+		t.Error("a writer is found in a record without one")
 	}
 }
 
-// TestEarlierRecords: records as versions 0.2 and 0.3 wrote them are read whole, and
-// written the same while both versions run: nothing in them is new to the earlier one.
-func TestEarlierRecords(t *testing.T) {
+// TestRecordsOfEarlierVersions: records that versions 0.2 and 0.3 wrote are decoded completely and
+// encoded again to the same bytes. So while both versions run, records contain nothing that the
+// earlier one does not know.
+func TestRecordsOfEarlierVersions(t *testing.T) {
 	for version, want := range map[string]int{"0.2": 8, "0.3": 10} {
 		data, err := os.ReadFile("testdata/records-" + version + ".txt")
 		if err != nil {
@@ -181,15 +186,15 @@
 		}
 		for _, line := range lines {
 			key, value, _ := strings.Cut(line, " ")
-			again, err := reencode(t, key, value)
-			if err != nil || string(again) != value {
-				t.Errorf("%s: %s: %v\n%s\n%s", version, key, err, value, again)
+			encoded, err := reencode(t, key, value)
+			if err != nil || string(encoded) != value {
+				t.Errorf("%s: %s: %v\n%s\n%s", version, key, err, value, encoded)
 			}
 		}
 	}
 }
 
-// reencode reads the record under a key and writes it again.
+// reencode decodes the record of a key and encodes it again.
 func reencode(t *testing.T, key, value string) (json.RawMessage, error) {
 	t.Helper()
 	switch {
@@ -199,26 +204,26 @@
 			return nil, err
 		}
 		if want := (j.Spec.Tasks + 97) / 98; j.BaseRecords() != want || j.TotalRecords != 0 && j.TotalRecords <= want {
-			t.Errorf("%s: %d parts, %d records", key, j.TotalRecords, j.BaseRecords())
+			t.Errorf("%s: %d total records, %d base records", key, j.TotalRecords, j.BaseRecords())
 		}
 		return Encode(j), nil
 	case strings.HasPrefix(key, TaskRecordPrefix):
-		return through[TaskRecord](value)
+		return decodeAndEncode[TaskRecord](value)
 	case strings.HasPrefix(key, FinalRecordPrefix):
-		return through[FinalRecord](value)
+		return decodeAndEncode[FinalRecord](value)
 	case strings.HasPrefix(key, MachineRecordPrefix):
-		return through[MachineRecord](value)
+		return decodeAndEncode[MachineRecord](value)
 	case strings.HasPrefix(key, RelayPrefix):
-		return through[RelayedFrames](value)
+		return decodeAndEncode[RelayedFrames](value)
 	case key == LeaderKey:
-		return through[LeaderLease](value)
+		return decodeAndEncode[LeaderLease](value)
 	case key == TypesKey:
-		return through[protocol.MachineTypes](value)
+		return decodeAndEncode[protocol.MachineTypes](value)
 	}
-	return nil, fmt.Errorf("%s is no key", key)
+	return nil, fmt.Errorf("unknown key %s", key)
 }
 
-func through[T any](value string) (json.RawMessage, error) {
+func decodeAndEncode[T any](value string) (json.RawMessage, error) {
 	var v T
 	err := json.Unmarshal([]byte(value), &v)
 	return Encode(v), err
