--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -103,7 +103,7 @@
 func (c *controller) store(t *testing.T, spec *protocol.Job, revision protocol.Revision) protocol.Entry {
 	t.Helper()
 	event := protocol.WatchEvent{Set: storage.JobKey(spec.ID), Revision: revision,
-		Value: storage.Encode(storage.JobRecord{Writer: "other-1", Spec: spec, TasksPerRecord: 60})}
+		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, TasksPerBaseRecord: 60})}
 	if !c.queries.mirror.Apply(&event) {
 		t.Fatal("the mirror does not take the record")
 	}
--- a/internal/coordination/api/finished_jobs.go
+++ b/internal/coordination/api/finished_jobs.go
@@ -26,5 +26,5 @@
 }
 
 func finishedStatus(jobID protocol.JobID, final storage.FinalRecord) protocol.Status {
-	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.DoneTasks}
+	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/coordination/api/status_queries_test.go
+++ b/internal/coordination/api/status_queries_test.go
@@ -34,7 +34,7 @@
 	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
 	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
 	c.answer(t, protocol.KeyPath(storage.FinalRecordKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone, DoneTasks: 2})})
+		protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone, Done: 2})})
 	c.expect(t, "3 status done 2")
 	c.Query(4, spec.ID) // remembered: it never changes
 	c.expect(t, "4 status done 2")
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -66,8 +66,8 @@
 // unknown, finished or not.
 func (s *submissions) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.Store
-	record := storage.JobRecord{Writer: s.env.UniqueName(), Spec: spec, SubmittedAtMs: s.env.Now().UnixMilli(),
-		TasksPerRecord: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
+	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, SubmittedAtMs: s.env.Now().UnixMilli(),
+		TasksPerBaseRecord: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
 	return storage.Encode(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalRecordKey(spec.ID)}},
 		Changes:    []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(record)}},
--- a/internal/coordination/api/submissions_test.go
+++ b/internal/coordination/api/submissions_test.go
@@ -22,7 +22,7 @@
 	}
 	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
 	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.JobRecord{Spec: &spec, TasksPerRecord: 60})})
+		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, TasksPerBaseRecord: 60})})
 	c.expect(t, "1 accepted pending")
 	c.Submit(2, &spec)
 	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 7})
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -62,7 +62,7 @@
 	// JobFinished is called when a job's final record is in the store.
 	JobFinished(id protocol.JobID, final storage.FinalRecord)
 	// MergeRecord merges a job's main record, which a peer may have changed, into the job.
-	MergeRecord(job *cluster.Job, record *storage.JobRecord, revision protocol.Revision)
+	MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision)
 	// QuarantineJob freezes a job in its present state, because one of its records cannot be read.
 	QuarantineJob(id protocol.JobID, err error)
 	// TransactionCommitted is called when a committed transaction has been handled completely.
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -109,7 +109,7 @@
 			txn.respond(kv.TransactionResult{Outcome: kv.Unknown})
 			l.timers[0]()
 			l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
-			entry := protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(storage.JobRecord{Writer: "another"}), Revision: 50}
+			entry := protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(storage.Job{Writer: "another"}), Revision: 50}
 			if tc.ownWrite {
 				entry.Value = txn.Changes[len(txn.Changes)-1].Value
 			}
@@ -153,7 +153,7 @@
 	if len(job.Attempts) != 0 || l.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d attempts of the refused transaction are left, or their GPUs are still in use", len(job.Attempts))
 	}
-	record := storage.JobRecord{Writer: "another", Spec: job.Spec, TasksPerRecord: 60, SubmissionRevision: job.ArrivalOrder, Cancelled: true}
+	record := storage.Job{Writer: "another", Spec: job.Spec, TasksPerBaseRecord: 60, SubmissionRevision: job.ArrivalOrder, Cancelled: true}
 	l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(record), Revision: 50}})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
 		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -37,7 +37,7 @@
 
 // addFinal replaces the main record of a job that has ended with its final record.
 func (b *transactionBuilder) addFinal(job *cluster.Job, phase protocol.Phase) {
-	final := &storage.FinalRecord{Writer: b.tx.writer, Phase: phase, DoneTasks: job.DoneTasks}
+	final := &storage.FinalRecord{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 	if !b.fits(2, 2, finalRecordBytes) {
 		return
 	}
@@ -248,7 +248,7 @@
 }
 
 // jobRecord returns the content of a job's main record.
-func jobRecord(job *cluster.Job, writer string, tasks []storage.Task) storage.JobRecord {
+func jobRecord(job *cluster.Job, writer string, tasks []storage.Task) storage.Job {
 	placed := 0
 	for i := range job.Tasks {
 		if job.Tasks[i].Active != nil && !job.Tasks[i].Done {
@@ -259,6 +259,6 @@
 	if len(job.Records.ExtraParts) > 0 {
 		parts = len(job.Records.Revisions)
 	}
-	return storage.JobRecord{Writer: writer, Spec: job.Spec, SubmittedAtMs: job.SubmittedAt.UnixMilli(), SubmissionRevision: job.ArrivalOrder, Epoch: job.Epoch,
-		Cancelled: job.Cancelled, DoneTasks: job.DoneTasks, PlacedTasks: placed, TasksPerRecord: job.Records.TasksPerRecord, TotalRecords: parts, Tasks: tasks}
+	return storage.Job{Writer: writer, Spec: job.Spec, SubmittedAtMs: job.SubmittedAt.UnixMilli(), SubmissionRevision: job.ArrivalOrder, Attempt: job.Epoch,
+		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, TasksPerBaseRecord: job.Records.TasksPerRecord, TotalRecords: parts, Tasks: tasks}
 }
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -240,7 +240,7 @@
 func (l *leader) JobFinished(protocol.JobID, storage.FinalRecord) {}
 
 // MergeRecord implements commit.Outcomes.
-func (l *leader) MergeRecord(job *cluster.Job, record *storage.JobRecord, revision protocol.Revision) {
+func (l *leader) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
 	l.loader.Merge(job, record, revision)
 }
 
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -19,9 +19,9 @@
 
 // oversizedJob returns a job, written by an earlier version, whose record exceeds the lowered
 // limits.
-func oversizedJob() *storage.JobRecord {
+func oversizedJob() *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	record := &storage.JobRecord{Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, TasksPerRecord: 98}
+	record := &storage.Job{Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
@@ -34,10 +34,10 @@
 
 // jobWithLargeSpec returns a job whose specification leaves space for few tasks in its main
 // record.
-func jobWithLargeSpec(shape protocol.Shape) *storage.JobRecord {
+func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	record := &storage.JobRecord{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Epoch: 2, TasksPerRecord: 98}
+	record := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostID, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -49,7 +49,7 @@
 }
 
 // storeWithJob returns a store that holds a job and the machine of all its tasks.
-func storeWithJob(record *storage.JobRecord) *testStore {
+func storeWithJob(record *storage.Job) *testStore {
 	s := newTestStore()
 	s.put(storage.JobKey(record.Spec.ID), record, 9)
 	s.put("g/m/one", storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostID, Address: "h:1", Type: "big", Zone: "a"}}}, 8)
@@ -57,7 +57,7 @@
 }
 
 // checkTasks checks that the tasks a leader has loaded are those of a record.
-func checkTasks(t *testing.T, l *leader, record *storage.JobRecord) {
+func checkTasks(t *testing.T, l *leader, record *storage.Job) {
 	t.Helper()
 	job := l.Jobs[record.Spec.ID]
 	if job == nil {
@@ -202,7 +202,7 @@
 
 // splitInSteps lets a leader write all its changes and returns the number of transactions. After
 // failoverAfter of them another leader takes over.
-func splitInSteps(t *testing.T, s *testStore, record *storage.JobRecord, failoverAfter int) (steps int) {
+func splitInSteps(t *testing.T, s *testStore, record *storage.Job, failoverAfter int) (steps int) {
 	t.Helper()
 	l := newLeader(s, loweredLimits, protocol.PeerLevel)
 	for range 40 {
--- a/internal/coordination/commit_outcomes.go
+++ b/internal/coordination/commit_outcomes.go
@@ -43,7 +43,7 @@
 }
 
 // MergeRecord implements commit.Outcomes.
-func (co commitOutcomes) MergeRecord(job *cluster.Job, record *storage.JobRecord, revision protocol.Revision) {
+func (co commitOutcomes) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
 	co.l.loader.Merge(job, record, revision)
 }
 
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -133,7 +133,7 @@
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: storage.Encode(storage.JobRecord{Writer: writer, Spec: &s, TasksPerRecord: 60})})
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, TasksPerBaseRecord: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -53,7 +53,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.loader.AddJob(&storage.JobRecord{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), TasksPerRecord: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.loader.AddJob(&storage.Job{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), TasksPerBaseRecord: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // placesAll runs a scheduling cycle and says whether it has left a job with a place for
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -9,16 +9,16 @@
 )
 
 // AddJob adds a job to the model from its main record.
-func (ld *Loader) AddJob(record *storage.JobRecord, revision protocol.Revision) *cluster.Job {
+func (ld *Loader) AddJob(record *storage.Job, revision protocol.Revision) *cluster.Job {
 	spec := record.Spec
 	job := &cluster.Job{
 		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: record.SubmissionRevision, SubmittedAt: time.UnixMilli(record.SubmittedAtMs),
-		Epoch: record.Epoch, Cancelled: record.Cancelled,
+		Epoch: record.Attempt, Cancelled: record.Cancelled,
 		Tasks:    make([]cluster.Task, spec.Tasks),
 		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: ld.state.Now()},
-		Records: cluster.RecordLayout{TasksPerRecord: record.TasksPerRecord, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.TotalRecords)),
+		Records: cluster.RecordLayout{TasksPerRecord: record.TasksPerBaseRecord, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.TotalRecords)),
 			AbandonedParts: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
--- a/internal/coordination/loader/loader.go
+++ b/internal/coordination/loader/loader.go
@@ -88,7 +88,7 @@
 
 // Merge merges a job's main record that a peer may have written. The only change that a peer
 // makes is to mark the job as cancelled.
-func (ld *Loader) Merge(job *cluster.Job, record *storage.JobRecord, revision protocol.Revision) {
+func (ld *Loader) Merge(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
 	job.Records.Revisions[0] = max(job.Records.Revisions[0], revision)
 	if record.Cancelled {
 		ld.env.CancelJob(job)
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -57,10 +57,10 @@
 
 // jobRecord returns the main record of a job with two tasks and one task per record. tasks are the
 // tasks in the main record.
-func jobRecord(tasks ...storage.Task) storage.JobRecord {
+func jobRecord(tasks ...storage.Task) storage.Job {
 	spec := clustertest.Array(2)
 	spec.ID, spec.Priority = testJob, "normal"
-	return storage.JobRecord{Writer: "w-1", Spec: &spec, SubmissionRevision: 5, Epoch: 1, TasksPerRecord: 1, Tasks: tasks}
+	return storage.Job{Writer: "w-1", Spec: &spec, SubmissionRevision: 5, Attempt: 1, TasksPerBaseRecord: 1, Tasks: tasks}
 }
 
 func placedTask(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -69,7 +69,7 @@
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
-		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.JobRecord{Spec: &s, SubmissionRevision: 5, Epoch: 3, TasksPerRecord: 60,
+		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, SubmissionRevision: 5, Attempt: 3, TasksPerBaseRecord: 60,
 			Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
 			entries = append(entries, protocol.Entry{Key: storage.MachineRecordKey("r"), Revision: 4,
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -57,8 +57,8 @@
 	c.events = append(c.events, fmt.Sprintf(format, a...))
 }
 
-// respond responds, one millisecond later, to the oldest pending call whose path has a prefix.
-func (c *controller) respond(t *testing.T, path string, status int, body any) {
+// reply responds, one millisecond later, to the oldest pending call whose path has a prefix.
+func (c *controller) reply(t *testing.T, path string, status int, body any) {
 	t.Helper()
 	c.now = c.now.Add(time.Millisecond)
 	for i, call := range c.calls {
@@ -94,7 +94,7 @@
 func (c *controller) load(t *testing.T) {
 	t.Helper()
 	c.Tick()
-	c.respond(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
+	c.reply(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
 	c.expect(t, "loaded")
 }
 
@@ -109,7 +109,7 @@
 	c := newController(t)
 	start := c.now
 	c.Tick()
-	c.respond(t, rangePath, 0, nil)
+	c.reply(t, rangePath, 0, nil)
 	c.expect(t)
 	c.Tick()
 	if len(c.calls) > 0 {
@@ -123,7 +123,7 @@
 	}
 	c.Tick()
 	watchOpenedAt := c.now
-	c.respond(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
+	c.reply(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
 	c.expect(t, "changed g/c/b", "changed g/c/a")
 	if c.Revision != 9 || !c.SyncedAt().Equal(watchOpenedAt) {
 		t.Errorf("revision %d, synced at %v", c.Revision, c.SyncedAt())
@@ -133,7 +133,7 @@
 // TestDivergedMirrorIsReloaded: if a watch starts too far back, or the store has returned to an
 // older revision, the mirror is discarded and loaded again. The controller is notified first.
 func TestDivergedMirrorIsReloaded(t *testing.T) {
-	for want, response := range map[string]struct {
+	for want, reply := range map[string]struct {
 		status int
 		body   any
 	}{
@@ -143,7 +143,7 @@
 		c := newController(t)
 		c.load(t)
 		c.Tick()
-		c.respond(t, watchPath, response.status, response.body)
+		c.reply(t, watchPath, reply.status, reply.body)
 		c.expect(t, want)
 		if c.Ready() {
 			t.Errorf("%s: the mirror is still ready", want)
@@ -162,7 +162,7 @@
 	syncedByLoad := c.SyncedAt()
 	requestedAt := c.now
 	c.FetchRevision()
-	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
+	c.reply(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
 	if !c.SyncedAt().Equal(syncedByLoad) {
 		t.Error("synced before the mirror has reached the revision")
 	}
@@ -181,7 +181,7 @@
 	if len(c.calls) != 2 {
 		t.Fatalf("%d pending watches after the stall timeout", len(c.calls))
 	}
-	c.respond(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
+	c.reply(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
 	if c.SyncedAt().Before(requestedAt) {
 		t.Errorf("synced at %v, revision requested at %v", c.SyncedAt(), requestedAt)
 	}
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -25,7 +25,7 @@
 	n.peers.Add("s")
 	n.peers.Receive("s", 1, protocol.PeerHello{Node: "s"})
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	rec := &storage.JobRecord{Spec: &s, SubmittedAtMs: n.now.UnixMilli(), SubmissionRevision: 5, TasksPerRecord: 98}
+	rec := &storage.Job{Spec: &s, SubmittedAtMs: n.now.UnixMilli(), SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range s.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -32,7 +32,7 @@
 		},
 	} {
 		rec := wideJob(protocol.ShapeGang)
-		rec.TasksPerRecord, rec.Tasks = 49, rec.Tasks[:49]
+		rec.TasksPerBaseRecord, rec.Tasks = 49, rec.Tasks[:49]
 		s := stored(rec)
 		key, part := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
 		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
@@ -109,10 +109,10 @@
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
 // wideJob is a job whose description leaves space for few tasks in its first record.
-func wideJob(shape protocol.Shape) *storage.JobRecord {
+func wideJob(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	rec := &storage.JobRecord{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Epoch: 2, TasksPerRecord: 98}
+	rec := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -123,7 +123,7 @@
 	return rec
 }
 
-func stored(rec *storage.JobRecord) *storedRecords {
+func stored(rec *storage.Job) *storedRecords {
 	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
 	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
 	machines := storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -443,8 +443,8 @@
 }
 
 // pendingRecord is a job's record before any place.
-func pendingRecord(spec *protocol.Job, now time.Time) storage.JobRecord {
-	return storage.JobRecord{Writer: "before", Spec: spec, SubmittedAtMs: now.UnixMilli(), SubmissionRevision: 1, TasksPerRecord: 60}
+func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
+	return storage.Job{Writer: "before", Spec: spec, SubmittedAtMs: now.UnixMilli(), SubmissionRevision: 1, TasksPerBaseRecord: 60}
 }
 
 // TestColdRestartLeavesBadRecordsAlone: a job's record that cannot be read, one of a later version, and a
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -9,8 +9,8 @@
 // BenchmarkDecodeJob decodes the main record of a job with ninety tasks, half of them placed. A new
 // leader decodes the main record of every unfinished job.
 func BenchmarkDecodeJob(b *testing.B) {
-	rec := JobRecord{Writer: "boot-1", Spec: &protocol.Job{ID: "run-000001", Class: "class", Team: "team", Shape: protocol.ShapeArray, Priority: "idle",
-		Tasks: 90, CPUs: 10, GPUs: 1, MemoryGB: 54, Image: "img-1", ImageGB: 6, Types: []protocol.MachineTypeName{"type"}, Spot: true, EstimateS: 40, DeadlineS: 150}, TasksPerRecord: 98}
+	rec := Job{Writer: "boot-1", Spec: &protocol.Job{ID: "run-000001", Class: "class", Team: "team", Shape: protocol.ShapeArray, Priority: "idle",
+		Tasks: 90, CPUs: 10, GPUs: 1, MemoryGB: 54, Image: "img-1", ImageGB: 6, Types: []protocol.MachineTypeName{"type"}, Spot: true, EstimateS: 40, DeadlineS: 150}, TasksPerBaseRecord: 98}
 	for i := range 90 {
 		t := Task{Index: i, Attempt: 1, Done: i%2 == 0}
 		if !t.Done {
--- a/internal/storage/names_test.go
+++ b/internal/storage/names_test.go
@@ -19,7 +19,7 @@
 	"leader lease":   reflect.TypeFor[LeaderLease](),
 	"restored":       reflect.TypeFor[RestoreMarker](),
 	"task":           reflect.TypeFor[Task](),
-	"job":            reflect.TypeFor[JobRecord](),
+	"job":            reflect.TypeFor[Job](),
 	"task record":    reflect.TypeFor[TaskRecord](),
 	"machine record": reflect.TypeFor[MachineRecord](),
 	"final":          reflect.TypeFor[FinalRecord](),
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -205,19 +205,19 @@
 	return err
 }
 
-// JobRecord is the main record of an unfinished job. Writer is a name that is unique to each write.
+// Job is the main record of an unfinished job. Writer is a name that is unique to each write.
 // It distinguishes a transaction that was committed although its response was lost from one that
 // was never executed.
-type JobRecord struct {
+type Job struct {
 	Writer             string                 `json:"w"`
 	Spec               *protocol.Job          `json:"spec"`
 	SubmittedAtMs      int64                  `json:"at"`            // wall-clock time of the submission
 	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // gives the order of arrival; 0 until the record is first rewritten
-	Epoch              protocol.AttemptNumber `json:"try,omitempty"` // of a gang
+	Attempt            protocol.AttemptNumber `json:"try,omitempty"` // epoch of a gang
 	Cancelled          bool                   `json:"off,omitempty"`
-	DoneTasks          int                    `json:"done,omitempty"`
-	PlacedTasks        int                    `json:"placed,omitempty"`
-	TasksPerRecord     int                    `json:"chunk"`
+	Done               int                    `json:"done,omitempty"`   // number of done tasks
+	Placed             int                    `json:"placed,omitempty"` // number of tasks with a placement
+	TasksPerBaseRecord int                    `json:"chunk"`
 	// TotalRecords is the number of the job's records if it is higher than BaseRecords, and 0
 	// otherwise. It is higher if an oversized record was split: the tasks that were moved out of
 	// it are in the last records. Version 0.2 does not find those.
@@ -235,13 +235,13 @@
 // ErrMalformedRecord is the error about a main record that is valid JSON but has invalid content.
 var ErrMalformedRecord = errors.New("malformed job record: missing or invalid specification or record counts")
 
-// maxJobRecordVersion is the highest version of a JobRecord that this program can read.
+// maxJobRecordVersion is the highest version of a job's main record that this program can read.
 const maxJobRecordVersion = 0
 
-// BaseRecords returns the number of records that hold all of the job's tasks at TasksPerRecord
+// BaseRecords returns the number of records that hold all of the job's tasks at TasksPerBaseRecord
 // each. Records that splits have added are not counted.
-func (j *JobRecord) BaseRecords() int {
-	return (j.Spec.Tasks + j.TasksPerRecord - 1) / j.TasksPerRecord
+func (j *Job) BaseRecords() int {
+	return (j.Spec.Tasks + j.TasksPerBaseRecord - 1) / j.TasksPerBaseRecord
 }
 
 // Writer returns the writer's name with which a record begins, without decoding the rest. It
@@ -295,9 +295,9 @@
 
 // FinalRecord is the record of a finished job.
 type FinalRecord struct {
-	Writer    string         `json:"w"`
-	Phase     protocol.Phase `json:"phase"`
-	DoneTasks int            `json:"done"`
+	Writer string         `json:"w"`
+	Phase  protocol.Phase `json:"phase"`
+	Done   int            `json:"done"` // number of done tasks
 }
 
 // TasksPerRecord returns how many of a job's tasks the store's limits allow in one record. For a
@@ -325,27 +325,27 @@
 
 // Status returns what a user is told about an unfinished job. The job counts as running while at
 // least one of its tasks has a placement.
-func (j *JobRecord) Status() protocol.Status {
-	s := protocol.Status{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.DoneTasks, Running: j.PlacedTasks}
+func (j *Job) Status() protocol.Status {
+	s := protocol.Status{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.Done, Running: j.Placed}
 	switch {
 	case j.Cancelled:
 		s.Phase, s.Running = protocol.PhaseCancelled, 0
-	case j.PlacedTasks > 0:
+	case j.Placed > 0:
 		s.Phase = protocol.PhaseRunning
 	}
 	return s
 }
 
 // DecodeJob decodes and validates a job's main record.
-func DecodeJob(value json.RawMessage) (*JobRecord, error) {
-	var j JobRecord
+func DecodeJob(value json.RawMessage) (*Job, error) {
+	var j Job
 	if err := json.Unmarshal(value, &j); err != nil {
 		return nil, err
 	}
 	if j.Version > maxJobRecordVersion {
 		return nil, fmt.Errorf("%w: %d", ErrUnknownVersion, j.Version)
 	}
-	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerRecord < 1 {
+	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerBaseRecord < 1 {
 		return nil, ErrMalformedRecord
 	}
 	return &j, nil
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -24,8 +24,8 @@
 		for i := range tasksPerRecord {
 			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Incarnation: 9_999, Done: false})
 		}
-		rec := JobRecord{Writer: strings.Repeat("w", 40), Spec: spec, SubmittedAtMs: 1 << 50, SubmissionRevision: 1 << 60, Epoch: 1 << 30, Cancelled: true,
-			DoneTasks: protocol.MaxTasks, PlacedTasks: protocol.MaxTasks, TasksPerRecord: tasksPerRecord, Tasks: tasks}
+		rec := Job{Writer: strings.Repeat("w", 40), Spec: spec, SubmittedAtMs: 1 << 50, SubmissionRevision: 1 << 60, Attempt: 1 << 30, Cancelled: true,
+			Done: protocol.MaxTasks, Placed: protocol.MaxTasks, TasksPerBaseRecord: tasksPerRecord, Tasks: tasks}
 		if n := len(Encode(rec)); n > int(valueKB*1024) {
 			t.Errorf("value limit of %v KiB: the record has %d bytes", valueKB, n)
 		}
@@ -93,13 +93,13 @@
 func TestJobStatus(t *testing.T) {
 	spec := &protocol.Job{ID: "run-1", Tasks: 3}
 	for _, c := range []struct {
-		rec  JobRecord
+		rec  Job
 		want protocol.Phase
 	}{
-		{JobRecord{}, protocol.PhasePending},
-		{JobRecord{DoneTasks: 1}, protocol.PhasePending},
-		{JobRecord{PlacedTasks: 1}, protocol.PhaseRunning},
-		{JobRecord{PlacedTasks: 1, Cancelled: true}, protocol.PhaseCancelled},
+		{Job{}, protocol.PhasePending},
+		{Job{Done: 1}, protocol.PhasePending},
+		{Job{Placed: 1}, protocol.PhaseRunning},
+		{Job{Placed: 1, Cancelled: true}, protocol.PhaseCancelled},
 	} {
 		c.rec.Spec = spec
 		if s := c.rec.Status(); s.Phase != c.want {
@@ -149,7 +149,7 @@
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
 	} {
-		rec := JobRecord{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, TasksPerRecord: 9, DoneTasks: want.Done, PlacedTasks: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
+		rec := Job{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, TasksPerBaseRecord: 9, Done: want.Done, Placed: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
 		value := Encode(rec)
 		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(i + 2)})
 		for range 2 {
