--- a/internal/coordination/autoscaler/cloud.go
+++ b/internal/coordination/autoscaler/cloud.go
@@ -7,7 +7,7 @@
 type Cloud interface {
 	// CreateMachines asks for machines. The same request under the same name gives the same
 	// machines.
-	CreateMachines(request protocol.Rental, done func(CreateResult))
+	CreateMachines(request protocol.CreateMachinesRequest, done func(CreateResult))
 	// DeleteMachines deletes machines; that some are gone already is no failure.
 	DeleteMachines(machines []protocol.MachineID, done func(deleted bool))
 	// ListMachines reads a page of the machine list; the page is nil if that failed.
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -14,7 +14,7 @@
 type cloudClient struct{ l *leader }
 
 // CreateMachines implements autoscaler.Cloud.
-func (c cloudClient) CreateMachines(request protocol.Rental, done func(autoscaler.CreateResult)) {
+func (c cloudClient) CreateMachines(request protocol.CreateMachinesRequest, done func(autoscaler.CreateResult)) {
 	c.call(http.MethodPost, protocol.PathMachines, request, func(status int, body []byte) {
 		names, isNames := parse[protocol.MachineNames](body)
 		refusal, _ := parse[protocol.ErrorBody](body)
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -14,7 +14,7 @@
 // leaderWithPlacedGang returns a leader that has placed a gang and sent the transaction for it.
 func leaderWithPlacedGang(t *testing.T, tasks int) (l *leader, id protocol.JobID, txn *sentTransaction) {
 	t.Helper()
-	l = newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l = newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	machine := l.addMachine("i-1")
 	job := l.AddJob(clustertest.Gang(tasks, 1))
 	job.Records.Revisions[0] = 4
@@ -193,7 +193,7 @@
 // TestUrgentChangesUseTheReservedBudget: when little of the write budget is left, the placement
 // of a gang is written, but that of an array only when more is available.
 func TestUrgentChangesUseTheReservedBudget(t *testing.T) {
-	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	l.addMachine("i-1")
 	array, gang := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Gang(1, 1))
 	l.scheduler.RunCycle()
@@ -220,7 +220,7 @@
 // TestOrphanedMachineRecordIsDeleted: the creation of a machine record may be applied late, after
 // the record was deleted. The machines that it lists must not come back with it.
 func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
-	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	machine := l.addMachine("i-1")
 	key := machine.Record.Key
 	deletion := func(revision protocol.Revision) *sentTransaction {
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -106,7 +106,7 @@
 		t.Fatalf("want one oversized record, got %d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
-	l.peerLevel = protocol.PeerLevel
+	l.peerLevel = protocol.CurrentFeatureLevel
 	split := l.nextTransaction(t)
 	checkSizes(t, split)
 	mainRecord := split.Changes[len(split.Changes)-1]
@@ -126,7 +126,7 @@
 // records of a job.
 func checkReadBack(t *testing.T, job *cluster.Job, txn *sentTransaction) {
 	t.Helper()
-	other := newLeader(newTestStore(), loweredLimits, protocol.PeerLevel)
+	other := newLeader(newTestStore(), loweredLimits, protocol.CurrentFeatureLevel)
 	mainRecord, err := storage.DecodeJob(txn.Changes[len(txn.Changes)-1].Value)
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 			if l.committer.InFlight() {
 				t.Error("the record is sent while a peer may run version 0.2")
 			}
-			l.peerLevel = protocol.PeerLevel
+			l.peerLevel = protocol.CurrentFeatureLevel
 			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		}
 		if txn := l.lastSent(t); len(txn.Changes) < 2 {
@@ -204,10 +204,10 @@
 // failoverAfter of them another leader takes over.
 func splitInSteps(t *testing.T, s *testStore, record *storage.Job, failoverAfter int) (steps int) {
 	t.Helper()
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	for range 40 {
 		if steps == failoverAfter {
-			l = newLeader(s, loweredLimits, protocol.PeerLevel)
+			l = newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 			checkTasks(t, l, record)
 		}
 		txn := l.nextTransaction(t)
@@ -217,7 +217,7 @@
 		steps++
 		checkSizes(t, txn)
 		l.applyAndRespond(t, txn)
-		checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+		checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 	}
 	return steps
 }
@@ -229,7 +229,7 @@
 	for _, staged := range []bool{false, true} {
 		record := jobWithLargeSpec(protocol.ShapeArray)
 		s := storeWithJob(record)
-		l := newLeader(s, loweredLimits, protocol.PeerLevel)
+		l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 		job := l.Jobs[record.Spec.ID]
 		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
 			t.Fatalf("no transaction, or only %d new parts", len(job.Records.UnnamedParts))
@@ -262,7 +262,7 @@
 		if job.Records.Splitting {
 			t.Fatal("the split is never completed")
 		}
-		if !newLeader(s, loweredLimits, protocol.PeerLevel).Jobs[record.Spec.ID].Tasks[ended].Done {
+		if !newLeader(s, loweredLimits, protocol.CurrentFeatureLevel).Jobs[record.Spec.ID].Tasks[ended].Done {
 			t.Errorf("part staged: %v: the end of the task is lost", staged)
 		}
 		if l.scheduler.WaitingTasks(job) == 0 {
@@ -276,7 +276,7 @@
 func TestNothingIsStagedWhilePeerMayRunEarlierVersion(t *testing.T) {
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	s := storeWithJob(record)
-	l := newLeader(s, loweredLimits, protocol.PeerKnowsCancelled)
+	l := newLeader(s, loweredLimits, protocol.FeatureLevelCancellations)
 	l.limits.NoteRejection()
 	for range 5 {
 		txn := l.nextTransaction(t)
@@ -294,7 +294,7 @@
 		}
 		l.applyAndRespond(t, txn)
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 }
 
 // TestAbandonedPartsAreReusedOrDeletedWithJob: parts that a previous leader staged but that no
@@ -306,7 +306,7 @@
 	s := storeWithJob(record)
 	key := storage.TaskRecordKey(record.Spec.ID, 1)
 	s.put(key, storage.TaskRecord{Writer: "w-3", Tasks: storage.Tasks{{Index: 40, Attempt: 1}}}, 7)
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	checkTasks(t, l, record)
 	for range 40 {
 		txn := l.nextTransaction(t)
@@ -320,7 +320,7 @@
 		}
 		l.applyAndRespond(t, txn) // refused unless the abandoned part's revision is used
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 	job := l.Jobs[record.Spec.ID]
 	l.CancelJob(job)
 	for _, attempt := range job.SortedAttempts() {
@@ -349,7 +349,7 @@
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	record.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
 	s := storeWithJob(record)
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	l.limits.NoteRejection()
 	for range 3 {
 		txn := l.nextTransaction(t)
@@ -362,7 +362,7 @@
 	if job := l.Jobs[record.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("quarantined: %v, %d tasks wait for placement", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 }
 
 // TestMachineIsAlwaysInSomeRecord: machines move out of an oversized machine record into other
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -118,7 +118,7 @@
 		l := newTestLeader()
 		machine := l.AddMachine("i-1", "big", "a")
 		saves := clustertest.Array(1)
-		saves.CheckpointS, saves.SaveS = 60, 7
+		saves.CheckpointIntervalS, saves.CheckpointSaveS = 60, 7
 		saving, plain, service := l.running(saves, machine), l.running(clustertest.Array(1), machine), l.running(clustertest.Service(1, 1), machine)
 		machine.Quarantined = quarantined
 		l.Drain(machine)
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -25,7 +25,7 @@
 		m.env.RecordMachine(machine) // so that no leader places anything there any more
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointS == 0 && !machine.Quarantined {
+		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointIntervalS == 0 && !machine.Quarantined {
 			continue // replicas move one by one
 		}
 		m.stopGracefully(attempt)
@@ -34,7 +34,7 @@
 
 // stopGracefully stops an attempt with the time to save its progress; a gang stops as a whole.
 func (m *Manager) stopGracefully(attempt *cluster.Attempt) {
-	m.stopWithGang(attempt, attempt.Job.Spec.SaveS+tuning.StopGraceSeconds)
+	m.stopWithGang(attempt, attempt.Job.Spec.CheckpointSaveS+tuning.StopGraceSeconds)
 }
 
 // Preempt stops an attempt for a job that waits: gracefully if a checkpoint is worth that
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -256,7 +256,7 @@
 func TestExpiredForwardsAreRefusedInOrder(t *testing.T) {
 	for range 20 {
 		b := newController(t, 0, "b", 0)
-		b.connect("c", protocol.PeerStatus{StateOK: true})
+		b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 		var want []string
 		for id := range uint64(8) {
 			if !b.ForwardRequest(100+id, protocol.PeerUserRequest{Job: "run-000001"}) {
@@ -280,7 +280,7 @@
 	if b.ForwardRequest(7, protocol.PeerUserRequest{}) {
 		t.Error("forwarded though the store serves no peer")
 	}
-	b.connect("c", protocol.PeerStatus{StateOK: true})
+	b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 	b.ForwardRequest(7, protocol.PeerUserRequest{Job: "run-000001"})
 	request := b.sent[len(b.sent)-1].(protocol.PeerUserRequest)
 	b.log = nil
@@ -314,15 +314,15 @@
 		want    bool
 	}{
 		{3, protocol.PeerHello{Node: "s"}, false},
-		{3, protocol.Announcement("n"), true},
+		{3, protocol.FeatureLevelAnnouncement("n"), true},
 		{3, protocol.PeerStatus{}, true},
 		{4, protocol.PeerHello{Node: "s"}, false}, // back as an older version
-		{3, protocol.Announcement("n"), false},
+		{3, protocol.FeatureLevelAnnouncement("n"), false},
 		{4, protocol.PeerStatus{}, false},
-		{4, protocol.Announcement("n"), true},
+		{4, protocol.FeatureLevelAnnouncement("n"), true},
 	} {
 		c.Receive("s", step.link, step.message)
-		if got := c.AllKnow(protocol.PeerLevel); got != step.want {
+		if got := c.AllKnow(protocol.CurrentFeatureLevel); got != step.want {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -106,7 +106,7 @@
 	if link > peer.link {
 		peer.link, peer.level = link, 0 // another process perhaps, and an older version
 	}
-	if level, ok := protocol.Announced(message); ok {
+	if level, ok := protocol.AnnouncedFeatureLevel(message); ok {
 		if link == peer.link {
 			peer.level = level // one held back on an earlier link says nothing of this one
 		}
@@ -150,7 +150,7 @@
 
 // ServedNames lists the peers within reach that the store serves, in order of their names.
 func (p *Peers) ServedNames() []protocol.NodeName {
-	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.StateOK })
+	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.HasStoreAccess })
 }
 
 // Knows says whether a peer can be reached and has announced a level on its newest link.
@@ -270,7 +270,7 @@
 			peer.heard = now // one reset at a time
 			p.env.ResetLink(name)
 		default:
-			p.env.Send(name, protocol.Announcement(name))
+			p.env.Send(name, protocol.FeatureLevelAnnouncement(name))
 			p.env.Send(name, status)
 		}
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -36,7 +36,7 @@
 		return
 	}
 	n.router.ForgetContacts()
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness)}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), HasStoreAccess: n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness)}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
 	}
@@ -49,7 +49,7 @@
 		return
 	}
 	switch message := message.(type) {
-	case protocol.PeerConfirmRequest:
+	case protocol.PeerConfirmationRequest:
 		answer := n.election.Confirm(message, n.now.Sub(n.began), n.api.ConfirmedCancellations())
 		n.out = append(n.out, PeerSend{Peer: from, Message: answer})
 	case protocol.PeerConfirmation:
@@ -115,7 +115,7 @@
 		n.lead.cancelFromPeer(jobID)
 		return
 	}
-	if to := n.election.Holder(); n.peers.Knows(to, protocol.PeerKnowsCancelled) {
+	if to := n.election.Holder(); n.peers.Knows(to, protocol.FeatureLevelCancellations) {
 		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -49,18 +49,18 @@
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
-		l.n.receive("p", 1, protocol.PeerConfirmRequest{ID: 1})
+		l.n.receive("p", 1, protocol.PeerConfirmationRequest{ID: 1})
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
-	if m := tell(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
-		t.Errorf("complete %v, %d named", m.Complete, len(m.Cancels))
+	if m := tell(0, 9000); !m.Complete || len(m.Cancellations) != 9000 {
+		t.Errorf("complete %v, %d named", m.Complete, len(m.Cancellations))
 	}
 	m := tell(9000, 60_000)
-	if m.Complete || len(m.Cancels) > 0 {
-		t.Errorf("beyond a frame: complete %v, %d named", m.Complete, len(m.Cancels))
+	if m.Complete || len(m.Cancellations) > 0 {
+		t.Errorf("beyond a frame: complete %v, %d named", m.Complete, len(m.Cancellations))
 	}
 	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Agents.CancelS))
-	if m := tell(60_000, 60_001); !m.Complete || len(m.Cancels) != 1 {
-		t.Errorf("old ones stay: complete %v, %d named", m.Complete, len(m.Cancels))
+	if m := tell(60_000, 60_001); !m.Complete || len(m.Cancellations) != 1 {
+		t.Errorf("old ones stay: complete %v, %d named", m.Complete, len(m.Cancellations))
 	}
 }
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -74,7 +74,7 @@
 			if l.committer.InFlight() {
 				t.Error("sent again beside a peer that may be of version 0.2")
 			}
-			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
+			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.FeatureLevelAnnouncement("n")})
 			l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
 		}
 		if txn, _ := l.sentTxn(t); len(txn.Changes) < 2 {
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -38,7 +38,7 @@
 		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
 			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
-		l := s.leader(protocol.PeerLevel)
+		l := s.leader(protocol.CurrentFeatureLevel)
 		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
@@ -91,7 +91,7 @@
 	n.budgets = newStoreBudgets(n.cfg)
 	n.peers.Add("s")
 	n.peers.Up("s")
-	announcement := protocol.Announcement("n").(protocol.PeerResponse)
+	announcement := protocol.FeatureLevelAnnouncement("n").(protocol.PeerResponse)
 	announcement.Status = level
 	n.peers.Receive("s", 1, announcement)
 	page := protocol.Entries{Revision: s.revision}
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -32,8 +32,8 @@
 	CauseGangTimeout Cause = "alone"
 	CauseError       Cause = "error"
 	CauseNoCapacity  Cause = "full"
-	CauseBusy        Cause = "in_use"
-	CauseUnknown     Cause = "no_such"
+	CauseTaskPresent Cause = "in_use"
+	CauseUnknownTask Cause = "no_such"
 )
 
 // CommandKind is what a command asks of an agent.
@@ -69,8 +69,8 @@
 	Tasks             []TaskStatus    `json:"pieces"`
 }
 
-// Newer says whether h is a newer message than (incarnation, sequence).
-func (h *Heartbeat) Newer(incarnation Incarnation, sequence Sequence) bool {
+// NewerThan says whether h is a newer message than (incarnation, sequence).
+func (h *Heartbeat) NewerThan(incarnation Incarnation, sequence Sequence) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
@@ -95,7 +95,7 @@
 func SplitTask(name string) (jobID JobID, index int, ok bool) {
 	before, rest, ok := strings.Cut(name, "/")
 	jobID = JobID(before)
-	if !ok || !ValidID(jobID) {
+	if !ok || !ValidJobID(jobID) {
 		return "", 0, false
 	}
 	index, err := strconv.Atoi(rest)
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// MaxSpec is the largest description of a job, in bytes as JSON: it must leave
+// MaxJobBytes is the largest description of a job, in bytes as JSON: it must leave
 // room for tasks in a record of the store.
-const MaxSpec = 2 << 10
+const MaxJobBytes = 2 << 10
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
@@ -65,26 +65,26 @@
 
 // Job is a submission.
 type Job struct {
-	ID          JobID             `json:"uid"`
-	Class       string            `json:"lane"`
-	Team        TeamName          `json:"crew"`
-	Shape       Shape             `json:"shape"`
-	Priority    string            `json:"rank"`
-	Tasks       int               `json:"pieces"`
-	CPUs        float64           `json:"cpus"`
-	GPUs        float64           `json:"gpus"`
-	MemoryGB    float64           `json:"memory_gb"`
-	Image       string            `json:"bundle"`
-	ImageGB     float64           `json:"pull_gb"`
-	Types       []MachineTypeName `json:"builds,omitempty"`
-	Zone        ZoneName          `json:"yard,omitempty"`
-	OneZone     bool              `json:"one_zone"`
-	Spread      bool              `json:"scatter"`
-	Spot        bool              `json:"loaners"`
-	EstimateS   float64           `json:"expect_s"`
-	CheckpointS float64           `json:"snapshot_s"`
-	SaveS       float64           `json:"flush_s"`
-	DeadlineS   float64           `json:"due_s,omitempty"`
+	ID                  JobID             `json:"uid"`
+	Class               string            `json:"lane"`
+	Team                TeamName          `json:"crew"`
+	Shape               Shape             `json:"shape"`
+	Priority            string            `json:"rank"`
+	Tasks               int               `json:"pieces"`
+	CPUs                float64           `json:"cpus"`
+	GPUs                float64           `json:"gpus"`
+	MemoryGB            float64           `json:"memory_gb"`
+	Image               string            `json:"bundle"`
+	ImageGB             float64           `json:"pull_gb"`
+	Types               []MachineTypeName `json:"builds,omitempty"`
+	Zone                ZoneName          `json:"yard,omitempty"`
+	OneZone             bool              `json:"one_zone"`
+	Spread              bool              `json:"scatter"`
+	Spot                bool              `json:"loaners"`
+	EstimateS           float64           `json:"expect_s"`
+	CheckpointIntervalS float64           `json:"snapshot_s"`
+	CheckpointSaveS     float64           `json:"flush_s"`
+	DeadlineS           float64           `json:"due_s,omitempty"`
 }
 
 // Gang says whether all tasks run at the same time.
@@ -123,8 +123,8 @@
 	DeadlineS   *float64  `json:"due_s"`
 }
 
-// ValidID says whether id has the form of a job id: "run-" and digits.
-func ValidID(id JobID) bool {
+// ValidJobID says whether id has the form of a job id: "run-" and digits.
+func ValidJobID(id JobID) bool {
 	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
 		return false
@@ -156,8 +156,8 @@
 	if len(c.bad) > 0 {
 		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(c.bad, ", "))
 	}
-	if size, err := json.Marshal(spec); err != nil || len(size) > MaxSpec {
-		return nil, fmt.Errorf("the description takes more than %d bytes", MaxSpec)
+	if size, err := json.Marshal(spec); err != nil || len(size) > MaxJobBytes {
+		return nil, fmt.Errorf("the description takes more than %d bytes", MaxJobBytes)
 	}
 	return spec, nil
 }
@@ -193,25 +193,25 @@
 // job takes all fields.
 func (c *jobChecker) job(w *jobWire) *Job {
 	spec := &Job{
-		ID:          JobID(c.text(keyID, w.ID)),
-		Class:       c.text(keyClass, w.Class),
-		Team:        TeamName(c.text(keyTeam, w.Team)),
-		Shape:       Shape(c.text(keyShape, w.Shape)),
-		Priority:    c.text(keyPriority, w.Priority),
-		Image:       c.text(keyImage, w.Image),
-		CPUs:        c.amount(keyCPUs, w.CPUs),
-		GPUs:        c.amount(keyGPUs, w.GPUs),
-		MemoryGB:    c.amount(keyMemoryGB, w.MemoryGB),
-		ImageGB:     c.amount(keyImageGB, w.ImageGB),
-		EstimateS:   c.amount(keyEstimateS, w.EstimateS),
-		CheckpointS: c.amount(keyCheckpointS, w.CheckpointS),
-		SaveS:       c.amount(keySaveS, w.SaveS),
-		DeadlineS:   c.optionalAmount(keyDeadlineS, w.DeadlineS),
-		OneZone:     c.flag(keyOneZone, w.OneZone),
-		Spread:      c.flag(keySpread, w.Spread),
-		Spot:        c.flag(keySpot, w.Spot),
+		ID:                  JobID(c.text(keyID, w.ID)),
+		Class:               c.text(keyClass, w.Class),
+		Team:                TeamName(c.text(keyTeam, w.Team)),
+		Shape:               Shape(c.text(keyShape, w.Shape)),
+		Priority:            c.text(keyPriority, w.Priority),
+		Image:               c.text(keyImage, w.Image),
+		CPUs:                c.amount(keyCPUs, w.CPUs),
+		GPUs:                c.amount(keyGPUs, w.GPUs),
+		MemoryGB:            c.amount(keyMemoryGB, w.MemoryGB),
+		ImageGB:             c.amount(keyImageGB, w.ImageGB),
+		EstimateS:           c.amount(keyEstimateS, w.EstimateS),
+		CheckpointIntervalS: c.amount(keyCheckpointS, w.CheckpointS),
+		CheckpointSaveS:     c.amount(keySaveS, w.SaveS),
+		DeadlineS:           c.optionalAmount(keyDeadlineS, w.DeadlineS),
+		OneZone:             c.flag(keyOneZone, w.OneZone),
+		Spread:              c.flag(keySpread, w.Spread),
+		Spot:                c.flag(keySpot, w.Spot),
 	}
-	c.check(keyID, ValidID(spec.ID))
+	c.check(keyID, ValidJobID(spec.ID))
 	c.check(keyShape, slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
 	_, known := ParsePriority(spec.Priority)
 	c.check(keyPriority, known)
@@ -292,8 +292,8 @@
 	noType = " "
 )
 
-// Status is what a user is told of a job.
-type Status struct {
+// JobStatus is what a user is told of a job.
+type JobStatus struct {
 	ID      JobID `json:"uid"`
 	Phase   Phase `json:"phase"`
 	Done    int   `json:"done"`
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -11,12 +11,12 @@
 // wireMessages are the messages in JSON, by names of this test's own.
 var wireMessages = map[string]reflect.Type{
 	"machine types": reflect.TypeFor[MachineTypes](),
-	"rental":        reflect.TypeFor[Rental](),
+	"rental":        reflect.TypeFor[CreateMachinesRequest](),
 	"machine names": reflect.TypeFor[MachineNames](),
 	"machine list":  reflect.TypeFor[MachineList](),
 	"job":           reflect.TypeFor[Job](),
 	"job as read":   reflect.TypeFor[jobWire](),
-	"status":        reflect.TypeFor[Status](),
+	"status":        reflect.TypeFor[JobStatus](),
 	"accepted":      reflect.TypeFor[Accepted](),
 	"error":         reflect.TypeFor[ErrorBody](),
 	"entries":       reflect.TypeFor[Entries](),
--- a/internal/protocol/peer_codec.go
+++ b/internal/protocol/peer_codec.go
@@ -7,7 +7,7 @@
 
 // Limits of what is decoded.
 const (
-	maxPeerString = MaxBody
+	maxPeerString = MaxBodyBytes
 	// minEncodedTask is the least size of a task's status: five fields of a byte each.
 	minEncodedTask = 5
 )
@@ -28,7 +28,7 @@
 func (m *PeerStatus) fields(c *codec) {
 	number(c, &m.Term)
 	text(c, &m.Leader)
-	c.boolean(&m.StateOK)
+	c.boolean(&m.HasStoreAccess)
 	texts(c, &m.Links)
 	number(c, &m.DirectShare)
 }
@@ -67,14 +67,14 @@
 
 func (m *PeerCancellation) fields(c *codec) { text(c, &m.Job) }
 
-func (m *PeerConfirmRequest) fields(c *codec) { number(c, &m.ID) }
+func (m *PeerConfirmationRequest) fields(c *codec) { number(c, &m.ID) }
 
 func (m *PeerConfirmation) fields(c *codec) {
 	number(c, &m.ID)
 	number(c, &m.Term)
-	number(c, &m.UpMs)
+	number(c, &m.UptimeMs)
 	c.boolean(&m.Complete)
-	texts(c, &m.Cancels)
+	texts(c, &m.Cancellations)
 }
 
 func (h *Heartbeat) fields(c *codec) {
--- a/internal/protocol/peer_frame.go
+++ b/internal/protocol/peer_frame.go
@@ -31,15 +31,15 @@
 	kindConfirmation
 )
 
-func (PeerHello) kind() byte              { return kindHello }
-func (PeerStatus) kind() byte             { return kindStatus }
-func (PeerForwardedHeartbeat) kind() byte { return kindForwardedHeartbeat }
-func (PeerResponse) kind() byte           { return kindResponse }
-func (PeerUserRequest) kind() byte        { return kindUserRequest }
-func (PeerAgentCall) kind() byte          { return kindAgentCall }
-func (PeerCancellation) kind() byte       { return kindCancellation }
-func (PeerConfirmRequest) kind() byte     { return kindConfirmRequest }
-func (PeerConfirmation) kind() byte       { return kindConfirmation }
+func (PeerHello) kind() byte               { return kindHello }
+func (PeerStatus) kind() byte              { return kindStatus }
+func (PeerForwardedHeartbeat) kind() byte  { return kindForwardedHeartbeat }
+func (PeerResponse) kind() byte            { return kindResponse }
+func (PeerUserRequest) kind() byte         { return kindUserRequest }
+func (PeerAgentCall) kind() byte           { return kindAgentCall }
+func (PeerCancellation) kind() byte        { return kindCancellation }
+func (PeerConfirmationRequest) kind() byte { return kindConfirmRequest }
+func (PeerConfirmation) kind() byte        { return kindConfirmation }
 
 // ErrFrame is wrapped by every error about a wrong frame.
 var ErrFrame = errors.New("bad peer frame")
@@ -63,7 +63,7 @@
 		m.fields(c)
 	case PeerCancellation:
 		m.fields(c)
-	case PeerConfirmRequest:
+	case PeerConfirmationRequest:
 		m.fields(c)
 	case PeerConfirmation:
 		m.fields(c)
@@ -140,7 +140,7 @@
 		m.fields(c)
 		return m
 	case kindConfirmRequest:
-		var m PeerConfirmRequest
+		var m PeerConfirmationRequest
 		m.fields(c)
 		return m
 	case kindConfirmation:
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -24,7 +24,7 @@
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: "high", Tasks: 16,
 		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []MachineTypeName{"g8"}, OneZone: true, Spot: true,
-		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+		EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
@@ -100,7 +100,7 @@
 	}
 	// An empty list allows no type; it is not the same as null.
 	spec, err := ParseJob(replace(t, "builds", "[]"))
-	if err != nil || Allowed(spec.Types, "g8") {
+	if err != nil || TypeAllowed(spec.Types, "g8") {
 		t.Errorf("an empty list allows g8 (%v)", err)
 	}
 }
@@ -157,7 +157,7 @@
 		sequence    Sequence
 		want        bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {3, 1, false}} {
-		if r.Newer(c.incarnation, c.sequence) != c.want {
+		if r.NewerThan(c.incarnation, c.sequence) != c.want {
 			t.Errorf("newer than %d/%d: %v", c.incarnation, c.sequence, !c.want)
 		}
 	}
@@ -175,13 +175,13 @@
 	n := 7.5
 	return []PeerMessage{
 		PeerHello{Node: "a"},
-		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
+		PeerStatus{Term: 9, Leader: "b", HasStoreAccess: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
 		PeerAgentCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
 		PeerCancellation{Job: "run-000412"},
-		PeerConfirmRequest{ID: 1 << 40},
-		PeerConfirmation{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
+		PeerConfirmationRequest{ID: 1 << 40},
+		PeerConfirmation{ID: 1 << 40, UptimeMs: 7000, Complete: true, Cancellations: []JobID{"run-000412", "run-2"}},
 		PeerConfirmation{ID: 3, Term: 9},
-		Announcement("berth-1"),
+		FeatureLevelAnnouncement("berth-1"),
 		PeerForwardedHeartbeat{ID: 1, Origin: "a", Target: "b", Hops: 1, Heartbeat: &Heartbeat{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
 			Incarnation: 2, Sequence: 3, FencingToken: 4, PreemptionNoticeS: &n, Tasks: []TaskStatus{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
 		PeerResponse{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
@@ -253,7 +253,7 @@
 		if err != nil {
 			return
 		}
-		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxSpec {
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidJobID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxJobBytes {
 			t.Errorf("%+v is taken", spec)
 		}
 	})
@@ -297,11 +297,11 @@
 			if got := AppendPeerFrame(nil, m); !bytes.Equal(got, frame) {
 				t.Errorf("%s: %T is written as %x, was %x", version, m, got, frame)
 			}
-			if level, ok := Announced(m); ok && (version != "0.3" || level != PeerKnowsCancelled || level >= PeerLevel) {
+			if level, ok := AnnouncedFeatureLevel(m); ok && (version != "0.3" || level != FeatureLevelCancellations || level >= CurrentFeatureLevel) {
 				t.Errorf("%s announces level %d", version, level)
 			}
 		}
-		if len(kinds) != want || !kinds[Announcement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
+		if len(kinds) != want || !kinds[FeatureLevelAnnouncement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
 			t.Errorf("%s: kinds %v", version, kinds)
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -152,9 +152,9 @@
 
 // rent rents machines as far as there are any.
 func (c *cloudProvider) rent(body []byte, answer answerFunc) {
-	var r protocol.Rental
+	var r protocol.CreateMachinesRequest
 	decode(body, &r)
-	if names, ok := c.rented[r.Request]; ok {
+	if names, ok := c.rented[r.RequestID]; ok {
 		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 		return
 	}
@@ -172,7 +172,7 @@
 	for range min(r.Count, c.capacity-up) {
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.rented[r.Request] = names
+	c.rented[r.RequestID] = names
 	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -313,8 +313,8 @@
 
 // Status is what a user is told of an unfinished job. A record counts as
 // running once a task has its place.
-func (j *Job) Status() protocol.Status {
-	s := protocol.Status{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.Done, Running: j.Placed}
+func (j *Job) Status() protocol.JobStatus {
+	s := protocol.JobStatus{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.Done, Running: j.Placed}
 	switch {
 	case j.Cancelled:
 		s.Phase, s.Running = protocol.PhaseCancelled, 0
@@ -333,7 +333,7 @@
 	if j.Version > jobVersion {
 		return nil, fmt.Errorf("%w: %d", ErrVersion, j.Version)
 	}
-	if j.Parts < 0 || j.Parts > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.RecordTasks < 1 {
+	if j.Parts < 0 || j.Parts > protocol.MaxTasks || j.Spec == nil || !protocol.ValidJobID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.RecordTasks < 1 {
 		return nil, ErrRecord
 	}
 	return &j, nil
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,7 +15,7 @@
 func TestRecordsFit(t *testing.T) {
 	for _, kb := range []float64{2, 4, 8, 64} {
 		spec := &protocol.Job{ID: protocol.JobID("run-" + strings.Repeat("9", 30)), Tasks: protocol.MaxTasks}
-		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(kb, spec) {
+		for len(Encode(spec)) < protocol.MaxJobBytes-1 && Storable(kb, spec) {
 			spec.Image += "x"
 		}
 		spec.Image = spec.Image[1:]
@@ -140,7 +140,7 @@
 	m.BeginLoad()
 	m.LoadPage(&protocol.Entries{Revision: 1})
 	key := JobKey("run-1")
-	for stamp, want := range []protocol.Status{
+	for stamp, want := range []protocol.JobStatus{
 		{ID: "run-1", Phase: protocol.PhasePending},
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
