--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -47,7 +47,7 @@
 	if *update {
 		Write(t, file, got)
 	}
-	if difference := cmp.Diff(Read(t, file), got); difference != "" {
-		t.Errorf("differs from %s (-golden +found):\n%s", file, difference)
+	if diff := cmp.Diff(Read(t, file), got); diff != "" {
+		t.Errorf("differs from %s (-golden +found):\n%s", file, diff)
 	}
 }
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -21,22 +21,22 @@
 	t.Helper()
 	tags := declaredTags(t)
 	list := slices.Clone(tags)
-	reached := map[string]bool{}
+	covered := map[string]bool{}
 	for _, tag := range exempt {
-		reached[tag] = true
+		covered[tag] = true
 	}
 	for name, typ := range types {
 		paths := fieldPaths(typ, name)
 		for _, path := range paths {
 			path, _, _ = strings.Cut(strings.TrimPrefix(path, name), " ")
 			for _, part := range strings.Split(path, ".") {
-				reached["tag "+strings.TrimSuffix(part, "[]")] = true
+				covered["tag "+strings.TrimSuffix(part, "[]")] = true
 			}
 		}
 		list = append(append(list, paths...), samples(t, typ, name)...)
 	}
 	for _, tag := range tags {
-		if !reached[tag] {
+		if !covered[tag] {
 			t.Errorf("%s is in no type of the list", tag)
 		}
 	}
@@ -76,8 +76,8 @@
 	return []string{path + " number"}
 }
 
-// fill sets every field of a value, down to one element of every list.
-func fill(v reflect.Value) {
+// setAllFields sets every field of a value, down to one element of every list.
+func setAllFields(v reflect.Value) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		v.SetBytes([]byte(`{"x":1}`))
 		return
@@ -85,14 +85,14 @@
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		setAllFields(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0))
+		setAllFields(v.Index(0))
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i))
+				setAllFields(v.Field(i))
 			}
 		}
 	case reflect.String:
@@ -110,7 +110,7 @@
 func samples(t *testing.T, typ reflect.Type, name string) []string {
 	t.Helper()
 	full, empty := reflect.New(typ), reflect.New(typ)
-	fill(full.Elem())
+	setAllFields(full.Elem())
 	var list []string
 	for kind, v := range map[string]reflect.Value{"full": full, "empty": empty} {
 		text, err := json.Marshal(v.Elem().Interface())
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -81,14 +81,14 @@
 
 // ParseHeartbeat decodes and validates a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, fmt.Errorf("not valid JSON for a report: %w", inWireTypes(err))
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
+		return nil, fmt.Errorf("not valid JSON for a report: %w", withWireTypeNames(err))
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
+	if heartbeat.Machine == "" || len(heartbeat.Machine) > maxNameBytes || strings.ContainsAny(string(heartbeat.Machine), " /") || heartbeat.Incarnation == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
 
 // SplitTask takes a task's name, such as run-000412/3, apart.
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -95,8 +95,8 @@
 
 // PriorityLevel is the job's priority as a number.
 func (j *Job) PriorityLevel() Priority {
-	r, _ := ParsePriority(j.Priority)
-	return r
+	priority, _ := ParsePriority(j.Priority)
+	return priority
 }
 
 // jobWire mirrors Job with pointers, so that a missing field shows.
@@ -137,8 +137,8 @@
 	return true
 }
 
-// maxName bounds the length of a name in a submission or report, in bytes.
-const maxName = 200
+// maxNameBytes bounds the length of a name in a submission or report, in bytes.
+const maxNameBytes = 200
 
 // ParseJob decodes and validates a submission. Fields that may be null may
 // also be missing; everything else must be there and sound.
@@ -147,16 +147,16 @@
 	if len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, errors.New("not a JSON object")
 	}
-	var w jobWire
-	if err := json.Unmarshal(body, &w); err != nil {
+	var wire jobWire
+	if err := json.Unmarshal(body, &wire); err != nil {
 		return nil, fmt.Errorf("not valid JSON for a job: %w", err)
 	}
-	c := &jobChecker{}
-	spec := c.job(&w)
-	if len(c.bad) > 0 {
-		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(c.bad, ", "))
+	checker := &jobChecker{}
+	spec := checker.jobFromWire(&wire)
+	if len(checker.invalid) > 0 {
+		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(checker.invalid, ", "))
 	}
-	if size, err := json.Marshal(spec); err != nil || len(size) > MaxJobBytes {
+	if encoded, err := json.Marshal(spec); err != nil || len(encoded) > MaxJobBytes {
 		return nil, fmt.Errorf("the description takes more than %d bytes", MaxJobBytes)
 	}
 	return spec, nil
@@ -188,10 +188,10 @@
 
 // jobChecker takes the fields of a submission and notes the wire names of those that
 // are missing or invalid.
-type jobChecker struct{ bad []string }
+type jobChecker struct{ invalid []string }
 
-// job takes all fields.
-func (c *jobChecker) job(w *jobWire) *Job {
+// jobFromWire takes all fields.
+func (c *jobChecker) jobFromWire(w *jobWire) *Job {
 	spec := &Job{
 		ID:                  JobID(c.text(keyID, w.ID)),
 		Class:               c.text(keyClass, w.Class),
@@ -224,38 +224,38 @@
 }
 
 // check notes a field that is not sound.
-func (c *jobChecker) check(name string, sound bool) {
-	if !sound {
-		c.bad = append(c.bad, name)
+func (c *jobChecker) check(key string, valid bool) {
+	if !valid {
+		c.invalid = append(c.invalid, key)
 	}
 }
 
-func (c *jobChecker) text(name string, value *string) string {
-	if value == nil || *value == "" || len(*value) > maxName {
-		c.check(name, false)
+func (c *jobChecker) text(key string, value *string) string {
+	if value == nil || *value == "" || len(*value) > maxNameBytes {
+		c.check(key, false)
 		return ""
 	}
 	return *value
 }
 
-func (c *jobChecker) amount(name string, value *float64) float64 {
+func (c *jobChecker) amount(key string, value *float64) float64 {
 	if value == nil || *value < 0 || math.IsNaN(*value) || math.IsInf(*value, 0) {
-		c.check(name, false)
+		c.check(key, false)
 		return 0
 	}
 	return *value
 }
 
 // optionalAmount takes an amount that may be missing.
-func (c *jobChecker) optionalAmount(name string, value *float64) float64 {
+func (c *jobChecker) optionalAmount(key string, value *float64) float64 {
 	if value == nil {
 		return 0
 	}
-	return c.amount(name, value)
+	return c.amount(key, value)
 }
 
-func (c *jobChecker) flag(name string, value *bool) bool {
-	c.check(name, value != nil)
+func (c *jobChecker) flag(key string, value *bool) bool {
+	c.check(key, value != nil)
 	return value != nil && *value
 }
 
@@ -271,11 +271,11 @@
 // not the same as null.
 func (c *jobChecker) types(values []*string) []MachineTypeName {
 	if values != nil && len(values) == 0 {
-		return []MachineTypeName{noType}
+		return []MachineTypeName{noMachineType}
 	}
 	var list []MachineTypeName
 	for _, t := range values {
-		if t == nil || *t == "" || len(*t) > maxTypeName || len(values) > maxTypes {
+		if t == nil || *t == "" || len(*t) > maxTypeNameBytes || len(values) > maxTypes {
 			c.check(keyTypes, false)
 			return nil
 		}
@@ -286,10 +286,10 @@
 
 // Limits of a job's machine types.
 const (
-	maxTypes    = 64 // names in the list
-	maxTypeName = 64 // bytes of each
-	// noType is the name of no machine type.
-	noType = " "
+	maxTypes         = 64 // names in the list
+	maxTypeNameBytes = 64 // bytes of each
+	// noMachineType is the name of no machine type.
+	noMachineType = " "
 )
 
 // JobStatus is what a user is told of a job.
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -45,11 +45,11 @@
 
 // RangePath reads keys by prefix.
 func RangePath(prefix, after string, limit int) string {
-	p := "/kv?starts=" + url.QueryEscape(prefix)
+	path := "/kv?starts=" + url.QueryEscape(prefix)
 	if after != "" {
-		p += "&after=" + url.QueryEscape(after)
+		path += "&after=" + url.QueryEscape(after)
 	}
-	return p + "&page=" + strconv.Itoa(limit)
+	return path + "&page=" + strconv.Itoa(limit)
 }
 
 // WatchPath waits for changes below a prefix.
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -69,11 +69,11 @@
 
 // FitsInFrame says whether the cancellations fit into one frame.
 func (m PeerConfirmation) FitsInFrame() bool {
-	size := peerHeader + 5*binary.MaxVarintLen64
+	size := peerHeaderBytes + 5*binary.MaxVarintLen64
 	for _, jobID := range m.Cancellations {
 		size += binary.MaxVarintLen16 + len(jobID)
 	}
-	return size <= maxPeerFrame
+	return size <= maxPeerFrameBytes
 }
 
 // Levels of what a node knows. A node announces its own in a form that the first
--- a/internal/protocol/peer_frame.go
+++ b/internal/protocol/peer_frame.go
@@ -13,9 +13,9 @@
 //
 // Numbers in a payload are unsigned varints, strings are a length and bytes.
 const (
-	peerVersion  = 2
-	peerHeader   = 8
-	maxPeerFrame = 256 << 10
+	peerVersion       = 2
+	peerHeaderBytes   = 8
+	maxPeerFrameBytes = 256 << 10
 )
 
 // Kinds of frames, one for each type of message.
@@ -27,7 +27,7 @@
 	kindUserRequest
 	kindAgentCall
 	kindCancellation
-	kindConfirmRequest
+	kindConfirmationRequest
 	kindConfirmation
 )
 
@@ -38,7 +38,7 @@
 func (PeerUserRequest) kind() byte         { return kindUserRequest }
 func (PeerAgentCall) kind() byte           { return kindAgentCall }
 func (PeerCancellation) kind() byte        { return kindCancellation }
-func (PeerConfirmationRequest) kind() byte { return kindConfirmRequest }
+func (PeerConfirmationRequest) kind() byte { return kindConfirmationRequest }
 func (PeerConfirmation) kind() byte        { return kindConfirmation }
 
 // ErrFrame is wrapped by every error about a wrong frame.
@@ -68,37 +68,37 @@
 	case PeerConfirmation:
 		m.fields(c)
 	}
-	binary.BigEndian.PutUint32(c.data[start+4:], uint32(len(c.data)-start-peerHeader))
+	binary.BigEndian.PutUint32(c.data[start+4:], uint32(len(c.data)-start-peerHeaderBytes))
 	return c.data
 }
 
 // ReadPeerFrame reads one frame. A frame that is wrong, too large or of another
 // version is an error that wraps ErrFrame; the link must then be closed.
 func ReadPeerFrame(r io.Reader) (PeerMessage, error) {
-	var h [peerHeader]byte
-	if _, err := io.ReadFull(r, h[:]); err != nil {
+	var header [peerHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	if h[0] != 'G' || h[1] != 'P' {
+	if header[0] != 'G' || header[1] != 'P' {
 		return nil, fmt.Errorf("%w: no frame mark", ErrFrame)
 	}
-	if h[2] != peerVersion {
-		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, h[2], peerVersion)
+	if header[2] != peerVersion {
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, header[2], peerVersion)
 	}
-	n := binary.BigEndian.Uint32(h[4:])
-	if n > maxPeerFrame {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, n)
+	length := binary.BigEndian.Uint32(header[4:])
+	if length > maxPeerFrameBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, length)
 	}
-	payload := make([]byte, n)
+	payload := make([]byte, length)
 	if _, err := io.ReadFull(r, payload); err != nil {
 		return nil, err
 	}
-	return decodePeerMessage(h[3], payload)
+	return decodePeerMessage(header[3], payload)
 }
 
 func decodePeerMessage(kind byte, payload []byte) (PeerMessage, error) {
 	c := &codec{data: payload, decoding: true}
-	message := c.message(kind)
+	message := c.decodeMessage(kind)
 	if message == nil {
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
@@ -108,8 +108,8 @@
 	return message, nil
 }
 
-// message decodes a message of a kind, nil if there is no such kind.
-func (c *codec) message(kind byte) PeerMessage {
+// decodeMessage decodes a message of a kind, nil if there is no such kind.
+func (c *codec) decodeMessage(kind byte) PeerMessage {
 	switch kind {
 	case kindHello:
 		var m PeerHello
@@ -139,7 +139,7 @@
 		var m PeerCancellation
 		m.fields(c)
 		return m
-	case kindConfirmRequest:
+	case kindConfirmationRequest:
 		var m PeerConfirmationRequest
 		m.fields(c)
 		return m
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,28 +12,28 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const goodJob = `{"uid":"run-000412","lane":"train","crew":"vision","shape":"gang","rank":"high","pieces":16,
+const validJob = `{"uid":"run-000412","lane":"train","crew":"vision","shape":"gang","rank":"high","pieces":16,
 "cpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,
 "builds":["g8"],"yard":null,"one_zone":true,"scatter":false,"loaners":true,
 "expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0}`
 
 func TestParseJob(t *testing.T) {
-	got, err := ParseJob([]byte(goodJob))
+	got, err := ParseJob([]byte(validJob))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: "high", Tasks: 16,
 		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []MachineTypeName{"g8"}, OneZone: true, Spot: true,
 		EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
-	if d := cmp.Diff(want, got); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
 	}
 }
 
-// replace puts another value into the good job's field; "" takes it out.
-func replace(t *testing.T, field, value string) []byte {
+// withField puts another value into the good job's field; "" takes it out.
+func withField(t *testing.T, field, value string) []byte {
 	var m map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(goodJob), &m); err != nil {
+	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
 		t.Fatal(err)
 	}
 	if value == "" {
@@ -48,13 +48,13 @@
 	return b
 }
 
-func TestParseJobRefuses(t *testing.T) {
-	for _, body := range []string{"", "null", "[]", "7", `"x"`, "{", goodJob + "x", strings.Replace(goodJob, "240.0", "NaN", 1)} {
+func TestParseJobRejectsInvalidJobs(t *testing.T) {
+	for _, body := range []string{"", "null", "[]", "7", `"x"`, "{", validJob + "x", strings.Replace(validJob, "240.0", "NaN", 1)} {
 		if _, err := ParseJob([]byte(body)); err == nil {
 			t.Errorf("%.20q is taken", body)
 		}
 	}
-	bad := map[string][]string{
+	invalid := map[string][]string{
 		"uid":        {"", "null", `"job-1"`, `"run-"`, `"run-1x"`, `"run-1/2"`, "5"},
 		"lane":       {"", "null", `""`, "1"},
 		"crew":       {"", "null"},
@@ -76,44 +76,44 @@
 		"scatter":    {"", `"no"`},
 		"loaners":    {"", "0"},
 	}
-	for field, values := range bad {
+	for field, values := range invalid {
 		for _, v := range values {
-			if _, err := ParseJob(replace(t, field, v)); err == nil {
+			if _, err := ParseJob(withField(t, field, v)); err == nil {
 				t.Errorf("%s = %q is taken", field, v)
 			}
 		}
 	}
 }
 
-// TestParseJobOptional: fields that may be null may also be missing, and
+// TestParseJobAcceptsMissingOptionalFields: fields that may be null may also be missing, and
 // unknown fields are ignored.
-func TestParseJobOptional(t *testing.T) {
+func TestParseJobAcceptsMissingOptionalFields(t *testing.T) {
 	for _, field := range []string{"builds", "yard", "due_s"} {
 		for _, v := range []string{"", "null"} {
-			if _, err := ParseJob(replace(t, field, v)); err != nil {
+			if _, err := ParseJob(withField(t, field, v)); err != nil {
 				t.Errorf("%s = %q: %v", field, v, err)
 			}
 		}
 	}
-	if _, err := ParseJob(replace(t, "later", `{"a":[1]}`)); err != nil {
+	if _, err := ParseJob(withField(t, "later", `{"a":[1]}`)); err != nil {
 		t.Error(err)
 	}
 	// An empty list allows no type; it is not the same as null.
-	spec, err := ParseJob(replace(t, "builds", "[]"))
+	spec, err := ParseJob(withField(t, "builds", "[]"))
 	if err != nil || TypeAllowed(spec.Types, "g8") {
 		t.Errorf("an empty list allows g8 (%v)", err)
 	}
 }
 
-// TestParseJobSize: whatever is accepted fits into its record.
-func TestParseJobSize(t *testing.T) {
+// TestParseJobLimitsEncodedSize: whatever is accepted fits into its record.
+func TestParseJobLimitsEncodedSize(t *testing.T) {
 	long := `"` + strings.Repeat("\\u0001", 90) + `"`
-	body := replace(t, "lane", long)
+	body := withField(t, "lane", long)
 	if _, err := ParseJob(body); err != nil {
 		t.Errorf("one long name is refused: %v", err)
 	}
 	var m map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(goodJob), &m); err != nil {
+	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range []string{"lane", "crew", "bundle", "yard"} {
@@ -134,14 +134,14 @@
 	return b
 }
 
-func TestParseHeartbeatTolerates(t *testing.T) {
-	r, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
+func TestParseHeartbeatAcceptsUnknownValues(t *testing.T) {
+	heartbeat, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
 		"pieces":[{"piece":"run-1/0","try":1,"phase":"napping","cause":"bored","x":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Tasks[0].State != "napping" || *r.PreemptionNoticeS != 12.5 {
-		t.Errorf("%+v", r)
+	if heartbeat.Tasks[0].State != "napping" || *heartbeat.PreemptionNoticeS != 12.5 {
+		t.Errorf("%+v", heartbeat)
 	}
 	for _, bad := range []string{"", "[]", `{"berth":"","tenure":1}`, `{"berth":"a b","tenure":1}`, `{"berth":"a"}`, `{"berth":"a","tenure":-1}`} {
 		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
@@ -150,20 +150,20 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
-	r := &Heartbeat{Incarnation: 2, Sequence: 5}
+func TestHeartbeatNewerThan(t *testing.T) {
+	heartbeat := &Heartbeat{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
 		incarnation Incarnation
 		sequence    Sequence
 		want        bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {3, 1, false}} {
-		if r.NewerThan(c.incarnation, c.sequence) != c.want {
+		if heartbeat.NewerThan(c.incarnation, c.sequence) != c.want {
 			t.Errorf("newer than %d/%d: %v", c.incarnation, c.sequence, !c.want)
 		}
 	}
 }
 
-func TestCommandShowsZeroGrace(t *testing.T) {
+func TestStopCommandIncludesZeroGrace(t *testing.T) {
 	got := string(mustJSON([]Command{{Kind: CommandStop, Task: "run-1/0", Attempt: 2}, {Kind: CommandStart, Task: "run-1/1", Attempt: 1}}))
 	want := `[{"verb":"halt","piece":"run-1/0","try":2,"leeway_s":0},{"verb":"start","piece":"run-1/1","try":1}]`
 	if got != want {
@@ -171,7 +171,7 @@
 	}
 }
 
-func peerSamples() []PeerMessage {
+func samplePeerMessages() []PeerMessage {
 	n := 7.5
 	return []PeerMessage{
 		PeerHello{Node: "a"},
@@ -189,45 +189,45 @@
 	}
 }
 
-func TestPeerRoundTrip(t *testing.T) {
+func TestPeerFrameRoundTrip(t *testing.T) {
 	var stream []byte
-	for _, m := range peerSamples() {
+	for _, m := range samplePeerMessages() {
 		stream = AppendPeerFrame(stream, m)
 	}
 	r := bytes.NewReader(stream)
-	for _, want := range peerSamples() {
+	for _, want := range samplePeerMessages() {
 		got, err := ReadPeerFrame(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(want, got); d != "" {
-			t.Error(d)
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Error(diff)
 		}
 	}
 }
 
-func TestPeerRefuses(t *testing.T) {
-	good := AppendPeerFrame(nil, PeerHello{Node: "a"})
-	change := func(at int, b byte) []byte {
-		c := bytes.Clone(good)
+func TestReadPeerFrameRejectsInvalidFrames(t *testing.T) {
+	valid := AppendPeerFrame(nil, PeerHello{Node: "a"})
+	withByte := func(at int, b byte) []byte {
+		c := bytes.Clone(valid)
 		c[at] = b
 		return c
 	}
 	for name, frame := range map[string][]byte{
-		"mark": change(0, 'X'), "version": change(2, 0), "kind": change(3, 99), "huge": change(4, 0xff),
-		"inner length": change(peerHeader, 200), "left over": append(change(7, 3), 0),
+		"mark": withByte(0, 'X'), "version": withByte(2, 0), "kind": withByte(3, 99), "huge": withByte(4, 0xff),
+		"inner length": withByte(peerHeaderBytes, 200), "left over": append(withByte(7, 3), 0),
 	} {
 		if m, err := ReadPeerFrame(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
 			t.Errorf("%s: %v, %v", name, m, err)
 		}
 	}
-	if _, err := ReadPeerFrame(bytes.NewReader(good[:len(good)-1])); err == nil {
+	if _, err := ReadPeerFrame(bytes.NewReader(valid[:len(valid)-1])); err == nil {
 		t.Error("a truncated frame is taken")
 	}
 }
 
-func FuzzReadPeer(f *testing.F) {
-	for _, m := range peerSamples() {
+func FuzzReadPeerFrame(f *testing.F) {
+	for _, m := range samplePeerMessages() {
 		f.Add(AppendPeerFrame(nil, m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -246,7 +246,7 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add([]byte(goodJob))
+	f.Add([]byte(validJob))
 	f.Add([]byte(`{"uid":"run-1"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		spec, err := ParseJob(b)
@@ -262,21 +262,21 @@
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"berth":"i-1","tenure":1,"tally":2,"pieces":[{"piece":"run-1/0","try":1,"phase":"running"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := ParseHeartbeat(b); err == nil {
-			for _, task := range r.Tasks {
+		if heartbeat, err := ParseHeartbeat(b); err == nil {
+			for _, task := range heartbeat.Tasks {
 				SplitTask(task.Task)
 			}
-			AppendPeerFrame(nil, PeerForwardedHeartbeat{Heartbeat: r})
+			AppendPeerFrame(nil, PeerForwardedHeartbeat{Heartbeat: heartbeat})
 		}
 	})
 }
 
-// TestEarlierFrames: frames as versions 0.2 and 0.3 wrote them read as what they said
+// TestFramesOfEarlierVersions: frames as versions 0.2 and 0.3 wrote them read as what they said
 // and are written byte for byte the same, since those versions, beside which this one
 // runs during an upgrade, cut a link on anything else. The announcement is a frame of
 // a kind that both know; only its level differs.
-func TestEarlierFrames(t *testing.T) {
-	for version, want := range map[string]int{"0.2": 6, "0.3": 9} {
+func TestFramesOfEarlierVersions(t *testing.T) {
+	for version, wantKinds := range map[string]int{"0.2": 6, "0.3": 9} {
 		data, err := os.ReadFile("testdata/frames-" + version + ".txt")
 		if err != nil {
 			t.Fatal(err)
@@ -301,30 +301,30 @@
 				t.Errorf("%s announces level %d", version, level)
 			}
 		}
-		if len(kinds) != want || !kinds[FeatureLevelAnnouncement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
+		if len(kinds) != wantKinds || !kinds[FeatureLevelAnnouncement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
 			t.Errorf("%s: kinds %v", version, kinds)
 		}
 	}
 }
 
-// TestParseService: what a service may say and must not.
-func TestParseService(t *testing.T) {
-	service := strings.Replace(strings.Replace(goodJob, `"gang"`, `"standing"`, 1), "240.0", "0", 1)
-	field := func(name, value string) []byte {
-		i := strings.Index(service, `"`+name+`":`) + len(name) + 3
-		j := i + strings.IndexAny(service[i:], ",}")
-		return []byte(service[:i] + value + service[j:])
+// TestParseServiceJob: what a service may say and must not.
+func TestParseServiceJob(t *testing.T) {
+	validService := strings.Replace(strings.Replace(validJob, `"gang"`, `"standing"`, 1), "240.0", "0", 1)
+	serviceWith := func(name, value string) []byte {
+		i := strings.Index(validService, `"`+name+`":`) + len(name) + 3
+		j := i + strings.IndexAny(validService[i:], ",}")
+		return []byte(validService[:i] + value + validService[j:])
 	}
 	for name, values := range map[string][]string{"expect_s": {"0", "120"}, "due_s": {"null", "900"}, "snapshot_s": {"0", "30"}, "pieces": {"1", "100000"}} {
 		for _, v := range values {
-			if spec, err := ParseJob(field(name, v)); err != nil || !spec.Service() || spec.Gang() {
+			if spec, err := ParseJob(serviceWith(name, v)); err != nil || !spec.Service() || spec.Gang() {
 				t.Errorf("%s %s: %v", name, v, err)
 			}
 		}
 	}
 	for name, values := range map[string][]string{"expect_s": {"-1", "null", `"x"`, "1e999"}, "pieces": {"0", "100001"}, "due_s": {"-1"}, "shape": {`"Standing"`, `"service"`}} {
 		for _, v := range values {
-			if _, err := ParseJob(field(name, v)); err == nil {
+			if _, err := ParseJob(serviceWith(name, v)); err == nil {
 				t.Errorf("%s %s is taken", name, v)
 			}
 		}
