--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,7 @@
-// Package golden compares what a test finds with a golden file, which lies in testdata beside
-// the test and is written anew by the tests' flag -update.
+// Package golden compares the output of a test with a golden file in the testdata directory next
+// to the test. The test flag -update rewrites the golden files.
 //
-// It is for test files alone. The flag belongs to the test binary of each package whose tests
-// import this one.
+// Only test files may import this package. Importing it adds the flag to the package's test binary.
 package golden
 
 import (
@@ -15,13 +14,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Updating says whether the golden files are to be written anew.
+// Updating reports whether the flag -update is set.
 func Updating() bool { return *update }
 
-// Read returns the text of a golden file. One that cannot be read ends the test, unless the
-// golden files are being written anew: it is then "".
+// Read returns the text of a golden file. If the file cannot be read, the test fails and ends at
+// once, but with -update Read returns "" instead.
 func Read(t *testing.T, file string) string {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -31,7 +30,7 @@
 	return string(text)
 }
 
-// Write writes a golden file anew.
+// Write replaces a golden file.
 func Write(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
@@ -39,8 +38,8 @@
 	}
 }
 
-// CompareLines compares lines, in order of the alphabet, with those of a golden file. With
-// -update it writes them there first.
+// CompareLines sorts lines and compares them with those of a golden file. With -update it first
+// rewrites the file.
 func CompareLines(t *testing.T, file string, lines []string) {
 	t.Helper()
 	got := strings.Join(slices.Sorted(slices.Values(lines)), "\n") + "\n"
@@ -48,6 +47,6 @@
 		Write(t, file, got)
 	}
 	if diff := cmp.Diff(Read(t, file), got); diff != "" {
-		t.Errorf("differs from %s (-golden +found):\n%s", file, diff)
+		t.Errorf("lines differ from %s (-golden +got):\n%s", file, diff)
 	}
 }
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -13,10 +13,11 @@
 	"testing"
 )
 
-// JSONNames lists the names in JSON of a package under test: the tags of all fields that its
-// sources declare and, for each of the types, which are given by names of the test's own, the
-// path and kind of every field and samples of the whole. A tag that no field of the types has
-// is an error, so that no type can be forgotten, unless it is among the exempt ones.
+// JSONNames lists the JSON names of the package under test: the tags of all fields that its sources
+// declare and, for each of the given types, the path and kind of every field and two samples of the
+// whole value. The keys of types are names that the test chooses for the list. If no field of the
+// types has a declared tag, the test fails unless the tag is exempt, so that no type can be left
+// out by mistake.
 func JSONNames(t *testing.T, types map[string]reflect.Type, exempt []string) []string {
 	t.Helper()
 	tags := declaredTags(t)
@@ -37,13 +38,13 @@
 	}
 	for _, tag := range tags {
 		if !covered[tag] {
-			t.Errorf("%s is in no type of the list", tag)
+			t.Errorf("%s belongs to no listed type", tag)
 		}
 	}
 	return list
 }
 
-// fieldPaths lists the paths of a type's fields by their names in JSON.
+// fieldPaths lists the paths and kinds of a type's fields by their JSON names.
 func fieldPaths(typ reflect.Type, path string) (list []string) {
 	if typ == reflect.TypeFor[json.RawMessage]() {
 		return []string{path + " any"}
@@ -76,7 +77,7 @@
 	return []string{path + " number"}
 }
 
-// setAllFields sets every field of a value, down to one element of every list.
+// setAllFields sets every exported field of a value recursively. Every list gets one element.
 func setAllFields(v reflect.Value) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		v.SetBytes([]byte(`{"x":1}`))
@@ -106,7 +107,7 @@
 	}
 }
 
-// samples are a value of a type with every field set and one with none, in JSON.
+// samples returns the JSON of a value with every field set and of the type's zero value.
 func samples(t *testing.T, typ reflect.Type, name string) []string {
 	t.Helper()
 	full, empty := reflect.New(typ), reflect.New(typ)
@@ -122,8 +123,9 @@
 	return list
 }
 
-// declaredTags are the tags for JSON of all fields that the sources in the working directory,
-// the package under test, declare, each once, also those of types that are not exported.
+// declaredTags returns the JSON tags, without duplicates, of all fields that the sources of the
+// package under test declare, including those of unexported types. A test runs in the directory of
+// its package.
 func declaredTags(t *testing.T) (list []string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -15,16 +15,16 @@
 // States of a task on a machine.
 const (
 	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "waiting"
+	TaskWaiting  TaskState = "waiting" // for the other tasks of its gang
 	TaskRunning  TaskState = "running"
 	TaskSaving   TaskState = "saving"
 	TaskExited   TaskState = "exited"
 )
 
-// Cause says why a task exited.
+// Cause is the reason why a task exited.
 type Cause string
 
-// Causes of a task's exit.
+// Causes of a task's exit. With the last three, the agent refused to start the task.
 const (
 	CauseDone        Cause = "done"
 	CauseStopped     Cause = "stopped"
@@ -36,7 +36,7 @@
 	CauseUnknownTask Cause = "no_such"
 )
 
-// CommandKind is what a command asks of an agent.
+// CommandKind is what a command tells an agent to do.
 type CommandKind string
 
 // Kinds of commands.
@@ -46,7 +46,7 @@
 	CommandForget CommandKind = "reap"
 )
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of an attempt of a task in a heartbeat.
 type TaskStatus struct {
 	Task    string        `json:"piece"`
 	Attempt AttemptNumber `json:"try"`
@@ -55,7 +55,7 @@
 	Saved   bool          `json:"kept,omitempty"`
 }
 
-// Heartbeat is what an agent says of its machine and the tasks on it.
+// Heartbeat is an agent's report on its machine and the tasks on it.
 type Heartbeat struct {
 	Machine           MachineID       `json:"berth"`
 	Address           string          `json:"address"`
@@ -69,12 +69,13 @@
 	Tasks             []TaskStatus    `json:"pieces"`
 }
 
-// NewerThan says whether h is a newer message than (incarnation, sequence).
+// NewerThan reports whether h is newer than the heartbeat with the given incarnation and sequence
+// number.
 func (h *Heartbeat) NewerThan(incarnation Incarnation, sequence Sequence) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// HasAttempt says whether the heartbeat has an attempt of a task, in any state.
+// HasAttempt reports whether the heartbeat contains an attempt of a task, in any state.
 func (h *Heartbeat) HasAttempt(task string, attempt AttemptNumber) bool {
 	return slices.ContainsFunc(h.Tasks, func(t TaskStatus) bool { return t.Attempt == attempt && t.Task == task })
 }
@@ -91,7 +92,8 @@
 	return &heartbeat, nil
 }
 
-// SplitTask takes a task's name, such as run-000412/3, apart.
+// SplitTask splits a task's name, such as run-000412/3, into the job's ID and the task's index. The
+// result ok is false if the name is invalid.
 func SplitTask(name string) (jobID JobID, index int, ok bool) {
 	before, rest, ok := strings.Cut(name, "/")
 	jobID = JobID(before)
@@ -105,10 +107,10 @@
 	return jobID, index, true
 }
 
-// TaskName is the name of a job's task.
+// TaskName returns the name of a job's task.
 func TaskName(jobID JobID, index int) string { return string(jobID) + "/" + strconv.Itoa(index) }
 
-// Command has an agent do something with an attempt of a task.
+// Command tells an agent what to do with an attempt of a task.
 type Command struct {
 	Kind    CommandKind   `json:"verb"`
 	Task    string        `json:"piece"`
@@ -116,7 +118,8 @@
 	GraceS  float64       `json:"leeway_s,omitempty"`
 }
 
-// MarshalJSON writes the grace for a stop even when it is zero.
+// MarshalJSON encodes a command. The grace period of a stop is included even if it is zero; other
+// commands have none.
 func (c Command) MarshalJSON() ([]byte, error) {
 	b := make([]byte, 0, 80)
 	b = append(b, `{"verb":"`...)
@@ -132,18 +135,19 @@
 	return append(b, '}'), nil
 }
 
-// HeartbeatResponse answers a heartbeat that was taken.
+// HeartbeatResponse is the response to an accepted heartbeat.
 type HeartbeatResponse struct {
 	FencingToken Term      `json:"warrant"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends an agent to another node.
+// Redirect tells an agent to send its heartbeats to another node.
 type Redirect struct {
 	Target NodeName `json:"steward,omitempty"`
 }
 
-// CommandBatch carries commands to an agent at once, not with the answer to its heartbeat.
+// CommandBatch carries commands that are sent to an agent in a separate call, without waiting for
+// its next heartbeat.
 type CommandBatch struct {
 	FencingToken Term        `json:"warrant"`
 	Incarnation  Incarnation `json:"tenure"`
--- a/internal/protocol/bench_test.go
+++ b/internal/protocol/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPeerFrames is what writing and reading a message of every kind cost.
+// BenchmarkPeerFrames measures writing and reading a message of every kind.
 func BenchmarkPeerFrames(b *testing.B) {
 	samples := samplePeerMessages()
 	var stream []byte
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,9 +1,9 @@
 package protocol
 
-// MachinePhase is the state of a machine in the list of the cloud.
+// MachinePhase is the state of a machine in the cloud's machine list.
 type MachinePhase string
 
-// Phases of a machine in the cloud's list.
+// Phases of a machine.
 const (
 	MachineBooting MachinePhase = "starting"
 	MachineRunning MachinePhase = "running"
@@ -24,8 +24,8 @@
 	Zones       []ZoneName      `json:"yards"`
 }
 
-// Fits says whether one task of the job fits an empty machine of this type,
-// the job's wishes for type and zone included.
+// Fits reports whether a task of the job fits on an empty machine of this type, and the job allows
+// the type and a zone that has it.
 func (t *MachineType) Fits(spec *Job) bool {
 	if spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.MemoryGB > t.MemoryGB {
 		return false
@@ -44,7 +44,8 @@
 	return false
 }
 
-// TypeAllowed says whether a list of types, empty for any, has this one.
+// TypeAllowed reports whether a list of types contains the given one. An empty list allows every
+// type.
 func TypeAllowed(types []MachineTypeName, name MachineTypeName) bool {
 	if len(types) == 0 {
 		return true
@@ -57,7 +58,8 @@
 	return false
 }
 
-// NoCapacity is the error of a rental that nothing is left for.
+// NoCapacity is the text of the error body with which the cloud refuses a request to create
+// machines because it has none left.
 const NoCapacity = "no capacity"
 
 // MachineTypes is the cloud's price list.
@@ -65,7 +67,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// CreateMachinesRequest asks the cloud for machines.
+// CreateMachinesRequest asks the cloud to create machines. If a request is repeated with the same
+// RequestID, the cloud returns the machines of the first one.
 type CreateMachinesRequest struct {
 	RequestID string          `json:"hire"`
 	Type      MachineTypeName `json:"build"`
@@ -74,7 +77,7 @@
 	Count     int             `json:"count"`
 }
 
-// MachineNames lists machines by name.
+// MachineNames lists machines by their IDs.
 type MachineNames struct {
 	Machines []MachineID `json:"berths"`
 }
@@ -90,7 +93,7 @@
 	AgeS    float64         `json:"age_s"`
 }
 
-// MachineList is a page of the cloud's machine list.
+// MachineList is a page of the cloud's machine list. More is true if further pages follow.
 type MachineList struct {
 	Machines []Machine `json:"berths"`
 	More     bool      `json:"truncated"`
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -7,37 +7,37 @@
 	"strings"
 )
 
-// JobID names a job, as in run-000412. Its user chooses it; no two jobs share one.
+// JobID identifies a job, such as run-000412. The user chooses it. It is unique.
 type JobID string
 
-// MachineID names a rented machine and the agent on it. The cloud chooses it and does
-// not use it again.
+// MachineID identifies a machine and the agent on it. The cloud chooses it and never reuses it.
 type MachineID string
 
-// AttemptNumber numbers the attempts of a task from 1. All tasks of a gang share the
-// numbers, so that one names an attempt of the gang too. 0: there was none.
+// AttemptNumber counts the attempts of a task from 1. All tasks of a gang share the numbers, so
+// that a number also identifies an attempt of the whole gang. 0 means that there was no attempt.
 type AttemptNumber uint64
 
-// Incarnation numbers the lives of a machine's agent from 1. A newer one has none of the
-// tasks of an older one, and refuses commands that are meant for that. 0: not known.
+// Incarnation counts the incarnations of a machine's agent from 1. A newer incarnation has none of
+// the tasks of an older one, and refuses commands that are addressed to an older one. 0 means
+// unknown.
 type Incarnation uint64
 
-// Sequence numbers an agent's heartbeats within an incarnation.
+// Sequence counts an agent's heartbeats within an incarnation.
 type Sequence uint64
 
-// Revision counts the changes of the key-value store. That of a key is the store's at the
-// key's last change; 0: the key does not exist.
+// Revision counts the changes of the key-value store. The revision of a key is the store's
+// revision at the key's last change. For a key, 0 means that it does not exist.
 type Revision uint64
 
-// Term is a leader's time in office, which agents see as its fencing token: they obey none
-// that is lower than the highest they have seen. It is the revision at which the leader
-// lease was won, so that a later leader's is higher. 0: nobody leads.
+// Term identifies a leadership and is the fencing token that agents check: they reject commands
+// with a token lower than the highest they have seen. It is the store's revision at which the
+// leader lease was acquired, so that a later leader's term is higher. 0 means that no node leads.
 type Term uint64
 
-// LeaseID names a lease of the key-value store. 0: none.
+// LeaseID identifies a lease of the key-value store. 0 means none.
 type LeaseID uint64
 
-// ZoneName names a failure domain, in which machines and controllers are.
+// ZoneName names a zone, a failure domain that contains machines and controllers.
 type ZoneName string
 
 // TeamName names a team, which has a guarantee and a limit.
@@ -46,14 +46,14 @@
 // NodeName names a controller.
 type NodeName string
 
-// MachineTypeName names a machine type of the cloud's price list.
+// MachineTypeName names a machine type in the cloud's price list.
 type MachineTypeName string
 
-// decodeError is a decoder's error in the words of the wire. Senders are told them, so
-// that they are part of the protocol and do not follow the names of types in Go.
+// decodeError is a JSON decoder's error with the wire names of types. The sender receives its
+// text, which is therefore part of the protocol and does not depend on the names of Go types.
 type decodeError struct{ cause *json.UnmarshalTypeError }
 
-// wireTypeNames puts the names of messages in errors in the place of the types' own.
+// wireTypeNames replaces the Go names of message types in an error by their wire names.
 var wireTypeNames = strings.NewReplacer(
 	"struct field Heartbeat.", "struct field Report.",
 	"struct field TaskStatus.", "struct field TaskReport.",
@@ -65,8 +65,8 @@
 
 func (e *decodeError) Unwrap() error { return e.cause }
 
-// withWireTypeNames has a decoder's error name the type that an identifier has in JSON and not
-// the identifier's own, and a message by its name in errors.
+// withWireTypeNames makes a decoder's error name the basic type of an identifier, not the
+// identifier's Go type, and use the wire names of messages. It returns other errors unchanged.
 func withWireTypeNames(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
--- a/internal/protocol/identifiers_test.go
+++ b/internal/protocol/identifiers_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestHeartbeatErrorsNameWireTypes: an agent is told of a field of a wrong type in the types of JSON,
-// to the byte as before identifiers had types of their own.
+// TestHeartbeatErrorsNameWireTypes checks that an error about a field of a wrong type names basic
+// types and wire names of messages, not the Go types of identifiers and messages. Agents receive
+// these texts, so they must match byte for byte.
 func TestHeartbeatErrorsNameWireTypes(t *testing.T) {
 	for field, want := range map[string]string{
 		"berth":   "of type string",
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -10,29 +10,31 @@
 	"strings"
 )
 
-// MaxJobBytes is the largest description of a job, in bytes as JSON: it must leave
-// room for tasks in a record of the store.
+// MaxJobBytes is the size of the largest job description, encoded as JSON. The description must
+// leave room for tasks in the job's main record.
 const MaxJobBytes = 2 << 10
 
-// MaxTasks is the largest number of tasks a job may have.
+// MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100_000
 
-// Shape says how the tasks of a job belong together.
+// Shape says how the tasks of a job depend on each other.
 type Shape string
 
 // Shapes of a job.
 const (
+	// ShapeArray is a set of independent tasks.
 	ShapeArray Shape = "array"
-	ShapeGang  Shape = "gang"
-	// ShapeService is a set of tasks, replicas, that run until their user cancels
-	// them: one that ends for any other cause runs again.
+	// ShapeGang is a set of tasks that all run at the same time.
+	ShapeGang Shape = "gang"
+	// ShapeService is a set of tasks, called replicas, that run until their user cancels the
+	// job. A replica that exits for any other reason is started again.
 	ShapeService Shape = "standing"
 )
 
-// Phase is the state of a job as users see it.
+// Phase is the state of a job that users see.
 type Phase string
 
-// Phases of a job as users see them.
+// Phases of a job.
 const (
 	PhasePending   Phase = "pending"
 	PhaseRunning   Phase = "running"
@@ -40,10 +42,10 @@
 	PhaseCancelled Phase = "withdrawn"
 )
 
-// Priority is a job's priority; a larger one goes first.
+// Priority is a job's priority. A larger value takes precedence.
 type Priority int
 
-// The four priorities.
+// Priorities, in ascending order.
 const (
 	PriorityIdle Priority = iota
 	PriorityNormal
@@ -53,7 +55,7 @@
 
 var priorityNames = []string{"idle", "normal", "high", "critical"}
 
-// ParsePriority reads a priority's wire name.
+// ParsePriority returns the priority with the given wire name, and false if there is none.
 func ParsePriority(s string) (Priority, bool) {
 	for i, name := range priorityNames {
 		if s == name {
@@ -63,43 +65,45 @@
 	return 0, false
 }
 
-// Job is a submission.
+// Job is the description of a job that its user submits.
 type Job struct {
-	ID                  JobID             `json:"uid"`
-	Class               string            `json:"lane"`
-	Team                TeamName          `json:"crew"`
-	Shape               Shape             `json:"shape"`
-	Priority            string            `json:"rank"`
-	Tasks               int               `json:"pieces"`
-	CPUs                float64           `json:"cpus"`
-	GPUs                float64           `json:"gpus"`
-	MemoryGB            float64           `json:"memory_gb"`
-	Image               string            `json:"bundle"`
-	ImageGB             float64           `json:"pull_gb"`
-	Types               []MachineTypeName `json:"builds,omitempty"`
-	Zone                ZoneName          `json:"yard,omitempty"`
-	OneZone             bool              `json:"one_zone"`
-	Spread              bool              `json:"scatter"`
-	Spot                bool              `json:"loaners"`
-	EstimateS           float64           `json:"expect_s"`
-	CheckpointIntervalS float64           `json:"snapshot_s"`
-	CheckpointSaveS     float64           `json:"flush_s"`
-	DeadlineS           float64           `json:"due_s,omitempty"`
+	ID       JobID             `json:"uid"`
+	Class    string            `json:"lane"`
+	Team     TeamName          `json:"crew"`
+	Shape    Shape             `json:"shape"`
+	Priority string            `json:"rank"`
+	Tasks    int               `json:"pieces"`
+	CPUs     float64           `json:"cpus"`
+	GPUs     float64           `json:"gpus"`
+	MemoryGB float64           `json:"memory_gb"`
+	Image    string            `json:"bundle"`
+	ImageGB  float64           `json:"pull_gb"`
+	Types    []MachineTypeName `json:"builds,omitempty"`
+	Zone     ZoneName          `json:"yard,omitempty"`
+	OneZone  bool              `json:"one_zone"`
+	// Spread allows at most half of the tasks, rounded up, in one zone.
+	Spread bool `json:"scatter"`
+	// Spot allows spot machines.
+	Spot                bool    `json:"loaners"`
+	EstimateS           float64 `json:"expect_s"`
+	CheckpointIntervalS float64 `json:"snapshot_s"`
+	CheckpointSaveS     float64 `json:"flush_s"`
+	DeadlineS           float64 `json:"due_s,omitempty"`
 }
 
-// Gang says whether all tasks run at the same time.
+// Gang reports whether all tasks run at the same time.
 func (j *Job) Gang() bool { return j.Shape == ShapeGang }
 
-// Service says whether the tasks run until the job is cancelled.
+// Service reports whether the tasks run until the job is cancelled.
 func (j *Job) Service() bool { return j.Shape == ShapeService }
 
-// PriorityLevel is the job's priority as a number.
+// PriorityLevel returns the job's priority as a number.
 func (j *Job) PriorityLevel() Priority {
 	priority, _ := ParsePriority(j.Priority)
 	return priority
 }
 
-// jobWire mirrors Job with pointers, so that a missing field shows.
+// jobWire mirrors Job with pointers, so that a missing field can be told from a zero value.
 type jobWire struct {
 	ID          *string   `json:"uid"`
 	Class       *string   `json:"lane"`
@@ -123,7 +127,7 @@
 	DeadlineS   *float64  `json:"due_s"`
 }
 
-// ValidJobID says whether id has the form of a job id: "run-" and digits.
+// ValidJobID reports whether id has the form of a job ID: "run-" and 1 to 32 digits.
 func ValidJobID(id JobID) bool {
 	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
@@ -137,11 +141,11 @@
 	return true
 }
 
-// maxNameBytes bounds the length of a name in a submission or report, in bytes.
+// maxNameBytes limits the length of a name in a submission or heartbeat.
 const maxNameBytes = 200
 
-// ParseJob decodes and validates a submission. Fields that may be null may
-// also be missing; everything else must be there and sound.
+// ParseJob decodes and validates a submission. Fields that may be null may also be missing. All
+// other fields must be present and valid.
 func ParseJob(body []byte) (*Job, error) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -162,7 +166,7 @@
 	return spec, nil
 }
 
-// Keys of a submission's fields, by which a refusal names them.
+// Wire names of a submission's fields, as error messages list them.
 const (
 	keyID          = "uid"
 	keyClass       = "lane"
@@ -186,11 +190,11 @@
 	keyDeadlineS   = "due_s"
 )
 
-// jobChecker takes the fields of a submission and notes the wire names of those that
-// are missing or invalid.
+// jobChecker validates the fields of a submission and collects the wire names of those that are
+// missing or invalid.
 type jobChecker struct{ invalid []string }
 
-// jobFromWire takes all fields.
+// jobFromWire validates all fields and returns them as a Job.
 func (c *jobChecker) jobFromWire(w *jobWire) *Job {
 	spec := &Job{
 		ID:                  JobID(c.text(keyID, w.ID)),
@@ -223,7 +227,7 @@
 	return spec
 }
 
-// check notes a field that is not sound.
+// check records the field as invalid unless valid is true.
 func (c *jobChecker) check(key string, valid bool) {
 	if !valid {
 		c.invalid = append(c.invalid, key)
@@ -246,7 +250,7 @@
 	return *value
 }
 
-// optionalAmount takes an amount that may be missing.
+// optionalAmount validates an amount that may be missing and is then 0.
 func (c *jobChecker) optionalAmount(key string, value *float64) float64 {
 	if value == nil {
 		return 0
@@ -267,8 +271,7 @@
 	return int(*value)
 }
 
-// types takes the allowed machine types. An empty list allows no machine at all: it is
-// not the same as null.
+// types validates the allowed machine types. Null allows every type, but an empty list allows none.
 func (c *jobChecker) types(values []*string) []MachineTypeName {
 	if values != nil && len(values) == 0 {
 		return []MachineTypeName{noMachineType}
@@ -286,13 +289,13 @@
 
 // Limits of a job's machine types.
 const (
-	maxTypes         = 64 // names in the list
-	maxTypeNameBytes = 64 // bytes of each
-	// noMachineType is the name of no machine type.
+	maxTypes         = 64
+	maxTypeNameBytes = 64
+	// noMachineType is a name that no machine type has. It stands for an empty list of types.
 	noMachineType = " "
 )
 
-// JobStatus is what a user is told of a job.
+// JobStatus is the response to a query about a job.
 type JobStatus struct {
 	ID      JobID `json:"uid"`
 	Phase   Phase `json:"phase"`
@@ -300,7 +303,7 @@
 	Running int   `json:"running"`
 }
 
-// Accepted is the short answer to a submission or a cancellation.
+// Accepted is the response to a submission or cancellation.
 type Accepted struct {
 	ID    JobID `json:"uid"`
 	Phase Phase `json:"phase"`
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -8,7 +8,7 @@
 	"github.com/gappond/gappond/internal/golden"
 )
 
-// wireMessages are the messages in JSON, by names of this test's own.
+// wireMessages are the JSON messages by the names that the golden file uses for them.
 var wireMessages = map[string]reflect.Type{
 	"machine types": reflect.TypeFor[MachineTypes](),
 	"rental":        reflect.TypeFor[CreateMachinesRequest](),
@@ -32,8 +32,8 @@
 	"orders":        reflect.TypeFor[CommandBatch](),
 }
 
-// TestWireNames: every field of every message, its place and its kind, the messages as a
-// whole, and the paths are those of the golden list.
+// TestWireNames checks that the paths, and every message with the names, nesting and kinds of its
+// fields, match the golden file.
 func TestWireNames(t *testing.T) {
 	list := golden.JSONNames(t, wireMessages, nil)
 	for _, verb := range []CommandKind{CommandStart, CommandStop, CommandForget} {
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// Paths of the service itself.
+// Paths of gappond's own HTTP interface.
 const (
 	PathJobs      = "/v2/runs"
 	PathReady     = "/ready"
 	PathHeartbeat = "/checkin"
-	// PathMetrics serves the operators' metrics.
+	// PathMetrics serves metrics to operators.
 	PathMetrics = "/metrics"
-	// CancelAction follows a job's path to cancel it.
+	// CancelAction is appended to a job's path to cancel the job.
 	CancelAction = "withdraw"
 )
 
@@ -35,15 +35,17 @@
 	PathLeases       = "/grants"
 )
 
-// MachinesPath asks for a page of the machine list.
+// MachinesPath returns the path of a page of the machine list: up to limit machines after the given
+// one.
 func MachinesPath(after MachineID, limit int) string {
 	return PathMachines + "?after=" + url.QueryEscape(string(after)) + "&page=" + strconv.Itoa(limit)
 }
 
-// KeyPath reads one key.
+// KeyPath returns the path that reads one key.
 func KeyPath(key string) string { return "/kv/" + key }
 
-// RangePath reads keys by prefix.
+// RangePath returns the path that reads up to limit keys with a prefix. If after is not empty, they
+// come after that key.
 func RangePath(prefix, after string, limit int) string {
 	path := "/kv?starts=" + url.QueryEscape(prefix)
 	if after != "" {
@@ -52,13 +54,14 @@
 	return path + "&page=" + strconv.Itoa(limit)
 }
 
-// WatchPath waits for changes below a prefix.
+// WatchPath returns the path that waits up to waitMs for changes after a revision to keys with a
+// prefix.
 func WatchPath(prefix string, after Revision, waitMs int64) string {
 	return "/watch?starts=" + url.QueryEscape(prefix) + "&after=" + strconv.FormatUint(uint64(after), 10) +
 		"&block_ms=" + strconv.FormatInt(waitMs, 10)
 }
 
-// RenewPath renews a lease.
+// RenewPath returns the path that renews a lease.
 func RenewPath(lease LeaseID) string {
 	return PathLeases + "/" + strconv.FormatUint(uint64(lease), 10) + "/renew"
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// PeerMessage is one message between controllers.
+// PeerMessage is a message between controllers.
 type PeerMessage interface{ kind() byte }
 
-// PeerHello opens a link.
+// PeerHello is the first message on a link and names the sender.
 type PeerHello struct{ Node NodeName }
 
-// PeerStatus is what a node says of itself with each of its heartbeats.
+// PeerStatus is the heartbeat between controllers. It holds the status of the sender.
 type PeerStatus struct {
 	Term           Term
 	Leader         NodeName
 	HasStoreAccess bool
-	Links          []NodeName // peers that this node has a link to
-	DirectShare    uint64     // of a thousand agents the leader answers so many itself
+	Links          []NodeName // peers to which the sender has a link
+	DirectShare    uint64     // agents per thousand that the leader responds to itself
 }
 
 // PeerForwardedHeartbeat carries an agent's heartbeat to the leader.
@@ -29,16 +29,16 @@
 	Heartbeat *Heartbeat
 }
 
-// PeerResponse carries the answer back.
+// PeerResponse is the response to a PeerForwardedHeartbeat, PeerUserRequest or PeerAgentCall.
 type PeerResponse struct {
 	ID     uint64
-	Target NodeName // the node that forwarded the request first
+	Target NodeName // the origin of the request
 	Hops   uint64
 	Status uint64
 	Body   []byte
 }
 
-// PeerUserRequest carries a user's request to a node that reaches the state service.
+// PeerUserRequest carries a user's request to a node that has access to the store.
 type PeerUserRequest struct {
 	ID        uint64
 	Origin    NodeName
@@ -48,26 +48,30 @@
 	Body      []byte
 }
 
-// PeerCancellation tells the leader of a job whose cancellation is in the records. It
-// goes only to a node that has announced FeatureLevelCancellations.
+// PeerCancellation tells the leader that a job's cancellation is in the records. It is sent only
+// to a node that has announced FeatureLevelCancellations or higher.
 type PeerCancellation struct{ Job JobID }
 
-// PeerConfirmationRequest has a node confirm for what it has told users and for not leading. ID is
-// the one of the node that asks, and comes back.
+// PeerConfirmationRequest asks a node to confirm that it does not lead, and to name the
+// cancellations that it has confirmed to users. The requesting node chooses ID, and the response
+// repeats it.
 type PeerConfirmationRequest struct{ ID uint64 }
 
-// PeerConfirmation answers: at the time of writing the node led under that term, or not if
-// it is 0, had been up for so long, and had confirmed to users no cancellation that is
-// younger than they may take but these.
+// PeerConfirmation is the response to a PeerConfirmationRequest. It describes the sender at the
+// time of writing.
 type PeerConfirmation struct {
-	ID            uint64
-	Term          Term
-	UptimeMs      uint64
-	Complete      bool // false: there were too many to name, or the node cannot say
+	ID       uint64
+	Term     Term   // under which the sender leads; 0 if it does not lead
+	UptimeMs uint64 // of the sender's process
+	// Complete is false if there are too many cancellations to name, or the sender does not
+	// know them.
+	Complete bool
+	// Cancellations are the jobs whose cancellation the sender has confirmed to users, without
+	// those confirmed so long ago that the cancellation has taken effect.
 	Cancellations []JobID
 }
 
-// FitsInFrame says whether the cancellations fit into one frame.
+// FitsInFrame reports whether the message fits into one frame with all its cancellations.
 func (m PeerConfirmation) FitsInFrame() bool {
 	size := peerHeaderBytes + 5*binary.MaxVarintLen64
 	for _, jobID := range m.Cancellations {
@@ -76,28 +80,31 @@
 	return size <= maxPeerFrameBytes
 }
 
-// Levels of what a node knows. A node announces its own in a form that the first
-// version, which knows none, takes for an answer to nothing and drops.
+// Feature levels. A node announces its own level in a PeerResponse that belongs to no request. The
+// first version has no feature level and drops such a response.
 const (
-	// FeatureLevelCancellations: PeerCancellation, PeerConfirmationRequest and PeerConfirmation, and job
-	// records with more parts than their number of tasks per record implies.
+	// FeatureLevelCancellations adds PeerCancellation, PeerConfirmationRequest and
+	// PeerConfirmation, and jobs with more task records than their number of tasks per record
+	// implies.
 	FeatureLevelCancellations = 1
-	// FeatureLevelStagedParts: parts of a job that are written before the job's own record
-	// names them. An earlier version deletes such records when it takes over.
+	// FeatureLevelStagedParts adds parts of a job that are written before the job's main record
+	// references them. A node of an earlier version deletes them when it becomes the leader.
 	FeatureLevelStagedParts = 2
-	// CurrentFeatureLevel is the level of this version.
+	// CurrentFeatureLevel is the feature level of this version.
 	CurrentFeatureLevel = FeatureLevelStagedParts
 )
 
-// announcementID is no request's: those count from a 40-bit number.
+// announcementID is the ID of announcements. No request has it: request IDs count up from a 40-bit
+// number.
 const announcementID = math.MaxUint64
 
-// FeatureLevelAnnouncement says to a peer what this node knows.
+// FeatureLevelAnnouncement returns the message that announces this node's feature level to a peer.
 func FeatureLevelAnnouncement(target NodeName) PeerMessage {
 	return PeerResponse{ID: announcementID, Target: target, Status: CurrentFeatureLevel, Body: []byte{}}
 }
 
-// AnnouncedFeatureLevel is the level that a message announces, if it does.
+// AnnouncedFeatureLevel returns the feature level that a message announces, and false if the
+// message is not an announcement.
 func AnnouncedFeatureLevel(m PeerMessage) (level uint64, ok bool) {
 	a, ok := m.(PeerResponse)
 	if !ok || a.ID != announcementID {
@@ -106,7 +113,7 @@
 	return a.Status, true
 }
 
-// PeerAgentCall has a node send commands to an agent for the leader.
+// PeerAgentCall asks a node to send commands to an agent on behalf of the leader.
 type PeerAgentCall struct {
 	ID      uint64
 	Origin  NodeName
--- a/internal/protocol/peer_codec.go
+++ b/internal/protocol/peer_codec.go
@@ -5,22 +5,22 @@
 	"math"
 )
 
-// Limits of what is decoded.
+// Limits of decoded fields.
 const (
 	maxPeerStringBytes = MaxBodyBytes
-	// minTaskStatusBytes is the least size of a task's status: five fields of a byte each.
+	// minTaskStatusBytes is the smallest size of a TaskStatus: five fields of at least one byte.
 	minTaskStatusBytes = 5
 )
 
-// minTwoByteVarint is the least number that takes more than one byte.
+// minTwoByteVarint is the smallest number whose varint takes more than one byte.
 const minTwoByteVarint = 0x80
 
-// codec encodes or decodes the fields of a message in their order. A message describes
-// itself once, in its method fields; each call there writes the field or reads it.
+// codec encodes or decodes the fields of a message in order. The fields method of a message lists
+// them for both directions: each call in it writes or reads one field.
 type codec struct {
-	data     []byte // encoding: what was written; decoding: what is left to read
+	data     []byte // encoding: the bytes written so far; decoding: the bytes yet to be read
 	decoding bool
-	failed   bool // something does not parse, and nothing is left to read
+	failed   bool // decoding: the data is malformed, and reading has ended
 }
 
 func (m *PeerHello) fields(c *codec) { textField(c, &m.Node) }
@@ -108,7 +108,7 @@
 	c.booleanField(&t.Saved)
 }
 
-// numberField is a field that holds an unsigned integer.
+// numberField codes an unsigned integer.
 func numberField[T ~uint64](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readNumber())
@@ -117,7 +117,7 @@
 	}
 }
 
-// textField is a field that holds a string.
+// textField codes a string.
 func textField[T ~string](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readString())
@@ -126,7 +126,7 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// textListField is a field that holds a list of strings.
+// textListField codes a list of strings.
 func textListField[T ~string](c *codec, field *[]T) {
 	if c.decoding {
 		for n := c.readCount(1); n > 0 && !c.failed; n-- {
@@ -140,7 +140,7 @@
 	}
 }
 
-// bytesField is a field that holds a body.
+// bytesField codes a body. Decoding copies the bytes.
 func (c *codec) bytesField(field *[]byte) {
 	if c.decoding {
 		b := c.readBytes()
@@ -151,7 +151,7 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// booleanField is a field that is true or false, 1 or 0.
+// booleanField codes a boolean as 1 or 0.
 func (c *codec) booleanField(field *bool) {
 	if c.decoding {
 		*field = c.readBoolean()
@@ -160,7 +160,8 @@
 	}
 }
 
-// optionalFloatField is a field that may be missing: whether it is there, and its bits.
+// optionalFloatField codes a number that may be missing: first whether it is present, then its
+// IEEE 754 bits.
 func (c *codec) optionalFloatField(field **float64) {
 	if c.decoding {
 		if c.readBoolean() {
@@ -177,7 +178,7 @@
 
 func (c *codec) writeNumber(v uint64) { c.data = appendNumber(c.data, v) }
 
-// appendNumber appends a varint, one byte of which, the most frequent, without a loop.
+// appendNumber appends a varint. It writes the most frequent case, a single byte, without a loop.
 func appendNumber(b []byte, v uint64) []byte {
 	if v < minTwoByteVarint {
 		return append(b, byte(v))
@@ -193,7 +194,7 @@
 	}
 }
 
-// fail notes that something does not parse. What is read from then on is zero.
+// fail marks the data as malformed. All later reads return zero values.
 func (c *codec) fail() {
 	c.failed = true
 	c.data = nil
@@ -224,7 +225,7 @@
 
 func (c *codec) readString() string { return string(c.readBytes()) }
 
-// readBytes reads a length and bytes, which it does not copy.
+// readBytes reads a length and that many bytes. The result shares the memory of the data.
 func (c *codec) readBytes() []byte {
 	n := c.readNumber()
 	if n > uint64(len(c.data)) || n > maxPeerStringBytes {
@@ -236,7 +237,8 @@
 	return b
 }
 
-// readCount reads the length of a list whose items take at least size bytes each.
+// readCount reads the length of a list whose items take at least minItemBytes each. A length for
+// which too few bytes are left is malformed.
 func (c *codec) readCount(minItemBytes int) int {
 	n := c.readNumber()
 	if n > uint64(len(c.data)/minItemBytes) {
--- a/internal/protocol/peer_frame.go
+++ b/internal/protocol/peer_frame.go
@@ -7,18 +7,18 @@
 	"io"
 )
 
-// The controllers speak a binary format of their own. A frame is
+// Messages between controllers are sent in binary frames:
 //
-//	'G' 'P'  version  kind  length (4 bytes, big endian)  payload
+//	'G' 'P'  version  kind  payload length (4 bytes, big endian)  payload
 //
-// Numbers in a payload are unsigned varints, strings are a length and bytes.
+// In a payload, numbers are unsigned varints, and strings are a length followed by the bytes.
 const (
 	peerVersion       = 2
 	peerHeaderBytes   = 8
 	maxPeerFrameBytes = 256 << 10
 )
 
-// Kinds of frames, one for each type of message.
+// Kinds of frames, one for each message type.
 const (
 	kindHello byte = iota + 1
 	kindStatus
@@ -41,8 +41,8 @@
 func (PeerConfirmationRequest) kind() byte { return kindConfirmationRequest }
 func (PeerConfirmation) kind() byte        { return kindConfirmation }
 
-// ErrFrame is wrapped by every error about a wrong frame.
-var ErrFrame = errors.New("bad peer frame")
+// ErrFrame is wrapped by every error about an invalid frame.
+var ErrFrame = errors.New("invalid peer frame")
 
 // AppendPeerFrame appends the message's frame to b.
 func AppendPeerFrame(b []byte, message PeerMessage) []byte {
@@ -72,22 +72,22 @@
 	return c.data
 }
 
-// ReadPeerFrame reads one frame. A frame that is wrong, too large or of another
-// version is an error that wraps ErrFrame; the link must then be closed.
+// ReadPeerFrame reads one frame. If the frame is malformed, too large or of another version, the
+// error wraps ErrFrame, and the caller must close the link.
 func ReadPeerFrame(r io.Reader) (PeerMessage, error) {
 	var header [peerHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
 	if header[0] != 'G' || header[1] != 'P' {
-		return nil, fmt.Errorf("%w: no frame mark", ErrFrame)
+		return nil, fmt.Errorf("%w: does not begin with GP", ErrFrame)
 	}
 	if header[2] != peerVersion {
 		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, header[2], peerVersion)
 	}
 	length := binary.BigEndian.Uint32(header[4:])
 	if length > maxPeerFrameBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, length)
+		return nil, fmt.Errorf("%w: payload of %d bytes is too large", ErrFrame, length)
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(r, payload); err != nil {
@@ -100,15 +100,15 @@
 	c := &codec{data: payload, decoding: true}
 	message := c.decodeMessage(kind)
 	if message == nil {
-		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
+		return nil, fmt.Errorf("%w: unknown kind %d", ErrFrame, kind)
 	}
 	if c.failed || len(c.data) != 0 {
-		return nil, fmt.Errorf("%w: kind %d does not parse", ErrFrame, kind)
+		return nil, fmt.Errorf("%w: malformed payload of kind %d", ErrFrame, kind)
 	}
 	return message, nil
 }
 
-// decodeMessage decodes a message of a kind, nil if there is no such kind.
+// decodeMessage decodes a message of the given kind. It returns nil if the kind is unknown.
 func (c *codec) decodeMessage(kind byte) PeerMessage {
 	switch kind {
 	case kindHello:
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,14 +1,13 @@
-// Package protocol holds the messages that gappond exchanges with users,
-// agents, the cloud, the key-value store and its own peers: their wire
-// names, their validation and their encodings. It does no I/O. Wire names
-// appear here and nowhere else; the rest of the program uses the field's
-// ordinary terms.
+// Package protocol defines the messages that gappond exchanges with users, agents, the cloud and
+// the key-value store, and those between its controllers: their wire names, validation and
+// encoding. It does no I/O. Wire names appear only in this package; the rest of the program uses
+// the usual terms of cluster scheduling.
 package protocol
 
-// MaxBodyBytes is the largest request body that any interface accepts, in bytes.
+// MaxBodyBytes is the size of the largest request body that any interface accepts.
 const MaxBodyBytes = 64 << 10
 
-// ErrorBody is the body of every refusal.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// withField puts another value into the good job's field; "" takes it out.
+// withField returns validJob with another value of a field, or without the field if value is "".
 func withField(t *testing.T, field, value string) []byte {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
@@ -51,7 +51,7 @@
 func TestParseJobRejectsInvalidJobs(t *testing.T) {
 	for _, body := range []string{"", "null", "[]", "7", `"x"`, "{", validJob + "x", strings.Replace(validJob, "240.0", "NaN", 1)} {
 		if _, err := ParseJob([]byte(body)); err == nil {
-			t.Errorf("%.20q is taken", body)
+			t.Errorf("%.20q is accepted", body)
 		}
 	}
 	invalid := map[string][]string{
@@ -79,14 +79,14 @@
 	for field, values := range invalid {
 		for _, v := range values {
 			if _, err := ParseJob(withField(t, field, v)); err == nil {
-				t.Errorf("%s = %q is taken", field, v)
+				t.Errorf("%s = %q is accepted", field, v)
 			}
 		}
 	}
 }
 
-// TestParseJobAcceptsMissingOptionalFields: fields that may be null may also be missing, and
-// unknown fields are ignored.
+// TestParseJobAcceptsMissingOptionalFields checks that fields that may be null may also be missing,
+// and that unknown fields are ignored.
 func TestParseJobAcceptsMissingOptionalFields(t *testing.T) {
 	for _, field := range []string{"builds", "yard", "due_s"} {
 		for _, v := range []string{"", "null"} {
@@ -98,19 +98,20 @@
 	if _, err := ParseJob(withField(t, "later", `{"a":[1]}`)); err != nil {
 		t.Error(err)
 	}
-	// An empty list allows no type; it is not the same as null.
+	// An empty list allows no type, unlike null.
 	spec, err := ParseJob(withField(t, "builds", "[]"))
 	if err != nil || TypeAllowed(spec.Types, "g8") {
-		t.Errorf("an empty list allows g8 (%v)", err)
+		t.Errorf("empty list of types: g8 is allowed, or error %v", err)
 	}
 }
 
-// TestParseJobLimitsEncodedSize: whatever is accepted fits into its record.
+// TestParseJobLimitsEncodedSize checks that a job is rejected if its encoded description is too
+// large for its record.
 func TestParseJobLimitsEncodedSize(t *testing.T) {
 	long := `"` + strings.Repeat("\\u0001", 90) + `"`
 	body := withField(t, "lane", long)
 	if _, err := ParseJob(body); err != nil {
-		t.Errorf("one long name is refused: %v", err)
+		t.Errorf("a job with one long name is rejected: %v", err)
 	}
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
@@ -122,7 +123,7 @@
 	m["builds"] = json.RawMessage("[" + strings.Repeat(long[:200]+`",`, 20) + `"x"]`)
 	b, _ := json.Marshal(m)
 	if spec, err := ParseJob(b); err == nil {
-		t.Errorf("a description of %d bytes is taken", len(mustJSON(spec)))
+		t.Errorf("a description of %d bytes is accepted", len(mustJSON(spec)))
 	}
 }
 
@@ -145,7 +146,7 @@
 	}
 	for _, bad := range []string{"", "[]", `{"berth":"","tenure":1}`, `{"berth":"a b","tenure":1}`, `{"berth":"a"}`, `{"berth":"a","tenure":-1}`} {
 		if _, err := ParseHeartbeat([]byte(bad)); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
@@ -214,15 +215,15 @@
 		return c
 	}
 	for name, frame := range map[string][]byte{
-		"mark": withByte(0, 'X'), "version": withByte(2, 0), "kind": withByte(3, 99), "huge": withByte(4, 0xff),
-		"inner length": withByte(peerHeaderBytes, 200), "left over": append(withByte(7, 3), 0),
+		"magic bytes": withByte(0, 'X'), "version": withByte(2, 0), "kind": withByte(3, 99), "too large": withByte(4, 0xff),
+		"string length": withByte(peerHeaderBytes, 200), "trailing byte": append(withByte(7, 3), 0),
 	} {
 		if m, err := ReadPeerFrame(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
 			t.Errorf("%s: %v, %v", name, m, err)
 		}
 	}
 	if _, err := ReadPeerFrame(bytes.NewReader(valid[:len(valid)-1])); err == nil {
-		t.Error("a truncated frame is taken")
+		t.Error("a truncated frame is accepted")
 	}
 }
 
@@ -237,10 +238,10 @@
 		}
 		again, err := ReadPeerFrame(bytes.NewReader(AppendPeerFrame(nil, m)))
 		if err != nil {
-			t.Fatalf("%+v does not come back: %v", m, err)
+			t.Fatalf("%+v cannot be read after it was written: %v", m, err)
 		}
 		if !bytes.Equal(AppendPeerFrame(nil, m), AppendPeerFrame(nil, again)) {
-			t.Errorf("%+v comes back as %+v", m, again)
+			t.Errorf("%+v is read as %+v after it was written", m, again)
 		}
 	})
 }
@@ -254,7 +255,7 @@
 			return
 		}
 		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidJobID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxJobBytes {
-			t.Errorf("%+v is taken", spec)
+			t.Errorf("%+v is accepted", spec)
 		}
 	})
 }
@@ -271,10 +272,10 @@
 	})
 }
 
-// TestFramesOfEarlierVersions: frames as versions 0.2 and 0.3 wrote them read as what they said
-// and are written byte for byte the same, since those versions, beside which this one
-// runs during an upgrade, cut a link on anything else. The announcement is a frame of
-// a kind that both know; only its level differs.
+// TestFramesOfEarlierVersions checks that frames written by versions 0.2 and 0.3 can be read and are
+// written again byte for byte the same. During an upgrade this version runs together with them, and
+// they close a link on any other frame. A feature level announcement is a frame of a kind that both
+// versions support; only its level differs.
 func TestFramesOfEarlierVersions(t *testing.T) {
 	for version, wantKinds := range map[string]int{"0.2": 6, "0.3": 9} {
 		data, err := os.ReadFile("testdata/frames-" + version + ".txt")
@@ -295,10 +296,10 @@
 			}
 			kinds[m.kind()] = true
 			if got := AppendPeerFrame(nil, m); !bytes.Equal(got, frame) {
-				t.Errorf("%s: %T is written as %x, was %x", version, m, got, frame)
+				t.Errorf("%s: %T is written as %x, want %x", version, m, got, frame)
 			}
 			if level, ok := AnnouncedFeatureLevel(m); ok && (version != "0.3" || level != FeatureLevelCancellations || level >= CurrentFeatureLevel) {
-				t.Errorf("%s announces level %d", version, level)
+				t.Errorf("%s announces feature level %d", version, level)
 			}
 		}
 		if len(kinds) != wantKinds || !kinds[FeatureLevelAnnouncement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
@@ -307,7 +308,7 @@
 	}
 }
 
-// TestParseServiceJob: what a service may say and must not.
+// TestParseServiceJob checks which field values are valid for a service.
 func TestParseServiceJob(t *testing.T) {
 	validService := strings.Replace(strings.Replace(validJob, `"gang"`, `"standing"`, 1), "240.0", "0", 1)
 	serviceWith := func(name, value string) []byte {
@@ -325,7 +326,7 @@
 	for name, values := range map[string][]string{"expect_s": {"-1", "null", `"x"`, "1e999"}, "pieces": {"0", "100001"}, "due_s": {"-1"}, "shape": {`"Standing"`, `"service"`}} {
 		for _, v := range values {
 			if _, err := ParseJob(serviceWith(name, v)); err == nil {
-				t.Errorf("%s %s is taken", name, v)
+				t.Errorf("%s %s is accepted", name, v)
 			}
 		}
 	}
