--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -46,7 +46,7 @@
 	// Accepted: the submission or the cancellation stands.
 	Accepted(requestID uint64, accepted protocol.Accepted)
 	// Status is the state of a job.
-	Status(requestID uint64, status protocol.JobStatus)
+	Status(requestID uint64, status protocol.Status)
 	// UnknownJob: there is no such job.
 	UnknownJob(requestID uint64)
 	// Unrunnable: the job can never run.
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -72,7 +72,7 @@
 
 func (rl replyLog) Created(id uint64, a protocol.Accepted)  { rl.note("%d created %s", id, a.Phase) }
 func (rl replyLog) Accepted(id uint64, a protocol.Accepted) { rl.note("%d accepted %s", id, a.Phase) }
-func (rl replyLog) Status(id uint64, s protocol.JobStatus) {
+func (rl replyLog) Status(id uint64, s protocol.Status) {
 	rl.note("%d status %s %d", id, s.Phase, s.Done)
 }
 func (rl replyLog) UnknownJob(id uint64)                 { rl.note("%d unknown", id) }
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -55,7 +55,7 @@
 
 // answerFinished answers the cancellation of a job that has no unfinished record.
 func (c *cancellations) answerFinished(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	c.lookups.job(requestID, jobID, deadline, func(status *protocol.JobStatus) {
+	c.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		switch {
 		case status == nil:
 			c.replies.UnknownJob(requestID)
--- a/internal/coordination/api/finished_jobs.go
+++ b/internal/coordination/api/finished_jobs.go
@@ -20,11 +20,11 @@
 }
 
 // status is the state of a job, if its final state is cached.
-func (fj *finishedJobs) status(jobID protocol.JobID) (protocol.JobStatus, bool) {
+func (fj *finishedJobs) status(jobID protocol.JobID) (protocol.Status, bool) {
 	final, ok := fj.finals[jobID]
 	return finishedStatus(jobID, final), ok
 }
 
-func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.JobStatus {
-	return protocol.JobStatus{ID: jobID, Phase: final.Phase, Done: final.Done}
+func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.Status {
+	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/coordination/api/lookups.go
+++ b/internal/coordination/api/lookups.go
@@ -37,7 +37,7 @@
 
 // job reads a job's state from the store itself. The unfinished record is read first: a
 // job moves from there to its final record and never back, so one of the two reads finds it.
-func (l *lookups) job(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.JobStatus)) {
+func (l *lookups) job(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
 	l.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			l.finishedJob(requestID, jobID, deadline, found)
@@ -54,7 +54,7 @@
 }
 
 // finishedJob reads a job's final record.
-func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.JobStatus)) {
+func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
 	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			found(nil)
@@ -73,7 +73,7 @@
 
 // answerStatus answers a status query from the store itself.
 func (l *lookups) answerStatus(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.JobStatus) {
+	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.UnknownJob(requestID)
 			return
@@ -84,7 +84,7 @@
 
 // answerRepeated answers the submission of a job that is known already.
 func (l *lookups) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.JobStatus) {
+	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.Unavailable(requestID, reasonTryAgain)
 			return
--- a/internal/coordination/api/responder.go
+++ b/internal/coordination/api/responder.go
@@ -28,7 +28,7 @@
 }
 
 // Status implements Replies.
-func (r *responder) Status(requestID uint64, status protocol.JobStatus) {
+func (r *responder) Status(requestID uint64, status protocol.Status) {
 	r.confirmed.recordIfCancelled(status.ID, status.Phase)
 	r.Replies.Status(requestID, status)
 }
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -122,14 +122,14 @@
 type queryBatch struct {
 	queries []statusQuery
 	compare protocol.Transaction
-	status  map[protocol.JobID]protocol.JobStatus // by job, as the mirror has it
-	stale   map[string]bool                       // keys whose records have changed since
+	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
+	stale   map[string]bool                    // keys whose records have changed since
 }
 
 // takeBatch takes the first of the waiting status queries.
 func (sq *statusQueries) takeBatch(limit int) *queryBatch {
 	count := min(limit, len(sq.waiting))
-	batch := &queryBatch{queries: sq.waiting[:count], status: map[protocol.JobID]protocol.JobStatus{}, stale: map[string]bool{}}
+	batch := &queryBatch{queries: sq.waiting[:count], status: map[protocol.JobID]protocol.Status{}, stale: map[string]bool{}}
 	sq.waiting = append([]statusQuery(nil), sq.waiting[count:]...)
 	for _, query := range batch.queries {
 		if _, ok := batch.status[query.job]; ok {
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -53,7 +53,7 @@
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (s *submissions) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
-	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.JobStatus) {
+	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
 			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 			return
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -25,7 +25,7 @@
 }
 
 // Status implements api.Replies.
-func (ur userReplies) Status(requestID uint64, status protocol.JobStatus) {
+func (ur userReplies) Status(requestID uint64, status protocol.Status) {
 	ur.n.answer(Reply{ID: requestID, Status: http.StatusOK, Body: storage.Encode(status)})
 }
 
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// JobID identifies a job, such as run-000412. The user chooses it. It is unique.
+// JobID identifies a job, such as run-000412. The user chooses it, and no two jobs share one.
 type JobID string
 
 // MachineID identifies a machine and the agent on it. The cloud chooses it and never reuses it.
@@ -17,9 +17,9 @@
 // that a number also identifies an attempt of the whole gang. 0 means that there was no attempt.
 type AttemptNumber uint64
 
-// Incarnation counts the incarnations of a machine's agent from 1. A newer incarnation has none of
-// the tasks of an older one, and refuses commands that are addressed to an older one. 0 means
-// unknown.
+// Incarnation numbers the successive incarnations of a machine's agent, from 1. A newer incarnation
+// has none of the tasks of an older one, and refuses commands that are addressed to an older one.
+// 0 means unknown.
 type Incarnation uint64
 
 // Sequence counts an agent's heartbeats within an incarnation.
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -105,26 +105,26 @@
 
 // jobWire mirrors Job with pointers, so that a missing field can be told from a zero value.
 type jobWire struct {
-	ID          *string   `json:"uid"`
-	Class       *string   `json:"lane"`
-	Team        *string   `json:"crew"`
-	Shape       *string   `json:"shape"`
-	Priority    *string   `json:"rank"`
-	Tasks       *uint64   `json:"pieces"`
-	CPUs        *float64  `json:"cpus"`
-	GPUs        *float64  `json:"gpus"`
-	MemoryGB    *float64  `json:"memory_gb"`
-	Image       *string   `json:"bundle"`
-	ImageGB     *float64  `json:"pull_gb"`
-	Types       []*string `json:"builds"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"one_zone"`
-	Spread      *bool     `json:"scatter"`
-	Spot        *bool     `json:"loaners"`
-	EstimateS   *float64  `json:"expect_s"`
-	CheckpointS *float64  `json:"snapshot_s"`
-	SaveS       *float64  `json:"flush_s"`
-	DeadlineS   *float64  `json:"due_s"`
+	ID                  *string   `json:"uid"`
+	Class               *string   `json:"lane"`
+	Team                *string   `json:"crew"`
+	Shape               *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	Tasks               *uint64   `json:"pieces"`
+	CPUs                *float64  `json:"cpus"`
+	GPUs                *float64  `json:"gpus"`
+	MemoryGB            *float64  `json:"memory_gb"`
+	Image               *string   `json:"bundle"`
+	ImageGB             *float64  `json:"pull_gb"`
+	Types               []*string `json:"builds"`
+	Zone                *string   `json:"yard"`
+	OneZone             *bool     `json:"one_zone"`
+	Spread              *bool     `json:"scatter"`
+	Spot                *bool     `json:"loaners"`
+	EstimateS           *float64  `json:"expect_s"`
+	CheckpointIntervalS *float64  `json:"snapshot_s"`
+	CheckpointSaveS     *float64  `json:"flush_s"`
+	DeadlineS           *float64  `json:"due_s"`
 }
 
 // ValidJobID reports whether id has the form of a job ID: "run-" and 1 to 32 digits.
@@ -168,26 +168,26 @@
 
 // Wire names of a submission's fields, as error messages list them.
 const (
-	keyID          = "uid"
-	keyClass       = "lane"
-	keyTeam        = "crew"
-	keyShape       = "shape"
-	keyPriority    = "rank"
-	keyTasks       = "pieces"
-	keyCPUs        = "cpus"
-	keyGPUs        = "gpus"
-	keyMemoryGB    = "memory_gb"
-	keyImage       = "bundle"
-	keyImageGB     = "pull_gb"
-	keyTypes       = "builds"
-	keyZone        = "yard"
-	keyOneZone     = "one_zone"
-	keySpread      = "scatter"
-	keySpot        = "loaners"
-	keyEstimateS   = "expect_s"
-	keyCheckpointS = "snapshot_s"
-	keySaveS       = "flush_s"
-	keyDeadlineS   = "due_s"
+	keyID                  = "uid"
+	keyClass               = "lane"
+	keyTeam                = "crew"
+	keyShape               = "shape"
+	keyPriority            = "rank"
+	keyTasks               = "pieces"
+	keyCPUs                = "cpus"
+	keyGPUs                = "gpus"
+	keyMemoryGB            = "memory_gb"
+	keyImage               = "bundle"
+	keyImageGB             = "pull_gb"
+	keyTypes               = "builds"
+	keyZone                = "yard"
+	keyOneZone             = "one_zone"
+	keySpread              = "scatter"
+	keySpot                = "loaners"
+	keyEstimateS           = "expect_s"
+	keyCheckpointIntervalS = "snapshot_s"
+	keyCheckpointSaveS     = "flush_s"
+	keyDeadlineS           = "due_s"
 )
 
 // jobChecker validates the fields of a submission and collects the wire names of those that are
@@ -208,8 +208,8 @@
 		MemoryGB:            c.amount(keyMemoryGB, w.MemoryGB),
 		ImageGB:             c.amount(keyImageGB, w.ImageGB),
 		EstimateS:           c.amount(keyEstimateS, w.EstimateS),
-		CheckpointIntervalS: c.amount(keyCheckpointS, w.CheckpointS),
-		CheckpointSaveS:     c.amount(keySaveS, w.SaveS),
+		CheckpointIntervalS: c.amount(keyCheckpointIntervalS, w.CheckpointIntervalS),
+		CheckpointSaveS:     c.amount(keyCheckpointSaveS, w.CheckpointSaveS),
 		DeadlineS:           c.optionalAmount(keyDeadlineS, w.DeadlineS),
 		OneZone:             c.flag(keyOneZone, w.OneZone),
 		Spread:              c.flag(keySpread, w.Spread),
@@ -289,14 +289,14 @@
 
 // Limits of a job's machine types.
 const (
-	maxTypes         = 64
+	maxTypes         = 64 // names in the list
 	maxTypeNameBytes = 64
 	// noMachineType is a name that no machine type has. It stands for an empty list of types.
 	noMachineType = " "
 )
 
-// JobStatus is the response to a query about a job.
-type JobStatus struct {
+// Status is the response to a query about a job.
+type Status struct {
 	ID      JobID `json:"uid"`
 	Phase   Phase `json:"phase"`
 	Done    int   `json:"done"`
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -16,7 +16,7 @@
 	"machine list":  reflect.TypeFor[MachineList](),
 	"job":           reflect.TypeFor[Job](),
 	"job as read":   reflect.TypeFor[jobWire](),
-	"status":        reflect.TypeFor[JobStatus](),
+	"status":        reflect.TypeFor[Status](),
 	"accepted":      reflect.TypeFor[Accepted](),
 	"error":         reflect.TypeFor[ErrorBody](),
 	"entries":       reflect.TypeFor[Entries](),
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -17,7 +17,7 @@
 	Leader         NodeName
 	HasStoreAccess bool
 	Links          []NodeName // peers to which the sender has a link
-	DirectShare    uint64     // agents per thousand that the leader responds to itself
+	DirectShare    uint64     // agents per thousand that the leader responds to directly
 }
 
 // PeerForwardedHeartbeat carries an agent's heartbeat to the leader.
--- a/internal/protocol/peer_codec.go
+++ b/internal/protocol/peer_codec.go
@@ -108,7 +108,7 @@
 	c.booleanField(&t.Saved)
 }
 
-// numberField codes an unsigned integer.
+// numberField encodes or decodes an unsigned integer.
 func numberField[T ~uint64](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readNumber())
@@ -117,7 +117,7 @@
 	}
 }
 
-// textField codes a string.
+// textField encodes or decodes a string.
 func textField[T ~string](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readString())
@@ -126,7 +126,7 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// textListField codes a list of strings.
+// textListField encodes or decodes a list of strings.
 func textListField[T ~string](c *codec, field *[]T) {
 	if c.decoding {
 		for n := c.readCount(1); n > 0 && !c.failed; n-- {
@@ -140,7 +140,7 @@
 	}
 }
 
-// bytesField codes a body. Decoding copies the bytes.
+// bytesField encodes or decodes a body. Decoding copies the bytes.
 func (c *codec) bytesField(field *[]byte) {
 	if c.decoding {
 		b := c.readBytes()
@@ -151,7 +151,7 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// booleanField codes a boolean as 1 or 0.
+// booleanField encodes or decodes a boolean as 1 or 0.
 func (c *codec) booleanField(field *bool) {
 	if c.decoding {
 		*field = c.readBoolean()
@@ -160,7 +160,7 @@
 	}
 }
 
-// optionalFloatField codes a number that may be missing: first whether it is present, then its
+// optionalFloatField encodes or decodes a number that may be missing: first whether it is present, then its
 // IEEE 754 bits.
 func (c *codec) optionalFloatField(field **float64) {
 	if c.decoding {
--- a/internal/protocol/peer_frame.go
+++ b/internal/protocol/peer_frame.go
@@ -98,7 +98,7 @@
 
 func decodePeerMessage(kind byte, payload []byte) (PeerMessage, error) {
 	c := &codec{data: payload, decoding: true}
-	message := c.decodeMessage(kind)
+	message := c.message(kind)
 	if message == nil {
 		return nil, fmt.Errorf("%w: unknown kind %d", ErrFrame, kind)
 	}
@@ -108,8 +108,8 @@
 	return message, nil
 }
 
-// decodeMessage decodes a message of the given kind. It returns nil if the kind is unknown.
-func (c *codec) decodeMessage(kind byte) PeerMessage {
+// message decodes a message of the given kind. It returns nil if the kind is unknown.
+func (c *codec) message(kind byte) PeerMessage {
 	switch kind {
 	case kindHello:
 		var m PeerHello
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -7,7 +7,7 @@
 // MaxBodyBytes is the size of the largest request body that any interface accepts.
 const MaxBodyBytes = 64 << 10
 
-// ErrorBody is the body of every error response.
+// ErrorBody is the body of a response that refuses a request.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/internal/storage/mirror.go
+++ b/internal/storage/mirror.go
@@ -20,7 +20,7 @@
 // far more often than records change.
 type status struct {
 	revision protocol.Revision
-	answer   protocol.JobStatus
+	answer   protocol.Status
 }
 
 // Ready says whether the mirror has been loaded.
@@ -79,16 +79,16 @@
 
 // Status is what a job's user is told by the record under a key, and the
 // record's revision; false if there is no sound one.
-func (m *Mirror) Status(key string) (protocol.JobStatus, protocol.Revision, bool) {
+func (m *Mirror) Status(key string) (protocol.Status, protocol.Revision, bool) {
 	e, ok := m.items[key]
 	if !ok {
-		return protocol.JobStatus{}, 0, false
+		return protocol.Status{}, 0, false
 	}
 	s, known := m.statuses[key]
 	if !known || s.revision != e.Revision {
 		rec, err := DecodeJob(e.Value)
 		if err != nil {
-			return protocol.JobStatus{}, 0, false
+			return protocol.Status{}, 0, false
 		}
 		s = status{e.Revision, rec.Status()}
 		m.statuses[key] = s
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -313,8 +313,8 @@
 
 // Status is what a user is told of an unfinished job. A record counts as
 // running once a task has its place.
-func (j *Job) Status() protocol.JobStatus {
-	s := protocol.JobStatus{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.Done, Running: j.Placed}
+func (j *Job) Status() protocol.Status {
+	s := protocol.Status{ID: j.Spec.ID, Phase: protocol.PhasePending, Done: j.Done, Running: j.Placed}
 	switch {
 	case j.Cancelled:
 		s.Phase, s.Running = protocol.PhaseCancelled, 0
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -140,7 +140,7 @@
 	m.BeginLoad()
 	m.LoadPage(&protocol.Entries{Revision: 1})
 	key := JobKey("run-1")
-	for stamp, want := range []protocol.JobStatus{
+	for stamp, want := range []protocol.Status{
 		{ID: "run-1", Phase: protocol.PhasePending},
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
