--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -20,7 +20,7 @@
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
-	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
+	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineIDs{Machines: names})})
 	l.committer.Commit()
 	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -77,8 +77,8 @@
 	Count     int             `json:"count"`
 }
 
-// MachineNames lists machines by their IDs.
-type MachineNames struct {
+// MachineIDs lists machines by their IDs.
+type MachineIDs struct {
 	Machines []MachineID `json:"berths"`
 }
 
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -12,7 +12,7 @@
 var wireMessages = map[string]reflect.Type{
 	"machine types": reflect.TypeFor[MachineTypes](),
 	"rental":        reflect.TypeFor[CreateMachinesRequest](),
-	"machine names": reflect.TypeFor[MachineNames](),
+	"machine names": reflect.TypeFor[MachineIDs](),
 	"machine list":  reflect.TypeFor[MachineList](),
 	"job":           reflect.TypeFor[Job](),
 	"job as read":   reflect.TypeFor[jobWire](),
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -88,7 +88,8 @@
 	// implies.
 	FeatureLevelCancellations = 1
 	// FeatureLevelStagedParts adds parts of a job that are written before the job's main record
-	// references them. A node of an earlier version deletes them when it becomes the leader.
+	// references them. A node of an earlier version deletes such parts when it becomes the
+	// leader.
 	FeatureLevelStagedParts = 2
 	// CurrentFeatureLevel is the feature level of this version.
 	CurrentFeatureLevel = FeatureLevelStagedParts
--- a/internal/protocol/peer_codec.go
+++ b/internal/protocol/peer_codec.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// optionalFloatField encodes or decodes a number that may be missing: first whether it is present, then its
-// IEEE 754 bits.
+// optionalFloatField encodes or decodes a number that may be missing: first whether it is present,
+// then its IEEE 754 bits.
 func (c *codec) optionalFloatField(field **float64) {
 	if c.decoding {
 		if c.readBoolean() {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -272,10 +272,10 @@
 	})
 }
 
-// TestFramesOfEarlierVersions checks that frames written by versions 0.2 and 0.3 can be read and are
-// written again byte for byte the same. During an upgrade this version runs together with them, and
-// they close a link on any other frame. A feature level announcement is a frame of a kind that both
-// versions support; only its level differs.
+// TestFramesOfEarlierVersions checks that frames written by versions 0.2 and 0.3 can be read, and
+// that writing the messages again gives the same bytes. During an upgrade this version runs
+// together with them, and they close a link on any other frame. A feature level announcement is a
+// frame of a kind that both versions support; only its level differs.
 func TestFramesOfEarlierVersions(t *testing.T) {
 	for version, wantKinds := range map[string]int{"0.2": 6, "0.3": 9} {
 		data, err := os.ReadFile("testdata/frames-" + version + ".txt")
