--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -77,7 +77,7 @@
 	Count     int             `json:"count"`
 }
 
-// MachineIDs lists machines by their IDs.
+// MachineIDs is the request to delete machines, and the response to a request to create machines.
 type MachineIDs struct {
 	Machines []MachineID `json:"berths"`
 }
