--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -33,8 +33,8 @@
 	After(pause time.Duration, do func())
 }
 
-// surroundings are what every part of the autoscaler works with.
-type surroundings struct {
+// dependencies are what every part of the autoscaler works with.
+type dependencies struct {
 	state *cluster.State
 	cloud Cloud
 	env   Environment
@@ -44,7 +44,7 @@
 
 // Autoscaler fits the number of machines to the work.
 type Autoscaler struct {
-	surroundings
+	dependencies
 	scheduler *scheduler.Scheduler
 
 	// Demand is what waited for machines after the last scheduling cycle.
@@ -71,15 +71,15 @@
 func New(state *cluster.State, sched *scheduler.Scheduler, cloud Cloud, env Environment, log *slog.Logger) *Autoscaler {
 	callsPerSecond := state.Config.Cluster.Cloud.RPS
 	calls := rate.NewLimiter(rate.Limit(callsPerSecond*tuning.CloudBudgetShare), max(1, int(callsPerSecond)))
-	common := surroundings{state: state, cloud: cloud, env: env, log: log, calls: calls}
+	common := dependencies{state: state, cloud: cloud, env: env, log: log, calls: calls}
 	gone := map[protocol.MachineID]bool{}
 	return &Autoscaler{
-		surroundings:    common,
+		dependencies:    common,
 		scheduler:       sched,
 		machinesPerZone: map[protocol.ZoneName]int{},
-		requests:        machineRequests{surroundings: common, gone: gone, unavailable: map[Offer]time.Time{}},
-		deletions:       deletions{surroundings: common, gone: gone},
-		list:            machineList{surroundings: common, gone: gone},
+		requests:        machineRequests{dependencies: common, deleted: gone, unavailable: map[Offer]time.Time{}},
+		deletions:       deletions{dependencies: common, deleted: gone},
+		list:            machineList{dependencies: common, deleted: gone},
 	}
 }
 
--- a/internal/coordination/autoscaler/cloud.go
+++ b/internal/coordination/autoscaler/cloud.go
@@ -19,9 +19,9 @@
 
 // Outcomes of a request for machines.
 const (
-	// CreateUnclear: no answer, or one that does not say; there may be new machines all the
+	// CreateOutcomeUnknown: no answer, or one that does not say; there may be new machines all the
 	// same. The same request under the same name gives them.
-	CreateUnclear CreateOutcome = iota
+	CreateOutcomeUnknown CreateOutcome = iota
 	// Created: the machines are named, up to as many as were asked for.
 	Created
 	// NoCapacity: the cloud has none of this kind.
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -16,7 +16,7 @@
 	targets    []*cluster.Machine       // machines that take tasks, the fullest first
 	// free is what targets have left after the moves so far.
 	free    map[*cluster.Machine]cluster.Resources
-	emptied map[*cluster.Machine]bool
+	drained map[*cluster.Machine]bool
 }
 
 // consolidationCandidate is a machine that may be emptied.
@@ -36,14 +36,14 @@
 	c := as.newConsolidation()
 	most := max(1, len(as.state.OrderedMachines)/tuning.ConsolidationFleetDivisor)
 	for _, candidate := range c.candidates[:min(len(c.candidates), tuning.MaxConsolidationCandidates*most)] {
-		if len(c.emptied) == most {
+		if len(c.drained) == most {
 			return
 		}
 		machine := candidate.machine
-		if _, isTarget := c.free[machine]; isTarget || candidate.waste <= 0 || !c.moveAll(machine) {
+		if _, isTarget := c.free[machine]; isTarget || candidate.waste <= 0 || !c.planMoves(machine) {
 			continue
 		}
-		c.emptied[machine] = true
+		c.drained[machine] = true
 		as.log.Info("consolidation", "machine", machine.ID, "tasks", len(machine.Attempts))
 		as.env.Drain(machine)
 	}
@@ -52,7 +52,7 @@
 // newConsolidation lists the machines that may be emptied, the most wasteful first, and
 // those that may take their tasks.
 func (as *Autoscaler) newConsolidation() *consolidation {
-	c := &consolidation{autoscaler: as, free: map[*cluster.Machine]cluster.Resources{}, emptied: map[*cluster.Machine]bool{}}
+	c := &consolidation{autoscaler: as, free: map[*cluster.Machine]cluster.Resources{}, drained: map[*cluster.Machine]bool{}}
 	for _, machine := range as.state.OrderedMachines {
 		machineType := as.state.TypeOf(machine)
 		if !as.state.Schedulable(machine) || machine.ReservedFor != nil || len(machine.Attempts) == 0 || machineType.GPUs == 0 {
@@ -69,12 +69,12 @@
 	return c
 }
 
-// moveAll says whether all that a machine carries is worth moving and fits on other
+// planMoves says whether all that a machine carries is worth moving and fits on other
 // machines that are not dearer; if so the capacity is taken there.
-func (c *consolidation) moveAll(machine *cluster.Machine) bool {
+func (c *consolidation) planMoves(machine *cluster.Machine) bool {
 	taken := map[*cluster.Machine]cluster.Resources{}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		if !c.autoscaler.worthMoving(attempt) || !c.moveOne(attempt, taken) {
+		if !c.autoscaler.worthMoving(attempt) || !c.planMove(attempt, taken) {
 			return false
 		}
 	}
@@ -92,11 +92,11 @@
 	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.MinRemainingSecondsToMove
 }
 
-// moveOne finds a target for an attempt and notes in taken what is left there.
-func (c *consolidation) moveOne(attempt *cluster.Attempt, taken map[*cluster.Machine]cluster.Resources) bool {
+// planMove finds a target for an attempt and notes in taken what is left there.
+func (c *consolidation) planMove(attempt *cluster.Attempt, taken map[*cluster.Machine]cluster.Resources) bool {
 	state := c.autoscaler.state
 	for _, target := range c.targets {
-		if target == attempt.Machine || c.emptied[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Eligible(attempt.Job, target) {
+		if target == attempt.Machine || c.drained[target] || state.PriceOf(target) > state.PriceOf(attempt.Machine) || !state.Eligible(attempt.Job, target) {
 			continue
 		}
 		free := c.freeOn(target, taken)
--- a/internal/coordination/autoscaler/deletion.go
+++ b/internal/coordination/autoscaler/deletion.go
@@ -10,8 +10,8 @@
 
 // deletions are the calls that delete machines.
 type deletions struct {
-	surroundings
-	gone      map[protocol.MachineID]bool // machines that are gone for certain
+	dependencies
+	deleted   map[protocol.MachineID]bool // machines that are gone for certain
 	inFlight  bool
 	notBefore time.Time
 }
@@ -26,11 +26,13 @@
 
 // MachineDeleted notes that a machine is gone for certain.
 func (as *Autoscaler) MachineDeleted(machineID protocol.MachineID) {
-	as.deletions.gone[machineID] = true
+	as.deletions.deleted[machineID] = true
 }
 
 // Deleted says whether a machine is gone for certain.
-func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool { return as.deletions.gone[machineID] }
+func (as *Autoscaler) Deleted(machineID protocol.MachineID) bool {
+	return as.deletions.deleted[machineID]
+}
 
 // send has the cloud delete machines that are marked, several with one call.
 func (d *deletions) send() {
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -10,14 +10,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// longestAgeS is the greatest age, in seconds, that is believed of a listed machine: more
+// maxListedAgeSeconds is the greatest age, in seconds, that is believed of a listed machine: more
 // would be a fault of the list.
-const longestAgeS = 1e6
+const maxListedAgeSeconds = 1e6
 
 // machineList is the reading of the cloud's machine list, page by page.
 type machineList struct {
-	surroundings
-	gone      map[protocol.MachineID]bool // machines that are gone for certain
+	dependencies
+	deleted   map[protocol.MachineID]bool // machines that are gone for certain
 	inFlight  bool
 	pages     int // of the list under way, or of the last one
 	notBefore time.Time
@@ -64,7 +64,7 @@
 	}
 	last := protocol.MachineID("")
 	for i := range page.Machines {
-		ml.observeListed(&page.Machines[i])
+		ml.updateFromEntry(&page.Machines[i])
 		last = page.Machines[i].ID
 	}
 	if page.More && last != "" {
@@ -74,15 +74,15 @@
 	ml.inFlight, ml.notBefore = false, ml.state.Now().Add(ml.interval())
 }
 
-// observeListed takes one machine of the list. Machines that nobody expected are
+// updateFromEntry takes one machine of the list. Machines that nobody expected are
 // used like any other, and deleted when they are idle.
-func (ml *machineList) observeListed(listed *protocol.Machine) {
-	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || ml.gone[listed.ID] {
+func (ml *machineList) updateFromEntry(listed *protocol.Machine) {
+	if listed.ID == "" || strings.ContainsAny(string(listed.ID), " /") || ml.deleted[listed.ID] {
 		return
 	}
 	machine := ml.state.Machines[listed.ID]
 	if machine == nil {
-		machine = ml.enterListed(listed)
+		machine = ml.addListedMachine(listed)
 	}
 	if machine.Address == "" {
 		machine.Address = listed.Address
@@ -90,14 +90,14 @@
 	machine.Phase = listed.Phase
 }
 
-// enterListed enters a machine that only the list names.
-func (ml *machineList) enterListed(listed *protocol.Machine) *cluster.Machine {
+// addListedMachine enters a machine that only the list names.
+func (ml *machineList) addListedMachine(listed *protocol.Machine) *cluster.Machine {
 	machine := ml.state.EnsureMachine(listed.ID, listed.Address, listed.Type, listed.Zone, listed.Spot)
 	if listed.Phase == protocol.MachineRunning {
 		// It is up but has yet to report to this leader: it gets its time.
 		machine.CreatedAt = ml.state.Now()
 	} else {
-		machine.CreatedAt = ml.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), longestAgeS)))
+		machine.CreatedAt = ml.state.Now().Add(-config.Seconds(min(max(listed.AgeS, 0), maxListedAgeSeconds)))
 	}
 	return machine
 }
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -18,29 +18,29 @@
 
 // machineRequests are the requests for machines.
 type machineRequests struct {
-	surroundings
-	gone        map[protocol.MachineID]bool // machines that are gone for certain
+	dependencies
+	deleted     map[protocol.MachineID]bool // machines that are gone for certain
 	inFlight    []*machineRequest
 	unavailable map[Offer]time.Time // offers that the cloud had no capacity for, and until when they rest
 }
 
 // RequestMachines asks the cloud for machines.
-func (as *Autoscaler) RequestMachines(offer Offer, count int) { as.requests.add(offer, count) }
+func (as *Autoscaler) RequestMachines(offer Offer, count int) { as.requests.submit(offer, count) }
 
-// addAll asks the cloud for the machines that are wanted, as far as the budget of calls
+// submitAll asks the cloud for the machines that are wanted, as far as the budget of calls
 // goes.
-func (mr *machineRequests) addAll(want map[Offer]int) {
+func (mr *machineRequests) submitAll(want map[Offer]int) {
 	offers := slices.SortedFunc(maps.Keys(want), compareOffers)
 	for _, offer := range offers {
 		if !mr.calls.AllowN(mr.state.Now(), 1) {
 			return
 		}
-		mr.add(offer, min(want[offer], tuning.MaxMachinesPerRental))
+		mr.submit(offer, min(want[offer], tuning.MaxMachinesPerRental))
 	}
 }
 
-// add asks the cloud for machines.
-func (mr *machineRequests) add(offer Offer, count int) {
+// submit asks the cloud for machines.
+func (mr *machineRequests) submit(offer Offer, count int) {
 	request := &machineRequest{
 		offer: offer,
 		body: protocol.CreateMachinesRequest{
@@ -63,10 +63,10 @@
 func (mr *machineRequests) handleCreateResult(request *machineRequest, result CreateResult) {
 	switch result.Outcome {
 	case Created:
-		mr.enterCreated(request, result.Machines)
+		mr.addCreatedMachines(request, result.Machines)
 	case NoCapacity:
-		mr.restOffer(request.offer)
-	case CreateUnclear:
+		mr.markUnavailable(request.offer)
+	case CreateOutcomeUnknown:
 		if request.tries < tuning.MaxRentalAttempts {
 			mr.env.After(time.Second, func() { mr.send(request) })
 			return
@@ -79,10 +79,10 @@
 	mr.env.RequestScheduling()
 }
 
-// enterCreated enters the machines that the cloud has given.
-func (mr *machineRequests) enterCreated(request *machineRequest, machines []protocol.MachineID) {
+// addCreatedMachines enters the machines that the cloud has given.
+func (mr *machineRequests) addCreatedMachines(request *machineRequest, machines []protocol.MachineID) {
 	for _, id := range machines {
-		if mr.gone[id] || id == "" {
+		if mr.deleted[id] || id == "" {
 			continue
 		}
 		machine := mr.state.EnsureMachine(id, "", request.offer.TypeName, request.offer.Zone, request.offer.Spot)
@@ -92,11 +92,11 @@
 		}
 	}
 	if len(machines) < request.body.Count {
-		mr.restOffer(request.offer)
+		mr.markUnavailable(request.offer)
 	}
 }
 
-// restOffer leaves an offer alone for a while that the cloud has no capacity for.
-func (mr *machineRequests) restOffer(offer Offer) {
+// markUnavailable leaves an offer alone for a while that the cloud has no capacity for.
+func (mr *machineRequests) markUnavailable(offer Offer) {
 	mr.unavailable[offer] = mr.state.Now().Add(tuning.NoCapacityBackoff)
 }
--- a/internal/coordination/autoscaler/scale_in.go
+++ b/internal/coordination/autoscaler/scale_in.go
@@ -23,20 +23,20 @@
 	switch {
 	case machine.Phase == protocol.MachineFailed:
 		as.DeleteMachine(machine, "failed")
-	case as.neverCameUp(machine):
+	case as.bootTimedOut(machine):
 		as.DeleteMachine(machine, "never came up")
 	case len(machine.Attempts) > 0 || !machine.Agent.Heard || machine.Agent.LeaseExpired:
 	case machine.Cordoned:
 		as.DeleteMachine(machine, "emptied")
 	case machine.ReservedFor == nil && as.state.Now().Sub(machine.IdleSince) > as.state.Config.Operator.MachineIdleTimeout &&
-		!as.isWantedSpare(machine, spares) && !as.zoneReserve[machine]:
+		!as.keepAsSpare(machine, spares) && !as.zoneReserve[machine]:
 		as.DeleteMachine(machine, "idle")
 	}
 }
 
-// neverCameUp says whether a machine has had time enough to boot and its agent never
+// bootTimedOut says whether a machine has had time enough to boot and its agent never
 // reported.
-func (as *Autoscaler) neverCameUp(machine *cluster.Machine) bool {
+func (as *Autoscaler) bootTimedOut(machine *cluster.Machine) bool {
 	machineType := as.state.TypeOf(machine)
 	if machine.Agent.Heard || machine.Agent.Incarnation != 0 || machineType == nil {
 		return false
@@ -54,23 +54,23 @@
 		return count
 	}
 	for _, machine := range as.state.OrderedMachines {
-		if as.mayBeSpare(machine) {
+		if as.qualifiesAsSpare(machine) {
 			count[machine.Zone]++
 		}
 	}
 	return count
 }
 
-// mayBeSpare says whether a machine could take a job that comes now.
-func (as *Autoscaler) mayBeSpare(machine *cluster.Machine) bool {
+// qualifiesAsSpare says whether a machine could take a job that comes now.
+func (as *Autoscaler) qualifiesAsSpare(machine *cluster.Machine) bool {
 	mustNotBeSpot := as.state.Now().Sub(as.lastNonSpotSubmission) <= tuning.SpareRetention
 	return as.state.Schedulable(machine) && !(mustNotBeSpot && machine.Spot) && machine.OnlyLowestPriority()
 }
 
-// isWantedSpare says whether an idle machine is one of its zone's spares. One
+// keepAsSpare says whether an idle machine is one of its zone's spares. One
 // that is not no longer counts as such.
-func (as *Autoscaler) isWantedSpare(machine *cluster.Machine, spares map[protocol.ZoneName]int) bool {
-	if spares[machine.Zone] == 0 || !as.mayBeSpare(machine) {
+func (as *Autoscaler) keepAsSpare(machine *cluster.Machine, spares map[protocol.ZoneName]int) bool {
+	if spares[machine.Zone] == 0 || !as.qualifiesAsSpare(machine) {
 		return false
 	}
 	if spares[machine.Zone] <= as.state.Config.Operator.SparesPerZone {
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -50,7 +50,7 @@
 				}
 			}
 			h.Tick()
-			checkReserve(t, h, c.requested)
+			checkRequestedInZoneB(t, h, c.requested)
 			if other != nil && h.zoneReserve[other] != c.kept {
 				t.Errorf("kept %v", h.zoneReserve[other])
 			}
@@ -66,8 +66,8 @@
 	}
 }
 
-// checkReserve checks how many machines were asked for, all in the other zone.
-func checkReserve(t *testing.T, h *harness, want int) {
+// checkRequestedInZoneB checks how many machines were asked for, all in the other zone.
+func checkRequestedInZoneB(t *testing.T, h *harness, want int) {
 	t.Helper()
 	total := 0
 	for offer, count := range h.requested() {
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestFailedDeletionIsRepeated: machines whose deletion failed are not taken for gone, and
+// TestFailedDeletionIsRetried: machines whose deletion failed are not taken for gone, and
 // it is sent again a little later.
-func TestFailedDeletionIsRepeated(t *testing.T) {
+func TestFailedDeletionIsRetried(t *testing.T) {
 	h := newHarness()
 	h.DeleteMachine(h.cluster.AddMachine("i-1", "big", "a"), "a test")
 	h.Tick()
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestMachineThatIsGoneDoesNotComeBackFromList: the list may lag behind a deletion.
-func TestMachineThatIsGoneDoesNotComeBackFromList(t *testing.T) {
+// TestDeletedMachineIsNotAddedAgainFromLaggingList: the list may lag behind a deletion.
+func TestDeletedMachineIsNotAddedAgainFromLaggingList(t *testing.T) {
 	h := newHarness()
 	h.MachineDeleted("i-1")
 	h.Tick()
@@ -153,10 +153,10 @@
 	}
 }
 
-// TestConsolidationEmptiesHalfEmptyMachine: a machine whose work can be saved and fits on
+// TestConsolidationDrainsHalfEmptyMachine: a machine whose work can be saved and fits on
 // another that is not dearer is drained; not so if something waits, or if its work cannot
 // be saved.
-func TestConsolidationEmptiesHalfEmptyMachine(t *testing.T) {
+func TestConsolidationDrainsHalfEmptyMachine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		checkpointS float64
--- a/internal/coordination/autoscaler/scale_out.go
+++ b/internal/coordination/autoscaler/scale_out.go
@@ -29,9 +29,9 @@
 	as.env.RequestScheduling()
 	if !as.state.Now().Before(as.reserveNotBefore) {
 		as.reserveNotBefore = as.state.Now().Add(tuning.ZoneReserveInterval)
-		as.planZoneReserve(plan.want)
+		as.planZoneReserve(plan.toRequest)
 	}
-	as.requests.addAll(plan.want)
+	as.requests.submitAll(plan.toRequest)
 }
 
 // newScaleOutPlan begins with the capacity that is there and on its way.
@@ -40,18 +40,18 @@
 	plan := &scaleOutPlan{
 		autoscaler:     as,
 		slots:          map[protocol.ZoneName][]*capacitySlot{},
-		want:           map[Offer]int{},
+		toRequest:      map[Offer]int{},
 		anyWithoutGPUs: slices.ContainsFunc(as.Demand, func(d scheduler.Demand) bool { return d.Job.Spec.GPUs == 0 }),
 	}
 	for _, machine := range as.state.OrderedMachines {
 		as.machinesPerZone[machine.Zone]++
 		if as.countsAsCapacity(machine) {
-			plan.add(&capacitySlot{machine: machine, offer: offerOf(machine), free: as.freeSoon(machine)})
+			plan.addSlot(&capacitySlot{machine: machine, offer: offerOf(machine), free: as.freeSoon(machine)})
 		}
 	}
 	for _, request := range as.requests.inFlight {
 		for range request.body.Count {
-			plan.add(&capacitySlot{offer: request.offer, free: as.capacityOf(request.offer)})
+			plan.addSlot(&capacitySlot{offer: request.offer, free: as.capacityOf(request.offer)})
 		}
 	}
 	return plan
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -16,9 +16,9 @@
 	free    cluster.Resources
 }
 
-// serves says whether a job could use a slot. What the job avoids must not count, or it
+// canHost says whether a job could use a slot. What the job avoids must not count, or it
 // would wait for that instead of for a further machine.
-func (as *Autoscaler) serves(slot *capacitySlot, job *cluster.Job) bool {
+func (as *Autoscaler) canHost(slot *capacitySlot, job *cluster.Job) bool {
 	return cluster.SpecAllows(job.Spec, slot.offer.TypeName, slot.offer.Zone, slot.offer.Spot) &&
 		(slot.machine == nil || !as.state.Avoids(job, slot.machine))
 }
@@ -29,12 +29,12 @@
 type scaleOutPlan struct {
 	autoscaler     *Autoscaler
 	slots          map[protocol.ZoneName][]*capacitySlot // of every zone
-	want           map[Offer]int                         // machines to ask for
+	toRequest      map[Offer]int                         // machines to ask for
 	anyWithoutGPUs bool                                  // something that waits takes no GPUs
 }
 
-// add enters a slot.
-func (p *scaleOutPlan) add(slot *capacitySlot) {
+// submit enters a slot.
+func (p *scaleOutPlan) addSlot(slot *capacitySlot) {
 	if !p.exhausted(slot) {
 		p.slots[slot.offer.Zone] = append(p.slots[slot.offer.Zone], slot)
 	}
@@ -55,21 +55,21 @@
 		if tasks == 0 {
 			break
 		}
-		if p.autoscaler.serves(slot, job) {
+		if p.autoscaler.canHost(slot, job) {
 			tasks -= slot.free.Fit(job.Spec, tasks)
 		}
 	}
 	return tasks
 }
 
-// take gives up to so many tasks capacity in a zone and returns how many have it.
-func (p *scaleOutPlan) take(job *cluster.Job, zone protocol.ZoneName, tasks int) (taken int) {
+// allocate gives up to so many tasks capacity in a zone and returns how many have it.
+func (p *scaleOutPlan) allocate(job *cluster.Job, zone protocol.ZoneName, tasks int) (taken int) {
 	someExhausted := false
 	for _, slot := range p.slots[zone] {
 		if taken == tasks {
 			break
 		}
-		if p.autoscaler.serves(slot, job) {
+		if p.autoscaler.canHost(slot, job) {
 			fits := slot.free.Fit(job.Spec, tasks-taken)
 			slot.free.AddTasks(job.Spec, -fits)
 			taken += fits
@@ -89,26 +89,26 @@
 		fits := slot.free.Fit(job.Spec, tasks)
 		slot.free.AddTasks(job.Spec, -fits)
 		tasks -= fits
-		p.want[offer]++
-		p.add(slot)
+		p.toRequest[offer]++
+		p.addSlot(slot)
 	}
 }
 
 // planGang finds the zone where a gang lacks least and takes what it needs there,
 // capacity that is there first.
 func (p *scaleOutPlan) planGang(demand scheduler.Demand) {
-	zone, offers := p.zoneOfLeastShortage(demand)
+	zone, offers := p.zoneWithSmallestShortage(demand)
 	if zone == "" {
 		return
 	}
-	if need := demand.Tasks - p.take(demand.Job, zone, demand.Tasks); need > 0 {
+	if need := demand.Tasks - p.allocate(demand.Job, zone, demand.Tasks); need > 0 {
 		p.addMachines(demand.Job, offers[0], need)
 	}
 }
 
-// zoneOfLeastShortage finds the zone where a job lacks least, and the offers for what it
+// zoneWithSmallestShortage finds the zone where a job lacks least, and the offers for what it
 // lacks there; zone "" if none has capacity or offers enough.
-func (p *scaleOutPlan) zoneOfLeastShortage(demand scheduler.Demand) (best protocol.ZoneName, offers []Offer) {
+func (p *scaleOutPlan) zoneWithSmallestShortage(demand scheduler.Demand) (best protocol.ZoneName, offers []Offer) {
 	least := math.MaxInt
 	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
 		shortage := p.shortage(demand.Job, zone, demand.Tasks)
@@ -130,7 +130,7 @@
 	limits := p.autoscaler.state.ZoneLimits(job)
 	for _, zone := range p.autoscaler.state.Config.Cluster.Zones {
 		if limits.Only == "" || limits.Only == zone {
-			taken := p.take(job, zone, min(need, limits.Remaining[zone]))
+			taken := p.allocate(job, zone, min(need, limits.Remaining[zone]))
 			need -= taken
 			limits.Remaining[zone] -= taken
 		}
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestOrdinaryMachineOnlyWhenDeadlineIsNear: an array with time to spare has no ordinary
+// TestOnDemandMachineOnlyWhenDeadlineIsNear: an array with time to spare has no ordinary
 // machine asked for, only spot ones; one without has.
-func TestOrdinaryMachineOnlyWhenDeadlineIsNear(t *testing.T) {
+func TestOnDemandMachineOnlyWhenDeadlineIsNear(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		deadlineS float64
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestTaskWithoutGPUsFitsBesideFullGPUs: a task that takes no GPUs has the processors that
+// TestTaskWithoutGPUsFitsOnMachineWithoutFreeGPUs: a task that takes no GPUs has the processors that
 // are left on a machine whose GPUs are all taken; no machine is asked for. One that takes
 // GPUs has none there.
-func TestTaskWithoutGPUsFitsBesideFullGPUs(t *testing.T) {
+func TestTaskWithoutGPUsFitsOnMachineWithoutFreeGPUs(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		gpus     float64
@@ -84,14 +84,14 @@
 	}
 }
 
-// TestUnansweredRequestIsRepeatedUnderItsName: a request whose answer is lost is sent again
+// TestRequestWithoutResponseIsRetriedUnderItsName: a request whose answer is lost is sent again
 // under the same name, and what it gave is not asked for twice meanwhile.
-func TestUnansweredRequestIsRepeatedUnderItsName(t *testing.T) {
+func TestRequestWithoutResponseIsRetriedUnderItsName(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
 	h.Tick()
-	h.cloud.creations[0].done(CreateResult{Outcome: CreateUnclear})
+	h.cloud.creations[0].done(CreateResult{Outcome: CreateOutcomeUnknown})
 	h.cluster.Advance(tuning.ScaleOutInterval)
 	h.schedule()
 	h.Tick()
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestOfferWithoutCapacityRests: what the cloud has no capacity for is not asked for again
+// TestOfferWithoutCapacityIsNotRequestedAgainAtOnce: what the cloud has no capacity for is not asked for again
 // at once; another zone's is.
-func TestOfferWithoutCapacityRests(t *testing.T) {
+func TestOfferWithoutCapacityIsNotRequestedAgainAtOnce(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -19,15 +19,15 @@
 type zoneReservePlan struct {
 	autoscaler *Autoscaler
 	slots      []*reserveSlot
-	idle       map[*cluster.Machine]bool // idle machines that are needed
-	want       map[Offer]int             // machines that are missing
+	neededIdle map[*cluster.Machine]bool // idle machines that are needed
+	toRequest  map[Offer]int             // machines that are missing
 }
 
 // reserveSlot is a machine, there or on its way, as a place for replicas.
 type reserveSlot struct {
 	capacitySlot
 	preemptible []preemptibleTask // work on it that stops at once for a higher priority
-	rest        cluster.Resources // what is left while the loss of one zone is considered
+	remaining   cluster.Resources // what is left while the loss of one zone is considered
 }
 
 // preemptibleTask is what a task that is preempted for higher priorities leaves.
@@ -47,12 +47,12 @@
 	if len(services) == 0 || !as.state.Config.Operator.ZoneReserve {
 		return
 	}
-	plan := &zoneReservePlan{autoscaler: as, idle: map[*cluster.Machine]bool{}, want: want}
+	plan := &zoneReservePlan{autoscaler: as, neededIdle: map[*cluster.Machine]bool{}, toRequest: want}
 	plan.addSlots()
 	for _, zone := range as.state.Config.Cluster.Zones {
-		plan.provide(zone, services[zone])
+		plan.planLossOfZone(zone, services[zone])
 	}
-	as.zoneReserve = plan.idle
+	as.zoneReserve = plan.neededIdle
 }
 
 // zoneReplicas is how many replicas of a service a zone has.
@@ -156,24 +156,24 @@
 	return capacity
 }
 
-// provide sees to it that the replicas of one zone have places in the others.
-func (p *zoneReservePlan) provide(lost protocol.ZoneName, services []zoneReplicas) {
+// planLossOfZone sees to it that the replicas of one zone have places in the others.
+func (p *zoneReservePlan) planLossOfZone(lost protocol.ZoneName, services []zoneReplicas) {
 	if len(services) == 0 {
 		return
 	}
 	for _, slot := range p.slots {
-		slot.rest = slot.capacityFor(services[0].job.Priority)
+		slot.remaining = slot.capacityFor(services[0].job.Priority)
 	}
 	next := 0 // slots before this one have nothing left for anything
 	for _, replicas := range services {
 		need := replicas.count
 		for i := next; i < len(p.slots) && need > 0; i++ {
 			slot := p.slots[i]
-			if slot.offer.Zone == lost || !p.autoscaler.serves(&slot.capacitySlot, replicas.job) {
+			if slot.offer.Zone == lost || !p.autoscaler.canHost(&slot.capacitySlot, replicas.job) {
 				continue
 			}
-			need -= p.take(slot, replicas.job, need)
-			if i == next && slot.rest.CPUs < cluster.AmountTolerance {
+			need -= p.allocate(slot, replicas.job, need)
+			if i == next && slot.remaining.CPUs < cluster.AmountTolerance {
 				next++
 			}
 		}
@@ -181,12 +181,12 @@
 	}
 }
 
-// take gives replicas a slot's capacity and returns how many have it.
-func (p *zoneReservePlan) take(slot *reserveSlot, job *cluster.Job, need int) int {
-	taken := slot.rest.Fit(job.Spec, need)
-	slot.rest.AddTasks(job.Spec, -taken)
+// allocate gives replicas a slot's capacity and returns how many have it.
+func (p *zoneReservePlan) allocate(slot *reserveSlot, job *cluster.Job, need int) int {
+	taken := slot.remaining.Fit(job.Spec, need)
+	slot.remaining.AddTasks(job.Spec, -taken)
 	if taken > 0 && slot.machine != nil && len(slot.machine.Attempts) == 0 {
-		p.idle[slot.machine] = true
+		p.neededIdle[slot.machine] = true
 	}
 	return taken
 }
@@ -199,13 +199,13 @@
 			return
 		}
 		slot := p.addRequested(offer)
-		slot.rest = slot.free
-		taken := p.take(slot, job, need)
+		slot.remaining = slot.free
+		taken := p.allocate(slot, job, need)
 		if taken == 0 {
 			return
 		}
 		need -= taken
-		p.want[offer]++
+		p.toRequest[offer]++
 		p.autoscaler.machinesPerZone[offer.Zone]++
 	}
 }
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -52,7 +52,7 @@
 
 func (c cloudClient) call(method, path string, body any, done func(status int, body []byte)) {
 	c.l.n.request(ToCloud, "", method, path, body, tuning.CloudTimeout, func(status int, body []byte) {
-		if c.l.n.lead == c.l {
+		if c.l.n.ownLeader == c.l {
 			done(status, body)
 		}
 	})
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -65,7 +65,7 @@
 		"rejected":                {result: kv.TransactionResult{Outcome: kv.Rejected}},
 		"condition failed":        {result: kv.TransactionResult{Outcome: kv.ConditionFailed}},
 		"leader lease taken over": {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.LeaderKey}}, attemptsLeft: 2, stepsDown: true},
-		"machine record changed":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachinePrefix + "x"}}},
+		"machine record changed":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachineRecordPrefix + "x"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, id, txn := leaderWithPlacedGang(t, 2)
@@ -153,7 +153,7 @@
 	if len(job.Attempts) != 0 || l.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d attempts of the refused transaction are left, or their GPUs are still in use", len(job.Attempts))
 	}
-	record := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
+	record := storage.Job{Writer: "another", Spec: job.Spec, TasksPerBaseRecord: 60, SubmissionRevision: job.ArrivalOrder, Cancelled: true}
 	l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(record), Revision: 50}})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
 		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
@@ -167,10 +167,10 @@
 		final    kv.GetResult
 		finished bool
 	}{
-		"final record":                 {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})}}, finished: true},
+		"final record":                 {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone})}}, finished: true},
 		"no final record":              {final: kv.GetResult{Outcome: kv.NotFound}},
 		"malformed response":           {final: kv.GetResult{Outcome: kv.Done, Malformed: true}},
-		"final record without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{})}}},
+		"final record without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.FinalRecord{})}}},
 		"no response":                  {final: kv.GetResult{Outcome: kv.Unknown}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -178,7 +178,7 @@
 			job := l.Jobs[id]
 			txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 			l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.NotFound})
-			read := l.reads[storage.FinalKey(id)]
+			read := l.reads[storage.FinalRecordKey(id)]
 			if read == nil {
 				t.Fatal("the final record is not read")
 			}
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -49,7 +49,7 @@
 	if len(taskIndexes) < 2 {
 		return false
 	}
-	if job.Spec.Gang() && len(taskIndexes) > storage.GangRecordTasks(limits.TxnOps) {
+	if job.Spec.Gang() && len(taskIndexes) > storage.MaxGangTasksPerRecord(limits.TxnOps) {
 		return true
 	}
 	capacity := int(limits.ValueKB * 1024)
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -21,7 +21,7 @@
 // limits.
 func oversizedJob() *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	record := &storage.Job{Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, RecordTasks: 98}
+	record := &storage.Job{Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
@@ -37,7 +37,7 @@
 func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	record := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	record := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostID, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -193,8 +193,8 @@
 				}
 			}
 			mainRecord, err := storage.DecodeJob(s.entries[storage.JobKey(record.Spec.ID)].Value)
-			if err != nil || mainRecord.Parts < 5 {
-				t.Errorf("%s: the main record has error %v and %d parts, want at least 5", shape, err, mainRecord.Parts)
+			if err != nil || mainRecord.TotalRecords < 5 {
+				t.Errorf("%s: the main record has error %v and %d parts, want at least 5", shape, err, mainRecord.TotalRecords)
 			}
 		}
 	}
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -10,7 +10,7 @@
 func (m *Manager) HandleExit(attempt *cluster.Attempt, exit *protocol.TaskStatus) {
 	job, machine := attempt.Job, attempt.Machine
 	m.log.Debug("task exited", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "cause", exit.Cause, "saved", exit.Saved)
-	if job.Spec.Service() && (exit.Cause == protocol.CauseDone || exit.Cause == protocol.CauseError) && m.noteReplicaExit(attempt) {
+	if job.Spec.Service() && (exit.Cause == protocol.CauseDone || exit.Cause == protocol.CauseError) && m.handleReplicaExit(attempt) {
 		return
 	}
 	switch exit.Cause {
@@ -57,11 +57,11 @@
 	clear(job.Failures.AvoidUntil)
 }
 
-// noteReplicaExit notes that a replica ended by itself, though it is to run until the user
+// handleReplicaExit notes that a replica ended by itself, though it is to run until the user
 // cancels its service. It starts again elsewhere at
 // once; one that ends again and again does so ever more rarely. One that ran for a
 // while is stable: neither it nor its machine caused the exit.
-func (m *Manager) noteReplicaExit(attempt *cluster.Attempt) (stable bool) {
+func (m *Manager) handleReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
 	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
 		task.EarlyExits = 0
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// reserveSurvivors keeps the machines of a broken gang's other tasks for its next
+// reserveSurvivingMachines keeps the machines of a broken gang's other tasks for its next
 // attempt: the repair then only has to find capacity for what was lost.
-func (m *Manager) reserveSurvivors(job *cluster.Job) {
+func (m *Manager) reserveSurvivingMachines(job *cluster.Job) {
 	job.SurvivingMachines = map[protocol.MachineID]bool{}
 	for _, attempt := range job.SortedAttempts() {
 		job.SurvivingMachines[attempt.Machine.ID] = true
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -52,7 +52,7 @@
 	m.log.Debug("task gone", "job", job.ID, "task", attempt.Key.Index, "attempt", attempt.Key.Number, "machine", machine.ID, "state", attempt.ReportedState)
 	m.env.RequestScheduling()
 	if job.Spec.Gang() && !attempt.Orphaned && !job.Complete() && !job.Stopping && len(job.Attempts) > 0 {
-		m.reserveSurvivors(job)
+		m.reserveSurvivingMachines(job)
 		m.stopIncompleteGang(job)
 	}
 	m.CheckEnded(job)
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -37,20 +37,20 @@
 func (l *testLeader) CommandsPending(machine *cluster.Machine) { l.pending[machine] = true }
 func (l *testLeader) Unreadable(id protocol.JobID) bool        { return l.unreadable[id] }
 
-// running is a job whose tasks all run on a machine.
-func (l *testLeader) running(spec protocol.Job, machine *cluster.Machine) *cluster.Job {
+// addRunningJob is a job whose tasks all run on a machine.
+func (l *testLeader) addRunningJob(spec protocol.Job, machine *cluster.Machine) *cluster.Job {
 	job := l.AddJob(spec)
 	l.PlaceAll(job, machine)
 	l.Run(job)
 	return job
 }
 
-// TestGangStopsAsAWhole: if one task of a gang is proven gone, all others stop at once, and
+// TestTasksOfGangStopTogether: if one task of a gang is proven gone, all others stop at once, and
 // their machines are reserved for its next attempt. Once they are gone it can start again.
-func TestGangStopsAsAWhole(t *testing.T) {
+func TestTasksOfGangStopTogether(t *testing.T) {
 	l := newTestLeader()
 	machine := l.AddMachine("i-1", "big", "a")
-	job := l.running(clustertest.Gang(3, 1), machine)
+	job := l.addRunningJob(clustertest.Gang(3, 1), machine)
 	l.RemoveGone(job.SortedAttempts()[0])
 	if len(job.Attempts) != 2 || clustertest.Stopping(job) != 2 || !job.Stopping || !l.pending[machine] || !l.scheduling {
 		t.Errorf("%d attempts, %d stopping, commands pending %v", len(job.Attempts), clustertest.Stopping(job), l.pending[machine])
@@ -66,12 +66,12 @@
 	}
 }
 
-// TestGangCompletesAsAWhole: if one task of a gang is done, every one is, and the job's
+// TestTasksOfGangCompleteTogether: if one task of a gang is done, every one is, and the job's
 // record is written.
-func TestGangCompletesAsAWhole(t *testing.T) {
+func TestTasksOfGangCompleteTogether(t *testing.T) {
 	l := newTestLeader()
 	machine := l.AddMachine("i-1", "big", "a")
-	gang, array, service := l.running(clustertest.Gang(2, 1), machine), l.running(clustertest.Array(2), machine), l.running(clustertest.Service(1, 1), machine)
+	gang, array, service := l.addRunningJob(clustertest.Gang(2, 1), machine), l.addRunningJob(clustertest.Array(2), machine), l.addRunningJob(clustertest.Service(1, 1), machine)
 	for _, job := range []*cluster.Job{gang, array, service} {
 		l.MarkDone(job, 0)
 	}
@@ -86,10 +86,10 @@
 	}
 }
 
-// TestStopBeforeStart: an attempt whose start never left is gone at once, but for one whose
+// TestStopRemovesAttemptWhoseStartWasNotSent: an attempt whose start never left is gone at once, but for one whose
 // place is in a transaction in flight; any other is told to stop, and never with more time
 // than before.
-func TestStopBeforeStart(t *testing.T) {
+func TestStopRemovesAttemptWhoseStartWasNotSent(t *testing.T) {
 	l := newTestLeader()
 	machine := l.AddMachine("i-1", "big", "a")
 	planned, inFlight := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Array(1))
@@ -102,7 +102,7 @@
 	if len(planned.Attempts) != 0 || len(inFlight.Attempts) != 1 || clustertest.Stopping(inFlight) != 1 {
 		t.Errorf("%d and %d attempts are left", len(planned.Attempts), len(inFlight.Attempts))
 	}
-	attempt := l.running(clustertest.Array(1), machine).Tasks[0].Active
+	attempt := l.addRunningJob(clustertest.Array(1), machine).Tasks[0].Active
 	for _, c := range []struct{ graceS, want float64 }{{20, 20}, {30, 20}, {5, 5}} {
 		if l.Stop(attempt, c.graceS); attempt.GraceS != c.want || !l.pending[machine] {
 			t.Errorf("stopped with %v s: %v s are left", c.graceS, attempt.GraceS)
@@ -110,16 +110,16 @@
 	}
 }
 
-// TestDrainLeavesWhatCannotSave: a machine that is to go takes no more tasks; what can save
+// TestDrainStopsTasksThatCanSave: a machine that is to go takes no more tasks; what can save
 // its progress stops, what cannot and replicas go on, but on a quarantined machine only
 // replicas do.
-func TestDrainLeavesWhatCannotSave(t *testing.T) {
+func TestDrainStopsTasksThatCanSave(t *testing.T) {
 	for _, quarantined := range []bool{false, true} {
 		l := newTestLeader()
 		machine := l.AddMachine("i-1", "big", "a")
 		saves := clustertest.Array(1)
 		saves.CheckpointIntervalS, saves.CheckpointSaveS = 60, 7
-		saving, plain, service := l.running(saves, machine), l.running(clustertest.Array(1), machine), l.running(clustertest.Service(1, 1), machine)
+		saving, plain, service := l.addRunningJob(saves, machine), l.addRunningJob(clustertest.Array(1), machine), l.addRunningJob(clustertest.Service(1, 1), machine)
 		machine.Quarantined = quarantined
 		l.Drain(machine)
 		if !machine.Cordoned || !l.recorded[machine] || !l.scheduling {
@@ -145,7 +145,7 @@
 		if machine.Quarantined {
 			t.Fatalf("quarantined after %d jobs", i)
 		}
-		job := l.running(clustertest.Array(1), machine)
+		job := l.addRunningJob(clustertest.Array(1), machine)
 		l.HandleExit(job.Tasks[0].Active, failed)
 		if !l.Avoids(job, machine) {
 			t.Error("the job may return to the machine at once")
@@ -174,7 +174,7 @@
 func TestReplicaBackoff(t *testing.T) {
 	l := newTestLeader()
 	machine := l.AddMachine("i-1", "big", "a")
-	job := l.running(clustertest.Service(1, 1), machine)
+	job := l.addRunningJob(clustertest.Service(1, 1), machine)
 	task, exit := &job.Tasks[0], &protocol.TaskStatus{State: protocol.TaskExited, Cause: protocol.CauseDone}
 	for i, want := range []time.Duration{0, tuning.ReplicaRestartBackoff, 2 * tuning.ReplicaRestartBackoff} {
 		l.HandleExit(task.Active, exit)
@@ -188,11 +188,11 @@
 	}
 }
 
-// TestUnreadableJobIsLeftAlone: a gang that seems incomplete is not stopped while a record of
+// TestJobWithUnreadableRecordIsNotStopped: a gang that seems incomplete is not stopped while a record of
 // it cannot be read, unless its user cancels it.
-func TestUnreadableJobIsLeftAlone(t *testing.T) {
+func TestJobWithUnreadableRecordIsNotStopped(t *testing.T) {
 	l := newTestLeader()
-	job := l.running(clustertest.Gang(2, 1), l.AddMachine("i-1", "big", "a"))
+	job := l.addRunningJob(clustertest.Gang(2, 1), l.AddMachine("i-1", "big", "a"))
 	l.unreadable[job.ID] = true
 	l.State.RemoveAttempt(job.SortedAttempts()[0])
 	if l.CheckEnded(job); clustertest.Stopping(job) != 0 || l.changed[job] {
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		rec, err := storage.DecodeJob(r.w.store.keys[storage.JobKey(id)].Value)
-		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
+		if err != nil || num < max(rec.BaseRecords(), rec.TotalRecords) {
 			continue
 		}
 		r.staged++
