--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -74,7 +74,7 @@
 			if l.committer.InFlight() {
 				t.Error("sent again while a connected peer may have version 0.2")
 			}
-			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
+			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.FeatureLevelAnnouncement("n")})
 			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
 		}
 		if txn, _ := l.lastTransaction(t); len(txn.Changes) < 2 {
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -13,37 +13,38 @@
 	"testing"
 )
 
-// JSONNames lists the names in JSON of a package under test: the tags of all fields that its
-// sources declare and, for each of the types, which are given by names of the test's own, the
-// path and kind of every field and samples of the whole. A tag that no field of the types has
-// is an error, so that no type can be forgotten, unless it is among the exempt ones.
+// JSONNames lists the JSON names of the package under test: the tags of all fields that its sources
+// declare and, for each of the given types, the path and kind of every field and two samples of the
+// whole value. The keys of types are names that the test chooses for the list. If no field of the
+// types has a declared tag, the test fails unless the tag is exempt, so that no type can be left
+// out by mistake.
 func JSONNames(t *testing.T, types map[string]reflect.Type, exempt []string) []string {
 	t.Helper()
 	tags := declaredTags(t)
 	list := slices.Clone(tags)
-	reached := map[string]bool{}
+	covered := map[string]bool{}
 	for _, tag := range exempt {
-		reached[tag] = true
+		covered[tag] = true
 	}
 	for name, typ := range types {
 		paths := fieldPaths(typ, name)
 		for _, path := range paths {
 			path, _, _ = strings.Cut(strings.TrimPrefix(path, name), " ")
 			for _, part := range strings.Split(path, ".") {
-				reached["tag "+strings.TrimSuffix(part, "[]")] = true
+				covered["tag "+strings.TrimSuffix(part, "[]")] = true
 			}
 		}
 		list = append(append(list, paths...), samples(t, typ, name)...)
 	}
 	for _, tag := range tags {
-		if !reached[tag] {
-			t.Errorf("%s is in no type of the list", tag)
+		if !covered[tag] {
+			t.Errorf("%s belongs to no listed type", tag)
 		}
 	}
 	return list
 }
 
-// fieldPaths lists the paths of a type's fields by their names in JSON.
+// fieldPaths lists the paths and kinds of a type's fields by their JSON names.
 func fieldPaths(typ reflect.Type, path string) (list []string) {
 	if typ == reflect.TypeFor[json.RawMessage]() {
 		return []string{path + " any"}
@@ -76,8 +77,8 @@
 	return []string{path + " number"}
 }
 
-// fill sets every field of a value, down to one element of every list.
-func fill(v reflect.Value) {
+// setAllFields sets every exported field of a value recursively. Every list gets one element.
+func setAllFields(v reflect.Value) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		v.SetBytes([]byte(`{"x":1}`))
 		return
@@ -85,14 +86,14 @@
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		setAllFields(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0))
+		setAllFields(v.Index(0))
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i))
+				setAllFields(v.Field(i))
 			}
 		}
 	case reflect.String:
@@ -106,11 +107,11 @@
 	}
 }
 
-// samples are a value of a type with every field set and one with none, in JSON.
+// samples returns the JSON of a value with every field set and of the type's zero value.
 func samples(t *testing.T, typ reflect.Type, name string) []string {
 	t.Helper()
 	full, empty := reflect.New(typ), reflect.New(typ)
-	fill(full.Elem())
+	setAllFields(full.Elem())
 	var list []string
 	for kind, v := range map[string]reflect.Value{"full": full, "empty": empty} {
 		text, err := json.Marshal(v.Elem().Interface())
@@ -122,8 +123,9 @@
 	return list
 }
 
-// declaredTags are the tags for JSON of all fields that the sources in the working directory,
-// the package under test, declare, each once, also those of types that are not exported.
+// declaredTags returns the JSON tags, without duplicates, of all fields that the sources of the
+// package under test declare, including those of unexported types. A test runs in the directory of
+// its package.
 func declaredTags(t *testing.T) (list []string) {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
--- a/internal/protocol/bench_test.go
+++ b/internal/protocol/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkPeerFrames is what writing and reading a message of every kind cost.
+// BenchmarkPeerFrames measures writing and reading a message of every kind.
 func BenchmarkPeerFrames(b *testing.B) {
-	samples := peerSamples()
+	samples := samplePeerMessages()
 	var stream []byte
 	for _, m := range samples {
 		stream = AppendPeerFrame(stream, m)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -345,7 +345,7 @@
 	if j.Version > maxJobRecordVersion {
 		return nil, fmt.Errorf("%w: %d", ErrUnknownVersion, j.Version)
 	}
-	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerBaseRecord < 1 {
+	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidJobID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerBaseRecord < 1 {
 		return nil, ErrMalformedRecord
 	}
 	return &j, nil
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,7 +15,7 @@
 func TestJobRecordFitsValueLimit(t *testing.T) {
 	for _, valueKB := range []float64{2, 4, 8, 64} {
 		spec := &protocol.Job{ID: protocol.JobID("run-" + strings.Repeat("9", 30)), Tasks: protocol.MaxTasks}
-		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(valueKB, spec) {
+		for len(Encode(spec)) < protocol.MaxJobBytes-1 && Storable(valueKB, spec) {
 			spec.Image += "x"
 		}
 		spec.Image = spec.Image[1:]
