--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -146,7 +146,7 @@
 		if got := c.Cluster.Store.Smallest(); got != want {
 			t.Errorf("%q: %+v", next, got)
 		}
-		if got := c.Cluster.StoreNow(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
+		if got := c.Cluster.CurrentStoreLimits(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
 			t.Errorf("%q: %+v now", next, got)
 		}
 	}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// StoreNow holds the limits that the store has before they are lowered.
-func (c *Cluster) StoreNow() StoreLimits {
+// CurrentStoreLimits holds the limits that the store has before they are lowered.
+func (c *Cluster) CurrentStoreLimits() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
 	}
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -79,12 +79,12 @@
 // add has a query wait to be checked with others.
 func (sq *statusQueries) add(query statusQuery) {
 	resources := sq.cfg.Cluster.Process
-	if len(sq.waiting) >= resources.UserRequests() {
+	if len(sq.waiting) >= resources.MaxUserRequests() {
 		sq.replies.shedLoad(query.requestID)
 		return
 	}
 	if len(sq.waiting) == 0 {
-		sq.checkAt = sq.env.Now().Add(resources.RequestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
+		sq.checkAt = sq.env.Now().Add(resources.RequestDelay(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
 	query.expire = sq.env.Now().Add(tuning.UserRequestTimeout)
 	sq.waiting = append(sq.waiting, query)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -245,7 +245,7 @@
 			more++
 		}
 	}
-	pause := config.ProcessLimits{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
+	pause := config.ProcessLimits{Cores: cores}.ThrottleInterval(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
 	if want := int(5 / pause.Seconds()); more < want-1 || more > want+1 {
 		t.Errorf("%d agents are redirected in 5 s, want %d", more, want)
 	}
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -81,7 +81,7 @@
 	}
 	fleet := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.ProxyReleaseShare
+	l.proxying = fleet > most || l.proxying && fleet > most*tuning.DirectResumeShare
 	if !l.proxying {
 		return tuning.DirectShareScale
 	}
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -184,7 +184,7 @@
 	if m.env.Leading() {
 		return tuning.MinWatchDelay
 	}
-	return m.limits.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
+	return m.limits.RequestDelay(tuning.MinWatchDelay, tuning.WatchCPUShare)
 }
 
 // FetchRevision asks how far the records have come. Renewing the leader lease proves only
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -22,7 +22,7 @@
 // forwardIfUnserved sends a user's request on to a peer that the store serves while it does
 // not serve this node.
 func (n *Node) forwardIfUnserved(requestID uint64, request protocol.PeerUserRequest) bool {
-	return !n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness) && n.forwarder.ForwardRequest(requestID, request)
+	return !n.storeContact.servedWithin(n.now, tuning.MaxStoreServedAge) && n.forwarder.ForwardRequest(requestID, request)
 }
 
 // tickPeers handles what waits for other controllers, and tells them this node's status.
@@ -36,7 +36,7 @@
 		return
 	}
 	n.router.ForgetContacts()
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeContact.servedWithin(n.now, tuning.StoreServedFreshness)}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeContact.servedWithin(n.now, tuning.MaxStoreServedAge)}
 	if n.lead != nil {
 		status.DirectShare = n.lead.directShare()
 	}
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -66,16 +66,16 @@
 			l.n.peers.Up("s")
 		}
 		l.committer.MarkDirty(job, 0)
-		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
 		_, r := l.sentTxn(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
-		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
 				t.Error("sent again beside a peer that may be of version 0.2")
 			}
 			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
-			l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+			l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
 		}
 		if txn, _ := l.sentTxn(t); len(txn.Changes) < 2 {
 			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -137,7 +137,7 @@
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitLater(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil, Request{}
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -27,7 +27,7 @@
 // coalesceDelay is how long heartbeats are gathered for one write, so that what all
 // peers send costs the leader no more than its share of processor time.
 func coalesceDelay(cfg *config.Config) time.Duration {
-	each := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
+	each := cfg.Cluster.Process.ThrottleInterval(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
 	return min(each*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -77,7 +77,7 @@
 
 // readBody reads a request's body, or answers why it does not.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.TrustedBodyBytes)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.MaxBodyPreallocationBytes)
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
