--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -231,7 +231,7 @@
 			t.Fatalf("heartbeat %d: %s", i, got)
 		}
 	}
-	if redirected != tuning.MaxConcurrentRedirects {
+	if redirected != tuning.MaxRedirectBurst {
 		t.Errorf("%d agents are redirected at once", redirected)
 	}
 	more := 0
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -6,89 +6,92 @@
 
 // Agents.
 const (
-	// SilenceIntervals is how many heartbeat intervals an agent may be silent before
-	// it is probed: heartbeats jitter by a quarter. One whose heartbeat was lost
-	// answers the probe.
+	// SilenceIntervals is the number of heartbeat intervals for which an agent may be silent before
+	// it is probed. Heartbeats jitter by a quarter of the interval. An agent whose heartbeat
+	// was lost answers the probe.
 	SilenceIntervals = 1.7
-	// MinSilenceTimeout is the least such time: an agent that is not answered waits 4 s
-	// and comes to the next node a second later.
+	// MinSilenceTimeout is the lower bound of that time: an agent that gets no response waits 4 s
+	// and tries the next node a second later.
 	MinSilenceTimeout = 7 * time.Second
-	// ReplicaSilenceIntervals is the same for a machine that has replicas of a service, whose
-	// users miss them at once: a little more than an interval, so that a probe is
-	// sent when one heartbeat in five is late.
+	// ReplicaSilenceIntervals replaces SilenceIntervals for a machine that has service replicas,
+	// because users notice at once when these are lost. It is little more than one interval, so
+	// that a probe is sent for one late heartbeat in five.
 	ReplicaSilenceIntervals = 1.2
-	// ZoneSuspicionTime is how long replicas go to other zones, if they can, after a
-	// machine of a zone was given up as silent: what else is lost there is missed by
-	// then.
+	// ZoneSuspicionTime is how long replicas are placed in other zones, if possible, after a
+	// machine of a zone was deleted as unresponsive. By the end of this time, the silence of any
+	// other lost machine of the zone has been noticed.
 	ZoneSuspicionTime = 15 * time.Second
 	// ProbeTimeout bounds a probe and a direct command.
 	ProbeTimeout = 1200 * time.Millisecond
 	// MaxUnansweredProbes is the number of unanswered probes after which a silent
 	// machine is deleted.
 	MaxUnansweredProbes = 2
-	// MaxIneffectiveResponses is how many answers in a row must have shown no effect for a
-	// agent to count as not receiving: one may be lost or late.
+	// MaxIneffectiveResponses is the number of consecutive responses without a visible effect
+	// after which an agent counts as not receiving. A single one may be lost or late.
 	MaxIneffectiveResponses = 2
-	// PartitionSilenceAllowance is how much longer an agent may be silent while a peer is
-	// out of reach: it tries the leader, waits 4 s, and comes to another node.
+	// PartitionSilenceAllowance is added to the silence time-out while a peer is unreachable:
+	// the agent tries the leader, waits 4 s, and then tries another node.
 	PartitionSilenceAllowance = 9 * time.Second
-	// MaxHeartbeatIntervalFactor is the longest heartbeat interval, as a multiple of the nominal one:
-	// heartbeats jitter by a quarter.
+	// MaxHeartbeatIntervalFactor is the longest heartbeat interval as a multiple of the nominal
+	// one: heartbeats jitter by a quarter.
 	MaxHeartbeatIntervalFactor = 1.25
-	// HeartbeatRerouteTime is how long an agent takes from a heartbeat that nobody answers to its
-	// next one at another node: it waits 4 s and comes a second later. One second is
-	// for the way.
+	// HeartbeatRerouteTime is the time from an agent's unanswered heartbeat to its next one
+	// at another node: the agent waits 4 s for a response and tries the other node a second
+	// later. One more second allows for transmission.
 	HeartbeatRerouteTime = 6 * time.Second
-	// MaxSilentShare is the part of the fleet that may be silent at once before
-	// the network is suspected instead of the machines.
+	// MaxSilentShare is the share of the fleet that may be silent at once before
+	// a network partition is suspected instead of machine failures.
 	MaxSilentShare = 0.34
-	// MaxZoneSilentShare is the same for one zone's machines.
+	// MaxZoneSilentShare is the same for the machines of one zone.
 	MaxZoneSilentShare = 0.5
-	// MaxReachableZoneSilentShare is the part of a zone's machines that may be silent for the
-	// zone to be heard all the same: heartbeats jitter by a quarter.
+	// MaxReachableZoneSilentShare is the share of a zone's machines below which silent machines
+	// do not make the zone unreachable: heartbeats jitter by a quarter of the interval.
 	MaxReachableZoneSilentShare = 0.25
-	// RedirectRetention is how long a follower remembers that it redirected an agent;
-	// one that comes back within it could not reach the leader, and its heartbeats are forwarded.
+	// RedirectRetention is how long a follower remembers that it redirected an agent. An agent
+	// that returns within this time could not reach the leader, and its heartbeats are forwarded.
 	RedirectRetention = time.Minute
 	// HeartbeatForwardTimeout bounds a forwarded heartbeat; the agent gives up after 4 s.
 	HeartbeatForwardTimeout = 3 * time.Second
-	// HeartbeatCPUCost is about what an agent's own heartbeat costs of a core: two or three
-	// reads, a write, the waking up, and some 20 microseconds of code.
+	// HeartbeatCPUCost is the approximate processor time of a heartbeat that an agent sends to the
+	// leader directly: two or three reads, a write, a wake-up, and about 20 microseconds of code.
 	HeartbeatCPUCost = 120 * time.Microsecond
-	// HeartbeatCPUShare is the part of the leader's processor time for agents that
-	// report to it directly. The peers answer the rest for it.
+	// HeartbeatCPUShare is the share of the leader's processor time for agents that send their
+	// heartbeats to it directly. The peers respond to the other agents on its behalf.
 	HeartbeatCPUShare = 0.15
-	// RetainedAgentShare is the part of the agents that it could pay for which the leader
-	// keeps when it cannot keep all: scheduling cycles come in bursts.
+	// RetainedAgentShare is the share of its limit of direct agents that the leader uses when the
+	// fleet exceeds that limit. The rest of the processor time is left for scheduling cycles, which
+	// come in bursts.
 	RetainedAgentShare = 0.33
-	// DirectResumeShare is the part of that number below which it keeps all again.
+	// DirectResumeShare is the share of that limit to which the fleet must shrink before the
+	// leader responds to all agents directly again.
 	DirectResumeShare = 0.8
-	// RedirectCPUCost is about what sending an agent to its proxy costs: the answer, and
-	// there a new connection with its first heartbeat.
+	// RedirectCPUCost is the approximate processor time of redirecting an agent to its proxy: the
+	// response, and at the proxy a new connection with its first heartbeat.
 	RedirectCPUCost = 600 * time.Microsecond
-	// RedirectCPUShare is the part of each node's processor time for moves to it.
+	// RedirectCPUShare is the share of each node's processor time for agents redirected to it.
 	RedirectCPUShare = 0.25
-	// MaxConcurrentRedirects is how many agents may be sent away at once.
-	MaxConcurrentRedirects = 20
-	// DelegatedCallMargin is added to the time of a call that a peer makes.
+	// MaxRedirectBurst is the number of agents that may be redirected at once.
+	MaxRedirectBurst = 20
+	// DelegatedCallMargin is added to the time-out of a call that a peer makes for the leader.
 	DelegatedCallMargin = time.Second
-	// DirectShareScale stands for all agents where a share of them is meant.
+	// DirectShareScale is the direct share that stands for all agents: the share of agents that
+	// send heartbeats to the leader directly is given in thousandths.
 	DirectShareScale = 1000
 	// DirectShareSteps is the number of steps in which that share changes.
 	DirectShareSteps = 20
-	// AgentCallCPUCost is about what a call to an agent costs of a core: a connection, a
-	// request, an answer with its heartbeat.
+	// AgentCallCPUCost is the approximate processor time of a call to an agent: a connection, a
+	// request, and a response with the agent's heartbeat.
 	AgentCallCPUCost = 300 * time.Microsecond
-	// AgentCallCPUShare is the part of the controller's processor time for calls to
-	// agents. What waits goes with the answer to the next heartbeat.
+	// AgentCallCPUShare is the share of the controller's processor time for calls to agents.
+	// Commands that have to wait are sent in the response to the agent's next heartbeat.
 	AgentCallCPUShare = 0.25
 	// MinConcurrentAgentCalls is the number of calls that may always be made at once.
 	MinConcurrentAgentCalls = 32
-	// StopGraceSeconds is added to a job's saving time in an orderly stop, seconds.
+	// StopGraceSeconds is added to a job's checkpoint save time in an orderly stop, in seconds.
 	StopGraceSeconds = 3.0
-	// DirectStartSettleTime is how long a direct start is not repeated in the answer to a heartbeat that
-	// comes meanwhile: a command mostly takes some milliseconds, and the heartbeat was sent
-	// before it came.
+	// DirectStartSettleTime is how long a start that was sent directly is not repeated in a
+	// heartbeat response. The agent may have sent its heartbeat before the direct start arrived,
+	// which mostly takes a few milliseconds.
 	DirectStartSettleTime = 300 * time.Millisecond
 	// CommandResendDelay is the pause before a direct command is repeated.
 	CommandResendDelay = 1500 * time.Millisecond
@@ -96,36 +99,37 @@
 
 // Failures of machines, jobs and replicas.
 const (
-	// MaxMachineFailures is how many different jobs may fail on a machine, none
-	// succeeding between, before it is returned.
+	// MaxMachineFailures is the number of different jobs that may fail on a machine, without a
+	// success in between, before the machine is drained and deleted.
 	MaxMachineFailures = 2
-	// MaxJobFailures is how many different machines a job may fail on before the
-	// job, not the machines, is at fault.
+	// MaxJobFailures is the number of different machines on which a job may fail before the
+	// failures are attributed to the job and not to the machines.
 	MaxJobFailures = 3
-	// FailureBackoff is the pause before a job that its failures were attributed to is tried again.
+	// FailureBackoff is the pause before a job is retried after its failures were attributed to it.
 	FailureBackoff = 10 * time.Second
-	// MaxFailureBackoffDoublings is how often the pause doubles: up to 40 s. Once all faults are
-	// over no job may wait 90 s beside free capacity for it.
+	// MaxFailureBackoffDoublings is how often that pause may double: up to 40 s. Once all faults
+	// are over, no job may wait 90 s because of them while there is free capacity.
 	MaxFailureBackoffDoublings = 2
-	// ReplicaStableTime is how long a replica must have run for its end not to count as
-	// one of a series.
+	// ReplicaStableTime is how long a replica must have run for its exit not to count as
+	// one of a series of early exits.
 	ReplicaStableTime = 30 * time.Second
-	// ReplicaRestartBackoff is the pause after the second such end in a row; the first may be
-	// the machine's fault, and the replica starts elsewhere at once.
+	// ReplicaRestartBackoff is the pause after the second early exit in a row. The first one may
+	// be the machine's fault, so the replica restarts elsewhere at once.
 	ReplicaRestartBackoff = time.Second
-	// MaxReplicaBackoffDoublings is how often the pause doubles: up to 32 s.
+	// MaxReplicaBackoffDoublings is how often that pause may double: up to 32 s.
 	MaxReplicaBackoffDoublings = 5
 )
 
 const (
-	// MaxTrustedAttempt is the highest attempt of a heartbeat that the next attempt of its task
-	// is numbered above: a damaged report must not use all numbers up.
+	// MaxTrustedAttempt bounds the attempt numbers that are accepted from heartbeats: the next
+	// attempt of a task is numbered above reported attempts below this bound only. Otherwise a
+	// corrupted heartbeat could use up all numbers.
 	MaxTrustedAttempt = 1 << 62
-	// MaxRememberedLogKeys is how many keys of bad input are remembered, so that each is logged
-	// once: a few for each of thousands of machines.
+	// MaxRememberedLogKeys is the number of keys of malformed input that are remembered so that
+	// each is logged only once. It allows a few keys for each of thousands of machines.
 	MaxRememberedLogKeys = 20_000
 )
 
-// MaxCommandsPerResponse bounds the commands in one answer: with 100 bytes each they
-// keep within a line of 64 KiB.
+// MaxCommandsPerResponse bounds the commands in one response. At 100 bytes each they
+// fit into a message of 64 KiB.
 const MaxCommandsPerResponse = 400
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -6,64 +6,71 @@
 
 // Calls to the cloud.
 const (
-	// CloudTimeout bounds a call; answers take some hundred milliseconds.
+	// CloudTimeout bounds a call; responses take some hundred milliseconds.
 	CloudTimeout = 5 * time.Second
-	// MachineListInterval is the interval between machine lists, well inside their lag.
+	// MachineListInterval is the least interval between two reads of the machine list, well below
+	// the lag of the list.
 	MachineListInterval = 4 * time.Second
-	// MachineListBudgetShare is the part of the leader's calls that the pages of the machine list may
-	// take: a large fleet is listed less often, so that rentals have the rest.
+	// MachineListBudgetShare is the share of the leader's calls that the pages of the machine list
+	// may use. A large fleet is listed less often, so that machine requests get the rest.
 	MachineListBudgetShare = 0.35
-	// MachineTypesInterval is the interval between price lists.
+	// MachineTypesInterval is the interval between two reads of the machine types and their prices.
 	MachineTypesInterval = 30 * time.Second
-	// MachineListPageSize is the page size of the machine list, the largest allowed.
+	// MachineListPageSize is the page size of the machine list, the largest that the cloud allows.
 	MachineListPageSize = 500
-	// MaxMachinesPerRequest is the most machines one request may name.
+	// MaxMachinesPerRequest is the largest number of machines that one request may create.
 	MaxMachinesPerRequest = 50
-	// MaxMachinesPerDeletion is the most names one deletion may carry.
+	// MaxMachinesPerDeletion is the largest number of machines that one request may delete.
 	MaxMachinesPerDeletion = 100
-	// NoCapacityBackoff is how long a refused type, zone and kind is not asked for.
+	// NoCapacityBackoff is how long a machine type is not requested again in a zone, as spot or
+	// on-demand, after the cloud had no capacity for it.
 	NoCapacityBackoff = 12 * time.Second
-	// BootTimeoutFactor is how many nominal boot times a machine may take before
-	// another is rented in its place.
+	// BootTimeoutFactor is how long a machine may take to boot, as a multiple of its nominal boot
+	// time, before it is deleted and another one is requested in its place.
 	BootTimeoutFactor = 2.2
-	// BootTimeoutSlack is added to BootTimeoutFactor.
+	// BootTimeoutSlack is added to the time that BootTimeoutFactor gives.
 	BootTimeoutSlack = 5 * time.Second
 )
 
 // Scaling out and in.
 const (
-	// CloudBudgetShare is the part of the cloud's call budget that the leader uses;
+	// CloudBudgetShare is the share of the cloud's call budget that the leader uses;
 	// the peers only ask for prices now and then.
 	CloudBudgetShare = 0.8
 	// ScaleOutInterval is the pause between two evaluations of demand.
 	ScaleOutInterval = time.Second
-	// ScaleOutDelayAfterFailover leaves a new leader time to hear which machines it has.
+	// ScaleOutDelayAfterFailover gives a new leader time to learn from heartbeats which machines
+	// it has.
 	ScaleOutDelayAfterFailover = 2 * time.Second
-	// SpareRetention is how long spares are kept after the last job came: a few
-	// boot times, within which the next one would miss them.
+	// SpareRetention is how long spares are kept after the last job was submitted: a few
+	// boot times, within which the next job would have to wait if there were no spares.
 	SpareRetention = 100 * time.Second
 	// ZoneReserveInterval is the pause between two evaluations of the capacity that is reserved for
-	// the loss of a zone: well below a boot time.
+	// the loss of a zone. It is well below a boot time.
 	ZoneReserveInterval = 5 * time.Second
-	// MaxZoneReserveMachines bounds the machines that such an evaluation considers, those that
-	// it would rent included.
+	// MaxZoneReserveMachines bounds the machines that such an evaluation considers, including
+	// those that it would request.
 	MaxZoneReserveMachines = 20_000
-	// EstimateSlackFactor stretches an owner's estimate, often wrong by half.
+	// EstimateSlackFactor extends a user's estimate of a job's run time, which is often wrong by
+	// half.
 	EstimateSlackFactor = 1.3
-	// BootTimeSlackFactor stretches a nominal boot time.
+	// BootTimeSlackFactor extends a nominal boot time.
 	BootTimeSlackFactor = 1.2
-	// ConsolidationInterval is the pause between two machines that are emptied to save money.
+	// ConsolidationInterval is the pause between two rounds that drain machines to save money.
 	ConsolidationInterval = 5 * time.Second
-	// MaxConsolidationCandidates is how many machines are examined for one to empty.
+	// MaxConsolidationCandidates is the number of machines that are examined for each machine that
+	// may be drained.
 	MaxConsolidationCandidates = 8
-	// ConsolidationFleetDivisor has no more than one in so many machines emptied at once.
+	// ConsolidationFleetDivisor limits a round to one drained machine for every this many machines
+	// of the fleet, but allows at least one.
 	ConsolidationFleetDivisor = 20
-	// MaxConsolidationUtilization is the share of its GPUs in use from which on a machine stays.
+	// MaxConsolidationUtilization is the largest share of a machine's GPUs in use at which the
+	// machine may be drained.
 	MaxConsolidationUtilization = 0.5
 	// MinRemainingSecondsToMove is how much longer, in seconds, a task must be expected to run
-	// to be worth moving: saving it and fetching its image take some ten.
+	// to be worth moving. Saving its checkpoint and fetching its image take about ten seconds.
 	MinRemainingSecondsToMove = 40.0
-	// MaxMachineRequestAttempts is how often a request is sent before it is given up; what it
-	// rented all the same shows in the machine list.
+	// MaxMachineRequestAttempts is how often a machine request is sent before it is abandoned.
+	// Machines that it created nevertheless appear in the machine list.
 	MaxMachineRequestAttempts = 5
 )
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Peers, and what a node makes of its reach.
+// Peers and reachability.
 const (
-	// WatchTimeoutMargin is how much longer than asked a watch may take to return.
+	// WatchTimeoutMargin is how much longer than requested a watch may take to return.
 	WatchTimeoutMargin = 3 * time.Second
-	// IsolationTimeout is how long a node may miss the store, while a peer
-	// reaches it, before it asks to be spared users' requests.
+	// IsolationTimeout is how long a node may go without access to the store, while a peer
+	// has access, before it reports that it is not ready for users' requests.
 	IsolationTimeout = 5 * time.Second
 	// StoreUnreachableTimeout is how long requests to the store must have gone
-	// unanswered for users to be turned away at once: two time-outs.
+	// unanswered before users' requests are refused at once: two time-outs.
 	StoreUnreachableTimeout = 3 * time.Second
-	// StoreProbeInterval is how long a node asks the store for nothing before
-	// it asks just to know whether it is served.
+	// StoreProbeInterval is how long a node sends the store no request before
+	// it sends one only to find out whether the store responds.
 	StoreProbeInterval = time.Second
-	// MaxStoreServedAge is how fresh the last served request must be for a node to
-	// tell its peers that the store serves it: less than IsolationTimeout,
-	// so that in an outage no node takes an old word for a sign of life.
+	// MaxStoreServedAge is how long ago the store may have served a node for the node to tell its
+	// peers that it has access to the store. It is less than IsolationTimeout, so that during an
+	// outage of the store no node takes an outdated status for a sign that the store works.
 	MaxStoreServedAge = 1500 * time.Millisecond
 	// PeerHeartbeatInterval is the interval of the heartbeats between peers.
 	PeerHeartbeatInterval = time.Second
-	// RelayWriteInterval is the least pause between two values written for a peer
-	// that no link leads to: few enough for the write budget, often enough for
-	// an agent that waits 4 s for its answer.
+	// RelayWriteInterval is the least pause between two values written to the store for a peer
+	// to which no link leads. It is long enough for the write budget and short enough for
+	// an agent that waits 4 s for its response.
 	RelayWriteInterval = 400 * time.Millisecond
-	// PeerSilenceTimeout is how long a link may be silent before it counts as cut.
+	// PeerSilenceTimeout is how long a link may be silent before it counts as broken.
 	PeerSilenceTimeout = 3 * time.Second
-	// ForwardExpiryInterval is the pause between two searches for forwarded requests that no
-	// answer came to.
+	// ForwardExpiryInterval is the pause between two searches for forwarded requests that
+	// got no response in time.
 	ForwardExpiryInterval = 250 * time.Millisecond
-	// MaxPeerHops bounds the nodes that carry one message.
+	// MaxPeerHops bounds the nodes that forward one message.
 	MaxPeerHops = 2
-	// LeaderLeaseJitter spreads the candidates' attempts.
+	// LeaderLeaseJitter spreads the candidates' attempts to acquire the leader lease.
 	LeaderLeaseJitter = 120 * time.Millisecond
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -8,60 +8,63 @@
 const (
 	// MinSchedulingInterval is the least pause between two scheduling cycles.
 	MinSchedulingInterval = 100 * time.Millisecond
-	// MaxSchedulingInterval is the longest pause between two cycles: time-outs have no event.
+	// MaxSchedulingInterval is the longest pause between two cycles: the expiry of a time-out
+	// triggers no event that requests a cycle.
 	MaxSchedulingInterval = time.Second
-	// CandidateCPUCost is about what examining one machine for one job costs of a core.
+	// CandidateCPUCost is the approximate processor time of examining one machine for one job.
 	CandidateCPUCost = 100 * time.Nanosecond
-	// MaxSchedulingCycleTime is how long one scheduling cycle may go on preempting: a
-	// leader lease must be renewed, and heartbeats answered, between two cycles.
+	// MaxSchedulingCycleTime is how long a scheduling cycle may go on starting preemption
+	// searches. Between two cycles the leader lease must be renewed and heartbeats answered.
 	MaxSchedulingCycleTime = 100 * time.Millisecond
 	// MinExaminedMachines is the number of machines that a cycle may examine however small the
-	// controller's share of a core: a few jobs' searches on a small fleet.
+	// controller's share of a core is: enough for the searches of a few jobs on a small fleet.
 	MinExaminedMachines = 5000
-	// SchedulingCPUShare is the part of the controller's processor time that scheduling cycles
-	// may take; heartbeats, commits and users need the rest.
+	// SchedulingCPUShare is the share of the controller's processor time that scheduling cycles
+	// may take. The rest is left for heartbeats, commits and users' requests.
 	SchedulingCPUShare = 0.25
-	// PreemptionSearchBackoff is the pause after a search for work to stop found nothing.
+	// PreemptionSearchBackoff is the pause after a search for tasks to preempt found nothing.
 	PreemptionSearchBackoff = time.Second
-	// MachineSweepInterval is how often all machines are examined for silence,
-	// lease expiry and return: finer than any time-out that depends on it.
+	// MachineSweepInterval is how often all machines are checked for silence, expired leases and
+	// deletion. It is shorter than any time-out that depends on it.
 	MachineSweepInterval = 500 * time.Millisecond
-	// CPUsPerSlot is the share of processors that makes a slot on machines
-	// without GPUs; memory follows in the machine's own proportion.
+	// CPUsPerSlot is the number of processors that make up a slot on machines
+	// without GPUs. Memory is divided in the machine's own proportion.
 	CPUsPerSlot = 4.0
 	// MachineRefusalBackoff is how long a job avoids a machine that refused its task.
 	MachineRefusalBackoff = 15 * time.Second
-	// MachineFailureBackoff is how long a job avoids a machine on which its task failed:
-	// long enough for another job to show whether the machine is to blame, well below
-	// the 90 s that no job may wait beside free capacity for it.
+	// MachineFailureBackoff is how long a job avoids a machine on which its task failed. It is
+	// long enough for another job to show whether the machine is at fault, and well below
+	// the 90 s for which no job may wait because of it while there is free capacity.
 	MachineFailureBackoff = time.Minute
-	// MinFetchSecondsForImageLocality is the fetch time, in seconds, from which a gang would rather
-	// take machines that have its image.
+	// MinFetchSecondsForImageLocality is the image fetch time, in seconds, from which a gang
+	// prefers machines that have its image.
 	MinFetchSecondsForImageLocality = 5.0
-	// ImageLocalWaitFactor is for how many times its fetch an array leaves machines
-	// without its image to others: it gains one fetch and may lose its deadline.
+	// ImageLocalWaitFactor is how long an array may wait for machines that have its image, as a
+	// multiple of the fetch time. Waiting saves one fetch, but may make the array miss its deadline.
 	ImageLocalWaitFactor = 2.0
-	// MaxImageLocalSaveShare is the share of the fetch time that saving the work in the way
-	// may take.
+	// MaxImageLocalSaveShare is the share of the fetch time within which the tasks preempted on
+	// machines that have the image must have saved their checkpoints.
 	MaxImageLocalSaveShare = 0.6
-	// MinCheckpointBenefit is how many times the saving time the work at stake must be for a
-	// task that yields to save: the job that waits pays for the saving too.
+	// MinCheckpointBenefit is how many times longer than saving a checkpoint the work must have
+	// taken that a preempted task loses otherwise. Only then does the task save one, because the
+	// waiting job pays for the saving too.
 	MinCheckpointBenefit = 2.0
-	// GangRestartSeconds is how long, in seconds, a gang that yields takes to gather
-	// again: a new place, perhaps a fetch, and its slowest task.
+	// GangRestartSeconds is how long, in seconds, a preempted gang takes to restart: it needs a
+	// new placement and perhaps an image fetch, and waits for its slowest task.
 	GangRestartSeconds = 10.0
-	// MaxImageLocalLossFactor is how much more work, in GPU seconds, may be lost than the
-	// gang's GPUs would idle during the fetch.
+	// MaxImageLocalLossFactor bounds the work, in GPU seconds, that may be lost to preemption on
+	// machines that have a gang's image, as a multiple of the GPU seconds for which the gang's
+	// GPUs would idle during the fetch.
 	MaxImageLocalLossFactor = 2.0
-	// ArrayStartDeadline is how long an array may wait for its first place before it
-	// goes first: users expect the largest to begin within four minutes, and
-	// renting takes up to one.
+	// ArrayStartDeadline is how long an array may wait for its first placement before it
+	// goes to the front of the queue. Users expect the largest arrays to start within four
+	// minutes, and requesting machines takes up to one.
 	ArrayStartDeadline = 150 * time.Second
-	// MissedObjectivePenalty is how far back an array goes in the queue for every aim that it
-	// is too late for.
+	// MissedObjectivePenalty is how far an array moves back in the queue for every objective that
+	// it can no longer meet.
 	MissedObjectivePenalty = 5 * time.Minute
-	// RemainingTaskPenalty is how much later than by its aims alone an array's turn comes for
-	// every task that is not done: when not all can be in time, small ones can.
+	// RemainingTaskPenalty is how far an array moves back in the queue for every task that is not
+	// done. If not all arrays can meet their objectives, small ones still can.
 	RemainingTaskPenalty = 1500 * time.Millisecond
 	// ReservationTimeout is how long capacity freed by preemption is reserved for its job.
 	ReservationTimeout = 25 * time.Second
