--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -87,12 +87,12 @@
 // summarize makes a row of the runs of each program at each size.
 func summarize(all []Measurement) (rows []row) {
 	for _, m := range all {
-		at := slices.IndexFunc(rows, func(r row) bool { return r.Kind == m.Kind && r.Source == m.Source && r.Machines == m.Machines })
-		if at < 0 {
+		index := slices.IndexFunc(rows, func(r row) bool { return r.Kind == m.Kind && r.Source == m.Source && r.Machines == m.Machines })
+		if index < 0 {
 			rows = append(rows, row{Kind: m.Kind, Source: m.Source, Machines: m.Machines})
-			at = len(rows) - 1
+			index = len(rows) - 1
 		}
-		rows[at].add(m)
+		rows[index].add(m)
 	}
 	slices.SortFunc(rows, func(a, b row) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Machines, b.Machines), cmp.Compare(a.Source, b.Source))
@@ -103,19 +103,19 @@
 // add takes one more run into the means.
 func (r *row) add(m Measurement) {
 	r.Runs++
-	mean := func(to *float64, v float64) { *to += (v - *to) / float64(r.Runs) }
+	addToMean := func(average *float64, v float64) { *average += (v - *average) / float64(r.Runs) }
 	v := m.Result
-	mean(&r.Tasks, float64(v.Tasks))
-	mean(&r.Needed, float64(v.Needed))
-	mean(&r.ExcessStarts, float64(v.Excess[0]))
-	mean(&r.ExcessStops, float64(v.Excess[1]))
-	mean(&r.ExcessForgets, float64(v.Excess[2]))
+	addToMean(&r.Tasks, float64(v.Tasks))
+	addToMean(&r.Needed, float64(v.Needed))
+	addToMean(&r.ExcessStarts, float64(v.Excess[0]))
+	addToMean(&r.ExcessStops, float64(v.Excess[1]))
+	addToMean(&r.ExcessForgets, float64(v.Excess[2]))
 	r.Excess = r.ExcessStarts + r.ExcessStops + r.ExcessForgets
-	mean(&r.KeptPercent, 100*v.KeptSeconds/max(v.BeforeSeconds, 1))
-	mean(&r.First, v.First.Seconds())
-	mean(&r.Last, v.Last.Seconds())
-	mean(&r.Requests, float64(v.Requests))
-	mean(&r.Changes, float64(v.Changes))
+	addToMean(&r.KeptPercent, 100*v.KeptSeconds/max(v.BeforeSeconds, 1))
+	addToMean(&r.First, v.First.Seconds())
+	addToMean(&r.Last, v.Last.Seconds())
+	addToMean(&r.Requests, float64(v.Requests))
+	addToMean(&r.Changes, float64(v.Changes))
 	r.Duplicates += v.DuplicateStarts
 	r.RulesBroken += len(v.Rules)
 }
@@ -132,7 +132,7 @@
 // figure is one quantity over the number of machines.
 type figure struct {
 	title, unit string
-	of          func(r row) float64
+	value       func(r row) float64
 }
 
 var figures = []figure{
@@ -155,7 +155,7 @@
 		if bySource[r.Source] == nil {
 			sources = append(sources, r.Source)
 		}
-		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.of(r)})
+		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.value(r)})
 	}
 	slices.Sort(sources)
 	var lines []any
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -15,17 +15,17 @@
 
 // ThrottleInterval is the pause between things that cost so much processor time each, for
 // them to take no more than a part of the process's share of a core.
-func (p ProcessLimits) ThrottleInterval(cost time.Duration, part float64) time.Duration {
+func (p ProcessLimits) ThrottleInterval(cpuCost time.Duration, cpuShare float64) time.Duration {
 	if p.Cores <= 0 {
 		return 0
 	}
-	return time.Duration(float64(cost) / (p.Cores * part))
+	return time.Duration(float64(cpuCost) / (p.Cores * cpuShare))
 }
 
 // RequestDelay is the pause before a request that can wait, longer the smaller the share of
 // a core is.
-func (p ProcessLimits) RequestDelay(least time.Duration, part float64) time.Duration {
-	return max(least, min(p.ThrottleInterval(tuning.StoreRequestCPUCost, part), tuning.MaxRequestDelay))
+func (p ProcessLimits) RequestDelay(minDelay time.Duration, cpuShare float64) time.Duration {
+	return max(minDelay, min(p.ThrottleInterval(tuning.StoreRequestCPUCost, cpuShare), tuning.MaxRequestDelay))
 }
 
 // MaxUserRequests bounds users' requests under way at one node: a part of the connections
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -24,15 +24,15 @@
 	t := s
 	t.Next = nil
 	if n := s.Next; n != nil {
-		lower(&t.RPS, n.RPS)
-		lower(&t.WriteRPS, n.WriteRPS)
-		lower(&t.ValueKB, n.ValueKB)
-		lower(&t.TxnOps, n.TxnOps)
+		lowerLimit(&t.RPS, n.RPS)
+		lowerLimit(&t.WriteRPS, n.WriteRPS)
+		lowerLimit(&t.ValueKB, n.ValueKB)
+		lowerLimit(&t.TxnOps, n.TxnOps)
 	}
 	return t
 }
 
-func lower[T int | float64](limit *T, next *T) {
+func lowerLimit[T int | float64](limit *T, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
