--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -1,9 +1,9 @@
 // Command gappond is a cluster scheduler: see README.md. Its command serve runs a
-// controller until an interrupt or SIGTERM ends it, check-config checks the settings and
-// prints those that are in force, and version prints the version.
+// controller until it receives an interrupt or SIGTERM, check-config checks the settings and
+// prints the operators' settings in force, and version prints the version.
 //
-// It ends with code 0 when all is done, 1 when a command fails, for example because a
-// setting is wrong or an address is taken, and 80 for wrong arguments.
+// It exits with code 0 on success, 1 when a command fails, for example because a
+// setting is invalid or an address is in use, and 80 for invalid arguments.
 package main
 
 import (
@@ -29,7 +29,7 @@
 // version is set by the release build.
 var version = "0.5.0"
 
-// settings are the files that a command reads.
+// settings holds the paths of the settings files that a command reads.
 type settings struct {
 	Config     string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
 	Properties string `placeholder:"FILE" env:"GAPPOND_PROPERTIES" help:"The operators' settings (Java-style properties)."`
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Run checks the settings and prints those in force.
+// Run checks the settings and prints the operators' settings in force.
 func (c checkCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Run runs a controller until a signal ends it.
+// Run runs a controller until a signal stops it.
 func (c serveCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	// One owner does nearly all the work, on a share of one core.
+	// One goroutine, the event loop, does nearly all the work, on a share of one core.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
 	if mb := cfg.Cluster.Process.MemoryMB; mb > 0 {
@@ -101,7 +101,8 @@
 	return transport.NewOwner(cfg, log, node).Run(ctx)
 }
 
-// newBootIdentity makes the seed of a controller's random numbers and the name of this life of it.
+// newBootIdentity returns a seed for a controller's random numbers and an ID of this run of the
+// process.
 func newBootIdentity() (seed uint64, id string, err error) {
 	var random [16]byte
 	if _, err := crand.Read(random[:]); err != nil {
@@ -110,14 +111,15 @@
 	return binary.LittleEndian.Uint64(random[8:]), hex.EncodeToString(random[:8]), nil
 }
 
-// warnUnknownObjectives names the objectives that have no effect.
+// warnUnknownObjectives logs the kinds of objectives that are ignored.
 func warnUnknownObjectives(log *slog.Logger, cfg *config.Config) {
 	if kinds := cfg.Cluster.UnknownObjectives(); len(kinds) > 0 {
 		log.Warn("objectives of unknown kinds are ignored", "kinds", kinds)
 	}
 }
 
-// newLogger writes to standard error, to the extent that the level gives.
+// newLogger returns a logger that writes to standard error from the given level on. An empty level
+// means info.
 func newLogger(level string) (*slog.Logger, error) {
 	threshold := slog.LevelInfo
 	switch level {
--- a/cmd/recoverybench/main.go
+++ b/cmd/recoverybench/main.go
@@ -1,10 +1,11 @@
-// Command recoverybench measures cold restarts: all controllers are lost in the middle of
-// work and come back together. It plays them on loopback, with the program as processes,
-// or on a fake clock, and makes a report of what was measured. docs/cold-restart.md says
-// what the figures mean.
+// Command recoverybench measures cold restarts, in which all controllers fail while jobs are
+// running and return together. It runs the controllers as processes on loopback, or in a
+// simulation with a fake clock, and generates a report from the measurements.
+// docs/cold-restart.md explains the figures.
 //
-// It ends with code 0 when all is done, 1 when a command fails, and 80 for wrong
-// arguments. Rules of the simulation that a measurement breaks are figures in it, no failure.
+// It exits with code 0 on success, 1 when a command fails, and 80 for invalid arguments.
+// Simulation rules that are broken in a measurement are part of its result and not a failure of
+// the command.
 package main
 
 import (
@@ -28,16 +29,16 @@
 	cli.Main(&commands, "recoverybench", "Measures cold restarts of gappond's controllers.")
 }
 
-// Measurement is one cold restart.
+// Measurement is the result of one cold restart.
 type Measurement struct {
-	Source   string // the program, by the name given to it
+	Source   string // name given to the measured program
 	Kind     string // loopback or simulated
 	Machines int
 	Run      int
 	Result   simulation.ColdResult
 }
 
-// measurementOptions is what all commands play.
+// measurementOptions are the options of the commands that measure.
 type measurementOptions struct {
 	Machines []int         `default:"50,100,200" help:"Numbers of machines."`
 	Runs     int           `default:"3" help:"Runs of each, with seeds from 1 on."`
@@ -47,12 +48,12 @@
 	Out      string        `required:"" placeholder:"FILE" help:"Measurements are appended to it, a JSON object a line."`
 }
 
-// coldRestart is the cold restart of so many machines.
+// coldRestart returns a cold restart with the given number of machines.
 func (p *measurementOptions) coldRestart(machines int, recovery bool) simulation.ColdRestart {
 	return simulation.ColdRestart{Machines: machines, Before: p.Before, Away: p.Away, After: p.After, Recovery: recovery}
 }
 
-// appendMeasurement appends a measurement to the file.
+// appendMeasurement appends a measurement to the output file and prints a summary of it.
 func (p *measurementOptions) appendMeasurement(m Measurement) error {
 	line, err := json.Marshal(m)
 	if err != nil {
@@ -76,7 +77,7 @@
 	kindSimulated = "simulated"
 )
 
-// forEachRun plays all sizes as often as the plan has it.
+// forEachRun calls measure for each run with each number of machines.
 func (p *measurementOptions) forEachRun(measure func(machines, run int) error) error {
 	for _, machines := range p.Machines {
 		for run := 1; run <= p.Runs; run++ {
@@ -113,13 +114,12 @@
 	})
 }
 
-// program is a program to measure.
 type program struct {
 	name    string
 	command []string // with its arguments
 }
 
-// parsePrograms reads programs as they are given, NAME=COMMAND.
+// parsePrograms parses programs in the form NAME=COMMAND.
 func parsePrograms(specs []string) (list []program, err error) {
 	for _, spec := range specs {
 		name, command, ok := strings.Cut(spec, "=")
@@ -137,7 +137,7 @@
 	Recovery bool   `help:"Have recoveries followed."`
 }
 
-// Run measures this program's state machine.
+// Run measures this program's own state machine.
 func (c *simulatedCommand) Run() error {
 	return c.forEachRun(func(machines, run int) error {
 		result, err := c.coldRestart(machines, c.Recovery).Simulate(uint64(run))
--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -10,14 +10,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// processControllers are controllers that are processes of a program.
+// processControllers runs each controller as a process.
 type processControllers struct {
-	command []string // the program and its arguments beyond the settings
+	command []string // the program and its arguments other than the settings file
 	dir     string
 	running []*exec.Cmd
 }
 
-// measureProcesses plays a cold restart with three processes of a program.
+// measureProcesses runs a cold restart of three controllers, each a process of a program.
 func measureProcesses(restart simulation.ColdRestart, seed uint64, command []string) (simulation.ColdResult, error) {
 	dir, err := os.MkdirTemp("", "recoverybench")
 	if err != nil {
@@ -54,10 +54,10 @@
 // Kill implements simulation.Controllers.
 func (p *processControllers) Kill() {
 	for _, cmd := range p.running {
-		cmd.Process.Kill() // it may have ended by itself
+		cmd.Process.Kill() // the process may already have exited
 	}
 	for _, cmd := range p.running {
-		cmd.Wait() // "killed" is no news
+		cmd.Wait() // the error would only say that the process was killed
 	}
 	p.running = nil
 }
--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -24,7 +24,7 @@
 	Out string   `required:"" placeholder:"FILE" help:"The HTML page."`
 }
 
-// Run makes the page.
+// Run generates the HTML page.
 func (c *reportCommand) Run() error {
 	var all []Measurement
 	for _, name := range c.In {
@@ -69,12 +69,13 @@
 	return list, lines.Err()
 }
 
-// row is the mean of the runs of one program at one size, and the worst of what must not be.
+// row summarizes the runs of one program with one number of machines. Its figures are means of
+// the runs, except for the sums of duplicate starts and broken rules.
 type row struct {
 	Kind, Source            string
 	Machines, Runs          int
 	Tasks, Needed           float64
-	Duplicates, RulesBroken int // of all runs
+	Duplicates, RulesBroken int // sums over all runs
 	Excess                  float64
 	ExcessStarts            float64
 	ExcessStops             float64
@@ -84,7 +85,7 @@
 	Requests, Changes       float64
 }
 
-// summarize makes a row of the runs of each program at each size.
+// summarize returns a row for each kind of measurement, program and number of machines.
 func summarize(all []Measurement) (rows []row) {
 	for _, m := range all {
 		index := slices.IndexFunc(rows, func(r row) bool { return r.Kind == m.Kind && r.Source == m.Source && r.Machines == m.Machines })
@@ -100,7 +101,7 @@
 	return rows
 }
 
-// add takes one more run into the means.
+// add adds a run to the means and sums.
 func (r *row) add(m Measurement) {
 	r.Runs++
 	addToMean := func(average *float64, v float64) { *average += (v - *average) / float64(r.Runs) }
@@ -129,7 +130,7 @@
 	return list
 }
 
-// figure is one quantity over the number of machines.
+// figure is a plot of one quantity against the number of machines.
 type figure struct {
 	title, unit string
 	value       func(r row) float64
@@ -141,7 +142,7 @@
 	{"requests to the state service", "requests", func(r row) float64 { return r.Requests }},
 }
 
-// drawFigure plots a figure of one kind, a line for each program.
+// drawFigure returns a figure for one kind of measurement as SVG, with a line for each program.
 func drawFigure(rows []row, kind string, f figure) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = kind+": "+f.title, "machines", f.unit
@@ -171,10 +172,10 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	return template.HTML(out.String()), nil //nolint:gosec // drawn here from numbers and the programs' names, which the plot escapes
+	return template.HTML(out.String()), nil //nolint:gosec // generated here from numbers and the programs' names, which the plot escapes
 }
 
-// reportPage is what the page shows.
+// reportPage is the data of the HTML template.
 type reportPage struct {
 	Rows  []row
 	Plots []template.HTML
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs the commands of a program: its arguments, its help and its exit codes,
-// the same for all programs of this module. What a command does is the program's.
+// Package cli runs the commands of a program. It gives all programs of this module the same
+// handling of arguments, help and exit codes. Each program defines what its commands do.
 package cli
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes. They are kong's; the help of every program and docs/operations.md state them.
+// Exit codes. kong defines them; the help of every program and docs/operations.md state them.
 const (
 	ExitDone   = 0
 	ExitFailed = 1
@@ -17,9 +17,9 @@
 
 const exitCodesHelp = "\n\nExit codes: 0 when all is done, 1 when a command fails, 80 for wrong arguments. Errors go to standard error."
 
-// Main parses the program's arguments, runs the command that they name, and ends the
-// program with ExitFailed or ExitUsage if that goes wrong. commands is a struct with a
-// field for each command, as kong has them.
+// Main parses the program's arguments and runs the command that they name. It exits with
+// ExitUsage if the arguments are invalid and with ExitFailed if the command fails. commands is a
+// pointer to a struct with a field for each command, as kong expects it.
 func Main(commands any, name, description string) {
 	run(commands, name, description, os.Args[1:])
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -17,11 +17,11 @@
 
 func (failingCommand) Run() error { return errors.New("the disk is full") }
 
-// exit is how the program in a test ends.
+// exit is the panic value by which a program in a test exits.
 type exit struct{ code int }
 
-// TestExitCodes: a program ends with the codes that its help states, and says on standard
-// error why.
+// TestExitCodes checks that a program exits with the codes that its help states and writes the
+// reason to standard error.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args   []string
@@ -45,12 +45,12 @@
 			run(&commands, "program", "Does things.", c.args, kong.Exit(end), kong.Writers(&stdout, &stderr))
 		})
 		if code != c.code || !strings.Contains(stdout.String(), c.stdout) || !strings.Contains(stderr.String(), c.stderr) || (c.stderr == "") != (stderr.Len() == 0) {
-			t.Errorf("%v: code %d, %q, %q", c.args, code, stdout.String(), stderr.String())
+			t.Errorf("%v: exit code %d, stdout %q, stderr %q", c.args, code, stdout.String(), stderr.String())
 		}
 	}
 }
 
-// exitCode is the code with which a program ends; end does not return, like os.Exit.
+// exitCode returns the code with which a program exits. Like os.Exit, end does not return.
 func exitCode(program func(end func(int))) (code int) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,14 +10,14 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// The least limits of the store that the records keep within: the
-// description of a job in one value, the parts of a record in one transaction.
+// The smallest store limits that gappond supports: a job's description must fit into one
+// value, and the parts of a record into one transaction.
 const (
 	minValueKB = 2.0
 	minTxnOps  = 4
 )
 
-// Problems that several settings may have.
+// Problems that several settings can have.
 const (
 	problemMissing   = "is missing"
 	problemEmpty     = "is empty"
@@ -25,10 +25,10 @@
 	problemNegative  = "must be 0 or more"
 )
 
-// checker collects what is wrong with the settings.
+// checker collects the problems found in the settings.
 type checker struct{ problems []error }
 
-// addProblem notes a problem of a setting that is there.
+// addProblem adds a problem of a setting that is present.
 func (c *checker) addProblem(key string, value any, problem string) {
 	text := fmt.Sprint(value)
 	if reflect.ValueOf(value).Kind() == reflect.String {
@@ -37,12 +37,12 @@
 	c.problems = append(c.problems, &SettingError{Key: key, Value: text, Problem: problem})
 }
 
-// addMissing notes a setting that is not there.
+// addMissing adds a problem of a setting that is missing or empty.
 func (c *checker) addMissing(key, problem string) {
 	c.problems = append(c.problems, &SettingError{Key: key, Problem: problem})
 }
 
-// err is all that was found, nil if nothing was.
+// err returns an error with all problems found, or nil if there are none.
 func (c *checker) err() error {
 	if len(c.problems) == 0 {
 		return nil
@@ -50,7 +50,7 @@
 	return &InvalidError{Problems: c.problems}
 }
 
-// address checks an address with its port.
+// address checks that an address has the form host:port.
 func (c *checker) address(key, hostPort string) {
 	_, port, err := net.SplitHostPort(hostPort)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// teams checks that names are unique and amounts sound.
+// teams checks that team names are unique and that no amount is negative.
 func (c *checker) teams(teams []Team) {
 	seen := map[protocol.TeamName]bool{}
 	for i, t := range teams {
@@ -89,7 +89,7 @@
 	}
 }
 
-// agentTimings checks the agents' timings.
+// agentTimings checks the timings of the agents.
 func (c *checker) agentTimings(w AgentTimings) {
 	c.positive("cluster.workers.report_s", w.ReportS)
 	c.positive("cluster.workers.lease_s", w.LeaseS)
@@ -102,7 +102,7 @@
 	}
 }
 
-// storeLimits checks the limits of the store.
+// storeLimits checks limits of the store, given under the key.
 func (c *checker) storeLimits(key string, s StoreLimits) {
 	c.positive(key+".rps", s.RPS)
 	c.positive(key+".write_rps", s.WriteRPS)
@@ -114,7 +114,7 @@
 	}
 }
 
-// nodes checks this controller's name and addresses and those of its peers.
+// nodes checks the names and addresses of this controller and its peers.
 func (c *checker) nodes(cfg *Config) {
 	if cfg.Name == "" {
 		c.addMissing("host_name", problemMissing)
@@ -133,7 +133,7 @@
 	}
 }
 
-// check checks every setting and names all that are wrong.
+// check checks all settings and returns an error that names every invalid one.
 func (c *Config) check() error {
 	cluster, checks := &c.Cluster, &checker{}
 	checks.nodes(c)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the platform's settings (TOML) and the operators' own
-// (Java-style properties) and checks every value before the service starts.
+// Package config reads the platform's settings (TOML) and the operators' settings
+// (Java-style properties) and checks every value before the controller starts.
 package config
 
 import (
@@ -14,7 +14,7 @@
 	Addr string            `toml:"addr"`
 }
 
-// Team is a team's guarantee and limit. A limit of 0 means none.
+// Team is a team with its guaranteed resources and its limits. A limit of 0 means no limit.
 type Team struct {
 	Name    protocol.TeamName `toml:"name"`
 	CPUs    float64           `toml:"cpus"`
@@ -23,7 +23,7 @@
 	MaxGPUs float64           `toml:"gpus_max"`
 }
 
-// AgentTimings are the timings that all agents share.
+// AgentTimings holds the timings that are the same for all agents.
 type AgentTimings struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -32,13 +32,13 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// CloudLimits holds the limits of the cloud's interface.
+// CloudLimits holds the limits of the cloud's API.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Cluster is what all controllers share.
+// Cluster holds the settings that are the same for all controllers.
 type Cluster struct {
 	Nodes      int                 `toml:"nodes"`
 	Zones      []protocol.ZoneName `toml:"zones"`
@@ -46,21 +46,21 @@
 	Teams      []Team              `toml:"teams"`
 	Objectives []Objective         `toml:"objectives"`
 	Agents     AgentTimings        `toml:"workers"`
-	// State holds the tightest limits of the store that are known; Present
-	// those that it has now, where they are others.
+	// Store holds the tightest limits of the store that are known: the smaller of each current
+	// and announced limit. Present holds the current limits if others are announced, else nil.
 	Store   StoreLimits   `toml:"state"`
 	Present *StoreLimits  `toml:"-"`
 	Cloud   CloudLimits   `toml:"cloud"`
 	Process ProcessLimits `toml:"resources"`
 }
 
-// Endpoints are the outside systems' addresses.
+// Endpoints holds the addresses of the external systems.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Config is the whole of the settings.
+// Config holds all settings of a controller.
 type Config struct {
 	Name       protocol.NodeName `toml:"host_name"`
 	Zone       protocol.ZoneName `toml:"domain"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestExampleSettingsAreValid shows that the files which README's commands name are sound.
+// TestExampleSettingsAreValid checks that the files named in the commands of README.md are valid.
 func TestExampleSettingsAreValid(t *testing.T) {
 	c, err := Load("../../docs/settings.example.toml", "../../deploy/gappond.properties")
 	if err != nil {
@@ -99,7 +99,7 @@
 		{`skew_ms = 5.0`, `skew_ms = `, "skew_ms"},
 	} {
 		if !strings.Contains(validSettings, c.from) {
-			t.Fatalf("%q is not in the settings", c.from)
+			t.Fatalf("%q does not occur in the valid settings", c.from)
 		}
 		_, err := Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.wantText) {
@@ -120,19 +120,19 @@
 	}
 	for _, bad := range []string{"fleet.idle = 3", "fleet.idle-return.seconds = soon", "fleet.idle-return.seconds = -1", "fleet.spares-per-zone = 1.5", "workers.direct-starts = perhaps"} {
 		if _, err := ParseProperties([]byte(bad)); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 	for _, k := range Keys() {
 		if Doc(k) == "" {
-			t.Errorf("%s is not documented", k)
+			t.Errorf("property %s has no description", k)
 		}
 	}
 }
 
-// TestAnnouncedStoreLimits: of the limits that the state service has and those that it will
-// have, the smaller of each count; a part of them, larger ones or none at all are
-// valid, and what cannot be one is refused with its name.
+// TestAnnouncedStoreLimits checks that the smaller of each current and announced limit of the
+// store applies. The announced limits may be incomplete, larger than the current ones or missing.
+// An invalid one is rejected with an error that names its key.
 func TestAnnouncedStoreLimits(t *testing.T) {
 	for next, want := range map[string]StoreLimits{
 		"": {RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
@@ -144,22 +144,22 @@
 			t.Fatalf("%q: %v", next, err)
 		}
 		if got := c.Cluster.Store.Smallest(); got != want {
-			t.Errorf("%q: %+v", next, got)
+			t.Errorf("%q: smallest limits are %+v", next, got)
 		}
 		if got := c.Cluster.CurrentStoreLimits(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
-			t.Errorf("%q: %+v now", next, got)
+			t.Errorf("%q: current limits are %+v", next, got)
 		}
 	}
 	for _, bad := range []string{"value_kb = 0.0", "value_kb = -1.0", "txn_ops = 0", "txn_ops = -3", "write_rps = 0.0", "rps = -5.0", "value_kb = nan"} {
 		name, _, _ := strings.Cut(bad, " ")
 		if _, err := Parse([]byte(validSettings + "[cluster.state.next]\n" + bad)); err == nil || !strings.Contains(err.Error(), "cluster.state.next."+name) {
-			t.Errorf("%s: %v", bad, err)
+			t.Errorf("%s: error %v does not name the key", bad, err)
 		}
 	}
 }
 
-// TestUnknownObjectivesAreListedOnce: objectives of kinds that nobody knows are valid and named
-// once; those of the operators' pages are known.
+// TestUnknownObjectivesAreListedOnce checks that objectives of unknown kinds are valid and that
+// each unknown kind is returned once. The kinds in the operators' documentation are known.
 func TestUnknownObjectivesAreListedOnce(t *testing.T) {
 	text := validSettings
 	for _, kind := range []string{"wait", "finished", "deadline", "guarantee", "up", "harmony", "harmony", "haste"} {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestErrorsNameEveryProblem: all that is wrong with a file is told at once, with the keys, the values
-// and what is allowed, in the words of version 0.5.
+// TestErrorsNameEveryProblem checks that one error names all problems of a file, each with the
+// key, the value and what is allowed. The texts are those of version 0.5.
 func TestErrorsNameEveryProblem(t *testing.T) {
 	bad := validSettings
 	for _, c := range [][2]string{
@@ -186,7 +186,7 @@
 		{`fd_limit = 2000`, `fd_limit = -3`},
 	} {
 		if !strings.Contains(bad, c[0]) {
-			t.Fatalf("%q is not in the settings", c[0])
+			t.Fatalf("%q does not occur in the valid settings", c[0])
 		}
 		bad = strings.Replace(bad, c[0], c[1], 1)
 	}
@@ -213,7 +213,7 @@
 		}
 		_, err := Load(file, "")
 		if err == nil {
-			t.Fatal("bad settings are taken")
+			t.Fatal("invalid settings are accepted")
 		}
 		if d := cmp.Diff(file+": "+want, err.Error()); d != "" {
 			t.Error(d)
@@ -225,14 +225,15 @@
 fleet.spares-per-zone: "1.5" is not a number from 0 to 100000
 workers.direct-starts: "perhaps" is neither true nor false`
 	if err == nil {
-		t.Fatal("bad properties are taken")
+		t.Fatal("invalid properties are accepted")
 	}
 	if d := cmp.Diff(want, err.Error()); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestErrorsAs: callers find the file, each setting and each unknown key in an error.
+// TestErrorsAs checks that callers can find each invalid setting, the path of a value of the wrong
+// type and each unknown key in an error.
 func TestErrorsAs(t *testing.T) {
 	_, err := Parse([]byte(strings.NewReplacer("report_s = 3.0", "report_s = 0.0", `listen = "127.0.0.1:8080"`, `listen = "here"`).Replace(validSettings)))
 	err = &FileError{File: "settings.toml", Err: err}
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -6,10 +6,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Seconds is a span that the settings give as a number of seconds.
+// Seconds converts a number of seconds, as given in the settings, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// WithClockDrift stretches a span by the largest disagreement of two clocks.
+// WithClockDrift extends a duration by the largest drift between two clocks.
 func WithClockDrift(span time.Duration) time.Duration {
 	return span + time.Duration(float64(span)*tuning.MaxClockDrift)
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,11 +8,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// SettingError says what is wrong with one setting.
+// SettingError is the error for one invalid setting.
 type SettingError struct {
-	Key     string // its place in the file, as in cluster.workers.lease_s
-	Value   string // as it was read, empty if it is missing
-	Problem string // what is wrong with it, or what is allowed
+	Key     string // path in the file, such as cluster.workers.lease_s
+	Value   string // as it was read, empty if the setting is missing
+	Problem string // what is wrong with the value, or which values are allowed
 }
 
 // Error implements error.
@@ -23,7 +23,7 @@
 	return e.Key + ": " + e.Value + " " + e.Problem
 }
 
-// UnknownKeyError says that the operators' properties have no such key.
+// UnknownKeyError is the error for a key that is not an operators' property.
 type UnknownKeyError struct {
 	Key   string
 	Known []string
@@ -34,19 +34,19 @@
 	return fmt.Sprintf("%s: no such key; known are %v", e.Key, e.Known)
 }
 
-// InvalidError is all that is wrong with the settings of a file, a line for each.
+// InvalidError holds all problems of the settings in a file.
 type InvalidError struct {
-	Problems []error // each a *SettingError or an *UnknownKeyError
+	Problems []error // each is a *SettingError or an *UnknownKeyError
 }
 
-// Error implements error: a line for each problem.
+// Error implements error. It returns one line for each problem.
 func (e *InvalidError) Error() string { return errors.Join(e.Problems...).Error() }
 
 func (e *InvalidError) Unwrap() []error { return e.Problems }
 
-// SyntaxError says where a file is no TOML, or has a value of a wrong kind.
+// SyntaxError is the error for a file that is not valid TOML or has a value of the wrong type.
 type SyntaxError struct {
-	Key   string // the value's place, as in cluster.state.rps, if it has one
+	Key   string // path of the value, such as cluster.state.rps, if there is one
 	cause *toml.DecodeError
 }
 
@@ -54,12 +54,12 @@
 	return &SyntaxError{Key: strings.Join(cause.Key(), "."), cause: cause}
 }
 
-// Error shows the place in the file.
+// Error implements error. It shows the position in the file.
 func (e *SyntaxError) Error() string { return e.cause.String() }
 
 func (e *SyntaxError) Unwrap() error { return e.cause }
 
-// FileError names the file that an error is about.
+// FileError adds the name of the file to an error about it.
 type FileError struct {
 	File string
 	Err  error
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads and checks the settings file and, unless its path is empty, the
-// operators' properties.
+// Load reads and checks the settings file and, unless propertiesPath is empty, the operators'
+// properties file.
 func Load(path, propertiesPath string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -10,8 +10,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestKeysMatchGoldenList: every key of the settings with the kind of its value, and every operators' key
-// with its default, are those of the golden list.
+// TestKeysMatchGoldenList compares every key of the settings with the type of its value, and
+// every operators' property with its default, with the golden list.
 func TestKeysMatchGoldenList(t *testing.T) {
 	list := settingsKeys(reflect.TypeFor[Config](), "")
 	defaults := &Config{Operator: tuning.Defaults()}
@@ -21,7 +21,8 @@
 	golden.CompareLines(t, "testdata/names.txt", list)
 }
 
-// settingsKeys lists the paths of a type's fields by their keys in the settings.
+// settingsKeys returns the path of each field of a type, made of the keys in the settings file,
+// with the type of its value.
 func settingsKeys(typ reflect.Type, path string) (list []string) {
 	switch typ.Kind() {
 	case reflect.Pointer:
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -6,15 +6,16 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// ProcessLimits are the limits of this process.
+// ProcessLimits holds the resource limits of this process.
 type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// ThrottleInterval is the pause between things that cost so much processor time each, for
-// them to take no more than a part of the process's share of a core.
+// ThrottleInterval returns the interval at which an operation that costs so much processor time
+// takes no more than the given share of the process's cores. It returns 0 if the number of
+// cores is not limited.
 func (p ProcessLimits) ThrottleInterval(cpuCost time.Duration, cpuShare float64) time.Duration {
 	if p.Cores <= 0 {
 		return 0
@@ -22,14 +23,14 @@
 	return time.Duration(float64(cpuCost) / (p.Cores * cpuShare))
 }
 
-// RequestDelay is the pause before a request that can wait, longer the smaller the share of
-// a core is.
+// RequestDelay returns the pause before a store request that can wait. The smaller the process's
+// share of a core, the longer the pause.
 func (p ProcessLimits) RequestDelay(minDelay time.Duration, cpuShare float64) time.Duration {
 	return max(minDelay, min(p.ThrottleInterval(tuning.StoreRequestCPUCost, cpuShare), tuning.MaxRequestDelay))
 }
 
-// MaxUserRequests bounds users' requests under way at one node: a part of the connections
-// that are kept for users, so that heartbeats always find room.
+// MaxUserRequests returns the limit on users' requests in progress at one node. It is a share of
+// the connections that are kept open for users, so that heartbeats always find room.
 func (p ProcessLimits) MaxUserRequests() int {
 	return max(tuning.MinUserQueueLength, int(float64(p.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -11,17 +11,17 @@
 	"github.com/magiconair/properties"
 )
 
-// A property is one key of the operators' file.
+// property describes one key of the operators' properties file.
 type property struct {
 	doc    string
-	apply  func(o *tuning.Operator, value string) error // the error says what is allowed
+	apply  func(o *tuning.Operator, value string) error // the error says which values are allowed
 	format func(o *tuning.Operator) string
 }
 
-// maxSeconds bounds a span: a day.
+// maxSeconds is the longest duration of a property, in seconds: one day.
 const maxSeconds = 86_400
 
-// seconds is a property that holds a span.
+// seconds returns a property that holds a duration in seconds.
 func seconds(doc string, field func(*tuning.Operator) *time.Duration) property {
 	return property{doc,
 		func(o *tuning.Operator, value string) error {
@@ -35,7 +35,7 @@
 		func(o *tuning.Operator) string { return strconv.FormatFloat(field(o).Seconds(), 'f', -1, 64) }}
 }
 
-// boolean is a property that is true or false.
+// boolean returns a property that is true or false.
 func boolean(doc string, field func(*tuning.Operator) *bool) property {
 	return property{doc,
 		func(o *tuning.Operator, value string) error {
@@ -49,7 +49,7 @@
 		func(o *tuning.Operator) string { return strconv.FormatBool(*field(o)) }}
 }
 
-// maxSpares is the largest number of spares per zone: far more than any zone's machines.
+// maxSpares is the largest number of spares per zone, far more than the machines of any zone.
 const maxSpares = 100_000
 
 var knownProperties = map[string]property{
@@ -75,8 +75,8 @@
 		func(o *tuning.Operator) *bool { return &o.ZoneReserve }),
 }
 
-// ParseProperties decodes and checks the operators' properties. A key that is
-// not known is an error: a setting that does nothing is worse than none.
+// ParseProperties decodes and checks the operators' properties. An unknown key is an error,
+// because a setting without effect is worse than no setting.
 func ParseProperties(data []byte) (tuning.Operator, error) {
 	o := tuning.Defaults()
 	p, err := (&properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}).LoadBytes(data)
@@ -98,7 +98,7 @@
 	return o, checks.err()
 }
 
-// Keys lists the operators' keys in order.
+// Keys returns the keys of the operators' properties in alphabetical order.
 func Keys() []string {
 	keys := make([]string, 0, len(knownProperties))
 	for k := range knownProperties {
@@ -108,8 +108,8 @@
 	return keys
 }
 
-// Value is what an operators' key is set to.
+// Value returns the value of the operators' property with the given key.
 func (c *Config) Value(key string) string { return knownProperties[key].format(&c.Operator) }
 
-// Doc explains an operators' key.
+// Doc returns the description of the operators' property with the given key.
 func Doc(key string) string { return knownProperties[key].doc }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -1,17 +1,17 @@
 package config
 
-// StoreLimits holds the key-value store's limits.
+// StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are the limits that the service will have some time after all
-	// controllers run this version, without notice; what is missing stays.
+	// Next holds the announced limits. The store introduces them without notice, some time after
+	// all controllers run this version. A limit that is missing here does not change.
 	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextStoreLimits holds limits to come.
+// NextStoreLimits holds announced limits of the store. A nil limit does not change.
 type NextStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -19,7 +19,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Smallest are the limits that hold now and later: the smaller of each.
+// Smallest returns the smaller of each current and announced limit, so that both hold.
 func (s StoreLimits) Smallest() StoreLimits {
 	t := s
 	t.Next = nil
@@ -38,7 +38,7 @@
 	}
 }
 
-// CurrentStoreLimits holds the limits that the store has before they are lowered.
+// CurrentStoreLimits returns the limits that the store has until it introduces the announced ones.
 func (c *Cluster) CurrentStoreLimits() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
