--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestErrorsAs checks that callers can find each invalid setting, the path of a value of the wrong
-// type and each unknown key in an error.
+// TestErrorsAs checks that callers can find each invalid setting inside an error about a file, the
+// path of a value of the wrong type, and each unknown key.
 func TestErrorsAs(t *testing.T) {
 	_, err := Parse([]byte(strings.NewReplacer("report_s = 3.0", "report_s = 0.0", `listen = "127.0.0.1:8080"`, `listen = "here"`).Replace(validSettings)))
 	err = &FileError{File: "settings.toml", Err: err}
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -6,16 +6,17 @@
 
 // Agents.
 const (
-	// SilenceIntervals is the number of heartbeat intervals for which an agent may be silent before
-	// it is probed. Heartbeats jitter by a quarter of the interval. An agent whose heartbeat
-	// was lost answers the probe.
+	// SilenceIntervals is the silence time-out in heartbeat intervals: how long an agent may be
+	// silent before it is probed. Heartbeats jitter by a quarter of the interval. An agent whose
+	// heartbeat was lost answers the probe.
 	SilenceIntervals = 1.7
-	// MinSilenceTimeout is the lower bound of that time: an agent that gets no response waits 4 s
-	// and tries the next node a second later.
+	// MinSilenceTimeout is the lower bound of the silence time-out: an agent that gets no response
+	// waits 4 s and tries the next node a second later.
 	MinSilenceTimeout = 7 * time.Second
 	// ReplicaSilenceIntervals replaces SilenceIntervals for a machine that has service replicas,
-	// because users notice at once when these are lost. It is little more than one interval, so
-	// that a probe is sent for one late heartbeat in five.
+	// because users notice at once when these are lost. It is little more than one interval:
+	// a probe is sent when a heartbeat is a fifth of an interval late. Up to one heartbeat in five
+	// is that late without a fault.
 	ReplicaSilenceIntervals = 1.2
 	// ZoneSuspicionTime is how long replicas are placed in other zones, if possible, after a
 	// machine of a zone was deleted as unresponsive. By the end of this time, the silence of any
@@ -44,8 +45,9 @@
 	MaxSilentShare = 0.34
 	// MaxZoneSilentShare is the same for the machines of one zone.
 	MaxZoneSilentShare = 0.5
-	// MaxReachableZoneSilentShare is the share of a zone's machines below which silent machines
-	// do not make the zone unreachable: heartbeats jitter by a quarter of the interval.
+	// MaxReachableZoneSilentShare is the share of silent machines below which a zone counts as
+	// reachable. Some machines are silent without a fault, because heartbeats jitter by a quarter
+	// of the interval.
 	MaxReachableZoneSilentShare = 0.25
 	// RedirectRetention is how long a follower remembers that it redirected an agent. An agent
 	// that returns within this time could not reach the leader, and its heartbeats are forwarded.
@@ -58,9 +60,9 @@
 	// HeartbeatCPUShare is the share of the leader's processor time for agents that send their
 	// heartbeats to it directly. The peers respond to the other agents on its behalf.
 	HeartbeatCPUShare = 0.15
-	// RetainedAgentShare is the share of its limit of direct agents that the leader uses when the
-	// fleet exceeds that limit. The rest of the processor time is left for scheduling cycles, which
-	// come in bursts.
+	// RetainedAgentShare is the share of the agents within the leader's limit that it still
+	// responds to directly when the fleet exceeds that limit. The rest of the processor time is left
+	// for scheduling cycles, which come in bursts.
 	RetainedAgentShare = 0.33
 	// DirectResumeShare is the share of that limit to which the fleet must shrink before the
 	// leader responds to all agents directly again.
@@ -90,8 +92,8 @@
 	// StopGraceSeconds is added to a job's checkpoint save time in an orderly stop, in seconds.
 	StopGraceSeconds = 3.0
 	// DirectStartSettleTime is how long a start that was sent directly is not repeated in a
-	// heartbeat response. The agent may have sent its heartbeat before the direct start arrived,
-	// which mostly takes a few milliseconds.
+	// heartbeat response. A direct start mostly takes a few milliseconds, and the agent sent its
+	// heartbeat before the start arrived.
 	DirectStartSettleTime = 300 * time.Millisecond
 	// CommandResendDelay is the pause before a direct command is repeated.
 	CommandResendDelay = 1500 * time.Millisecond
@@ -108,7 +110,7 @@
 	// FailureBackoff is the pause before a job is retried after its failures were attributed to it.
 	FailureBackoff = 10 * time.Second
 	// MaxFailureBackoffDoublings is how often that pause may double: up to 40 s. Once all faults
-	// are over, no job may wait 90 s because of them while there is free capacity.
+	// are over, no job may wait 90 s for its retry while there is free capacity.
 	MaxFailureBackoffDoublings = 2
 	// ReplicaStableTime is how long a replica must have run for its exit not to count as
 	// one of a series of early exits.
