--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -45,9 +45,9 @@
 	// MaxImageLocalSaveShare is the share of the fetch time within which the tasks preempted on
 	// machines that have the image must have saved their checkpoints.
 	MaxImageLocalSaveShare = 0.6
-	// MinCheckpointBenefit is how many times longer than saving a checkpoint the work must have
-	// taken that a preempted task loses otherwise. Only then does the task save one, because the
-	// waiting job pays for the saving too.
+	// MinCheckpointBenefit is the ratio of the work at stake to the time that saving takes, above
+	// which a preempted task outside a gang saves a checkpoint. The waiting job pays for the saving
+	// too.
 	MinCheckpointBenefit = 2.0
 	// GangRestartSeconds is how long, in seconds, a preempted gang takes to restart: it needs a
 	// new placement and perhaps an image fetch, and waits for its slowest task.
