--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -92,8 +92,8 @@
 	// StopGraceSeconds is added to a job's checkpoint save time in an orderly stop, in seconds.
 	StopGraceSeconds = 3.0
 	// DirectStartSettleTime is how long a start that was sent directly is not repeated in a
-	// heartbeat response. A direct start mostly takes a few milliseconds, and the agent sent its
-	// heartbeat before the start arrived.
+	// heartbeat response. A direct start mostly takes a few milliseconds, and a heartbeat that comes
+	// meanwhile was sent before the agent received the start.
 	DirectStartSettleTime = 300 * time.Millisecond
 	// CommandResendDelay is the pause before a direct command is repeated.
 	CommandResendDelay = 1500 * time.Millisecond
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -32,8 +32,8 @@
 	// MaxLeaderGrace bounds the grace whatever the settings say.
 	MaxLeaderGrace = 20 * time.Second
 	// CancellationMargin is subtracted from the time that a cancellation may take, so that a
-	// leader's authority followed by an agent lease ends that much earlier. The node that confirms the
-	// cancellation to the user may have read another clock, and the agent's last heartbeat
+	// leader's authority followed by an agent lease ends that much earlier. The node that confirms
+	// the cancellation to the user may have read another clock, and the agent's last heartbeat
 	// response needed time to arrive.
 	CancellationMargin = 3 * time.Second
 	// ConfirmationDelay is how long a leader must have been without proof of its leadership before
