--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -30,7 +30,7 @@
 
 func (c agentClient) whileLeading(done func(agents.CallResult)) func(status int, body []byte) {
 	return func(status int, body []byte) {
-		if c.l.n.lead == c.l {
+		if c.l.n.ownLeader == c.l {
 			done(callResult(status, body))
 		}
 	}
@@ -53,8 +53,8 @@
 	return result
 }
 
-// callFor sends commands to an agent for the leader.
-func (n *Node) callFor(c protocol.PeerAgentCall) {
+// callAgentFor sends commands to an agent for the leader.
+func (n *Node) callAgentFor(c protocol.PeerAgentCall) {
 	n.request(ToAgent, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
 	})
--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestCallResults: each status of an agent's answer is one outcome, and only an agent that
+// TestCallResultFromStatus: each status of an agent's answer is one outcome, and only an agent that
 // says whether it has executed a call has its heartbeat read.
-func TestCallResults(t *testing.T) {
+func TestCallResultFromStatus(t *testing.T) {
 	body := storage.Encode(protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 4})
 	for status, want := range map[int]agents.CallOutcome{0: agents.NoResponse, 200: agents.Executed, 409: agents.Refused,
 		400: agents.UnexpectedResponse, 404: agents.UnexpectedResponse, 421: agents.UnexpectedResponse, 500: agents.UnexpectedResponse, 503: agents.UnexpectedResponse} {
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestHeartbeatStatuses: what a controller makes of a heartbeat, and the status that tells
+// TestHeartbeatOutcomeAndStatus: what a controller makes of a heartbeat, and the status that tells
 // its agent.
-func TestHeartbeatStatuses(t *testing.T) {
+func TestHeartbeatOutcomeAndStatus(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(l *leader, heartbeat *protocol.Heartbeat)
@@ -47,12 +47,12 @@
 			heartbeat := &protocol.Heartbeat{Machine: machine.ID, Address: "h:1", Type: machine.TypeName, Zone: machine.Zone,
 				Incarnation: 1, Sequence: 1, FencingToken: l.n.election.Term()}
 			c.prepare(l, heartbeat)
-			result := l.n.answerHeartbeat(heartbeat)
+			result := l.n.processHeartbeat(heartbeat)
 			heartbeat.Sequence++ // so that what was accepted is not stale
 			if c.outcome == agents.Stale {
 				heartbeat.Sequence = 0
 			}
-			if reply := l.n.takeHeartbeat(heartbeat); result.Outcome != c.outcome || reply.status != c.status {
+			if reply := l.n.respondToHeartbeat(heartbeat); result.Outcome != c.outcome || reply.status != c.status {
 				t.Errorf("%+v is answered %+v, want %d and %d", result, reply, c.outcome, c.status)
 			}
 		})
--- a/internal/coordination/agents_environment.go
+++ b/internal/coordination/agents_environment.go
@@ -12,12 +12,12 @@
 
 // TokenConfirmed implements agents.HeartbeatEnvironment.
 func (ae agentsEnvironment) TokenConfirmed(machine *cluster.Machine) {
-	ae.l.restored.ObserveConfirmedToken(machine)
+	ae.l.restoreMonitor.ObserveConfirmedToken(machine)
 }
 
 // HigherTokenSeen implements agents.HeartbeatEnvironment.
 func (ae agentsEnvironment) HigherTokenSeen(heartbeat *protocol.Heartbeat) {
-	ae.l.restored.ObserveHigherToken(heartbeat)
+	ae.l.restoreMonitor.ObserveHigherToken(heartbeat)
 }
 
 // LogOnce implements agents.HeartbeatEnvironment.
@@ -31,11 +31,11 @@
 // TaskStarting implements agents.DeliveryEnvironment.
 func (ae agentsEnvironment) TaskStarting(attempt *cluster.Attempt) {
 	ae.l.n.metrics.Starts++
-	ae.l.n.metrics.WaitSeconds = append(ae.l.n.metrics.WaitSeconds, ae.l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
+	ae.l.n.metrics.StartWaitSeconds = append(ae.l.n.metrics.StartWaitSeconds, ae.l.n.now.Sub(attempt.Job.SubmittedAt).Seconds())
 }
 
 // Leads implements agents.LivenessEnvironment.
-func (ae agentsEnvironment) Leads() bool { return ae.l.n.lead == ae.l }
+func (ae agentsEnvironment) Leads() bool { return ae.l.n.ownLeader == ae.l }
 
 // AllPeersReachable implements agents.LivenessEnvironment.
 func (ae agentsEnvironment) AllPeersReachable() bool {
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -21,7 +21,7 @@
 	unreachable bool
 	noReads     bool
 	noWrites    bool
-	peers       bool // submissions can be forwarded
+	peersAccept bool // submissions can be forwarded
 	names       int
 	calls       []pendingCall
 	log         []string
@@ -52,35 +52,37 @@
 func (c *controller) CallStore(call kv.Call, done func(status int, body []byte)) {
 	c.calls = append(c.calls, pendingCall{call, done})
 }
-func (c *controller) Now() time.Time                          { return c.now }
-func (c *controller) StoreUnreachable() bool                  { return c.unreachable }
-func (c *controller) AllowsUserRead(time.Time) bool           { return !c.noReads }
-func (c *controller) TakeUserWrite(time.Time) bool            { return !c.noWrites }
-func (c *controller) note(format string, a ...any)            { c.log = append(c.log, fmt.Sprintf(format, a...)) }
+func (c *controller) Now() time.Time                { return c.now }
+func (c *controller) StoreUnreachable() bool        { return c.unreachable }
+func (c *controller) AllowsUserRead(time.Time) bool { return !c.noReads }
+func (c *controller) TakeUserWrite(time.Time) bool  { return !c.noWrites }
+func (c *controller) record(format string, a ...any) {
+	c.log = append(c.log, fmt.Sprintf(format, a...))
+}
 func (c *controller) UniqueName() string                      { c.names++; return fmt.Sprint("n-", c.names) }
-func (c *controller) AnnounceCancellation(id protocol.JobID)  { c.note("announced %s", id) }
-func (c *controller) CancellationConfirmed(id protocol.JobID) { c.note("confirmed %s", id) }
+func (c *controller) AnnounceCancellation(id protocol.JobID)  { c.record("announced %s", id) }
+func (c *controller) CancellationConfirmed(id protocol.JobID) { c.record("confirmed %s", id) }
 func (c *controller) ForwardSubmission(id uint64, _ *protocol.Job) bool {
-	if c.peers {
-		c.note("%d forwarded", id)
+	if c.peersAccept {
+		c.record("%d forwarded", id)
 	}
-	return c.peers
+	return c.peersAccept
 }
 
 // replyLog notes the replies.
 type replyLog struct{ *controller }
 
-func (rl replyLog) Created(id uint64, a protocol.Accepted)  { rl.note("%d created %s", id, a.Phase) }
-func (rl replyLog) Accepted(id uint64, a protocol.Accepted) { rl.note("%d accepted %s", id, a.Phase) }
+func (rl replyLog) Created(id uint64, a protocol.Accepted)  { rl.record("%d created %s", id, a.Phase) }
+func (rl replyLog) Accepted(id uint64, a protocol.Accepted) { rl.record("%d accepted %s", id, a.Phase) }
 func (rl replyLog) Status(id uint64, s protocol.Status) {
-	rl.note("%d status %s %d", id, s.Phase, s.Done)
+	rl.record("%d status %s %d", id, s.Phase, s.Done)
 }
-func (rl replyLog) UnknownJob(id uint64)                 { rl.note("%d unknown", id) }
-func (rl replyLog) Unrunnable(id uint64, reason string)  { rl.note("%d unrunnable: %s", id, reason) }
-func (rl replyLog) Unavailable(id uint64, reason string) { rl.note("%d unavailable: %s", id, reason) }
+func (rl replyLog) UnknownJob(id uint64)                 { rl.record("%d unknown", id) }
+func (rl replyLog) Unrunnable(id uint64, reason string)  { rl.record("%d unrunnable: %s", id, reason) }
+func (rl replyLog) Unavailable(id uint64, reason string) { rl.record("%d unavailable: %s", id, reason) }
 
-// answer answers the only call under way.
-func (c *controller) answer(t *testing.T, path string, status int, body any) {
+// respond answers the only call under way.
+func (c *controller) respond(t *testing.T, path string, status int, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
 		t.Fatalf("calls under way: %+v, want one of %s", c.calls, path)
@@ -99,11 +101,11 @@
 	c.log = nil
 }
 
-// store puts a job's record into the mirror.
-func (c *controller) store(t *testing.T, spec *protocol.Job, revision protocol.Revision) protocol.Entry {
+// storeJob puts a job's record into the mirror.
+func (c *controller) storeJob(t *testing.T, spec *protocol.Job, revision protocol.Revision) protocol.Entry {
 	t.Helper()
 	event := protocol.WatchEvent{Set: storage.JobKey(spec.ID), Revision: revision,
-		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, RecordTasks: 60})}
+		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, TasksPerBaseRecord: 60})}
 	if !c.queries.mirror.Apply(&event) {
 		t.Fatal("the mirror does not take the record")
 	}
@@ -114,15 +116,15 @@
 	return protocol.Job{ID: "run-000001", Team: "free", Priority: "normal", Shape: protocol.ShapeGang, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "x"}
 }
 
-// TestSpentBudgetSheds: beyond the budget submissions go to a peer, or are turned away and
+// TestRequestsBeyondBudgetAreShed: beyond the budget submissions go to a peer, or are turned away and
 // counted, as other requests are.
-func TestSpentBudgetSheds(t *testing.T) {
+func TestRequestsBeyondBudgetAreShed(t *testing.T) {
 	c := newController(t)
-	c.noWrites, c.noReads, c.peers = true, true, true
+	c.noWrites, c.noReads, c.peersAccept = true, true, true
 	spec := testSpec()
 	c.Submit(1, &spec)
 	c.expect(t, "1 forwarded")
-	c.peers = false
+	c.peersAccept = false
 	c.Submit(2, &spec)
 	c.Query(3, spec.ID)
 	c.Cancel(4, spec.ID)
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -27,7 +27,7 @@
 		c.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 		return
 	}
-	if c.replies.refuseUnserved(requestID, c.mirror.Ready()) {
+	if c.replies.refuseIfUnavailable(requestID, c.mirror.Ready()) {
 		return
 	}
 	if !c.budgets.TakeUserWrite(c.env.Now()) {
@@ -55,7 +55,7 @@
 
 // answerFinished answers the cancellation of a job that has no unfinished record.
 func (c *cancellations) answerFinished(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	c.lookups.job(requestID, jobID, deadline, func(status *protocol.Status) {
+	c.lookups.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		switch {
 		case status == nil:
 			c.replies.UnknownJob(requestID)
@@ -71,7 +71,7 @@
 func (c *cancellations) cancelRecord(requestID uint64, jobID protocol.JobID, entry *protocol.Entry, deadline time.Time) {
 	record, err := storage.DecodeJob(entry.Value)
 	if err != nil {
-		c.replies.Unavailable(requestID, reasonUnreadableRecord)
+		c.replies.Unavailable(requestID, reasonMalformedRecord)
 		return
 	}
 	if record.Cancelled {
@@ -79,8 +79,8 @@
 		return
 	}
 	record.Cancelled, record.Writer = true, c.env.UniqueName()
-	if record.Seq == 0 {
-		record.Seq = entry.Revision
+	if record.SubmissionRevision == 0 {
+		record.SubmissionRevision = entry.Revision
 	}
 	txn := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: entry.Key, Revision: entry.Revision}},
@@ -93,7 +93,7 @@
 		case (result.Outcome == kv.ConditionFailed || result.Outcome == kv.Unknown) && c.env.Now().Before(deadline):
 			c.cancelFromStore(requestID, jobID, deadline)
 		default:
-			c.replies.Unavailable(requestID, reasonStoreSilent)
+			c.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
--- a/internal/coordination/api/cancellations_test.go
+++ b/internal/coordination/api/cancellations_test.go
@@ -15,12 +15,12 @@
 func TestCancellationIsAnnouncedBeforeItIsConfirmed(t *testing.T) {
 	c := newController(t)
 	spec := testSpec()
-	entry := c.store(t, &spec, 5)
+	entry := c.storeJob(t, &spec, 5)
 	c.Cancel(1, spec.ID)
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{entry.Key}})
-	c.answer(t, protocol.KeyPath(entry.Key), http.StatusOK, entry)
+	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{entry.Key}})
+	c.respond(t, protocol.KeyPath(entry.Key), http.StatusOK, entry)
 	c.expect(t)
-	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
+	c.respond(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	c.expect(t, "announced run-000001", "confirmed run-000001", "1 accepted "+string(protocol.PhaseCancelled))
 	if got := c.ConfirmedCancellations(); !slices.Equal(got, []protocol.JobID{spec.ID}) {
 		t.Errorf("confirmed: %v", got)
--- a/internal/coordination/api/confirmed_cancellations.go
+++ b/internal/coordination/api/confirmed_cancellations.go
@@ -12,10 +12,10 @@
 // confirmedCancellations are the cancellations that users were told of and that may not
 // have taken effect yet.
 type confirmedCancellations struct {
-	cfg      *config.Config
-	env      Environment
-	jobs     map[protocol.JobID]time.Time // and since when
-	expireAt int                          // how many of them are kept before old ones are dropped
+	cfg             *config.Config
+	env             Environment
+	jobs            map[protocol.JobID]time.Time // and since when
+	expireThreshold int                          // how many of them are kept before old ones are dropped
 }
 
 // list is the jobs whose cancellation may not have taken effect yet, in order.
@@ -41,9 +41,9 @@
 	if _, known := cc.jobs[jobID]; known {
 		return
 	}
-	if len(cc.jobs) >= cc.expireAt {
+	if len(cc.jobs) >= cc.expireThreshold {
 		cc.expire()
-		cc.expireAt = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
+		cc.expireThreshold = max(tuning.MaxRememberedCancellations, 2*len(cc.jobs))
 	}
 	cc.jobs[jobID] = cc.env.Now()
 }
--- a/internal/coordination/api/lookups.go
+++ b/internal/coordination/api/lookups.go
@@ -30,22 +30,22 @@
 		case result.Outcome == kv.Unknown && l.env.Now().Before(deadline):
 			l.read(requestID, key, deadline, found)
 		default:
-			l.replies.Unavailable(requestID, reasonStoreSilent)
+			l.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
 
-// job reads a job's state from the store itself. The unfinished record is read first: a
+// readStatus reads a job's state from the store itself. The unfinished record is read first: a
 // job moves from there to its final record and never back, so one of the two reads finds it.
-func (l *lookups) job(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+func (l *lookups) readStatus(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
 	l.read(requestID, storage.JobKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
-			l.finishedJob(requestID, jobID, deadline, found)
+			l.readFinalStatus(requestID, jobID, deadline, found)
 			return
 		}
 		record, err := storage.DecodeJob(entry.Value)
 		if err != nil {
-			l.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonMalformedRecord)
 			return
 		}
 		status := record.Status()
@@ -53,16 +53,16 @@
 	})
 }
 
-// finishedJob reads a job's final record.
-func (l *lookups) finishedJob(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
-	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
+// readFinalStatus reads a job's final record.
+func (l *lookups) readFinalStatus(requestID uint64, jobID protocol.JobID, deadline time.Time, found func(status *protocol.Status)) {
+	l.read(requestID, storage.FinalRecordKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			found(nil)
 			return
 		}
-		var final storage.Final
+		var final storage.FinalRecord
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
-			l.replies.Unavailable(requestID, reasonUnreadableRecord)
+			l.replies.Unavailable(requestID, reasonMalformedRecord)
 			return
 		}
 		l.finished.add(jobID, final)
@@ -73,7 +73,7 @@
 
 // answerStatus answers a status query from the store itself.
 func (l *lookups) answerStatus(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+	l.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.UnknownJob(requestID)
 			return
@@ -82,9 +82,9 @@
 	})
 }
 
-// answerRepeated answers the submission of a job that is known already.
-func (l *lookups) answerRepeated(requestID uint64, jobID protocol.JobID, deadline time.Time) {
-	l.job(requestID, jobID, deadline, func(status *protocol.Status) {
+// answerResubmission answers the submission of a job that is known already.
+func (l *lookups) answerResubmission(requestID uint64, jobID protocol.JobID, deadline time.Time) {
+	l.readStatus(requestID, jobID, deadline, func(status *protocol.Status) {
 		if status == nil {
 			l.replies.Unavailable(requestID, reasonTryAgain)
 			return
--- a/internal/coordination/api/responder.go
+++ b/internal/coordination/api/responder.go
@@ -4,12 +4,12 @@
 
 // Reasons why a request cannot be taken now.
 const (
-	reasonStarting         = "starting"
-	reasonStoreUnreachable = "state service out of reach"
-	reasonStoreSilent      = "state service does not answer"
-	reasonUnreadableRecord = "record does not parse"
-	reasonBusy             = "busy"
-	reasonTryAgain         = "try again"
+	reasonStarting           = "starting"
+	reasonStoreUnreachable   = "state service out of reach"
+	reasonStoreNotResponding = "state service does not answer"
+	reasonMalformedRecord    = "record does not parse"
+	reasonBusy               = "busy"
+	reasonTryAgain           = "try again"
 )
 
 // responder sends all replies. It records each cancellation before a user is told of it,
@@ -33,9 +33,9 @@
 	r.Replies.Status(requestID, status)
 }
 
-// refuseUnserved refuses a request at once while the controller is starting or the store
+// refuseIfUnavailable refuses a request at once while the controller is starting or the store
 // does not answer it.
-func (r *responder) refuseUnserved(requestID uint64, started bool) bool {
+func (r *responder) refuseIfUnavailable(requestID uint64, started bool) bool {
 	switch {
 	case !started:
 		r.Unavailable(requestID, reasonStarting)
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -14,10 +14,10 @@
 // mirror's record may be old, and no user may get an older answer than one
 // that any controller has given.
 type statusQuery struct {
-	requestID  uint64
-	job        protocol.JobID
-	submission bool // a repeated one, which has the short answer
-	expire     time.Time
+	requestID    uint64
+	job          protocol.JobID
+	resubmission bool // a repeated one, which has the short answer
+	deadline     time.Time
 }
 
 // statusQueries answers status queries. The queries about unfinished jobs, and the repeated
@@ -32,14 +32,14 @@
 	finished *finishedJobs
 	lookups  *lookups
 
-	waiting []statusQuery
-	checkAt time.Time // when those that wait are checked
+	waiting     []statusQuery
+	nextCheckAt time.Time // when those that wait are checked
 }
 
 // due tells when queries that wait are to be checked.
 func (sq *statusQueries) due(by func(time.Time)) {
 	if len(sq.waiting) > 0 {
-		by(sq.checkAt)
+		by(sq.nextCheckAt)
 	}
 }
 
@@ -49,11 +49,11 @@
 		sq.replies.Status(requestID, status)
 		return
 	}
-	if sq.replies.refuseUnserved(requestID, sq.mirror.Ready()) {
+	if sq.replies.refuseIfUnavailable(requestID, sq.mirror.Ready()) {
 		return
 	}
 	if _, ok := sq.mirror.Get(storage.JobKey(jobID)); ok {
-		sq.add(statusQuery{requestID: requestID, job: jobID})
+		sq.enqueue(statusQuery{requestID: requestID, job: jobID})
 		return
 	}
 	if !sq.budgets.AllowsUserRead(sq.env.Now()) {
@@ -67,7 +67,7 @@
 func (sq *statusQueries) shedExpired() {
 	kept := sq.waiting[:0]
 	for _, query := range sq.waiting {
-		if sq.env.Now().Before(query.expire) {
+		if sq.env.Now().Before(query.deadline) {
 			kept = append(kept, query)
 		} else {
 			sq.replies.shedLoad(query.requestID)
@@ -76,17 +76,17 @@
 	sq.waiting = kept
 }
 
-// add has a query wait to be checked with others.
-func (sq *statusQueries) add(query statusQuery) {
+// enqueue has a query wait to be checked with others.
+func (sq *statusQueries) enqueue(query statusQuery) {
 	resources := sq.cfg.Cluster.Process
 	if len(sq.waiting) >= resources.MaxUserRequests() {
 		sq.replies.shedLoad(query.requestID)
 		return
 	}
 	if len(sq.waiting) == 0 {
-		sq.checkAt = sq.env.Now().Add(resources.RequestDelay(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
+		sq.nextCheckAt = sq.env.Now().Add(resources.RequestDelay(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
-	query.expire = sq.env.Now().Add(tuning.UserRequestTimeout)
+	query.deadline = sq.env.Now().Add(tuning.UserRequestTimeout)
 	sq.waiting = append(sq.waiting, query)
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	limit := sq.cfg.Cluster.Store.TxnOps * kv.ConditionsPerChange
-	if sq.env.Now().Before(sq.checkAt) && len(sq.waiting) < limit {
+	if sq.env.Now().Before(sq.nextCheckAt) && len(sq.waiting) < limit {
 		return
 	}
 	if !sq.budgets.AllowsUserRead(sq.env.Now()) {
@@ -105,10 +105,10 @@
 		return
 	}
 	batch := sq.takeBatch(limit)
-	sq.store.Transact(batch.compare, func(result kv.TransactionResult) {
-		if !batch.checked(result) {
+	sq.store.Transact(batch.comparison, func(result kv.TransactionResult) {
+		if !batch.applyResult(result) {
 			for _, query := range batch.queries {
-				sq.replies.Unavailable(query.requestID, reasonStoreSilent)
+				sq.replies.Unavailable(query.requestID, reasonStoreNotResponding)
 			}
 			return
 		}
@@ -120,10 +120,10 @@
 
 // queryBatch is a number of status queries that are checked together.
 type queryBatch struct {
-	queries []statusQuery
-	compare protocol.Transaction
-	status  map[protocol.JobID]protocol.Status // by job, as the mirror has it
-	stale   map[string]bool                    // keys whose records have changed since
+	queries    []statusQuery
+	comparison protocol.Transaction
+	status     map[protocol.JobID]protocol.Status // by job, as the mirror has it
+	stale      map[string]bool                    // keys whose records have changed since
 }
 
 // takeBatch takes the first of the waiting status queries.
@@ -141,13 +141,13 @@
 			continue
 		}
 		batch.status[query.job] = status
-		batch.compare.Conditions = append(batch.compare.Conditions, protocol.Condition{Key: key, Revision: revision})
+		batch.comparison.Conditions = append(batch.comparison.Conditions, protocol.Condition{Key: key, Revision: revision})
 	}
 	return batch
 }
 
-// checked takes the answer to the comparison; false if there is none.
-func (qb *queryBatch) checked(result kv.TransactionResult) bool {
+// applyResult takes the answer to the comparison; false if there is none.
+func (qb *queryBatch) applyResult(result kv.TransactionResult) bool {
 	switch result.Outcome {
 	case kv.Done:
 		return true
@@ -169,11 +169,11 @@
 	status, ok := batch.status[query.job]
 	fresh := ok && !batch.stale[storage.JobKey(query.job)]
 	switch {
-	case !fresh && query.submission:
-		sq.lookups.answerRepeated(query.requestID, query.job, query.expire)
+	case !fresh && query.resubmission:
+		sq.lookups.answerResubmission(query.requestID, query.job, query.deadline)
 	case !fresh:
-		sq.lookups.answerStatus(query.requestID, query.job, query.expire)
-	case query.submission:
+		sq.lookups.answerStatus(query.requestID, query.job, query.deadline)
+	case query.resubmission:
 		sq.replies.Accepted(query.requestID, protocol.Accepted{ID: query.job, Phase: status.Phase})
 	default:
 		sq.replies.Status(query.requestID, status)
--- a/internal/coordination/api/status_queries_test.go
+++ b/internal/coordination/api/status_queries_test.go
@@ -14,7 +14,7 @@
 func TestStatusQueryIsAnsweredFromNewestRecord(t *testing.T) {
 	c := newController(t)
 	spec := testSpec()
-	c.store(t, &spec, 5)
+	c.storeJob(t, &spec, 5)
 	c.Query(1, spec.ID)
 	c.Submit(2, &spec) // a repeated one
 	c.CheckQueries()
@@ -25,22 +25,22 @@
 	c.Due(func(at time.Time) { due = at })
 	c.now = due
 	c.CheckQueries()
-	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
+	c.respond(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 9})
 	c.expect(t, "1 status pending 0", "2 accepted pending")
 
 	c.Query(3, spec.ID)
 	c.now = c.now.Add(time.Second)
 	c.CheckQueries()
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
-	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone, Done: 2})})
+	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
+	c.respond(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.FinalRecordKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone, Done: 2})})
 	c.expect(t, "3 status done 2")
 	c.Query(4, spec.ID) // remembered: it never changes
 	c.expect(t, "4 status done 2")
 
 	c.Query(5, "run-000002")
-	c.answer(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
-	c.answer(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.FinalRecordKey("run-000002")), http.StatusNotFound, nil)
 	c.expect(t, "5 unknown")
 }
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -30,11 +30,11 @@
 		s.replies.Accepted(requestID, protocol.Accepted{ID: spec.ID, Phase: status.Phase})
 		return
 	}
-	if s.replies.refuseUnserved(requestID, s.mirror.Ready() && s.runnable.ready()) {
+	if s.replies.refuseIfUnavailable(requestID, s.mirror.Ready() && s.runnable.ready()) {
 		return
 	}
 	if _, ok := s.mirror.Get(storage.JobKey(spec.ID)); ok {
-		s.queries.add(statusQuery{requestID: requestID, job: spec.ID, submission: true})
+		s.queries.enqueue(statusQuery{requestID: requestID, job: spec.ID, resubmission: true})
 		return
 	}
 	if reason := s.runnable.unrunnableReason(spec); reason != "" {
@@ -53,7 +53,7 @@
 // refuseUnrunnable refuses a job that can never run. It may have been accepted by a
 // peer and be over; only a job that nobody knows is refused.
 func (s *submissions) refuseUnrunnable(requestID uint64, jobID protocol.JobID, reason string) {
-	s.lookups.job(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
+	s.lookups.readStatus(requestID, jobID, s.env.Now().Add(tuning.UserRequestTimeout), func(status *protocol.Status) {
 		if status != nil {
 			s.replies.Accepted(requestID, protocol.Accepted{ID: jobID, Phase: status.Phase})
 			return
@@ -66,10 +66,10 @@
 // unknown, finished or not.
 func (s *submissions) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.Store
-	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
-		RecordTasks: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
+	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, SubmittedAtMs: s.env.Now().UnixMilli(),
+		TasksPerBaseRecord: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
 	return storage.Encode(protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalRecordKey(spec.ID)}},
 		Changes:    []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(record)}},
 	})
 }
@@ -82,11 +82,11 @@
 		case result.Outcome == kv.Done:
 			s.replies.Created(requestID, protocol.Accepted{ID: jobID, Phase: protocol.PhasePending})
 		case result.Outcome == kv.ConditionFailed:
-			s.lookups.answerRepeated(requestID, jobID, deadline)
+			s.lookups.answerResubmission(requestID, jobID, deadline)
 		case result.Outcome == kv.Unknown && s.env.Now().Before(deadline):
 			s.storeSubmission(requestID, jobID, txn, deadline)
 		default:
-			s.replies.Unavailable(requestID, reasonStoreSilent)
+			s.replies.Unavailable(requestID, reasonStoreNotResponding)
 		}
 	})
 }
--- a/internal/coordination/api/submissions_test.go
+++ b/internal/coordination/api/submissions_test.go
@@ -9,26 +9,26 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestSubmissionIsRepeatedWhileItsAnswerIsLost: the same transaction again finds out whether
+// TestSubmissionIsRetriedWhileItsResponseIsLost: the same transaction again finds out whether
 // it was carried out; a job that is known by then is accepted, not created twice.
-func TestSubmissionIsRepeatedWhileItsAnswerIsLost(t *testing.T) {
+func TestSubmissionIsRetriedWhileItsResponseIsLost(t *testing.T) {
 	c := newController(t)
 	spec := testSpec()
 	c.Submit(1, &spec)
 	first := c.calls[0].Body.([]byte)
-	c.answer(t, protocol.PathTransactions, 0, nil)
+	c.respond(t, protocol.PathTransactions, 0, nil)
 	if again := c.calls[0].Body.([]byte); string(again) != string(first) {
 		t.Errorf("repeated as %s, was %s", again, first)
 	}
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
-	c.answer(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, RecordTasks: 60})})
+	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
+	c.respond(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, TasksPerBaseRecord: 60})})
 	c.expect(t, "1 accepted pending")
 	c.Submit(2, &spec)
-	c.answer(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 7})
+	c.respond(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 7})
 	c.expect(t, "2 created pending")
 	c.Submit(3, &spec)
 	c.now = c.now.Add(tuning.UserRequestTimeout)
-	c.answer(t, protocol.PathTransactions, 0, nil)
-	c.expect(t, "3 unavailable: "+reasonStoreSilent)
+	c.respond(t, protocol.PathTransactions, 0, nil)
+	c.expect(t, "3 unavailable: "+reasonStoreNotResponding)
 }
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -13,16 +13,16 @@
 func (ae apiEnvironment) Now() time.Time { return ae.n.now }
 
 // UniqueName implements api.Environment.
-func (ae apiEnvironment) UniqueName() string { return ae.n.unique() }
+func (ae apiEnvironment) UniqueName() string { return ae.n.uniqueName() }
 
 // StoreUnreachable implements api.Environment.
 func (ae apiEnvironment) StoreUnreachable() bool {
-	return ae.n.storeContact.unreachable(ae.n.now)
+	return ae.n.storeAccess.unreachable(ae.n.now)
 }
 
 // ForwardSubmission implements api.Environment.
 func (ae apiEnvironment) ForwardSubmission(requestID uint64, spec *protocol.Job) bool {
-	return ae.n.forwarder.ForwardRequest(requestID, submission(spec))
+	return ae.n.forwarder.ForwardRequest(requestID, submissionRequest(spec))
 }
 
 // AnnounceCancellation implements api.Environment: a leader need not wait for its watch, or
@@ -32,7 +32,7 @@
 // CancellationConfirmed implements api.Environment: this node's own leader may have to be
 // told, for the cancellation may have been read while its watch hangs.
 func (ae apiEnvironment) CancellationConfirmed(jobID protocol.JobID) {
-	if ae.n.lead != nil {
-		ae.n.lead.cancelFromPeer(jobID)
+	if ae.n.ownLeader != nil {
+		ae.n.ownLeader.cancelByID(jobID)
 	}
 }
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -12,7 +12,7 @@
 // machineRequest is a request for machines in flight.
 type machineRequest struct {
 	offer Offer
-	body  protocol.Rental
+	body  protocol.CreateMachinesRequest
 	tries int
 }
 
@@ -42,8 +42,8 @@
 func (mr *machineRequests) submit(offer Offer, count int) {
 	request := &machineRequest{
 		offer: offer,
-		body: protocol.Rental{
-			Request: mr.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
+		body: protocol.CreateMachinesRequest{
+			RequestID: mr.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
 		},
 	}
 	mr.inFlight = append(mr.inFlight, request)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// bigResources are those of a controller of two thousand machines.
-var bigResources = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
+// largeProcessLimits are those of a controller of two thousand machines.
+var largeProcessLimits = config.ProcessLimits{Cores: 0.25, MemoryMB: 271, FDLimit: 2127}
 
 // fullFleet is a leader with two thousand machines, all taken by arrays of the
 // lowest priority, and jobs that wait.
@@ -41,9 +41,9 @@
 	return l
 }
 
-// BenchmarkReport is the path of an agent's heartbeat at two thousand machines,
+// BenchmarkHeartbeat is the path of an agent's heartbeat at two thousand machines,
 // decoding included.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	l := fullFleet(600)
 	bodies := make([]*cluster.Machine, 0, len(l.cluster.OrderedMachines))
 	bodies = append(bodies, l.cluster.OrderedMachines...)
@@ -69,9 +69,9 @@
 	}
 }
 
-// BenchmarkPlan is a pass over a queue of six hundred gangs that do not fit at
+// BenchmarkSchedulingCycle is a pass over a queue of six hundred gangs that do not fit at
 // two thousand machines, searches for work to stop included.
-func BenchmarkPlan(b *testing.B) {
+func BenchmarkSchedulingCycle(b *testing.B) {
 	l := fullFleet(600)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -84,10 +84,10 @@
 	b.ReportMetric(float64(l.scheduler.MachinesExamined()), "machines-examined/op")
 }
 
-// TestBytesKept bounds what a leader keeps for each machine with its task and for
+// TestMemoryPerMachineAndWaitingJob bounds what a leader keeps for each machine with its task and for
 // each job that waits, with a margin: at half as many machines again as the
 // smallest controllers have, that is a few of their megabytes.
-func TestBytesKept(t *testing.T) {
+func TestMemoryPerMachineAndWaitingJob(t *testing.T) {
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -112,9 +112,9 @@
 	runtime.KeepAlive(large)
 }
 
-// BenchmarkTakeover is a failover of four thousand machines with two tasks each and as many
+// BenchmarkFailover is a failover of four thousand machines with two tasks each and as many
 // jobs that wait, from the mirror to the first heartbeats' turn.
-func BenchmarkTakeover(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	page := protocol.Entries{Revision: 9}
 	add := func(key string, v any) {
@@ -130,7 +130,7 @@
 	for i := range 800 {
 		s := gangOf(10, 2)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", i)), "high"
-		rec := storage.Job{Spec: &s, Seq: protocol.Revision(i + 1), Attempt: 1, RecordTasks: 60}
+		rec := storage.Job{Spec: &s, SubmissionRevision: protocol.Revision(i + 1), Attempt: 1, TasksPerBaseRecord: 60}
 		for k := range 10 {
 			rec.Tasks = append(rec.Tasks, storage.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Incarnation: 1})
 		}
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -69,10 +69,10 @@
 	return false
 }
 
-// throttled takes note that the store refused changes as too many: whatever the budget
+// noteThrottled takes note that the store refused changes as too many: whatever the budget
 // says, the store has no more to give now. The budget fills again from nothing. It
 // returns the time after which that many changes may be sent again.
-func (sb *storeBudgets) throttled(now time.Time, changes int) time.Duration {
+func (sb *storeBudgets) noteThrottled(now time.Time, changes int) time.Duration {
 	for _, budget := range []*rate.Limiter{sb.writes, sb.users, sb.relay} {
 		if tokens := int(budget.TokensAt(now)); tokens > 0 {
 			budget.AllowN(now, tokens)
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -237,7 +237,7 @@
 }
 
 // JobFinished implements commit.Outcomes.
-func (l *leader) JobFinished(protocol.JobID, storage.Final) {}
+func (l *leader) JobFinished(protocol.JobID, storage.FinalRecord) {}
 
 // MergeRecord implements commit.Outcomes.
 func (l *leader) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -15,7 +15,7 @@
 // Transact carries out a transaction on conditions.
 func (s leaderStore) Transact(txn protocol.Transaction, done func(kv.TransactionResult)) {
 	s.l.n.store.Transact(txn, func(result kv.TransactionResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
@@ -24,7 +24,7 @@
 // TransactEncoded implements commit.Store.
 func (s leaderStore) TransactEncoded(txn []byte, done func(kv.TransactionResult)) {
 	s.l.n.store.TransactEncoded(txn, func(result kv.TransactionResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
@@ -33,7 +33,7 @@
 // Get implements commit.Store.
 func (s leaderStore) Get(key string, done func(kv.GetResult)) {
 	s.l.n.store.Get(key, func(result kv.GetResult) {
-		if s.l.n.lead == s.l {
+		if s.l.n.ownLeader == s.l {
 			done(result)
 		}
 	})
@@ -44,7 +44,7 @@
 
 // NoteThrottled implements commit.Store.
 func (s leaderStore) NoteThrottled(changes int) time.Duration {
-	return s.l.n.budgets.throttled(s.l.n.now, changes)
+	return s.l.n.budgets.noteThrottled(s.l.n.now, changes)
 }
 
 // commitEnvironment implements commit.Environment.
@@ -55,7 +55,7 @@
 // for its return.
 func (ce commitEnvironment) PeersSupport(level uint64) bool {
 	if ce.l.n.storeLimits.Lowered() {
-		return ce.l.n.peers.AllLinkedKnow(level)
+		return ce.l.n.peers.AllConnectedSupport(level)
 	}
-	return ce.l.n.peers.AllKnow(level)
+	return ce.l.n.peers.AllSupport(level)
 }
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -23,7 +23,7 @@
 	}
 	n.mirror.Due(by)
 	if n.mirror.Ready() {
-		by(n.storeContact.probeAt())
+		by(n.storeAccess.nextProbeAt())
 	}
 	n.machineTypes.due(by)
 	n.election.Due(by)
@@ -31,7 +31,7 @@
 	n.forwarder.Due(by, n.router.Queued())
 	n.api.Due(by)
 	if n.mayAct() {
-		n.lead.due(by)
+		n.ownLeader.due(by)
 	}
 	return max(due.Sub(n.now), tuning.MinTimerInterval)
 }
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -13,17 +13,17 @@
 func (ee electionEnvironment) Now() time.Time { return ee.n.now }
 
 // UniqueName implements election.Environment.
-func (ee electionEnvironment) UniqueName() string { return ee.n.unique() }
+func (ee electionEnvironment) UniqueName() string { return ee.n.uniqueName() }
 
 // Leading implements election.Environment.
-func (ee electionEnvironment) Leading() bool { return ee.n.lead != nil }
+func (ee electionEnvironment) Leading() bool { return ee.n.ownLeader != nil }
 
 // SteppedDown implements election.Environment.
-func (ee electionEnvironment) SteppedDown() { ee.n.lead = nil }
+func (ee electionEnvironment) SteppedDown() { ee.n.ownLeader = nil }
 
 // CancellationConfirmed implements election.Environment.
 func (ee electionEnvironment) CancellationConfirmed(jobID protocol.JobID) {
-	ee.n.lead.cancelFromPeer(jobID)
+	ee.n.ownLeader.cancelByID(jobID)
 }
 
 // Count implements election.Peers.
@@ -33,9 +33,9 @@
 func (ee electionEnvironment) RequestConfirmation() uint64 {
 	n := ee.n
 	n.nextID++
-	request := protocol.PeerConfirmRequest{ID: n.nextID}
+	request := protocol.PeerConfirmationRequest{ID: n.nextID}
 	for _, s := range n.cfg.Peers {
-		if n.peers.Knows(s.Name, protocol.PeerKnowsCancelled) {
+		if n.peers.Supports(s.Name, protocol.FeatureLevelCancellations) {
 			n.out = append(n.out, PeerSend{Peer: s.Name, Message: request})
 		}
 	}
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -45,8 +45,8 @@
 	Message protocol.PeerMessage
 }
 
-// PeerReset closes a link that has gone silent, so that it is dialled anew.
-type PeerReset struct{ Peer protocol.NodeName }
+// PeerLinkReset closes a link that has gone silent, so that it is dialled anew.
+type PeerLinkReset struct{ Peer protocol.NodeName }
 
 func (Request) action() {}
 
@@ -54,7 +54,7 @@
 
 func (PeerSend) action() {}
 
-func (PeerReset) action() {}
+func (PeerLinkReset) action() {}
 
 // Event is something that happened to the node.
 type Event interface{ event() }
@@ -91,11 +91,11 @@
 	Heartbeat *protocol.Heartbeat
 }
 
-// PeerUp and PeerDown say that a link to a peer exists or no longer does.
-type PeerUp struct{ Peer protocol.NodeName }
+// PeerLinkUp and PeerLinkDown say that a link to a peer exists or no longer does.
+type PeerLinkUp struct{ Peer protocol.NodeName }
 
-// PeerDown says that the last link to a peer is gone.
-type PeerDown struct{ Peer protocol.NodeName }
+// PeerLinkDown says that the last link to a peer is gone.
+type PeerLinkDown struct{ Peer protocol.NodeName }
 
 // PeerReceive is a message from a peer. The links that a process accepts are
 // numbered as they come; a link begins with PeerHello.
@@ -115,8 +115,8 @@
 
 func (AgentHeartbeat) event() {}
 
-func (PeerUp) event() {}
+func (PeerLinkUp) event() {}
 
-func (PeerDown) event() {}
+func (PeerLinkDown) event() {}
 
 func (PeerReceive) event() {}
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -5,12 +5,12 @@
 // startLeading begins to lead with what the records say.
 func (n *Node) startLeading() {
 	l := newLeader(n)
-	n.lead = l
-	n.peers.HeartbeatSoon()     // the peers learn how many agents it keeps
-	n.machineTypes.refreshNow() // today's prices, and a record of the types if there is none
+	n.ownLeader = l
+	n.peers.TriggerHeartbeat()      // the peers learn how many agents it keeps
+	n.machineTypes.requestRefresh() // today's prices, and a record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
-	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
-		l.restored.LoadMarker(marker)
+	if marker, ok := n.mirror.Get(storage.RestoreMarkerKey); ok {
+		l.restoreMonitor.LoadMarker(marker)
 	}
 	l.beginRecovery()
 	// Jobs and machines come out of the mirror in no order; what follows must
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("schedulable %v, record to be written %v", l.cluster.Schedulable(machine), machine.Record.Queued)
 	}
 	l.committer.Commit()
-	txn, _ := l.sentTxn(t)
+	txn, _ := l.lastTransaction(t)
 	if rec, _ := parse[storage.MachineRecord](txn.Changes[0].Value); txn.Changes[0].Set != machine.Record.Key || len(rec.Machines) != 1 || !rec.Machines[0].Cordoned {
 		t.Errorf("the machine record does not say so: %s", txn.Changes[0].Value)
 	}
@@ -73,10 +73,10 @@
 	return n
 }
 
-// TestRepairReturnsToSurvivorsMachines: a gang that lost a machine goes back to the machines
+// TestRepairedGangReusesSurvivingMachines: a gang that lost a machine goes back to the machines
 // of its other tasks and takes its zone's spare for the lost one, though
 // another zone could hold it whole.
-func TestRepairReturnsToSurvivorsMachines(t *testing.T) {
+func TestRepairedGangReusesSurvivingMachines(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	dead, survivor := l.testMachine("i-1", "big", "b"), l.testMachine("i-2", "big", "b")
 	s := gangOf(2, 4)
--- a/internal/coordination/fences_test.go
+++ b/internal/coordination/fences_test.go
@@ -19,7 +19,7 @@
 		Incarnation: 1, Sequence: machine.Agent.Sequence + 1, FencingToken: token, Tasks: tasks}).Commands
 }
 
-func ops(cmds []protocol.Command) (s string) {
+func commandKinds(cmds []protocol.Command) (s string) {
 	for _, c := range cmds {
 		s += string(c.Kind) + " "
 	}
@@ -38,18 +38,18 @@
 	return Request{}
 }
 
-// TestCommitFirst: a placement is guarded on the leader lease, the job and the capacity it
+// TestNoStartBeforeCommit: a placement is guarded on the leader lease, the job and the capacity it
 // takes, and no start leaves before it is committed.
-func TestCommitFirst(t *testing.T) {
+func TestNoStartBeforeCommit(t *testing.T) {
 	t.Run(string(protocol.ShapeGang), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.placesAll(job) })
+		checkNoStartBeforeCommit(t, protocol.ShapeGang, func(l *leader, job *cluster.Job) bool { return l.cycleFullyPlaces(job) })
 	})
 	t.Run(string(protocol.ShapeArray), func(t *testing.T) {
-		commitFirst(t, protocol.ShapeArray, func(l *leader, job *cluster.Job) bool { return l.placesAll(job) })
+		checkNoStartBeforeCommit(t, protocol.ShapeArray, func(l *leader, job *cluster.Job) bool { return l.cycleFullyPlaces(job) })
 	})
 }
 
-func commitFirst(t *testing.T, shape protocol.Shape, place func(*leader, *cluster.Job) bool) {
+func checkNoStartBeforeCommit(t *testing.T, shape protocol.Shape, place func(*leader, *cluster.Job) bool) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine := l.testMachine("i-1", "big", "a")
 	s := gangOf(2, 1)
@@ -59,7 +59,7 @@
 	if !place(l, job) {
 		t.Fatal("not placed")
 	}
-	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
+	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q before the commit", got)
 	}
 	l.committer.Commit()
@@ -74,29 +74,29 @@
 			t.Errorf("%s is guarded on %d (%v), want %d", key, got, ok, want)
 		}
 	}
-	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
+	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Fatalf("orders %q during the commit", got)
 	}
 	l.n.handle(Response{ID: r.ID, Status: 200, Body: []byte(`{"ledger":99}`)})
 	if direct := l.n.lastRequest(t, ToAgent); strings.Count(string(direct.Body), `"start"`) != 2 {
 		t.Errorf("sent at once after it: %s", direct.Body)
 	}
-	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
+	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "" {
 		t.Errorf("orders %q while the same are on their way", got)
 	}
 	l.n.now = l.n.now.Add(tuning.DirectStartSettleTime)
-	if got := ops(l.testHeartbeat(machine, l.n.election.Term())); got != "start start " {
+	if got := commandKinds(l.testHeartbeat(machine, l.n.election.Term())); got != "start start " {
 		t.Errorf("orders %q after it", got)
 	}
 }
 
-// TestSpentBudget: a submission of the largest job for which the budget is
+// TestSubmissionIsRefusedWhenBudgetIsSpent: a submission of the largest job for which the budget is
 // too small is refused at once, with a time to come back, and not held.
-func TestSpentBudget(t *testing.T) {
+func TestSubmissionIsRefusedWhenBudgetIsSpent(t *testing.T) {
 	n := testLeader(time.Unix(1_800_000_000, 0)).n
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 1})
-	n.storeContact.servedAt = n.now
+	n.storeAccess.lastServedAt = n.now
 	for _, spent := range []bool{false, true} {
 		if spent {
 			n.budgets.users.AllowN(n.now, n.budgets.users.Burst()-1)
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestAnswersToAnEarlierLife: a process that is back at once numbers its requests
+// TestRequestIDsDifferAcrossRestarts: a process that is back at once numbers its requests
 // apart from those of its earlier life, whose answers may still come.
-func TestAnswersToAnEarlierLife(t *testing.T) {
+func TestRequestIDsDifferAcrossRestarts(t *testing.T) {
 	cfg := testLeader(time.Unix(1_800_000_000, 0)).n.cfg
 	seen := map[uint64]bool{}
 	for seed := range uint64(50) {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -13,9 +13,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// sentTo counts a step's requests to a system, and those of them whose path is
+// countRequests counts a step's requests to a system, and those of them whose path is
 // the given one.
-func sentTo(out []Action, to Target, path string) (all, such int) {
+func countRequests(out []Action, to Target, path string) (all, such int) {
 	for _, a := range out {
 		if r, ok := a.(Request); ok && r.To == to {
 			all++
@@ -27,14 +27,14 @@
 	return all, such
 }
 
-// TestFailoverIsPaced: a new leader of two thousand machines calls no more of
+// TestNewLeaderPacesAgentCalls: a new leader of two thousand machines calls no more of
 // them than its share of a core allows, and renews its leader lease meanwhile. One that
 // called all at once did not come to renew it and was replaced, and so in turn.
-func TestFailoverIsPaced(t *testing.T) {
+func TestNewLeaderPacesAgentCalls(t *testing.T) {
 	l := fullFleet(0)
 	n := l.n
-	n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	for _, machine := range l.cluster.OrderedMachines {
 		machine.Agent.Heard, machine.Agent.TokenConfirmed, machine.Agent.LastHeartbeat = false, false, time.Time{}
 	}
@@ -61,11 +61,11 @@
 				n.pending[r.ID](200, nil)
 			}
 		}
-		if limit := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
+		if limit := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); len(open) > limit {
 			t.Fatalf("%d calls under way", len(open))
 		}
 	}
-	most := 5*bigResources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
+	most := 5*largeProcessLimits.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds() + float64(l.agents.Calls.Limiter.Burst())
 	if calls == 0 || float64(calls) > most {
 		t.Errorf("%d calls in 5 s, %v are allowed", calls, most)
 	}
@@ -74,33 +74,33 @@
 	}
 }
 
-// TestOrdersBeforeProbes: however many silent machines are probed, half of the
+// TestProbesLeaveCallsForCommands: however many silent machines are probed, half of the
 // calls are left for orders.
-func TestOrdersBeforeProbes(t *testing.T) {
+func TestProbesLeaveCallsForCommands(t *testing.T) {
 	l := fullFleet(0)
-	l.n.cfg.Cluster.Process = bigResources
-	l.agents.Calls.Limiter = agents.NewLimiter(bigResources)
+	l.n.cfg.Cluster.Process = largeProcessLimits
+	l.agents.Calls.Limiter = agents.NewLimiter(largeProcessLimits)
 	l.cluster.LeadingSince = l.n.now.Add(-time.Minute)
 	for _, machine := range l.cluster.OrderedMachines[1:] {
 		machine.Agent.LastHeartbeat = l.n.now.Add(-time.Minute)
 	}
 	l.agents.Liveness.Tick()
-	probes, _ := sentTo(l.n.out, ToAgent, protocol.PathInspect)
-	if sockets := int(float64(bigResources.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
+	probes, _ := countRequests(l.n.out, ToAgent, protocol.PathInspect)
+	if sockets := int(float64(largeProcessLimits.FDLimit) * tuning.AgentCallConnectionShare); probes == 0 || probes > sockets/2 {
 		t.Fatalf("%d probes at once", probes)
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(l.cluster.OrderedMachines[0]) {
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.agents.Delivery.SendPending()
-	if _, orders := sentTo(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
+	if _, orders := countRequests(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
 		t.Errorf("%d orders leave", orders)
 	}
 }
 
-// TestNoLimits: without a share of a core in the settings calls are not paced,
+// TestNoCoreLimitAndFewWrites: without a share of a core in the settings calls are not paced,
 // and with two changes a second jobs still end.
-func TestNoLimits(t *testing.T) {
+func TestNoCoreLimitAndFewWrites(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	if !l.agents.Calls.MaySendCommands() || !l.agents.Calls.MayProbe() {
 		t.Error("no agent may be called")
@@ -114,26 +114,26 @@
 		n.now = n.now.Add(tuning.MinTimerInterval)
 		l.committer.Commit()
 	}
-	_, writes := sentTo(n.out, ToStore, protocol.PathTransactions)
-	if txn, _ := l.sentTxn(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
+	_, writes := countRequests(n.out, ToStore, protocol.PathTransactions)
+	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalRecordKey(job.ID) {
 		t.Errorf("%d transactions: the end of the job is not written", writes)
 	}
 }
 
-// TestOthersWritesCount: the leader's decisions have what others leave of the
+// TestWritesOfOthersReduceBudget: the leader's decisions have what others leave of the
 // state service's writes, which it learns from its watch; its own it counts when
 // it sends them.
-func TestOthersWritesCount(t *testing.T) {
+func TestWritesOfOthersReduceBudget(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	free := func() int { return int(n.budgets.writes.TokensAt(n.now) + 0.5) }
 	before := free()
 	watch := protocol.WatchResponse{Revision: 90}
-	for i, writer := range []string{n.unique(), "other-1", "other-2"} {
+	for i, writer := range []string{n.uniqueName(), "other-1", "other-2"} {
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, TasksPerBaseRecord: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
@@ -144,10 +144,10 @@
 	}
 }
 
-// TestProcessPause: a leader that was paused for seconds, its clocks running on,
+// TestPausedLeaderWaitsForLeaseRenewal: a leader that was paused for seconds, its clocks running on,
 // answers no heartbeat, sends no command and writes nothing before its leader lease was
 // renewed; one whose leader lease must have expired meanwhile leads no more.
-func TestProcessPause(t *testing.T) {
+func TestPausedLeaderWaitsForLeaseRenewal(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	machine := l.testMachine("i-1", "big", "a")
@@ -170,7 +170,7 @@
 	if got := status(out, 1); got != 503 {
 		t.Errorf("the heartbeat that waited is answered %d", got)
 	}
-	if calls, _ := sentTo(out, ToAgent, ""); calls > 0 {
+	if calls, _ := countRequests(out, ToAgent, ""); calls > 0 {
 		t.Errorf("%d calls to agents", calls)
 	}
 	// It may ask how far the records have come: that changes nothing.
@@ -183,7 +183,7 @@
 	if len(job.Attempts) > 0 {
 		t.Errorf("%d tasks placed", len(job.Attempts))
 	}
-	_, renewals := sentTo(out, ToLeaderLease, protocol.RenewPath(testLease))
+	_, renewals := countRequests(out, ToLeaderLease, protocol.RenewPath(testLease))
 	if renewals != 1 {
 		t.Fatalf("%d renewals", renewals)
 	}
@@ -222,7 +222,7 @@
 		seq++
 		var events []Event
 		for _, name := range peers {
-			events = append(events, PeerUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
+			events = append(events, PeerLinkUp{Peer: name}, PeerReceive{Peer: name, Link: 1, Message: protocol.PeerStatus{Term: n.election.HolderTerm(),
 				Leader: n.election.Holder(), DirectShare: tuning.DirectShareScale, Links: []protocol.NodeName{"first", "second"}}})
 		}
 		out := n.Step(n.now.Add(after), append(events, AgentHeartbeat{ID: seq, Heartbeat: &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: protocol.Sequence(seq)}}))
@@ -258,10 +258,10 @@
 	}
 }
 
-// TestRenewedBeforeFailover: a node that has won the leader lease renews it before it
+// TestLeaseIsRenewedBeforeFailover: a node that has won the leader lease renews it before it
 // reads the records, which takes a small controller a second, and plans nothing in
 // the step in which it does.
-func TestRenewedBeforeFailover(t *testing.T) {
+func TestLeaseIsRenewedBeforeFailover(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.election.StepDown("a test")
@@ -296,8 +296,8 @@
 		}
 	}
 	n.Step(n.now.Add(10*time.Millisecond), []Event{Response{ID: renewal.ID, Status: 200, Body: []byte(`{}`)}})
-	if !n.Leading() || !n.mayAct() || n.lead.nextCycleAt != (time.Time{}) {
-		t.Fatalf("leads %v, planned at %v", n.Leading(), n.lead.nextCycleAt)
+	if !n.Leading() || !n.mayAct() || n.ownLeader.nextCycleAt != (time.Time{}) {
+		t.Fatalf("leads %v, planned at %v", n.Leading(), n.ownLeader.nextCycleAt)
 	}
 	answered := false
 	for _, a := range n.Step(n.now.Add(tuning.MinTimerInterval), nil) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -24,27 +24,27 @@
 	n       *Node
 	cluster *cluster.State
 
-	loader     *loader.Loader
-	committer  *commit.Committer
-	scheduler  *scheduler.Scheduler
-	autoscaler *autoscaler.Autoscaler
-	lifecycle  *lifecycle.Manager
-	agents     *agents.Manager
-	recovery   *reconcile.RecoveryPhase
-	restored   *restore.Monitor
+	loader         *loader.Loader
+	committer      *commit.Committer
+	scheduler      *scheduler.Scheduler
+	autoscaler     *autoscaler.Autoscaler
+	lifecycle      *lifecycle.Manager
+	agents         *agents.Manager
+	recovery       *reconcile.RecoveryPhase
+	restoreMonitor *restore.Monitor
 
 	schedulingRequested bool            // something changed that placement may depend on
 	nextCycleAt         time.Time       // before it no scheduling cycle begins that is only requested
 	nextSweepAt         time.Time       // when the machines are checked again
-	proxying            bool            // the peers answer a part of the agents
-	logged              map[string]bool // keys of bad input that was logged
+	usingProxies        bool            // the peers answer a part of the agents
+	loggedKeys          map[string]bool // keys of bad input that was logged
 }
 
 // newLeader composes a leader without any record: every part gets the others that it calls,
 // and what else it needs by its environment.
 func newLeader(n *Node) *leader {
 	l := &leader{
-		n: n, logged: map[string]bool{}, recovery: reconcile.NewRecoveryPhase(), schedulingRequested: true,
+		n: n, loggedKeys: map[string]bool{}, recovery: reconcile.NewRecoveryPhase(), schedulingRequested: true,
 		cluster: cluster.NewState(n.cfg, n.machineTypes.byName, func() time.Time { return n.now }),
 	}
 	shared, store, term := leaderEnvironment{l}, leaderStore{l}, n.election.Term()
@@ -59,7 +59,7 @@
 		State: l.cluster, Store: store, Limits: n.storeLimits, Environment: commitEnvironment{shared},
 		Outcomes: commitOutcomes{l}, Log: n.log, Term: term,
 	})
-	l.restored = restore.NewMonitor(term, l.cluster, store, restoreEnvironment{shared}, n.log)
+	l.restoreMonitor = restore.NewMonitor(term, l.cluster, store, restoreEnvironment{shared}, n.log)
 	l.loader = loader.New(l.cluster, l.committer, loaderEnvironment{shared}, n.log)
 	return l
 }
@@ -68,10 +68,10 @@
 // for machines.
 func (l *leader) runSchedulingCycle() { l.autoscaler.Demand = l.scheduler.RunCycle() }
 
-// cancelFromPeer takes a peer's confirmation that a job's cancellation is in the
+// cancelByID takes a peer's confirmation that a job's cancellation is in the
 // records. What is written of the job before the watch shows that is refused, and
 // read again.
-func (l *leader) cancelFromPeer(id protocol.JobID) {
+func (l *leader) cancelByID(id protocol.JobID) {
 	if job := l.cluster.Jobs[id]; job != nil {
 		l.cancelJob(job)
 	}
@@ -83,13 +83,13 @@
 	if !l.n.now.Before(l.nextSweepAt) {
 		l.nextSweepAt = l.n.now.Add(tuning.MachineSweepInterval)
 		l.agents.Liveness.Tick()
-		if l.n.lead != l {
+		if l.n.ownLeader != l {
 			return
 		}
 		l.autoscaler.Tick()
 		l.tickRecovery()
-		l.restored.Tick()
-		if l.n.lead != l {
+		l.restoreMonitor.Tick()
+		if l.n.ownLeader != l {
 			return
 		}
 	}
@@ -105,13 +105,13 @@
 
 // logOnce logs bad input at its first sight.
 func (l *leader) logOnce(message, key string, attributes ...any) {
-	if l.logged[key] {
+	if l.loggedKeys[key] {
 		return
 	}
-	if len(l.logged) >= tuning.MaxRememberedLogKeys {
-		clear(l.logged)
+	if len(l.loggedKeys) >= tuning.MaxRememberedLogKeys {
+		clear(l.loggedKeys)
 	}
-	l.logged[key] = true
+	l.loggedKeys[key] = true
 	l.n.log.Error(message, attributes...)
 }
 
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -15,12 +15,12 @@
 func (le leaderEnvironment) RequestScheduling() { le.l.schedulingRequested = true }
 
 // UniqueName returns a name that was never used.
-func (le leaderEnvironment) UniqueName() string { return le.l.n.unique() }
+func (le leaderEnvironment) UniqueName() string { return le.l.n.uniqueName() }
 
 // After has something done later, unless the leader has stepped down by then.
 func (le leaderEnvironment) After(pause time.Duration, do func()) {
 	le.l.n.after(pause, func() {
-		if le.l.n.lead == le.l {
+		if le.l.n.ownLeader == le.l {
 			do()
 		}
 	})
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -18,8 +18,8 @@
 // testLease is the lease of the store under which testLeader leads.
 const testLease protocol.LeaseID = 3
 
-// keepAuthority renews the leader lease and has the mirror know every change.
-func (n *Node) keepAuthority() {
+// renewAuthority renews the leader lease and has the mirror know every change.
+func (n *Node) renewAuthority() {
 	n.election.Renewed(n.now)
 	n.mirror.MarkSynced(n.now)
 }
@@ -34,9 +34,9 @@
 	n.now = now
 	n.machineTypes.byName["big"], n.machineTypes.byName["small"] = &bigType, &smallType
 	n.election.Acquired(7, testLease, now)
-	n.keepAuthority()
+	n.renewAuthority()
 	n.startLeading()
-	return n.lead
+	return n.ownLeader
 }
 
 func (l *leader) testMachine(id protocol.MachineID, typeName protocol.MachineTypeName, zone protocol.ZoneName) *cluster.Machine {
@@ -53,12 +53,12 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.loader.AddJob(&storage.Job{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), TasksPerBaseRecord: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
-// placesAll runs a scheduling cycle and says whether it has left a job with a place for
+// cycleFullyPlaces runs a scheduling cycle and says whether it has left a job with a place for
 // every task.
-func (l *leader) placesAll(job *cluster.Job) bool {
+func (l *leader) cycleFullyPlaces(job *cluster.Job) bool {
 	l.runSchedulingCycle()
 	return job.FullyPlaced()
 }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -10,17 +10,17 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestMachinesOfOneRentalShareRecords: machines that are rented at once share a few records, each within
+// TestMachinesOfOneRequestShareRecords: machines that are rented at once share a few records, each within
 // the value limit; a new leader reads every one of them back, and those that
 // are gone leave the records in time.
-func TestMachinesOfOneRentalShareRecords(t *testing.T) {
+func TestMachinesOfOneRequestShareRecords(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.autoscaler.RequestMachines(autoscaler.Offer{TypeName: "big", Zone: "a", Spot: true}, 100)
 	var names []protocol.MachineID
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
-	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
+	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineIDs{Machines: names})})
 	l.committer.Commit()
 	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
@@ -61,15 +61,15 @@
 	}
 }
 
-// TestRecordedPlaceOfDeletedMachine: a machine leaves its machine record only after
+// TestPlacementOnUnrecordedMachineIsDropped: a machine leaves its machine record only after
 // its deletion was answered, so a place on a machine that no record has is
 // proven gone; a new leader need not wait for the lease to expire.
-func TestRecordedPlaceOfDeletedMachine(t *testing.T) {
+func TestPlacementOnUnrecordedMachineIsDropped(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
-		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
+		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, SubmissionRevision: 5, Attempt: 3, TasksPerBaseRecord: 60,
 			Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
 			entries = append(entries, protocol.Entry{Key: storage.MachineRecordKey("r"), Revision: 4,
@@ -78,7 +78,7 @@
 		n.mirror.BeginLoad()
 		n.mirror.LoadPage(&protocol.Entries{Items: entries, Revision: 10})
 		n.startLeading()
-		if got := len(n.lead.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
+		if got := len(n.ownLeader.cluster.Jobs[s.ID].Attempts); (got == 1) != recorded {
 			t.Errorf("recorded %v: %d attempts", recorded, got)
 		}
 	}
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -15,42 +15,42 @@
 // machineTypes are the cloud's machine types: every node needs them to judge submissions,
 // the leader their prices too.
 type machineTypes struct {
-	n         *Node
-	byName    map[protocol.MachineTypeName]*protocol.MachineType
-	refreshAt time.Time
+	n             *Node
+	byName        map[protocol.MachineTypeName]*protocol.MachineType
+	nextRefreshAt time.Time
 }
 
-// refreshNow has the cloud asked in the next step.
-func (mt *machineTypes) refreshNow() { mt.refreshAt = mt.n.now }
+// requestRefresh has the cloud asked in the next step.
+func (mt *machineTypes) requestRefresh() { mt.nextRefreshAt = mt.n.now }
 
 // due tells when the cloud is to be asked.
-func (mt *machineTypes) due(by func(time.Time)) { by(mt.refreshAt) }
+func (mt *machineTypes) due(by func(time.Time)) { by(mt.nextRefreshAt) }
 
 // tick keeps the machine types up to date.
 func (mt *machineTypes) tick() {
 	n, interval := mt.n, tuning.MachineTypesInterval
-	if n.lead == nil && len(mt.byName) > 0 {
+	if n.ownLeader == nil && len(mt.byName) > 0 {
 		interval *= 4
 	}
-	if !mt.refreshAt.IsZero() && n.now.Before(mt.refreshAt) {
+	if !mt.nextRefreshAt.IsZero() && n.now.Before(mt.nextRefreshAt) {
 		return
 	}
-	mt.refreshAt = n.now.Add(tuning.CloudTimeout + time.Second)
+	mt.nextRefreshAt = n.now.Add(tuning.CloudTimeout + time.Second)
 	n.request(ToCloud, "", http.MethodGet, protocol.PathMachineTypes, nil, tuning.CloudTimeout, func(status int, body []byte) {
 		var list protocol.MachineTypes
 		if status != http.StatusOK || json.Unmarshal(body, &list) != nil || len(list.Types) == 0 {
-			mt.refreshAt = n.now.Add(time.Second)
+			mt.nextRefreshAt = n.now.Add(time.Second)
 			return
 		}
-		mt.refreshAt = n.now.Add(interval)
-		mt.take(&list)
-		if n.lead != nil {
-			mt.record(&list)
+		mt.nextRefreshAt = n.now.Add(interval)
+		mt.update(&list)
+		if n.ownLeader != nil {
+			mt.writeRecord(&list)
 		}
 	})
 }
 
-func (mt *machineTypes) take(list *protocol.MachineTypes) {
+func (mt *machineTypes) update(list *protocol.MachineTypes) {
 	for i := range list.Types {
 		machineType := &list.Types[i]
 		if known := mt.byName[machineType.Name]; known != nil {
@@ -65,14 +65,14 @@
 func (mt *machineTypes) loadRecorded() {
 	if entry, ok := mt.n.mirror.Get(storage.TypesKey); ok && len(mt.byName) == 0 {
 		if list, ok := parse[protocol.MachineTypes](entry.Value); ok {
-			mt.take(&list)
+			mt.update(&list)
 		}
 	}
 }
 
-// record records the machine types, so that a node that starts while the
+// writeRecord records the machine types, so that a node that starts while the
 // cloud does not answer can judge submissions all the same.
-func (mt *machineTypes) record(list *protocol.MachineTypes) {
+func (mt *machineTypes) writeRecord(list *protocol.MachineTypes) {
 	n := mt.n
 	entry, _ := n.mirror.Get(storage.TypesKey)
 	if known, ok := parse[protocol.MachineTypes](entry.Value); ok && slices.EqualFunc(known.Types, list.Types, sameType) {
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -27,16 +27,16 @@
 	peers *Peers
 	env   ForwarderEnvironment
 
-	forwarded map[uint64]forwardedRequest // requests that peers answer
-	received  map[uint64]receivedRequest  // requests of peers that this controller answers
-	delegated map[uint64]delegatedCall    // calls to agents that peers make
-	expireAt  time.Time                   // when they are checked for late ones
+	forwarded    map[uint64]forwardedRequest // requests that peers answer
+	received     map[uint64]receivedRequest  // requests of peers that this controller answers
+	delegated    map[uint64]delegatedCall    // calls to agents that peers make
+	nextExpiryAt time.Time                   // when they are checked for late ones
 }
 
 // forwardedRequest is a request that was sent on to a peer.
 type forwardedRequest struct {
 	requestID uint64
-	expire    time.Time
+	deadline  time.Time
 }
 
 // receivedRequest is a request that a peer sent on to this controller.
@@ -48,13 +48,13 @@
 // delegatedCall is a call to an agent that a peer makes for the leader. Status 0 stands for
 // no answer.
 type delegatedCall struct {
-	done   func(status int, body []byte)
-	expire time.Time
+	done     func(status int, body []byte)
+	deadline time.Time
 }
 
-// receivedID marks the numbers of requests that peers sent on, which the transport does not
+// peerRequestBit marks the numbers of requests that peers sent on, which the transport does not
 // know.
-const receivedID = 1 << 63
+const peerRequestBit = 1 << 63
 
 // NewForwarder makes a forwarder.
 func NewForwarder(self protocol.NodeName, peers *Peers, env ForwarderEnvironment) *Forwarder {
@@ -65,10 +65,10 @@
 // ForwardRequest sends a user's request on to a peer that the store serves, to each in
 // turn. What a peer sent here goes no further.
 func (f *Forwarder) ForwardRequest(requestID uint64, request protocol.PeerUserRequest) bool {
-	if requestID&receivedID != 0 {
+	if requestID&peerRequestBit != 0 {
 		return false
 	}
-	served := f.peers.ServedNames()
+	served := f.peers.NamesWithStoreAccess()
 	if len(served) == 0 {
 		return false
 	}
@@ -105,7 +105,7 @@
 
 // ReceiveRequest numbers a request that a peer sent on to this controller.
 func (f *Forwarder) ReceiveRequest(request protocol.PeerUserRequest) (requestID uint64) {
-	requestID = f.env.NextID() | receivedID
+	requestID = f.env.NextID() | peerRequestBit
 	f.received[requestID] = receivedRequest{request.Origin, request.ID}
 	return requestID
 }
@@ -132,21 +132,21 @@
 }
 
 // ExpiryDue says whether it is time to check for late answers.
-func (f *Forwarder) ExpiryDue() bool { return !f.env.Now().Before(f.expireAt) }
+func (f *Forwarder) ExpiryDue() bool { return !f.env.Now().Before(f.nextExpiryAt) }
 
 // Expire gives up what has waited too long for a peer's answer, in the order of the
 // numbers: the same seed must give the same run.
 func (f *Forwarder) Expire() {
 	now := f.env.Now()
-	f.expireAt = now.Add(tuning.ForwardExpiryInterval)
+	f.nextExpiryAt = now.Add(tuning.ForwardExpiryInterval)
 	for _, id := range slices.Sorted(maps.Keys(f.forwarded)) {
-		if request := f.forwarded[id]; now.After(request.expire) {
+		if request := f.forwarded[id]; now.After(request.deadline) {
 			delete(f.forwarded, id)
 			f.env.Unavailable(request.requestID, "leader does not answer")
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.delegated)) {
-		if call, ok := f.delegated[id]; ok && now.After(call.expire) {
+		if call, ok := f.delegated[id]; ok && now.After(call.deadline) {
 			delete(f.delegated, id)
 			call.done(0, nil)
 		}
@@ -156,6 +156,6 @@
 // Due tells when late answers are checked for, also for so many others that wait.
 func (f *Forwarder) Due(by func(time.Time), othersWaiting int) {
 	if len(f.forwarded)+len(f.delegated)+othersWaiting > 0 {
-		by(f.expireAt)
+		by(f.nextExpiryAt)
 	}
 }
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -59,7 +59,7 @@
 type queuedHeartbeat struct {
 	requestID uint64
 	heartbeat *protocol.Heartbeat
-	expire    time.Time
+	deadline  time.Time
 }
 
 // NewHeartbeatRouter makes a router that paces redirects by what they cost of a controller's
@@ -88,7 +88,7 @@
 	case hr.leader.Leading():
 		hr.routeAsLeader(q)
 	case !hr.knowsLeader():
-		if to := hr.leaderFromPeers(); to != "" && !hr.redirectedLately(machineID) {
+		if to := hr.leaderFromPeers(); to != "" && !hr.recentlyRedirected(machineID) {
 			hr.redirect(q, to)
 			return
 		}
@@ -98,7 +98,7 @@
 	default:
 		if to := hr.redirectTarget(machineID, leader); to != "" {
 			hr.redirect(q, to)
-		} else if !hr.forwarder.ForwardHeartbeat(q.requestID, leader, q.heartbeat, q.expire) {
+		} else if !hr.forwarder.ForwardHeartbeat(q.requestID, leader, q.heartbeat, q.deadline) {
 			hr.replies.Redirect(q.requestID, "")
 		}
 	}
@@ -108,7 +108,7 @@
 func (hr *HeartbeatRouter) routeAsLeader(q queuedHeartbeat) {
 	machineID := q.heartbeat.Machine
 	proxy := hr.peers.ProxyFor(machineID, hr.self, hr.leader.DirectShare())
-	if proxy != hr.self && !hr.redirectedLately(machineID) && hr.peers.FullyConnected() && hr.mayRedirect() {
+	if proxy != hr.self && !hr.recentlyRedirected(machineID) && hr.peers.FullyConnected() && hr.takeRedirectToken() {
 		hr.redirect(q, proxy)
 		return
 	}
@@ -119,11 +119,11 @@
 // fetches the leader's answer for it.
 func (hr *HeartbeatRouter) redirectTarget(machineID protocol.MachineID, leader protocol.NodeName) protocol.NodeName {
 	now, contact := hr.leader.Now(), hr.contacts[machineID]
-	if hr.redirectedLately(machineID) {
+	if hr.recentlyRedirected(machineID) {
 		return ""
 	}
 	if !hr.peers.Reachable(leader) {
-		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.mayRedirect() {
+		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.takeRedirectToken() {
 			// It is here for the leader's sake, and may well reach it. All at once would be
 			// more connections than the leader can open; the store relays some meanwhile.
 			return leader
@@ -140,7 +140,7 @@
 	to := hr.peers.ProxyFor(machineID, leader, status.DirectShare)
 	switch {
 	case status.DirectShare >= tuning.DirectShareScale:
-	case to == hr.self, !hr.peers.FullyConnected(), !hr.mayRedirect():
+	case to == hr.self, !hr.peers.FullyConnected(), !hr.takeRedirectToken():
 		// It stays here: the proxy may be what is missing, or others move first.
 		contact.proxiedAt = now
 		hr.contacts[machineID] = contact
@@ -149,23 +149,23 @@
 	return to
 }
 
-// mayRedirect says whether one more agent may be sent to its proxy now. After all
+// takeRedirectToken says whether one more agent may be sent to its proxy now. After all
 // controllers were lost every agent is somewhere, and answering it there costs
 // less than the connection that it would open elsewhere: moves have their part of
 // the processor time, so that they do not take the time of an election.
 // A leader pays nothing for a move that an answer would not cost, and has all of
 // its peers to take the agents in.
-func (hr *HeartbeatRouter) mayRedirect() bool {
+func (hr *HeartbeatRouter) takeRedirectToken() bool {
 	if hr.leader.Leading() {
 		return hr.leaderRedirects.AllowN(hr.leader.Now(), 1)
 	}
 	return hr.redirects.AllowN(hr.leader.Now(), 1)
 }
 
-// redirectedLately says whether an agent was sent to another controller lately and came
+// recentlyRedirected says whether an agent was sent to another controller lately and came
 // back: it cannot reach that one then. After a while it is sent again, for the cut may be
 // over, and answering it here costs more.
-func (hr *HeartbeatRouter) redirectedLately(machineID protocol.MachineID) bool {
+func (hr *HeartbeatRouter) recentlyRedirected(machineID protocol.MachineID) bool {
 	contact := hr.contacts[machineID]
 	return !contact.redirectedAt.IsZero() && contact.term == hr.leader.HolderTerm() &&
 		hr.leader.Now().Sub(contact.redirectedAt) < tuning.RedirectRetention
@@ -177,8 +177,8 @@
 	hr.replies.Redirect(q.requestID, to)
 }
 
-// ForgetContacts drops what no longer decides anything.
-func (hr *HeartbeatRouter) ForgetContacts() {
+// PruneContacts drops what no longer decides anything.
+func (hr *HeartbeatRouter) PruneContacts() {
 	now := hr.leader.Now()
 	for machineID, contact := range hr.contacts {
 		if now.Sub(contact.redirectedAt) > tuning.RedirectRetention && now.Sub(contact.proxiedAt) > tuning.RedirectRetention {
@@ -222,7 +222,7 @@
 		switch {
 		case hr.knowsLeader():
 			hr.route(q)
-		case hr.leader.Now().After(q.expire):
+		case hr.leader.Now().After(q.deadline):
 			hr.replies.Refuse(q.requestID, "no leader known")
 		default:
 			hr.queued = append(hr.queued, q)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -26,7 +26,7 @@
 	term          protocol.Term
 	loaded        bool
 	noRelayBudget bool
-	served        time.Time
+	storeServedAt time.Time
 	log           []string
 	sent          []protocol.PeerMessage
 	delivered     []protocol.PeerMessage
@@ -67,11 +67,13 @@
 
 // connect makes a link to a peer that says so of itself.
 func (c *controller) connect(name protocol.NodeName, status protocol.PeerStatus) {
-	c.Up(name)
+	c.LinkUp(name)
 	c.Receive(name, 1, status)
 }
 
-func (c *controller) note(format string, a ...any) { c.log = append(c.log, fmt.Sprintf(format, a...)) }
+func (c *controller) record(format string, a ...any) {
+	c.log = append(c.log, fmt.Sprintf(format, a...))
+}
 
 func (c *controller) CallStore(call kv.Call, done func(status int, body []byte)) {
 	c.calls = append(c.calls, pendingCall{call, done})
@@ -79,27 +81,31 @@
 func (c *controller) Now() time.Time           { return c.now }
 func (c *controller) UniqueName() string       { return fmt.Sprint("n-", c.NextID()) }
 func (c *controller) NextID() uint64           { c.lastID++; return c.lastID }
-func (c *controller) StoreServedAt() time.Time { return c.served }
+func (c *controller) StoreServedAt() time.Time { return c.storeServedAt }
 func (c *controller) TakeRelayWrite() bool     { return !c.noRelayBudget }
 func (c *controller) Deliver(message protocol.PeerMessage) {
 	c.delivered = append(c.delivered, message)
 }
-func (c *controller) ResetLink(peer protocol.NodeName)         { c.note("reset %s", peer) }
-func (c *controller) Leading() bool                            { return false }
-func (c *controller) Holder() protocol.NodeName                { return c.holder }
-func (c *controller) HolderTerm() protocol.Term                { return c.term }
-func (c *controller) DirectShare() uint64                      { return tuning.DirectShareScale }
-func (c *controller) RecordsLoaded() bool                      { return c.loaded }
-func (c *controller) Answer(id uint64, _ *protocol.Heartbeat)  { c.note("%d answered", id) }
-func (c *controller) Redirect(id uint64, to protocol.NodeName) { c.note("%d redirected to %s", id, to) }
-func (c *controller) Refuse(id uint64, reason string)          { c.note("%d refused: %s", id, reason) }
-func (c *controller) Unavailable(id uint64, reason string)     { c.note("%d unavailable: %s", id, reason) }
+func (c *controller) ResetLink(peer protocol.NodeName)        { c.record("reset %s", peer) }
+func (c *controller) Leading() bool                           { return false }
+func (c *controller) Holder() protocol.NodeName               { return c.holder }
+func (c *controller) HolderTerm() protocol.Term               { return c.term }
+func (c *controller) DirectShare() uint64                     { return tuning.DirectShareScale }
+func (c *controller) RecordsLoaded() bool                     { return c.loaded }
+func (c *controller) Answer(id uint64, _ *protocol.Heartbeat) { c.record("%d answered", id) }
+func (c *controller) Redirect(id uint64, to protocol.NodeName) {
+	c.record("%d redirected to %s", id, to)
+}
+func (c *controller) Refuse(id uint64, reason string) { c.record("%d refused: %s", id, reason) }
+func (c *controller) Unavailable(id uint64, reason string) {
+	c.record("%d unavailable: %s", id, reason)
+}
 func (c *controller) Forwarded(id uint64, r protocol.PeerResponse) {
-	c.note("%d answered with %d", id, r.Status)
+	c.record("%d answered with %d", id, r.Status)
 }
 func (c *controller) Send(peer protocol.NodeName, message protocol.PeerMessage) {
 	c.sent = append(c.sent, message)
-	c.note("%T to %s", message, peer)
+	c.record("%T to %s", message, peer)
 }
 
 const (
@@ -149,11 +155,11 @@
 	}
 }
 
-// TestAnyControllerIsProxyWhileLinkIsMissing: while a link is missing whichever controller an
+// TestAnyControllerActsAsProxyWhileLinkIsDown: while a link is missing whichever controller an
 // agent comes to forwards its heartbeats, and an agent is sent to the leader itself when its
 // proxy has lost the leader: by way of third controllers or of the store only some could be
 // forwarded.
-func TestAnyControllerIsProxyWhileLinkIsMissing(t *testing.T) {
+func TestAnyControllerActsAsProxyWhileLinkIsDown(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	var own, other protocol.MachineID
 	for i := 0; own == "" || other == ""; i++ {
@@ -166,11 +172,11 @@
 	if got := b.heartbeat(own); got != forwardedToLeader {
 		t.Fatalf("its own agent is %s", got)
 	}
-	b.Down("c")
+	b.LinkDown("c")
 	if got := b.heartbeat(other); got != forwardedToLeader {
 		t.Errorf("with c gone its agent is %s", got)
 	}
-	b.Down("a")
+	b.LinkDown("a")
 	if got := b.heartbeat(own); got != redirectedToA {
 		t.Errorf("with the leader's link gone its own agent is %s", got)
 	}
@@ -218,9 +224,9 @@
 	}
 }
 
-// TestRedirectsArePaced: after all controllers were lost every agent is at some controller;
+// TestRedirectsAreRateLimited: after all controllers were lost every agent is at some controller;
 // they are sent to their proxies by and by, and answered meanwhile.
-func TestRedirectsArePaced(t *testing.T) {
+func TestRedirectsAreRateLimited(t *testing.T) {
 	const cores = 0.018
 	b := newController(t, cores, "b", 250)
 	redirected := 0
@@ -256,7 +262,7 @@
 func TestExpiredForwardsAreRefusedInOrder(t *testing.T) {
 	for range 20 {
 		b := newController(t, 0, "b", 0)
-		b.connect("c", protocol.PeerStatus{StateOK: true})
+		b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 		var want []string
 		for id := range uint64(8) {
 			if !b.ForwardRequest(100+id, protocol.PeerUserRequest{Job: "run-000001"}) {
@@ -280,7 +286,7 @@
 	if b.ForwardRequest(7, protocol.PeerUserRequest{}) {
 		t.Error("forwarded though the store serves no peer")
 	}
-	b.connect("c", protocol.PeerStatus{StateOK: true})
+	b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 	b.ForwardRequest(7, protocol.PeerUserRequest{Job: "run-000001"})
 	request := b.sent[len(b.sent)-1].(protocol.PeerUserRequest)
 	b.log = nil
@@ -302,10 +308,10 @@
 	}
 }
 
-// TestAnnouncementCountsForItsLink: what a peer knows counts for the link on which it said so:
+// TestFeatureLevelAppliesToLinkThatAnnouncedIt: what a peer knows counts for the link on which it said so:
 // a process that comes back as an older version says nothing, and a word that was
 // held back on an earlier link does not speak for it.
-func TestAnnouncementCountsForItsLink(t *testing.T) {
+func TestFeatureLevelAppliesToLinkThatAnnouncedIt(t *testing.T) {
 	c := newController(t, 0, "n", 0)
 	c.Peers = NewPeers(&config.Config{Name: "n", Peers: []config.Peer{{Name: "s"}}}, slog.New(slog.DiscardHandler), kv.New(c), c)
 	for i, step := range []struct {
@@ -314,24 +320,24 @@
 		want    bool
 	}{
 		{3, protocol.PeerHello{Node: "s"}, false},
-		{3, protocol.Announcement("n"), true},
+		{3, protocol.FeatureLevelAnnouncement("n"), true},
 		{3, protocol.PeerStatus{}, true},
 		{4, protocol.PeerHello{Node: "s"}, false}, // back as an older version
-		{3, protocol.Announcement("n"), false},
+		{3, protocol.FeatureLevelAnnouncement("n"), false},
 		{4, protocol.PeerStatus{}, false},
-		{4, protocol.Announcement("n"), true},
+		{4, protocol.FeatureLevelAnnouncement("n"), true},
 	} {
 		c.Receive("s", step.link, step.message)
-		if got := c.AllKnow(protocol.PeerLevel); got != step.want {
+		if got := c.AllSupport(protocol.CurrentFeatureLevel); got != step.want {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
 }
 
-// TestMessagesWithoutPathAreRelayedByStore: a message goes over the link, by way of a third
+// TestMessagesWithoutPathAreRelayedThroughStore: a message goes over the link, by way of a third
 // controller, or, when there is no path, through the store in one value for each peer; what
 // comes that way is delivered, and what cannot be read counts as lost.
-func TestMessagesWithoutPathAreRelayedByStore(t *testing.T) {
+func TestMessagesWithoutPathAreRelayedThroughStore(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	message := protocol.PeerCancellation{Job: "run-000001"}
 	b.connect("c", protocol.PeerStatus{Links: []protocol.NodeName{"a"}})
@@ -340,8 +346,8 @@
 		want   []string
 	}{
 		{func() {}, []string{"protocol.PeerCancellation to a"}},
-		{func() { b.Down("a") }, []string{"protocol.PeerCancellation to c"}},
-		{func() { b.Down("c") }, nil},
+		{func() { b.LinkDown("a") }, []string{"protocol.PeerCancellation to c"}},
+		{func() { b.LinkDown("c") }, nil},
 	} {
 		b.log = nil
 		step.change()
@@ -350,7 +356,7 @@
 			t.Errorf("%q, want %q", b.log, step.want)
 		}
 	}
-	b.served = b.now
+	b.storeServedAt = b.now
 	for range 2 {
 		if !b.Peers.Send("a", message) {
 			t.Error("not taken for the store")
@@ -392,7 +398,7 @@
 		{"protocol.PeerResponse to a", "protocol.PeerStatus to a", "protocol.PeerResponse to c", "protocol.PeerStatus to c"},
 	} {
 		b.log = nil
-		b.HeartbeatSoon()
+		b.TriggerHeartbeat()
 		if !b.HeartbeatDue() {
 			t.Fatal("no heartbeat is due")
 		}
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -38,12 +38,12 @@
 
 // peer is a peer as this controller sees it.
 type peer struct {
-	up     bool
-	heard  time.Time
-	status protocol.PeerStatus
-	link   uint64 // the newest link from it
-	level  uint64 // what it has announced on that link that it knows
-	outbox outbox
+	linkUp       bool
+	lastHeardAt  time.Time
+	status       protocol.PeerStatus
+	link         uint64 // the newest link from it
+	featureLevel uint64 // what it has announced on that link that it knows
+	outbox       outbox
 }
 
 // Peers are the other controllers.
@@ -53,16 +53,16 @@
 	env   Environment
 	store kv.Client
 
-	peers       map[protocol.NodeName]*peer
-	order       []protocol.NodeName // of the settings
-	names       []protocol.NodeName // of all controllers, sorted
-	heartbeatAt time.Time
+	peers           map[protocol.NodeName]*peer
+	configOrder     []protocol.NodeName // of the settings
+	controllers     []protocol.NodeName // of all controllers, sorted
+	nextHeartbeatAt time.Time
 }
 
 // NewPeers makes the peers of the settings, none of them reached yet.
 func NewPeers(cfg *config.Config, log *slog.Logger, store kv.Client, env Environment) *Peers {
 	p := &Peers{cfg: cfg, log: log, store: store, env: env,
-		peers: map[protocol.NodeName]*peer{}, names: []protocol.NodeName{cfg.Name}}
+		peers: map[protocol.NodeName]*peer{}, controllers: []protocol.NodeName{cfg.Name}}
 	for _, settings := range cfg.Peers {
 		p.Add(settings.Name)
 	}
@@ -72,26 +72,26 @@
 // Add adds a peer.
 func (p *Peers) Add(name protocol.NodeName) {
 	p.peers[name] = &peer{}
-	p.order = append(p.order, name)
-	p.names = append(p.names, name)
-	slices.Sort(p.names)
+	p.configOrder = append(p.configOrder, name)
+	p.controllers = append(p.controllers, name)
+	slices.Sort(p.controllers)
 }
 
 // Count is how many peers there are.
 func (p *Peers) Count() int { return len(p.peers) }
 
-// Up notes that there is a link to a peer.
-func (p *Peers) Up(name protocol.NodeName) {
+// LinkUp notes that there is a link to a peer.
+func (p *Peers) LinkUp(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
-		peer.up, peer.heard = true, p.env.Now()
-		p.heartbeatAt = time.Time{}
+		peer.linkUp, peer.lastHeardAt = true, p.env.Now()
+		p.nextHeartbeatAt = time.Time{}
 	}
 }
 
-// Down notes that the last link to a peer is gone.
-func (p *Peers) Down(name protocol.NodeName) {
+// LinkDown notes that the last link to a peer is gone.
+func (p *Peers) LinkDown(name protocol.NodeName) {
 	if peer := p.peers[name]; peer != nil {
-		peer.up = false
+		peer.linkUp = false
 	}
 }
 
@@ -102,13 +102,13 @@
 	if peer == nil {
 		return false
 	}
-	peer.heard = p.env.Now()
+	peer.lastHeardAt = p.env.Now()
 	if link > peer.link {
-		peer.link, peer.level = link, 0 // another process perhaps, and an older version
+		peer.link, peer.featureLevel = link, 0 // another process perhaps, and an older version
 	}
-	if level, ok := protocol.Announced(message); ok {
+	if level, ok := protocol.AnnouncedFeatureLevel(message); ok {
 		if link == peer.link {
-			peer.level = level // one held back on an earlier link says nothing of this one
+			peer.featureLevel = level // one held back on an earlier link says nothing of this one
 		}
 		return false
 	}
@@ -125,13 +125,13 @@
 // Reachable says whether the link to a peer is there and alive.
 func (p *Peers) Reachable(name protocol.NodeName) bool {
 	peer := p.peers[name]
-	return peer != nil && peer.up && p.env.Now().Sub(peer.heard) < tuning.PeerSilenceTimeout
+	return peer != nil && peer.linkUp && p.env.Now().Sub(peer.lastHeardAt) < tuning.PeerSilenceTimeout
 }
 
 // ReachableNames lists the peers within reach, in order of their names.
 func (p *Peers) ReachableNames() []protocol.NodeName {
 	var names []protocol.NodeName
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		if p.Reachable(name) {
 			names = append(names, name)
 		}
@@ -148,29 +148,29 @@
 	return protocol.PeerStatus{}
 }
 
-// ServedNames lists the peers within reach that the store serves, in order of their names.
-func (p *Peers) ServedNames() []protocol.NodeName {
-	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.StateOK })
+// NamesWithStoreAccess lists the peers within reach that the store serves, in order of their names.
+func (p *Peers) NamesWithStoreAccess() []protocol.NodeName {
+	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.HasStoreAccess })
 }
 
-// Knows says whether a peer can be reached and has announced a level on its newest link.
-func (p *Peers) Knows(name protocol.NodeName, level uint64) bool {
-	return p.Reachable(name) && p.peers[name].level >= level
+// Supports says whether a peer can be reached and has announced a level on its newest link.
+func (p *Peers) Supports(name protocol.NodeName, level uint64) bool {
+	return p.Reachable(name) && p.peers[name].featureLevel >= level
 }
 
-// AllKnow says whether every peer has announced a level on its newest link.
-func (p *Peers) AllKnow(level uint64) bool {
-	return p.everyKnows(level, func(*peer) bool { return true })
+// AllSupport says whether every peer has announced a level on its newest link.
+func (p *Peers) AllSupport(level uint64) bool {
+	return p.everyPeerSupports(level, func(*peer) bool { return true })
 }
 
-// AllLinkedKnow says the same of the peers that there is a link to.
-func (p *Peers) AllLinkedKnow(level uint64) bool {
-	return p.everyKnows(level, func(peer *peer) bool { return peer.up })
+// AllConnectedSupport says the same of the peers that there is a link to.
+func (p *Peers) AllConnectedSupport(level uint64) bool {
+	return p.everyPeerSupports(level, func(peer *peer) bool { return peer.linkUp })
 }
 
-func (p *Peers) everyKnows(level uint64, counts func(*peer) bool) bool {
+func (p *Peers) everyPeerSupports(level uint64, counts func(*peer) bool) bool {
 	for _, peer := range p.peers {
-		if counts(peer) && peer.level < level {
+		if counts(peer) && peer.featureLevel < level {
 			return false
 		}
 	}
@@ -191,11 +191,11 @@
 // FullyConnected says whether every link between controllers that this one knows of is there.
 func (p *Peers) FullyConnected() bool {
 	reachable := p.ReachableNames()
-	if len(reachable) < len(p.order) {
+	if len(reachable) < len(p.configOrder) {
 		return false
 	}
 	for _, name := range reachable {
-		if len(p.peers[name].status.Links) < len(p.order) {
+		if len(p.peers[name].status.Links) < len(p.configOrder) {
 			return false
 		}
 	}
@@ -209,14 +209,14 @@
 	h := fnv.New32a()
 	h.Write([]byte(machineID))
 	sum := uint64(h.Sum32())
-	if sum%tuning.DirectShareScale < directShare || len(p.names) < 2 {
+	if sum%tuning.DirectShareScale < directShare || len(p.controllers) < 2 {
 		return leader
 	}
-	at := sum / tuning.DirectShareScale % uint64(len(p.names)-1)
-	if p.names[at] >= leader {
+	at := sum / tuning.DirectShareScale % uint64(len(p.controllers)-1)
+	if p.controllers[at] >= leader {
 		at++ // the leader is left out
 	}
-	return p.names[at]
+	return p.controllers[at]
 }
 
 // route finds the peer to hand a message for target to: the target itself,
@@ -243,34 +243,34 @@
 	return true
 }
 
-// PassAlong carries a message between two peers, unless it goes in circles.
-func (p *Peers) PassAlong(target protocol.NodeName, hops uint64, message protocol.PeerMessage) {
+// ForwardMessage carries a message between two peers, unless it goes in circles.
+func (p *Peers) ForwardMessage(target protocol.NodeName, hops uint64, message protocol.PeerMessage) {
 	if hops <= tuning.MaxPeerHops {
 		p.Send(target, message)
 	}
 }
 
 // HeartbeatDue says whether the peers are to hear of this controller's status now.
-func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.heartbeatAt) }
+func (p *Peers) HeartbeatDue() bool { return !p.env.Now().Before(p.nextHeartbeatAt) }
 
-// HeartbeatSoon has the peers hear of this controller's status in the next step.
-func (p *Peers) HeartbeatSoon() { p.heartbeatAt = p.env.Now() }
+// TriggerHeartbeat has the peers hear of this controller's status in the next step.
+func (p *Peers) TriggerHeartbeat() { p.nextHeartbeatAt = p.env.Now() }
 
 // SendHeartbeats tells the peers of this controller's status, and resets links that have
 // gone silent.
 func (p *Peers) SendHeartbeats(status protocol.PeerStatus) {
 	now := p.env.Now()
-	p.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+	p.nextHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
 	status.Links = p.ReachableNames()
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		peer := p.peers[name]
 		switch {
-		case !peer.up:
-		case now.Sub(peer.heard) > 2*tuning.PeerSilenceTimeout:
-			peer.heard = now // one reset at a time
+		case !peer.linkUp:
+		case now.Sub(peer.lastHeardAt) > 2*tuning.PeerSilenceTimeout:
+			peer.lastHeardAt = now // one reset at a time
 			p.env.ResetLink(name)
 		default:
-			p.env.Send(name, protocol.Announcement(name))
+			p.env.Send(name, protocol.FeatureLevelAnnouncement(name))
 			p.env.Send(name, status)
 		}
 	}
@@ -279,10 +279,10 @@
 // Due tells when the peers are to hear of this controller, and when store-relayed messages
 // may be written.
 func (p *Peers) Due(by func(time.Time)) {
-	by(p.heartbeatAt)
-	for _, name := range p.order {
-		if box := &p.peers[name].outbox; len(box.frames) > 0 && !box.sending {
-			by(box.sendAt)
+	by(p.nextHeartbeatAt)
+	for _, name := range p.configOrder {
+		if box := &p.peers[name].outbox; len(box.frames) > 0 && !box.writing {
+			by(box.nextWriteAt)
 		}
 	}
 }
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -16,9 +16,9 @@
 // which belongs to no zone: the last resort when a cut leaves no path over the
 // controllers' own links. A zone that is cut off so keeps its leader.
 type outbox struct {
-	frames  []byte
-	sending bool
-	sendAt  time.Time
+	frames      []byte
+	writing     bool
+	nextWriteAt time.Time
 }
 
 // relay queues a message for a peer that no link leads to.
@@ -38,17 +38,17 @@
 // WriteRelayed writes the store-relayed messages that wait, a value for each peer.
 func (p *Peers) WriteRelayed() {
 	now := p.env.Now()
-	for _, name := range p.order {
+	for _, name := range p.configOrder {
 		box := &p.peers[name].outbox
-		if len(box.frames) == 0 || box.sending || now.Before(box.sendAt) || !p.env.TakeRelayWrite() {
+		if len(box.frames) == 0 || box.writing || now.Before(box.nextWriteAt) || !p.env.TakeRelayWrite() {
 			continue
 		}
 		txn := protocol.Transaction{Changes: []protocol.Change{{Set: storage.RelayKey(p.cfg.Name, name),
 			Value: storage.Encode(storage.RelayedFrames{Writer: p.env.UniqueName(), Frames: box.frames})}}}
-		box.frames, box.sending = nil, true
-		box.sendAt = now.Add(tuning.RelayWriteInterval)
+		box.frames, box.writing = nil, true
+		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.sending = false // what was lost is sent again by whoever misses it
+			box.writing = false // what was lost is sent again by whoever misses it
 		})
 	}
 }
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -18,7 +18,7 @@
 func (pe peerEnvironment) Now() time.Time { return pe.n.now }
 
 // UniqueName implements membership.Environment.
-func (pe peerEnvironment) UniqueName() string { return pe.n.unique() }
+func (pe peerEnvironment) UniqueName() string { return pe.n.uniqueName() }
 
 // Send implements membership.Environment.
 func (pe peerEnvironment) Send(peer protocol.NodeName, message protocol.PeerMessage) {
@@ -27,11 +27,11 @@
 
 // ResetLink implements membership.Environment.
 func (pe peerEnvironment) ResetLink(peer protocol.NodeName) {
-	pe.n.out = append(pe.n.out, PeerReset{Peer: peer})
+	pe.n.out = append(pe.n.out, PeerLinkReset{Peer: peer})
 }
 
 // StoreServedAt implements membership.Environment.
-func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeContact.servedAt }
+func (pe peerEnvironment) StoreServedAt() time.Time { return pe.n.storeAccess.lastServedAt }
 
 // TakeRelayWrite implements membership.Environment.
 func (pe peerEnvironment) TakeRelayWrite() bool { return pe.n.budgets.takeRelayWrite(pe.n.now) }
@@ -52,7 +52,7 @@
 func (ls leadership) Now() time.Time { return ls.n.now }
 
 // Leading implements membership.Leadership.
-func (ls leadership) Leading() bool { return ls.n.lead != nil }
+func (ls leadership) Leading() bool { return ls.n.ownLeader != nil }
 
 // Holder implements membership.Leadership.
 func (ls leadership) Holder() protocol.NodeName { return ls.n.election.Holder() }
@@ -61,7 +61,7 @@
 func (ls leadership) HolderTerm() protocol.Term { return ls.n.election.HolderTerm() }
 
 // DirectShare implements membership.Leadership.
-func (ls leadership) DirectShare() uint64 { return ls.n.lead.directShare() }
+func (ls leadership) DirectShare() uint64 { return ls.n.ownLeader.directShare() }
 
 // RecordsLoaded implements membership.Leadership.
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
@@ -81,8 +81,8 @@
 	}
 	fleet := float64(len(l.cluster.OrderedMachines))
 	// A fleet about as large as the limit must not come and go.
-	l.proxying = fleet > most || l.proxying && fleet > most*tuning.DirectResumeShare
-	if !l.proxying {
+	l.usingProxies = fleet > most || l.usingProxies && fleet > most*tuning.DirectResumeShare
+	if !l.usingProxies {
 		return tuning.DirectShareScale
 	}
 	// In steps, so that few agents change their proxy as the fleet grows.
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -9,23 +9,23 @@
 
 // Metrics are the node's counters, read after a step.
 type Metrics struct {
-	Term                                                          protocol.Term
-	Commits, CommitConflicts, Sheds, Repairs, Preemptions, Starts uint64
-	Machines, Waiting                                             int
-	CommitSeconds, WaitSeconds                                    []float64 // since the last step
-	Now                                                           time.Time
-	Recovery                                                      reconcile.Summary // of this leader's failover
+	Term                                                                 protocol.Term
+	Commits, CommitConflicts, ShedRequests, Repairs, Preemptions, Starts uint64
+	Machines, Waiting                                                    int
+	CommitSeconds, StartWaitSeconds                                      []float64 // since the last step
+	Now                                                                  time.Time
+	Recovery                                                             reconcile.Summary // of this leader's failover
 }
 
 // TakeMetrics returns the counters and forgets the observations.
 func (n *Node) TakeMetrics() Metrics {
 	m := n.metrics
-	m.Sheds = n.api.Shed()
-	n.metrics.CommitSeconds, n.metrics.WaitSeconds = nil, nil
-	if n.lead != nil {
-		m.Machines, m.Waiting = len(n.lead.cluster.Machines), n.lead.scheduler.Waiting()
+	m.ShedRequests = n.api.Shed()
+	n.metrics.CommitSeconds, n.metrics.StartWaitSeconds = nil, nil
+	if n.ownLeader != nil {
+		m.Machines, m.Waiting = len(n.ownLeader.cluster.Machines), n.ownLeader.scheduler.Waiting()
 		m.Term = n.election.Term()
-		m.Now, m.Recovery = n.now, n.lead.recovery.Summary()
+		m.Now, m.Recovery = n.now, n.ownLeader.recovery.Summary()
 	}
 	return m
 }
--- a/internal/coordination/mirror_environment.go
+++ b/internal/coordination/mirror_environment.go
@@ -16,7 +16,7 @@
 func (me mirrorEnvironment) Now() time.Time { return me.n.now }
 
 // Leading implements mirror.Environment.
-func (me mirrorEnvironment) Leading() bool { return me.n.lead != nil }
+func (me mirrorEnvironment) Leading() bool { return me.n.ownLeader != nil }
 
 // LeaseCondition implements mirror.Environment.
 func (me mirrorEnvironment) LeaseCondition() protocol.Condition { return me.n.election.Condition() }
@@ -52,8 +52,8 @@
 		n.election.ObserveRelease()
 	case membership.IsRelayKey(key):
 		n.peers.ReceiveRelayed(event)
-	case n.lead != nil:
-		n.lead.loader.ObserveChange(event)
+	case n.ownLeader != nil:
+		n.ownLeader.loader.ObserveChange(event)
 	}
 }
 
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -29,7 +29,7 @@
 	rng  *rand.Rand
 	boot string
 
-	began time.Time // of this life
+	startedAt time.Time // of this life
 
 	now     time.Time
 	out     []Action
@@ -41,15 +41,15 @@
 	store        kv.Client
 	mirror       *mirror.Mirror
 	machineTypes machineTypes
-	storeContact storeContact
+	storeAccess  storeAccess
 	storeLimits  *commit.KnownLimits
 
 	api *api.Service
 
 	timers []timer
 
-	election *election.Election
-	lead     *leader
+	election  *election.Election
+	ownLeader *leader
 
 	peers     *membership.Peers
 	forwarder *membership.Forwarder
@@ -82,16 +82,16 @@
 }
 
 // mayAct says whether the node may command agents and write records now.
-func (n *Node) mayAct() bool { return n.lead != nil && n.election.MayAct() }
+func (n *Node) mayAct() bool { return n.ownLeader != nil && n.election.MayAct() }
 
 // Leading says whether the node leads.
-func (n *Node) Leading() bool { return n.lead != nil }
+func (n *Node) Leading() bool { return n.ownLeader != nil }
 
 // Step takes events and the present time and returns what is to be done.
 func (n *Node) Step(now time.Time, events []Event) []Action {
 	gap := now.Sub(n.now)
 	if n.now.IsZero() {
-		gap, n.began = 0, now
+		gap, n.startedAt = 0, now
 	}
 	n.now, n.out = now, nil
 	if gap >= tuning.ProcessPauseThreshold {
@@ -112,23 +112,23 @@
 			done(e.Status, e.Body)
 		}
 	case Submit:
-		if !n.forwardIfUnserved(e.ID, submission(e.Job)) {
+		if !n.forwardIfStoreUnavailable(e.ID, submissionRequest(e.Job)) {
 			n.api.Submit(e.ID, e.Job)
 		}
 	case StatusQuery:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbQuery, Job: e.Job}) {
+		if !n.forwardIfStoreUnavailable(e.ID, protocol.PeerUserRequest{Operation: operationQuery, Job: e.Job}) {
 			n.api.Query(e.ID, e.Job)
 		}
 	case Cancel:
-		if !n.forwardIfUnserved(e.ID, protocol.PeerUserRequest{Operation: verbCancel, Job: e.Job}) {
+		if !n.forwardIfStoreUnavailable(e.ID, protocol.PeerUserRequest{Operation: operationCancel, Job: e.Job}) {
 			n.api.Cancel(e.ID, e.Job)
 		}
 	case AgentHeartbeat:
 		n.router.Route(e.ID, e.Heartbeat)
-	case PeerUp:
-		n.peers.Up(e.Peer)
-	case PeerDown:
-		n.peers.Down(e.Peer)
+	case PeerLinkUp:
+		n.peers.LinkUp(e.Peer)
+	case PeerLinkDown:
+		n.peers.LinkDown(e.Peer)
 	case PeerReceive:
 		n.receive(e.Peer, e.Link, e.Message)
 	}
@@ -143,10 +143,10 @@
 	n.tickPeers()
 	n.peers.WriteRelayed()
 	if n.mayAct() {
-		n.lead.tick()
+		n.ownLeader.tick()
 	}
 	n.api.CheckQueries()
-	if n.lead == nil && n.election.MayStartLeading() {
+	if n.ownLeader == nil && n.election.MayStartLeading() {
 		n.startLeading() // at the end: what it leads to is done in the next step
 	}
 }
@@ -158,18 +158,18 @@
 	if !n.mirror.Ready() || len(n.machineTypes.byName) == 0 {
 		return false
 	}
-	if n.storeContact.servedWithin(n.now, tuning.IsolationTimeout) {
+	if n.storeAccess.servedWithin(n.now, tuning.IsolationTimeout) {
 		return true
 	}
-	if len(n.peers.ServedNames()) > 0 {
+	if len(n.peers.NamesWithStoreAccess()) > 0 {
 		return false
 	}
 	// Cut off from everybody: users should go elsewhere.
 	return n.peers.Count() == 0 || len(n.peers.ReachableNames()) > 0
 }
 
-// unique makes a string that no other write, rental or process uses.
-func (n *Node) unique() string {
+// uniqueName makes a string that no other write, rental or process uses.
+func (n *Node) uniqueName() string {
 	n.nextID++
 	return n.boot + "-" + strconv.FormatUint(n.nextID, 36)
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -9,20 +9,20 @@
 
 // What a user's forwarded request asks for.
 const (
-	verbSubmit = "submit"
-	verbQuery  = "query"
-	verbCancel = "cancel"
+	operationSubmit = "submit"
+	operationQuery  = "query"
+	operationCancel = "cancel"
 )
 
-// submission is a submission on its way to a peer.
-func submission(spec *protocol.Job) protocol.PeerUserRequest {
-	return protocol.PeerUserRequest{Operation: verbSubmit, Job: spec.ID, Body: storage.Encode(spec)}
+// submissionRequest is a submission on its way to a peer.
+func submissionRequest(spec *protocol.Job) protocol.PeerUserRequest {
+	return protocol.PeerUserRequest{Operation: operationSubmit, Job: spec.ID, Body: storage.Encode(spec)}
 }
 
-// forwardIfUnserved sends a user's request on to a peer that the store serves while it does
+// forwardIfStoreUnavailable sends a user's request on to a peer that the store serves while it does
 // not serve this node.
-func (n *Node) forwardIfUnserved(requestID uint64, request protocol.PeerUserRequest) bool {
-	return !n.storeContact.servedWithin(n.now, tuning.MaxStoreServedAge) && n.forwarder.ForwardRequest(requestID, request)
+func (n *Node) forwardIfStoreUnavailable(requestID uint64, request protocol.PeerUserRequest) bool {
+	return !n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge) && n.forwarder.ForwardRequest(requestID, request)
 }
 
 // tickPeers handles what waits for other controllers, and tells them this node's status.
@@ -35,10 +35,10 @@
 	if !n.peers.HeartbeatDue() {
 		return
 	}
-	n.router.ForgetContacts()
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeContact.servedWithin(n.now, tuning.MaxStoreServedAge)}
-	if n.lead != nil {
-		status.DirectShare = n.lead.directShare()
+	n.router.PruneContacts()
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), HasStoreAccess: n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge)}
+	if n.ownLeader != nil {
+		status.DirectShare = n.ownLeader.directShare()
 	}
 	n.peers.SendHeartbeats(status)
 }
@@ -49,8 +49,8 @@
 		return
 	}
 	switch message := message.(type) {
-	case protocol.PeerConfirmRequest:
-		answer := n.election.Confirm(message, n.now.Sub(n.began), n.api.ConfirmedCancellations())
+	case protocol.PeerConfirmationRequest:
+		answer := n.election.Confirm(message, n.now.Sub(n.startedAt), n.api.ConfirmedCancellations())
 		n.out = append(n.out, PeerSend{Peer: from, Message: answer})
 	case protocol.PeerConfirmation:
 		n.election.ReceiveConfirmation(from, message)
@@ -65,43 +65,43 @@
 	case protocol.PeerForwardedHeartbeat:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
-		reply := n.takeHeartbeat(m.Heartbeat)
+		reply := n.respondToHeartbeat(m.Heartbeat)
 		n.peers.Send(m.Origin, protocol.PeerResponse{ID: m.ID, Target: m.Origin, Status: uint64(reply.status), Body: reply.body})
 	case protocol.PeerUserRequest:
-		n.handleForwarded(m)
+		n.handleForwardedRequest(m)
 	case protocol.PeerAgentCall:
-		n.callFor(m)
+		n.callAgentFor(m)
 	case protocol.PeerCancellation:
-		if n.lead != nil {
-			n.lead.cancelFromPeer(m.Job)
+		if n.ownLeader != nil {
+			n.ownLeader.cancelByID(m.Job)
 		}
 	case protocol.PeerResponse:
 		if m.Target != n.cfg.Name {
 			m.Hops++
-			n.peers.PassAlong(m.Target, m.Hops, m)
+			n.peers.ForwardMessage(m.Target, m.Hops, m)
 			return
 		}
 		n.forwarder.HandleResponse(m)
 	}
 }
 
-// handleForwarded answers a user's request that a peer sent on.
-func (n *Node) handleForwarded(request protocol.PeerUserRequest) {
+// handleForwardedRequest answers a user's request that a peer sent on.
+func (n *Node) handleForwardedRequest(request protocol.PeerUserRequest) {
 	id := n.forwarder.ReceiveRequest(request)
 	switch request.Operation {
-	case verbSubmit:
+	case operationSubmit:
 		spec, err := protocol.ParseJob(request.Body)
 		if err != nil {
 			userReplies{n}.Malformed(id, err.Error())
 			return
 		}
 		n.api.Submit(id, spec)
-	case verbQuery:
+	case operationQuery:
 		n.api.Query(id, request.Job)
-	case verbCancel:
+	case operationCancel:
 		n.api.Cancel(id, request.Job)
 	default:
 		userReplies{n}.Unavailable(id, "unknown request")
@@ -111,40 +111,40 @@
 // announceCancellation tells the leader of a cancellation that is in the records, so that
 // it need not wait for its watch, or for the store to serve it again.
 func (n *Node) announceCancellation(jobID protocol.JobID) {
-	if n.lead != nil {
-		n.lead.cancelFromPeer(jobID)
+	if n.ownLeader != nil {
+		n.ownLeader.cancelByID(jobID)
 		return
 	}
-	if to := n.election.Holder(); n.peers.Knows(to, protocol.PeerKnowsCancelled) {
+	if to := n.election.Holder(); n.peers.Supports(to, protocol.FeatureLevelCancellations) {
 		n.out = append(n.out, PeerSend{Peer: to, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
 
-// takeHeartbeat is the leader's answer to a heartbeat, forwarded or not.
-func (n *Node) takeHeartbeat(heartbeat *protocol.Heartbeat) heartbeatReply {
-	result := n.answerHeartbeat(heartbeat)
+// respondToHeartbeat is the leader's answer to a heartbeat, forwarded or not.
+func (n *Node) respondToHeartbeat(heartbeat *protocol.Heartbeat) heartbeatReply {
+	result := n.processHeartbeat(heartbeat)
 	switch result.Outcome {
 	case agents.Accepted:
-		return heartbeatAnswer(protocol.HeartbeatResponse{FencingToken: result.FencingToken, Commands: result.Commands})
+		return acceptedHeartbeat(protocol.HeartbeatResponse{FencingToken: result.FencingToken, Commands: result.Commands})
 	case agents.Stale:
-		return heartbeatRefusal("an older report")
+		return refusedHeartbeat("an older report")
 	case agents.HigherToken:
-		return heartbeatRefusal("a higher token than this leader's")
+		return refusedHeartbeat("a higher token than this leader's")
 	case agents.LeadershipUnconfirmed:
-		return heartbeatRefusal("not sure to lead")
+		return refusedHeartbeat("not sure to lead")
 	}
-	return heartbeatRedirect("")
+	return redirectedHeartbeat("")
 }
 
-// answerHeartbeat takes a heartbeat if this node leads.
-func (n *Node) answerHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
+// processHeartbeat takes a heartbeat if this node leads.
+func (n *Node) processHeartbeat(heartbeat *protocol.Heartbeat) agents.HeartbeatResult {
 	switch {
-	case n.lead == nil || !n.election.HasAuthority():
+	case n.ownLeader == nil || !n.election.HasAuthority():
 		return agents.HeartbeatResult{Outcome: agents.NotLeading}
-	case n.lead.agents.Heartbeats.RefuseHigherToken(heartbeat):
+	case n.ownLeader.agents.Heartbeats.RefuseHigherToken(heartbeat):
 		return agents.HeartbeatResult{Outcome: agents.HigherToken}
 	case !n.election.LeaseConfirmed():
 		return agents.HeartbeatResult{Outcome: agents.LeadershipUnconfirmed}
 	}
-	return n.lead.agents.Heartbeats.Accept(heartbeat)
+	return n.ownLeader.agents.Heartbeats.Accept(heartbeat)
 }
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -15,12 +15,12 @@
 
 // connect makes a link to a peer that says so of itself.
 func (n *Node) connect(name protocol.NodeName, status protocol.PeerStatus) {
-	n.peers.Up(name)
+	n.peers.LinkUp(name)
 	n.peers.Receive(name, 1, status)
 }
 
-// connectNewPeers adds two peers that are linked to each other and to the node.
-func (n *Node) connectNewPeers() {
+// connectTwoPeers adds two peers that are linked to each other and to the node.
+func (n *Node) connectTwoPeers() {
 	n.cfg.Peers = []config.Peer{{Name: "o"}, {Name: "p"}}
 	for _, s := range n.cfg.Peers {
 		n.peers.Add(s.Name)
@@ -28,9 +28,9 @@
 	}
 }
 
-// follower is one of three nodes, each linked to the others, while "a" leads
+// connectedFollower is one of three nodes, each linked to the others, while "a" leads
 // and keeps so many of a thousand agents.
-func follower(name protocol.NodeName, keeps uint64) *Node {
+func connectedFollower(name protocol.NodeName, keeps uint64) *Node {
 	cfg := &config.Config{Name: name, Operator: tuning.Defaults()}
 	for _, s := range []protocol.NodeName{"a", "b", "c"} {
 		if s != name {
@@ -82,7 +82,7 @@
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		n := l.n
 		n.cfg.Cluster.Process.Cores = cores
-		n.connectNewPeers()
+		n.connectTwoPeers()
 		for i := range 300 {
 			l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 		}
@@ -110,7 +110,7 @@
 // next leader instead of going round the nodes, but not for longer than an agent
 // waits.
 func TestHeartbeatsAreAnsweredByNextLeader(t *testing.T) {
-	b := follower("b", 0)
+	b := connectedFollower("b", 0)
 	b.election.ObserveRelease()
 	// A node that has just started takes a peer's confirmation.
 	if got := heartbeatOutcome(b, "i-1"); got != "a" {
@@ -157,7 +157,7 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
 	n.cfg.Cluster.Process.Cores = 0.001
-	n.connectNewPeers()
+	n.connectTwoPeers()
 	for i := range 60 {
 		l.testMachine(protocol.MachineID(fmt.Sprintf("i-%06d", i)), "big", "a")
 	}
@@ -192,12 +192,12 @@
 	if a, _ := send(probe); a.(Request).To != ToAgent {
 		t.Errorf("a probe leaves as %+v", a)
 	}
-	n.peers.Down("p")
+	n.peers.LinkDown("p")
 	if a, _ := send(commands); a.(Request).To != ToAgent {
 		t.Errorf("with a link missing commands leave as %+v", a)
 	}
 	// The peer's part.
-	b := follower("b", 0)
+	b := connectedFollower("b", 0)
 	b.out = nil
 	b.deliver(protocol.PeerAgentCall{ID: 5, Origin: "a", Address: "h:1", Body: []byte(`{"x":1}`)})
 	r := b.out[0].(Request)
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,10 +9,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestNotReceiving: an agent whose heartbeats go on coming, but never show what the
+// TestUnresponsiveAgentIsDeletedDespiteHeartbeats: an agent whose heartbeats go on coming, but never show what the
 // answers told it, takes no new work; one that does not answer calls either is
 // returned, which proves its tasks gone. One that answers a call is kept.
-func TestNotReceiving(t *testing.T) {
+func TestUnresponsiveAgentIsDeletedDespiteHeartbeats(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		machine := l.testMachine("i-1", "big", "a")
@@ -28,7 +28,7 @@
 		}
 		for range 100 {
 			l.n.now = l.n.now.Add(tuning.MachineSweepInterval)
-			l.n.keepAuthority()
+			l.n.renewAuthority()
 			machine.Agent.LastHeartbeat, machine.Agent.RespondedAt = l.n.now, l.n.now
 			l.n.out = nil
 			l.agents.Liveness.Tick()
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -10,26 +10,26 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// placed is a job's record with tasks placed as given.
-func (l *leader) placed(tasks ...storage.Task) *cluster.Job {
+// addJobWithTasks is a job's record with tasks placed as given.
+func (l *leader) addJobWithTasks(tasks ...storage.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
-	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
+	return l.loader.AddJob(&storage.Job{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), SubmissionRevision: 5, TasksPerBaseRecord: 60, Tasks: tasks}, 9)
 }
 
-// TestRecordPlacesTwice: a damaged record that names an attempt twice, or a task in two
+// TestRecordWithDuplicatePlacements: a damaged record that names an attempt twice, or a task in two
 // places, keeps its job alive: each attempt counts once, and once all are proven gone the
 // task is placed again. An attempt that counted twice once held its task for ever.
-func TestRecordPlacesTwice(t *testing.T) {
+func TestRecordWithDuplicatePlacements(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	machine, other := l.testMachine("i-1", "big", "a"), l.testMachine("i-2", "big", "a")
 	twice := storage.Task{Index: 0, Attempt: 3, Machine: machine.ID, Incarnation: 1}
-	job := l.placed(twice, twice, storage.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, storage.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
+	job := l.addJobWithTasks(twice, twice, storage.Task{Index: 0, Attempt: 2, Machine: other.ID, Incarnation: 1}, storage.Task{Index: 7, Attempt: 1, Machine: machine.ID, Incarnation: 1})
 	if n := job.Tasks[0].LiveAttempts; n != 2 || job.Tasks[0].Active.Machine != machine {
 		t.Errorf("%d attempts", n)
 	}
 	running := protocol.TaskStatus{Task: "run-000077/0", Attempt: 2, State: protocol.TaskRunning}
-	if got := ops(l.testHeartbeat(other, l.n.election.Term(), running)); got != "halt " {
+	if got := commandKinds(l.testHeartbeat(other, l.n.election.Term(), running)); got != "halt " {
 		t.Errorf("the older of two places is ordered %q", got)
 	}
 	l.testHeartbeat(machine, l.n.election.Term())
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestNothingStoppedBesideAwaitedCapacity: in a recovery nothing is stopped to make space for a
+// TestNoPreemptionWhileMachinesMayStillReport: in a recovery nothing is stopped to make space for a
 // job that fits machines which have yet to report, until they could have. A cold restart
 // of four thousand machines once stopped two hundred tasks beside a thousand free GPUs.
-func TestNothingStoppedBesideAwaitedCapacity(t *testing.T) {
+func TestNoPreemptionWhileMachinesMayStillReport(t *testing.T) {
 	for _, enabled := range []bool{true, false} {
 		l := testLeader(time.Unix(1_800_000_000, 0))
 		l.n.cfg.Operator.RecoveryPhase = enabled
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -8,7 +8,7 @@
 // beginRecovery begins to follow the recovery, when all records are read: what is found
 // and ordered until every agent that the records name is known or its lease has expired.
 func (l *leader) beginRecovery() {
-	if !l.n.cfg.Operator.RecoveryPhase && !l.restored.HasMarker() {
+	if !l.n.cfg.Operator.RecoveryPhase && !l.restoreMonitor.HasMarker() {
 		return
 	}
 	expiry := l.agents.UnansweredLeaseExpiresAt().Add(tuning.MachineSweepInterval)
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -69,18 +69,18 @@
 	body   []byte
 }
 
-// heartbeatAnswer is the leader's answer with commands.
-func heartbeatAnswer(answer protocol.HeartbeatResponse) heartbeatReply {
+// acceptedHeartbeat is the leader's answer with commands.
+func acceptedHeartbeat(answer protocol.HeartbeatResponse) heartbeatReply {
 	return heartbeatReply{http.StatusOK, storage.Encode(answer)}
 }
 
-// heartbeatRedirect sends an agent to another controller; to whichever it likes if that is "".
-func heartbeatRedirect(to protocol.NodeName) heartbeatReply {
+// redirectedHeartbeat sends an agent to another controller; to whichever it likes if that is "".
+func redirectedHeartbeat(to protocol.NodeName) heartbeatReply {
 	return heartbeatReply{http.StatusMisdirectedRequest, storage.Encode(protocol.Redirect{Target: to})}
 }
 
-// heartbeatRefusal tells an agent that its heartbeat has no effect; it sends another.
-func heartbeatRefusal(reason string) heartbeatReply {
+// refusedHeartbeat tells an agent that its heartbeat has no effect; it sends another.
+func refusedHeartbeat(reason string) heartbeatReply {
 	return heartbeatReply{http.StatusServiceUnavailable, storage.Encode(protocol.ErrorBody{Error: reason})}
 }
 
@@ -89,17 +89,17 @@
 
 // Answer implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Answer(requestID uint64, heartbeat *protocol.Heartbeat) {
-	hr.reply(requestID, hr.n.takeHeartbeat(heartbeat))
+	hr.reply(requestID, hr.n.respondToHeartbeat(heartbeat))
 }
 
 // Redirect implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Redirect(requestID uint64, to protocol.NodeName) {
-	hr.reply(requestID, heartbeatRedirect(to))
+	hr.reply(requestID, redirectedHeartbeat(to))
 }
 
 // Refuse implements membership.HeartbeatReplies.
 func (hr heartbeatReplies) Refuse(requestID uint64, reason string) {
-	hr.reply(requestID, heartbeatRefusal(reason))
+	hr.reply(requestID, refusedHeartbeat(reason))
 }
 
 func (hr heartbeatReplies) reply(requestID uint64, reply heartbeatReply) {
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -48,7 +48,7 @@
 func preferableToFetch(job *cluster.Job, plan preemptionPlan, fetchSeconds float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
-			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.SaveS > fetchSeconds*tuning.MaxImageLocalSaveShare {
+			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.CheckpointSaveS > fetchSeconds*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
--- a/internal/coordination/scheduler_environment.go
+++ b/internal/coordination/scheduler_environment.go
@@ -7,7 +7,7 @@
 
 // StartsWithheld implements scheduler.Environment.
 func (se schedulerEnvironment) StartsWithheld(job *cluster.Job) bool {
-	return se.l.restored.WithholdsStarts(job)
+	return se.l.restoreMonitor.WithholdsStarts(job)
 }
 
 // AwaitsRecordSplit implements scheduler.Environment.
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -12,10 +12,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// lowering is a leader whose state service will lower its limits, with a peer
+// leaderBeforeLoweredLimits is a leader whose state service will lower its limits, with a peer
 // that has yet to say what it knows, and a job of an earlier version whose record
 // has outgrown the new limits.
-func lowering(t *testing.T) (*leader, *cluster.Job) {
+func leaderBeforeLoweredLimits(t *testing.T) (*leader, *cluster.Job) {
 	t.Helper()
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
@@ -25,7 +25,7 @@
 	n.peers.Add("s")
 	n.peers.Receive("s", 1, protocol.PeerHello{Node: "s"})
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
+	rec := &storage.Job{Spec: &s, SubmittedAtMs: n.now.UnixMilli(), SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range s.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
@@ -36,15 +36,15 @@
 	return l, l.loader.AddJob(rec, 9)
 }
 
-// commitLater sends what there is to write after a while.
-func (l *leader) commitLater(d time.Duration) {
+// commitAfter sends what there is to write after a while.
+func (l *leader) commitAfter(d time.Duration) {
 	l.n.now = l.n.now.Add(d)
-	l.n.keepAuthority()
+	l.n.renewAuthority()
 	l.committer.Commit()
 }
 
-// sentTxn is the transaction that the leader sent last.
-func (l *leader) sentTxn(t *testing.T) (protocol.Transaction, Request) {
+// lastTransaction is the transaction that the leader sent last.
+func (l *leader) lastTransaction(t *testing.T) (protocol.Transaction, Request) {
 	t.Helper()
 	r := l.n.lastRequest(t, ToStore)
 	var txn protocol.Transaction
@@ -54,30 +54,30 @@
 	return txn, r
 }
 
-// TestRejectionShowsLoweredLimits: a state service that refuses a value has lowered its limits,
+// TestRejectedRecordIsSplit: a state service that refuses a value has lowered its limits,
 // which it does only once all controllers have the new version: the record is split
 // and not sent again as it was, whatever the leader has heard of a peer that is down.
 // While one is up that may be of version 0.2, which would delete the parts, the record
 // waits, and is not sent again either.
-func TestRejectionShowsLoweredLimits(t *testing.T) {
+func TestRejectedRecordIsSplit(t *testing.T) {
 	for _, up := range []bool{false, true} {
-		l, job := lowering(t)
+		l, job := leaderBeforeLoweredLimits(t)
 		if up {
-			l.n.peers.Up("s")
+			l.n.peers.LinkUp("s")
 		}
 		l.committer.MarkDirty(job, 0)
-		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
-		_, r := l.sentTxn(t)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
+		_, r := l.lastTransaction(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
-		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
 				t.Error("sent again beside a peer that may be of version 0.2")
 			}
-			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
-			l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
+			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.FeatureLevelAnnouncement("n")})
+			l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		}
-		if txn, _ := l.sentTxn(t); len(txn.Changes) < 2 {
+		if txn, _ := l.lastTransaction(t); len(txn.Changes) < 2 {
 			t.Errorf("up %v: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
 		}
 	}
@@ -89,8 +89,8 @@
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	l.n.budgets.writes.SetLimit(1)
 	machine := l.testMachine(hostName, "big", "a")
-	l.writeForTest(machine)
-	_, r := l.sentTxn(t)
+	l.commitMachineRecord(machine)
+	_, r := l.lastTransaction(t)
 	l.n.handle(Response{ID: r.ID, Status: 429})
 	if tokens := l.n.budgets.writes.TokensAt(l.n.now); tokens >= 1 {
 		t.Errorf("%v writes are left", tokens)
@@ -108,8 +108,8 @@
 	}
 }
 
-// writeForTest has a machine's record written.
-func (l *leader) writeForTest(machine *cluster.Machine) {
+// commitMachineRecord has a machine's record written.
+func (l *leader) commitMachineRecord(machine *cluster.Machine) {
 	l.committer.Machines.Record(machine)
-	l.commitLater(time.Second)
+	l.commitAfter(time.Second)
 }
--- a/internal/coordination/unreadable_test.go
+++ b/internal/coordination/unreadable_test.go
@@ -13,11 +13,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestUnreadableRecords: a job of which a record cannot be read, because a later
+// TestJobWithUnreadableRecordIsLeftAlone: a job of which a record cannot be read, because a later
 // version wrote it or because it is damaged, is left alone: nothing of it is written
 // or deleted, its tasks run on and are not started again, their machine is kept, and
 // other jobs are served. One whose own record can be read may still be cancelled.
-func TestUnreadableRecords(t *testing.T) {
+func TestJobWithUnreadableRecordIsLeftAlone(t *testing.T) {
 	for name, spoil := range map[string]func(s *storedRecords, key, part string){
 		"later version": func(s *storedRecords, key, _ string) {
 			e := s.entries[key]
@@ -31,14 +31,14 @@
 			s.entries[part] = protocol.Entry{Key: part, Value: json.RawMessage(`{"w":"w-1","tasks":7}`), Revision: 9}
 		},
 	} {
-		rec := wideJob(protocol.ShapeGang)
-		rec.RecordTasks, rec.Tasks = 49, rec.Tasks[:49]
-		s := stored(rec)
+		rec := jobWithLargeSpec(protocol.ShapeGang)
+		rec.TasksPerBaseRecord, rec.Tasks = 49, rec.Tasks[:49]
+		s := storeWith(rec)
 		key, part := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
 		s.entries[part] = protocol.Entry{Key: part, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
-			Tasks: wideJob(protocol.ShapeGang).Tasks[49:]})}
+			Tasks: jobWithLargeSpec(protocol.ShapeGang).Tasks[49:]})}
 		spoil(s, key, part)
-		l := s.leader(protocol.PeerLevel)
+		l := s.leader(protocol.CurrentFeatureLevel)
 		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
@@ -51,7 +51,7 @@
 			}
 			l.runSchedulingCycle()
 			l.autoscaler.Tick()
-			if txn, _ := l.nextTxn(t); txn != nil {
+			if txn, _ := l.nextTransaction(t); txn != nil {
 				for _, c := range txn.Changes {
 					if strings.Contains(c.Set+c.Delete, string(rec.Spec.ID)) {
 						t.Fatalf("%s: %s%s is changed", name, c.Set, c.Delete)
@@ -68,7 +68,7 @@
 		}
 		if job != nil {
 			l.cancelJob(job)
-			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(ops(cmds), "halt ") {
+			if cmds := l.testHeartbeat(machine, l.n.election.Term(), tasks...); len(cmds) < 49 || !strings.HasPrefix(commandKinds(cmds), "halt ") {
 				t.Errorf("%s: cancelled, and %d orders", name, len(cmds))
 			}
 		}
@@ -90,8 +90,8 @@
 	n.cfg.Cluster.Store = config.StoreLimits{RPS: 80, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	n.budgets = newStoreBudgets(n.cfg)
 	n.peers.Add("s")
-	n.peers.Up("s")
-	announcement := protocol.Announcement("n").(protocol.PeerResponse)
+	n.peers.LinkUp("s")
+	announcement := protocol.FeatureLevelAnnouncement("n").(protocol.PeerResponse)
 	announcement.Status = level
 	n.peers.Receive("s", 1, announcement)
 	page := protocol.Entries{Revision: s.revision}
@@ -101,18 +101,18 @@
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&page)
 	n.startLeading()
-	return n.lead
+	return n.ownLeader
 }
 
 // hostName is the name of the machine that has all tasks; a long one, so that a record
 // of 98 tasks needs many parts.
 var hostName = protocol.MachineID("i-" + strings.Repeat("0", 80) + "231")
 
-// wideJob is a job whose description leaves space for few tasks in its first record.
-func wideJob(shape protocol.Shape) *storage.Job {
+// jobWithLargeSpec is a job whose description leaves space for few tasks in its first record.
+func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	rec := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	rec := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -123,7 +123,7 @@
 	return rec
 }
 
-func stored(rec *storage.Job) *storedRecords {
+func storeWith(rec *storage.Job) *storedRecords {
 	s := &storedRecords{entries: map[string]protocol.Entry{}, revision: 9}
 	s.entries[storage.JobKey(rec.Spec.ID)] = protocol.Entry{Key: storage.JobKey(rec.Spec.ID), Value: storage.Encode(rec), Revision: 9}
 	machines := storage.MachineRecord{Writer: "w-2", Machines: []storage.MachineEntry{{ID: hostName, Address: "h:1", Type: "big", Zone: "a"}}}
@@ -131,13 +131,13 @@
 	return s
 }
 
-// nextTxn lets a leader commit and returns what is under way then, nil if that is
+// nextTransaction lets a leader commit and returns what is under way then, nil if that is
 // nothing.
-func (l *leader) nextTxn(t *testing.T) (*protocol.Transaction, Request) {
+func (l *leader) nextTransaction(t *testing.T) (*protocol.Transaction, Request) {
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitLater(tuning.MaxCompletionWriteDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil, Request{}
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestUnrunnableSubmissionIsRefusedOnceAllIsKnown: before a node knows the machine types, or
+// TestSubmissionIsOnlyJudgedOnceAllIsKnown: before a node knows the machine types, or
 // has read the records, it says that it cannot tell yet whether a job can run.
-func TestUnrunnableSubmissionIsRefusedOnceAllIsKnown(t *testing.T) {
+func TestSubmissionIsOnlyJudgedOnceAllIsKnown(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	base := gangOf(2, 1)
 	base.ID, base.Priority = "run-000001", "normal"
@@ -32,14 +32,14 @@
 	}
 	// With the types known too, only a job that nobody knows is refused.
 	n.machineTypes.byName["big"] = &bigType
-	n.storeContact.servedAt = n.now
+	n.storeAccess.lastServedAt = n.now
 	n.out = nil
 	n.api.Submit(8, &bad)
 	for _, status := range []int{404, 200} {
 		read := n.lastRequest(t, ToStore)
 		body := []byte(nil)
 		if status == 200 {
-			body = storage.Encode(protocol.Entry{Key: storage.FinalKey(bad.ID), Revision: 4, Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})})
+			body = storage.Encode(protocol.Entry{Key: storage.FinalRecordKey(bad.ID), Revision: 4, Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone})})
 		}
 		n.handle(Response{ID: read.ID, Status: status, Body: body})
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -102,9 +102,9 @@
 		if up != c.linked[o.name] {
 			c.linked[o.name] = up
 			if up {
-				c.step(coordination.PeerUp{Peer: protocol.NodeName(o.name)})
+				c.step(coordination.PeerLinkUp{Peer: protocol.NodeName(o.name)})
 			} else {
-				c.step(coordination.PeerDown{Peer: protocol.NodeName(o.name)})
+				c.step(coordination.PeerLinkDown{Peer: protocol.NodeName(o.name)})
 			}
 		}
 	}
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -52,7 +52,7 @@
 		f.add(controller, "reply", a.ID, a.Status, a.Body, a.RetryAfter)
 	case coordination.PeerSend:
 		f.add(controller, "send", string(a.Peer), protocol.AppendPeerFrame(nil, a.Message))
-	case coordination.PeerReset:
+	case coordination.PeerLinkReset:
 		f.add(controller, "reset", string(a.Peer))
 	default:
 		panic("an action that fingerprints do not know")
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -147,7 +147,7 @@
 		return 0, nil, fmt.Errorf("send request: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBody)
+	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBodyBytes)
 	if err != nil {
 		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
 	}
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -106,7 +106,7 @@
 		l.pending.deliver(a)
 	case coordination.PeerSend:
 		l.peers.send(a.Peer, a.Message)
-	case coordination.PeerReset:
+	case coordination.PeerLinkReset:
 		l.peers.reset(a.Peer)
 	}
 }
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -75,7 +75,7 @@
 			c.Add(float64(now - last))
 		}
 	}
-	add(m.sheds, now.Sheds, m.last.Sheds)
+	add(m.sheds, now.ShedRequests, m.last.ShedRequests)
 	add(m.commits, now.Commits, m.last.Commits)
 	add(m.conflicts, now.CommitConflicts, m.last.CommitConflicts)
 	add(m.repairs, now.Repairs, m.last.Repairs)
@@ -84,7 +84,7 @@
 	for _, s := range now.CommitSeconds {
 		m.commitSeconds.Observe(s)
 	}
-	for _, s := range now.WaitSeconds {
+	for _, s := range now.StartWaitSeconds {
 		m.waitSeconds.Observe(s)
 	}
 	m.recovery.take(now.Recovery, now.Now)
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -40,9 +40,9 @@
 			l.mu.Lock()
 			l.conn = conn
 			l.mu.Unlock()
-			emit(ctx, l.events, coordination.PeerUp{Peer: l.peer})
+			emit(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
 			l.serve(ctx, conn)
-			emit(ctx, l.events, coordination.PeerDown{Peer: l.peer})
+			emit(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
 		}
 		pause(ctx, tuning.PeerRedialDelay)
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -77,7 +77,7 @@
 
 // readBody reads a request's body, or answers why it does not.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.MaxBodyPreallocationBytes)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes), r.ContentLength, tuning.MaxBodyPreallocationBytes)
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
@@ -168,7 +168,7 @@
 func (s *httpServer) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
 	s.connections.closeBeyond(s.connections.keepUsers, w)
 	jobID := protocol.JobID(r.PathValue("id"))
-	if !protocol.ValidID(jobID) {
+	if !protocol.ValidJobID(jobID) {
 		refuse(w, http.StatusNotFound, "no such job")
 		return
 	}
