--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -1,9 +1,9 @@
 // Command gappond is a cluster scheduler: see README.md. Its command serve runs a
-// controller until an interrupt or SIGTERM ends it, check-config checks the settings and
-// prints those that are in force, and version prints the version.
+// controller until it receives an interrupt or SIGTERM, check-config checks the settings and
+// prints the operators' settings in force, and version prints the version.
 //
-// It ends with code 0 when all is done, 1 when a command fails, for example because a
-// setting is wrong or an address is taken, and 80 for wrong arguments.
+// It exits with code 0 on success, 1 when a command fails, for example because a
+// setting is invalid or an address is in use, and 80 for invalid arguments.
 package main
 
 import (
@@ -29,7 +29,7 @@
 // version is set by the release build.
 var version = "0.5.0"
 
-// settings are the files that a command reads.
+// settings holds the paths of the settings files that a command reads.
 type settings struct {
 	Config     string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
 	Properties string `placeholder:"FILE" env:"GAPPOND_PROPERTIES" help:"The operators' settings (Java-style properties)."`
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Run checks the settings and prints those in force.
+// Run checks the settings and prints the operators' settings in force.
 func (c checkCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
@@ -73,27 +73,27 @@
 	return nil
 }
 
-// Run runs a controller until a signal ends it.
+// Run runs a controller until a signal stops it.
 func (c serveCommand) Run() error {
 	cfg, err := config.Load(c.Config, c.Properties)
 	if err != nil {
 		return err
 	}
-	log, err := logger(os.Getenv("LOG_LEVEL"))
+	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
-	// One owner does nearly all the work, on a share of one core.
+	// One goroutine, the event loop, does nearly all the work, on a share of one core.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
 	if mb := cfg.Cluster.Process.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * tuning.GCMemoryShare * (1 << 20)))
 	}
-	seed, bootID, err := newBoot()
+	seed, bootID, err := newBootIdentity()
 	if err != nil {
 		return err
 	}
-	warnOfObjectives(log, cfg)
+	warnUnknownObjectives(log, cfg)
 	node := coordination.New(cfg, log, seed, bootID)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -101,8 +101,9 @@
 	return transport.NewOwner(cfg, log, node).Run(ctx)
 }
 
-// newBoot makes the seed of a controller's random numbers and the name of this life of it.
-func newBoot() (seed uint64, id string, err error) {
+// newBootIdentity returns a seed for a controller's random numbers and an ID of this run of the
+// process.
+func newBootIdentity() (seed uint64, id string, err error) {
 	var random [16]byte
 	if _, err := crand.Read(random[:]); err != nil {
 		return 0, "", fmt.Errorf("read random numbers: %w", err)
@@ -110,24 +111,25 @@
 	return binary.LittleEndian.Uint64(random[8:]), hex.EncodeToString(random[:8]), nil
 }
 
-// warnOfObjectives names the objectives that have no effect.
-func warnOfObjectives(log *slog.Logger, cfg *config.Config) {
+// warnUnknownObjectives logs the kinds of objectives that are ignored.
+func warnUnknownObjectives(log *slog.Logger, cfg *config.Config) {
 	if kinds := cfg.Cluster.UnknownObjectives(); len(kinds) > 0 {
 		log.Warn("objectives of unknown kinds are ignored", "kinds", kinds)
 	}
 }
 
-// logger writes to standard error, to the extent that the level gives.
-func logger(level string) (*slog.Logger, error) {
-	l := slog.LevelInfo
+// newLogger returns a logger that writes to standard error from the given level on. An empty level
+// means info.
+func newLogger(level string) (*slog.Logger, error) {
+	threshold := slog.LevelInfo
 	switch level {
 	case "", "info":
 	case "error":
-		l = slog.LevelError
+		threshold = slog.LevelError
 	case "debug":
-		l = slog.LevelDebug
+		threshold = slog.LevelDebug
 	default:
 		return nil, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", level)
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: threshold})), nil
 }
--- a/cmd/recoverybench/main.go
+++ b/cmd/recoverybench/main.go
@@ -1,10 +1,11 @@
-// Command recoverybench measures cold restarts: all controllers are lost in the middle of
-// work and come back together. It plays them on loopback, with the program as processes,
-// or on a fake clock, and makes a report of what was measured. docs/cold-restart.md says
-// what the figures mean.
+// Command recoverybench measures cold restarts, in which all controllers fail while jobs are
+// running and return together. It runs the controllers as processes on loopback, or in a
+// simulation with a fake clock, and generates a report from the measurements.
+// docs/cold-restart.md explains the figures.
 //
-// It ends with code 0 when all is done, 1 when a command fails, and 80 for wrong
-// arguments. Rules of the simulation that a measurement breaks are figures in it, no failure.
+// It exits with code 0 on success, 1 when a command fails, and 80 for invalid arguments.
+// Simulation rules that are broken in a measurement are part of its result and not a failure of
+// the command.
 package main
 
 import (
@@ -28,17 +29,17 @@
 	cli.Main(&commands, "recoverybench", "Measures cold restarts of gappond's controllers.")
 }
 
-// Measurement is one cold restart.
+// Measurement is the result of one cold restart.
 type Measurement struct {
-	Source   string // the program, by the name given to it
+	Source   string // name given to the measured program
 	Kind     string // loopback or simulated
 	Machines int
 	Run      int
 	Result   simulation.ColdResult
 }
 
-// plan is what all commands play.
-type plan struct {
+// measurementOptions are the options of the commands that measure.
+type measurementOptions struct {
 	Machines []int         `default:"50,100,200" help:"Numbers of machines."`
 	Runs     int           `default:"3" help:"Runs of each, with seeds from 1 on."`
 	Before   time.Duration `default:"20s" help:"From the first job to the loss."`
@@ -47,13 +48,13 @@
 	Out      string        `required:"" placeholder:"FILE" help:"Measurements are appended to it, a JSON object a line."`
 }
 
-// coldRestart is the cold restart of so many machines.
-func (p *plan) coldRestart(machines int, recovery bool) simulation.ColdRestart {
+// coldRestart returns a cold restart with the given number of machines.
+func (p *measurementOptions) coldRestart(machines int, recovery bool) simulation.ColdRestart {
 	return simulation.ColdRestart{Machines: machines, Before: p.Before, Away: p.Away, After: p.After, Recovery: recovery}
 }
 
-// record appends a measurement to the file.
-func (p *plan) record(m Measurement) error {
+// appendMeasurement appends a measurement to the output file and prints a summary of it.
+func (p *measurementOptions) appendMeasurement(m Measurement) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -76,11 +77,11 @@
 	kindSimulated = "simulated"
 )
 
-// each plays all sizes as often as the plan has it.
-func (p *plan) each(play func(machines, run int) error) error {
+// forEachRun calls measure for each run with each number of machines.
+func (p *measurementOptions) forEachRun(measure func(machines, run int) error) error {
 	for _, machines := range p.Machines {
 		for run := 1; run <= p.Runs; run++ {
-			if err := play(machines, run); err != nil {
+			if err := measure(machines, run); err != nil {
 				return fmt.Errorf("%d machines, run %d: %w", machines, run, err)
 			}
 		}
@@ -89,7 +90,7 @@
 }
 
 type loopbackCommand struct {
-	plan
+	measurementOptions
 	Program []string `required:"" placeholder:"NAME=COMMAND" help:"A program to measure with its arguments, as often as there are; played in turn."`
 }
 
@@ -99,13 +100,13 @@
 	if err != nil {
 		return err
 	}
-	return c.each(func(machines, run int) error {
+	return c.forEachRun(func(machines, run int) error {
 		for _, p := range programs {
 			result, err := measureProcesses(c.coldRestart(machines, false), uint64(run), p.command)
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.name, err)
 			}
-			if err := c.record(Measurement{p.name, kindLoopback, machines, run, result}); err != nil {
+			if err := c.appendMeasurement(Measurement{p.name, kindLoopback, machines, run, result}); err != nil {
 				return err
 			}
 		}
@@ -113,18 +114,17 @@
 	})
 }
 
-// program is a program to measure.
 type program struct {
 	name    string
 	command []string // with its arguments
 }
 
-// parsePrograms reads programs as they are given, NAME=COMMAND.
-func parsePrograms(given []string) (list []program, err error) {
-	for _, text := range given {
-		name, command, ok := strings.Cut(text, "=")
+// parsePrograms parses programs in the form NAME=COMMAND.
+func parsePrograms(specs []string) (list []program, err error) {
+	for _, spec := range specs {
+		name, command, ok := strings.Cut(spec, "=")
 		if !ok || command == "" {
-			return nil, fmt.Errorf("--program %s: not NAME=COMMAND", text)
+			return nil, fmt.Errorf("--program %s: not NAME=COMMAND", spec)
 		}
 		list = append(list, program{name, strings.Fields(command)})
 	}
@@ -132,18 +132,18 @@
 }
 
 type simulatedCommand struct {
-	plan
+	measurementOptions
 	Name     string `required:"" help:"The name to give to this program."`
 	Recovery bool   `help:"Have recoveries followed."`
 }
 
-// Run measures this program's state machine.
+// Run measures this program's own state machine.
 func (c *simulatedCommand) Run() error {
-	return c.each(func(machines, run int) error {
+	return c.forEachRun(func(machines, run int) error {
 		result, err := c.coldRestart(machines, c.Recovery).Simulate(uint64(run))
 		if err != nil {
 			return err
 		}
-		return c.record(Measurement{c.Name, kindSimulated, machines, run, result})
+		return c.appendMeasurement(Measurement{c.Name, kindSimulated, machines, run, result})
 	})
 }
--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -24,7 +24,7 @@
 	Out string   `required:"" placeholder:"FILE" help:"The HTML page."`
 }
 
-// Run makes the page.
+// Run generates the HTML page.
 func (c *reportCommand) Run() error {
 	var all []Measurement
 	for _, name := range c.In {
@@ -69,12 +69,13 @@
 	return list, lines.Err()
 }
 
-// row is the mean of the runs of one program at one size, and the worst of what must not be.
+// row summarizes the runs of one program with one number of machines. Its figures are means of
+// the runs, except for the sums of duplicate starts and broken rules.
 type row struct {
 	Kind, Source            string
 	Machines, Runs          int
 	Tasks, Needed           float64
-	Duplicates, RulesBroken int // of all runs
+	Duplicates, RulesBroken int // sums over all runs
 	Excess                  float64
 	ExcessStarts            float64
 	ExcessStops             float64
@@ -84,15 +85,15 @@
 	Requests, Changes       float64
 }
 
-// summarize makes a row of the runs of each program at each size.
+// summarize returns a row for each kind of measurement, program and number of machines.
 func summarize(all []Measurement) (rows []row) {
 	for _, m := range all {
-		at := slices.IndexFunc(rows, func(r row) bool { return r.Kind == m.Kind && r.Source == m.Source && r.Machines == m.Machines })
-		if at < 0 {
+		index := slices.IndexFunc(rows, func(r row) bool { return r.Kind == m.Kind && r.Source == m.Source && r.Machines == m.Machines })
+		if index < 0 {
 			rows = append(rows, row{Kind: m.Kind, Source: m.Source, Machines: m.Machines})
-			at = len(rows) - 1
+			index = len(rows) - 1
 		}
-		rows[at].add(m)
+		rows[index].add(m)
 	}
 	slices.SortFunc(rows, func(a, b row) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Machines, b.Machines), cmp.Compare(a.Source, b.Source))
@@ -100,22 +101,22 @@
 	return rows
 }
 
-// add takes one more run into the means.
+// add adds a run to the means and sums.
 func (r *row) add(m Measurement) {
 	r.Runs++
-	mean := func(to *float64, v float64) { *to += (v - *to) / float64(r.Runs) }
+	addToMean := func(average *float64, v float64) { *average += (v - *average) / float64(r.Runs) }
 	v := m.Result
-	mean(&r.Tasks, float64(v.Tasks))
-	mean(&r.Needed, float64(v.Needed))
-	mean(&r.ExcessStarts, float64(v.Excess[0]))
-	mean(&r.ExcessStops, float64(v.Excess[1]))
-	mean(&r.ExcessForgets, float64(v.Excess[2]))
+	addToMean(&r.Tasks, float64(v.Tasks))
+	addToMean(&r.Needed, float64(v.Needed))
+	addToMean(&r.ExcessStarts, float64(v.Excess[0]))
+	addToMean(&r.ExcessStops, float64(v.Excess[1]))
+	addToMean(&r.ExcessForgets, float64(v.Excess[2]))
 	r.Excess = r.ExcessStarts + r.ExcessStops + r.ExcessForgets
-	mean(&r.KeptPercent, 100*v.KeptSeconds/max(v.BeforeSeconds, 1))
-	mean(&r.First, v.First.Seconds())
-	mean(&r.Last, v.Last.Seconds())
-	mean(&r.Requests, float64(v.Requests))
-	mean(&r.Changes, float64(v.Changes))
+	addToMean(&r.KeptPercent, 100*v.KeptSeconds/max(v.BeforeSeconds, 1))
+	addToMean(&r.First, v.First.Seconds())
+	addToMean(&r.Last, v.Last.Seconds())
+	addToMean(&r.Requests, float64(v.Requests))
+	addToMean(&r.Changes, float64(v.Changes))
 	r.Duplicates += v.DuplicateStarts
 	r.RulesBroken += len(v.Rules)
 }
@@ -129,10 +130,10 @@
 	return list
 }
 
-// figure is one quantity over the number of machines.
+// figure is a plot of one quantity against the number of machines.
 type figure struct {
 	title, unit string
-	of          func(r row) float64
+	value       func(r row) float64
 }
 
 var figures = []figure{
@@ -141,7 +142,7 @@
 	{"requests to the state service", "requests", func(r row) float64 { return r.Requests }},
 }
 
-// drawFigure plots a figure of one kind, a line for each program.
+// drawFigure returns a figure for one kind of measurement as SVG, with a line for each program.
 func drawFigure(rows []row, kind string, f figure) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = kind+": "+f.title, "machines", f.unit
@@ -155,7 +156,7 @@
 		if bySource[r.Source] == nil {
 			sources = append(sources, r.Source)
 		}
-		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.of(r)})
+		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.value(r)})
 	}
 	slices.Sort(sources)
 	var lines []any
@@ -171,10 +172,10 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	return template.HTML(out.String()), nil //nolint:gosec // drawn here from numbers and the programs' names, which the plot escapes
+	return template.HTML(out.String()), nil //nolint:gosec // generated here from numbers and the programs' names, which the plot escapes
 }
 
-// reportPage is what the page shows.
+// reportPage is the data of the HTML template.
 type reportPage struct {
 	Rows  []row
 	Plots []template.HTML
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -1,17 +1,17 @@
 package config
 
-// StoreLimits holds the key-value store's limits.
+// StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are the limits that the service will have some time after all
-	// controllers run this version, without notice; what is missing stays.
+	// Next holds the announced limits. The store introduces them without notice, some time after
+	// all controllers run this version. A limit that is missing here does not change.
 	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextStoreLimits holds limits to come.
+// NextStoreLimits holds announced limits of the store. A nil limit does not change.
 type NextStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -19,27 +19,27 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Smallest are the limits that hold now and later: the smaller of each.
+// Smallest returns the smaller of each current and announced limit, so that both hold.
 func (s StoreLimits) Smallest() StoreLimits {
 	t := s
 	t.Next = nil
 	if n := s.Next; n != nil {
-		lower(&t.RPS, n.RPS)
-		lower(&t.WriteRPS, n.WriteRPS)
-		lower(&t.ValueKB, n.ValueKB)
-		lower(&t.TxnOps, n.TxnOps)
+		lowerLimit(&t.RPS, n.RPS)
+		lowerLimit(&t.WriteRPS, n.WriteRPS)
+		lowerLimit(&t.ValueKB, n.ValueKB)
+		lowerLimit(&t.TxnOps, n.TxnOps)
 	}
 	return t
 }
 
-func lower[T int | float64](limit *T, next *T) {
+func lowerLimit[T int | float64](limit *T, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// StoreNow holds the limits that the store has before they are lowered.
-func (c *Cluster) StoreNow() StoreLimits {
+// CurrentStoreLimits returns the limits that the store has until it introduces the announced ones.
+func (c *Cluster) CurrentStoreLimits() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
 	}
