--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -98,7 +98,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log.Info("serving", "node", cfg.Name, "listen", cfg.Listen, "version", version)
-	return transport.NewOwner(cfg, log, node).Run(ctx)
+	return transport.NewController(cfg, log, node).Run(ctx)
 }
 
 // newBoot makes the seed of a controller's random numbers and the name of this life of it.
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -21,10 +21,10 @@
 )
 
 // newIdleOwner makes an owner whose loop never runs.
-func newIdleOwner() *Owner {
+func newIdleOwner() *Controller {
 	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
 	log := slog.New(slog.DiscardHandler)
-	return NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
+	return NewController(cfg, log, coordination.New(cfg, log, 1, "boot"))
 }
 
 // heartbeatEvent is the event of an empty heartbeat that came with a request.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -138,7 +138,7 @@
 	log := slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")).Run(ctx) }()
+	go func() { ended <- NewController(cfg, log, coordination.New(cfg, log, 1, "boot")).Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
