--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -16,52 +16,52 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// statusLost stands for the status of an answer that did not come.
-const statusLost = 0
+// statusNoResponse stands for the status of an answer that did not come.
+const statusNoResponse = 0
 
-// errTooLarge says that an answer was cut short; the same request's would be again.
-var errTooLarge = errors.New("the answer is larger than any may be")
+// errResponseTooLarge says that an answer was cut short; the same request's would be again.
+var errResponseTooLarge = errors.New("the answer is larger than any may be")
 
 // endpoint is an outside system: where it is and the client that calls it.
 type endpoint struct {
-	base   string // of its URLs
-	client *http.Client
+	baseURL string // of its URLs
+	client  *http.Client
 }
 
 // clients carry out the node's requests to outside systems and to agents. Every request
 // ends in exactly one Response on the event loop's queue, unless the context ends.
 type clients struct {
-	store       endpoint
-	leaderLease endpoint // the store: renewals of the leader lease wait for no other request
-	cloud       endpoint
-	agents      *http.Client
-	agentCalls  chan struct{} // one for each call to an agent under way
-	responses   chan<- coordination.Event
-	running     sync.WaitGroup // requests under way
+	store          endpoint
+	leaderLease    endpoint // the store: renewals of the leader lease wait for no other request
+	cloud          endpoint
+	agents         *http.Client
+	agentCallSlots chan struct{} // one for each call to an agent under way
+	responses      chan<- coordination.Event
+	running        sync.WaitGroup // requests under way
 }
 
 func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
-	sockets := cfg.Cluster.Process.FDLimit
-	outside := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
+	socketLimit := cfg.Cluster.Process.FDLimit
+	externalClient := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
 	storeURL := "http://" + cfg.Endpoints.State
 	return &clients{
-		store:       endpoint{storeURL, outside},
+		store:       endpoint{storeURL, externalClient},
 		leaderLease: endpoint{storeURL, newHTTPClient(1, 1)},
-		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, outside},
-		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(sockets)*tuning.AgentIdleConnectionShare)), 1),
+		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, externalClient},
+		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(socketLimit)*tuning.AgentIdleConnectionShare)), 1),
 		// The node bounds its calls by the same share; this holds whatever it does.
-		agentCalls: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(sockets)*tuning.AgentCallConnectionShare))),
-		responses:  responses,
+		agentCallSlots: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(socketLimit)*tuning.AgentCallConnectionShare))),
+		responses:      responses,
 	}
 }
 
 // newHTTPClient makes a client that keeps so many idle connections, and so many to one host.
-func newHTTPClient(idle, idlePerHost int) *http.Client {
+func newHTTPClient(maxIdle, maxIdlePerHost int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}).DialContext,
-			MaxIdleConns:        idle,
-			MaxIdleConnsPerHost: idlePerHost,
+			MaxIdleConns:        maxIdle,
+			MaxIdleConnsPerHost: maxIdlePerHost,
 			MaxConnsPerHost:     tuning.MaxConnectionsPerHost,
 			IdleConnTimeout:     tuning.ClientIdleTimeout,
 			DisableCompression:  true,
@@ -89,19 +89,19 @@
 func (c *clients) call(ctx context.Context, r coordination.Request) {
 	if r.To == coordination.ToAgent {
 		select {
-		case c.agentCalls <- struct{}{}:
-			defer func() { <-c.agentCalls }()
+		case c.agentCallSlots <- struct{}{}:
+			defer func() { <-c.agentCallSlots }()
 		case <-ctx.Done():
 			return
 		}
 	}
 	response := coordination.Response{ID: r.ID}
-	status, body, err := c.fetch(ctx, r)
+	status, body, err := c.roundTrip(ctx, r)
 	switch {
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, errResponseTooLarge):
 		response.Status = http.StatusRequestEntityTooLarge
 	case err != nil:
-		response.Status = statusLost // it may have been carried out or not
+		response.Status = statusNoResponse // it may have been carried out or not
 	default:
 		response.Status, response.Body = status, body
 	}
@@ -124,16 +124,16 @@
 	return c.store
 }
 
-// fetch sends a request and reads its answer, whatever its status.
-func (c *clients) fetch(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
+// roundTrip sends a request and reads its answer, whatever its status.
+func (c *clients) roundTrip(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	to := c.endpoint(r)
-	var in io.Reader
+	target := c.endpoint(r)
+	var requestBody io.Reader
 	if r.Body != nil {
-		in = bytes.NewReader(r.Body)
+		requestBody = bytes.NewReader(r.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, to.base+r.Path, in)
+	req, err := http.NewRequestWithContext(ctx, r.Method, target.baseURL+r.Path, requestBody)
 	if err != nil {
 		return 0, nil, fmt.Errorf("make request %s %s: %w", r.Method, r.Path, err)
 	}
@@ -142,7 +142,7 @@
 		// Only requests that may be repeated are sent again by the client.
 		req.GetBody = nil
 	}
-	resp, err := to.client.Do(req)
+	resp, err := target.client.Do(req)
 	if err != nil {
 		return 0, nil, fmt.Errorf("send request: %w", err)
 	}
@@ -152,7 +152,7 @@
 		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
 	}
 	if len(body) == tuning.MaxResponseBytes {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errTooLarge)
+		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errResponseTooLarge)
 	}
 	return resp.StatusCode, body, nil
 }
@@ -160,9 +160,9 @@
 // readAll reads a body of about the announced length, which is negative if none
 // was: a buffer that grows by and by takes several times the memory. No more than
 // most is taken on trust.
-func readAll(r io.Reader, length, most int64) ([]byte, error) {
+func readAll(r io.Reader, announcedLength, maxPreallocation int64) ([]byte, error) {
 	var b bytes.Buffer
-	b.Grow(int(min(max(length, 0), most)) + bytes.MinRead)
+	b.Grow(int(min(max(announcedLength, 0), maxPreallocation)) + bytes.MinRead)
 	_, err := b.ReadFrom(r)
 	return b.Bytes(), err
 }
--- a/internal/transport/connection_limits.go
+++ b/internal/transport/connection_limits.go
@@ -25,18 +25,18 @@
 // for the moment of its heartbeat. Users' connections are closed sooner, so that
 // they never take the agents' sockets.
 type connectionLimits struct {
-	open                  atomic.Int64
-	maxOpen               int // accepted at once; 0: no limit, and nothing is closed early
-	keepUsers, keepAgents int64
+	open                                    atomic.Int64
+	maxOpen                                 int // accepted at once; 0: no limit, and nothing is closed early
+	userKeepAliveLimit, agentKeepAliveLimit int64
 }
 
 // newConnectionLimits derives the shares from the limit of sockets, 0 for none.
-func newConnectionLimits(limit int) *connectionLimits {
-	share := func(part float64) int { return max(tuning.MinConnections, int(float64(limit)*part)) }
-	if limit <= 0 {
+func newConnectionLimits(socketLimit int) *connectionLimits {
+	share := func(fraction float64) int { return max(tuning.MinConnections, int(float64(socketLimit)*fraction)) }
+	if socketLimit <= 0 {
 		return &connectionLimits{}
 	}
-	return &connectionLimits{maxOpen: share(tuning.ServerConnectionShare), keepUsers: int64(share(tuning.UserKeepAliveShare)), keepAgents: int64(share(tuning.AgentKeepAliveShare))}
+	return &connectionLimits{maxOpen: share(tuning.ServerConnectionShare), userKeepAliveLimit: int64(share(tuning.UserKeepAliveShare)), agentKeepAliveLimit: int64(share(tuning.AgentKeepAliveShare))}
 }
 
 // track is told of every connection's state.
@@ -49,9 +49,9 @@
 	}
 }
 
-// closeBeyond has a connection closed after its answer when more than keep are open.
-func (c *connectionLimits) closeBeyond(keep int64, w http.ResponseWriter) {
-	if c.maxOpen > 0 && c.open.Load() > keep {
+// closeIfAbove has a connection closed after its answer when more than keep are open.
+func (c *connectionLimits) closeIfAbove(limit int64, w http.ResponseWriter) {
+	if c.maxOpen > 0 && c.open.Load() > limit {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/transport/controller.go
+++ b/internal/transport/controller.go
@@ -33,32 +33,32 @@
 	pending := newPendingRequests()
 	metrics := newMetrics()
 	connections := newConnectionLimits(cfg.Cluster.Process.FDLimit)
-	o := &Controller{
+	c := &Controller{
 		clients: newClients(cfg, queues.responses),
 		peers:   newPeerLinks(cfg, log, queues.responses),
 	}
-	o.loop = &eventLoop{node: node, queues: queues, pending: pending, clients: o.clients, peers: o.peers, connections: connections, metrics: metrics}
-	o.server = &httpServer{address: cfg.Listen, log: log, queues: queues, pending: pending, connections: connections, metrics: metrics, ready: o.loop.ready.Load}
-	return o
+	c.loop = &eventLoop{node: node, queues: queues, pending: pending, clients: c.clients, peers: c.peers, connections: connections, metrics: metrics}
+	c.server = &httpServer{address: cfg.Listen, log: log, queues: queues, pending: pending, connections: connections, metrics: metrics, ready: c.loop.ready.Load}
+	return c
 }
 
 // Run serves until the context ends, which is no error, or a listener fails.
-func (o *Controller) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
-	defer o.clients.close() // after the loop, which makes calls
+	defer c.clients.close() // after the loop, which makes calls
 	defer running.Wait()
 	defer cancel()
-	if err := o.peers.start(ctx, &running); err != nil {
+	if err := c.peers.start(ctx, &running); err != nil {
 		return err
 	}
-	listener, err := o.server.listen(ctx)
+	listener, err := c.server.listen(ctx)
 	if err != nil {
 		return err
 	}
 	failed := make(chan error, 1)
-	running.Go(func() { failed <- o.server.serve(ctx, listener) })
-	running.Go(func() { o.loop.run(ctx) })
+	running.Go(func() { failed <- c.server.serve(ctx, listener) })
+	running.Go(func() { c.loop.run(ctx) })
 	select {
 	case err := <-failed:
 		return err
--- a/internal/transport/names_test.go
+++ b/internal/transport/names_test.go
@@ -16,17 +16,17 @@
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	now := time.Unix(1_800_000_000, 0)
-	m.recovery.take(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
-	answer := httptest.NewRecorder()
-	m.handler().ServeHTTP(answer, httptest.NewRequest("GET", protocol.PathMetrics, nil))
-	var list []string
-	for line := range strings.Lines(answer.Body.String()) {
+	m.recovery.update(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
+	response := httptest.NewRecorder()
+	m.handler().ServeHTTP(response, httptest.NewRequest("GET", protocol.PathMetrics, nil))
+	var exposed []string
+	for line := range strings.Lines(response.Body.String()) {
 		line = strings.TrimSpace(line)
-		if about, ok := strings.CutPrefix(line, "# TYPE "); ok {
-			list = append(list, "metric "+about)
+		if nameAndType, ok := strings.CutPrefix(line, "# TYPE "); ok {
+			exposed = append(exposed, "metric "+nameAndType)
 		} else if !strings.HasPrefix(line, "#") {
-			list = append(list, "series "+line[:strings.LastIndex(line, " ")])
+			exposed = append(exposed, "series "+line[:strings.LastIndex(line, " ")])
 		}
 	}
-	golden.CompareLines(t, "testdata/metrics.txt", list)
+	golden.CompareLines(t, "testdata/metrics.txt", exposed)
 }
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -27,8 +27,8 @@
 // coalesceDelay is how long heartbeats are gathered for one write, so that what all
 // peers send costs the leader no more than its share of processor time.
 func coalesceDelay(cfg *config.Config) time.Duration {
-	each := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
-	return min(each*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
+	delayPerPeer := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
+	return min(delayPerPeer*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
 // run dials the peer and sends to it, again and again until the context ends.
@@ -40,20 +40,20 @@
 			l.mu.Lock()
 			l.conn = conn
 			l.mu.Unlock()
-			emit(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
-			l.serve(ctx, conn)
-			emit(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
+			enqueue(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
+			l.sendUntilClosed(ctx, conn)
+			enqueue(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
 		}
-		pause(ctx, tuning.PeerRedialDelay)
+		sleep(ctx, tuning.PeerRedialDelay)
 	}
 }
 
-// serve sends on a connection until it ends, and closes it.
-func (l *outgoingLink) serve(ctx context.Context, conn net.Conn) {
+// sendUntilClosed sends on a connection until it ends, and closes it.
+func (l *outgoingLink) sendUntilClosed(ctx context.Context, conn net.Conn) {
 	closed := make(chan struct{})
-	end := closeWith(ctx, conn)
+	closeConn := closeOnDone(ctx, conn)
 	defer func() {
-		end()
+		closeConn()
 		<-closed
 	}()
 	go func() {
@@ -68,26 +68,26 @@
 		if _, err := conn.Write(frames); err != nil {
 			return
 		}
-		frames = l.collect(ctx, closed, frames[:0])
+		frames = l.nextFrames(ctx, closed, frames[:0])
 	}
 }
 
-// collect appends the frames of the messages that wait, as many as one write takes;
+// nextFrames appends the frames of the messages that wait, as many as one write takes;
 // heartbeats alone are gathered for a while. Nothing: the connection has ended.
-func (l *outgoingLink) collect(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
-	gathering := true // only heartbeats so far
-	var gathered <-chan time.Time
+func (l *outgoingLink) nextFrames(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
+	heartbeatsOnly := true // only heartbeats so far
+	var coalesceTimeout <-chan time.Time
 	for len(frames) < tuning.PeerBatchBytes {
 		var m protocol.PeerMessage
 		select {
 		case m = <-l.queue:
 		default:
-			if len(frames) > 0 && !gathering {
+			if len(frames) > 0 && !heartbeatsOnly {
 				return frames
 			}
 			select {
 			case m = <-l.queue:
-			case <-gathered:
+			case <-coalesceTimeout:
 				return frames
 			case <-ctx.Done():
 				return nil
@@ -95,10 +95,10 @@
 				return nil
 			}
 		}
-		_, heartbeat := m.(protocol.PeerForwardedHeartbeat)
-		gathering = gathering && heartbeat && l.coalesceDelay > 0
-		if gathering && gathered == nil {
-			gathered = time.After(l.coalesceDelay)
+		_, isHeartbeat := m.(protocol.PeerForwardedHeartbeat)
+		heartbeatsOnly = heartbeatsOnly && isHeartbeat && l.coalesceDelay > 0
+		if heartbeatsOnly && coalesceTimeout == nil {
+			coalesceTimeout = time.After(l.coalesceDelay)
 		}
 		frames = protocol.AppendPeerFrame(frames, m)
 	}
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -20,8 +20,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// newIdleOwner makes an owner whose loop never runs.
-func newIdleOwner() *Controller {
+// newStoppedController makes an owner whose loop never runs.
+func newStoppedController() *Controller {
 	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
 	log := slog.New(slog.DiscardHandler)
 	return NewController(cfg, log, coordination.New(cfg, log, 1, "boot"))
@@ -32,35 +32,35 @@
 	return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
 }
 
-// TestShed: when the owner does not keep up, users are turned away at once
+// TestUserRequestsAreShedWhenTheQueueIsFull: when the owner does not keep up, users are turned away at once
 // while workers' reports still find room.
-func TestShed(t *testing.T) {
-	o := newIdleOwner()
+func TestUserRequestsAreShedWhenTheQueueIsFull(t *testing.T) {
+	c := newStoppedController()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range tuning.MinUserQueueLength {
-		go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
+		go c.server.awaitReply(ctx, c.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
 	}
-	eventually(t, "the queue is full", func() bool { return len(o.loop.queues.users) == tuning.MinUserQueueLength })
-	if r := o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
+	eventually(t, "the queue is full", func() bool { return len(c.loop.queues.users) == tuning.MinUserQueueLength })
+	if r := c.server.awaitReply(ctx, c.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many gets %+v", r)
 	}
 	// A submission is then refused before its body is read.
 	body := &countingReader{}
 	w := httptest.NewRecorder()
-	o.server.handler().ServeHTTP(w, httptest.NewRequest("POST", protocol.PathJobs, body))
+	c.server.handler().ServeHTTP(w, httptest.NewRequest("POST", protocol.PathJobs, body))
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" || body.reads > 0 {
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
-	go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
-	eventually(t, "the report is queued", func() bool { return len(o.loop.queues.heartbeats) == 1 })
+	go c.server.awaitReply(ctx, c.loop.queues.heartbeats, time.Minute, heartbeatEvent)
+	eventually(t, "the report is queued", func() bool { return len(c.loop.queues.heartbeats) == 1 })
 }
 
-// TestFlood: stalled connections and a flood of polls for jobs that nobody knows
+// TestHeartbeatsAreAcceptedDuringAQueryFlood: stalled connections and a flood of polls for jobs that nobody knows
 // leave every worker's report its answer; each poll has one, too.
-func TestFlood(t *testing.T) {
-	cfg, _ := startOwner(t, true, 0)
-	eventually(t, "ready", ready(t, cfg))
+func TestHeartbeatsAreAcceptedDuringAQueryFlood(t *testing.T) {
+	cfg, _ := startController(t, true, 0)
+	eventually(t, "ready", isReady(t, cfg))
 	for range 100 {
 		conn, err := net.Dial("tcp", cfg.Listen)
 		if err != nil {
@@ -69,46 +69,46 @@
 		defer conn.Close()
 		fmt.Fprint(conn, "GET /v2/runs/run-1 HTTP/1.1\r\nHost:")
 	}
-	var polls sync.WaitGroup
-	var wrong atomic.Int32
+	var queries sync.WaitGroup
+	var unexpected atomic.Int32
 	for i := range 16 {
-		polls.Add(1)
+		queries.Add(1)
 		go func() {
-			defer polls.Done()
+			defer queries.Done()
 			for k := range 40 {
 				if status, _, _ := call(t, cfg, "GET", fmt.Sprintf("/v2/runs/run-%06d", 100*i+k), ""); status != 404 && status != 503 {
-					wrong.Add(1)
+					unexpected.Add(1)
 				}
 			}
 		}()
 	}
-	eventually(t, "a report is answered with 200", answersReport(t, cfg, machineReport("i-1", "big", 1)))
+	eventually(t, "a report is answered with 200", acceptsHeartbeat(t, cfg, heartbeatBody("i-1", "big", 1)))
 	for seq := range 40 {
 		began := time.Now()
-		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, machineReport("i-1", "big", seq+1000))
+		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, heartbeatBody("i-1", "big", seq+1000))
 		if took := time.Since(began); status != 200 || took > 4*time.Second {
 			t.Fatalf("report %d: %d %s after %v", seq, status, body, took)
 		}
 	}
-	polls.Wait()
-	if n := wrong.Load(); n > 0 {
+	queries.Wait()
+	if n := unexpected.Load(); n > 0 {
 		t.Errorf("%d polls have neither 404 nor 503", n)
 	}
 }
 
-// TestMoreWorkersThanSockets: a fleet of more workers than the process has
+// TestMoreAgentsThanSockets: a fleet of more workers than the process has
 // sockets has every report answered, and users and health checks are not kept
 // waiting: beyond their share connections are closed after the answer.
-func TestMoreWorkersThanSockets(t *testing.T) {
-	const sockets, workers, users = 100, 200, 60
-	cfg, _ := startOwner(t, true, sockets)
-	eventually(t, "ready", ready(t, cfg))
+func TestMoreAgentsThanSockets(t *testing.T) {
+	const sockets, agents, users = 100, 200, 60
+	cfg, _ := startController(t, true, sockets)
+	eventually(t, "ready", isReady(t, cfg))
 	var clients sync.WaitGroup
-	var served atomic.Int32
+	var servedClients atomic.Int32
 	stop := make(chan struct{})
 	// loop sends a request again and again over a connection that is kept for as
 	// long as the server keeps it.
-	loop := func(request func(i int) (method, path, body string)) {
+	startClient := func(request func(i int) (method, path, body string)) {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
@@ -116,7 +116,7 @@
 			// would wait for ever.
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 			defer client.CloseIdleConnections()
-			answers := 0
+			responses := 0
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
@@ -135,37 +135,37 @@
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				if answers++; answers == 3 {
-					served.Add(1)
+				if responses++; responses == 3 {
+					servedClients.Add(1)
 				}
 			}
 		}()
 	}
-	for k := range workers {
-		loop(func(i int) (string, string, string) {
-			return "POST", protocol.PathHeartbeat, machineReport(fmt.Sprint("i-", 100+k), "big", i+1)
+	for k := range agents {
+		startClient(func(i int) (string, string, string) {
+			return "POST", protocol.PathHeartbeat, heartbeatBody(fmt.Sprint("i-", 100+k), "big", i+1)
 		})
 	}
 	for range users {
-		loop(func(int) (string, string, string) { return "GET", "/v2/runs/run-000009", "" })
+		startClient(func(int) (string, string, string) { return "GET", "/v2/runs/run-000009", "" })
 	}
 	t.Cleanup(clients.Wait)
 	t.Cleanup(func() { close(stop) })
-	eventually(t, "every worker and user is answered three times", func() bool { return served.Load() == workers+users })
+	eventually(t, "every worker and user is answered three times", func() bool { return servedClients.Load() == agents+users })
 	for range 5 {
-		eventually(t, "health checks are answered", ready(t, cfg))
+		eventually(t, "health checks are answered", isReady(t, cfg))
 	}
 }
 
-// TestAnswersFirst: the renewal of the leader lease is not behind the reports of a
+// TestResponsesGoBeforeHeartbeats: the renewal of the leader lease is not behind the reports of a
 // whole fleet: answers to what the node asked are taken first.
-func TestAnswersFirst(t *testing.T) {
-	o := newIdleOwner()
+func TestResponsesGoBeforeHeartbeats(t *testing.T) {
+	c := newStoppedController()
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
-		o.loop.queues.heartbeats <- coordination.AgentHeartbeat{Heartbeat: &protocol.Heartbeat{}}
+		c.loop.queues.heartbeats <- coordination.AgentHeartbeat{Heartbeat: &protocol.Heartbeat{}}
 	}
-	o.loop.queues.responses <- coordination.Response{ID: 1}
-	batch := o.loop.next(nil)
+	c.loop.queues.responses <- coordination.Response{ID: 1}
+	batch := c.loop.fillBatch(nil)
 	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.MaxUrgentEventsPerBatch {
 		t.Errorf("a batch of %d begins with %T", len(batch), batch[0])
 	}
@@ -179,29 +179,29 @@
 	return 0, io.EOF
 }
 
-// TestGoneAskers: a node that has fallen behind does no work for requests whose
+// TestAbandonedRequestsAreSkipped: a node that has fallen behind does no work for requests whose
 // askers have given up; what nobody asked for in this way it does take.
-func TestGoneAskers(t *testing.T) {
-	o := newIdleOwner()
-	gone, leave := context.WithCancel(context.Background())
-	here, end := context.WithCancel(context.Background())
-	defer end()
-	for _, ctx := range []context.Context{gone, here} {
+func TestAbandonedRequestsAreSkipped(t *testing.T) {
+	c := newStoppedController()
+	abandoned, abandon := context.WithCancel(context.Background())
+	waiting, stopWaiting := context.WithCancel(context.Background())
+	defer stopWaiting()
+	for _, ctx := range []context.Context{abandoned, waiting} {
 		for range 3 {
-			go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
-			go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
+			go c.server.awaitReply(ctx, c.loop.queues.heartbeats, time.Minute, heartbeatEvent)
+			go c.server.awaitReply(ctx, c.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
 		}
 	}
-	o.loop.queues.responses <- coordination.Response{ID: 99}
-	eventually(t, "all are queued", func() bool { return len(o.loop.queues.heartbeats) == 6 && len(o.loop.queues.users) == 6 })
-	leave()
+	c.loop.queues.responses <- coordination.Response{ID: 99}
+	eventually(t, "all are queued", func() bool { return len(c.loop.queues.heartbeats) == 6 && len(c.loop.queues.users) == 6 })
+	abandon()
 	eventually(t, "three of each have gone", func() bool {
-		pending := o.loop.pending
+		pending := c.loop.pending
 		pending.mu.Lock()
 		defer pending.mu.Unlock()
 		return len(pending.replies) == 6
 	})
-	if batch := o.loop.next(nil); len(batch) != 7 {
+	if batch := c.loop.fillBatch(nil); len(batch) != 7 {
 		t.Errorf("a batch of %d, want the answer and six requests", len(batch))
 	}
 }
