--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// rawClient sends ready-made requests over one connection: what a benchmark
-// counts is then the server's cost and little else.
+// rawClient sends requests that are already encoded over one connection, so that a benchmark
+// measures the server's cost and little else.
 type rawClient struct {
 	conn net.Conn
 	r    *bufio.Reader
@@ -29,7 +29,7 @@
 	return &rawClient{conn, bufio.NewReader(conn)}
 }
 
-// do sends a request and reads the answer, whose status it returns.
+// do sends a request, reads the response and returns its status.
 func (c *rawClient) do(tb testing.TB, request []byte) int {
 	if _, err := c.conn.Write(request); err != nil {
 		tb.Fatal(err)
@@ -60,26 +60,26 @@
 	return fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-// BenchmarkRequests is what the answers cost, connection, HTTP, decoding and owner
-// included: a worker's report that changes nothing, a health probe, a question
-// about a job that is over, and a submission that is refused.
+// BenchmarkRequests measures the cost of requests: an agent's heartbeat that changes nothing, a
+// health check, a status query for a job that has ended, and an invalid submission. The cost
+// includes the connection, HTTP, decoding and the event loop.
 func BenchmarkRequests(b *testing.B) {
 	cfg, _ := startController(b, true, 800)
-	eventually(b, "ready", isReady(b, cfg))
+	eventually(b, "the controller is ready", isReady(b, cfg))
 	status, _, _ := call(b, cfg, "POST", protocol.PathJobs, jobBody("run-000001", "vision", 1))
 	if status != http.StatusCreated {
 		b.Fatal(status)
 	}
 	call(b, cfg, "POST", protocol.PathJobs+"/run-000001/withdraw", "")
-	eventually(b, "leads", acceptsHeartbeat(b, cfg, heartbeatBody("i-000001", "t", 1)))
+	eventually(b, "the node leads", acceptsHeartbeat(b, cfg, heartbeatBody("i-000001", "t", 1)))
 	seq := 1
 	for name, request := range map[string]func(i int) []byte{
-		"report": func(i int) []byte {
+		"heartbeat": func(i int) []byte {
 			return rawRequest("POST", protocol.PathHeartbeat, heartbeatBody("i-000007", "t", i))
 		},
-		"ready":   func(int) []byte { return rawRequest("GET", protocol.PathReady, "") },
-		"poll":    func(int) []byte { return rawRequest("GET", protocol.PathJobs+"/run-000001", "") },
-		"refused": func(int) []byte { return rawRequest("POST", protocol.PathJobs, jobBody("run-000009", "vision", 0)[1:]) },
+		"health check":       func(int) []byte { return rawRequest("GET", protocol.PathReady, "") },
+		"status query":       func(int) []byte { return rawRequest("GET", protocol.PathJobs+"/run-000001", "") },
+		"invalid submission": func(int) []byte { return rawRequest("POST", protocol.PathJobs, jobBody("run-000009", "vision", 0)[1:]) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			c := dialRaw(b, cfg.Listen)
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestAllocationsPerRequest bounds what a request costs in allocations, on any machine:
-// those of the client, which formats its requests, included.
+// TestAllocationsPerRequest limits the number of allocations for a request, which does not depend on
+// the machine. The number includes those of the client, which formats its requests.
 func TestAllocationsPerRequest(t *testing.T) {
 	cfg, _ := startController(t, true, 800)
-	eventually(t, "ready", isReady(t, cfg))
-	eventually(t, "leads", acceptsHeartbeat(t, cfg, heartbeatBody("i-000001", "t", 1)))
+	eventually(t, "the controller is ready", isReady(t, cfg))
+	eventually(t, "the node leads", acceptsHeartbeat(t, cfg, heartbeatBody("i-000001", "t", 1)))
 	c := dialRaw(t, cfg.Listen)
 	seq := 10
 	for _, tc := range []struct {
@@ -106,19 +106,19 @@
 		status         int
 		request        func() []byte
 	}{
-		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, heartbeatBody("i-000007", "t", seq)) }},
-		{"refused submission", 60, 400, func() []byte { return rawRequest("POST", protocol.PathJobs, "[]") }},
-		{"health probe", 45, 200, func() []byte { return rawRequest("GET", protocol.PathReady, "") }},
+		{"heartbeat that changes nothing", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, heartbeatBody("i-000007", "t", seq)) }},
+		{"invalid submission", 60, 400, func() []byte { return rawRequest("POST", protocol.PathJobs, "[]") }},
+		{"health check", 45, 200, func() []byte { return rawRequest("GET", protocol.PathReady, "") }},
 	} {
 		n := testing.AllocsPerRun(200, func() {
 			seq++
 			if got := c.do(t, tc.request()); got != tc.status {
-				t.Fatalf("%s: %d", tc.name, got)
+				t.Fatalf("%s: status %d", tc.name, got)
 			}
 		})
 		t.Logf("%s: %.0f allocations", tc.name, n)
 		if n > tc.maxAllocations {
-			t.Errorf("%s: %.0f allocations, at most %.0f", tc.name, n, tc.maxAllocations)
+			t.Errorf("%s: %.0f allocations, want at most %.0f", tc.name, n, tc.maxAllocations)
 		}
 	}
 }
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -16,28 +16,29 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// statusNoResponse stands for the status of an answer that did not come.
+// statusNoResponse is the status of a Response if none arrived from the external system.
 const statusNoResponse = 0
 
-// errResponseTooLarge says that an answer was cut short; the same request's would be again.
-var errResponseTooLarge = errors.New("the answer is larger than any may be")
+// errResponseTooLarge means that a response was cut off at the size limit. The response to a
+// repeated request would be cut off again.
+var errResponseTooLarge = errors.New("response exceeds the size limit")
 
-// endpoint is an outside system: where it is and the client that calls it.
+// endpoint is an external system: its address and the client that calls it.
 type endpoint struct {
-	baseURL string // of its URLs
+	baseURL string // scheme and address, without a path
 	client  *http.Client
 }
 
-// clients carry out the node's requests to outside systems and to agents. Every request
-// ends in exactly one Response on the event loop's queue, unless the context ends.
+// clients send the node's requests to the external systems. Every request leads to exactly one
+// Response in the event loop's queue, unless the context ends.
 type clients struct {
 	store          endpoint
-	leaderLease    endpoint // the store: renewals of the leader lease wait for no other request
+	leaderLease    endpoint // the store; separate, so that renewals wait for no other request
 	cloud          endpoint
 	agents         *http.Client
-	agentCallSlots chan struct{} // one for each call to an agent under way
+	agentCallSlots chan struct{} // one element for each call to an agent in progress
 	responses      chan<- coordination.Event
-	running        sync.WaitGroup // requests under way
+	running        sync.WaitGroup // requests in progress
 }
 
 func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
@@ -49,13 +50,15 @@
 		leaderLease: endpoint{storeURL, newHTTPClient(1, 1)},
 		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, externalClient},
 		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(socketLimit)*tuning.AgentIdleConnectionShare)), 1),
-		// The node bounds its calls by the same share; this holds whatever it does.
+		// The node limits its calls to the same share. The channel enforces this whatever the
+		// node does.
 		agentCallSlots: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(socketLimit)*tuning.AgentCallConnectionShare))),
 		responses:      responses,
 	}
 }
 
-// newHTTPClient makes a client that keeps so many idle connections, and so many to one host.
+// newHTTPClient returns a client that keeps up to maxIdle idle connections, and up to maxIdlePerHost
+// of them to one host.
 func newHTTPClient(maxIdle, maxIdlePerHost int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -70,14 +73,12 @@
 	}
 }
 
-// start carries out a request in a goroutine that ends with its answer, its time-out or
-// the context.
+// start sends a request in a goroutine that ends with the response, the time-out or the context.
 func (c *clients) start(ctx context.Context, r coordination.Request) {
 	c.running.Go(func() { c.call(ctx, r) })
 }
 
-// close waits for the requests under way, whose context has ended, and closes all
-// connections.
+// close waits for the requests in progress, whose context has ended, and closes all connections.
 func (c *clients) close() {
 	c.running.Wait()
 	for _, client := range []*http.Client{c.store.client, c.leaderLease.client, c.cloud.client, c.agents} {
@@ -85,7 +86,7 @@
 	}
 }
 
-// call carries out a request and hands in its response.
+// call sends a request and queues the Response for the event loop.
 func (c *clients) call(ctx context.Context, r coordination.Request) {
 	if r.To == coordination.ToAgent {
 		select {
@@ -101,7 +102,7 @@
 	case errors.Is(err, errResponseTooLarge):
 		response.Status = http.StatusRequestEntityTooLarge
 	case err != nil:
-		response.Status = statusNoResponse // it may have been carried out or not
+		response.Status = statusNoResponse // the request may have been executed or not
 	default:
 		response.Status, response.Body = status, body
 	}
@@ -111,7 +112,7 @@
 	}
 }
 
-// endpoint is where a request goes.
+// endpoint returns where a request is sent.
 func (c *clients) endpoint(r coordination.Request) endpoint {
 	switch r.To {
 	case coordination.ToLeaderLease:
@@ -124,7 +125,7 @@
 	return c.store
 }
 
-// roundTrip sends a request and reads its answer, whatever its status.
+// roundTrip sends a request and returns the response, whatever its status.
 func (c *clients) roundTrip(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
@@ -135,11 +136,12 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.Method, target.baseURL+r.Path, requestBody)
 	if err != nil {
-		return 0, nil, fmt.Errorf("make request %s %s: %w", r.Method, r.Path, err)
+		return 0, nil, fmt.Errorf("create request %s %s: %w", r.Method, r.Path, err)
 	}
 	if r.Body != nil {
 		req.Header.Set("Content-Type", "application/json")
-		// Only requests that may be repeated are sent again by the client.
+		// Without GetBody, the client does not resend a request with a body by itself: it may only
+		// repeat requests that are safe to repeat.
 		req.GetBody = nil
 	}
 	resp, err := target.client.Do(req)
@@ -149,17 +151,17 @@
 	defer resp.Body.Close()
 	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBody)
 	if err != nil {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
+		return 0, nil, fmt.Errorf("read response to %s %s: %w", r.Method, r.Path, err)
 	}
 	if len(body) == tuning.MaxResponseBytes {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errResponseTooLarge)
+		return 0, nil, fmt.Errorf("read response to %s %s: %w", r.Method, r.Path, errResponseTooLarge)
 	}
 	return resp.StatusCode, body, nil
 }
 
-// readAll reads a body of about the announced length, which is negative if none
-// was: a buffer that grows by and by takes several times the memory. No more than
-// most is taken on trust.
+// readAll reads a body. It allocates the announced length, which is negative if unknown, in advance:
+// a buffer that grows step by step takes several times the memory. The announced length may be
+// wrong, so that no more than maxPreallocation bytes are allocated before they arrive.
 func readAll(r io.Reader, announcedLength, maxPreallocation int64) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(int(min(max(announcedLength, 0), maxPreallocation)) + bytes.MinRead)
--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -13,9 +13,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestOversizedResponseIsReportedAsTooLarge: an answer beyond the bound is told from one that was lost. A watch
-// with more changes than that once came back cut short, was taken for a lost answer and
-// opened again for ever.
+// TestOversizedResponseIsReportedAsTooLarge checks that a response beyond the size limit is not
+// reported as a missing one. Otherwise a watch with more changes than fit would be cut off, taken
+// for a lost response and opened again, without end.
 func TestOversizedResponseIsReportedAsTooLarge(t *testing.T) {
 	chunk := bytes.Repeat([]byte("x"), 1<<20)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/transport/controller.go
+++ b/internal/transport/controller.go
@@ -1,12 +1,12 @@
-// Package transport connects the node's state machine to the world: HTTP
-// servers and clients, the links between controllers and the event loop that owns the
-// state. It holds every goroutine, clock and socket of the program.
+// Package transport connects the node's state machine to the network. It contains the HTTP server
+// and clients, the links between controllers, and the event loop that owns the state machine. All
+// goroutines, clocks and sockets of the program are in this package.
 //
-// Owner.Run starts all goroutines and returns when they have ended: the event loop, the
-// HTTP server, the listener for peers and the links to them, and, while requests are
-// under way, one for each. All end with Run's context, which closes their sockets. Only
-// the goroutines of connections that users and agents have opened belong to net/http,
-// which ends them when the server closes.
+// Controller.Run starts all goroutines and returns when they have ended: those of the event loop,
+// the HTTP server, the listener for peers and the links to peers, and one for each request in
+// progress. All end with Run's context, whose end closes their sockets. Only the goroutines of
+// connections that users and agents have opened belong to net/http, which ends them when the server
+// closes.
 package transport
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/gappond/gappond/internal/coordination"
 )
 
-// Controller runs one controller: the event loop, which owns the state machine, and what
-// brings it events and carries out its actions.
+// Controller runs one controller of the cluster. It consists of the event loop, which owns the state
+// machine, and of the parts that deliver events to the loop and carry out its actions.
 type Controller struct {
 	loop    *eventLoop
 	server  *httpServer
@@ -27,7 +27,7 @@
 	peers   *peerLinks
 }
 
-// NewController makes an owner for the node.
+// NewController returns a controller that runs the node.
 func NewController(cfg *config.Config, log *slog.Logger, node *coordination.Node) *Controller {
 	queues := newEventQueues(cfg)
 	pending := newPendingRequests()
@@ -42,11 +42,11 @@
 	return c
 }
 
-// Run serves until the context ends, which is no error, or a listener fails.
+// Run serves until the context ends or a listener fails. The end of the context is not an error.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
-	defer c.clients.close() // after the loop, which makes calls
+	defer c.clients.close() // after the event loop, which starts requests, has ended
 	defer running.Wait()
 	defer cancel()
 	if err := c.peers.start(ctx, &running); err != nil {
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// eventLoop owns the state machine: its goroutine alone calls it. It works through the
-// queues in batches and hands the actions that follow to those who carry them out.
+// eventLoop owns the state machine: only its goroutine calls it. It takes events from the queues in
+// batches, and passes the resulting actions to the parts of the package that carry them out.
 type eventLoop struct {
 	node        *coordination.Node
 	queues      *eventQueues
@@ -52,14 +52,15 @@
 	}
 }
 
-// fillBatch adds what waits to the batch, each kind by its rank and up to its limit.
+// fillBatch appends queued events to the batch, by the priority of their queues and up to each
+// queue's limit.
 func (l *eventLoop) fillBatch(batch []coordination.Event) []coordination.Event {
 	batch = l.drain(batch, l.queues.responses, tuning.MaxUrgentEventsPerBatch)
 	batch = l.drain(batch, l.queues.heartbeats, tuning.MaxUrgentEventsPerBatch)
 	return l.drain(batch, l.queues.users, tuning.MaxUserEventsPerBatch)
 }
 
-// drain moves up to limit events that wait in a queue into the batch.
+// drain moves up to limit events from a queue to the batch. It does not wait for events.
 func (l *eventLoop) drain(batch []coordination.Event, queue <-chan coordination.Event, limit int) []coordination.Event {
 	for range limit {
 		select {
@@ -72,8 +73,8 @@
 	return batch
 }
 
-// appendUnlessAbandoned adds an event to the batch, unless whoever asked has gone: a node that has
-// fallen behind must not spend its time on answers that nobody waits for.
+// appendUnlessAbandoned appends an event to the batch, unless it came with a request whose reply
+// nobody awaits any more: a node that has fallen behind must not spend its time on such replies.
 func (l *eventLoop) appendUnlessAbandoned(batch []coordination.Event, e coordination.Event) []coordination.Event {
 	if id := requestID(e); id != 0 && !l.pending.isPending(id) {
 		return batch
@@ -81,7 +82,7 @@
 	return append(batch, e)
 }
 
-// requestID is the number of the request that an event came with, 0 if it came with none.
+// requestID returns the ID of the request that an event came with, or 0 if it came with none.
 func requestID(e coordination.Event) uint64 {
 	switch e := e.(type) {
 	case coordination.AgentHeartbeat:
@@ -96,8 +97,8 @@
 	return 0
 }
 
-// execute carries out an action of the state machine, or has it carried out. It never
-// blocks.
+// execute carries out an action of the state machine, or starts a request in the background. It
+// never blocks.
 func (l *eventLoop) execute(ctx context.Context, a coordination.Action) {
 	switch a := a.(type) {
 	case coordination.Request:
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the operators' numbers.
+// metrics holds the metrics that the controller exposes to operators.
 type metrics struct {
 	registry                                                            *prometheus.Registry
 	shedRequests                                                        prometheus.Counter
@@ -58,7 +58,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// update moves the node's counters into the registry. The event loop calls it.
+// update copies the node's metrics to the registry. The event loop calls it after each step.
 func (m *metrics) update(n *coordination.Node, connections, queueDepth int) {
 	current := n.TakeMetrics()
 	m.term.Set(float64(current.Term))
--- a/internal/transport/names_test.go
+++ b/internal/transport/names_test.go
@@ -11,12 +11,12 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestMetricNames: every metric's name, type and labels, with all values that labels have,
-// are exposed as the golden list has them.
+// TestMetricNames checks that every metric's name, type and labels, with all values of the labels,
+// are exposed as in the golden list.
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	now := time.Unix(1_800_000_000, 0)
-	m.recovery.update(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
+	m.recovery.update(reconcile.Summary{Began: now}, now) // sets all labels except those of histograms
 	response := httptest.NewRecorder()
 	m.handler().ServeHTTP(response, httptest.NewRequest("GET", protocol.PathMetrics, nil))
 	var exposed []string
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -12,26 +12,27 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// outgoingLink is the connection on which this node sends to a peer.
+// outgoingLink sends messages to a peer, on a connection that this node dials.
 type outgoingLink struct {
 	self, peer    protocol.NodeName
 	address       string
 	events        chan<- coordination.Event
 	queue         chan protocol.PeerMessage
-	coalesceDelay time.Duration // for which heartbeats wait for others on their way to the leader
+	coalesceDelay time.Duration // how long heartbeats forwarded to the leader wait for others
 
 	mu   sync.Mutex
 	conn net.Conn
 }
 
-// coalesceDelay is how long heartbeats are gathered for one write, so that what all
-// peers send costs the leader no more than its share of processor time.
+// coalesceDelay returns how long heartbeats are gathered for one write. The delay limits the
+// processor time that the leader spends on the writes of all its peers to PeerWriteCPUShare.
 func coalesceDelay(cfg *config.Config) time.Duration {
 	delayPerPeer := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
 	return min(delayPerPeer*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
-// run dials the peer and sends to it, again and again until the context ends.
+// run dials the peer and sends to it. When the connection ends, it dials again, until the context
+// ends.
 func (l *outgoingLink) run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}
 	for ctx.Err() == nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-// sendUntilClosed sends on a connection until it ends, and closes it.
+// sendUntilClosed sends the queued messages on a connection until it ends, and then closes it.
 func (l *outgoingLink) sendUntilClosed(ctx context.Context, conn net.Conn) {
 	closed := make(chan struct{})
 	closeConn := closeOnDone(ctx, conn)
@@ -57,7 +58,7 @@
 		<-closed
 	}()
 	go func() {
-		// The peer never writes here: a read returns when the connection ends.
+		// The peer never writes on this connection: Read returns when the connection ends.
 		defer close(closed)
 		var b [1]byte
 		conn.Read(b[:])
@@ -72,17 +73,18 @@
 	}
 }
 
-// nextFrames appends the frames of the messages that wait, as many as one write takes;
-// heartbeats alone are gathered for a while. Nothing: the connection has ended.
+// nextFrames waits for a message and appends the frames of all queued messages, up to about
+// PeerBatchBytes. As long as it has only heartbeats, it waits up to coalesceDelay for more messages.
+// It returns nil if the connection or the context has ended.
 func (l *outgoingLink) nextFrames(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
-	heartbeatsOnly := true // only heartbeats so far
+	mayWait := true // all messages so far are heartbeats, which may wait for others
 	var coalesceTimeout <-chan time.Time
 	for len(frames) < tuning.PeerBatchBytes {
 		var m protocol.PeerMessage
 		select {
 		case m = <-l.queue:
 		default:
-			if len(frames) > 0 && !heartbeatsOnly {
+			if len(frames) > 0 && !mayWait {
 				return frames
 			}
 			select {
@@ -96,8 +98,8 @@
 			}
 		}
 		_, isHeartbeat := m.(protocol.PeerForwardedHeartbeat)
-		heartbeatsOnly = heartbeatsOnly && isHeartbeat && l.coalesceDelay > 0
-		if heartbeatsOnly && coalesceTimeout == nil {
+		mayWait = mayWait && isHeartbeat && l.coalesceDelay > 0
+		if mayWait && coalesceTimeout == nil {
 			coalesceTimeout = time.After(l.coalesceDelay)
 		}
 		frames = protocol.AppendPeerFrame(frames, m)
@@ -113,7 +115,7 @@
 	}
 }
 
-// reset closes the connection; run dials anew.
+// reset closes the connection. run then dials again.
 func (l *outgoingLink) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -20,20 +20,20 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// newStoppedController makes an owner whose loop never runs.
+// newStoppedController returns a controller whose event loop never runs.
 func newStoppedController() *Controller {
 	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
 	log := slog.New(slog.DiscardHandler)
 	return NewController(cfg, log, coordination.New(cfg, log, 1, "boot"))
 }
 
-// heartbeatEvent is the event of an empty heartbeat that came with a request.
+// heartbeatEvent returns the event of an empty heartbeat that came with the request of this ID.
 func heartbeatEvent(id uint64) coordination.Event {
 	return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
 }
 
-// TestUserRequestsAreShedWhenTheQueueIsFull: when the owner does not keep up, users are turned away at once
-// while workers' reports still find room.
+// TestUserRequestsAreShedWhenTheQueueIsFull checks that users' requests are rejected at once when
+// the event loop does not keep up, while there is still room for agents' heartbeats.
 func TestUserRequestsAreShedWhenTheQueueIsFull(t *testing.T) {
 	c := newStoppedController()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,26 +41,27 @@
 	for range tuning.MinUserQueueLength {
 		go c.server.awaitReply(ctx, c.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
 	}
-	eventually(t, "the queue is full", func() bool { return len(c.loop.queues.users) == tuning.MinUserQueueLength })
+	eventually(t, "the users' queue is full", func() bool { return len(c.loop.queues.users) == tuning.MinUserQueueLength })
 	if r := c.server.awaitReply(ctx, c.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
-		t.Errorf("one too many gets %+v", r)
+		t.Errorf("request beyond the queue's length: got %+v", r)
 	}
-	// A submission is then refused before its body is read.
+	// While the queue is full, a submission is rejected before its body is read.
 	body := &countingReader{}
 	w := httptest.NewRecorder()
 	c.server.handler().ServeHTTP(w, httptest.NewRequest("POST", protocol.PathJobs, body))
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" || body.reads > 0 {
-		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
+		t.Errorf("submission: status %d, Retry-After %q, after %d reads of the body", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
 	go c.server.awaitReply(ctx, c.loop.queues.heartbeats, time.Minute, heartbeatEvent)
-	eventually(t, "the report is queued", func() bool { return len(c.loop.queues.heartbeats) == 1 })
+	eventually(t, "the heartbeat is queued", func() bool { return len(c.loop.queues.heartbeats) == 1 })
 }
 
-// TestHeartbeatsAreAcceptedDuringAQueryFlood: stalled connections and a flood of polls for jobs that nobody knows
-// leave every worker's report its answer; each poll has one, too.
+// TestHeartbeatsAreAcceptedDuringAQueryFlood checks that every heartbeat is accepted in time in spite
+// of stalled connections and a flood of status queries for unknown jobs. Every query gets a
+// response, too.
 func TestHeartbeatsAreAcceptedDuringAQueryFlood(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
-	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "the controller is ready", isReady(t, cfg))
 	for range 100 {
 		conn, err := net.Dial("tcp", cfg.Listen)
 		if err != nil {
@@ -82,38 +83,38 @@
 			}
 		}()
 	}
-	eventually(t, "a report is answered with 200", acceptsHeartbeat(t, cfg, heartbeatBody("i-1", "big", 1)))
+	eventually(t, "a heartbeat is accepted", acceptsHeartbeat(t, cfg, heartbeatBody("i-1", "big", 1)))
 	for seq := range 40 {
 		began := time.Now()
 		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, heartbeatBody("i-1", "big", seq+1000))
 		if took := time.Since(began); status != 200 || took > 4*time.Second {
-			t.Fatalf("report %d: %d %s after %v", seq, status, body, took)
+			t.Fatalf("heartbeat %d: status %d, %s after %v", seq, status, body, took)
 		}
 	}
 	queries.Wait()
 	if n := unexpected.Load(); n > 0 {
-		t.Errorf("%d polls have neither 404 nor 503", n)
+		t.Errorf("%d status queries got neither 404 nor 503", n)
 	}
 }
 
-// TestMoreAgentsThanSockets: a fleet of more workers than the process has
-// sockets has every report answered, and users and health checks are not kept
-// waiting: beyond their share connections are closed after the answer.
+// TestMoreAgentsThanSockets checks that all agents of a fleet with more agents than the process has
+// sockets get responses to their heartbeats, and that users and health checks do not starve:
+// connections beyond the limits are closed after the response.
 func TestMoreAgentsThanSockets(t *testing.T) {
 	const sockets, agents, users = 100, 200, 60
 	cfg, _ := startController(t, true, sockets)
-	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "the controller is ready", isReady(t, cfg))
 	var clients sync.WaitGroup
 	var servedClients atomic.Int32
 	stop := make(chan struct{})
-	// loop sends a request again and again over a connection that is kept for as
-	// long as the server keeps it.
+	// startClient starts a client that sends requests repeatedly, over one connection for as long
+	// as the server keeps it open.
 	startClient := func(request func(i int) (method, path, body string)) {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			// Far longer than an answer takes on a busy machine; who finds no socket
-			// would wait for ever.
+			// The time-out is far longer than a response takes on a busy machine. Without it a
+			// client that gets no socket would wait for ever.
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 			defer client.CloseIdleConnections()
 			responses := 0
@@ -151,14 +152,15 @@
 	}
 	t.Cleanup(clients.Wait)
 	t.Cleanup(func() { close(stop) })
-	eventually(t, "every worker and user is answered three times", func() bool { return servedClients.Load() == agents+users })
+	eventually(t, "every agent and user has got three responses", func() bool { return servedClients.Load() == agents+users })
 	for range 5 {
-		eventually(t, "health checks are answered", isReady(t, cfg))
+		eventually(t, "a health check succeeds", isReady(t, cfg))
 	}
 }
 
-// TestResponsesGoBeforeHeartbeats: the renewal of the leader lease is not behind the reports of a
-// whole fleet: answers to what the node asked are taken first.
+// TestResponsesGoBeforeHeartbeats checks that the event loop takes responses to the node's own
+// requests first, so that the renewal of the leader lease does not wait behind the heartbeats of a
+// whole fleet.
 func TestResponsesGoBeforeHeartbeats(t *testing.T) {
 	c := newStoppedController()
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
@@ -167,11 +169,11 @@
 	c.loop.queues.responses <- coordination.Response{ID: 1}
 	batch := c.loop.fillBatch(nil)
 	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.MaxUrgentEventsPerBatch {
-		t.Errorf("a batch of %d begins with %T", len(batch), batch[0])
+		t.Errorf("batch of %d events begins with %T", len(batch), batch[0])
 	}
 }
 
-// countingReader counts how often it is read.
+// countingReader is an empty reader that counts the calls to Read.
 type countingReader struct{ reads int }
 
 func (r *countingReader) Read([]byte) (int, error) {
@@ -179,8 +181,8 @@
 	return 0, io.EOF
 }
 
-// TestAbandonedRequestsAreSkipped: a node that has fallen behind does no work for requests whose
-// askers have given up; what nobody asked for in this way it does take.
+// TestAbandonedRequestsAreSkipped checks that a node that has fallen behind does no work for requests
+// whose clients have given up. Events that belong to no request are still handled.
 func TestAbandonedRequestsAreSkipped(t *testing.T) {
 	c := newStoppedController()
 	abandoned, abandon := context.WithCancel(context.Background())
@@ -193,15 +195,15 @@
 		}
 	}
 	c.loop.queues.responses <- coordination.Response{ID: 99}
-	eventually(t, "all are queued", func() bool { return len(c.loop.queues.heartbeats) == 6 && len(c.loop.queues.users) == 6 })
+	eventually(t, "all requests are queued", func() bool { return len(c.loop.queues.heartbeats) == 6 && len(c.loop.queues.users) == 6 })
 	abandon()
-	eventually(t, "three of each have gone", func() bool {
+	eventually(t, "three requests of each kind are abandoned", func() bool {
 		pending := c.loop.pending
 		pending.mu.Lock()
 		defer pending.mu.Unlock()
 		return len(pending.replies) == 6
 	})
 	if batch := c.loop.fillBatch(nil); len(batch) != 7 {
-		t.Errorf("a batch of %d, want the answer and six requests", len(batch))
+		t.Errorf("batch of %d events, want the response and six requests", len(batch))
 	}
 }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -16,14 +16,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// peerLinks are the links between controllers. Every node dials every peer and sends on
-// the connection that it dialled; it only reads from those that it accepted.
+// peerLinks are the links between this controller and its peers. Every node dials every peer. It
+// sends only on connections that it dialled, and reads only from connections that it accepted.
 type peerLinks struct {
 	address       string
 	log           *slog.Logger
 	events        chan<- coordination.Event
 	outgoing      map[protocol.NodeName]*outgoingLink
-	acceptedLinks atomic.Uint64 // links so far, which number them
+	acceptedLinks atomic.Uint64 // number of links accepted so far; a link is numbered by its position
 }
 
 func newPeerLinks(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peerLinks {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// accept has every link that a peer opens read.
+// accept accepts connections from peers and reads each in a goroutine of its own.
 func (p *peerLinks) accept(ctx context.Context, listener net.Listener, running *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
@@ -63,7 +63,7 @@
 			}
 			return
 		case err != nil:
-			// Out of sockets, perhaps: what is there goes on.
+			// The process may be out of sockets. Existing links continue.
 			p.log.Error("peer link not accepted", "error", err)
 			sleep(ctx, tuning.PeerRedialDelay)
 		default:
@@ -72,7 +72,8 @@
 	}
 }
 
-// receive takes a peer's frames until one is wrong or none comes.
+// receive reads a peer's frames until one is invalid, none arrives within PeerReadTimeout or the
+// connection ends.
 func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
 	defer closeOnDone(ctx, conn)()
 	r := bufio.NewReaderSize(conn, tuning.PeerBatchBytes)
@@ -99,21 +100,23 @@
 	}
 }
 
-// send queues a message; a full queue drops it, as a broken link would.
+// send queues a message for a peer. If the queue is full, the message is lost, as it would be on a
+// broken link.
 func (p *peerLinks) send(name protocol.NodeName, m protocol.PeerMessage) {
 	if l := p.outgoing[name]; l != nil {
 		l.send(m)
 	}
 }
 
-// reset closes a link that has gone silent, so that it is dialled anew.
+// reset closes the link to a peer that has gone silent, so that the peer is dialled again.
 func (p *peerLinks) reset(name protocol.NodeName) {
 	if l := p.outgoing[name]; l != nil {
 		l.reset()
 	}
 }
 
-// enqueue queues an event for the event loop, unless the context ends first.
+// enqueue adds an event to the event loop's queue. While the queue is full it waits, until the
+// context ends.
 func enqueue(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
 	select {
 	case events <- e:
@@ -121,7 +124,7 @@
 	}
 }
 
-// sleep waits, but not beyond the context's end.
+// sleep waits for the given time or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -129,7 +132,7 @@
 	}
 }
 
-// closeOnDone closes a connection when the context ends or the function returned is called.
+// closeOnDone closes a connection when the context ends or when closeConn is called.
 func closeOnDone(ctx context.Context, conn net.Conn) (closeConn func()) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	return func() {
--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -17,7 +17,7 @@
 	return &pendingRequests{replies: map[uint64]chan coordination.Reply{}}
 }
 
-// register numbers a request and gives the channel to which its reply comes.
+// register assigns an ID to a request and returns the channel that receives its reply.
 func (p *pendingRequests) register() (id uint64, reply <-chan coordination.Reply) {
 	ch := make(chan coordination.Reply, 1)
 	p.mu.Lock()
@@ -27,21 +27,21 @@
 	return p.lastID, ch
 }
 
-// remove gives a request up: nobody waits for its reply any more.
+// remove drops a request because nobody waits for its reply any more.
 func (p *pendingRequests) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.replies, id)
 }
 
-// isPending says whether somebody waits for the reply to a request.
+// isPending reports whether the reply to a request is still awaited.
 func (p *pendingRequests) isPending(id uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.replies[id] != nil
 }
 
-// deliver hands a reply to whoever waits for it. It never blocks.
+// deliver passes a reply to the handler that waits for it, if there still is one. It never blocks.
 func (p *pendingRequests) deliver(r coordination.Reply) {
 	p.mu.Lock()
 	ch := p.replies[r.ID]
--- a/internal/transport/queues.go
+++ b/internal/transport/queues.go
@@ -6,9 +6,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// eventQueues hold the events that wait for the event loop. What the node asked for and
-// what peers say (the renewal of its leader lease among them) go before agents'
-// heartbeats, and these before what users ask.
+// eventQueues hold the events that wait for the event loop. Responses to the node's own requests
+// (such as renewals of its leader lease) and events of peers go before agents' heartbeats, and
+// heartbeats go before users' requests.
 type eventQueues struct {
 	responses  chan coordination.Event // from the store, the cloud, agents and peers
 	heartbeats chan coordination.Event
@@ -23,5 +23,5 @@
 	}
 }
 
-// depth is how many events wait.
+// depth returns the number of queued events.
 func (q *eventQueues) depth() int { return len(q.responses) + len(q.heartbeats) + len(q.users) }
--- a/internal/transport/recovery_metrics.go
+++ b/internal/transport/recovery_metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// recoveryMetrics are the operators' numbers of the recovery after a failover. They stay
-// as they were at its end until the node leads anew.
+// recoveryMetrics holds the metrics of the recovery after a failover. They keep the values from the
+// end of the recovery until the node leads again.
 type recoveryMetrics struct {
 	phase, durationSeconds, silentAgents prometheus.Gauge
 	differences, commands                *prometheus.GaugeVec
@@ -27,7 +27,7 @@
 	return m
 }
 
-// update shows a recovery's summary; that of a node that does not lead is empty.
+// update sets the metrics from a recovery's summary, which is empty while the node does not lead.
 func (m *recoveryMetrics) update(s reconcile.Summary, now time.Time) {
 	if s.Began.IsZero() {
 		m.phase.Set(0)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -17,10 +17,10 @@
 	"golang.org/x/net/netutil"
 )
 
-// maxHeaderBytes bounds the headers of one request.
+// maxHeaderBytes limits the size of one request's headers.
 const maxHeaderBytes = 16 << 10
 
-// httpServer answers users, agents, the load balancer and operators.
+// httpServer handles the requests of users, agents, the load balancer and operators.
 type httpServer struct {
 	address     string
 	log         *slog.Logger
@@ -31,7 +31,7 @@
 	ready       func() bool
 }
 
-// listen opens the server's listener, which has no more connections than it may.
+// listen opens the server's listener, which accepts no more than maxOpen connections at a time.
 func (s *httpServer) listen(ctx context.Context) (net.Listener, error) {
 	listener, err := listen(ctx, s.address)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return listener, nil
 }
 
-// serve answers until the context ends, which is no error, or the listener fails. Then it
-// closes the listener and all connections.
+// serve handles requests until the context ends or the listener fails. Then it closes the listener
+// and all connections. The end of the context is not an error.
 func (s *httpServer) serve(ctx context.Context, listener net.Listener) error {
 	srv := &http.Server{
 		Handler:           s.handler(),
@@ -75,7 +75,8 @@
 	return mux
 }
 
-// readBody reads a request's body, or answers why it does not.
+// readBody returns a request's body. If the body cannot be read, it writes an error response and
+// returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.TrustedBodyBytes)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return body, true
 }
 
-// writeError answers a request that is not served, and why.
+// writeError responds to a request that is not served, with the reason as message.
 func writeError(w http.ResponseWriter, status int, message string) {
 	writeJSON(w, status, storage.Encode(protocol.ErrorBody{Error: message}))
 }
@@ -102,7 +103,8 @@
 	w.Write(body)
 }
 
-// writeReply writes the node's reply.
+// writeReply writes a reply of the node as the HTTP response. A reply without a body becomes an
+// error response with the text of its status.
 func writeReply(w http.ResponseWriter, r coordination.Reply) {
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(r.RetryAfter)))
@@ -114,17 +116,18 @@
 	writeJSON(w, r.Status, r.Body)
 }
 
-// retryAfterSeconds writes a pause as the header's whole seconds.
+// retryAfterSeconds returns a pause in whole seconds for the Retry-After header: rounded up, and at
+// least one.
 func retryAfterSeconds(d time.Duration) int { return max(1, int((d+time.Second-1)/time.Second)) }
 
-// shed is the answer when there is too much to do.
+// shed counts a request that is rejected because of overload, and returns the reply to it.
 func (s *httpServer) shed() coordination.Reply {
 	s.metrics.shedRequests.Inc()
 	return coordination.Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 }
 
-// awaitReply hands a request to the event loop and waits for its reply: 503 if too many wait,
-// 504 if none comes in time.
+// awaitReply passes a request to the event loop and waits for the reply. It returns status 503 if
+// the queue is full, and 504 if no reply arrives in time.
 func (s *httpServer) awaitReply(ctx context.Context, queue chan<- coordination.Event, timeout time.Duration, newEvent func(id uint64) coordination.Event) coordination.Reply {
 	id, reply := s.pending.register()
 	defer s.pending.remove(id)
@@ -147,7 +150,7 @@
 func (s *httpServer) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	s.connections.closeIfAbove(s.connections.userKeepAliveLimit, w)
 	if len(s.queues.users) == cap(s.queues.users) {
-		writeReply(w, s.shed()) // before anything is spent on its body
+		writeReply(w, s.shed()) // before any resources are spent on the body
 		return
 	}
 	body, ok := readBody(w, r)
@@ -164,7 +167,8 @@
 	}))
 }
 
-// handleJobRequest asks the owner about the job that the path names.
+// handleJobRequest passes a request about the job that the path names to the event loop, and writes
+// the reply.
 func (s *httpServer) handleJobRequest(w http.ResponseWriter, r *http.Request, newEvent func(id uint64, jobID protocol.JobID) coordination.Event) {
 	s.connections.closeIfAbove(s.connections.userKeepAliveLimit, w)
 	jobID := protocol.JobID(r.PathValue("id"))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -26,8 +26,8 @@
 // TestMain checks that no goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// storeStub is a scripted state service: it holds keys, grants every lease and
-// shows a watch what was set since.
+// storeStub is a minimal store: it holds keys, grants every lease, and responds to a watch with the
+// keys that were set after the watch's revision.
 type storeStub struct {
 	mu       sync.Mutex
 	revision protocol.Revision
@@ -91,8 +91,8 @@
 	}
 }
 
-// cloudStub is a scripted cloud with one machine type and no machines; it
-// answers nothing until it is told to.
+// cloudStub is a minimal cloud with one machine type and no machines. It returns status 503 while
+// available is false.
 type cloudStub struct {
 	mu        sync.Mutex
 	available bool
@@ -111,7 +111,7 @@
 	}
 }
 
-// freeAddr is an address on loopback that nothing listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,23 +144,23 @@
 		select {
 		case err := <-ended:
 			if err != nil {
-				t.Errorf("the owner ends with %v", err)
+				t.Errorf("Run returned %v", err)
 			}
 		case <-time.After(tuning.ReplyTimeout):
-			t.Error("the owner waits for answers or peers when it should end")
+			t.Error("Run did not return in time: it may wait for responses or peers")
 		}
 		cloud.Close()
 		store.CloseClientConnections()
 		store.Close()
 		http.DefaultClient.CloseIdleConnections()
-		// The HTTP server's goroutines linger for half a second on a request cut short.
+		// The goroutines of the HTTP server stay for half a second after a request that was cut off.
 		var leaked error
 		for range 5 {
 			if leaked = goleak.Find(existingGoroutines); leaked == nil {
 				return
 			}
 		}
-		t.Errorf("goroutines outlive the owner: %v", leaked)
+		t.Errorf("goroutines are left after Run returned: %v", leaked)
 	})
 	return cfg, stub
 }
@@ -188,7 +188,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("%s: never", condition)
+	t.Fatalf("timed out waiting until %s", condition)
 }
 
 func isReady(t testing.TB, cfg *config.Config) func() bool {
@@ -198,7 +198,8 @@
 	}
 }
 
-// acceptsHeartbeat says whether a report is answered with 200, as a leader does.
+// acceptsHeartbeat returns a condition that is met when the heartbeat gets status 200, as it does
+// from a leader.
 func acceptsHeartbeat(t testing.TB, cfg *config.Config, body string) func() bool {
 	return func() bool {
 		status, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, body)
@@ -206,7 +207,7 @@
 	}
 }
 
-// heartbeatBody is what an idle agent says that no leader has answered yet.
+// heartbeatBody returns the heartbeat of an idle agent to which no leader has responded yet.
 func heartbeatBody(machine, machineType string, seq int) string {
 	return fmt.Sprintf(`{"berth":%q,"address":"127.0.0.1:1","build":%q,"yard":"a","loaners":false,"tenure":1,"tally":%d,"warrant":0,"recall_s":null,"pieces":[]}`, machine, machineType, seq)
 }
@@ -218,8 +219,8 @@
 
 func TestResponseStatuses(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
-	eventually(t, "ready", isReady(t, cfg))
-	// The first node to be started leads; until then nothing is lost by asking.
+	eventually(t, "the controller is ready", isReady(t, cfg))
+	// The first node to start becomes the leader. Requests that arrive before that do no harm.
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -250,22 +251,22 @@
 	}
 	_, body, _ := call(t, cfg, "GET", "/v2/runs/run-000001", "")
 	if !strings.Contains(body, `"phase":"withdrawn"`) {
-		t.Errorf("after the cancellation: %s", body)
+		t.Errorf("status after the cancellation: %s", body)
 	}
 }
 
-// TestSubmissionBeforeMachineTypesAreKnown: until the machine types are known a submission is answered
-// at once with 503 and when to come back.
+// TestSubmissionBeforeMachineTypesAreKnown checks that a submission gets status 503 with Retry-After
+// at once until the machine types are known.
 func TestSubmissionBeforeMachineTypesAreKnown(t *testing.T) {
 	cfg, cloud := startController(t, false, 0)
 	var status int
 	var header http.Header
-	eventually(t, "listening", func() bool {
+	eventually(t, "the controller listens", func() bool {
 		status, _, header = call(t, cfg, "POST", "/v2/runs", jobBody("run-000001", "vision", 1))
 		return status != 0
 	})
 	if status != 503 || header.Get("Retry-After") == "" {
-		t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
 	if isReady(t, cfg)() {
 		t.Error("ready without machine types")
@@ -273,14 +274,14 @@
 	cloud.mu.Lock()
 	cloud.available = true
 	cloud.mu.Unlock()
-	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "the controller is ready", isReady(t, cfg))
 }
 
-// TestStalledClientIsDisconnected: a client that stalls in the middle of a request is cut off,
-// and others are answered meanwhile.
+// TestStalledClientIsDisconnected checks that a client that stalls in the middle of a request is
+// disconnected, and that other clients get responses in the meantime.
 func TestStalledClientIsDisconnected(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
-	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "the controller is ready", isReady(t, cfg))
 	conn, err := net.Dial("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -288,32 +289,32 @@
 	defer conn.Close()
 	fmt.Fprintf(conn, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
 	if status, _, _ := call(t, cfg, "GET", "/v2/runs/run-000007", ""); status != 404 {
-		t.Errorf("another user gets %d", status)
+		t.Errorf("another user's query: status %d", status)
 	}
 	conn.SetReadDeadline(time.Now().Add(2 * tuning.RequestReadTimeout))
 	if _, err := io.ReadAll(conn); err != nil {
-		t.Errorf("the stalled connection stays: %v", err)
+		t.Errorf("the stalled connection is still open: %v", err)
 	}
 }
 
-// TestInvalidPeersAreDisconnected: a peer that sends anything but sound frames is cut off, and
-// the node goes on.
+// TestInvalidPeersAreDisconnected checks that a peer is disconnected if it sends anything but valid
+// frames, and that the node goes on.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
-	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "the controller is ready", isReady(t, cfg))
 	hello := protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n1"})
 	otherVersion := bytes.Clone(hello)
 	otherVersion[2] = 0
 	oversized := bytes.Clone(hello)
 	oversized[4] = 0xff
 	for name, frames := range map[string][]byte{
-		"text":       []byte("GET / HTTP/1.1\r\n\r\n"),
-		"old":        otherVersion,
-		"oversized":  oversized,
-		"stranger":   protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n9"}),
-		"no hello":   protocol.AppendPeerFrame(nil, protocol.PeerStatus{Term: 1}),
-		"two hellos": append(bytes.Clone(hello), hello...),
-		"wrong kind": append(bytes.Clone(hello), 'G', 'P', 1, 99, 0, 0, 0, 0),
+		"HTTP request":    []byte("GET / HTTP/1.1\r\n\r\n"),
+		"other version":   otherVersion,
+		"oversized frame": oversized,
+		"unknown peer":    protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n9"}),
+		"no hello":        protocol.AppendPeerFrame(nil, protocol.PeerStatus{Term: 1}),
+		"two hellos":      append(bytes.Clone(hello), hello...),
+		"unknown kind":    append(bytes.Clone(hello), 'G', 'P', 1, 99, 0, 0, 0, 0),
 	} {
 		conn, err := net.Dial("tcp", cfg.PeerListen)
 		if err != nil {
@@ -322,12 +323,12 @@
 		conn.Write(frames)
 		conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 		if n, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-			t.Errorf("%s: read %d, %v: not cut off", name, n, err)
+			t.Errorf("%s: read %d bytes, %v: not disconnected", name, n, err)
 		}
 		conn.Close()
 	}
 	if !isReady(t, cfg)() {
-		t.Error("no longer ready")
+		t.Error("the controller is no longer ready")
 	}
 }
 
