--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestAllocationsPerRequest limits the number of allocations for a request, which does not depend on
+// TestAllocationsPerRequest checks the number of allocations per request, which does not depend on
 // the machine. The number includes those of the client, which formats its requests.
 func TestAllocationsPerRequest(t *testing.T) {
 	cfg, _ := startController(t, true, 800)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -140,8 +140,8 @@
 	}
 	if r.Body != nil {
 		req.Header.Set("Content-Type", "application/json")
-		// Without GetBody, the client does not resend a request with a body by itself: it may only
-		// repeat requests that are safe to repeat.
+		// Without GetBody, the HTTP client does not resend the request by itself: only requests
+		// that are safe to repeat may be resent.
 		req.GetBody = nil
 	}
 	resp, err := target.client.Do(req)
@@ -159,9 +159,9 @@
 	return resp.StatusCode, body, nil
 }
 
-// readAll reads a body. It allocates the announced length, which is negative if unknown, in advance:
-// a buffer that grows step by step takes several times the memory. The announced length may be
-// wrong, so that no more than maxPreallocation bytes are allocated before they arrive.
+// readAll reads a body. It allocates a buffer of the announced length in advance, because a buffer
+// that grows step by step takes several times the memory. The length is negative if none was
+// announced. It is not trusted beyond maxPreallocation bytes.
 func readAll(r io.Reader, announcedLength, maxPreallocation int64) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(int(min(max(announcedLength, 0), maxPreallocation)) + bytes.MinRead)
--- a/internal/transport/connection_limits.go
+++ b/internal/transport/connection_limits.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// noKeepAlive disables TCP keep-alive probes. The time-outs in this package already close silent
-// connections, and enabling the probes takes four of the five system calls that a new connection
-// costs in addition to opening it.
+// noKeepAlive disables TCP keep-alive probes. Our own time-outs already close silent connections,
+// and enabling the probes takes four of the five system calls that a new connection costs in
+// addition to opening it.
 const noKeepAlive = -1
 
 // listen opens a TCP listener whose connections have no keep-alive probes.
--- a/internal/transport/controller.go
+++ b/internal/transport/controller.go
@@ -3,10 +3,10 @@
 // goroutines, clocks and sockets of the program are in this package.
 //
 // Controller.Run starts all goroutines and returns when they have ended: those of the event loop,
-// the HTTP server, the listener for peers and the links to peers, and one for each request in
-// progress. All end with Run's context, whose end closes their sockets. Only the goroutines of
-// connections that users and agents have opened belong to net/http, which ends them when the server
-// closes.
+// the HTTP server, the listener for peers and the links to peers, and one for each outgoing request
+// in progress. All of them end with Run's context, whose end also closes their sockets. Only the
+// goroutines of connections that users and agents have opened belong to net/http, which ends them
+// when the server closes.
 package transport
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/gappond/gappond/internal/coordination"
 )
 
-// Controller runs one controller of the cluster. It consists of the event loop, which owns the state
+// Controller is one controller of the cluster. It consists of the event loop, which owns the state
 // machine, and of the parts that deliver events to the loop and carry out its actions.
 type Controller struct {
 	loop    *eventLoop
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -25,7 +25,7 @@
 }
 
 // coalesceDelay returns how long heartbeats are gathered for one write. The delay limits the
-// processor time that the leader spends on the writes of all its peers to PeerWriteCPUShare.
+// processor time that the leader spends on the writes from all its peers to PeerWriteCPUShare.
 func coalesceDelay(cfg *config.Config) time.Duration {
 	delayPerPeer := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
 	return min(delayPerPeer*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
@@ -74,7 +74,7 @@
 }
 
 // nextFrames waits for a message and appends the frames of all queued messages, up to about
-// PeerBatchBytes. As long as it has only heartbeats, it waits up to coalesceDelay for more messages.
+// PeerBatchBytes. As long as all of them are heartbeats, it waits up to coalesceDelay for more.
 // It returns nil if the connection or the context has ended.
 func (l *outgoingLink) nextFrames(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
 	mayWait := true // all messages so far are heartbeats, which may wait for others
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -23,7 +23,7 @@
 	log           *slog.Logger
 	events        chan<- coordination.Event
 	outgoing      map[protocol.NodeName]*outgoingLink
-	acceptedLinks atomic.Uint64 // number of links accepted so far; a link is numbered by its position
+	acceptedLinks atomic.Uint64 // count of links accepted so far; also the number of the latest
 }
 
 func newPeerLinks(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peerLinks {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// accept accepts connections from peers and reads each in a goroutine of its own.
+// accept waits for connections from peers and reads each one in its own goroutine.
 func (p *peerLinks) accept(ctx context.Context, listener net.Listener, running *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
@@ -115,8 +115,8 @@
 	}
 }
 
-// enqueue adds an event to the event loop's queue. While the queue is full it waits, until the
-// context ends.
+// enqueue adds an event to the event loop's queue. If the queue is full, it waits until there is room
+// or the context ends.
 func enqueue(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
 	select {
 	case events <- e:
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -122,6 +122,8 @@
 	return ln.Addr().String()
 }
 
+// startController runs a controller with a stub store and a stub cloud until the test ends. Then it
+// checks that Run returns and leaves no goroutine behind.
 func startController(t testing.TB, available bool, socketLimit int) (*config.Config, *cloudStub) {
 	t.Helper()
 	existingGoroutines := goleak.IgnoreCurrent()
@@ -147,7 +149,7 @@
 				t.Errorf("Run returned %v", err)
 			}
 		case <-time.After(tuning.ReplyTimeout):
-			t.Error("Run did not return in time: it may wait for responses or peers")
+			t.Error("Run did not return in time; it may be waiting for responses or peers")
 		}
 		cloud.Close()
 		store.CloseClientConnections()
@@ -217,6 +219,7 @@
 "bundle":"i","pull_gb":1,"one_zone":true,"scatter":false,"loaners":true,"expect_s":1,"snapshot_s":0,"flush_s":0}`, id, team, gpus)
 }
 
+// TestResponseStatuses checks the HTTP status of responses to valid and invalid requests.
 func TestResponseStatuses(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
 	eventually(t, "the controller is ready", isReady(t, cfg))
