--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -152,10 +152,10 @@
 
 // rent rents machines as far as there are any.
 func (c *cloudProvider) rent(body []byte, answer answerFunc) {
-	var r protocol.Rental
+	var r protocol.CreateMachinesRequest
 	decode(body, &r)
-	if names, ok := c.rented[r.Request]; ok {
-		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+	if names, ok := c.rented[r.RequestID]; ok {
+		answer(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 		return
 	}
 	up := 0
@@ -172,8 +172,8 @@
 	for range min(r.Count, c.capacity-up) {
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.rented[r.Request] = names
-	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+	c.rented[r.RequestID] = names
+	answer(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 }
 
 // bootTime is how long a machine takes to come up; one in twenty never does.
@@ -190,7 +190,7 @@
 
 // remove deletes machines.
 func (c *cloudProvider) remove(body []byte, answer answerFunc) {
-	var r protocol.MachineNames
+	var r protocol.MachineIDs
 	decode(body, &r)
 	for _, h := range c.hosts {
 		if slices.Contains(r.Machines, h.ID) && !h.gone {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -147,9 +147,9 @@
 	}
 	g.over = true
 	j := w.rules.jobs[g.job.ID]
-	if g.stopped.IsZero() && g.job.CheckpointS > 0 {
+	if g.stopped.IsZero() && g.job.CheckpointIntervalS > 0 {
 		run := j.progress[0] + w.Now.Sub(g.began).Seconds()
-		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointS)*g.job.CheckpointS)
+		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointIntervalS)*g.job.CheckpointIntervalS)
 	}
 	for _, task := range g.list() {
 		if task != lost {
@@ -171,7 +171,7 @@
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
 	}
-	saves := t.state == protocol.TaskRunning && t.job.CheckpointS > 0 && grace >= t.job.SaveS
+	saves := t.state == protocol.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointSaveS
 	if !saves {
 		t.exit(protocol.CauseStopped, false)
 		return
@@ -190,7 +190,7 @@
 	w := t.agent.w
 	job := w.rules.jobs[t.job.ID]
 	run := job.progress[t.index] + w.Now.Sub(t.began).Seconds()
-	t.agent.wait(secs(t.job.SaveS), t, func() {
+	t.agent.wait(secs(t.job.CheckpointSaveS), t, func() {
 		job.progress[t.index] = max(job.progress[t.index], run)
 		t.exit(protocol.CauseStopped, true)
 	})
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -204,7 +204,7 @@
 
 // beyondLimits says in which way a transaction is too large, "" if it is not.
 func (s *keyValueStore) beyondLimits(t *protocol.Transaction, size int) string {
-	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBody {
+	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBodyBytes {
 		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
 	}
 	for _, c := range t.Changes {
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -25,16 +25,16 @@
 	case release02:
 		return 0
 	case release03:
-		return protocol.PeerKnowsCancelled
+		return protocol.FeatureLevelCancellations
 	}
-	return protocol.PeerLevel
+	return protocol.CurrentFeatureLevel
 }
 
 // announced is a message as a controller of one release takes it from another: the
 // announced level is the lower of both, since an earlier release does nothing that a
 // later level would allow.
 func announced(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
-	if _, ok := protocol.Announced(m); !ok {
+	if _, ok := protocol.AnnouncedFeatureLevel(m); !ok {
 		return m
 	}
 	a := m.(protocol.PeerResponse)
@@ -45,10 +45,10 @@
 // maySend says whether a node sends a message: version 0.2 knows nothing of what was
 // added, and cuts a link on which it comes.
 func (c *controller) maySend(a coordination.PeerSend) bool {
-	_, announces := protocol.Announced(a.Message)
+	_, announces := protocol.AnnouncedFeatureLevel(a.Message)
 	added := false
 	switch a.Message.(type) {
-	case protocol.PeerCancellation, protocol.PeerConfirmRequest, protocol.PeerConfirmation:
+	case protocol.PeerCancellation, protocol.PeerConfirmationRequest, protocol.PeerConfirmation:
 		added = true
 	}
 	if added && c.w.release[string(a.Peer)] == release02 {
@@ -80,7 +80,7 @@
 			continue
 		}
 		rec, err := storage.DecodeJob(r.w.store.keys[storage.JobKey(id)].Value)
-		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
+		if err != nil || num < max(rec.BaseRecords(), rec.TotalRecords) {
 			continue
 		}
 		r.staged++
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -149,7 +149,7 @@
 		return 0, nil, fmt.Errorf("send request: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBody)
+	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBodyBytes)
 	if err != nil {
 		return 0, nil, fmt.Errorf("read response to %s %s: %w", r.Method, r.Path, err)
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -78,7 +78,7 @@
 // readBody returns a request's body. If the body cannot be read, it writes an error response and
 // returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBody), r.ContentLength, tuning.TrustedBodyBytes)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes), r.ContentLength, tuning.MaxBodyPreallocationBytes)
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
@@ -172,7 +172,7 @@
 func (s *httpServer) handleJobRequest(w http.ResponseWriter, r *http.Request, newEvent func(id uint64, jobID protocol.JobID) coordination.Event) {
 	s.connections.closeIfAbove(s.connections.userKeepAliveLimit, w)
 	jobID := protocol.JobID(r.PathValue("id"))
-	if !protocol.ValidID(jobID) {
+	if !protocol.ValidJobID(jobID) {
 		writeError(w, http.StatusNotFound, "no such job")
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -230,7 +230,7 @@
 	}{
 		{"POST", "/v2/runs", "{", 400},
 		{"POST", "/v2/runs", "[]", 400},
-		{"POST", "/v2/runs", strings.Repeat(" ", protocol.MaxBody+1), 413},
+		{"POST", "/v2/runs", strings.Repeat(" ", protocol.MaxBodyBytes+1), 413},
 		{"POST", "/v2/runs", jobBody("run-000001", "nobody", 1), 422},
 		{"POST", "/v2/runs", jobBody("run-000001", "vision", 3), 422}, // fits no machine
 		{"POST", "/v2/runs", jobBody("run-000001", "vision", 1), 201},
