--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -16,52 +16,55 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// statusLost stands for the status of an answer that did not come.
-const statusLost = 0
+// statusNoResponse is the status of a Response if none arrived from the external system.
+const statusNoResponse = 0
 
-// errTooLarge says that an answer was cut short; the same request's would be again.
-var errTooLarge = errors.New("the answer is larger than any may be")
+// errResponseTooLarge means that a response was cut off at the size limit. The response to a
+// repeated request would be cut off again.
+var errResponseTooLarge = errors.New("response exceeds the size limit")
 
-// endpoint is an outside system: where it is and the client that calls it.
+// endpoint is an external system: its address and the client that calls it.
 type endpoint struct {
-	base   string // of its URLs
-	client *http.Client
+	baseURL string // scheme and address, without a path
+	client  *http.Client
 }
 
-// clients carry out the node's requests to outside systems and to agents. Every request
-// ends in exactly one Response on the event loop's queue, unless the context ends.
+// clients send the node's requests to the external systems. Every request leads to exactly one
+// Response in the event loop's queue, unless the context ends.
 type clients struct {
-	store       endpoint
-	leaderLease endpoint // the store: renewals of the leader lease wait for no other request
-	cloud       endpoint
-	agents      *http.Client
-	agentCalls  chan struct{} // one for each call to an agent under way
-	responses   chan<- coordination.Event
-	running     sync.WaitGroup // requests under way
+	store          endpoint
+	leaderLease    endpoint // the store; separate, so that renewals wait for no other request
+	cloud          endpoint
+	agents         *http.Client
+	agentCallSlots chan struct{} // one element for each call to an agent in progress
+	responses      chan<- coordination.Event
+	running        sync.WaitGroup // requests in progress
 }
 
 func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
-	sockets := cfg.Cluster.Process.FDLimit
-	outside := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
+	socketLimit := cfg.Cluster.Process.FDLimit
+	externalClient := newHTTPClient(2*tuning.MaxConnectionsPerHost, tuning.MaxConnectionsPerHost)
 	storeURL := "http://" + cfg.Endpoints.State
 	return &clients{
-		store:       endpoint{storeURL, outside},
+		store:       endpoint{storeURL, externalClient},
 		leaderLease: endpoint{storeURL, newHTTPClient(1, 1)},
-		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, outside},
-		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(sockets)*tuning.AgentIdleConnectionShare)), 1),
-		// The node bounds its calls by the same share; this holds whatever it does.
-		agentCalls: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(sockets)*tuning.AgentCallConnectionShare))),
-		responses:  responses,
+		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, externalClient},
+		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(socketLimit)*tuning.AgentIdleConnectionShare)), 1),
+		// The node limits its calls to the same share. The channel enforces this whatever the
+		// node does.
+		agentCallSlots: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(socketLimit)*tuning.AgentCallConnectionShare))),
+		responses:      responses,
 	}
 }
 
-// newHTTPClient makes a client that keeps so many idle connections, and so many to one host.
-func newHTTPClient(idle, idlePerHost int) *http.Client {
+// newHTTPClient returns a client that keeps up to maxIdle idle connections, and up to maxIdlePerHost
+// of them to one host.
+func newHTTPClient(maxIdle, maxIdlePerHost int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}).DialContext,
-			MaxIdleConns:        idle,
-			MaxIdleConnsPerHost: idlePerHost,
+			MaxIdleConns:        maxIdle,
+			MaxIdleConnsPerHost: maxIdlePerHost,
 			MaxConnsPerHost:     tuning.MaxConnectionsPerHost,
 			IdleConnTimeout:     tuning.ClientIdleTimeout,
 			DisableCompression:  true,
@@ -70,14 +73,12 @@
 	}
 }
 
-// start carries out a request in a goroutine that ends with its answer, its time-out or
-// the context.
+// start sends a request in a goroutine that ends with the response, the time-out or the context.
 func (c *clients) start(ctx context.Context, r coordination.Request) {
 	c.running.Go(func() { c.call(ctx, r) })
 }
 
-// close waits for the requests under way, whose context has ended, and closes all
-// connections.
+// close waits for the requests in progress, whose context has ended, and closes all connections.
 func (c *clients) close() {
 	c.running.Wait()
 	for _, client := range []*http.Client{c.store.client, c.leaderLease.client, c.cloud.client, c.agents} {
@@ -85,23 +86,23 @@
 	}
 }
 
-// call carries out a request and hands in its response.
+// call sends a request and queues the Response for the event loop.
 func (c *clients) call(ctx context.Context, r coordination.Request) {
 	if r.To == coordination.ToAgent {
 		select {
-		case c.agentCalls <- struct{}{}:
-			defer func() { <-c.agentCalls }()
+		case c.agentCallSlots <- struct{}{}:
+			defer func() { <-c.agentCallSlots }()
 		case <-ctx.Done():
 			return
 		}
 	}
 	response := coordination.Response{ID: r.ID}
-	status, body, err := c.fetch(ctx, r)
+	status, body, err := c.roundTrip(ctx, r)
 	switch {
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, errResponseTooLarge):
 		response.Status = http.StatusRequestEntityTooLarge
 	case err != nil:
-		response.Status = statusLost // it may have been carried out or not
+		response.Status = statusNoResponse // the request may have been executed or not
 	default:
 		response.Status, response.Body = status, body
 	}
@@ -111,7 +112,7 @@
 	}
 }
 
-// endpoint is where a request goes.
+// endpoint returns where a request is sent.
 func (c *clients) endpoint(r coordination.Request) endpoint {
 	switch r.To {
 	case coordination.ToLeaderLease:
@@ -124,45 +125,46 @@
 	return c.store
 }
 
-// fetch sends a request and reads its answer, whatever its status.
-func (c *clients) fetch(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
+// roundTrip sends a request and returns the response, whatever its status.
+func (c *clients) roundTrip(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	to := c.endpoint(r)
-	var in io.Reader
+	target := c.endpoint(r)
+	var requestBody io.Reader
 	if r.Body != nil {
-		in = bytes.NewReader(r.Body)
+		requestBody = bytes.NewReader(r.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, to.base+r.Path, in)
+	req, err := http.NewRequestWithContext(ctx, r.Method, target.baseURL+r.Path, requestBody)
 	if err != nil {
-		return 0, nil, fmt.Errorf("make request %s %s: %w", r.Method, r.Path, err)
+		return 0, nil, fmt.Errorf("create request %s %s: %w", r.Method, r.Path, err)
 	}
 	if r.Body != nil {
 		req.Header.Set("Content-Type", "application/json")
-		// Only requests that may be repeated are sent again by the client.
+		// Without GetBody, the HTTP client does not resend the request by itself: only requests
+		// that are safe to repeat may be resent.
 		req.GetBody = nil
 	}
-	resp, err := to.client.Do(req)
+	resp, err := target.client.Do(req)
 	if err != nil {
 		return 0, nil, fmt.Errorf("send request: %w", err)
 	}
 	defer resp.Body.Close()
 	body, err = readAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes), resp.ContentLength, protocol.MaxBodyBytes)
 	if err != nil {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
+		return 0, nil, fmt.Errorf("read response to %s %s: %w", r.Method, r.Path, err)
 	}
 	if len(body) == tuning.MaxResponseBytes {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errTooLarge)
+		return 0, nil, fmt.Errorf("read response to %s %s: %w", r.Method, r.Path, errResponseTooLarge)
 	}
 	return resp.StatusCode, body, nil
 }
 
-// readAll reads a body of about the announced length, which is negative if none
-// was: a buffer that grows by and by takes several times the memory. No more than
-// most is taken on trust.
-func readAll(r io.Reader, length, most int64) ([]byte, error) {
+// readAll reads a body. It allocates a buffer of the announced length in advance, because a buffer
+// that grows step by step takes several times the memory. The length is negative if none was
+// announced. It is not trusted beyond maxPreallocation bytes.
+func readAll(r io.Reader, announcedLength, maxPreallocation int64) ([]byte, error) {
 	var b bytes.Buffer
-	b.Grow(int(min(max(length, 0), most)) + bytes.MinRead)
+	b.Grow(int(min(max(announcedLength, 0), maxPreallocation)) + bytes.MinRead)
 	_, err := b.ReadFrom(r)
 	return b.Bytes(), err
 }
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -12,26 +12,27 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// outgoingLink is the connection on which this node sends to a peer.
+// outgoingLink sends messages to a peer, on a connection that this node dials.
 type outgoingLink struct {
 	self, peer    protocol.NodeName
 	address       string
 	events        chan<- coordination.Event
 	queue         chan protocol.PeerMessage
-	coalesceDelay time.Duration // for which heartbeats wait for others on their way to the leader
+	coalesceDelay time.Duration // how long heartbeats forwarded to the leader wait for others
 
 	mu   sync.Mutex
 	conn net.Conn
 }
 
-// coalesceDelay is how long heartbeats are gathered for one write, so that what all
-// peers send costs the leader no more than its share of processor time.
+// coalesceDelay returns how long heartbeats are gathered for one write. The delay limits the
+// processor time that the leader spends on the writes from all its peers to PeerWriteCPUShare.
 func coalesceDelay(cfg *config.Config) time.Duration {
-	each := cfg.Cluster.Process.ThrottleInterval(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
-	return min(each*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
+	delayPerPeer := cfg.Cluster.Process.ThrottleInterval(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
+	return min(delayPerPeer*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
-// run dials the peer and sends to it, again and again until the context ends.
+// run dials the peer and sends to it. When the connection ends, it dials again, until the context
+// ends.
 func (l *outgoingLink) run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: noKeepAlive}
 	for ctx.Err() == nil {
@@ -40,24 +41,24 @@
 			l.mu.Lock()
 			l.conn = conn
 			l.mu.Unlock()
-			emit(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
-			l.serve(ctx, conn)
-			emit(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
+			enqueue(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
+			l.sendUntilClosed(ctx, conn)
+			enqueue(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
 		}
-		pause(ctx, tuning.PeerRedialDelay)
+		sleep(ctx, tuning.PeerRedialDelay)
 	}
 }
 
-// serve sends on a connection until it ends, and closes it.
-func (l *outgoingLink) serve(ctx context.Context, conn net.Conn) {
+// sendUntilClosed sends the queued messages on a connection until it ends, and then closes it.
+func (l *outgoingLink) sendUntilClosed(ctx context.Context, conn net.Conn) {
 	closed := make(chan struct{})
-	end := closeWith(ctx, conn)
+	closeConn := closeOnDone(ctx, conn)
 	defer func() {
-		end()
+		closeConn()
 		<-closed
 	}()
 	go func() {
-		// The peer never writes here: a read returns when the connection ends.
+		// The peer never writes on this connection: Read returns when the connection ends.
 		defer close(closed)
 		var b [1]byte
 		conn.Read(b[:])
@@ -68,26 +69,27 @@
 		if _, err := conn.Write(frames); err != nil {
 			return
 		}
-		frames = l.collect(ctx, closed, frames[:0])
+		frames = l.nextFrames(ctx, closed, frames[:0])
 	}
 }
 
-// collect appends the frames of the messages that wait, as many as one write takes;
-// heartbeats alone are gathered for a while. Nothing: the connection has ended.
-func (l *outgoingLink) collect(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
-	gathering := true // only heartbeats so far
-	var gathered <-chan time.Time
+// nextFrames waits for a message and appends the frames of all queued messages, up to about
+// PeerBatchBytes. As long as all of them are heartbeats, it waits up to coalesceDelay for more.
+// It returns nil if the connection or the context has ended.
+func (l *outgoingLink) nextFrames(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
+	mayWait := true // all messages so far are heartbeats, which may wait for others
+	var coalesceTimeout <-chan time.Time
 	for len(frames) < tuning.PeerBatchBytes {
 		var m protocol.PeerMessage
 		select {
 		case m = <-l.queue:
 		default:
-			if len(frames) > 0 && !gathering {
+			if len(frames) > 0 && !mayWait {
 				return frames
 			}
 			select {
 			case m = <-l.queue:
-			case <-gathered:
+			case <-coalesceTimeout:
 				return frames
 			case <-ctx.Done():
 				return nil
@@ -95,10 +97,10 @@
 				return nil
 			}
 		}
-		_, heartbeat := m.(protocol.PeerForwardedHeartbeat)
-		gathering = gathering && heartbeat && l.coalesceDelay > 0
-		if gathering && gathered == nil {
-			gathered = time.After(l.coalesceDelay)
+		_, isHeartbeat := m.(protocol.PeerForwardedHeartbeat)
+		mayWait = mayWait && isHeartbeat && l.coalesceDelay > 0
+		if mayWait && coalesceTimeout == nil {
+			coalesceTimeout = time.After(l.coalesceDelay)
 		}
 		frames = protocol.AppendPeerFrame(frames, m)
 	}
@@ -113,7 +115,7 @@
 	}
 }
 
-// reset closes the connection; run dials anew.
+// reset closes the connection. run then dials again.
 func (l *outgoingLink) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -16,14 +16,14 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// peerLinks are the links between controllers. Every node dials every peer and sends on
-// the connection that it dialled; it only reads from those that it accepted.
+// peerLinks are the links between this controller and its peers. Every node dials every peer. It
+// sends only on connections that it dialled, and reads only from connections that it accepted.
 type peerLinks struct {
-	address  string
-	log      *slog.Logger
-	events   chan<- coordination.Event
-	outgoing map[protocol.NodeName]*outgoingLink
-	accepted atomic.Uint64 // links so far, which number them
+	address       string
+	log           *slog.Logger
+	events        chan<- coordination.Event
+	outgoing      map[protocol.NodeName]*outgoingLink
+	acceptedLinks atomic.Uint64 // count of links accepted so far; also the number of the latest
 }
 
 func newPeerLinks(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peerLinks {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// accept has every link that a peer opens read.
+// accept waits for connections from peers and reads each one in its own goroutine.
 func (p *peerLinks) accept(ctx context.Context, listener net.Listener, running *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
@@ -63,20 +63,21 @@
 			}
 			return
 		case err != nil:
-			// Out of sockets, perhaps: what is there goes on.
+			// The process may be out of sockets. Existing links continue.
 			p.log.Error("peer link not accepted", "error", err)
-			pause(ctx, tuning.PeerRedialDelay)
+			sleep(ctx, tuning.PeerRedialDelay)
 		default:
 			running.Go(func() { p.receive(ctx, conn) })
 		}
 	}
 }
 
-// receive takes a peer's frames until one is wrong or none comes.
+// receive reads a peer's frames until one is invalid, none arrives within PeerReadTimeout or the
+// connection ends.
 func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
-	defer closeWith(ctx, conn)()
+	defer closeOnDone(ctx, conn)()
 	r := bufio.NewReaderSize(conn, tuning.PeerBatchBytes)
-	name, number := protocol.NodeName(""), p.accepted.Add(1)
+	name, linkNumber := protocol.NodeName(""), p.acceptedLinks.Add(1)
 	for {
 		conn.SetReadDeadline(time.Now().Add(tuning.PeerReadTimeout))
 		m, err := protocol.ReadPeerFrame(r)
@@ -87,50 +88,52 @@
 			p.log.Info("peer link ended", "peer", name, "remote", conn.RemoteAddr().String(), "error", err)
 			return
 		}
-		hello, first := m.(protocol.PeerHello)
+		hello, isHello := m.(protocol.PeerHello)
 		switch {
-		case first && name == "" && p.outgoing[hello.Node] != nil:
+		case isHello && name == "" && p.outgoing[hello.Node] != nil:
 			name = hello.Node
-		case first || name == "":
+		case isHello || name == "":
 			p.log.Error("peer link refused", "peer", hello.Node, "remote", conn.RemoteAddr().String())
 			return
 		}
-		emit(ctx, p.events, coordination.PeerReceive{Peer: name, Link: number, Message: m})
+		enqueue(ctx, p.events, coordination.PeerReceive{Peer: name, Link: linkNumber, Message: m})
 	}
 }
 
-// send queues a message; a full queue drops it, as a broken link would.
+// send queues a message for a peer. If the queue is full, the message is lost, as it would be on a
+// broken link.
 func (p *peerLinks) send(name protocol.NodeName, m protocol.PeerMessage) {
 	if l := p.outgoing[name]; l != nil {
 		l.send(m)
 	}
 }
 
-// reset closes a link that has gone silent, so that it is dialled anew.
+// reset closes the link to a peer that has gone silent, so that the peer is dialled again.
 func (p *peerLinks) reset(name protocol.NodeName) {
 	if l := p.outgoing[name]; l != nil {
 		l.reset()
 	}
 }
 
-// emit queues an event for the event loop, unless the context ends first.
-func emit(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
+// enqueue adds an event to the event loop's queue. If the queue is full, it waits until there is room
+// or the context ends.
+func enqueue(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
 	select {
 	case events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// pause waits, but not beyond the context's end.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for the given time or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// closeWith closes a connection when the context ends or the function returned is called.
-func closeWith(ctx context.Context, conn net.Conn) (end func()) {
+// closeOnDone closes a connection when the context ends or when closeConn is called.
+func closeOnDone(ctx context.Context, conn net.Conn) (closeConn func()) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	return func() {
 		stop()
