--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -26,11 +26,11 @@
 	defer os.RemoveAll(dir)
 	p := &processes{command: command, dir: dir}
 	defer p.Kill()
-	return c.RunLive(seed, p)
+	return c.RunOnLoopback(seed, p)
 }
 
 // Start implements simulation.Controllers.
-func (p *processes) Start(v *simulation.Live) error {
+func (p *processes) Start(v *simulation.Loopback) error {
 	for i := range v.Controllers() {
 		settings, err := toml.Marshal(v.Config(i))
 		if err != nil {
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -27,8 +27,8 @@
 
 // startWorld makes a deployment and lets it settle: a leader is elected and the machines
 // have reported.
-func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
-	w := NewShaped(seed, logs(), shape)
+func startWorld(seed uint64, shape ClusterSpec, settle time.Duration) *World {
+	w := NewWithCluster(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
@@ -84,7 +84,7 @@
 // submitRunning has a user submit a job at once and waits until all its tasks run.
 func (w *World) submitRunning(t *testing.T, limit time.Duration, job *protocol.Job, run float64) *user {
 	t.Helper()
-	u := w.submit(arrival{job: job, run: run})
+	u := w.submit(arrival{job: job, runSeconds: run})
 	w.waitUntilRunning(t, limit, u)
 	return u
 }
@@ -120,7 +120,7 @@
 	list := w.workersInOrder()
 	list = list[:min(n, len(list))]
 	for _, agent := range list {
-		w.loseWorker(agent)
+		w.loseAgent(agent)
 	}
 	return len(list)
 }
@@ -146,7 +146,7 @@
 // over says whether some users have had a final answer.
 func over(users ...*user) bool {
 	for _, u := range users {
-		if !u.over {
+		if !u.finished {
 			return false
 		}
 	}
@@ -195,7 +195,7 @@
 // statusOf has a node take a request and returns the status that it has been answered with
 // a second later, 0 for none.
 func (w *World) statusOf(c *controller, r request) (status int) {
-	c.ask(r, func(s int, _ []byte) { status = s })
+	c.submitRequest(r, func(s int, _ []byte) { status = s })
 	w.Run(time.Second)
 	return status
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -14,8 +14,8 @@
 // what is valid goes on, nothing is started or stopped twice.
 
 // recovering is the small shape with recoveries followed.
-func recovering() Shape {
-	s := Small()
+func recovering() ClusterSpec {
+	s := SmallCluster()
 	s.Recovery = true
 	return s
 }
@@ -31,12 +31,12 @@
 }
 
 // newColdWorld has a gang over two machines and an array run.
-func newColdWorld(t *testing.T, seed uint64, shape Shape) *coldWorld {
+func newColdWorld(t *testing.T, seed uint64, shape ClusterSpec) *coldWorld {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	g := gangJob("run-000001", 6)
 	checkpointed(g, 10, 2)
-	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, run: 150}), array: w.submit(arrival{job: array("run-000002", 5), run: 150})}
+	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, runSeconds: 150}), array: w.submit(arrival{job: array("run-000002", 5), runSeconds: 150})}
 	w.waitUntilRunning(t, 40*time.Second, c.gang, c.array)
 	w.Run(4 * time.Second)
 	c.mark()
@@ -141,8 +141,8 @@
 func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
-	c.crashAllApart(secs(c.shape.Agents.LeaseS)+9*time.Second, 0)
-	c.Run(secs(c.shape.Agents.LeaseS) + 9*time.Second)
+	c.crashAllApart(secs(c.cluster.Agents.LeaseS)+9*time.Second, 0)
+	c.Run(secs(c.cluster.Agents.LeaseS) + 9*time.Second)
 	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
 	c.expectStarts(t, c.starts, 11, "for 11 tasks")
 	if n := c.ordered(needStop); n != 0 {
@@ -200,9 +200,9 @@
 	c.array.cancel()
 	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.crashAllApart(3*time.Second, time.Second)
-	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
-	if c.rules.lateStarts > 0 {
-		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
+	c.Run(secs(c.cluster.Agents.CancelS) + time.Second)
+	if c.rules.startsAfterCancellation > 0 {
+		t.Errorf("%d starts after the cancellation", c.rules.startsAfterCancellation)
 	}
 	c.finishBoth()
 }
@@ -212,17 +212,17 @@
 // nothing and prove nothing.
 func TestColdRestartLateCopiesStopNothing(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(46, logs(), recovering())
+	w := NewWithCluster(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
 	waves.Team = "red" // whose limit allows ten tasks at once
-	u := w.submit(arrival{job: waves, run: 25})
+	u := w.submit(arrival{job: waves, runSeconds: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
-	w.keep = true
+	w.recordHeartbeats = true
 	w.Run(4 * time.Second)
-	w.keep = false
-	copies := w.kept
+	w.recordHeartbeats = false
+	copies := w.recordedHeartbeats
 	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldWorld{World: w, t: t, gang: u, array: u}
@@ -230,7 +230,7 @@
 	c.crashAllApart(time.Second, 0)
 	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
-		w.deliverCopy(w.leader(), body)
+		w.deliverHeartbeatCopy(w.leader(), body)
 	}
 	w.Run(12 * time.Second)
 	c.expectKept("late copies")
@@ -248,7 +248,7 @@
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = newSimJob(ghost)
-	c.rules.jobs[ghost.ID].run = 500
+	c.rules.jobs[ghost.ID].runSeconds = 500
 	c.crashAllApart(4*time.Second, 0)
 	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
@@ -299,11 +299,11 @@
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
 	c.crashAllApart(time.Second, 0)
-	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
+	c.disconnect(130*time.Second, packetsDropped, c.acrossZoneBoundary("west"))
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
-	u := c.submit(arrival{job: fresh, run: 10})
+	u := c.submit(arrival{job: fresh, runSeconds: 10})
 	if took := c.waitUntilRunning(t, 15*time.Second, u); took > 8*time.Second {
 		t.Errorf("a new job waits %v", took)
 	}
@@ -374,8 +374,8 @@
 func (c *coldWorld) restoreOlder(lacks protocol.Revision) (later *user) {
 	c.t.Helper()
 	old := c.store.backup()
-	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
-	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
+	lost := c.submit(arrival{job: array("run-000008", 3), runSeconds: 60})
+	later = c.submit(arrival{job: array("run-000007", 3), runSeconds: 60})
 	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
 	c.Run(5 * time.Second)
 	c.store.revision += lacks
@@ -389,7 +389,7 @@
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
 	c.store.restore(old)
-	lost.silent, later.silent = true, true // what they were told is lost
+	lost.stoppedAsking, later.stoppedAsking = true, true // what they were told is lost
 	c.mark()
 	return later
 }
@@ -403,7 +403,7 @@
 			other.hang(6 * time.Second)
 		}
 	}
-	c.after(4*time.Second, agent.noteChange)
+	c.after(4*time.Second, agent.reportChange)
 	return c.tasksLostWith(agent)
 }
 
@@ -458,12 +458,12 @@
 			shape := recovering()
 			shape.Machines = 8
 			c := newColdWorld(t, 51, shape)
-			c.gang.silent = true // its user would get no answer
+			c.gang.stoppedAsking = true // its user would get no answer
 			c.crashAllApart(3*time.Second, 0)
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
 			c.Run(4 * time.Second)
-			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
+			u := c.submit(arrival{job: array("run-000006", 2), runSeconds: 10})
 			c.waitUntilOver(t, 30*time.Second, u)
 			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
 				t.Errorf("%+v", s)
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -21,7 +21,7 @@
 				t.Parallel()
 				w, u, c := blindLeader(t, 600+seed, 8)
 				for _, o := range w.others(c) { // no word over the links
-					w.interrupt(100*time.Second, packetsLost, oneWay(c, o))
+					w.disconnect(100*time.Second, packetsDropped, oneWay(c, o))
 				}
 
 				w.cancelUntilConfirmed(u)
@@ -38,17 +38,17 @@
 // blindLeader has an array run under a leader whose watches have hung for a moment.
 func blindLeader(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
 	t.Helper()
-	w := startWorld(seed, Small(), 6*time.Second)
+	w := startWorld(seed, SmallCluster(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", tasks), 500)
 	c := w.leader()
-	w.store.blind = c
+	w.store.nodeWithoutWatches = c
 	w.Run(400 * time.Millisecond)
 	return w, u, c
 }
 
 // cancelUntilConfirmed has a user ask for a cancellation until it is confirmed.
 func (w *World) cancelUntilConfirmed(u *user) {
-	for !u.over {
+	for !u.finished {
 		u.cancel()
 		w.Run(100 * time.Millisecond)
 	}
@@ -63,15 +63,15 @@
 // tasks as soon as a peer that has confirmed the cancellation tells it.
 func TestRefusedLeaderStopsTasksToldByPeer(t *testing.T) {
 	t.Parallel()
-	w := startWorld(610, Small(), 6*time.Second)
+	w := startWorld(610, SmallCluster(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
-	w.store.blind = c
-	w.store.refuse(c, 60*time.Second)
+	w.store.nodeWithoutWatches = c
+	w.store.refuseNode(c, 60*time.Second)
 
 	status := 0
 	u.cancelRequested = true
-	w.others(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
+	w.others(c)[0].submitRequest(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
 
 	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
 	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
@@ -89,16 +89,16 @@
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(620, Small(), 6*time.Second)
-			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
-			cancelled := w.submit(arrival{job: array("run-000002", 2), run: 500})
+			w := startWorld(620, SmallCluster(), 6*time.Second)
+			u := w.submit(arrival{job: array("run-000001", 6), runSeconds: 200})
+			cancelled := w.submit(arrival{job: array("run-000002", 2), runSeconds: 500})
 			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
 			c, starts := w.leader(), w.rules.started
 			if refused {
-				w.store.refuse(c, 100*time.Second)
-				w.store.blind = c
+				w.store.refuseNode(c, 100*time.Second)
+				w.store.nodeWithoutWatches = c
 				// The message about the cancellation is lost: only the confirmation names it.
-				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
+				w.disconnect(1500*time.Millisecond, packetsDropped, func(a, b string) bool {
 					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
 				w.Run(200 * time.Millisecond)
@@ -107,7 +107,7 @@
 			w.cancelUntilConfirmed(cancelled)
 			w.store.outage(80 * time.Second)
 			w.Run(85 * time.Second)
-			w.store.blind = nil
+			w.store.nodeWithoutWatches = nil
 
 			w.waitUntilOver(t, 200*time.Second, u)
 			w.expectStarts(t, starts, 0, "across the outage")
@@ -127,8 +127,8 @@
 			t.Parallel()
 			w, u, c := blindLeader(t, 630+seed, 6)
 			peer := w.others(c)[1]
-			cutOff := &cut{match: oneWay(peer, c)}
-			w.cuts = append(w.cuts, cutOff)
+			cutOff := &partition{match: oneWay(peer, c)}
+			w.partitions = append(w.partitions, cutOff)
 
 			w.cancelAt(peer, u)
 			w.store.outage(100 * time.Second)
@@ -150,9 +150,9 @@
 func (w *World) cancelAt(c *controller, u *user) {
 	u.cancelRequested = true
 	for status := 0; status != 200; {
-		c.ask(cancellation(u.job.spec.ID), func(got int, body []byte) {
-			if status = got; got == 200 && !u.over {
-				u.handleAnswer(body)
+		c.submitRequest(cancellation(u.job.spec.ID), func(got int, body []byte) {
+			if status = got; got == 200 && !u.finished {
+				u.handleResponse(body)
 			}
 		})
 		w.Run(30 * time.Millisecond)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -59,9 +59,9 @@
 		return
 	}
 	c := up[d.w.rng.IntN(len(up))]
-	life := c.life
-	d.w.call("users", c.name, limit, func(answer answerFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
-		if status == 0 && (!c.alive || c.life != life) {
+	life := c.generation
+	d.w.call("users", c.name, limit, func(answer responseFunc) { c.submitRequest(event, answer) }, func(status int, _ []byte) {
+		if status == 0 && (!c.alive || c.generation != life) {
 			return // it was killed under the request: the connection tells the user
 		}
 		d.asked++
@@ -149,9 +149,9 @@
 
 // play replaces the controllers of one release and counts what is noticed.
 func (order replacement) play(t *testing.T, from release) {
-	shape := lowered(Small(), 15, 4)
+	shape := lowered(SmallCluster(), 15, 4)
 	shape.Capacity = 20
-	w := NewShaped(500, logs(), shape)
+	w := NewWithCluster(500, logs(), shape)
 	for i, c := range w.nodes {
 		w.release[c.name] = from
 		if i == 2 && from == release02 {
@@ -162,7 +162,7 @@
 	w.Run(5 * time.Second)
 	g := gangJob("run-000001", 4)
 	g.OneZone = true
-	gang := w.submit(arrival{job: g, run: 300})
+	gang := w.submit(arrival{job: g, runSeconds: 300})
 	services := []*user{w.submit(arrival{job: service("run-000002", 4)}), w.submit(arrival{job: service("run-000003", 3)})}
 	w.waitUntilRunning(t, 40*time.Second, gang, services[0], services[1])
 	w.Run(10 * time.Second)
@@ -200,8 +200,8 @@
 	if d.expiries > 0 {
 		t.Errorf("%d leases expired", d.expiries)
 	}
-	if d.w.rules.lowerTokens > 0 {
-		t.Errorf("%d times a worker was shown a lower token", d.w.rules.lowerTokens)
+	if d.w.rules.staleTokens > 0 {
+		t.Errorf("%d times a worker was shown a lower token", d.w.rules.staleTokens)
 	}
 }
 
@@ -221,7 +221,7 @@
 	for mixture := range 8 {
 		t.Run(fmt.Sprint("mixture ", mixture), func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(uint64(520+mixture), logs(), lowered(Small(), 15, 4))
+			w := NewWithCluster(uint64(520+mixture), logs(), lowered(SmallCluster(), 15, 4))
 			for i, c := range w.nodes {
 				if mixture>>i&1 == 1 {
 					w.release[c.name] = release03
@@ -256,7 +256,7 @@
 		w.expectPhase(t, c, "repeated", submit, 200, protocol.PhaseRunning)
 	}
 	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancelled", cancel, 200, protocol.PhaseCancelled)
-	w.rules.jobs[job.ID].cancelled = w.Now
+	w.rules.jobs[job.ID].cancelledAt = w.Now
 	for _, c := range w.nodes {
 		for _, r := range []request{submit, cancel, statusQuery(job.ID)} {
 			w.expectPhase(t, c, "after its cancellation", r, 200, protocol.PhaseCancelled)
@@ -275,7 +275,7 @@
 // phaseAt has a node take a request about a job and returns its answer of half a second
 // later.
 func (w *World) phaseAt(c *controller, r request) (status int, phase protocol.Phase) {
-	c.ask(r, func(s int, body []byte) {
+	c.submitRequest(r, func(s int, body []byte) {
 		var a protocol.Accepted
 		if status = s; s < 300 {
 			decode(body, &a)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -15,7 +15,7 @@
 // works at its limit.
 type faultCombination struct {
 	name  string
-	shape func(s *Shape)
+	shape func(s *ClusterSpec)
 	play  func(w *World)
 	most  int // starts after a confirmed cancellation, held-up commands apart
 }
@@ -28,19 +28,19 @@
 			if i%2 == 0 {
 				s.Shape = protocol.ShapeGang
 			}
-			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, run: 40})
+			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, runSeconds: 40})
 		}
 		w.every(6*time.Second, 6, func(int) {
 			for _, k := range w.someWorkers(1) {
-				w.loseWorker(k)
+				w.loseAgent(k)
 			}
 		})
 		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
 	{name: "a cancellation, a question and a repeated submission meet the end", play: func(w *World) {
-		w.cancelAtEnd, w.askAllNodes = 0.7, true
+		w.cancelAtEndShare, w.askAllNodes = 0.7, true
 		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
-		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
+		w.after(110*time.Second, func() { w.cancelAtEndShare = 0 })
 	}},
 	{name: "jobs are cancelled while the lead changes hands", play: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
@@ -52,7 +52,7 @@
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
 				id := k.host.ID
-				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
 			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
@@ -62,8 +62,8 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.host.ID
-				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
-				w.cuts = append(w.cuts, held)
+				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
 			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
@@ -74,11 +74,11 @@
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, most: 2},
-	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, play: func(w *World) {
+	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *ClusterSpec) { s.Machines = 2 }, play: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
-				w.store.loseAnswers(0.4, 10*time.Second)
+				w.store.loseResponses(0.4, 10*time.Second)
 			} else {
 				w.store.delayTransactions(0.4, 10*time.Second)
 			}
@@ -92,7 +92,7 @@
 			if i%3 == 0 {
 				cancel = w.between(time.Millisecond, 80*time.Millisecond)
 			}
-			w.submit(arrival{job: array(jobID(800200+i), 1), run: 3, cancelAfter: cancel})
+			w.submit(arrival{job: array(jobID(800200+i), 1), runSeconds: 3, cancelAfter: cancel})
 		})
 		w.every(30*time.Second, 3, func(int) { w.crashLeader(400 * time.Millisecond) })
 	}, most: 2},
@@ -111,17 +111,17 @@
 		w.every(100*time.Second, 2, func(int) {
 			if c := w.leader(); c != nil {
 				// Its watches hang while renewals pass: it knows of no cancellation.
-				w.store.blind = c
+				w.store.nodeWithoutWatches = c
 				w.after(500*time.Millisecond, func() { w.cancelNow(20, 0) })
 				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
-				w.after(75*time.Second, func() { w.store.blind = nil })
+				w.after(75*time.Second, func() { w.store.nodeWithoutWatches = nil })
 			}
 		})
 	}, most: 20},
 	{name: "the leader alone is refused, then everybody", play: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 14*time.Second)
+				w.store.refuseNode(c, 14*time.Second)
 				w.cancelNow(20, 0)
 				w.after(time.Duration(1+i)*time.Second, func() { w.store.outage(58 * time.Second) })
 			}
@@ -146,13 +146,13 @@
 	{name: "all controllers are away for longer than a lease", play: func(w *World) {
 		w.after(20*time.Second, func() {
 			for _, c := range w.nodes {
-				c.crash(secs(w.shape.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
+				c.crash(secs(w.cluster.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
 			}
 		})
 	}},
 	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
 		for i := range 8 {
-			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
+			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), runSeconds: 60})
 			u.job.progress[0], u.job.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.crashLeader(1500 * time.Millisecond) })
@@ -183,16 +183,16 @@
 					w.blockInbound(k.host.ID, 35*time.Second, i%2 == 0)
 				} else {
 					id := k.host.ID
-					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
+					w.disconnect(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
 			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than a lease", play: func(w *World) {
-		for i, fate := range []packetFate{packetsHeld, packetsLost} {
+		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelNow(6, 0) })
 			})
 		}
@@ -202,7 +202,7 @@
 			w.keepCopiesForNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
 				for _, k := range w.someWorkers(1) {
-					w.loseWorker(k)
+					w.loseAgent(k)
 				}
 				w.cancelNow(2, 0)
 				w.crashLeader(time.Duration(i) * 400 * time.Millisecond)
@@ -211,21 +211,21 @@
 	}, most: 2},
 	{name: "more work than capacity, urgent and not, over slow links", play: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
-		w.store.slow = 150 * time.Millisecond
-		w.after(100*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 150 * time.Millisecond
+		w.after(100*time.Second, func() { w.store.extraLatency = 0 })
 		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
 	}, most: 4},
 	{name: "transactions are carried out at once and their answers lost", play: func(w *World) {
 		w.askAllNodes = true
-		w.store.loseAnswers(0.4, 110*time.Second)
+		w.store.loseResponses(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
-		w.copies = 3 * secs(w.shape.Agents.LeaseS)
-		w.after(110*time.Second, func() { w.copies = 0 })
+		w.maxCopyDelay = 3 * secs(w.cluster.Agents.LeaseS)
+		w.after(110*time.Second, func() { w.maxCopyDelay = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
+				w.blockInbound(k.host.ID, secs(w.cluster.Agents.LeaseS)+3*time.Second, i%2 == 0)
 			}
 			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
@@ -234,30 +234,30 @@
 		for i := range 10 {
 			s := array(jobID(800040+i), 6)
 			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
-			w.submit(arrival{job: s, run: 45})
+			w.submit(arrival{job: s, runSeconds: 45})
 		}
 		w.every(22*time.Second, 5, func(i int) {
 			w.cancelNow(5, 20*time.Second)
 			for _, k := range w.someWorkers(1) {
 				id := k.host.ID
-				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, most: 10},
 	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
 		w.askAllNodes = true
-		w.store.slow = 300 * time.Millisecond
+		w.store.extraLatency = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelNow(1, 0) })
 		w.after(20*time.Second, func() {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 20*time.Second)
+				w.store.refuseNode(c, 20*time.Second)
 			}
 		})
-		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
-		w.after(95*time.Second, func() { w.store.slow = 0 })
+		w.after(26*time.Second, func() { w.store.outage(secs(w.cluster.Agents.CancelS) + 6*time.Second) })
+		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
 	}, most: 4},
-	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
+	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *ClusterSpec) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
 	}, play: func(w *World) {
 		w.every(250*time.Millisecond, 400, func(i int) {
@@ -265,7 +265,7 @@
 			if i%4 == 0 {
 				cancel = w.between(10*time.Millisecond, 8*time.Second)
 			}
-			w.submit(arrival{job: array(jobID(810000+i), 1), run: 4, cancelAfter: cancel})
+			w.submit(arrival{job: array(jobID(810000+i), 1), runSeconds: 4, cancelAfter: cancel})
 		})
 	}, most: 10},
 }
@@ -285,7 +285,7 @@
 			t.Parallel()
 			late := 0
 			for seed := range seeds {
-				shape := Small()
+				shape := SmallCluster()
 				if seed%2 == 1 {
 					shape = tiny()
 				}
@@ -302,15 +302,15 @@
 }
 
 // run plays a combination on a seed and returns the starts after a confirmed cancellation.
-func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
+func (m *faultCombination) run(t *testing.T, seed uint64, shape ClusterSpec) (late int) {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithCluster(seed, logs(), shape)
 	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
 	m.play(w)
 	w.Run(200 * time.Second)
-	w.cancelAtEnd, w.askAllNodes, w.cloud.fastBoot = 0, false, false
-	w.faultsOver = w.Now
+	w.cancelAtEndShare, w.askAllNodes, w.cloud.fastBoot = 0, false, false
+	w.faultsEndedAt = w.Now
 	w.watchWaitingJobs()
 	w.runUntilOver()
 	if w.rules.started == 0 {
@@ -319,5 +319,5 @@
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
-	return w.rules.lateStarts
+	return w.rules.startsAfterCancellation
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -25,25 +25,25 @@
 // keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
 func (w *World) keepCopiesForNextLeader(d time.Duration) {
-	w.keep, w.kept = true, nil
+	w.recordHeartbeats, w.recordedHeartbeats = true, nil
 	was := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != was {
-			w.keep = false
-			for _, body := range w.kept {
+			w.recordHeartbeats = false
+			for _, body := range w.recordedHeartbeats {
 				for _, n := range w.nodes {
-					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverCopy(n, body) })
+					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverHeartbeatCopy(n, body) })
 				}
 			}
-			w.kept = nil
+			w.recordedHeartbeats = nil
 			return
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
 			w.after(5*time.Millisecond, awaitLeader)
 		} else {
-			w.keep, w.kept = false, nil
+			w.recordHeartbeats, w.recordedHeartbeats = false, nil
 		}
 	}
 	awaitLeader()
@@ -57,7 +57,7 @@
 			return
 		}
 		task := w.rules.placed[protocol.TaskName(u.job.spec.ID, 0)]
-		if !u.accepted || u.cancelRequested || u.over || task == nil {
+		if !u.accepted || u.cancelRequested || u.finished || task == nil {
 			continue
 		}
 		n--
@@ -83,12 +83,12 @@
 		c := w.nodes[w.rng.IntN(len(w.nodes))]
 		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
 			u.askAllNodes()
-			if u.over {
+			if u.finished {
 				u.cancelTooLate(c)
 			}
 		}
 		job := w.impossibleJob()
-		c.ask(submission(job), func(status int, _ []byte) {
+		c.submitRequest(submission(job), func(status int, _ []byte) {
 			if status == http.StatusOK || status == http.StatusCreated {
 				w.rules.violated(ruleAccepted, "%+v can never run", *job)
 			}
@@ -99,7 +99,7 @@
 // cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
 func (u *user) cancelTooLate(c *controller) {
 	told := u.phase
-	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
+	c.submitRequest(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
 		if decode(body, &a); status == http.StatusOK && a.Phase != told {
 			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
@@ -152,7 +152,7 @@
 // capacity for it, a gang for all, and its team is under its limit.
 func (w *World) waitsBesideCapacity(u *user) bool {
 	spec := u.job.spec
-	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
+	if !u.accepted || u.cancelRequested || u.finished || u.job.alwaysFails {
 		return false
 	}
 	want := w.unplaced(u)
@@ -162,7 +162,7 @@
 	if !spec.Gang() {
 		want = 1
 	}
-	for _, team := range w.shape.Teams {
+	for _, team := range w.cluster.Teams {
 		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
 			return false
 		}
@@ -193,10 +193,10 @@
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
-		if agent.hung || agent.noticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
+		if agent.hung || agent.preemptionNoticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
-		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
+		cpus, gpus, memory := w.cluster.Type.CPUs, w.cluster.Type.GPUs, w.cluster.Type.MemoryGB
 		for _, task := range agent.tasks {
 			if task.state != protocol.TaskExited {
 				cpus, gpus, memory = cpus-task.job.CPUs, gpus-task.job.GPUs, memory-task.job.MemoryGB
@@ -223,7 +223,7 @@
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.job.mistaken {
+		if !u.finished && !u.job.alwaysFails {
 			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -18,7 +18,7 @@
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
 	}
-	w.checkServed(largestStartWithin)
+	w.checkServed(maxLargestJobWait)
 	w.expectRulesHeld(t)
 	if !over(w.users...) {
 		t.Errorf("not all is over within %v", limit)
@@ -31,10 +31,10 @@
 func TestMachineNotReceivingIsReturned(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, fate := range []packetFate{packetsHeld, packetsLost} {
+		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
-				shape := Small()
+				shape := SmallCluster()
 				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
@@ -50,14 +50,14 @@
 				w.Run(time.Second)
 				wholeMachine := gangJob("run-000010", 4)
 				wholeMachine.Zone = zone
-				u := w.submit(arrival{job: wholeMachine, run: 15})
+				u := w.submit(arrival{job: wholeMachine, runSeconds: 15})
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
 				t.Logf("done after %v", took)
 				if w.agents[id] != nil {
 					t.Error("the machine that receives nothing is still rented")
 				}
-				w.Run(secs(w.shape.Agents.CancelS))
+				w.Run(secs(w.cluster.Agents.CancelS))
 				w.expectRulesHeld(t)
 			})
 		}
@@ -68,14 +68,14 @@
 // newer session or its deletion, and a job that waits is started elsewhere.
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
 	t.Parallel()
-	w := startWorld(22, Small(), 6*time.Second)
+	w := startWorld(22, SmallCluster(), 6*time.Second)
 	job := checkpointed(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
 	u := w.submitRunning(t, 20*time.Second, job, 80)
 	id := w.workerOf("run-000001", 0).host.ID
 
-	w.blockInbound(id, 400*time.Second, packetsLost)
-	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
+	w.blockInbound(id, 400*time.Second, packetsDropped)
+	w.Run(secs(w.cluster.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
 		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
@@ -90,7 +90,7 @@
 func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
-	w.copies = 4 * secs(w.shape.Agents.LeaseS)
+	w.maxCopyDelay = 4 * secs(w.cluster.Agents.LeaseS)
 	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
@@ -104,7 +104,7 @@
 	}
 
 	w.waitFor(t, 500*time.Second, "all is over", func() bool {
-		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.mistaken })
+		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.finished && !u.job.alwaysFails })
 	})
 	w.expectRulesHeld(t)
 }
@@ -114,7 +114,7 @@
 // that means anything, no record, no work, and does not keep the name alive.
 func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
-	w := startWorld(24, Small(), 6*time.Second)
+	w := startWorld(24, SmallCluster(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
 	old := encode(agent.heartbeat())
@@ -123,7 +123,7 @@
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
-	starts, rented := w.rules.started, len(w.cloud.rented)
+	starts, rented := w.rules.started, len(w.cloud.createdByRequest)
 
 	for _, c := range w.nodes {
 		w.expectOnlyStops(t, c, old)
@@ -131,10 +131,10 @@
 	w.Run(2 * time.Second)
 
 	w.expectNotRecorded(t, agent.host.ID)
-	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
+	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), runSeconds: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
-	if n := len(w.cloud.rented) - rented; n > 2 {
+	if n := len(w.cloud.createdByRequest) - rented; n > 2 {
 		t.Errorf("%d rentals", n)
 	}
 	w.expectRulesHeld(t)
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
+	c.submitRequest(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
 		var a protocol.HeartbeatResponse
 		if status == 200 {
 			decode(body, &a)
@@ -182,17 +182,17 @@
 // first sign of it is a late duplicate of an old report. It gets no work.
 func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
-	w := startWorld(26, Small(), 6*time.Second)
+	w := startWorld(26, SmallCluster(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
 	old := encode(agent.heartbeat())
 
-	w.loseWorker(agent)
+	w.loseAgent(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.deliverCopy(w.leader(), old)
+	w.deliverHeartbeatCopy(w.leader(), old)
 
 	// Its image is there, so it would be the first choice.
 	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
@@ -204,10 +204,10 @@
 // sends them away; users who ask it are told at once to come back elsewhere.
 func TestIsolatedLeaderRefusesUsersAndWorkers(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(25, Small(), 6*time.Second)
+			w := startWorld(25, SmallCluster(), 6*time.Second)
 			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
@@ -234,18 +234,18 @@
 	}
 	status, began := 0, w.Now
 	note := func(s int, _ []byte) { status = s }
-	c.ask(statusQuery("run-000001"), note)
+	c.submitRequest(statusQuery("run-000001"), note)
 	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
 	if status != 503 {
 		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
 	}
-	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
+	w.Run(secs(w.cluster.Agents.CancelS) - secs(w.cluster.Agents.LeaseS))
 	if c.node.Leading() {
 		t.Error("it still leads")
 	}
 	status = 0
 	report := w.workerOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
+	c.submitRequest(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
 
@@ -257,21 +257,21 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(30+seed, logs())
-			w.copies = 5 * time.Second // reports of their former lives come late
+			w.maxCopyDelay = 5 * time.Second // reports of their former lives come late
 			w.Run(5 * time.Second)
 			for i := range 8 {
-				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
+				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), runSeconds: 10})
 			}
 
 			w.restartOften(12)
-			w.copies = 0
-			w.faultsOver = w.Now
+			w.maxCopyDelay = 0
+			w.faultsEndedAt = w.Now
 
 			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
 				t.Errorf("a leader after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
-			w.checkServed(largestStartWithin)
+			w.checkServed(maxLargestJobWait)
 			w.expectRulesHeld(t)
 		})
 	}
@@ -296,18 +296,18 @@
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(3, logs(), thousandMachines())
+	w := NewWithCluster(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
 	w.loseOldest(len(w.cloud.hosts) / 3)
 	for i := range 12 {
 		job := queued(largeGang(jobID(900+i)), "gang", "team-0", "high")
-		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, run: 60})
+		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, runSeconds: 60})
 	}
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 500*time.Second)
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -10,7 +10,7 @@
 
 // fleet is a deployment of two thousand machines on controllers and budgets not
 // much larger than those of a thousand.
-func fleet() Shape {
+func fleet() ClusterSpec {
 	s := thousandMachines()
 	s.Machines, s.Capacity = 420, 2000
 	s.setQuotas(380, 1350)
@@ -22,7 +22,7 @@
 
 // fleet4000 is a deployment of four thousand machines and half as many again that a
 // burst can rent, on controllers and budgets that are wider by about the same.
-func fleet4000() Shape {
+func fleet4000() ClusterSpec {
 	s := fleet()
 	s.Machines, s.Capacity = 4000, 6000
 	s.setQuotas(1000, 4000)
@@ -33,7 +33,7 @@
 }
 
 // setQuotas gives every team the same quota.
-func (s *Shape) setQuotas(guaranteed, limit float64) {
+func (s *ClusterSpec) setQuotas(guaranteed, limit float64) {
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = guaranteed, limit
 	}
@@ -45,7 +45,7 @@
 		t.Skip("a day of two thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet())
+	w := NewWithCluster(1, logs(), fleet())
 	w.submitCrowd(200, 70*time.Second)
 	w.fallsTogether(t, 150)
 }
@@ -57,12 +57,12 @@
 		t.Skip("a day of four thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet4000())
+	w := NewWithCluster(1, logs(), fleet4000())
 	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec := queued(array(jobID(900+i), 1300), "array", w.cluster.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
-		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
+		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, runSeconds: 30 + 20*w.rng.Float64()})
 	}
 	w.fallsTogether(t, 1400)
 }
@@ -73,9 +73,9 @@
 // counted, not timed.
 func (w *World) fallsTogether(t *testing.T, die int) {
 	t.Helper()
-	shape, jobs := w.shape, len(w.users)
+	shape, jobs := w.cluster, len(w.users)
 	w.Run(40 * time.Second)
-	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
+	w.disconnect(40*time.Second, packetsHeld, w.acrossZoneBoundary(shape.Zones[2]))
 	w.Run(42 * time.Second)
 	lost := w.loseOldest(die)
 	w.Run(10 * time.Second)
@@ -85,12 +85,12 @@
 	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.agents)+lost)
 
 	w.expectQuickReturn(t)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 700*time.Second)
 
-	t.Logf("at most %d calls to workers at once", w.mostCalls)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
-		t.Errorf("%d calls to workers under way at once", w.mostCalls)
+	t.Logf("at most %d calls to workers at once", w.maxConcurrentCalls)
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.maxConcurrentCalls > limit {
+		t.Errorf("%d calls to workers under way at once", w.maxConcurrentCalls)
 	}
 	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
@@ -100,18 +100,18 @@
 // and start a task soon, and that their calls to workers keep within their share.
 func (w *World) expectQuickReturn(t *testing.T) {
 	t.Helper()
-	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
+	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changedKeys
 	lost := w.Now
-	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
-	u.job.spec.Team = w.shape.Teams[0].Name
+	u := w.submit(arrival{job: array("run-000001", 1), runSeconds: 10})
+	u.job.spec.Team = w.cluster.Teams[0].Name
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
 	t.Logf("a submission is accepted after %v", w.Now.Sub(lost))
 	starts := w.rules.started
 	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
 	t.Logf("a task starts after %v", w.Now.Sub(lost))
 	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
-	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
-	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
+	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changedKeys-changed)
+	if n, limit := w.calls-calls, int(21*w.cluster.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
 }
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -10,8 +10,8 @@
 )
 
 // thousandMachines is a deployment of a thousand machines and three zones.
-func thousandMachines() Shape {
-	s := Small()
+func thousandMachines() ClusterSpec {
+	s := SmallCluster()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
@@ -28,7 +28,7 @@
 
 // threeZones is a deployment of a few machines in three zones, whose controllers have all the
 // resources that they want.
-func threeZones(machines int) Shape {
+func threeZones(machines int) ClusterSpec {
 	s := thousandMachines()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
@@ -38,21 +38,21 @@
 func (w *World) submitCrowd(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
-		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
+		queued(spec, "array", w.cluster.Teams[w.rng.IntN(len(w.cluster.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			checkpointed(perTask(spec, 20, w.cluster.Type.GPUs, 110), 45, 4)
 			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
-		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
+		w.submit(arrival{after: w.between(0, span), job: spec, runSeconds: spec.EstimateS * (0.5 + w.rng.Float64())})
 	}
 }
 
 // smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
-func smallestBudgets() Shape {
-	s := Small()
+func smallestBudgets() ClusterSpec {
+	s := SmallCluster()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	s.Agents.ReportS = 5
@@ -66,12 +66,12 @@
 	t.Parallel()
 	for _, day := range []struct {
 		name  string
-		shape Shape
+		shape ClusterSpec
 		jobs  int
 	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(1, logs(), day.shape)
+			w := NewWithCluster(1, logs(), day.shape)
 			w.submitCrowd(day.jobs, 120*time.Second)
 			w.finishDay(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
@@ -91,18 +91,18 @@
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
 	span := w.elapsed().Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
+	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changedKeys, w.store.requestBytes, w.store.refused)
 	if w.store.refused > bounds.refused {
 		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
 	}
-	if w.store.changed > bounds.changes {
-		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
+	if w.store.changedKeys > bounds.changes {
+		t.Errorf("%d changes, at most %d are due", w.store.changedKeys, bounds.changes)
 	}
-	if w.store.bytes > bounds.bytes {
-		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
+	if w.store.requestBytes > bounds.bytes {
+		t.Errorf("%d bytes, at most %d are due", w.store.requestBytes, bounds.bytes)
 	}
 	// Ten ticks a second at each of three nodes, and the events.
-	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
+	if limit := int(span) * (30 + w.cluster.Capacity/2); w.steps > limit {
 		t.Errorf("%d steps in %.0f s", w.steps, span)
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 // submitMixedJobs makes users with jobs of every shape.
 func (w *World) submitMixedJobs(jobs int, span time.Duration) {
 	for range jobs {
-		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
+		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.cluster.Teams[w.rng.IntN(len(w.cluster.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
 			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
@@ -27,7 +27,7 @@
 		case 1:
 			spec.Spread = true
 		case 2:
-			spec.Zone = w.shape.Zones[w.rng.IntN(2)]
+			spec.Zone = w.cluster.Zones[w.rng.IntN(2)]
 		}
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
@@ -37,14 +37,14 @@
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, mistaken: cancel > 0 && w.rng.IntN(3) == 0})
+		w.submit(arrival{after: w.between(0, span), job: spec, runSeconds: 5 + 40*w.rng.Float64(), cancelAfter: cancel, alwaysFails: cancel > 0 && w.rng.IntN(3) == 0})
 	}
 }
 
 // tiny is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
-func tiny() Shape {
-	s := Small()
+func tiny() ClusterSpec {
+	s := SmallCluster()
 	s.Resources.Cores = 0.0006
 	return s
 }
@@ -64,7 +64,7 @@
 	for seed := range days {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shape := Small()
+			shape := SmallCluster()
 			if seed%2 == 1 {
 				shape = tiny()
 			}
@@ -75,10 +75,10 @@
 }
 
 // day plays a random day and reports every rule that was broken, with the faults of the day.
-func day(t *testing.T, seed uint64, shape Shape) {
-	w := NewShaped(seed, logs(), shape)
+func day(t *testing.T, seed uint64, shape ClusterSpec) {
+	w := NewWithCluster(seed, logs(), shape)
 	history := w.playDay()
-	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
+	w.checkServed(2 * maxLargestJobWait) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
 		t.Error("nothing ran")
 	}
@@ -98,7 +98,7 @@
 		history = append(history, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	for _, agent := range w.agents {
 		agent.failsTasks = false
 	}
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -30,7 +30,7 @@
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
-					c.ask(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
+					c.submitRequest(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
@@ -46,13 +46,13 @@
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
 			terms = w.terms()
-			w.faultsOver = w.Now
+			w.faultsEndedAt = w.Now
 			w.finishDay(t, 700*time.Second)
 			if got := w.terms(); got != terms {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
 			for _, c := range w.nodes {
-				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
+				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.maxQueued)
 			}
 		})
 	}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -11,8 +11,8 @@
 )
 
 // lowered is the shape of a deployment whose key-value store will lower its limits.
-func lowered(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+func lowered(s ClusterSpec, writes float64, ops int) ClusterSpec {
+	s.NextStoreLimits = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
@@ -51,12 +51,12 @@
 
 // newUpgradeWorld is a world of controllers of earlier versions.
 func newUpgradeWorld(seed int) *World {
-	shape := lowered(Small(), 12, 4)
+	shape := lowered(SmallCluster(), 12, 4)
 	if seed%2 == 1 {
 		shape = lowered(tiny(), 12, 4)
 	}
 	shape.Capacity = 30
-	w := NewShaped(uint64(900+seed), logs(), shape)
+	w := NewWithCluster(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
 		// From 0.2, from 0.3, or from both.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
@@ -72,10 +72,10 @@
 	for i := range 4 {
 		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
 		perTask(spec, 1, 0.25, 5).Spot = true
-		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, run: 20 + 60*w.rng.Float64()})
+		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, runSeconds: 20 + 60*w.rng.Float64()})
 		g := gangJob(jobID(600010+i), 16+w.rng.IntN(8))
 		checkpointed(g, 10, 2).OneZone = true
-		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, run: 30})
+		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, runSeconds: 30})
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
@@ -83,11 +83,11 @@
 	}
 	w.upgrade(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.Run(40 * time.Second)
 	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.healWorkers()
 	w.watchWaitingJobs()
 	w.runUntilOver()
@@ -108,7 +108,7 @@
 	t.Parallel()
 	shape := lowered(thousandMachines(), 21, 8)
 	shape.Store.TxnOps = 24
-	w := NewShaped(77, logs(), shape)
+	w := NewWithCluster(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -117,9 +117,9 @@
 	w.submitCrowd(60, 30*time.Second)
 	for i := range 5 {
 		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
-		w.submit(arrival{job: spec, run: 150})
+		w.submit(arrival{job: spec, runSeconds: 150})
 		g := queued(largeGang(jobID(600010+i)), "gang", "team-1", "high")
-		w.submit(arrival{job: g, run: 100})
+		w.submit(arrival{job: g, runSeconds: 100})
 	}
 	w.Run(60 * time.Second)
 	starts, before := w.rules.started, w.gangTasksStartedAgain()
@@ -134,10 +134,10 @@
 			t.Errorf("%s still has %d bytes", key, len(e.Value))
 		}
 	}
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 500*time.Second)
 	again := w.gangTasksStartedAgain() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
@@ -163,9 +163,9 @@
 // split, and a new leader that knows nothing of its peers finds the records.
 func TestOversizedUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := lowered(Small(), 15, 4)
+	shape := lowered(SmallCluster(), 15, 4)
 	shape.Capacity = 40
-	w := NewShaped(78, logs(), shape)
+	w := NewWithCluster(78, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -173,12 +173,12 @@
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
 	perTask(spec, 2, 0.5, 10)
-	u := w.submit(arrival{job: spec, run: 60})
+	u := w.submit(arrival{job: spec, runSeconds: 60})
 	g := gangJob("run-600001", 20)
-	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
-	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
+	v := w.submit(arrival{after: 5 * time.Second, job: g, runSeconds: 40})
+	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), runSeconds: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
@@ -205,24 +205,24 @@
 	{"after the upgrade", release02, func(w *World) {
 		w.upgrade(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"after the upgrade, all records untouched", release03, func(w *World) {
 		w.upgrade(time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"in the middle of the upgrade", release03, func(w *World) {
 		w.upgrade(10 * time.Second)
-		w.after(14*time.Second, w.store.lower)
+		w.after(14*time.Second, w.store.applyNextLimits)
 	}},
 	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
 		w.upgrade(5 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"in a takeover", release02, func(w *World) {
 		w.upgrade(time.Second)
 		w.Run(8 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 		w.crashLeader(300 * time.Millisecond)
 		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
@@ -230,21 +230,21 @@
 	{"while the key-value store is slow", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.store.slow = 400 * time.Millisecond
-		w.store.lower()
-		w.after(25*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 400 * time.Millisecond
+		w.store.applyNextLimits()
+		w.after(25*time.Second, func() { w.store.extraLatency = 0 })
 	}},
 	{"in an outage", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.outage(12 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"answers are lost", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.store.lower()
-		w.store.loseAnswers(0.3, 20*time.Second)
+		w.store.applyNextLimits()
+		w.store.loseResponses(0.3, 20*time.Second)
 	}},
 }
 
@@ -270,19 +270,19 @@
 	users := w.submitWide()
 	c.play(w)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.stagedRecords, w.store.oversizedTransactions, w.rules.started)
 	w.expectRulesHeld(t)
 }
 
 // newWorld is a world of the earlier version whose records may be large.
 func (c lowering) newWorld(seed uint64) *World {
-	shape := lowered(Small(), 15, 4)
+	shape := lowered(SmallCluster(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
-	w := NewShaped(300+seed, logs(), shape)
+	w := NewWithCluster(300+seed, logs(), shape)
 	for _, n := range w.nodes {
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
@@ -296,10 +296,10 @@
 	for i := range 3 {
 		a := wide(array(jobID(600000+i), 98))
 		perTask(a, 1, 0, 0.5)
-		users = append(users, w.submit(arrival{job: a, run: 60 + 30*w.rng.Float64()}))
+		users = append(users, w.submit(arrival{job: a, runSeconds: 60 + 30*w.rng.Float64()}))
 		g := wide(gangJob(jobID(600010+i), 40))
 		checkpointed(perTask(g, 1, 0, 0.5), 20, 2)
-		users = append(users, w.submit(arrival{job: g, run: 50 + 30*w.rng.Float64()}))
+		users = append(users, w.submit(arrival{job: g, runSeconds: 50 + 30*w.rng.Float64()}))
 	}
 	w.Run(30 * time.Second)
 	return users
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -17,8 +17,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Shape is a deployment's size: zones, machines, teams and budgets.
-type Shape struct {
+// ClusterSpec is a deployment's size: zones, machines, teams and budgets.
+type ClusterSpec struct {
 	Zones     []protocol.ZoneName
 	Machines  int // up at the start, shared among the zones
 	Capacity  int // machines that the cloud has, those included
@@ -28,18 +28,18 @@
 	Store     config.StoreLimits
 	Cloud     config.CloudLimits
 	Resources config.ProcessLimits
-	// Lowered are the key-value store's limits to come, which the settings announce.
-	Lowered *config.StoreLimits
+	// NextStoreLimits are the key-value store's limits to come, which the settings announce.
+	NextStoreLimits *config.StoreLimits
 	// Recovery has the controllers follow their recoveries, as operators may ask.
 	Recovery bool
 	// Slow controllers take time for what they do, by their share of a core.
 	Slow bool
 }
 
-// Small is the shape of most tests.
-func Small() Shape {
+// SmallCluster is the shape of most tests.
+func SmallCluster() ClusterSpec {
 	zones := []protocol.ZoneName{"east", "west"}
-	return Shape{
+	return ClusterSpec{
 		Zones: zones, Machines: 4, Capacity: 12,
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
 			Price: 10, SpotPrice: 3, BootS: 20, Zones: zones},
@@ -57,59 +57,59 @@
 	timeline
 	network
 	userBehaviour
-	reportCopies
+	heartbeatCopies
 	activity
 
-	shape Shape
-	live  *Live // where the controllers are elsewhere
-	Audit *Audit
+	cluster  ClusterSpec
+	loopback *Loopback // where the controllers are elsewhere
+	Audit    *Audit
 
 	log *slog.Logger
 
-	nodes      []*controller
-	store      *keyValueStore
-	cloud      *cloudProvider
-	agents     map[protocol.MachineID]*agent
-	users      []*user
-	rules      *rules
-	faultsOver time.Time          // when all faults were over
-	release    map[string]release // of every controller
+	nodes         []*controller
+	store         *keyValueStore
+	cloud         *cloudProvider
+	agents        map[protocol.MachineID]*agent
+	users         []*user
+	rules         *rules
+	faultsEndedAt time.Time          // when all faults were over
+	release       map[string]release // of every controller
 	// recorder, if there is one, is shown every action of every controller as it is carried out.
 	recorder func(controller string, action coordination.Action)
 }
 
-// reportCopies are copies of workers' reports, as a network may deliver them.
-type reportCopies struct {
-	copies time.Duration // for so long copies may be late, 0: there are none
-	keep   bool          // copies are kept for the next leader
-	kept   [][]byte
+// heartbeatCopies are copies of workers' reports, as a network may deliver them.
+type heartbeatCopies struct {
+	maxCopyDelay       time.Duration // for so long copies may be late, 0: there are none
+	recordHeartbeats   bool          // copies are kept for the next leader
+	recordedHeartbeats [][]byte
 }
 
 // activity counts what the controllers do.
 type activity struct {
-	steps     int // of all controllers
-	calls     int // to workers
-	mostCalls int // of them under way at once at one controller
+	steps              int // of all controllers
+	calls              int // to workers
+	maxConcurrentCalls int // of them under way at once at one controller
 }
 
 // New makes a small world of three controllers.
-func New(seed uint64, logs io.Writer) *World { return NewShaped(seed, logs, Small()) }
+func New(seed uint64, logs io.Writer) *World { return NewWithCluster(seed, logs, SmallCluster()) }
 
-// NewShaped makes a world of three controllers and any size.
-func NewShaped(seed uint64, logs io.Writer, shape Shape) *World {
+// NewWithCluster makes a world of three controllers and any size.
+func NewWithCluster(seed uint64, logs io.Writer, shape ClusterSpec) *World {
 	w := newWorld(seed, logs, shape, nil)
 	for _, c := range w.nodes {
-		c.boot()
+		c.startProcess()
 	}
 	return w
 }
 
 // newWorld makes a world whose controllers have yet to be started, or are elsewhere.
-func newWorld(seed uint64, logs io.Writer, shape Shape, live *Live) *World {
+func newWorld(seed uint64, logs io.Writer, shape ClusterSpec, live *Loopback) *World {
 	w := &World{
 		timeline: newTimeline(seed),
-		shape:    shape,
-		live:     live,
+		cluster:  shape,
+		loopback: live,
 		Audit:    newAudit(),
 		agents:   map[protocol.MachineID]*agent{},
 		release:  map[string]release{},
@@ -139,16 +139,16 @@
 // config is the settings of a controller.
 func (w *World) config(name string) *config.Config {
 	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
-	c.Operator.RecoveryPhase = w.shape.Recovery
+	c.Operator.RecoveryPhase = w.cluster.Recovery
 	for _, n := range w.nodes {
 		if n.name != name {
 			c.Peers = append(c.Peers, config.Peer{Name: protocol.NodeName(n.name), Zone: w.zoneOf[n.name]})
 		}
 	}
-	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Agents: w.shape.Agents,
-		Store: w.shape.Store, Cloud: w.shape.Cloud, Process: w.shape.Resources}
-	if next := w.shape.Lowered; next != nil && w.release[name] != release02 {
-		present := w.shape.Store
+	c.Cluster = config.Cluster{Nodes: 3, Zones: w.cluster.Zones, Teams: w.cluster.Teams, Agents: w.cluster.Agents,
+		Store: w.cluster.Store, Cloud: w.cluster.Cloud, Process: w.cluster.Resources}
+	if next := w.cluster.NextStoreLimits; next != nil && w.release[name] != release02 {
+		present := w.cluster.Store
 		c.Cluster.Present = &present
 		c.Cluster.Store = *next
 	}
