--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -38,7 +38,7 @@
 
 func newAgent(w *World, h *host) *agent {
 	agent := &agent{w: w, host: h, incarnation: 1, leaseRenewedAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
-	agent.heartbeatDue = w.Now.Add(w.between(0, secs(w.cluster.Agents.ReportS)))
+	agent.heartbeatDue = w.Now.Add(w.between(0, secs(w.shape.Agents.ReportS)))
 	agent.timer = newTickTimer(w, agent.tick)
 	agent.setTimer()
 	return agent
@@ -56,7 +56,7 @@
 		a.expireLease()
 	}
 	if a.canSendHeartbeat() && !a.w.Now.Before(a.nextHeartbeat()) {
-		a.heartbeatDue = a.w.Now.Add(a.w.between(secs(a.w.cluster.Agents.ReportS*0.75), secs(a.w.cluster.Agents.ReportS*1.25)))
+		a.heartbeatDue = a.w.Now.Add(a.w.between(secs(a.w.shape.Agents.ReportS*0.75), secs(a.w.shape.Agents.ReportS*1.25)))
 		a.sendHeartbeat()
 	}
 	a.setTimer()
@@ -73,7 +73,7 @@
 }
 
 // leaseEnd is the end of the machine's lease.
-func (a *agent) leaseEnd() time.Time { return a.leaseRenewedAt.Add(secs(a.w.cluster.Agents.LeaseS)) }
+func (a *agent) leaseEnd() time.Time { return a.leaseRenewedAt.Add(secs(a.w.shape.Agents.LeaseS)) }
 
 // canSendHeartbeat says whether the machine can heartbeat now.
 func (a *agent) canSendHeartbeat() bool { return !a.hung && !a.inFlight }
@@ -240,7 +240,7 @@
 	}
 	if token > a.token {
 		a.token = token
-		if a.w.Now.Sub(a.tokenReportedAt) > secs(a.w.cluster.Agents.LeaseS/2) {
+		if a.w.Now.Sub(a.tokenReportedAt) > secs(a.w.shape.Agents.LeaseS/2) {
 			a.tokenReportedAt = a.w.Now
 			a.reportChange()
 		}
@@ -319,7 +319,7 @@
 		a.refuse(task, cause)
 		return
 	}
-	fetch := secs(task.job.ImageGB / a.w.cluster.Type.FetchGBPerS)
+	fetch := secs(task.job.ImageGB / a.w.shape.Type.FetchGBPerS)
 	if a.images[task.job.Image] {
 		fetch = 0
 	}
@@ -347,7 +347,7 @@
 		}
 		cpus, gpus, memory = cpus+other.job.CPUs, gpus+other.job.GPUs, memory+other.job.MemoryGB
 	}
-	machine := &a.w.cluster.Type
+	machine := &a.w.shape.Type
 	if cpus > machine.CPUs || gpus > machine.GPUs || memory > machine.MemoryGB {
 		return protocol.CauseNoCapacity
 	}
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -84,7 +84,7 @@
 // submitRunning has a user submit a job at once and waits until all its tasks run.
 func (w *World) submitRunning(t *testing.T, limit time.Duration, job *protocol.Job, run float64) *user {
 	t.Helper()
-	u := w.submit(arrival{job: job, runSeconds: run})
+	u := w.submit(arrival{job: job, run: run})
 	w.waitUntilRunning(t, limit, u)
 	return u
 }
@@ -146,7 +146,7 @@
 // over says whether some users have had a final answer.
 func over(users ...*user) bool {
 	for _, u := range users {
-		if !u.finished {
+		if !u.over {
 			return false
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -15,16 +15,16 @@
 
 // cloudProvider is a stand-in for the cloud.
 type cloudProvider struct {
-	w                *World
-	hosts            []*host
-	createdByRequest map[string][]protocol.MachineID
-	next             int
-	down             bool
-	capacity         int
-	requestLimiter   *rate.Limiter
-	requests         int
-	snapshots        []snapshot
-	fastBoot         bool // machines are up within two seconds
+	w              *World
+	hosts          []*host
+	rented         map[string][]protocol.MachineID
+	next           int
+	down           bool
+	capacity       int
+	requestLimiter *rate.Limiter
+	requests       int
+	snapshots      []snapshot
+	fastBoot       bool // machines are up within two seconds
 }
 
 // host is a machine in the cloud.
@@ -41,11 +41,11 @@
 }
 
 func newCloudProvider(w *World) *cloudProvider {
-	c := &cloudProvider{w: w, createdByRequest: map[string][]protocol.MachineID{}, capacity: w.cluster.Capacity,
-		requestLimiter: rate.NewLimiter(rate.Limit(w.cluster.Cloud.RPS), int(2*w.cluster.Cloud.RPS))}
+	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
+		requestLimiter: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	w.after(0, c.recordSnapshot)
-	for i := range w.cluster.Machines {
-		c.add(w.cluster.Zones[i%len(w.cluster.Zones)], false, 0)
+	for i := range w.shape.Machines {
+		c.add(w.shape.Zones[i%len(w.shape.Zones)], false, 0)
 	}
 	return c
 }
@@ -82,7 +82,7 @@
 	if c.w.loopback != nil {
 		address = c.w.loopback.address(id)
 	}
-	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.cluster.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
+	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
 	c.hosts = append(c.hosts, h)
 	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
@@ -122,7 +122,7 @@
 	u, _ := url.Parse(path)
 	switch {
 	case u.Path == protocol.PathMachineTypes:
-		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.cluster.Type}}))
+		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
 	case u.Path == protocol.PathMachines && method == http.MethodGet:
 		c.list(u.Query(), answer)
 	case u.Path == protocol.PathMachines:
@@ -154,7 +154,7 @@
 func (c *cloudProvider) createMachines(body []byte, answer responseFunc) {
 	var r protocol.Rental
 	decode(body, &r)
-	if names, ok := c.createdByRequest[r.Request]; ok {
+	if names, ok := c.rented[r.Request]; ok {
 		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 		return
 	}
@@ -172,7 +172,7 @@
 	for range min(r.Count, c.capacity-up) {
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.createdByRequest[r.Request] = names
+	c.rented[r.Request] = names
 	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -164,7 +164,7 @@
 // submitColdRestartJobs submits gangs and arrays for three quarters of the machines, the last of them
 // so late that they are half-way when the controllers are lost.
 func (w *World) submitColdRestartJobs(c ColdRestart) (users []*user) {
-	unsubmitted := c.Machines * int(w.cluster.Type.GPUs) * 3 / 4
+	unsubmitted := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
 	for i := 0; unsubmitted > 0; i++ {
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
 			Tasks: 2 + w.rng.IntN(12), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", w.rng.IntN(6)), ImageGB: 1 + 2*w.rng.Float64(), EstimateS: 60}
@@ -179,7 +179,7 @@
 		if i%5 == 1 { // about to end
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
 		}
-		users = append(users, w.submit(arrival{after: w.between(0, c.Before), job: spec, runSeconds: run}))
+		users = append(users, w.submit(arrival{after: w.between(0, c.Before), job: spec, run: run}))
 	}
 	return users
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -36,7 +36,7 @@
 	w := startWorld(seed, shape, 6*time.Second)
 	g := gangJob("run-000001", 6)
 	checkpointed(g, 10, 2)
-	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, runSeconds: 150}), array: w.submit(arrival{job: array("run-000002", 5), runSeconds: 150})}
+	c := &coldWorld{World: w, t: t, gang: w.submit(arrival{job: g, run: 150}), array: w.submit(arrival{job: array("run-000002", 5), run: 150})}
 	w.waitUntilRunning(t, 40*time.Second, c.gang, c.array)
 	w.Run(4 * time.Second)
 	c.mark()
@@ -141,8 +141,8 @@
 func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdWorld(t, 42, recovering())
-	c.crashAllApart(secs(c.cluster.Agents.LeaseS)+9*time.Second, 0)
-	c.Run(secs(c.cluster.Agents.LeaseS) + 9*time.Second)
+	c.crashAllApart(secs(c.shape.Agents.LeaseS)+9*time.Second, 0)
+	c.Run(secs(c.shape.Agents.LeaseS) + 9*time.Second)
 	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
 	c.expectStarts(t, c.starts, 11, "for 11 tasks")
 	if n := c.ordered(needStop); n != 0 {
@@ -200,7 +200,7 @@
 	c.array.cancel()
 	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.crashAllApart(3*time.Second, time.Second)
-	c.Run(secs(c.cluster.Agents.CancelS) + time.Second)
+	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
 	if c.rules.startsAfterCancellation > 0 {
 		t.Errorf("%d starts after the cancellation", c.rules.startsAfterCancellation)
 	}
@@ -216,7 +216,7 @@
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
 	waves.Team = "red" // whose limit allows ten tasks at once
-	u := w.submit(arrival{job: waves, runSeconds: 25})
+	u := w.submit(arrival{job: waves, run: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
 	w.recordHeartbeats = true
@@ -248,7 +248,7 @@
 	c := newColdWorld(t, 47, recovering())
 	ghost := array("run-000077", 1)
 	c.rules.jobs[ghost.ID] = newSimJob(ghost)
-	c.rules.jobs[ghost.ID].runSeconds = 500
+	c.rules.jobs[ghost.ID].run = 500
 	c.crashAllApart(4*time.Second, 0)
 	c.idleWorker().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
@@ -303,7 +303,7 @@
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
-	u := c.submit(arrival{job: fresh, runSeconds: 10})
+	u := c.submit(arrival{job: fresh, run: 10})
 	if took := c.waitUntilRunning(t, 15*time.Second, u); took > 8*time.Second {
 		t.Errorf("a new job waits %v", took)
 	}
@@ -374,8 +374,8 @@
 func (c *coldWorld) restoreOlder(lacks protocol.Revision) (later *user) {
 	c.t.Helper()
 	old := c.store.backup()
-	lost := c.submit(arrival{job: array("run-000008", 3), runSeconds: 60})
-	later = c.submit(arrival{job: array("run-000007", 3), runSeconds: 60})
+	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
+	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
 	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
 	c.Run(5 * time.Second)
 	c.store.revision += lacks
@@ -463,7 +463,7 @@
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
 			c.Run(4 * time.Second)
-			u := c.submit(arrival{job: array("run-000006", 2), runSeconds: 10})
+			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
 			c.waitUntilOver(t, 30*time.Second, u)
 			if s := c.recovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
 				t.Errorf("%+v", s)
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -48,7 +48,7 @@
 
 // cancelUntilConfirmed has a user ask for a cancellation until it is confirmed.
 func (w *World) cancelUntilConfirmed(u *user) {
-	for !u.finished {
+	for !u.over {
 		u.cancel()
 		w.Run(100 * time.Millisecond)
 	}
@@ -90,8 +90,8 @@
 		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(620, SmallCluster(), 6*time.Second)
-			u := w.submit(arrival{job: array("run-000001", 6), runSeconds: 200})
-			cancelled := w.submit(arrival{job: array("run-000002", 2), runSeconds: 500})
+			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
+			cancelled := w.submit(arrival{job: array("run-000002", 2), run: 500})
 			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
 			c, starts := w.leader(), w.rules.started
 			if refused {
@@ -151,7 +151,7 @@
 	u.cancelRequested = true
 	for status := 0; status != 200; {
 		c.submitRequest(cancellation(u.job.spec.ID), func(got int, body []byte) {
-			if status = got; got == 200 && !u.finished {
+			if status = got; got == 200 && !u.over {
 				u.handleResponse(body)
 			}
 		})
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -14,7 +14,7 @@
 	w              *World
 	name           string
 	node           *coordination.Node
-	generation     int // counts the processes
+	life           int // counts the processes
 	alive          bool
 	linked         map[string]bool // peers to which there is a link
 	nextID         uint64          // of requests from outside
@@ -29,15 +29,15 @@
 
 // startProcess starts the process anew.
 func (c *controller) startProcess() {
-	c.generation++
+	c.life++
 	c.alive = true
 	c.linked = map[string]bool{}
 	c.pendingReplies = map[uint64]responseFunc{}
-	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.generation))
-	life := c.generation
+	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
+	life := c.life
 	var pollLinks func()
 	pollLinks = func() {
-		if c.alive && c.generation == life {
+		if c.alive && c.life == life {
 			c.updateLinks()
 			c.w.after(tuning.MinTimerInterval, pollLinks)
 		}
@@ -59,11 +59,11 @@
 
 // armTimer has the timer go off when the node is to be stepped.
 func (c *controller) armTimer() {
-	life, at := c.generation, c.wakeAt
+	life, at := c.life, c.wakeAt
 	c.timerAt = at
 	c.w.after(at.Sub(c.w.Now), func() {
 		switch {
-		case !c.alive || c.generation != life || !c.timerAt.Equal(at):
+		case !c.alive || c.life != life || !c.timerAt.Equal(at):
 		case c.w.Now.Before(c.wakeAt):
 			c.armTimer()
 		default:
@@ -122,7 +122,7 @@
 
 // step has the node take events. A slow node takes them when it has time.
 func (c *controller) step(events ...coordination.Event) {
-	if c.w.cluster.Slow {
+	if c.w.shape.Slow {
 		c.backlog.add(events)
 		c.processBatch()
 		return
@@ -157,15 +157,15 @@
 	if !c.canSend(a) {
 		return
 	}
-	life := c.generation
+	life := c.life
 	for _, o := range c.w.nodes {
 		if o.name != string(a.Peer) || !c.linked[o.name] {
 			continue
 		}
-		to := o.generation
+		to := o.life
 		m := reencode(limitAnnouncement(a.Message, c.w.release[c.name], c.w.release[o.name]))
 		c.w.transmit(c.name, o.name, func() {
-			if o.alive && o.generation == to {
+			if o.alive && o.life == to {
 				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
 			}
 		})
@@ -174,9 +174,9 @@
 
 // request makes a request of an outside system.
 func (c *controller) request(a coordination.Request) {
-	life := c.generation
+	life := c.life
 	done := func(status int, body []byte) {
-		if c.alive && c.generation == life {
+		if c.alive && c.life == life {
 			c.step(coordination.Response{ID: a.ID, Status: status, Body: body})
 		}
 	}
@@ -207,13 +207,13 @@
 	c.w.calls++
 	c.callsInFlight++
 	c.w.maxConcurrentCalls = max(c.w.maxConcurrentCalls, c.callsInFlight)
-	life := c.generation
+	life := c.life
 	c.w.call(c.name, a.Address, a.Timeout, func(answer responseFunc) {
 		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
 			agent.serve(a.Method, a.Path, a.Body, answer)
 		}
 	}, func(status int, body []byte) {
-		if c.generation == life {
+		if c.life == life {
 			c.callsInFlight--
 		}
 		done(status, body)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -59,9 +59,9 @@
 		return
 	}
 	c := up[d.w.rng.IntN(len(up))]
-	life := c.generation
+	life := c.life
 	d.w.call("users", c.name, limit, func(answer responseFunc) { c.submitRequest(event, answer) }, func(status int, _ []byte) {
-		if status == 0 && (!c.alive || c.generation != life) {
+		if status == 0 && (!c.alive || c.life != life) {
 			return // it was killed under the request: the connection tells the user
 		}
 		d.asked++
@@ -162,7 +162,7 @@
 	w.Run(5 * time.Second)
 	g := gangJob("run-000001", 4)
 	g.OneZone = true
-	gang := w.submit(arrival{job: g, runSeconds: 300})
+	gang := w.submit(arrival{job: g, run: 300})
 	services := []*user{w.submit(arrival{job: service("run-000002", 4)}), w.submit(arrival{job: service("run-000003", 3)})}
 	w.waitUntilRunning(t, 40*time.Second, gang, services[0], services[1])
 	w.Run(10 * time.Second)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -28,7 +28,7 @@
 			if i%2 == 0 {
 				s.Shape = protocol.ShapeGang
 			}
-			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, runSeconds: 40})
+			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, run: 40})
 		}
 		w.every(6*time.Second, 6, func(int) {
 			for _, k := range w.someWorkers(1) {
@@ -92,7 +92,7 @@
 			if i%3 == 0 {
 				cancel = w.between(time.Millisecond, 80*time.Millisecond)
 			}
-			w.submit(arrival{job: array(jobID(800200+i), 1), runSeconds: 3, cancelAfter: cancel})
+			w.submit(arrival{job: array(jobID(800200+i), 1), run: 3, cancelAfter: cancel})
 		})
 		w.every(30*time.Second, 3, func(int) { w.crashLeader(400 * time.Millisecond) })
 	}, most: 2},
@@ -146,13 +146,13 @@
 	{name: "all controllers are away for longer than a lease", play: func(w *World) {
 		w.after(20*time.Second, func() {
 			for _, c := range w.nodes {
-				c.crash(secs(w.cluster.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
+				c.crash(secs(w.shape.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
 			}
 		})
 	}},
 	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
 		for i := range 8 {
-			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), runSeconds: 60})
+			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
 			u.job.progress[0], u.job.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.crashLeader(1500 * time.Millisecond) })
@@ -221,11 +221,11 @@
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
-		w.maxCopyDelay = 3 * secs(w.cluster.Agents.LeaseS)
+		w.maxCopyDelay = 3 * secs(w.shape.Agents.LeaseS)
 		w.after(110*time.Second, func() { w.maxCopyDelay = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
-				w.blockInbound(k.host.ID, secs(w.cluster.Agents.LeaseS)+3*time.Second, i%2 == 0)
+				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
 			}
 			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
@@ -234,7 +234,7 @@
 		for i := range 10 {
 			s := array(jobID(800040+i), 6)
 			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
-			w.submit(arrival{job: s, runSeconds: 45})
+			w.submit(arrival{job: s, run: 45})
 		}
 		w.every(22*time.Second, 5, func(i int) {
 			w.cancelNow(5, 20*time.Second)
@@ -254,7 +254,7 @@
 				w.store.refuseNode(c, 20*time.Second)
 			}
 		})
-		w.after(26*time.Second, func() { w.store.outage(secs(w.cluster.Agents.CancelS) + 6*time.Second) })
+		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
 		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
 	}, most: 4},
 	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *ClusterSpec) {
@@ -265,7 +265,7 @@
 			if i%4 == 0 {
 				cancel = w.between(10*time.Millisecond, 8*time.Second)
 			}
-			w.submit(arrival{job: array(jobID(810000+i), 1), runSeconds: 4, cancelAfter: cancel})
+			w.submit(arrival{job: array(jobID(810000+i), 1), run: 4, cancelAfter: cancel})
 		})
 	}, most: 10},
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -57,7 +57,7 @@
 			return
 		}
 		task := w.rules.placed[protocol.TaskName(u.job.spec.ID, 0)]
-		if !u.accepted || u.cancelRequested || u.finished || task == nil {
+		if !u.accepted || u.cancelRequested || u.over || task == nil {
 			continue
 		}
 		n--
@@ -83,7 +83,7 @@
 		c := w.nodes[w.rng.IntN(len(w.nodes))]
 		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
 			u.askAllNodes()
-			if u.finished {
+			if u.over {
 				u.cancelTooLate(c)
 			}
 		}
@@ -152,7 +152,7 @@
 // capacity for it, a gang for all, and its team is under its limit.
 func (w *World) waitsBesideCapacity(u *user) bool {
 	spec := u.job.spec
-	if !u.accepted || u.cancelRequested || u.finished || u.job.alwaysFails {
+	if !u.accepted || u.cancelRequested || u.over || u.job.alwaysFails {
 		return false
 	}
 	want := w.unplaced(u)
@@ -162,7 +162,7 @@
 	if !spec.Gang() {
 		want = 1
 	}
-	for _, team := range w.cluster.Teams {
+	for _, team := range w.shape.Teams {
 		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
 			return false
 		}
@@ -196,7 +196,7 @@
 		if agent.hung || agent.preemptionNoticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
-		cpus, gpus, memory := w.cluster.Type.CPUs, w.cluster.Type.GPUs, w.cluster.Type.MemoryGB
+		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
 		for _, task := range agent.tasks {
 			if task.state != protocol.TaskExited {
 				cpus, gpus, memory = cpus-task.job.CPUs, gpus-task.job.GPUs, memory-task.job.MemoryGB
@@ -223,7 +223,7 @@
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.finished && !u.job.alwaysFails {
+		if !u.over && !u.job.alwaysFails {
 			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -50,14 +50,14 @@
 				w.Run(time.Second)
 				wholeMachine := gangJob("run-000010", 4)
 				wholeMachine.Zone = zone
-				u := w.submit(arrival{job: wholeMachine, runSeconds: 15})
+				u := w.submit(arrival{job: wholeMachine, run: 15})
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
 				t.Logf("done after %v", took)
 				if w.agents[id] != nil {
 					t.Error("the machine that receives nothing is still rented")
 				}
-				w.Run(secs(w.cluster.Agents.CancelS))
+				w.Run(secs(w.shape.Agents.CancelS))
 				w.expectRulesHeld(t)
 			})
 		}
@@ -75,7 +75,7 @@
 	id := w.workerOf("run-000001", 0).host.ID
 
 	w.blockInbound(id, 400*time.Second, packetsDropped)
-	w.Run(secs(w.cluster.Agents.LeaseS) + 2*time.Second)
+	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
 		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
@@ -90,7 +90,7 @@
 func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
-	w.maxCopyDelay = 4 * secs(w.cluster.Agents.LeaseS)
+	w.maxCopyDelay = 4 * secs(w.shape.Agents.LeaseS)
 	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
@@ -104,7 +104,7 @@
 	}
 
 	w.waitFor(t, 500*time.Second, "all is over", func() bool {
-		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.finished && !u.job.alwaysFails })
+		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.alwaysFails })
 	})
 	w.expectRulesHeld(t)
 }
@@ -123,7 +123,7 @@
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
-	starts, rented := w.rules.started, len(w.cloud.createdByRequest)
+	starts, rented := w.rules.started, len(w.cloud.rented)
 
 	for _, c := range w.nodes {
 		w.expectOnlyStops(t, c, old)
@@ -131,10 +131,10 @@
 	w.Run(2 * time.Second)
 
 	w.expectNotRecorded(t, agent.host.ID)
-	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), runSeconds: 10})
+	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
-	if n := len(w.cloud.createdByRequest) - rented; n > 2 {
+	if n := len(w.cloud.rented) - rented; n > 2 {
 		t.Errorf("%d rentals", n)
 	}
 	w.expectRulesHeld(t)
@@ -239,7 +239,7 @@
 	if status != 503 {
 		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
 	}
-	w.Run(secs(w.cluster.Agents.CancelS) - secs(w.cluster.Agents.LeaseS))
+	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
 		t.Error("it still leads")
 	}
@@ -260,7 +260,7 @@
 			w.maxCopyDelay = 5 * time.Second // reports of their former lives come late
 			w.Run(5 * time.Second)
 			for i := range 8 {
-				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), runSeconds: 10})
+				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
 
 			w.restartOften(12)
@@ -303,7 +303,7 @@
 	w.loseOldest(len(w.cloud.hosts) / 3)
 	for i := range 12 {
 		job := queued(largeGang(jobID(900+i)), "gang", "team-0", "high")
-		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, runSeconds: 60})
+		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, run: 60})
 	}
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -264,8 +264,8 @@
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
 	w := f.watch(NewWithCluster(seed, logs(), shape))
 	w.Run(6 * time.Second)
-	w.submit(arrival{job: array("run-000001", 5), runSeconds: 150})
-	w.submit(arrival{job: gangJob("run-000002", 6), runSeconds: 150})
+	w.submit(arrival{job: array("run-000001", 5), run: 150})
+	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
 	w.crashAll(3 * time.Second)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -60,9 +60,9 @@
 	w := NewWithCluster(1, logs(), fleet4000())
 	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.cluster.Teams[i].Name, "idle")
+		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
-		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, runSeconds: 30 + 20*w.rng.Float64()})
+		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
 	w.fallsTogether(t, 1400)
 }
@@ -73,7 +73,7 @@
 // counted, not timed.
 func (w *World) fallsTogether(t *testing.T, die int) {
 	t.Helper()
-	shape, jobs := w.cluster, len(w.users)
+	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
 	w.disconnect(40*time.Second, packetsHeld, w.acrossZoneBoundary(shape.Zones[2]))
 	w.Run(42 * time.Second)
@@ -102,8 +102,8 @@
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changedKeys
 	lost := w.Now
-	u := w.submit(arrival{job: array("run-000001", 1), runSeconds: 10})
-	u.job.spec.Team = w.cluster.Teams[0].Name
+	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
+	u.job.spec.Team = w.shape.Teams[0].Name
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
 	t.Logf("a submission is accepted after %v", w.Now.Sub(lost))
 	starts := w.rules.started
@@ -111,7 +111,7 @@
 	t.Logf("a task starts after %v", w.Now.Sub(lost))
 	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changedKeys-changed)
-	if n, limit := w.calls-calls, int(21*w.cluster.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
+	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -60,7 +60,7 @@
 	w := t.agent.w
 	t.state, t.startedAt = protocol.TaskRunning, w.Now
 	job.begin(w.Now)
-	t.agent.schedule(secs(max(0, job.runSeconds-job.progress[t.index])), t, func() {
+	t.agent.schedule(secs(max(0, job.run-job.progress[t.index])), t, func() {
 		if t.state == protocol.TaskRunning {
 			job.done[t.index] = true
 			t.exit(protocol.CauseDone, false)
@@ -92,7 +92,7 @@
 	}
 	t.gang = g
 	g.members[t.index] = t
-	t.agent.schedule(secs(w.cluster.Agents.GangWaitS), t, func() {
+	t.agent.schedule(secs(w.shape.Agents.GangWaitS), t, func() {
 		if t.state == protocol.TaskWaiting {
 			t.exit(protocol.CauseGangTimeout, false)
 		}
@@ -120,7 +120,7 @@
 		task.state = protocol.TaskRunning
 		task.agent.reportChange()
 	}
-	w.after(secs(max(0, j.runSeconds-j.progress[0])), func() {
+	w.after(secs(max(0, j.run-j.progress[0])), func() {
 		if g.ended || !g.stopRequestedAt.IsZero() {
 			return
 		}
@@ -153,7 +153,7 @@
 	}
 	for _, task := range g.sortedMembers() {
 		if task != lost {
-			task.agent.schedule(w.between(0, secs(w.cluster.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
+			task.agent.schedule(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	g.stopRequestedAt = w.Now
 	job := w.rules.jobs[g.job.ID]
 	run := job.progress[0] + w.Now.Sub(g.startedAt).Seconds()
-	w.after(secs(w.cluster.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
+	w.after(secs(w.shape.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
 }
 
 // finishStop saves the gang's progress, or ends it without if a task was not told.
@@ -227,13 +227,13 @@
 }
 
 // exit ends a task; it stays in the heartbeats until it is forgotten.
-func (t *agentTask) exit(cause protocol.Cause, kept bool) {
+func (t *agentTask) exit(cause protocol.Cause, saved bool) {
 	if t.state == protocol.TaskExited {
 		return
 	}
 	t.removeFromMachine()
 	t.agent.w.Audit.ended(t.instance(), cause, false)
-	t.state, t.cause, t.saved = protocol.TaskExited, cause, kept
+	t.state, t.cause, t.saved = protocol.TaskExited, cause, saved
 	t.agent.reportChange()
 	if j := t.agent.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.onCompletion != nil && !slices.Contains(j.done, false) {
 		j.onCompletion()
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -56,9 +56,9 @@
 		keyspace:       keyspace{keys: map[string]protocol.Entry{}},
 		leaseTable:     leaseTable{leases: map[protocol.LeaseID]*lease{}},
 		w:              w,
-		limits:         w.cluster.Store,
-		requestLimiter: budget(w.cluster.Store.RPS),
-		writeLimiter:   budget(w.cluster.Store.WriteRPS),
+		limits:         w.shape.Store,
+		requestLimiter: budget(w.shape.Store.RPS),
+		writeLimiter:   budget(w.shape.Store.WriteRPS),
 	}
 	w.after(0, s.tick)
 	return s
@@ -186,7 +186,7 @@
 	s.changedKeys += len(t.Changes)
 	if excess := s.limitViolation(t, size); excess != "" {
 		s.oversizedTransactions++
-		if s.limits == s.w.cluster.Store || s.oversizedTransactions > 20 { // they were lowered without notice
+		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 { // they were lowered without notice
 			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -34,8 +34,8 @@
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
 		w.workerOf(u.job.spec.ID, 1).failsTasks = true
-		w.submit(arrival{after: time.Second, job: array("run-000081", 4), runSeconds: 10})
-		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), runSeconds: 10})
+		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
+		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
 		k := w.workerOf(u.job.spec.ID, 1)
@@ -62,7 +62,7 @@
 	w := startWorld(70, SmallCluster(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
-	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), runSeconds: 300}) // no machine but its own goes idle
+	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // no machine but its own goes idle
 	w.Run(20 * time.Second)
 	c.play(w, u)
 	w.Run(200 * time.Second)
@@ -72,7 +72,7 @@
 		t.Logf("%.4f", got)
 	}
 	w.Run(60 * time.Second)
-	if !u.finished || u.phase != protocol.PhaseCancelled {
+	if !u.over || u.phase != protocol.PhaseCancelled {
 		t.Errorf("it is %s", u.phase)
 	}
 	w.expectRulesHeld(t)
@@ -103,7 +103,7 @@
 		v.cancel()
 		w.waitUntilOver(t, 20*time.Second, v)
 	}
-	a := w.submit(arrival{job: array("run-000020", 4), runSeconds: 10})
+	a := w.submit(arrival{job: array("run-000020", 4), run: 10})
 	w.waitUntilOver(t, 60*time.Second, a)
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -45,7 +45,7 @@
 // simJob is a job as the outside world knows it.
 type simJob struct {
 	spec            *protocol.Job
-	runSeconds      float64
+	run             float64
 	progress        []float64
 	done            []bool
 	gangs           map[protocol.AttemptNumber]*gang
@@ -100,7 +100,7 @@
 
 // checkQuota checks that a team keeps within its limit.
 func (r *rules) checkQuota(name protocol.TeamName) {
-	for _, team := range r.w.cluster.Teams {
+	for _, team := range r.w.shape.Teams {
 		if team.Name == name && team.MaxGPUs > 0 && r.gpusInUse[name] > team.MaxGPUs+1e-6 {
 			r.violated(ruleQuota, "%s uses %v GPUs", name, r.gpusInUse[name])
 		}
@@ -133,7 +133,7 @@
 // checkCancelled checks that a task's job was not cancelled too long ago.
 func (r *rules) checkCancelled(task *agentTask) {
 	j := r.jobs[task.job.ID]
-	if !j.cancelledAt.IsZero() && r.w.Now.Sub(j.cancelledAt) > secs(r.w.cluster.Agents.CancelS) {
+	if !j.cancelledAt.IsZero() && r.w.Now.Sub(j.cancelledAt) > secs(r.w.shape.Agents.CancelS) {
 		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelledAt))
 	}
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -53,7 +53,7 @@
 	w := startWorld(3, SmallCluster(), 6*time.Second)
 	c := w.leader()
 	w.disconnect(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
-	u := w.submit(arrival{job: array("run-000001", 4), runSeconds: 5})
+	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
 	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
 
@@ -125,7 +125,7 @@
 	w := startWorld(6, SmallCluster(), 5*time.Second)
 	c := w.leader()
 	for i := range 6 {
-		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), runSeconds: 8})
+		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
 	}
 
 	lossy := &partition{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
@@ -152,7 +152,7 @@
 			t.Errorf("%s is not ready", c.name)
 		}
 	}
-	u := w.submit(arrival{job: array("run-000001", 2), runSeconds: 5})
+	u := w.submit(arrival{job: array("run-000001", 2), run: 5})
 	w.waitFor(t, 5*time.Second, "the submission is accepted", func() bool { return u.accepted })
 	w.expectRulesHeld(t)
 }
@@ -207,7 +207,7 @@
 	u.cancel()
 	w.Run(150 * time.Second)
 
-	if !u.finished {
+	if !u.over {
 		t.Error("not cancelled")
 	}
 	w.expectRulesHeld(t)
@@ -236,7 +236,7 @@
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	w := startWorld(9, SmallCluster(), 5*time.Second)
-	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), runSeconds: 10})
+	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
 
 	w.leader().crash(2 * time.Second)
@@ -257,7 +257,7 @@
 	t.Parallel()
 	w := startWorld(14, SmallCluster(), 5*time.Second)
 	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
-	u := w.submit(arrival{job: job, runSeconds: 10, cancelAfter: 30 * time.Second})
+	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
 		t.Error("nothing starts")
@@ -311,7 +311,7 @@
 
 			w.disconnect(90*time.Second, fate, w.inDifferentZones)
 			w.Run(20 * time.Second)
-			needsBothZones := w.submit(arrival{job: array("run-000002", 16), runSeconds: 10})
+			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
 			w.waitUntilOver(t, 60*time.Second, needsBothZones)
 			w.waitUntilOver(t, 200*time.Second, u)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 // submitMixedJobs makes users with jobs of every shape.
 func (w *World) submitMixedJobs(jobs int, span time.Duration) {
 	for range jobs {
-		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.cluster.Teams[w.rng.IntN(len(w.cluster.Teams))].Name,
+		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
 			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
@@ -27,7 +27,7 @@
 		case 1:
 			spec.Spread = true
 		case 2:
-			spec.Zone = w.cluster.Zones[w.rng.IntN(2)]
+			spec.Zone = w.shape.Zones[w.rng.IntN(2)]
 		}
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
@@ -37,7 +37,7 @@
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(arrival{after: w.between(0, span), job: spec, runSeconds: 5 + 40*w.rng.Float64(), cancelAfter: cancel, alwaysFails: cancel > 0 && w.rng.IntN(3) == 0})
+		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, alwaysFails: cancel > 0 && w.rng.IntN(3) == 0})
 	}
 }
 
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -61,7 +61,7 @@
 		return
 	}
 	c.busy = true
-	life := c.generation
+	life := c.life
 	batch, cost := c.backlog.nextBatch()
 	actions := c.node.Step(c.w.Now, batch)
 	for _, a := range actions {
@@ -69,8 +69,8 @@
 			cost += actionCost
 		}
 	}
-	c.w.after(time.Duration(float64(cost)/c.w.cluster.Resources.Cores), func() {
-		if !c.alive || c.generation != life {
+	c.w.after(time.Duration(float64(cost)/c.w.shape.Resources.Cores), func() {
+		if !c.alive || c.life != life {
 			return
 		}
 		c.perform(actions)
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -49,7 +49,7 @@
 
 // applyNextLimits makes the limits those that the settings announced.
 func (s *keyValueStore) applyNextLimits() {
-	s.limits = *s.w.cluster.NextStoreLimits
+	s.limits = *s.w.shape.NextStoreLimits
 	s.requestLimiter.SetLimit(rate.Limit(s.limits.RPS))
 	s.writeLimiter.SetLimit(rate.Limit(s.limits.WriteRPS))
 	s.writeLimiter.SetBurst(int(s.limits.WriteRPS))
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -72,10 +72,10 @@
 	for i := range 4 {
 		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
 		perTask(spec, 1, 0.25, 5).Spot = true
-		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, runSeconds: 20 + 60*w.rng.Float64()})
+		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, run: 20 + 60*w.rng.Float64()})
 		g := gangJob(jobID(600010+i), 16+w.rng.IntN(8))
 		checkpointed(g, 10, 2).OneZone = true
-		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, runSeconds: 30})
+		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, run: 30})
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
@@ -117,9 +117,9 @@
 	w.submitCrowd(60, 30*time.Second)
 	for i := range 5 {
 		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
-		w.submit(arrival{job: spec, runSeconds: 150})
+		w.submit(arrival{job: spec, run: 150})
 		g := queued(largeGang(jobID(600010+i)), "gang", "team-1", "high")
-		w.submit(arrival{job: g, runSeconds: 100})
+		w.submit(arrival{job: g, run: 100})
 	}
 	w.Run(60 * time.Second)
 	starts, before := w.rules.started, w.gangTasksStartedAgain()
@@ -173,10 +173,10 @@
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
 	perTask(spec, 2, 0.5, 10)
-	u := w.submit(arrival{job: spec, runSeconds: 60})
+	u := w.submit(arrival{job: spec, run: 60})
 	g := gangJob("run-600001", 20)
-	v := w.submit(arrival{after: 5 * time.Second, job: g, runSeconds: 40})
-	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), runSeconds: 500, cancelAfter: 55 * time.Second})
+	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
+	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
 	w.store.applyNextLimits()
 	for _, c := range w.nodes {
@@ -296,10 +296,10 @@
 	for i := range 3 {
 		a := wide(array(jobID(600000+i), 98))
 		perTask(a, 1, 0, 0.5)
-		users = append(users, w.submit(arrival{job: a, runSeconds: 60 + 30*w.rng.Float64()}))
+		users = append(users, w.submit(arrival{job: a, run: 60 + 30*w.rng.Float64()}))
 		g := wide(gangJob(jobID(600010+i), 40))
 		checkpointed(perTask(g, 1, 0, 0.5), 20, 2)
-		users = append(users, w.submit(arrival{job: g, runSeconds: 50 + 30*w.rng.Float64()}))
+		users = append(users, w.submit(arrival{job: g, run: 50 + 30*w.rng.Float64()}))
 	}
 	w.Run(30 * time.Second)
 	return users
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -26,7 +26,7 @@
 	lastResponseAt   time.Time      // of the newest answer about the job
 	phase            protocol.Phase // the newest answer
 	cancelRequested  bool           // has asked to cancel
-	finished         bool
+	over             bool
 	stoppedAsking    bool          // asks nothing any more
 	served, unserved time.Duration // replica time that was served and that was not, from 5 s on
 }
@@ -41,7 +41,7 @@
 type arrival struct {
 	after       time.Duration // until the first attempt
 	job         *protocol.Job
-	runSeconds  float64       // seconds for which its tasks run
+	run         float64       // seconds for which its tasks run
 	cancelAfter time.Duration // the user cancels it so long after, 0: not
 	alwaysFails bool          // every task ends with an error
 }
@@ -50,7 +50,7 @@
 func (w *World) submit(a arrival) *user {
 	spec := a.job
 	j := newSimJob(spec)
-	j.runSeconds, j.alwaysFails = a.runSeconds, a.alwaysFails
+	j.run, j.alwaysFails = a.run, a.alwaysFails
 	u := &user{w: w, job: j}
 	w.users = append(w.users, u)
 	j.onCompletion = func() {
@@ -136,7 +136,7 @@
 		u.askAllNodes()
 	}
 	if isFinal(a.Phase) {
-		u.finished = true
+		u.over = true
 		if a.Phase == protocol.PhaseCancelled && u.job.cancelledAt.IsZero() {
 			u.noteCancelled()
 		}
@@ -166,7 +166,7 @@
 // noteCancelled has the job's tasks checked once its cancellation must hold.
 func (u *user) noteCancelled() {
 	u.job.cancelledAt = u.w.Now
-	u.w.after(secs(u.w.cluster.Agents.CancelS)+time.Millisecond, func() {
+	u.w.after(secs(u.w.shape.Agents.CancelS)+time.Millisecond, func() {
 		for i := range u.job.spec.Tasks {
 			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil {
 				u.w.rules.checkCancelled(task)
@@ -189,7 +189,7 @@
 		default:
 			u.checkResponseDelay()
 		}
-		if !u.finished || u.w.rng.IntN(3) == 0 {
+		if !u.over || u.w.rng.IntN(3) == 0 {
 			u.w.after(5*time.Second, u.poll)
 		}
 	})
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -60,7 +60,7 @@
 	heartbeatCopies
 	activity
 
-	cluster  ClusterSpec
+	shape    ClusterSpec
 	loopback *Loopback // where the controllers are elsewhere
 	Audit    *Audit
 
@@ -105,11 +105,11 @@
 }
 
 // newWorld makes a world whose controllers have yet to be started, or are elsewhere.
-func newWorld(seed uint64, logs io.Writer, shape ClusterSpec, live *Loopback) *World {
+func newWorld(seed uint64, logs io.Writer, shape ClusterSpec, loopback *Loopback) *World {
 	w := &World{
 		timeline: newTimeline(seed),
-		cluster:  shape,
-		loopback: live,
+		shape:    shape,
+		loopback: loopback,
 		Audit:    newAudit(),
 		agents:   map[protocol.MachineID]*agent{},
 		release:  map[string]release{},
@@ -139,16 +139,16 @@
 // config is the settings of a controller.
 func (w *World) config(name string) *config.Config {
 	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
-	c.Operator.RecoveryPhase = w.cluster.Recovery
+	c.Operator.RecoveryPhase = w.shape.Recovery
 	for _, n := range w.nodes {
 		if n.name != name {
 			c.Peers = append(c.Peers, config.Peer{Name: protocol.NodeName(n.name), Zone: w.zoneOf[n.name]})
 		}
 	}
-	c.Cluster = config.Cluster{Nodes: 3, Zones: w.cluster.Zones, Teams: w.cluster.Teams, Agents: w.cluster.Agents,
-		Store: w.cluster.Store, Cloud: w.cluster.Cloud, Process: w.cluster.Resources}
-	if next := w.cluster.NextStoreLimits; next != nil && w.release[name] != release02 {
-		present := w.cluster.Store
+	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Agents: w.shape.Agents,
+		Store: w.shape.Store, Cloud: w.shape.Cloud, Process: w.shape.Resources}
+	if next := w.shape.NextStoreLimits; next != nil && w.release[name] != release02 {
+		present := w.shape.Store
 		c.Cluster.Present = &present
 		c.Cluster.Store = *next
 	}
