--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -230,7 +230,7 @@
 	if err != nil {
 		panic(err)
 	}
-	c.submitRequest(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
 }
 
 func (a *agent) accept(token protocol.Term) bool {
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -27,8 +27,8 @@
 
 // startWorld makes a deployment and lets it settle: a leader is elected and the machines
 // have reported.
-func startWorld(seed uint64, shape ClusterSpec, settle time.Duration) *World {
-	w := NewWithCluster(seed, logs(), shape)
+func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
+	w := NewWithShape(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
@@ -195,7 +195,7 @@
 // statusOf has a node take a request and returns the status that it has been answered with
 // a second later, 0 for none.
 func (w *World) statusOf(c *controller, r request) (status int) {
-	c.submitRequest(r, func(s int, _ []byte) { status = s })
+	c.ask(r, func(s int, _ []byte) { status = s })
 	w.Run(time.Second)
 	return status
 }
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -36,10 +36,10 @@
 	kill()
 }
 
-// ClusterSpec is the deployment of the cold restart: short leases, so that it takes seconds, and
+// Shape is the deployment of the cold restart: short leases, so that it takes seconds, and
 // budgets that follow the number of machines.
-func (c ColdRestart) ClusterSpec() ClusterSpec {
-	s := SmallCluster()
+func (c ColdRestart) Shape() Shape {
+	s := SmallShape()
 	s.Machines, s.Capacity, s.Recovery = c.Machines, c.Machines, c.Recovery
 	s.Teams = []config.Team{{Name: "free"}}
 	s.Agents = config.AgentTimings{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
@@ -52,7 +52,7 @@
 
 // Simulate plays it on a fake clock.
 func (c ColdRestart) Simulate(seed uint64) (ColdResult, error) {
-	w := newWorld(seed, nil, c.ClusterSpec(), nil)
+	w := newWorld(seed, nil, c.Shape(), nil)
 	return c.run(&simulatedDeployment{w})
 }
 
@@ -88,7 +88,7 @@
 
 // RunOnLoopback plays it in real time on loopback.
 func (c ColdRestart) RunOnLoopback(seed uint64, controllers Controllers) (ColdResult, error) {
-	v := NewLoopback(seed, c.ClusterSpec())
+	v := NewLoopback(seed, c.Shape())
 	defer v.Close()
 	return c.run(&loopbackDeployment{v, controllers})
 }
@@ -131,7 +131,7 @@
 	var requests, changes int
 	d.do(func(w *World) {
 		w.Audit.Begin(w.Now)
-		requests, changes = w.store.requests, w.store.changedKeys
+		requests, changes = w.store.requests, w.store.changed
 	})
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
@@ -139,7 +139,7 @@
 	d.advance(c.After)
 	var result ColdResult
 	d.do(func(w *World) {
-		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.store.requests - requests, Changes: w.store.changedKeys - changes, Rules: w.rules.failures}
+		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.store.requests - requests, Changes: w.store.changed - changes, Rules: w.rules.failures}
 		for _, u := range users {
 			result.Tasks += u.job.spec.Tasks
 		}
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -14,8 +14,8 @@
 // what is valid goes on, nothing is started or stopped twice.
 
 // recovering is the small shape with recoveries followed.
-func recovering() ClusterSpec {
-	s := SmallCluster()
+func recovering() Shape {
+	s := SmallShape()
 	s.Recovery = true
 	return s
 }
@@ -31,7 +31,7 @@
 }
 
 // newColdWorld has a gang over two machines and an array run.
-func newColdWorld(t *testing.T, seed uint64, shape ClusterSpec) *coldWorld {
+func newColdWorld(t *testing.T, seed uint64, shape Shape) *coldWorld {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	g := gangJob("run-000001", 6)
@@ -212,7 +212,7 @@
 // nothing and prove nothing.
 func TestColdRestartLateCopiesStopNothing(t *testing.T) {
 	t.Parallel()
-	w := NewWithCluster(46, logs(), recovering())
+	w := NewWithShape(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
 	waves.Team = "red" // whose limit allows ten tasks at once
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -38,7 +38,7 @@
 // blindLeader has an array run under a leader whose watches have hung for a moment.
 func blindLeader(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
 	t.Helper()
-	w := startWorld(seed, SmallCluster(), 6*time.Second)
+	w := startWorld(seed, SmallShape(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", tasks), 500)
 	c := w.leader()
 	w.store.nodeWithoutWatches = c
@@ -63,7 +63,7 @@
 // tasks as soon as a peer that has confirmed the cancellation tells it.
 func TestRefusedLeaderStopsTasksToldByPeer(t *testing.T) {
 	t.Parallel()
-	w := startWorld(610, SmallCluster(), 6*time.Second)
+	w := startWorld(610, SmallShape(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
 	w.store.nodeWithoutWatches = c
@@ -71,7 +71,7 @@
 
 	status := 0
 	u.cancelRequested = true
-	w.others(c)[0].submitRequest(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
+	w.others(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
 
 	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
 	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
@@ -89,7 +89,7 @@
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(620, SmallCluster(), 6*time.Second)
+			w := startWorld(620, SmallShape(), 6*time.Second)
 			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
 			cancelled := w.submit(arrival{job: array("run-000002", 2), run: 500})
 			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
@@ -150,7 +150,7 @@
 func (w *World) cancelAt(c *controller, u *user) {
 	u.cancelRequested = true
 	for status := 0; status != 200; {
-		c.submitRequest(cancellation(u.job.spec.ID), func(got int, body []byte) {
+		c.ask(cancellation(u.job.spec.ID), func(got int, body []byte) {
 			if status = got; got == 200 && !u.over {
 				u.handleResponse(body)
 			}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -111,7 +111,7 @@
 }
 
 // send hands the node a request from outside.
-func (c *controller) submitRequest(r request, answer responseFunc) {
+func (c *controller) ask(r request, answer responseFunc) {
 	if !c.alive {
 		return
 	}
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -60,7 +60,7 @@
 	}
 	c := up[d.w.rng.IntN(len(up))]
 	life := c.life
-	d.w.call("users", c.name, limit, func(answer responseFunc) { c.submitRequest(event, answer) }, func(status int, _ []byte) {
+	d.w.call("users", c.name, limit, func(answer responseFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
 		if status == 0 && (!c.alive || c.life != life) {
 			return // it was killed under the request: the connection tells the user
 		}
@@ -149,9 +149,9 @@
 
 // play replaces the controllers of one release and counts what is noticed.
 func (order replacement) play(t *testing.T, from release) {
-	shape := lowered(SmallCluster(), 15, 4)
+	shape := lowered(SmallShape(), 15, 4)
 	shape.Capacity = 20
-	w := NewWithCluster(500, logs(), shape)
+	w := NewWithShape(500, logs(), shape)
 	for i, c := range w.nodes {
 		w.release[c.name] = from
 		if i == 2 && from == release02 {
@@ -221,7 +221,7 @@
 	for mixture := range 8 {
 		t.Run(fmt.Sprint("mixture ", mixture), func(t *testing.T) {
 			t.Parallel()
-			w := NewWithCluster(uint64(520+mixture), logs(), lowered(SmallCluster(), 15, 4))
+			w := NewWithShape(uint64(520+mixture), logs(), lowered(SmallShape(), 15, 4))
 			for i, c := range w.nodes {
 				if mixture>>i&1 == 1 {
 					w.release[c.name] = release03
@@ -275,7 +275,7 @@
 // phaseAt has a node take a request about a job and returns its answer of half a second
 // later.
 func (w *World) phaseAt(c *controller, r request) (status int, phase protocol.Phase) {
-	c.submitRequest(r, func(s int, body []byte) {
+	c.ask(r, func(s int, body []byte) {
 		var a protocol.Accepted
 		if status = s; s < 300 {
 			decode(body, &a)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -15,7 +15,7 @@
 // works at its limit.
 type faultCombination struct {
 	name  string
-	shape func(s *ClusterSpec)
+	shape func(s *Shape)
 	play  func(w *World)
 	most  int // starts after a confirmed cancellation, held-up commands apart
 }
@@ -74,7 +74,7 @@
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, most: 2},
-	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *ClusterSpec) { s.Machines = 2 }, play: func(w *World) {
+	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, play: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
@@ -257,7 +257,7 @@
 		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
 		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
 	}, most: 4},
-	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *ClusterSpec) {
+	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
 	}, play: func(w *World) {
 		w.every(250*time.Millisecond, 400, func(i int) {
@@ -285,7 +285,7 @@
 			t.Parallel()
 			late := 0
 			for seed := range seeds {
-				shape := SmallCluster()
+				shape := SmallShape()
 				if seed%2 == 1 {
 					shape = tiny()
 				}
@@ -302,9 +302,9 @@
 }
 
 // run plays a combination on a seed and returns the starts after a confirmed cancellation.
-func (m *faultCombination) run(t *testing.T, seed uint64, shape ClusterSpec) (late int) {
+func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
 	t.Helper()
-	w := NewWithCluster(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
 	m.play(w)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -88,7 +88,7 @@
 			}
 		}
 		job := w.impossibleJob()
-		c.submitRequest(submission(job), func(status int, _ []byte) {
+		c.ask(submission(job), func(status int, _ []byte) {
 			if status == http.StatusOK || status == http.StatusCreated {
 				w.rules.violated(ruleAccepted, "%+v can never run", *job)
 			}
@@ -99,7 +99,7 @@
 // cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
 func (u *user) cancelTooLate(c *controller) {
 	told := u.phase
-	c.submitRequest(cancellation(u.job.spec.ID), func(status int, body []byte) {
+	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
 		if decode(body, &a); status == http.StatusOK && a.Phase != told {
 			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -34,7 +34,7 @@
 		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
-				shape := SmallCluster()
+				shape := SmallShape()
 				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
@@ -68,7 +68,7 @@
 // newer session or its deletion, and a job that waits is started elsewhere.
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
 	t.Parallel()
-	w := startWorld(22, SmallCluster(), 6*time.Second)
+	w := startWorld(22, SmallShape(), 6*time.Second)
 	job := checkpointed(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
 	u := w.submitRunning(t, 20*time.Second, job, 80)
@@ -114,7 +114,7 @@
 // that means anything, no record, no work, and does not keep the name alive.
 func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
-	w := startWorld(24, SmallCluster(), 6*time.Second)
+	w := startWorld(24, SmallShape(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
 	old := encode(agent.heartbeat())
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.submitRequest(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(status int, body []byte) {
 		var a protocol.HeartbeatResponse
 		if status == 200 {
 			decode(body, &a)
@@ -182,7 +182,7 @@
 // first sign of it is a late duplicate of an old report. It gets no work.
 func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
-	w := startWorld(26, SmallCluster(), 6*time.Second)
+	w := startWorld(26, SmallShape(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
@@ -207,7 +207,7 @@
 	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(25, SmallCluster(), 6*time.Second)
+			w := startWorld(25, SmallShape(), 6*time.Second)
 			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
@@ -234,7 +234,7 @@
 	}
 	status, began := 0, w.Now
 	note := func(s int, _ []byte) { status = s }
-	c.submitRequest(statusQuery("run-000001"), note)
+	c.ask(statusQuery("run-000001"), note)
 	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
 	if status != 503 {
 		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
@@ -245,7 +245,7 @@
 	}
 	status = 0
 	report := w.workerOf("run-000001", 0).heartbeat()
-	c.submitRequest(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
 
@@ -296,7 +296,7 @@
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewWithCluster(3, logs(), thousandMachines())
+	w := NewWithShape(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -10,7 +10,7 @@
 
 // fleet is a deployment of two thousand machines on controllers and budgets not
 // much larger than those of a thousand.
-func fleet() ClusterSpec {
+func fleet() Shape {
 	s := thousandMachines()
 	s.Machines, s.Capacity = 420, 2000
 	s.setQuotas(380, 1350)
@@ -22,7 +22,7 @@
 
 // fleet4000 is a deployment of four thousand machines and half as many again that a
 // burst can rent, on controllers and budgets that are wider by about the same.
-func fleet4000() ClusterSpec {
+func fleet4000() Shape {
 	s := fleet()
 	s.Machines, s.Capacity = 4000, 6000
 	s.setQuotas(1000, 4000)
@@ -33,7 +33,7 @@
 }
 
 // setQuotas gives every team the same quota.
-func (s *ClusterSpec) setQuotas(guaranteed, limit float64) {
+func (s *Shape) setQuotas(guaranteed, limit float64) {
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = guaranteed, limit
 	}
@@ -45,7 +45,7 @@
 		t.Skip("a day of two thousand machines")
 	}
 	t.Parallel()
-	w := NewWithCluster(1, logs(), fleet())
+	w := NewWithShape(1, logs(), fleet())
 	w.submitCrowd(200, 70*time.Second)
 	w.fallsTogether(t, 150)
 }
@@ -57,7 +57,7 @@
 		t.Skip("a day of four thousand machines")
 	}
 	t.Parallel()
-	w := NewWithCluster(1, logs(), fleet4000())
+	w := NewWithShape(1, logs(), fleet4000())
 	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
 		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
@@ -100,7 +100,7 @@
 // and start a task soon, and that their calls to workers keep within their share.
 func (w *World) expectQuickReturn(t *testing.T) {
 	t.Helper()
-	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changedKeys
+	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
 	lost := w.Now
 	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
 	u.job.spec.Team = w.shape.Teams[0].Name
@@ -110,7 +110,7 @@
 	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
 	t.Logf("a task starts after %v", w.Now.Sub(lost))
 	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
-	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changedKeys-changed)
+	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
 	}
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -73,10 +73,10 @@
 	w := t.agent.w
 	t.state, t.startedAt = protocol.TaskRunning, w.Now
 	job.begin(w.Now)
-	if job.replicaLifetime == 0 {
+	if job.ends == 0 {
 		return
 	}
-	t.agent.schedule(w.between(job.replicaLifetime/2, job.replicaLifetime), t, func() {
+	t.agent.schedule(w.between(job.ends/2, job.ends), t, func() {
 		t.exit([]protocol.Cause{protocol.CauseDone, protocol.CauseError}[w.rng.IntN(2)], false)
 	})
 }
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -10,8 +10,8 @@
 )
 
 // thousandMachines is a deployment of a thousand machines and three zones.
-func thousandMachines() ClusterSpec {
-	s := SmallCluster()
+func thousandMachines() Shape {
+	s := SmallShape()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
@@ -28,7 +28,7 @@
 
 // threeZones is a deployment of a few machines in three zones, whose controllers have all the
 // resources that they want.
-func threeZones(machines int) ClusterSpec {
+func threeZones(machines int) Shape {
 	s := thousandMachines()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
@@ -51,8 +51,8 @@
 }
 
 // smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
-func smallestBudgets() ClusterSpec {
-	s := SmallCluster()
+func smallestBudgets() Shape {
+	s := SmallShape()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	s.Agents.ReportS = 5
@@ -66,12 +66,12 @@
 	t.Parallel()
 	for _, day := range []struct {
 		name  string
-		shape ClusterSpec
+		shape Shape
 		jobs  int
 	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewWithCluster(1, logs(), day.shape)
+			w := NewWithShape(1, logs(), day.shape)
 			w.submitCrowd(day.jobs, 120*time.Second)
 			w.finishDay(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
@@ -91,15 +91,15 @@
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
 	span := w.elapsed().Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changedKeys, w.store.requestBytes, w.store.refused)
+	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
 	if w.store.refused > bounds.refused {
 		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
 	}
-	if w.store.changedKeys > bounds.changes {
-		t.Errorf("%d changes, at most %d are due", w.store.changedKeys, bounds.changes)
+	if w.store.changed > bounds.changes {
+		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
 	}
-	if w.store.requestBytes > bounds.bytes {
-		t.Errorf("%d bytes, at most %d are due", w.store.requestBytes, bounds.bytes)
+	if w.store.bytes > bounds.bytes {
+		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
 	}
 	// Ten ticks a second at each of three nodes, and the events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -35,8 +35,8 @@
 // storeUsage counts what was asked of the store.
 type storeUsage struct {
 	requests              int
-	requestBytes          int // of requests
-	changedKeys           int // keys, by transactions within the budget
+	bytes                 int // of requests
+	changed               int // keys, by transactions within the budget
 	refused               int // requests and transactions beyond the budgets
 	oversizedTransactions int // transactions beyond the limits
 }
@@ -85,7 +85,7 @@
 // serve answers a request as the protocol says, within the budgets.
 func (s *keyValueStore) serve(method, path string, body []byte, from *controller, answer responseFunc) {
 	s.requests++
-	s.requestBytes += len(body)
+	s.bytes += len(body)
 	if s.extraLatency > 0 {
 		prompt := answer
 		answer = func(status int, body []byte) { s.w.after(s.extraLatency, func() { prompt(status, body) }) }
@@ -183,7 +183,7 @@
 		s.refused++
 		return http.StatusTooManyRequests, nil
 	}
-	s.changedKeys += len(t.Changes)
+	s.changed += len(t.Changes)
 	if excess := s.limitViolation(t, size); excess != "" {
 		s.oversizedTransactions++
 		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 { // they were lowered without notice
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -36,7 +36,7 @@
 const loopbackTick = 3 * time.Millisecond
 
 // NewLoopback makes a world whose controllers are elsewhere. Its workers are logged.
-func NewLoopback(seed uint64, shape ClusterSpec) *Loopback {
+func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
 	v.state = v.serve(func(r *http.Request, body []byte, answer responseFunc) {
 		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
@@ -143,7 +143,7 @@
 }
 
 // send sends a user's or worker's request to a controller.
-func (v *Loopback) submitRequest(node int, timeout time.Duration, event coordination.Event, done responseFunc) {
+func (v *Loopback) ask(node int, timeout time.Duration, event coordination.Event, done responseFunc) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
 	case coordination.AgentHeartbeat:
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -135,13 +135,13 @@
 // callController makes a request of a worker or user to a controller.
 func (w *World) callController(from string, node int, timeout time.Duration, event request, done responseFunc) {
 	if w.loopback != nil {
-		w.loopback.submitRequest(node, timeout, event(0), done)
+		w.loopback.ask(node, timeout, event(0), done)
 		return
 	}
 	c := w.nodes[node]
 	w.call(from, c.name, timeout, func(answer responseFunc) {
 		if agent := w.agents[protocol.MachineID(from)]; agent == nil || !agent.opensNoConnections {
-			c.submitRequest(event, answer)
+			c.ask(event, answer)
 		}
 	}, done)
 }
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -104,10 +104,10 @@
 
 // replicaLoss lets the machine of a replica die and returns the mean of each stage over
 // the replicas that were on it and run again, and how many do not.
-func replicaLoss(t *testing.T, seed uint64, shape ClusterSpec) (mean [stages]time.Duration, again, missing int) {
+func replicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
 	t.Helper()
 	s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-	w := NewWithCluster(seed, s, shape)
+	w := NewWithShape(seed, s, shape)
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
@@ -211,7 +211,7 @@
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-		w := NewWithCluster(750+seed, s, shape)
+		w := NewWithShape(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
 		spec := service("run-000000", 6)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -59,7 +59,7 @@
 
 // run plays it with one service of four replicas.
 func (c serviceFault) run(t *testing.T) {
-	w := startWorld(70, SmallCluster(), 6*time.Second)
+	w := startWorld(70, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
 	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // no machine but its own goes idle
@@ -83,9 +83,9 @@
 // fails on every machine, and takes no machine from others.
 func TestEndedReplicasRestartWithoutStorm(t *testing.T) {
 	t.Parallel()
-	w := startWorld(71, SmallCluster(), 6*time.Second)
+	w := startWorld(71, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4)})
-	u.job.replicaLifetime = 60 * time.Second
+	u.job.ends = 60 * time.Second
 	w.Run(200 * time.Second)
 	if got := u.share(); got < 0.95 {
 		t.Errorf("%.4f of the replica time is served", got)
@@ -93,7 +93,7 @@
 	u.cancelRequested = false
 	for i, ends := range []time.Duration{200 * time.Millisecond, 0} {
 		v := w.submit(arrival{job: service(jobID(10+i), 6), alwaysFails: ends == 0})
-		v.job.replicaLifetime = ends
+		v.job.ends = ends
 		w.Run(150 * time.Second)
 		n := sum(v.job.starts)
 		t.Logf("%d starts in 150 s", n)
@@ -111,7 +111,7 @@
 // TestServiceBeyondTeamLimitIsRefused: a service needs quota for all its tasks.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
-	w := startWorld(72, SmallCluster(), 6*time.Second)
+	w := startWorld(72, SmallShape(), 6*time.Second)
 	for _, c := range []struct{ replicas, status int }{{2, 201}, {3, 422}} {
 		spec := service(jobID(c.replicas), c.replicas)
 		spec.Team, spec.GPUs = "red", 4 // of 10
@@ -128,7 +128,7 @@
 // or memory that work on GPUs needs while there are others.
 func TestReplicasLeaveGPUs(t *testing.T) {
 	t.Parallel()
-	shape := SmallCluster()
+	shape := SmallShape()
 	shape.Machines, shape.Capacity = 8, 8
 	w := startWorld(73, shape, 6*time.Second)
 	big := w.submitRunning(t, 20*time.Second, wholeMachines("run-000001"), 20)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -44,17 +44,17 @@
 
 // simJob is a job as the outside world knows it.
 type simJob struct {
-	spec            *protocol.Job
-	run             float64
-	progress        []float64
-	done            []bool
-	gangs           map[protocol.AttemptNumber]*gang
-	alwaysFails     bool
-	cancelledAt     time.Time     // when its user was told
-	startedAt       time.Time     // when it first ran, a gang as a whole
-	onCompletion    func()        // what happens when the last task has completed
-	starts          map[int]int   // of each task
-	replicaLifetime time.Duration // a service's replicas end by themselves after about this, 0: never
+	spec         *protocol.Job
+	run          float64
+	progress     []float64
+	done         []bool
+	gangs        map[protocol.AttemptNumber]*gang
+	alwaysFails  bool
+	cancelledAt  time.Time     // when its user was told
+	startedAt    time.Time     // when it first ran, a gang as a whole
+	onCompletion func()        // what happens when the last task has completed
+	starts       map[int]int   // of each task
+	ends         time.Duration // a service's replicas end by themselves after about this, 0: never
 }
 
 // newSimJob is a job none of whose tasks has run.
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -13,7 +13,7 @@
 // and what runs goes on running.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(1, SmallCluster(), 5*time.Second)
+	w := startWorld(1, SmallShape(), 5*time.Second)
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	starts := w.rules.started
 
@@ -31,7 +31,7 @@
 // replaces its predecessor's leader lease without waiting for it to expire.
 func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(2, SmallCluster(), 5*time.Second)
+	w := startWorld(2, SmallShape(), 5*time.Second)
 	c := w.leader()
 
 	c.crash(200 * time.Millisecond)
@@ -50,7 +50,7 @@
 // must not start its task again after it is done and forgotten.
 func TestHeldBackStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
-	w := startWorld(3, SmallCluster(), 6*time.Second)
+	w := startWorld(3, SmallShape(), 6*time.Second)
 	c := w.leader()
 	w.disconnect(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
 	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
@@ -67,7 +67,7 @@
 // takes no node out of the load balancer and changes no leader.
 func TestShortStoreOutageCostsNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
-	w := startWorld(4, SmallCluster(), 5*time.Second)
+	w := startWorld(4, SmallShape(), 5*time.Second)
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
 
@@ -93,7 +93,7 @@
 // is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
-	w := startWorld(5, SmallCluster(), 5*time.Second)
+	w := startWorld(5, SmallShape(), 5*time.Second)
 	c := w.others(w.leader())[1]
 
 	c.refused = true
@@ -122,7 +122,7 @@
 // its answers are lost for a while. Nothing is applied twice or forgotten.
 func TestLostStoreAnswersApplyNothingTwice(t *testing.T) {
 	t.Parallel()
-	w := startWorld(6, SmallCluster(), 5*time.Second)
+	w := startWorld(6, SmallShape(), 5*time.Second)
 	c := w.leader()
 	for i := range 6 {
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
@@ -141,7 +141,7 @@
 // the machine types from the records and take submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
-	w := startWorld(12, SmallCluster(), 5*time.Second)
+	w := startWorld(12, SmallShape(), 5*time.Second)
 
 	w.cloud.down = true
 	w.crashAll(time.Second)
@@ -161,7 +161,7 @@
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
-	w := startWorld(13, SmallCluster(), 5*time.Second)
+	w := startWorld(13, SmallShape(), 5*time.Second)
 	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
@@ -170,7 +170,7 @@
 		for i, n := range w.nodes {
 			for k := range 10 {
 				asked++
-				n.submitRequest(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { answers++ })
+				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { answers++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
@@ -193,7 +193,7 @@
 // not know of a cancellation; its grace ends before the cancellation must hold.
 func TestCutOffLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
-	w := startWorld(7, SmallCluster(), 5*time.Second)
+	w := startWorld(7, SmallShape(), 5*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
 	inside := map[string]bool{c.name: true}
@@ -217,7 +217,7 @@
 // reach the leader through the controllers, and nothing is lost.
 func TestPeersRelayReportsAcrossZoneCut(t *testing.T) {
 	t.Parallel()
-	w := startWorld(8, SmallCluster(), 5*time.Second)
+	w := startWorld(8, SmallShape(), 5*time.Second)
 	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
 	bridge := w.others(c)[0].name // reaches everybody, wherever it is
@@ -235,7 +235,7 @@
 // service's limits and survives a change of leader.
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
-	w := startWorld(9, SmallCluster(), 5*time.Second)
+	w := startWorld(9, SmallShape(), 5*time.Second)
 	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
 
@@ -255,7 +255,7 @@
 // key-value store, survives a change of leader and is cancelled in time.
 func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
-	w := startWorld(14, SmallCluster(), 5*time.Second)
+	w := startWorld(14, SmallShape(), 5*time.Second)
 	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
 	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
@@ -278,7 +278,7 @@
 // that is there, keeping its checkpoint.
 func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
-	w := startWorld(10, SmallCluster(), 6*time.Second)
+	w := startWorld(10, SmallShape(), 6*time.Second)
 	job := checkpointed(gangJob("run-000001", 2), 10, 2)
 	job.GPUs, job.OneZone = 2, true
 	u := w.submitRunning(t, 10*time.Second, job, 60)
@@ -305,7 +305,7 @@
 	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(11, SmallCluster(), 5*time.Second)
+			w := startWorld(11, SmallShape(), 5*time.Second)
 			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -43,8 +43,8 @@
 
 // tiny is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
-func tiny() ClusterSpec {
-	s := SmallCluster()
+func tiny() Shape {
+	s := SmallShape()
 	s.Resources.Cores = 0.0006
 	return s
 }
@@ -64,7 +64,7 @@
 	for seed := range days {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shape := SmallCluster()
+			shape := SmallShape()
 			if seed%2 == 1 {
 				shape = tiny()
 			}
@@ -75,8 +75,8 @@
 }
 
 // day plays a random day and reports every rule that was broken, with the faults of the day.
-func day(t *testing.T, seed uint64, shape ClusterSpec) {
-	w := NewWithCluster(seed, logs(), shape)
+func day(t *testing.T, seed uint64, shape Shape) {
+	w := NewWithShape(seed, logs(), shape)
 	history := w.playDay()
 	w.checkServed(2 * maxLargestJobWait) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -30,7 +30,7 @@
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
-					c.submitRequest(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
+					c.ask(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
 						if status == 200 {
 							t.Error("a job that nobody submitted is known")
 						}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -11,7 +11,7 @@
 )
 
 // lowered is the shape of a deployment whose key-value store will lower its limits.
-func lowered(s ClusterSpec, writes float64, ops int) ClusterSpec {
+func lowered(s Shape, writes float64, ops int) Shape {
 	s.NextStoreLimits = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
@@ -51,12 +51,12 @@
 
 // newUpgradeWorld is a world of controllers of earlier versions.
 func newUpgradeWorld(seed int) *World {
-	shape := lowered(SmallCluster(), 12, 4)
+	shape := lowered(SmallShape(), 12, 4)
 	if seed%2 == 1 {
 		shape = lowered(tiny(), 12, 4)
 	}
 	shape.Capacity = 30
-	w := NewWithCluster(uint64(900+seed), logs(), shape)
+	w := NewWithShape(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
 		// From 0.2, from 0.3, or from both.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
@@ -108,7 +108,7 @@
 	t.Parallel()
 	shape := lowered(thousandMachines(), 21, 8)
 	shape.Store.TxnOps = 24
-	w := NewWithCluster(77, logs(), shape)
+	w := NewWithShape(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -163,9 +163,9 @@
 // split, and a new leader that knows nothing of its peers finds the records.
 func TestOversizedUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := lowered(SmallCluster(), 15, 4)
+	shape := lowered(SmallShape(), 15, 4)
 	shape.Capacity = 40
-	w := NewWithCluster(78, logs(), shape)
+	w := NewWithShape(78, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -279,10 +279,10 @@
 
 // newWorld is a world of the earlier version whose records may be large.
 func (c lowering) newWorld(seed uint64) *World {
-	shape := lowered(SmallCluster(), 15, 4)
+	shape := lowered(SmallShape(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
-	w := NewWithCluster(300+seed, logs(), shape)
+	w := NewWithShape(300+seed, logs(), shape)
 	for _, n := range w.nodes {
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -207,7 +207,7 @@
 			if i >= 2*len(w.nodes) {
 				question = submission(u.job.spec)
 			}
-			w.call("users", c.name, queryTimeout, func(answer responseFunc) { c.submitRequest(question, answer) },
+			w.call("users", c.name, queryTimeout, func(answer responseFunc) { c.ask(question, answer) },
 				func(status int, body []byte) { u.checkRepeatedResponse(c, told, status, body) })
 		})
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -17,8 +17,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// ClusterSpec is a deployment's size: zones, machines, teams and budgets.
-type ClusterSpec struct {
+// Shape is a deployment's size: zones, machines, teams and budgets.
+type Shape struct {
 	Zones     []protocol.ZoneName
 	Machines  int // up at the start, shared among the zones
 	Capacity  int // machines that the cloud has, those included
@@ -36,10 +36,10 @@
 	Slow bool
 }
 
-// SmallCluster is the shape of most tests.
-func SmallCluster() ClusterSpec {
+// SmallShape is the shape of most tests.
+func SmallShape() Shape {
 	zones := []protocol.ZoneName{"east", "west"}
-	return ClusterSpec{
+	return Shape{
 		Zones: zones, Machines: 4, Capacity: 12,
 		Type: protocol.MachineType{Name: "four", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 60, FetchGBPerS: 1,
 			Price: 10, SpotPrice: 3, BootS: 20, Zones: zones},
@@ -60,7 +60,7 @@
 	heartbeatCopies
 	activity
 
-	shape    ClusterSpec
+	shape    Shape
 	loopback *Loopback // where the controllers are elsewhere
 	Audit    *Audit
 
@@ -93,10 +93,10 @@
 }
 
 // New makes a small world of three controllers.
-func New(seed uint64, logs io.Writer) *World { return NewWithCluster(seed, logs, SmallCluster()) }
+func New(seed uint64, logs io.Writer) *World { return NewWithShape(seed, logs, SmallShape()) }
 
-// NewWithCluster makes a world of three controllers and any size.
-func NewWithCluster(seed uint64, logs io.Writer, shape ClusterSpec) *World {
+// NewWithShape makes a world of three controllers and any size.
+func NewWithShape(seed uint64, logs io.Writer, shape Shape) *World {
 	w := newWorld(seed, logs, shape, nil)
 	for _, c := range w.nodes {
 		c.startProcess()
@@ -105,7 +105,7 @@
 }
 
 // newWorld makes a world whose controllers have yet to be started, or are elsewhere.
-func newWorld(seed uint64, logs io.Writer, shape ClusterSpec, loopback *Loopback) *World {
+func newWorld(seed uint64, logs io.Writer, shape Shape, loopback *Loopback) *World {
 	w := &World{
 		timeline: newTimeline(seed),
 		shape:    shape,
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -10,7 +10,7 @@
 // zoneLoss runs services until the fleet has shrunk to what they need, then loses every
 // machine of a zone. It returns how long it took until as many replicas as the rules
 // allow ran again, and the machines that were up before.
-func zoneLoss(t *testing.T, seed uint64, shape ClusterSpec, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
+func zoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
@@ -54,10 +54,10 @@
 func TestZoneLossWithoutBoot(t *testing.T) {
 	t.Parallel()
 	three := threeZones(9)
-	two := SmallCluster()
+	two := SmallShape()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
-		shape ClusterSpec
+		shape Shape
 		limit time.Duration
 	}{
 		"three zones": {three, 14 * time.Second},
