--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -121,9 +121,9 @@
 			return
 		}
 		a.setTimer()
-		stuck := a.heldPackets
+		packets := a.heldPackets
 		a.heldPackets = nil
-		for _, do := range stuck {
+		for _, do := range packets {
 			do()
 		}
 	})
@@ -249,26 +249,26 @@
 }
 
 // serve answers direct orders and probes.
-func (a *agent) serve(method, path string, body []byte, answer func(int, []byte)) {
+func (a *agent) serve(method, path string, body []byte, respond func(int, []byte)) {
 	if a.dead {
 		return
 	}
 	if a.hung {
-		a.heldPackets = append(a.heldPackets, func() { a.serve(method, path, body, answer) })
+		a.heldPackets = append(a.heldPackets, func() { a.serve(method, path, body, respond) })
 		return
 	}
 	if path == protocol.PathInspect {
-		answer(200, encode(a.heartbeat()))
+		respond(200, encode(a.heartbeat()))
 		return
 	}
 	var o protocol.CommandBatch
 	decode(body, &o)
 	if o.Incarnation != a.incarnation || !a.accept(o.FencingToken) {
-		answer(409, encode(a.heartbeat()))
+		respond(409, encode(a.heartbeat()))
 		return
 	}
 	a.execute(o.Commands)
-	answer(200, encode(a.heartbeat()))
+	respond(200, encode(a.heartbeat()))
 }
 
 func (a *agent) execute(commands []protocol.Command) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -109,31 +109,31 @@
 }
 
 // serve answers a call as the protocol says, within the budget.
-func (c *cloudProvider) serve(method, path string, body []byte, answer responseFunc) {
+func (c *cloudProvider) serve(method, path string, body []byte, respond responseFunc) {
 	c.requests++
 	if c.down {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
 	if !c.requestLimiter.AllowN(c.w.Now, 1) {
-		answer(http.StatusTooManyRequests, nil)
+		respond(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	switch {
 	case u.Path == protocol.PathMachineTypes:
-		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
+		respond(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
 	case u.Path == protocol.PathMachines && method == http.MethodGet:
-		c.list(u.Query(), answer)
+		c.list(u.Query(), respond)
 	case u.Path == protocol.PathMachines:
-		c.createMachines(body, answer)
+		c.createMachines(body, respond)
 	default:
-		c.deleteMachines(body, answer)
+		c.deleteMachines(body, respond)
 	}
 }
 
 // list answers with a page of the machine list as it was a while ago.
-func (c *cloudProvider) list(q url.Values, answer responseFunc) {
+func (c *cloudProvider) list(q url.Values, respond responseFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
 	for _, s := range c.snapshots {
@@ -147,15 +147,15 @@
 	}
 	limit, _ := strconv.Atoi(q.Get("page"))
 	list = list[from:]
-	answer(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
+	respond(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
 // createMachines rents machines as far as there are any.
-func (c *cloudProvider) createMachines(body []byte, answer responseFunc) {
+func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
 	var r protocol.Rental
 	decode(body, &r)
 	if names, ok := c.rented[r.Request]; ok {
-		answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+		respond(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 		return
 	}
 	up := 0
@@ -165,7 +165,7 @@
 		}
 	}
 	if up >= c.capacity {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
 	var names []protocol.MachineID
@@ -173,7 +173,7 @@
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
 	c.rented[r.Request] = names
-	answer(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+	respond(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
 // bootTime is how long a machine takes to come up; one in twenty never does.
@@ -189,7 +189,7 @@
 }
 
 // deleteMachines deletes machines.
-func (c *cloudProvider) deleteMachines(body []byte, answer responseFunc) {
+func (c *cloudProvider) deleteMachines(body []byte, respond responseFunc) {
 	var r protocol.MachineNames
 	decode(body, &r)
 	for _, h := range c.hosts {
@@ -197,5 +197,5 @@
 			c.destroy(h)
 		}
 	}
-	answer(http.StatusOK, encode(struct{}{}))
+	respond(http.StatusOK, encode(struct{}{}))
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -111,12 +111,12 @@
 }
 
 // send hands the node a request from outside.
-func (c *controller) ask(r request, answer responseFunc) {
+func (c *controller) ask(r request, respond responseFunc) {
 	if !c.alive {
 		return
 	}
 	c.nextID++
-	c.pendingReplies[c.nextID] = answer
+	c.pendingReplies[c.nextID] = respond
 	c.step(r(c.nextID))
 }
 
@@ -140,9 +140,9 @@
 		}
 		switch a := a.(type) {
 		case coordination.Reply:
-			if answer := c.pendingReplies[a.ID]; answer != nil {
+			if respond := c.pendingReplies[a.ID]; respond != nil {
 				delete(c.pendingReplies, a.ID)
-				answer(a.Status, a.Body)
+				respond(a.Status, a.Body)
 			}
 		case coordination.PeerSend:
 			c.send(a)
@@ -182,7 +182,7 @@
 	}
 	switch a.To {
 	case coordination.ToCloud:
-		c.w.call(c.name, cloudHost, a.Timeout, func(answer responseFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
+		c.w.call(c.name, cloudHost, a.Timeout, func(respond responseFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, respond) }, done)
 	case coordination.ToAgent:
 		c.callAgent(a, done)
 	default:
@@ -193,12 +193,12 @@
 // callStore makes a request of the key-value store; version 0.2 drops new fields of what it
 // reads.
 func (c *controller) callStore(a coordination.Request, done responseFunc) {
-	c.w.call(c.name, storeHost, a.Timeout, func(answer responseFunc) {
+	c.w.call(c.name, storeHost, a.Timeout, func(respond responseFunc) {
 		if c.w.release[c.name] == release02 {
-			whole := answer
-			answer = func(status int, body []byte) { whole(status, dropNewFields(body)) }
+			respondInFull := respond
+			respond = func(status int, body []byte) { respondInFull(status, dropNewFields(body)) }
 		}
-		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
+		c.w.store.serve(a.Method, a.Path, a.Body, c, respond)
 	}, done)
 }
 
@@ -208,9 +208,9 @@
 	c.callsInFlight++
 	c.w.maxConcurrentCalls = max(c.w.maxConcurrentCalls, c.callsInFlight)
 	life := c.life
-	c.w.call(c.name, a.Address, a.Timeout, func(answer responseFunc) {
+	c.w.call(c.name, a.Address, a.Timeout, func(respond responseFunc) {
 		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
-			agent.serve(a.Method, a.Path, a.Body, answer)
+			agent.serve(a.Method, a.Path, a.Body, respond)
 		}
 	}, func(status int, body []byte) {
 		if c.life == life {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -43,11 +43,11 @@
 
 // watch is a request that waits for changes of keys with a prefix.
 type watch struct {
-	from   *controller
-	prefix string
-	after  protocol.Revision
-	answer responseFunc
-	ended  bool
+	from    *controller
+	prefix  string
+	after   protocol.Revision
+	respond responseFunc
+	ended   bool
 }
 
 func newKeyValueStore(w *World) *keyValueStore {
@@ -83,97 +83,97 @@
 }
 
 // serve answers a request as the protocol says, within the budgets.
-func (s *keyValueStore) serve(method, path string, body []byte, from *controller, answer responseFunc) {
+func (s *keyValueStore) serve(method, path string, body []byte, from *controller, respond responseFunc) {
 	s.requests++
 	s.bytes += len(body)
 	if s.extraLatency > 0 {
-		prompt := answer
-		answer = func(status int, body []byte) { s.w.after(s.extraLatency, func() { prompt(status, body) }) }
+		respondNow := respond
+		respond = func(status int, body []byte) { s.w.after(s.extraLatency, func() { respondNow(status, body) }) }
 	}
 	if !s.requestLimiter.AllowN(s.w.Now, 1) {
 		s.refused++
-		answer(http.StatusTooManyRequests, nil)
+		respond(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	if s.down || from.refused {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
 	switch {
 	case u.Path == "/watch":
-		s.watch(u.Query(), from, answer)
+		s.watch(u.Query(), from, respond)
 	case method == http.MethodGet && u.Path == "/kv":
-		s.list(u.Query(), answer)
+		s.list(u.Query(), respond)
 	case method == http.MethodGet:
-		s.get(strings.TrimPrefix(u.Path, "/kv/"), answer)
+		s.get(strings.TrimPrefix(u.Path, "/kv/"), respond)
 	case u.Path == protocol.PathTransactions:
-		s.handleTransaction(body, answer)
+		s.handleTransaction(body, respond)
 	case u.Path == protocol.PathLeases:
-		s.grantLease(body, answer)
+		s.grantLease(body, respond)
 	default:
-		s.renewLease(u.Path, answer)
+		s.renewLease(u.Path, respond)
 	}
 }
 
 // list answers with a page of keys.
-func (s *keyValueStore) list(q url.Values, answer responseFunc) {
+func (s *keyValueStore) list(q url.Values, respond responseFunc) {
 	limit, _ := strconv.Atoi(q.Get("page"))
-	answer(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
+	respond(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
 }
 
 // get answers with one key.
-func (s *keyValueStore) get(key string, answer responseFunc) {
+func (s *keyValueStore) get(key string, respond responseFunc) {
 	if e, ok := s.keys[key]; ok {
-		answer(http.StatusOK, encode(e))
+		respond(http.StatusOK, encode(e))
 		return
 	}
-	answer(http.StatusNotFound, encode(protocol.TransactionResponse{Revision: s.revision}))
+	respond(http.StatusNotFound, encode(protocol.TransactionResponse{Revision: s.revision}))
 }
 
 // grantLease gives a lease.
-func (s *keyValueStore) grantLease(body []byte, answer responseFunc) {
+func (s *keyValueStore) grantLease(body []byte, respond responseFunc) {
 	var r protocol.LeaseRequest
 	decode(body, &r)
 	id := s.grant(s.w.Now, time.Duration(r.TTLMs)*time.Millisecond)
-	answer(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
+	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
 // renewLease renews the lease that a path names.
-func (s *keyValueStore) renewLease(path string, answer responseFunc) {
+func (s *keyValueStore) renewLease(path string, respond responseFunc) {
 	number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	id := protocol.LeaseID(number)
 	if !s.renew(s.w.Now, id) {
-		answer(http.StatusNotFound, nil)
+		respond(http.StatusNotFound, nil)
 		return
 	}
-	answer(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
+	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
 // handleTransaction carries a transaction out, unless it, or its answer, is to be lost.
-func (s *keyValueStore) handleTransaction(body []byte, answer responseFunc) {
-	unanswered := func(int, []byte) {}
+func (s *keyValueStore) handleTransaction(body []byte, respond responseFunc) {
+	discardResponse := func(int, []byte) {}
 	switch {
 	case s.lostShare == 0 || s.w.rng.Float64() >= s.lostShare:
-		s.commit(body, answer)
+		s.commit(body, respond)
 	case s.lateCommits:
-		s.w.after(s.w.between(2*time.Second, 12*time.Second), func() { s.commit(body, unanswered) })
+		s.w.after(s.w.between(2*time.Second, 12*time.Second), func() { s.commit(body, discardResponse) })
 	default:
-		s.commit(body, unanswered)
+		s.commit(body, discardResponse)
 	}
 }
 
 // commit carries a transaction out if it keeps within the limits and its conditions hold.
-func (s *keyValueStore) commit(body []byte, answer responseFunc) {
+func (s *keyValueStore) commit(body []byte, respond responseFunc) {
 	var t protocol.Transaction
 	decode(body, &t)
 	if status, refusal := s.refusal(&t, len(body)); status != 0 {
-		answer(status, refusal)
+		respond(status, refusal)
 		return
 	}
 	s.apply(t.Changes)
 	s.w.rules.checkStagedRecords(t.Changes)
-	answer(http.StatusOK, encode(protocol.TransactionResponse{Revision: s.revision}))
+	respond(http.StatusOK, encode(protocol.TransactionResponse{Revision: s.revision}))
 	s.notify()
 }
 
@@ -216,10 +216,10 @@
 }
 
 // watch opens a watch.
-func (s *keyValueStore) watch(q url.Values, from *controller, answer responseFunc) {
+func (s *keyValueStore) watch(q url.Values, from *controller, respond responseFunc) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
-	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), answer: answer}
+	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), respond: respond}
 	s.watches = append(s.watches, x)
 	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.answerWatch(x, true) })
 	s.notify()
@@ -250,5 +250,5 @@
 	}
 	x.ended = true
 	s.watches = slices.DeleteFunc(s.watches, func(o *watch) bool { return o == x })
-	x.answer(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
+	x.respond(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
 }
--- a/internal/simulation/live.go
+++ b/internal/simulation/loopback.go
@@ -38,11 +38,11 @@
 // NewLoopback makes a world whose controllers are elsewhere. Its workers are logged.
 func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.state = v.serve(func(r *http.Request, body []byte, answer responseFunc) {
-		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
+	v.state = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
+		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, respond)
 	})
-	v.cloud = v.serve(func(r *http.Request, body []byte, answer responseFunc) {
-		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, answer)
+	v.cloud = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
+		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, respond)
 	})
 	v.w = newWorld(seed, nil, shape, v)
 	for _, c := range v.w.nodes {
@@ -102,7 +102,7 @@
 
 // serve starts a server on loopback whose requests are answered by a stand-in, at once
 // or later.
-func (v *Loopback) serve(handle func(r *http.Request, body []byte, answer responseFunc)) *httptest.Server {
+func (v *Loopback) serve(handle func(r *http.Request, body []byte, respond responseFunc)) *httptest.Server {
 	type reply struct {
 		status int
 		body   []byte
@@ -134,9 +134,9 @@
 
 // address gives a machine its worker's address.
 func (v *Loopback) address(id protocol.MachineID) string {
-	s := v.serve(func(r *http.Request, body []byte, answer responseFunc) {
+	s := v.serve(func(r *http.Request, body []byte, respond responseFunc) {
 		if agent := v.w.agents[id]; agent != nil {
-			agent.serve(r.Method, r.URL.Path, body, answer)
+			agent.serve(r.Method, r.URL.Path, body, respond)
 		}
 	})
 	return s.Listener.Addr().String()
@@ -156,13 +156,13 @@
 		path = protocol.PathJobs + "/" + string(e.Job) + "/" + protocol.CancelAction
 	}
 	go func() {
-		status, answer := v.fetch(method, "http://"+v.requestAddresses[node]+path, timeout, body)
-		v.Do(func(*World) { done(status, answer) })
+		status, response := v.fetch(method, "http://"+v.requestAddresses[node]+path, timeout, body)
+		v.Do(func(*World) { done(status, response) })
 	}()
 }
 
 // fetch makes a request; status 0: no answer came in time.
-func (v *Loopback) fetch(method, url string, timeout time.Duration, body []byte) (status int, answer []byte) {
+func (v *Loopback) fetch(method, url string, timeout time.Duration, body []byte) (status int, response []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -174,10 +174,10 @@
 		return 0, nil
 	}
 	defer resp.Body.Close()
-	if answer, err = io.ReadAll(resp.Body); err != nil || !json.Valid(answer) {
+	if response, err = io.ReadAll(resp.Body); err != nil || !json.Valid(response) {
 		return 0, nil
 	}
-	return resp.StatusCode, answer
+	return resp.StatusCode, response
 }
 
 // freeAddress is an address on loopback that nothing listens on.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -108,11 +108,11 @@
 
 // call makes a request from one host to another. handle gets it whenever it
 // arrives, even if the caller has given up; done gets one answer.
-func (n *network) call(from, to string, timeout time.Duration, handle func(answer responseFunc), done responseFunc) {
-	answered := false
+func (n *network) call(from, to string, timeout time.Duration, handle func(respond responseFunc), done responseFunc) {
+	responded := false
 	finish := func(status int, body []byte) {
-		if !answered {
-			answered = true
+		if !responded {
+			responded = true
 			done(status, body)
 		}
 	}
@@ -139,9 +139,9 @@
 		return
 	}
 	c := w.nodes[node]
-	w.call(from, c.name, timeout, func(answer responseFunc) {
+	w.call(from, c.name, timeout, func(respond responseFunc) {
 		if agent := w.agents[protocol.MachineID(from)]; agent == nil || !agent.opensNoConnections {
-			c.ask(event, answer)
+			c.ask(event, respond)
 		}
 	}, done)
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -130,9 +130,9 @@
 	var a protocol.Accepted
 	decode(body, &a)
 	u.checkPhase(a)
-	news := a.Phase != u.phase
+	changed := a.Phase != u.phase
 	u.phase = a.Phase
-	if news && u.w.askAllNodes {
+	if changed && u.w.askAllNodes {
 		u.askAllNodes()
 	}
 	if isFinal(a.Phase) {
@@ -202,25 +202,25 @@
 	for i := range 3 * len(w.nodes) {
 		c := w.nodes[i%len(w.nodes)]
 		w.after(w.between(0, 8*time.Millisecond), func() {
-			told := u.phase
-			question := statusQuery(u.job.spec.ID)
+			earlier := u.phase
+			request := statusQuery(u.job.spec.ID)
 			if i >= 2*len(w.nodes) {
-				question = submission(u.job.spec)
+				request = submission(u.job.spec)
 			}
-			w.call("users", c.name, queryTimeout, func(answer responseFunc) { c.ask(question, answer) },
-				func(status int, body []byte) { u.checkRepeatedResponse(c, told, status, body) })
+			w.call("users", c.name, queryTimeout, func(respond responseFunc) { c.ask(request, respond) },
+				func(status int, body []byte) { u.checkRepeatedResponse(c, earlier, status, body) })
 		})
 	}
 }
 
 // checkRepeatedResponse checks a node's answer to a question about a job that is accepted.
-func (u *user) checkRepeatedResponse(c *controller, told protocol.Phase, status int, body []byte) {
+func (u *user) checkRepeatedResponse(c *controller, earlier protocol.Phase, status int, body []byte) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		var a protocol.Accepted
 		decode(body, &a)
-		if isFinal(told) && a.Phase != told {
-			u.w.rules.violated(ruleWentBack, "%s was %s and is %s at %s", a.ID, told, a.Phase, c.name)
+		if isFinal(earlier) && a.Phase != earlier {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s at %s", a.ID, earlier, a.Phase, c.name)
 		}
 		if status == http.StatusCreated {
 			u.w.rules.violated(ruleForgotten, "%s is accepted anew by %s", a.ID, c.name)
