--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -18,21 +18,21 @@
 	incarnation        protocol.Incarnation
 	sequence           protocol.Sequence
 	token              protocol.Term
-	leaseRenewedAt     time.Time // when the last answered report was sent, or the session began
+	leaseRenewedAt     time.Time // when the last accepted heartbeat was sent, or the incarnation began
 	tasks              map[string]*agentTask
 	images             map[string]bool
 	controllerIndex    int
 	inFlight           bool
-	heartbeatDue       time.Time // when the next report is due if nothing changes
+	heartbeatDue       time.Time // when the next heartbeat is due if nothing changes
 	lastSent           time.Time
-	changed            bool // since the last report
+	changed            bool // since the last heartbeat was sent
 	timer              *tickTimer
 	dead               bool
 	hung               bool
-	heldPackets        []func() // what arrives while the machine hangs
+	heldPackets        []func() // handlers of what arrives while the machine hangs
 	preemptionNoticeS  *float64
 	failsTasks         bool
-	opensNoConnections bool // opens no connection
+	opensNoConnections bool // the agent's heartbeats reach no controller
 	tokenReportedAt    time.Time
 }
 
@@ -44,10 +44,10 @@
 	return agent
 }
 
-// minHeartbeatGap is the least time between two heartbeats.
+// minHeartbeatGap is the minimum time between two heartbeats.
 const minHeartbeatGap = 500 * time.Millisecond
 
-// tick does what is due: the lease may be over, or it is time for a heartbeat.
+// tick ends an expired lease and sends a heartbeat that is due.
 func (a *agent) tick() {
 	if a.dead {
 		return
@@ -62,23 +62,24 @@
 	a.setTimer()
 }
 
-// setTimer sets the timer to the next thing that is due. Whatever brings something
-// forward calls it.
+// setTimer sets the timer to the next deadline. It must be called whenever a deadline moves
+// forward.
 func (a *agent) setTimer() {
-	due := a.leaseEnd().Add(1) // a lease is over after its end
+	due := a.leaseEnd().Add(1) // a lease has expired only after its end
 	if next := a.nextHeartbeat(); a.canSendHeartbeat() && next.Before(due) {
 		due = next
 	}
 	a.timer.wakeBy(due)
 }
 
-// leaseEnd is the end of the machine's lease.
+// leaseEnd returns the end of the machine's lease.
 func (a *agent) leaseEnd() time.Time { return a.leaseRenewedAt.Add(secs(a.w.shape.Agents.LeaseS)) }
 
-// canSendHeartbeat says whether the machine can heartbeat now.
+// canSendHeartbeat reports whether the machine can send a heartbeat now.
 func (a *agent) canSendHeartbeat() bool { return !a.hung && !a.inFlight }
 
-// nextHeartbeat is when the next heartbeat is due: at its time, or sooner if there is news.
+// nextHeartbeat returns when the next heartbeat is due, which is sooner if there is a change to
+// report.
 func (a *agent) nextHeartbeat() time.Time {
 	if soonest := a.lastSent.Add(minHeartbeatGap); a.changed && soonest.Before(a.heartbeatDue) {
 		return soonest
@@ -86,8 +87,8 @@
 	return a.heartbeatDue
 }
 
-// expireLease begins a new incarnation once the lease is over. A machine resumes within its
-// lease or not at all: its tasks are gone when the lease ends, hanging or not.
+// expireLease begins a new incarnation because the lease has expired. The tasks end with the lease
+// even while the machine hangs: a machine that hangs resumes them within its lease or not at all.
 func (a *agent) expireLease() {
 	for _, task := range a.sortedTasks() {
 		task.lose()
@@ -99,20 +100,20 @@
 	a.changed = true
 }
 
-// reportChange has news reported before the next heartbeat's time.
+// reportChange notes a change, so that a heartbeat reports it before the next one is due.
 func (a *agent) reportChange() {
 	a.changed = true
 	a.setTimer()
 }
 
-// retryHeartbeat has the next heartbeat sent after one that was of no use.
+// retryHeartbeat schedules another heartbeat after one that no controller accepted.
 func (a *agent) retryHeartbeat() {
 	a.inFlight, a.changed = false, true
 	a.setTimer()
 }
 
-// hang stops the machine for a while; what arrives meanwhile is handled when
-// it resumes.
+// hang stops the machine for the time d. What arrives meanwhile is handled when the machine
+// resumes.
 func (a *agent) hang(d time.Duration) {
 	a.hung = true
 	a.w.after(d, func() {
@@ -177,7 +178,7 @@
 	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, incarnation) })
 }
 
-// handleHeartbeatResponse takes the answer to a heartbeat.
+// handleHeartbeatResponse handles the response to a heartbeat.
 func (a *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
 	if a.dead {
 		return
@@ -203,7 +204,7 @@
 	}
 }
 
-// followRedirect goes to the node that an answer names, or to the next one.
+// followRedirect switches to the node that a response names, or else to the next node.
 func (a *agent) followRedirect(body []byte) {
 	var r protocol.Redirect
 	decode(body, &r)
@@ -217,14 +218,14 @@
 	a.tryNextController()
 }
 
-// tryNextController heartbeats to the next node a second later.
+// tryNextController sends a heartbeat to the next node a second later.
 func (a *agent) tryNextController() {
 	a.controllerIndex = (a.controllerIndex + 1) % len(a.w.nodes)
 	a.w.after(time.Second, a.retryHeartbeat)
 }
 
-// deliverHeartbeatCopy delivers a late duplicate of an old heartbeat to a controller; nobody reads the
-// answer.
+// deliverHeartbeatCopy delivers a late duplicate of a heartbeat to a controller. The response is
+// discarded.
 func (w *World) deliverHeartbeatCopy(c *controller, body []byte) {
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
@@ -233,6 +234,7 @@
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
 }
 
+// accept reports whether the agent accepts a fencing token, and stores a higher one.
 func (a *agent) accept(token protocol.Term) bool {
 	if token < a.token {
 		a.w.rules.staleTokens++
@@ -248,7 +250,7 @@
 	return true
 }
 
-// serve answers direct orders and probes.
+// serve handles probes, and commands that a controller sends outside a heartbeat response.
 func (a *agent) serve(method, path string, body []byte, respond func(int, []byte)) {
 	if a.dead {
 		return
@@ -275,7 +277,7 @@
 	for _, c := range commands {
 		id, index, ok := protocol.SplitTask(c.Task)
 		if !ok {
-			panic("simulation: bad task " + c.Task)
+			panic("simulation: malformed task name " + c.Task)
 		}
 		key := attemptName(c.Task, c.Attempt)
 		task := a.tasks[key]
@@ -298,12 +300,12 @@
 	}
 }
 
-// attemptName names an attempt on its agent.
+// attemptName returns the key of an attempt among the tasks of an agent.
 func attemptName(task string, attempt protocol.AttemptNumber) string {
 	return fmt.Sprintf("%s#%d", task, attempt)
 }
 
-// start carries out a command to start a task, or refuses it.
+// start executes a command to start a task, or refuses it.
 func (a *agent) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	job := a.w.rules.jobs[id]
 	task := &agentTask{agent: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
@@ -329,13 +331,14 @@
 	})
 }
 
-// refuse ends a task before it has begun.
+// refuse ends a task before it starts.
 func (a *agent) refuse(task *agentTask, cause protocol.Cause) {
 	task.state, task.cause = protocol.TaskExited, cause
 	a.w.Audit.ended(task.instance(), cause, false)
 }
 
-// refusalCause says why a task cannot start beside the others, "" if it can.
+// refusalCause returns why a task cannot start on the machine in addition to the tasks that are
+// there, "" if it can.
 func (a *agent) refusalCause(task *agentTask) protocol.Cause {
 	cpus, gpus, memory := task.job.CPUs, task.job.GPUs, task.job.MemoryGB
 	for _, other := range a.tasks {
@@ -354,8 +357,8 @@
 	return ""
 }
 
-// schedule does something for a task later, unless it is over by then or the
-// machine hangs, in which case it waits for the machine.
+// schedule calls do for a task after d, unless the task has exited by then. While the machine
+// hangs, the call is held until it resumes.
 func (a *agent) schedule(d time.Duration, task *agentTask, do func()) {
 	a.w.after(d, func() {
 		if a.dead || task.state == protocol.TaskExited {
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -8,23 +8,23 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Audit judges what workers were told by their own logs and the jobs alone. It knows
-// nothing of the controllers, their records or their logs.
+// Audit judges the commands that agents have executed. It uses only the jobs and what happened on
+// the agents, and nothing from the controllers: neither their records nor their logs.
 type Audit struct {
 	jobs          map[protocol.JobID]*auditedJob
-	attempts      map[instance]bool // attempts on machines: true until they have exited
-	at            map[string]int    // attempts of a task that have not exited
-	needed        [3]map[string]int // orders that the state of things asks for, by kind and task
-	countedFrom   time.Time         // judged from then on, zero: not yet
+	attempts      map[instance]bool // attempts on machines; true until they have exited
+	at            map[string]int    // by task name, the attempts that have not exited
+	needed        [3]map[string]int // commands that are due, by kind and task name
+	countedFrom   time.Time         // when the count began; zero: not yet
 	startedAt     map[instance]time.Time
-	secondsBefore map[instance]float64 // seconds that attempts had run by then
-	// when a worker was told again to forget a task's earlier attempt
+	secondsBefore map[instance]float64 // by attempt, the seconds that it had run when the count began
+	// by machine and task, when an agent last executed a forget command that was not due
 	forgetRepeatedAt map[instance]time.Time
-	Orders           [3]int // starts, stops and forgets that workers have executed
+	Orders           [3]int // starts, stops and forgets that agents have executed
 	Verdict          Verdict
 }
 
-// auditedJob is a job as its user submitted it and as workers have done it.
+// auditedJob is a job as its user submitted it, and what the agents have done of it.
 type auditedJob struct {
 	tasks     int
 	gang      bool
@@ -39,16 +39,16 @@
 	attempt protocol.AttemptNumber
 }
 
-// Verdict counts orders that workers have executed since a moment, and what of them the
-// true state at that moment and what became of it asked for.
+// Verdict counts the commands that agents have executed since the count began. It tells apart
+// those that were due, according to the true state at that time and the events since.
 type Verdict struct {
-	Orders          [3]int // starts, stops, forgets
-	Needed          int    // orders of all kinds that were due
-	Excess          [3]int // starts, stops and forgets beyond those, repeated ones among them
-	DuplicateStarts int    // of a task that was on a machine, or done
+	Orders          [3]int // starts, stops and forgets
+	Needed          int    // commands of all kinds that were due
+	Excess          [3]int // starts, stops and forgets that were not due, repeated ones included
+	DuplicateStarts int    // starts of a task that was on a machine or done
 	First, Last     time.Duration
-	BeforeSeconds   float64 // task time from before
-	KeptSeconds     float64 // of it, what went on or came to its end
+	BeforeSeconds   float64 // run time of the tasks that ran when the count began, until then
+	KeptSeconds     float64 // the part of it whose tasks are still running, or done
 }
 
 const (
@@ -62,7 +62,7 @@
 		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, forgetRepeatedAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
 }
 
-// submitted notes a job that its user has begun to submit.
+// submitted notes a job when its user first tries to submit it.
 func (a *Audit) submitted(spec *protocol.Job) {
 	if a.jobs[spec.ID] != nil {
 		return
@@ -74,7 +74,8 @@
 	}
 }
 
-// cancelled notes that a user has asked for it: whatever is there may be stopped.
+// cancelled notes that a user has asked to cancel a job. From then on its running tasks are due to
+// be stopped.
 func (a *Audit) cancelled(id protocol.JobID) {
 	if j := a.jobs[id]; j != nil && !j.cancelled {
 		j.cancelled = true
@@ -82,7 +83,7 @@
 	}
 }
 
-// stopAll notes that whatever is there of a job is to be stopped.
+// stopAll makes a stop command due for every attempt of a job that has not exited.
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
@@ -90,11 +91,11 @@
 	}
 }
 
-// Begin begins to count: the controllers are back. What is due then is reckoned anew.
+// Begin begins the count when the controllers are back. It computes anew which commands are due.
 func (a *Audit) Begin(now time.Time) {
 	a.countedFrom, a.Verdict = now, Verdict{}
 	a.needed = [3]map[string]int{{}, {}, {}}
-	ending := map[protocol.JobID]bool{} // jobs of which nothing is to go on
+	ending := map[protocol.JobID]bool{} // jobs whose running tasks must all stop
 	for id, j := range a.jobs {
 		present := 0
 		for i := range j.tasks {
@@ -105,7 +106,7 @@
 			}
 		}
 		if j.cancelled || j.gang && present > 0 && present < j.tasks && len(j.done) == 0 {
-			a.stopAll(id, j) // what is left of a gang starts again as a whole
+			a.stopAll(id, j) // an incomplete gang stops and starts again as a whole
 			ending[id] = true
 		}
 	}
@@ -122,7 +123,8 @@
 	}
 }
 
-// Finish counts what of the work from before has gone on until now, or to its end.
+// Finish adds up the work from before the count and how much of it was kept: its task still runs,
+// or is done.
 func (a *Audit) Finish() Verdict {
 	for k, seconds := range a.secondsBefore {
 		id, _, _ := protocol.SplitTask(k.task)
@@ -135,7 +137,7 @@
 	return a.Verdict
 }
 
-// executed takes an order that a worker has executed.
+// executed counts a command that an agent has executed.
 func (a *Audit) executed(now time.Time, machineID protocol.MachineID, c protocol.Command) {
 	kind := slices.Index([]protocol.CommandKind{protocol.CommandStart, protocol.CommandStop, protocol.CommandForget}, c.Kind)
 	a.Orders[kind]++
@@ -165,19 +167,20 @@
 		a.Verdict.Excess[kind]++
 	}
 	if at, repeated := a.forgetRepeatedAt[at]; kind == needStart && repeated && at.Equal(now) {
-		a.Verdict.Excess[needForget]-- // the start needs it, were the first one lost
+		a.Verdict.Excess[needForget]-- // the forget was due for the start, in case the first forget was lost
 		a.Verdict.Needed++
 	}
 }
 
-// began notes an attempt that a worker has taken in.
+// began notes an attempt that an agent has accepted.
 func (a *Audit) began(now time.Time, k instance) {
 	a.attempts[k], a.startedAt[k] = true, now
 	a.at[k.task]++
 }
 
-// ended notes the end of an attempt, for whatever cause. A task that is not done is due
-// again, an exited attempt to be forgotten, the rest of its gang to be stopped.
+// ended notes the end of an attempt, for any cause. If it was lost, its agent no longer has it.
+// Otherwise a forget command is due for it. If the attempt did not complete and its job is not
+// cancelled, the task is due to start again and the rest of its gang is due to be stopped.
 func (a *Audit) ended(k instance, cause protocol.Cause, lost bool) {
 	if !a.attempts[k] {
 		return
@@ -202,8 +205,8 @@
 	}
 }
 
-// gangBroken: the first task of a gang's attempt to end otherwise than done has the others
-// stopped, those that do not end by themselves.
+// gangBroken makes a stop command due for the other tasks of a gang's attempt, once a task of it
+// has ended without completing. It covers those that do not exit by themselves.
 func (a *Audit) gangBroken(id protocol.JobID, k instance, j *auditedJob) {
 	for other, on := range a.attempts {
 		if !on || other.attempt != k.attempt {
@@ -216,7 +219,7 @@
 	}
 }
 
-// forgot notes that a worker has dropped an exited attempt.
+// forgot notes that an agent has dropped an exited attempt.
 func (a *Audit) forgot(k instance) {
 	delete(a.attempts, k)
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 )
 
-// cloudProvider is a stand-in for the cloud.
+// cloudProvider is the stand-in for the cloud.
 type cloudProvider struct {
 	w              *World
 	hosts          []*host
@@ -24,7 +24,7 @@
 	requestLimiter *rate.Limiter
 	requests       int
 	snapshots      []snapshot
-	fastBoot       bool // machines are up within two seconds
+	fastBoot       bool // machines boot within two seconds
 }
 
 // host is a machine in the cloud.
@@ -34,7 +34,7 @@
 	deleted   bool
 }
 
-// snapshot is the machine list of a moment.
+// snapshot is the machine list at one time.
 type snapshot struct {
 	at   time.Time
 	list []protocol.Machine
@@ -50,14 +50,14 @@
 	return c
 }
 
-// A snapshot of the machine list is taken every so often, and so many are kept: more than
-// the longest lag of a list.
+// Snapshots of the machine list are taken at snapshotInterval. Those that are kept reach back
+// further than the longest lag of a list.
 const (
 	snapshotInterval = 500 * time.Millisecond
 	snapshotsKept    = 30
 )
 
-// recordSnapshot takes snapshots of the machine list, again and again.
+// recordSnapshot takes a snapshot of the machine list and schedules the next one.
 func (c *cloudProvider) recordSnapshot() {
 	var list []protocol.Machine
 	for _, h := range c.hosts {
@@ -74,7 +74,7 @@
 	c.w.after(snapshotInterval, c.recordSnapshot)
 }
 
-// add makes a machine that is up after a while.
+// add creates a machine that runs after the given boot time.
 func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
@@ -94,7 +94,7 @@
 	return id
 }
 
-// destroy takes a machine and everything on it away at once.
+// destroy deletes a machine and everything on it at once.
 func (c *cloudProvider) destroy(h *host) {
 	h.deleted = true
 	if agent := c.w.agents[h.ID]; agent != nil {
@@ -102,13 +102,13 @@
 	}
 }
 
-// loseAgent ends a machine's worker and its tasks; the cloud goes on listing the machine.
+// loseAgent ends a machine's agent and its tasks. The cloud still lists the machine.
 func (w *World) loseAgent(agent *agent) {
 	agent.kill()
 	delete(w.agents, agent.host.ID)
 }
 
-// serve answers a call as the protocol says, within the budget.
+// serve responds to a request as the protocol says, within the rate limit.
 func (c *cloudProvider) serve(method, path string, body []byte, respond responseFunc) {
 	c.requests++
 	if c.down {
@@ -132,7 +132,7 @@
 	}
 }
 
-// list answers with a page of the machine list as it was a while ago.
+// list responds with a page of the machine list as it was some seconds ago.
 func (c *cloudProvider) list(q url.Values, respond responseFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
@@ -150,7 +150,7 @@
 	respond(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
-// createMachines rents machines as far as there are any.
+// createMachines creates machines up to the capacity.
 func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
 	var r protocol.Rental
 	decode(body, &r)
@@ -176,7 +176,8 @@
 	respond(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
 }
 
-// bootTime is how long a machine takes to come up; one in twenty never does.
+// bootTime returns how long a machine takes to boot. One in twenty takes so long that it counts as
+// never booting.
 func (c *cloudProvider) bootTime() time.Duration {
 	boot := c.w.between(12*time.Second, 30*time.Second)
 	if c.w.rng.IntN(20) == 0 {
--- a/internal/simulation/codec.go
+++ b/internal/simulation/codec.go
@@ -9,7 +9,7 @@
 
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
-// encode is a value in the protocol's form.
+// encode returns a value in the wire format of the protocol.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return b
 }
 
-// decode reads a value that the program has sent. One that cannot be read is a fault of the
-// program.
+// decode reads a value that the program under test has sent. A value that does not parse is a bug
+// of the program.
 func decode(b []byte, v any) {
 	if err := json.Unmarshal(b, v); err != nil {
 		panic(fmt.Sprintf("simulation: %v in %s", err, b))
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -8,27 +8,28 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// ColdRestart is a loss of all controllers in the middle of work, and their return.
+// ColdRestart is a run in which all controllers are lost in the middle of work and come back.
 type ColdRestart struct {
 	Machines int
-	Before   time.Duration // from the first job to the loss
+	Before   time.Duration // from the first submission to the loss
 	Away     time.Duration
-	After    time.Duration // for which the workers' orders are judged
-	Recovery bool          // recoveries are followed
-	// EqualPriorities: all jobs have one priority, so that none is stopped for another.
+	After    time.Duration // how long the commands to agents are counted, from the return of the controllers
+	Recovery bool          // sets the operator's property recovery.phase
+	// EqualPriorities gives all jobs the same priority, so that none is preempted for another.
 	EqualPriorities bool
 }
 
-// ColdResult is what a cold restart cost.
+// ColdResult is the result of a cold restart: what it cost, and which rules were broken.
 type ColdResult struct {
 	Verdict
-	Tasks    int // of all jobs
-	Requests int // to the key-value store, since the return
-	Changes  int
-	Rules    []string // that were broken
+	Tasks    int      // of all jobs
+	Requests int      // to the key-value store, since the controllers were back
+	Changes  int      // of keys in the store, since then
+	Rules    []string // violations of rules
 }
 
-// deployment is a world whose controllers can be ended and started, in real time or not.
+// deployment is a world whose controllers can be killed and started, on a fake clock or in real
+// time.
 type deployment interface {
 	do(func(w *World))
 	advance(d time.Duration)
@@ -36,8 +37,8 @@
 	kill()
 }
 
-// Shape is the deployment of the cold restart: short leases, so that it takes seconds, and
-// budgets that follow the number of machines.
+// Shape returns the shape of the deployment. Its leases are short, so that a restart takes seconds.
+// Its limits grow with the number of machines.
 func (c ColdRestart) Shape() Shape {
 	s := SmallShape()
 	s.Machines, s.Capacity, s.Recovery = c.Machines, c.Machines, c.Recovery
@@ -50,7 +51,7 @@
 	return s
 }
 
-// Simulate plays it on a fake clock.
+// Simulate runs the cold restart on a fake clock.
 func (c ColdRestart) Simulate(seed uint64) (ColdResult, error) {
 	w := newWorld(seed, nil, c.Shape(), nil)
 	return c.run(&simulatedDeployment{w})
@@ -71,29 +72,29 @@
 	return nil
 }
 
-// kill ends all controllers for good.
+// kill ends all controllers. They do not come back by themselves.
 func (s *simulatedDeployment) kill() {
 	for _, c := range s.w.nodes {
 		c.alive = false
 	}
 }
 
-// Controllers are controllers that run elsewhere.
+// Controllers are controllers that run outside the world.
 type Controllers interface {
 	// Start starts all of them.
 	Start(v *Loopback) error
-	// Kill ends all at once, without a signal that they could act on.
+	// Kill ends all of them at once, without a signal that they could handle.
 	Kill()
 }
 
-// RunOnLoopback plays it in real time on loopback.
+// RunOnLoopback runs the cold restart in real time on loopback.
 func (c ColdRestart) RunOnLoopback(seed uint64, controllers Controllers) (ColdResult, error) {
 	v := NewLoopback(seed, c.Shape())
 	defer v.Close()
 	return c.run(&loopbackDeployment{v, controllers})
 }
 
-// loopbackDeployment is a deployment in real time.
+// loopbackDeployment is a deployment on loopback in real time.
 type loopbackDeployment struct {
 	v           *Loopback
 	controllers Controllers
@@ -107,8 +108,9 @@
 
 func (l *loopbackDeployment) kill() { l.controllers.Kill() }
 
-// run plays it: the deployment comes up, jobs of all kinds come until the loss, some are
-// cancelled just before it and some end during it.
+// run runs the cold restart. Once the deployment is up, gangs and arrays are submitted until the
+// controllers are lost. Some jobs are cancelled just before the loss, and some end while no
+// controller is up.
 func (c ColdRestart) run(d deployment) (ColdResult, error) {
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
@@ -148,10 +150,10 @@
 	return result, nil
 }
 
-// machinesPerLoss: one machine in so many dies while no controller is up.
+// machinesPerLoss is the number of machines for each one that is lost while no controller is up.
 const machinesPerLoss = 40
 
-// loseMachines ends machines that carry work.
+// loseMachines ends the agents of n machines that have tasks.
 func (w *World) loseMachines(n int) {
 	for _, h := range w.cloud.hosts {
 		if agent := w.agents[h.ID]; n > 0 && agent != nil && len(agent.tasks) > 0 {
@@ -161,8 +163,8 @@
 	}
 }
 
-// submitColdRestartJobs submits gangs and arrays for three quarters of the machines, the last of them
-// so late that they are half-way when the controllers are lost.
+// submitColdRestartJobs submits gangs and arrays for three quarters of the machines' GPUs. The last
+// ones are submitted so late that their start is under way when the controllers are lost.
 func (w *World) submitColdRestartJobs(c ColdRestart) (users []*user) {
 	unsubmitted := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
 	for i := 0; unsubmitted > 0; i++ {
@@ -176,7 +178,7 @@
 		}
 		unsubmitted -= spec.Tasks
 		run := 300.0
-		if i%5 == 1 { // about to end
+		if i%5 == 1 { // ends around the loss of the controllers
 			run = (c.Before + c.Away).Seconds() * (0.3 + 0.7*w.rng.Float64())
 		}
 		users = append(users, w.submit(arrival{after: w.between(0, c.Before), job: spec, run: run}))
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -9,25 +9,25 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is a process that runs a node.
+// controller is a simulated process that runs a node.
 type controller struct {
 	w              *World
 	name           string
 	node           *coordination.Node
-	life           int // counts the processes
+	life           int // counts the starts of the process
 	alive          bool
-	linked         map[string]bool // peers to which there is a link
-	nextID         uint64          // of requests from outside
+	linked         map[string]bool // peers with a link to this node
+	nextID         uint64          // of external requests
 	pendingReplies map[uint64]responseFunc
-	refused        bool      // the key-value store refuses this node alone
-	wakeAt         time.Time // when the node is to be stepped by its timer
-	timerAt        time.Time // when the timer goes off, zero while it is not set
-	backlog        backlog   // of a slow node
-	busy           bool      // a slow node takes time for a batch
-	callsInFlight  int       // calls to workers that this life of the process has under way
+	refused        bool      // the key-value store refuses this node's requests
+	wakeAt         time.Time // when the node must be stepped next if no event arrives
+	timerAt        time.Time // when the timer fires; zero while it is not set
+	backlog        backlog   // of a slow controller
+	busy           bool      // a slow controller is processing a batch
+	callsInFlight  int       // calls to agents that this process has in flight
 }
 
-// startProcess starts the process anew.
+// startProcess starts a new process of the controller.
 func (c *controller) startProcess() {
 	c.life++
 	c.alive = true
@@ -48,8 +48,8 @@
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
-// setTimer has the node stepped after a while, unless something happens before: a
-// timer that is set anew at every step, as the owner's is.
+// setTimer has the node stepped after d. Each step sets the timer anew, as the event loop of a real
+// controller does.
 func (c *controller) setTimer(d time.Duration) {
 	c.wakeAt = c.w.Now.Add(d)
 	if c.timerAt.IsZero() || c.wakeAt.Before(c.timerAt) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// armTimer has the timer go off when the node is to be stepped.
+// armTimer sets the timer to fire at wakeAt.
 func (c *controller) armTimer() {
 	life, at := c.life, c.wakeAt
 	c.timerAt = at
@@ -73,7 +73,7 @@
 	})
 }
 
-// crash ends the process without a signal; it is back after a while.
+// crash ends the process without a signal. It starts again after the time back.
 func (c *controller) crash(back time.Duration) {
 	if !c.alive {
 		return
@@ -82,14 +82,14 @@
 	c.w.after(back, c.startProcess)
 }
 
-// crashAll ends all controllers without a signal; they are back after a while.
+// crashAll ends all controllers without a signal. They start again after the time back.
 func (w *World) crashAll(back time.Duration) {
 	for _, c := range w.nodes {
 		c.crash(back)
 	}
 }
 
-// updateLinks finds out which peers have a link.
+// updateLinks tells the node which links to peers have come up or gone down.
 func (c *controller) updateLinks() {
 	for _, o := range c.w.nodes {
 		if o == c {
@@ -110,7 +110,7 @@
 	}
 }
 
-// send hands the node a request from outside.
+// ask passes an external request to the node, if the process is up.
 func (c *controller) ask(r request, respond responseFunc) {
 	if !c.alive {
 		return
@@ -120,7 +120,7 @@
 	c.step(r(c.nextID))
 }
 
-// step has the node take events. A slow node takes them when it has time.
+// step passes events to the node. A slow controller processes them when it has time.
 func (c *controller) step(events ...coordination.Event) {
 	if c.w.shape.Slow {
 		c.backlog.add(events)
@@ -131,7 +131,7 @@
 	c.setTimer(c.node.Due())
 }
 
-// perform does what the node wants done.
+// perform carries out the actions that the node returned.
 func (c *controller) perform(actions []coordination.Action) {
 	c.w.steps++
 	for _, a := range actions {
@@ -152,7 +152,7 @@
 	}
 }
 
-// send sends a message to a peer, if there is a link and both releases know the message.
+// send sends a message to a peer if there is a link to it and the node's release knows the message.
 func (c *controller) send(a coordination.PeerSend) {
 	if !c.canSend(a) {
 		return
@@ -172,7 +172,7 @@
 	}
 }
 
-// request makes a request of an outside system.
+// request makes a request of an external system.
 func (c *controller) request(a coordination.Request) {
 	life := c.life
 	done := func(status int, body []byte) {
@@ -190,8 +190,8 @@
 	}
 }
 
-// callStore makes a request of the key-value store; version 0.2 drops new fields of what it
-// reads.
+// callStore makes a request of the key-value store. A node of version 0.2 drops newer fields from
+// what it reads.
 func (c *controller) callStore(a coordination.Request, done responseFunc) {
 	c.w.call(c.name, storeHost, a.Timeout, func(respond responseFunc) {
 		if c.w.release[c.name] == release02 {
@@ -202,7 +202,7 @@
 	}, done)
 }
 
-// callAgent calls a worker and counts the calls under way.
+// callAgent calls an agent and counts the calls in flight.
 func (c *controller) callAgent(a coordination.Request, done responseFunc) {
 	c.w.calls++
 	c.callsInFlight++
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// position is the place of an event in the order of all events: by the instant at which
-// it happens, at the same instant by the one at which it was scheduled, then by the order
-// of the scheduling. Both instants count from the start of the world.
+// position is the place of an event in the order of all events. Events are ordered by the time at
+// which they happen, then by the time at which they were scheduled, then by the order in which
+// they were scheduled. Both times count from the start of the world.
 type position struct {
 	at        time.Duration
 	scheduled time.Duration
 	number    int
-	// series is the place of the event with which a series began, nil for one that is in
-	// none. Each event of a series is scheduled by the one before, a tickInterval ahead.
+	// series is the position of the event that began the series of this one, nil if the event
+	// is in no series. Each event of a series schedules the next one tickInterval ahead.
 	series *position
 }
 
-// before says whether p comes before other.
+// before reports whether p comes before other.
 func (p position) before(other position) bool {
 	switch {
 	case p.at != other.at:
@@ -31,10 +31,10 @@
 	return p.number < other.number
 }
 
-// beganBefore says whether the series that began with p comes before the one that began
-// with other at all instants at which both have an event. The order at the first such
-// instant decides: there the earlier series has an event that was scheduled a tickInterval
-// ahead, and the later one its first, which was not.
+// beganBefore reports whether the series begun by p comes before the series begun by other
+// whenever both have an event at the same time. Their order at the first such time decides. At
+// that time the event of the earlier series was scheduled tickInterval ahead. The event of the
+// later series is its first one, which was not scheduled tickInterval ahead.
 func (p position) beganBefore(other position) bool {
 	switch {
 	case p.at < other.at:
@@ -45,7 +45,7 @@
 	return p.before(other)
 }
 
-// following is the place of an event that the one at p schedules.
+// following returns the position of an event that the event at p schedules.
 func (p position) following(delay time.Duration, number int) position {
 	next := position{at: p.at + delay, scheduled: p.at, number: number}
 	switch {
@@ -59,14 +59,14 @@
 	return next
 }
 
-// event is something that happens in the world.
+// event is a function that the world calls at a given position.
 type event struct {
 	position
 	do func()
 }
 
-// eventQueue is a binary heap of the events to come: the first one is at index 0, the
-// children of index i are at 2i+1 and 2i+2.
+// eventQueue is a binary heap of the events to come. The first event is at index 0. The children
+// of index i are at 2i+1 and 2i+2.
 type eventQueue []event
 
 // push adds an event.
@@ -89,7 +89,7 @@
 func (q *eventQueue) pop() event {
 	heap := *q
 	first, last := heap[0], heap[len(heap)-1]
-	heap[len(heap)-1] = event{} // frees what it refers to
+	heap[len(heap)-1] = event{} // releases the references it holds
 	heap = heap[:len(heap)-1]
 	*q = heap
 	if len(heap) > 0 {
@@ -98,7 +98,7 @@
 	return first
 }
 
-// siftDown puts an event at the place of the first one and moves those that come before it up.
+// siftDown inserts an event at the root and moves events that come before it up.
 func (q eventQueue) siftDown(e event) {
 	i := 0
 	for {
@@ -118,46 +118,46 @@
 	q[i] = e
 }
 
-// worldStart is the time at which every world starts.
+// worldStart is the time on the fake clock at which every world starts.
 var worldStart = time.Unix(1_800_000_000, 0)
 
-// timeline is a world's clock with the events to come, and its random numbers.
+// timeline holds a world's clock, its queue of events and its random number generator.
 type timeline struct {
 	Now       time.Time
 	rng       *rand.Rand
 	queue     eventQueue
-	scheduled int      // events so far
-	lastEvent position // of the newest event that has happened
+	scheduled int      // number of events scheduled so far
+	lastEvent position // of the event that happened last
 }
 
-// newTimeline is a timeline at its start.
+// newTimeline returns a timeline at the start of a world.
 func newTimeline(seed uint64) timeline {
 	return timeline{Now: worldStart, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// elapsed is how long the world has run.
+// elapsed returns how long the world has run.
 func (t *timeline) elapsed() time.Duration { return t.Now.Sub(worldStart) }
 
-// clock is the time since the start for logs, in seconds.
+// clock formats the elapsed time in seconds, for logs.
 func (t *timeline) clock() string { return fmt.Sprintf("%.3f", t.elapsed().Seconds()) }
 
-// between draws a time.
+// between returns a random duration from lo to hi.
 func (t *timeline) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(t.rng.Int64N(int64(hi-lo)+1))
 }
 
-// after does something once the time has passed.
+// after schedules a call of do once d has passed.
 func (t *timeline) after(d time.Duration, do func()) {
 	t.queue.push(event{t.lastEvent.following(d, t.nextNumber()), do})
 }
 
-// nextNumber numbers events in the order in which they are scheduled.
+// nextNumber returns the number of the next event in the order of scheduling.
 func (t *timeline) nextNumber() int {
 	t.scheduled++
 	return t.scheduled
 }
 
-// Run lets the world go on for a while.
+// Run advances the world by d and runs all events that are due until then.
 func (t *timeline) Run(d time.Duration) {
 	end := t.elapsed() + d
 	for len(t.queue) > 0 && t.queue[0].at <= end {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -19,12 +19,12 @@
 	state     protocol.TaskState
 	cause     protocol.Cause
 	saved     bool
-	onMachine bool // it has its image and has not exited
+	onMachine bool // the task has its image and has not exited
 	startedAt time.Time
 	gang      *gang
 }
 
-// gang is one attempt of a gang: the tasks find each other by its number.
+// gang is one attempt of a gang. Its tasks find each other by the attempt number.
 type gang struct {
 	job             *protocol.Job
 	members         map[int]*agentTask
@@ -34,7 +34,8 @@
 	ended           bool
 }
 
-// imageReady is the moment at which a task has its image: it is on its machine.
+// imageReady handles the end of the fetch of a task's image. From then on the task counts as
+// being on its machine.
 func (t *agentTask) imageReady() {
 	w := t.agent.w
 	t.onMachine = true
@@ -55,7 +56,7 @@
 	}
 }
 
-// runArrayTask runs a task of an array to its end.
+// runArrayTask runs a task of an array until it completes.
 func (t *agentTask) runArrayTask(job *simJob) {
 	w := t.agent.w
 	t.state, t.startedAt = protocol.TaskRunning, w.Now
@@ -68,7 +69,8 @@
 	})
 }
 
-// runReplica runs a replica, which may end by itself now and then.
+// runReplica runs a replica of a service. If the job says so, the replica ends by itself after a
+// random time.
 func (t *agentTask) runReplica(job *simJob) {
 	w := t.agent.w
 	t.state, t.startedAt = protocol.TaskRunning, w.Now
@@ -81,7 +83,7 @@
 	})
 }
 
-// joinGang has a task wait for the others of its attempt; the last one starts them all.
+// joinGang makes a task wait for the other tasks of its attempt. The last one starts them all.
 func (t *agentTask) joinGang(job *simJob) {
 	w := t.agent.w
 	t.state = protocol.TaskWaiting
@@ -102,7 +104,7 @@
 	}
 }
 
-// sortedMembers is the gang's tasks in order.
+// sortedMembers returns the gang's tasks in the order of their index.
 func (g *gang) sortedMembers() []*agentTask {
 	var l []*agentTask
 	for _, task := range g.members {
@@ -112,7 +114,7 @@
 	return l
 }
 
-// start has all tasks of a gang run, and complete together.
+// start starts all tasks of a gang, which complete together.
 func (g *gang) start(w *World, j *simJob) {
 	g.running, g.startedAt = true, w.Now
 	j.begin(w.Now)
@@ -140,7 +142,8 @@
 	})
 }
 
-// fail ends a running gang that lost a task: the others notice it.
+// fail ends the attempt of a gang that lost a task, or whose tasks do not all stop or complete
+// together. The other tasks notice it and exit.
 func (g *gang) fail(w *World, lost *agentTask) {
 	if g.ended {
 		return
@@ -158,15 +161,15 @@
 	}
 }
 
-// begin notes that a job runs for the first time.
+// begin notes the time at which a job first runs.
 func (j *simJob) begin(now time.Time) {
 	if j.startedAt.IsZero() {
 		j.startedAt = now
 	}
 }
 
-// stop carries out a command to stop: a task that can save and is given the time does so
-// first, every other one exits at once.
+// stop executes a command to stop. A task that can save a checkpoint within the grace period does
+// so first. Any other task exits at once.
 func (t *agentTask) stop(grace float64) {
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
@@ -185,7 +188,7 @@
 	t.saveArrayTask()
 }
 
-// saveArrayTask ends a task of an array once it has saved.
+// saveArrayTask ends a task of an array after it has saved its progress.
 func (t *agentTask) saveArrayTask() {
 	w := t.agent.w
 	job := w.rules.jobs[t.job.ID]
@@ -196,8 +199,8 @@
 	})
 }
 
-// beginStop begins, with the first task told to stop, to wait for all of them: the
-// gang's progress is saved if every one is told in time.
+// beginStop is called for each task of the gang that is told to stop. The first call starts the
+// wait for the others. The gang's progress is saved if every task is told in time.
 func (g *gang) beginStop(w *World) {
 	if !g.stopRequestedAt.IsZero() {
 		return
@@ -208,7 +211,7 @@
 	w.after(secs(w.shape.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
 }
 
-// finishStop saves the gang's progress, or ends it without if a task was not told.
+// finishStop saves the gang's progress, unless a task was not told to stop: then the attempt fails.
 func (g *gang) finishStop(w *World, job *simJob, run float64) {
 	if g.ended {
 		return
@@ -226,7 +229,7 @@
 	}
 }
 
-// exit ends a task; it stays in the heartbeats until it is forgotten.
+// exit ends a task. The task stays in the heartbeats until a command to forget it is executed.
 func (t *agentTask) exit(cause protocol.Cause, saved bool) {
 	if t.state == protocol.TaskExited {
 		return
@@ -240,17 +243,17 @@
 	}
 }
 
-// lose drops a task with its agent's incarnation, or its machine.
+// lose drops a task that ends with its agent's incarnation or with its machine.
 func (t *agentTask) lose() {
 	t.removeFromMachine()
 	t.agent.w.Audit.ended(t.instance(), "", true)
 	t.agent.w.Audit.forgot(t.instance())
 }
 
-// instance names the attempt and its machine.
+// instance returns the attempt and its machine.
 func (t *agentTask) instance() instance { return instance{t.agent.host.ID, t.name, t.attempt} }
 
-// removeFromMachine takes a task off its machine.
+// removeFromMachine marks a task as exited. A task of a running gang makes the gang fail.
 func (t *agentTask) removeFromMachine() {
 	w := t.agent.w
 	if t.onMachine {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -14,11 +14,11 @@
 	"golang.org/x/time/rate"
 )
 
-// storeTick is how often the store looks for leases that are over, and how often a watch
-// whose time is over while the store does not serve its node is tried again.
+// storeTick is the interval at which the store looks for expired leases. It is also the interval
+// of further tries to respond to a watch that timed out while the store does not serve its node.
 const storeTick = 50 * time.Millisecond
 
-// keyValueStore is a stand-in for the key-value store, by the protocol.
+// keyValueStore is the stand-in for the key-value store, written from the protocol.
 type keyValueStore struct {
 	keyspace
 	leaseTable
@@ -32,13 +32,13 @@
 	writeLimiter   *rate.Limiter
 }
 
-// storeUsage counts what was asked of the store.
+// storeUsage counts the requests to the store.
 type storeUsage struct {
 	requests              int
-	bytes                 int // of requests
-	changed               int // keys, by transactions within the budget
-	refused               int // requests and transactions beyond the budgets
-	oversizedTransactions int // transactions beyond the limits
+	bytes                 int // of request bodies
+	changed               int // key changes requested by transactions within the write rate limit
+	refused               int // requests and transactions beyond the rate limits
+	oversizedTransactions int // transactions beyond the size limits
 }
 
 // watch is a request that waits for changes of keys with a prefix.
@@ -64,7 +64,7 @@
 	return s
 }
 
-// tick ends the leases that are over, again and again.
+// tick ends the expired leases and schedules the next tick.
 func (s *keyValueStore) tick() {
 	if !s.down {
 		for _, id := range s.expired(s.w.Now) {
@@ -76,13 +76,13 @@
 	s.w.after(storeTick, s.tick)
 }
 
-// restore puts the store back to an earlier state; it knows no lease and no watch then.
+// restore restores the store from a backup. No lease and no watch survives.
 func (s *keyValueStore) restore(b backup) {
 	s.keyspace.restore(b)
 	s.leases, s.watches = map[protocol.LeaseID]*lease{}, nil
 }
 
-// serve answers a request as the protocol says, within the budgets.
+// serve responds to a request as the protocol says, within the rate limits.
 func (s *keyValueStore) serve(method, path string, body []byte, from *controller, respond responseFunc) {
 	s.requests++
 	s.bytes += len(body)
@@ -116,13 +116,13 @@
 	}
 }
 
-// list answers with a page of keys.
+// list responds with a page of keys.
 func (s *keyValueStore) list(q url.Values, respond responseFunc) {
 	limit, _ := strconv.Atoi(q.Get("page"))
 	respond(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
 }
 
-// get answers with one key.
+// get responds with one key.
 func (s *keyValueStore) get(key string, respond responseFunc) {
 	if e, ok := s.keys[key]; ok {
 		respond(http.StatusOK, encode(e))
@@ -131,7 +131,7 @@
 	respond(http.StatusNotFound, encode(protocol.TransactionResponse{Revision: s.revision}))
 }
 
-// grantLease gives a lease.
+// grantLease grants a lease.
 func (s *keyValueStore) grantLease(body []byte, respond responseFunc) {
 	var r protocol.LeaseRequest
 	decode(body, &r)
@@ -139,7 +139,7 @@
 	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// renewLease renews the lease that a path names.
+// renewLease renews the lease named in the path.
 func (s *keyValueStore) renewLease(path string, respond responseFunc) {
 	number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	id := protocol.LeaseID(number)
@@ -150,7 +150,8 @@
 	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// handleTransaction carries a transaction out, unless it, or its answer, is to be lost.
+// handleTransaction commits a transaction. A share of them, chosen at random while such a fault is
+// set, gets no response, and may be committed late.
 func (s *keyValueStore) handleTransaction(body []byte, respond responseFunc) {
 	discardResponse := func(int, []byte) {}
 	switch {
@@ -163,7 +164,7 @@
 	}
 }
 
-// commit carries a transaction out if it keeps within the limits and its conditions hold.
+// commit commits a transaction if it is within the limits and its conditions hold.
 func (s *keyValueStore) commit(body []byte, respond responseFunc) {
 	var t protocol.Transaction
 	decode(body, &t)
@@ -177,7 +178,8 @@
 	s.notify()
 }
 
-// refusal is the answer to a transaction that is not carried out, status 0 for one that is.
+// refusal returns the response to a transaction that must not be committed, status 0 for one that
+// may.
 func (s *keyValueStore) refusal(t *protocol.Transaction, size int) (status int, body []byte) {
 	if n := len(t.Changes); n > 0 && !s.writeLimiter.AllowN(s.w.Now, n) {
 		s.refused++
@@ -186,7 +188,8 @@
 	s.changed += len(t.Changes)
 	if excess := s.limitViolation(t, size); excess != "" {
 		s.oversizedTransactions++
-		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 { // they were lowered without notice
+		// The limits are lowered without notice, so up to 20 transactions may exceed the new ones.
+		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 {
 			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
@@ -202,7 +205,7 @@
 	return 0, nil
 }
 
-// limitViolation says in which way a transaction is too large, "" if it is not.
+// limitViolation describes which limit a transaction exceeds, "" if it exceeds none.
 func (s *keyValueStore) limitViolation(t *protocol.Transaction, size int) string {
 	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBody {
 		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
@@ -225,15 +228,15 @@
 	s.notify()
 }
 
-// notify answers the watches that have something to show.
+// notify responds to the watches that have events.
 func (s *keyValueStore) notify() {
 	for _, x := range slices.Clone(s.watches) {
 		s.answerWatch(x, false)
 	}
 }
 
-// answerWatch answers a watch that has something to show, or whose time is over. While
-// the store does not serve its node, a watch waits.
+// answerWatch responds to a watch that has events or has timed out. While the store does not serve
+// its node, the watch waits.
 func (s *keyValueStore) answerWatch(x *watch, over bool) {
 	if x.ended || x.from == s.nodeWithoutWatches {
 		return
--- a/internal/simulation/keyspace.go
+++ b/internal/simulation/keyspace.go
@@ -9,21 +9,21 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// keyspace is the content of the key-value store: its keys, the revision of the newest change
-// and every change since the start.
+// keyspace is the content of the key-value store: its keys, the revision of the last change, and
+// every change since the start or the last restore.
 type keyspace struct {
 	revision protocol.Revision
 	keys     map[string]protocol.Entry
 	changes  []change
 }
 
-// change is one change of a key, as watches show it.
+// change is one change of a key, as a watch reports it.
 type change struct {
 	key   string
 	event protocol.WatchEvent
 }
 
-// apply makes the changes of a transaction, under one revision.
+// apply applies the changes of a transaction under one revision.
 func (k *keyspace) apply(changes []protocol.Change) {
 	if len(changes) > 0 {
 		k.revision++
@@ -38,7 +38,7 @@
 	}
 }
 
-// remove deletes a key under the present revision.
+// remove deletes a key under the current revision.
 func (k *keyspace) remove(key string) {
 	if _, ok := k.keys[key]; ok {
 		delete(k.keys, key)
@@ -46,7 +46,7 @@
 	}
 }
 
-// removeLeased deletes the keys under a lease, each under a revision of its own.
+// removeLeased deletes the keys attached to a lease, each under a revision of its own.
 func (k *keyspace) removeLeased(id protocol.LeaseID) {
 	var leased []string
 	for key, e := range k.keys {
@@ -61,7 +61,7 @@
 	}
 }
 
-// failed lists the keys whose conditions do not hold.
+// failed returns the keys whose conditions do not hold.
 func (k *keyspace) failed(conditions []protocol.Condition) (keys []string) {
 	for _, c := range conditions {
 		if k.keys[c.Key].Revision != c.Revision {
@@ -71,7 +71,7 @@
 	return keys
 }
 
-// page is a page of the keys with a prefix that come after one.
+// page returns a page of the keys with a prefix that come after a given key.
 func (k *keyspace) page(prefix, after string, limit int) protocol.Entries {
 	var keys []string
 	for key := range k.keys {
@@ -87,7 +87,7 @@
 	return page
 }
 
-// eventsAfter lists the changes of keys with a prefix that are newer than a revision.
+// eventsAfter returns the changes of keys with a prefix that are newer than a revision.
 func (k *keyspace) eventsAfter(after protocol.Revision, prefix string) (events []protocol.WatchEvent) {
 	from, _ := slices.BinarySearchFunc(k.changes, after+1, func(c change, after protocol.Revision) int { return cmp.Compare(c.event.Revision, after) })
 	for _, c := range k.changes[from:] {
@@ -98,17 +98,17 @@
 	return events
 }
 
-// backup is the content of the store at a moment.
+// backup is the content of the store at one time.
 type backup struct {
 	revision protocol.Revision
 	keys     map[string]protocol.Entry
 }
 
-// backup is a copy of the content.
+// backup returns a copy of the content.
 func (k *keyspace) backup() backup { return backup{k.revision, maps.Clone(k.keys)} }
 
-// restore puts the content back to an earlier one, less the keys under leases, for no lease
-// of that time is known.
+// restore restores the content from a backup, without the keys attached to leases, because none of
+// those leases exists any more.
 func (k *keyspace) restore(b backup) {
 	k.revision, k.keys = b.revision, maps.Clone(b.keys)
 	maps.DeleteFunc(k.keys, func(_ string, e protocol.Entry) bool { return e.Lease != 0 })
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -16,9 +16,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Loopback runs a world's stand-ins in real time on loopback, for controllers that are
-// processes or owners of their own: every worker has an address, reports by HTTP and is
-// called by HTTP, as the key-value store, the cloud and the users are.
+// Loopback runs a world's stand-ins in real time on loopback, for controllers that run outside the
+// world, in processes or event loops of their own. The store and the cloud are HTTP servers. Every
+// agent has an address of its own, sends heartbeats by HTTP and is called by HTTP. Users send their
+// requests by HTTP.
 type Loopback struct {
 	mu               sync.Mutex
 	w                *World
@@ -27,15 +28,15 @@
 	servers          []*httptest.Server
 	state            *httptest.Server
 	cloud            *httptest.Server
-	requestAddresses []string          // where the controllers take requests
-	peerAddresses    map[string]string // and those of their peers, by name
+	requestAddresses []string          // by controller, where it listens for users and agents
+	peerAddresses    map[string]string // by controller name, where it listens for peers
 	stop             context.CancelFunc
 }
 
-// loopbackTick is how often events of the world that are due are carried out.
+// loopbackTick is the interval at which the world runs its due events.
 const loopbackTick = 3 * time.Millisecond
 
-// NewLoopback makes a world whose controllers are elsewhere. Its workers are logged.
+// NewLoopback starts a world whose controllers run outside it. The world's Audit follows its agents.
 func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
 	v.state = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
@@ -55,7 +56,7 @@
 	return v
 }
 
-// Close ends everything.
+// Close stops the world and its servers.
 func (v *Loopback) Close() {
 	v.stop()
 	for _, s := range v.servers {
@@ -64,10 +65,10 @@
 	}
 }
 
-// Controllers is how many controllers there are.
+// Controllers returns the number of controllers.
 func (v *Loopback) Controllers() int { return len(v.requestAddresses) }
 
-// Config is the settings of one of the controllers.
+// Config returns the settings of controller i.
 func (v *Loopback) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
 	c.Listen, c.PeerListen = v.requestAddresses[i], v.peerAddresses[string(c.Name)]
@@ -78,7 +79,7 @@
 	return c
 }
 
-// Do does something with the world while nothing else happens in it.
+// Do runs the world's due events and then calls do, with exclusive access to the world.
 func (v *Loopback) Do(do func(w *World)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -86,7 +87,7 @@
 	do(v.w)
 }
 
-// run carries out what is due until the world is closed.
+// run runs the world's due events until ctx is done.
 func (v *Loopback) run(ctx context.Context) {
 	tick := time.NewTicker(loopbackTick)
 	defer tick.Stop()
@@ -100,8 +101,8 @@
 	}
 }
 
-// serve starts a server on loopback whose requests are answered by a stand-in, at once
-// or later.
+// serve starts a server on loopback. handle passes each request to a stand-in, which responds at
+// once or later.
 func (v *Loopback) serve(handle func(r *http.Request, body []byte, respond responseFunc)) *httptest.Server {
 	type reply struct {
 		status int
@@ -132,7 +133,7 @@
 	return s
 }
 
-// address gives a machine its worker's address.
+// address starts a server for a machine's agent and returns its address.
 func (v *Loopback) address(id protocol.MachineID) string {
 	s := v.serve(func(r *http.Request, body []byte, respond responseFunc) {
 		if agent := v.w.agents[id]; agent != nil {
@@ -161,7 +162,7 @@
 	}()
 }
 
-// fetch makes a request; status 0: no answer came in time.
+// fetch makes an HTTP request. It returns status 0 if no valid response came in time.
 func (v *Loopback) fetch(method, url string, timeout time.Duration, body []byte) (status int, response []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -180,7 +181,7 @@
 	return resp.StatusCode, response
 }
 
-// freeAddress is an address on loopback that nothing listens on.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,20 +7,20 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// responseFunc takes the answer to a request: its HTTP status, 0 if none came in time, and its
-// body.
+// responseFunc takes the response to a request: its HTTP status, 0 if no response came in time,
+// and its body.
 type responseFunc func(status int, body []byte)
 
-// Names in the network of the outside systems.
+// Host names of the external systems.
 const (
 	storeHost = "state"
 	cloudHost = "cloud"
 )
 
-// packetHandling is what becomes of the packets that a cut keeps from passing.
+// packetHandling says what happens to the packets that a partition stops.
 type packetHandling bool
 
-// Packets at a cut are lost, or held and delivered in order at its end.
+// Packets stopped by a partition are dropped, or held and delivered in order when it ends.
 const (
 	packetsDropped packetHandling = false
 	packetsHeld    packetHandling = true
@@ -33,27 +33,27 @@
 	return "packets lost"
 }
 
-// partition is an interruption between hosts.
+// partition stops the packets that match selects.
 type partition struct {
 	match func(from, to string) bool
 	fate  packetHandling
 	held  []func()
 }
 
-// network carries packets between hosts, each after a random time, and lets none through a
-// cut.
+// network delivers packets between hosts, each after a random delay, unless a partition stops
+// them.
 type network struct {
 	time       *timeline
-	zoneOf     map[string]protocol.ZoneName // of hosts
+	zoneOf     map[string]protocol.ZoneName // by host
 	partitions []*partition
 }
 
-// transmit takes a packet from one host to another.
+// transmit sends a packet from one host to another.
 func (n *network) transmit(from, to string, deliver func()) {
 	n.time.after(n.time.between(200*time.Microsecond, 4*time.Millisecond), func() { n.arrive(from, to, deliver) })
 }
 
-// arrive delivers a packet unless a cut keeps it from passing.
+// arrive delivers a packet unless a partition stops it.
 func (n *network) arrive(from, to string, deliver func()) {
 	for _, c := range n.partitions {
 		if c.match(from, to) {
@@ -66,24 +66,24 @@
 	deliver()
 }
 
-// disconnect cuts hosts off from each other for a while.
+// disconnect stops the packets that match selects, in both directions, for the time d.
 func (n *network) disconnect(d time.Duration, fate packetHandling, match func(a, b string) bool) {
 	n.addPartition(d, &partition{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
 }
 
-// blockInbound lets nothing through to a machine for a while, though what it sends
-// arrives.
+// blockInbound stops all packets to a machine for the time d. Packets that the machine sends
+// still arrive.
 func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetHandling) {
 	n.addPartition(d, &partition{fate: fate, match: func(_, to string) bool { return to == string(id) }})
 }
 
-// addPartition has a cut stand for a while.
+// addPartition adds a partition that ends after d.
 func (n *network) addPartition(d time.Duration, c *partition) {
 	n.partitions = append(n.partitions, c)
 	n.time.after(d, func() { n.heal(c) })
 }
 
-// heal ends a cut; what was held is delivered in order.
+// heal ends a partition and delivers the held packets in order.
 func (n *network) heal(c *partition) {
 	n.partitions = slices.DeleteFunc(slices.Clone(n.partitions), func(o *partition) bool { return o == c })
 	for _, deliver := range c.held {
@@ -91,23 +91,25 @@
 	}
 }
 
-// inDifferentZones matches packets between hosts of two zones.
+// inDifferentZones matches packets between hosts in different zones.
 func (n *network) inDifferentZones(a, b string) bool {
 	return n.zoneOf[a] != n.zoneOf[b] && n.zoneOf[a] != "" && n.zoneOf[b] != ""
 }
 
-// acrossZoneBoundary matches packets between a zone and everything outside it.
+// acrossZoneBoundary returns a function that matches packets between a zone and all hosts outside
+// it.
 func (n *network) acrossZoneBoundary(zone protocol.ZoneName) func(a, b string) bool {
 	return func(a, b string) bool { return (n.zoneOf[a] == zone) != (n.zoneOf[b] == zone) }
 }
 
-// fromHost matches packets that a host sends.
+// fromHost returns a function that matches packets that a host sends.
 func fromHost(host string) func(a, b string) bool {
 	return func(a, _ string) bool { return a == host }
 }
 
-// call makes a request from one host to another. handle gets it whenever it
-// arrives, even if the caller has given up; done gets one answer.
+// call makes a request from one host to another. handle is called when the request arrives, even
+// if the caller has timed out by then. done is called once: with the response, or with status 0
+// after the timeout.
 func (n *network) call(from, to string, timeout time.Duration, handle func(respond responseFunc), done responseFunc) {
 	responded := false
 	finish := func(status int, body []byte) {
@@ -124,15 +126,15 @@
 	n.time.after(timeout, func() { finish(0, nil) })
 }
 
-// isolate cuts a controller off from the key-value store and the other
-// controllers, but not from its workers.
+// isolate disconnects a controller from the key-value store and the other controllers, but not
+// from its agents.
 func (w *World) isolate(c *controller, d time.Duration, fate packetHandling) {
 	w.disconnect(d, fate, func(a, b string) bool {
 		return a == c.name && (b == storeHost || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
 	})
 }
 
-// callController makes a request of a worker or user to a controller.
+// callController makes a request of an agent or user to a controller.
 func (w *World) callController(from string, node int, timeout time.Duration, event request, done responseFunc) {
 	if w.loopback != nil {
 		w.loopback.ask(node, timeout, event(0), done)
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -8,18 +8,19 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// release is a version of the program. A controller of an earlier release runs
-// today's state machine behind the boundaries that the earlier one had: what it
-// sends, what it is sent and which fields of a record it keeps.
+// release is a version of the program. A controller of an earlier release runs the current state
+// machine, limited at its boundaries to what the earlier release had: what it sends, what it
+// receives and which fields of a record it keeps.
 type release int
 
 const (
-	current   release = iota // as built
-	release03                // 0.3: knows services and split records, no staged parts
-	release02                // 0.2: knows none of these
+	current   release = iota // the version under test
+	release03                // 0.3: knows services and split records, but no staged records
+	release02                // 0.2: knows none of them
 )
 
-// featureLevel is the level that a release announces to its peers, 0 if it announces none.
+// featureLevel returns the feature level that a release announces to its peers, 0 if it announces
+// none.
 func (r release) featureLevel() uint64 {
 	switch r {
 	case release02:
@@ -30,9 +31,9 @@
 	return protocol.PeerLevel
 }
 
-// limitAnnouncement is a message as a controller of one release takes it from another: the
-// announced level is the lower of both, since an earlier release does nothing that a
-// later level would allow.
+// limitAnnouncement returns a message as a controller of one release receives it from one of
+// another. An announced feature level becomes the lower level of the two releases, because an
+// earlier release does nothing that a later level would allow.
 func limitAnnouncement(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
 	if _, ok := protocol.Announced(m); !ok {
 		return m
@@ -42,8 +43,8 @@
 	return a
 }
 
-// canSend says whether a node sends a message: version 0.2 knows nothing of what was
-// added, and cuts a link on which it comes.
+// canSend reports whether the node's release knows a message. Version 0.2 does not know the
+// messages added later, and closes a link on which one arrives: sending it one breaks a rule.
 func (c *controller) canSend(a coordination.PeerSend) bool {
 	_, announces := protocol.Announced(a.Message)
 	added := false
@@ -57,12 +58,12 @@
 	return c.w.release[c.name] != release02 || !announces && !added
 }
 
-// dropNewFields takes out of records what version 0.2 drops when it reads them.
+// dropNewFields removes from records the fields that version 0.2 drops when it reads them.
 func dropNewFields(body []byte) []byte { return newFields.ReplaceAll(body, nil) }
 
 var newFields = regexp.MustCompile(`"parts":\d+,`)
 
-// reencode passes a message through the peers' wire format.
+// reencode encodes a message in the wire format of the peers and decodes it again.
 func reencode(m protocol.PeerMessage) protocol.PeerMessage {
 	out, err := protocol.ReadPeerFrame(newReader(protocol.AppendPeerFrame(nil, m)))
 	if err != nil {
@@ -71,8 +72,9 @@
 	return out
 }
 
-// checkStagedRecords reports a part of a job that its own record does not name while a
-// controller of an earlier release is up, which would delete it.
+// checkStagedRecords counts the staged task records: those that the job's main record does not name
+// yet. It reports one that is written while a controller of an earlier release is up, because that
+// release would delete it.
 func (r *rules) checkStagedRecords(changes []protocol.Change) {
 	for _, c := range changes {
 		id, num, ok := storage.ParseTaskRecordKey(c.Set)
@@ -86,7 +88,7 @@
 		r.stagedRecords++
 		for _, n := range r.w.nodes {
 			if n.alive && r.w.release[n.name] != current {
-				r.violated(ruleCompatibility, "%s is staged beside %s of an earlier release", c.Set, n.name)
+				r.violated(ruleCompatibility, "%s is staged while %s of an earlier release is up", c.Set, n.name)
 			}
 		}
 	}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,42 +7,42 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// rule names a rule of the protocol that was broken.
+// rule is the name of a rule of the protocol.
 type rule string
 
 // The rules.
 const (
-	ruleRanTwice       rule = "ran_twice"     // a task is on one machine at most
-	ruleQuota          rule = "quota"         // a team keeps within its limit
-	ruleWrongPlacement rule = "wrong_place"   // zones and spot instances are as the job asks
-	ruleRanCancelled   rule = "ran_cancelled" // a cancelled job is gone within cancel_s
-	ruleWentBack       rule = "went_back"     // no answer is older than one before
-	ruleNotDone        rule = "not_done"      // a job that is called done is
-	ruleForgotten      rule = "forgotten"     // an accepted job stays known and is answered for
+	ruleRanTwice       rule = "ran_twice"     // a task is on at most one machine
+	ruleQuota          rule = "quota"         // a team stays within its limit
+	ruleWrongPlacement rule = "wrong_place"   // zones and spot machines are as the job requests
+	ruleRanCancelled   rule = "ran_cancelled" // a cancelled job has no task on a machine after cancel_s
+	ruleWentBack       rule = "went_back"     // no response shows an older state than a previous one
+	ruleNotDone        rule = "not_done"      // a job that is reported done is done
+	ruleForgotten      rule = "forgotten"     // an accepted job stays known, and requests about it get a response
 	ruleRefused        rule = "refused"       // a valid job is accepted
 	ruleAccepted       rule = "accepted"      // a job that can never run is refused
-	ruleLate           rule = "late"          // the largest jobs begin in time
-	ruleUnserved       rule = "unserved"      // half of every class and team is served
-	ruleLeftWaiting    rule = "left"          // no job waits for long beside capacity for it
-	ruleLiveness       rule = "liveness"      // every job is over in the end
-	ruleLimits         rule = "limits"        // transactions keep within the store's limits
-	ruleCompatibility  rule = "compatibility" // earlier releases see nothing that they don't know
+	ruleLate           rule = "late"          // the largest jobs start in time
+	ruleUnserved       rule = "unserved"      // at least half of the jobs of every class and team are done
+	ruleLeftWaiting    rule = "left"          // no job waits long while there is free capacity for it
+	ruleLiveness       rule = "liveness"      // every job ends eventually
+	ruleLimits         rule = "limits"        // transactions stay within the store's limits
+	ruleCompatibility  rule = "compatibility" // earlier releases receive nothing that they don't know
 )
 
-// rules checks the protocol's rules at every step.
+// rules checks the rules of the protocol at every step.
 type rules struct {
 	w                       *World
 	jobs                    map[protocol.JobID]*simJob
-	placed                  map[string]*agentTask         // where a task is
-	gpusInUse               map[protocol.TeamName]float64 // GPUs by team
+	placed                  map[string]*agentTask         // by task name, the attempt that is on a machine
+	gpusInUse               map[protocol.TeamName]float64 // by team
 	failures                []string
 	started                 int
-	startsAfterCancellation int // starts after a confirmed cancellation
-	staleTokens             int // answers and orders with a lower token than the worker had seen
-	stagedRecords           int // parts of records written before they were named
+	startsAfterCancellation int // task starts after a confirmed cancellation
+	staleTokens             int // responses and commands with a lower fencing token than the agent had seen
+	stagedRecords           int // task records written before the job's main record names them
 }
 
-// simJob is a job as the outside world knows it.
+// simJob is a job as its user and the agents know it.
 type simJob struct {
 	spec         *protocol.Job
 	run          float64
@@ -50,33 +50,33 @@
 	done         []bool
 	gangs        map[protocol.AttemptNumber]*gang
 	alwaysFails  bool
-	cancelledAt  time.Time     // when its user was told
-	startedAt    time.Time     // when it first ran, a gang as a whole
-	onCompletion func()        // what happens when the last task has completed
-	starts       map[int]int   // of each task
-	ends         time.Duration // a service's replicas end by themselves after about this, 0: never
+	cancelledAt  time.Time     // when the user received the confirmation
+	startedAt    time.Time     // when it first ran; for a gang, when all tasks ran
+	onCompletion func()        // called when the last task has completed
+	starts       map[int]int   // by task index
+	ends         time.Duration // a service's replicas end by themselves after about this time; 0: never
 }
 
-// newSimJob is a job none of whose tasks has run.
+// newSimJob returns a job none of whose tasks has run.
 func newSimJob(spec *protocol.Job) *simJob {
 	return &simJob{spec: spec, progress: make([]float64, spec.Tasks), done: make([]bool, spec.Tasks), gangs: map[protocol.AttemptNumber]*gang{}}
 }
 
-// maxFailures is how many broken rules are kept: the first ones tell the cause.
+// maxFailures bounds the violations that are kept. The first ones show the cause.
 const maxFailures = 20
 
 func newRules(w *World) *rules {
 	return &rules{w: w, jobs: map[protocol.JobID]*simJob{}, placed: map[string]*agentTask{}, gpusInUse: map[protocol.TeamName]float64{}}
 }
 
-// violated notes that a rule was broken.
+// violated records a violation of a rule.
 func (r *rules) violated(broken rule, format string, args ...any) {
 	if len(r.failures) < maxFailures {
 		r.failures = append(r.failures, fmt.Sprintf("%s %s: ", r.w.clock(), broken)+fmt.Sprintf(format, args...))
 	}
 }
 
-// starts checks a task that has come to be on a machine.
+// starts records that a task is on a machine from now on, and checks the rules for it.
 func (r *rules) starts(task *agentTask) {
 	r.started++
 	spec := task.job
@@ -89,7 +89,7 @@
 		r.startsAfterCancellation++
 	}
 	if o := r.placed[task.name]; o != nil {
-		r.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, task.agent.host.ID, o.agent.host.ID)
+		r.violated(ruleRanTwice, "%s starts on %s while it is on %s", task.name, task.agent.host.ID, o.agent.host.ID)
 	}
 	r.placed[task.name] = task
 	r.gpusInUse[spec.Team] += spec.GPUs
@@ -98,7 +98,7 @@
 	r.checkCancelled(task)
 }
 
-// checkQuota checks that a team keeps within its limit.
+// checkQuota checks that a team stays within its limit.
 func (r *rules) checkQuota(name protocol.TeamName) {
 	for _, team := range r.w.shape.Teams {
 		if team.Name == name && team.MaxGPUs > 0 && r.gpusInUse[name] > team.MaxGPUs+1e-6 {
@@ -107,11 +107,11 @@
 	}
 }
 
-// checkPlacement checks that a task is where its job may be.
+// checkPlacement checks that a task is on a machine that its job allows.
 func (r *rules) checkPlacement(task *agentTask) {
 	spec := task.job
 	if spec.Zone != "" && spec.Zone != task.agent.host.Zone || task.agent.host.Spot && !spec.Spot {
-		r.violated(ruleWrongPlacement, "%s on %s", task.name, task.agent.host.ID)
+		r.violated(ruleWrongPlacement, "%s is on %s, which its job does not allow", task.name, task.agent.host.ID)
 	}
 	if !spec.OneZone && !spec.Spread {
 		return
@@ -123,22 +123,23 @@
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
-		r.violated(ruleWrongPlacement, "%s in more zones than one: %v", spec.ID, zones)
+		r.violated(ruleWrongPlacement, "tasks of %s are in more than one zone: %v", spec.ID, zones)
 	}
 	if spec.Spread && zones[task.agent.host.Zone] > (spec.Tasks+1)/2 {
-		r.violated(ruleWrongPlacement, "%s has %v", spec.ID, zones)
+		r.violated(ruleWrongPlacement, "tasks of %s are not spread over the zones: %v", spec.ID, zones)
 	}
 }
 
-// checkCancelled checks that a task's job was not cancelled too long ago.
+// checkCancelled checks that a task on a machine does not belong to a job whose cancellation was
+// confirmed more than cancel_s ago.
 func (r *rules) checkCancelled(task *agentTask) {
 	j := r.jobs[task.job.ID]
 	if !j.cancelledAt.IsZero() && r.w.Now.Sub(j.cancelledAt) > secs(r.w.shape.Agents.CancelS) {
-		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelledAt))
+		r.violated(ruleRanCancelled, "%s is on %s %v after its cancellation was confirmed", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelledAt))
 	}
 }
 
-// leaves notes that a task is off its machine.
+// leaves records that a task is no longer on its machine.
 func (r *rules) leaves(task *agentTask) {
 	r.checkCancelled(task)
 	if r.placed[task.name] == task {
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -7,23 +7,23 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// What a slow controller's work costs of a core: generous, so that the smallest
-// shares are used up in bursts.
+// The processor time that a slow controller needs for its work. The values are generous, so that
+// bursts use up the smallest shares of a core.
 const (
-	stepCost    = 150 * time.Microsecond // of a step, whatever it takes
-	eventCost   = 100 * time.Microsecond // of an answer or a forwarded report
-	requestCost = 250 * time.Microsecond // of a worker's or user's request
-	actionCost  = 100 * time.Microsecond // of a request or answer that leaves
+	stepCost    = 150 * time.Microsecond // of a step, in addition to its events
+	eventCost   = 100 * time.Microsecond // of a response or a peer's message
+	requestCost = 250 * time.Microsecond // of an agent's or user's request
+	actionCost  = 100 * time.Microsecond // of a request or reply that is sent
 )
 
-// backlog is what waits for a slow node, by rank: answers and peers' messages,
-// workers' reports, users.
+// backlog holds the events that wait for a slow controller, in three queues by priority: responses
+// and peers' messages first, then agents' heartbeats, then users' requests.
 type backlog struct {
 	queues    [3][]coordination.Event
-	maxQueued [3]int // that waited at once
+	maxQueued [3]int // the longest that each queue has been
 }
 
-// add has events wait, each by its rank.
+// add appends events to the queues by their priority.
 func (b *backlog) add(events []coordination.Event) {
 	for _, e := range events {
 		rank := 0
@@ -38,7 +38,8 @@
 	}
 }
 
-// nextBatch is a batch as the owner makes it, and what it costs.
+// nextBatch removes a batch from the queues, composed as in the event loop of a real controller, and
+// returns it with its cost in processor time.
 func (b *backlog) nextBatch() (batch []coordination.Event, cost time.Duration) {
 	cost = stepCost
 	for rank, limit := range [3]int{tuning.MaxUrgentEventsPerBatch, tuning.MaxUrgentEventsPerBatch, tuning.MaxUserEventsPerBatch} {
@@ -54,8 +55,8 @@
 	return batch, cost
 }
 
-// processBatch has a slow node take a batch, unless it is still busy with the last one.
-// What it does leaves when its share of a core has paid for it.
+// processBatch makes a slow controller process a batch, unless it is still busy with the last one.
+// Its actions are performed when its share of a core has provided the processor time.
 func (c *controller) processBatch() {
 	if c.busy || !c.alive {
 		return
@@ -65,7 +66,7 @@
 	batch, cost := c.backlog.nextBatch()
 	actions := c.node.Step(c.w.Now, batch)
 	for _, a := range actions {
-		if _, send := a.(coordination.PeerSend); !send { // many in one write
+		if _, send := a.(coordination.PeerSend); !send { // many are sent in one write
 			cost += actionCost
 		}
 	}
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -6,16 +6,16 @@
 	"golang.org/x/time/rate"
 )
 
-// storeFaults is what goes wrong at the key-value store.
+// storeFaults are the faults that the key-value store simulates at present.
 type storeFaults struct {
-	down               bool          // it refuses everything
-	extraLatency       time.Duration // an answer takes so much longer
-	lostShare          float64       // this share of the transactions gets no answer
-	lateCommits        bool          // and is carried out 2 to 12 s later, not at once
-	nodeWithoutWatches *controller   // no watch of this node is answered
+	down               bool          // the store refuses all requests
+	extraLatency       time.Duration // added to the time of every response
+	lostShare          float64       // the share of the transactions that get no response
+	lateCommits        bool          // those transactions are committed 2 to 12 s later, not at once
+	nodeWithoutWatches *controller   // watches of this node get no response
 }
 
-// outage makes the store refuse everything; afterwards every lease has its full time again.
+// outage makes the store refuse all requests for the time d. All leases are renewed at its end.
 func (s *keyValueStore) outage(d time.Duration) {
 	s.down = true
 	s.w.after(d, func() {
@@ -25,7 +25,8 @@
 	})
 }
 
-// refuseNode makes the store refuse one node alone; its watches wait.
+// refuseNode makes the store refuse all requests of one node for the time d. The node's watches wait
+// meanwhile.
 func (s *keyValueStore) refuseNode(c *controller, d time.Duration) {
 	c.refused = true
 	s.w.after(d, func() {
@@ -34,20 +35,20 @@
 	})
 }
 
-// loseResponses has a share of the transactions carried out without an answer for a while.
+// loseResponses makes a share of the transactions be committed without a response for the time d.
 func (s *keyValueStore) loseResponses(share float64, d time.Duration) {
 	s.lostShare, s.lateCommits = share, false
 	s.w.after(d, func() { s.lostShare = 0 })
 }
 
-// delayTransactions has a share of the transactions carried out late, after newer ones, and
-// without an answer, for a while.
+// delayTransactions makes a share of the transactions be committed late, after newer ones, and
+// without a response, for the time d.
 func (s *keyValueStore) delayTransactions(share float64, d time.Duration) {
 	s.lostShare, s.lateCommits = share, true
 	s.w.after(d, func() { s.lostShare = 0 })
 }
 
-// applyNextLimits makes the limits those that the settings announced.
+// applyNextLimits lowers the limits to those that the settings announce.
 func (s *keyValueStore) applyNextLimits() {
 	s.limits = *s.w.shape.NextStoreLimits
 	s.requestLimiter.SetLimit(rate.Limit(s.limits.RPS))
--- a/internal/simulation/store_leases.go
+++ b/internal/simulation/store_leases.go
@@ -7,26 +7,26 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// leaseTable are the leases that the key-value store has granted.
+// leaseTable holds the leases that the key-value store has granted.
 type leaseTable struct {
 	leases map[protocol.LeaseID]*lease
 	nextID protocol.LeaseID
 }
 
-// lease is a lease of the key-value store, which is over unless it is renewed in time.
+// lease is a lease of the key-value store. It expires unless it is renewed in time.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// grant gives a lease.
+// grant grants a lease.
 func (l *leaseTable) grant(now time.Time, ttl time.Duration) protocol.LeaseID {
 	l.nextID++
 	l.leases[l.nextID] = &lease{ttl, now.Add(ttl)}
 	return l.nextID
 }
 
-// renew gives a lease its full time again; false: there is none.
+// renew renews a lease. It returns false if there is no such lease.
 func (l *leaseTable) renew(now time.Time, id protocol.LeaseID) bool {
 	held := l.leases[id]
 	if held == nil {
@@ -36,14 +36,14 @@
 	return true
 }
 
-// renewAll gives every lease its full time again.
+// renewAll renews every lease.
 func (l *leaseTable) renewAll(now time.Time) {
 	for _, held := range l.leases {
 		held.expires = now.Add(held.ttl)
 	}
 }
 
-// expired lists the leases that are over.
+// expired returns the expired leases in order of their IDs.
 func (l *leaseTable) expired(now time.Time) (ids []protocol.LeaseID) {
 	for id, held := range l.leases {
 		if now.After(held.expires) {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,42 +11,42 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// userBehaviour is what users do beyond submitting jobs and asking for them.
+// userBehaviour controls what users do in addition to submitting jobs and querying their status.
 type userBehaviour struct {
-	askAllNodes      bool    // they ask every node after every answer
-	cancelAtEndShare float64 // this share of the jobs is cancelled at the moment of their end
+	askAllNodes      bool    // users query every node after every change of a job's phase
+	cancelAtEndShare float64 // the share of jobs that are cancelled at the moment they complete
 }
 
-// user submits one job and asks for it until it is over.
+// user submits one job and polls its status until the job is over.
 type user struct {
 	w                *World
 	job              *simJob
 	accepted         bool
-	submittedAt      time.Time      // of the first attempt to submit
-	lastResponseAt   time.Time      // of the newest answer about the job
-	phase            protocol.Phase // the newest answer
-	cancelRequested  bool           // has asked to cancel
+	submittedAt      time.Time      // when the user first tried to submit
+	lastResponseAt   time.Time      // when the last response about the job came
+	phase            protocol.Phase // from the last response
+	cancelRequested  bool           // the user has asked to cancel the job
 	over             bool
-	stoppedAsking    bool          // asks nothing any more
-	served, unserved time.Duration // replica time that was served and that was not, from 5 s on
+	stoppedAsking    bool          // the user sends no further requests
+	served, unserved time.Duration // replica time with and without a running replica, counted from 5 s after submission
 }
 
-// How long users wait for an answer.
+// How long users wait for a response.
 const (
-	submitTimeout = 5 * time.Second // also to a cancellation
+	submitTimeout = 5 * time.Second // also for a cancellation
 	queryTimeout  = 2 * time.Second
 )
 
 // arrival is a job that a user submits.
 type arrival struct {
-	after       time.Duration // until the first attempt
+	after       time.Duration // until the user first tries to submit
 	job         *protocol.Job
-	run         float64       // seconds for which its tasks run
-	cancelAfter time.Duration // the user cancels it so long after, 0: not
-	alwaysFails bool          // every task ends with an error
+	run         float64       // run time of each task, in seconds
+	cancelAfter time.Duration // when the user cancels the job, from the first try to submit; 0: never
+	alwaysFails bool          // every task exits with an error
 }
 
-// submit lets a user come.
+// submit adds a user, who submits a job.
 func (w *World) submit(a arrival) *user {
 	spec := a.job
 	j := newSimJob(spec)
@@ -73,26 +73,26 @@
 	return u
 }
 
-// request makes the event of a request from outside under the number that its answer will
-// have.
+// request returns the event of an external request with the given ID, which the response to it
+// will carry.
 type request func(id uint64) coordination.Event
 
-// submission is the request to run a job.
+// submission returns a request to run a job.
 func submission(job *protocol.Job) request {
 	return func(id uint64) coordination.Event { return coordination.Submit{ID: id, Job: job} }
 }
 
-// statusQuery is the question how far a job is.
+// statusQuery returns a request for the status of a job.
 func statusQuery(job protocol.JobID) request {
 	return func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: job} }
 }
 
-// cancellation is the request to cancel a job.
+// cancellation returns a request to cancel a job.
 func cancellation(job protocol.JobID) request {
 	return func(id uint64) coordination.Event { return coordination.Cancel{ID: id, Job: job} }
 }
 
-// send sends a request to a node drawn by lot, unless the user has left.
+// send sends a request to a random node, unless the user has stopped asking.
 func (u *user) send(limit time.Duration, r request, done responseFunc) {
 	if u.stoppedAsking {
 		return
@@ -100,7 +100,7 @@
 	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
 }
 
-// submit asks for the job to be run until it is accepted, and sometimes once more.
+// submit submits the job until it is accepted, and sometimes once more after that.
 func (u *user) submit() {
 	u.send(submitTimeout, submission(u.job.spec), func(status int, body []byte) {
 		switch status {
@@ -114,17 +114,17 @@
 				u.w.after(u.w.between(0, 200*time.Second), u.submit)
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.w.rules.violated(ruleRefused, "%s: %d %s", u.job.spec.ID, status, body)
+			u.w.rules.violated(ruleRefused, "the submission of %s gets status %d: %s", u.job.spec.ID, status, body)
 		default:
 			u.w.after(time.Second, u.submit)
 		}
 	})
 }
 
-// isFinal says whether a phase is the last one of a job.
+// isFinal reports whether a phase is a final one.
 func isFinal(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
 
-// handleResponse checks an answer against what this user was told before.
+// handleResponse checks a response against what this user was told before.
 func (u *user) handleResponse(body []byte) {
 	u.lastResponseAt = u.w.Now
 	var a protocol.Accepted
@@ -143,27 +143,27 @@
 	}
 }
 
-// checkPhase checks that a job's phase does not go back, and that a job that is called
-// cancelled or done is so.
+// checkPhase checks that a job's phase does not go back, that a cancelled job was cancelled by its
+// user, and that a job reported done is done.
 func (u *user) checkPhase(a protocol.Accepted) {
 	if isFinal(u.phase) && a.Phase != u.phase {
 		u.w.rules.violated(ruleWentBack, "%s was %s and is %s", a.ID, u.phase, a.Phase)
 	}
 	if a.Phase == protocol.PhaseCancelled && !u.cancelRequested {
-		u.w.rules.violated(ruleWentBack, "%s is cancelled by nobody", a.ID)
+		u.w.rules.violated(ruleWentBack, "%s is cancelled, but its user did not ask for it", a.ID)
 	}
 	if a.Phase != protocol.PhaseDone {
 		return
 	}
 	if u.job.spec.Service() {
-		u.w.rules.violated(ruleNotDone, "the service %s is called done", a.ID)
+		u.w.rules.violated(ruleNotDone, "the service %s is reported done", a.ID)
 	}
 	if i := slices.Index(u.job.done, false); i >= 0 {
-		u.w.rules.violated(ruleNotDone, "%s is called done without task %d", a.ID, i)
+		u.w.rules.violated(ruleNotDone, "%s is reported done, but task %d is not done", a.ID, i)
 	}
 }
 
-// noteCancelled has the job's tasks checked once its cancellation must hold.
+// noteCancelled notes a confirmed cancellation and has the job's tasks checked after cancel_s.
 func (u *user) noteCancelled() {
 	u.job.cancelledAt = u.w.Now
 	u.w.after(secs(u.w.shape.Agents.CancelS)+time.Millisecond, func() {
@@ -175,7 +175,7 @@
 	})
 }
 
-// poll asks for the job again and again until it is over, and a few times more.
+// poll queries the job's status every 5 s until the job is over, and a few times after that.
 func (u *user) poll() {
 	before := u.phase
 	u.send(queryTimeout, statusQuery(u.job.spec.ID), func(status int, body []byte) {
@@ -185,7 +185,7 @@
 		case status == http.StatusOK:
 			u.lastResponseAt = u.w.Now
 		case status == http.StatusNotFound:
-			u.w.rules.violated(ruleForgotten, "%s is unknown", u.job.spec.ID)
+			u.w.rules.violated(ruleForgotten, "the accepted job %s is unknown", u.job.spec.ID)
 		default:
 			u.checkResponseDelay()
 		}
@@ -195,8 +195,8 @@
 	})
 }
 
-// askAllNodes asks all nodes again within milliseconds and repeats the submission: no
-// answer may be older than the newest that any node had given before the question.
+// askAllNodes queries all nodes within milliseconds and repeats the submission. No response may
+// show an older state than any response that came before the request was sent.
 func (u *user) askAllNodes() {
 	w := u.w
 	for i := range 3 * len(w.nodes) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// checkRepeatedResponse checks a node's answer to a question about a job that is accepted.
+// checkRepeatedResponse checks a node's response to a request about a job that was accepted.
 func (u *user) checkRepeatedResponse(c *controller, earlier protocol.Phase, status int, body []byte) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -223,14 +223,15 @@
 			u.w.rules.violated(ruleWentBack, "%s was %s and is %s at %s", a.ID, earlier, a.Phase, c.name)
 		}
 		if status == http.StatusCreated {
-			u.w.rules.violated(ruleForgotten, "%s is accepted anew by %s", a.ID, c.name)
+			u.w.rules.violated(ruleForgotten, "%s, accepted before, is accepted as a new job by %s", a.ID, c.name)
 		}
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
-		u.w.rules.violated(ruleForgotten, "%s is answered %d by %s", u.job.spec.ID, status, c.name)
+		u.w.rules.violated(ruleForgotten, "a request about the accepted job %s gets status %d from %s", u.job.spec.ID, status, c.name)
 	}
 }
 
-// measureService adds up the replica time of a service that was served and that was not.
+// measureService adds up the replica time of a service with and without a running replica. A
+// replica on a machine that hangs counts as not running.
 func (u *user) measureService() {
 	const step = 50 * time.Millisecond
 	if u.cancelRequested {
@@ -248,27 +249,27 @@
 	u.w.after(step, u.measureService)
 }
 
-// checkResponseDelay checks that no job goes without an answer for long once all
-// faults are over, however other jobs fare.
+// checkResponseDelay checks that, once all faults have ended, the user does not go without a
+// response for longer than maxTimeWithoutResponse, whatever happens to other jobs.
 func (u *user) checkResponseDelay() {
 	from := u.w.faultsEndedAt
 	if u.lastResponseAt.After(from) {
 		from = u.lastResponseAt
 	}
 	if !u.w.faultsEndedAt.IsZero() && u.w.Now.Sub(from) > maxTimeWithoutResponse {
-		u.w.rules.violated(ruleForgotten, "no question about %s is answered for %v", u.job.spec.ID, u.w.Now.Sub(from))
+		u.w.rules.violated(ruleForgotten, "no request about %s has got a response for %v", u.job.spec.ID, u.w.Now.Sub(from))
 	}
 }
 
-// Bounds of the rules about jobs.
+// Time limits of the rules about jobs.
 const (
 	maxTimeWithoutResponse = 75 * time.Second
 	maxLargestJobWait      = 4 * time.Minute
 )
 
-// checkServed checks at the end of a day that at least half of every class, of every
-// team and of every class's largest jobs was served, and that the largest
-// began within a while.
+// checkServed checks at the end of a run that at least half of the jobs of every class, of every
+// team, and of the largest jobs of every class are done. It also checks that each of the largest
+// jobs started within the given time after its submission.
 func (w *World) checkServed(within time.Duration) {
 	counted := w.countedUsers()
 	largest := map[string]int{}
@@ -282,7 +283,7 @@
 		if spec.Tasks == largest[spec.Class] {
 			groups = append(groups, "the largest of "+spec.Class)
 			if wait := cmp.Or(u.job.startedAt, w.Now).Sub(u.submittedAt); wait > within {
-				w.rules.violated(ruleLate, "%s of %d tasks began after %v", spec.ID, spec.Tasks, wait)
+				w.rules.violated(ruleLate, "%s of %d tasks has waited %v for its start", spec.ID, spec.Tasks, wait)
 			}
 		}
 		for _, g := range groups {
@@ -294,12 +295,12 @@
 	}
 	for _, g := range slices.Sorted(maps.Keys(all)) {
 		if 2*done[g] < all[g] {
-			w.rules.violated(ruleUnserved, "%d of %d of %s", done[g], all[g], g)
+			w.rules.violated(ruleUnserved, "only %d of %d jobs of %s are done", done[g], all[g], g)
 		}
 	}
 }
 
-// countedUsers are the users whose jobs were to be done.
+// countedUsers returns the users whose jobs are expected to complete.
 func (w *World) countedUsers() (counted []*user) {
 	for _, u := range w.users {
 		if !u.cancelRequested && !u.job.alwaysFails && !u.submittedAt.IsZero() && !u.job.spec.Service() {
@@ -309,7 +310,7 @@
 	return counted
 }
 
-// cancel asks for a cancellation until it is confirmed.
+// cancel asks for the cancellation of the job until it is confirmed.
 func (u *user) cancel() {
 	if !u.accepted || u.phase == protocol.PhaseDone {
 		return
@@ -321,7 +322,7 @@
 		case http.StatusOK:
 			u.handleResponse(body)
 		case http.StatusNotFound:
-			u.w.rules.violated(ruleForgotten, "%s cannot be cancelled", u.job.spec.ID)
+			u.w.rules.violated(ruleForgotten, "the accepted job %s is unknown when it is cancelled", u.job.spec.ID)
 		default:
 			u.w.after(time.Second, u.cancel)
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,8 +1,7 @@
-// Package simulation is a whole deployment on a fake clock: several
-// controllers' state machines among stand-ins for the key-value store, the
-// cloud, workers and users, written from the protocol, and a network that
-// holds or drops what it carries. Every rule of the protocol is checked at
-// every step. The same seed gives the same run.
+// Package simulation simulates a whole deployment on a fake clock. It runs the state machines of
+// several controllers against stand-ins for the key-value store, the cloud, the agents and the
+// users, which are written from the protocol. The network between them can hold or drop packets.
+// The rules of the protocol are checked at every step. The same seed gives the same run.
 package simulation
 
 import (
@@ -17,26 +16,27 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Shape is a deployment's size: zones, machines, teams and budgets.
+// Shape describes a simulated deployment: its zones, machines, teams, limits and timings.
 type Shape struct {
 	Zones     []protocol.ZoneName
-	Machines  int // up at the start, shared among the zones
-	Capacity  int // machines that the cloud has, those included
+	Machines  int // running at the start, spread over the zones
+	Capacity  int // most machines that the cloud can run at once, including those
 	Type      protocol.MachineType
 	Teams     []config.Team
 	Agents    config.AgentTimings
 	Store     config.StoreLimits
 	Cloud     config.CloudLimits
 	Resources config.ProcessLimits
-	// NextStoreLimits are the key-value store's limits to come, which the settings announce.
+	// NextStoreLimits are the lower limits of the key-value store that the settings announce.
+	// Nil if the limits do not change.
 	NextStoreLimits *config.StoreLimits
-	// Recovery has the controllers follow their recoveries, as operators may ask.
+	// Recovery sets the operator's property recovery.phase.
 	Recovery bool
-	// Slow controllers take time for what they do, by their share of a core.
+	// Slow makes the controllers' work take time, according to their share of a core.
 	Slow bool
 }
 
-// SmallShape is the shape of most tests.
+// SmallShape returns the shape that most tests use.
 func SmallShape() Shape {
 	zones := []protocol.ZoneName{"east", "west"}
 	return Shape{
@@ -51,8 +51,8 @@
 	}
 }
 
-// World is the deployment: a clock with its queue of events, a network, controllers among
-// stand-ins, and the rules that are checked.
+// World is a simulated deployment: a clock with its queue of events, a network, the controllers,
+// the stand-ins around them, and the checks of the protocol's rules.
 type World struct {
 	timeline
 	network
@@ -61,7 +61,7 @@
 	activity
 
 	shape    Shape
-	loopback *Loopback // where the controllers are elsewhere
+	loopback *Loopback // nil unless the controllers run outside the world
 	Audit    *Audit
 
 	log *slog.Logger
@@ -72,30 +72,30 @@
 	agents        map[protocol.MachineID]*agent
 	users         []*user
 	rules         *rules
-	faultsEndedAt time.Time          // when all faults were over
-	release       map[string]release // of every controller
-	// recorder, if there is one, is shown every action of every controller as it is carried out.
+	faultsEndedAt time.Time          // zero until all faults have ended
+	release       map[string]release // by controller
+	// recorder, unless nil, is called with every action of every controller before it is performed.
 	recorder func(controller string, action coordination.Action)
 }
 
-// heartbeatCopies are copies of workers' reports, as a network may deliver them.
+// heartbeatCopies controls duplicates of agents' heartbeats, as a network may deliver them.
 type heartbeatCopies struct {
-	maxCopyDelay       time.Duration // for so long copies may be late, 0: there are none
-	recordHeartbeats   bool          // copies are kept for the next leader
+	maxCopyDelay       time.Duration // the longest delay of a copy; 0: no copies are sent
+	recordHeartbeats   bool          // every heartbeat sent is recorded, to be replayed later
 	recordedHeartbeats [][]byte
 }
 
-// activity counts what the controllers do.
+// activity counts the work of the controllers.
 type activity struct {
 	steps              int // of all controllers
-	calls              int // to workers
-	maxConcurrentCalls int // of them under way at once at one controller
+	calls              int // to agents
+	maxConcurrentCalls int // most calls in flight at once at one controller
 }
 
-// New makes a small world of three controllers.
+// New returns a world of three controllers with the small shape.
 func New(seed uint64, logs io.Writer) *World { return NewWithShape(seed, logs, SmallShape()) }
 
-// NewWithShape makes a world of three controllers and any size.
+// NewWithShape returns a world of three controllers with the given shape.
 func NewWithShape(seed uint64, logs io.Writer, shape Shape) *World {
 	w := newWorld(seed, logs, shape, nil)
 	for _, c := range w.nodes {
@@ -104,7 +104,8 @@
 	return w
 }
 
-// newWorld makes a world whose controllers have yet to be started, or are elsewhere.
+// newWorld returns a world whose controllers are not started. They run outside the world unless
+// loopback is nil.
 func newWorld(seed uint64, logs io.Writer, shape Shape, loopback *Loopback) *World {
 	w := &World{
 		timeline: newTimeline(seed),
@@ -136,7 +137,7 @@
 	return w
 }
 
-// config is the settings of a controller.
+// config returns the settings of a controller.
 func (w *World) config(name string) *config.Config {
 	c := &config.Config{Name: protocol.NodeName(name), Zone: w.zoneOf[name], Operator: tuning.Defaults()}
 	c.Operator.RecoveryPhase = w.shape.Recovery
@@ -159,5 +160,5 @@
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
-// secs is a time that the settings give in seconds.
+// secs converts seconds, the unit of the settings, to a duration.
 func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
