--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -18,7 +18,7 @@
 	incarnation        protocol.Incarnation
 	sequence           protocol.Sequence
 	token              protocol.Term
-	leaseRenewedAt     time.Time // when the last accepted heartbeat was sent, or the incarnation began
+	leaseRenewedAt     time.Time // when the last heartbeat that got a response was sent, or the incarnation began
 	tasks              map[string]*agentTask
 	images             map[string]bool
 	controllerIndex    int
@@ -62,8 +62,8 @@
 	a.setTimer()
 }
 
-// setTimer sets the timer to the next deadline. It must be called whenever a deadline moves
-// forward.
+// setTimer sets the timer to the next deadline. It must be called whenever the next deadline moves
+// to an earlier time.
 func (a *agent) setTimer() {
 	due := a.leaseEnd().Add(1) // a lease has expired only after its end
 	if next := a.nextHeartbeat(); a.canSendHeartbeat() && next.Before(due) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -17,7 +17,7 @@
 type cloudProvider struct {
 	w              *World
 	hosts          []*host
-	rented         map[string][]protocol.MachineID
+	rented         map[string][]protocol.MachineID // by request ID, so that a repeated request creates nothing
 	next           int
 	down           bool
 	capacity       int
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// runReplica runs a replica of a service. If the job says so, the replica ends by itself after a
-// random time.
+// runReplica runs a replica of a service. If the test has set ends for the job, the replica ends by
+// itself after a random time.
 func (t *agentTask) runReplica(job *simJob) {
 	w := t.agent.w
 	t.state, t.startedAt = protocol.TaskRunning, w.Now
@@ -253,7 +253,8 @@
 // instance returns the attempt and its machine.
 func (t *agentTask) instance() instance { return instance{t.agent.host.ID, t.name, t.attempt} }
 
-// removeFromMachine marks a task as exited. A task of a running gang makes the gang fail.
+// removeFromMachine marks a task as exited and no longer on its machine. If its gang is running,
+// the gang fails.
 func (t *agentTask) removeFromMachine() {
 	w := t.agent.w
 	if t.onMachine {
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -143,7 +143,7 @@
 	return s.Listener.Addr().String()
 }
 
-// send sends a user's or worker's request to a controller.
+// ask sends a request of a user or agent to a controller.
 func (v *Loopback) ask(node int, timeout time.Duration, event coordination.Event, done responseFunc) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// isFinal reports whether a phase is a final one.
+// isFinal reports whether a job in the given phase is over.
 func isFinal(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
 
 // handleResponse checks a response against what this user was told before.
