--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -62,7 +62,7 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.host.ID
-				held := &partition{handling: packetsHeld, match: fromHost(string(id))}
+				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
 				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -35,9 +35,9 @@
 
 // partition stops the packets that match selects.
 type partition struct {
-	match    func(from, to string) bool
-	handling packetHandling
-	held     []func()
+	match func(from, to string) bool
+	fate  packetHandling
+	held  []func()
 }
 
 // network delivers packets between hosts, each after a random delay, unless a partition stops
@@ -57,7 +57,7 @@
 func (n *network) arrive(from, to string, deliver func()) {
 	for _, c := range n.partitions {
 		if c.match(from, to) {
-			if c.handling == packetsHeld {
+			if c.fate == packetsHeld {
 				c.held = append(c.held, func() { n.arrive(from, to, deliver) })
 			}
 			return
@@ -67,14 +67,14 @@
 }
 
 // disconnect stops the packets that match selects, in both directions, for the time d.
-func (n *network) disconnect(d time.Duration, handling packetHandling, match func(a, b string) bool) {
-	n.addPartition(d, &partition{handling: handling, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
+func (n *network) disconnect(d time.Duration, fate packetHandling, match func(a, b string) bool) {
+	n.addPartition(d, &partition{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
 }
 
 // blockInbound stops all packets to a machine for the time d. Packets that the machine sends
 // still arrive.
-func (n *network) blockInbound(id protocol.MachineID, d time.Duration, handling packetHandling) {
-	n.addPartition(d, &partition{handling: handling, match: func(_, to string) bool { return to == string(id) }})
+func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetHandling) {
+	n.addPartition(d, &partition{fate: fate, match: func(_, to string) bool { return to == string(id) }})
 }
 
 // addPartition adds a partition that ends after d.
@@ -128,8 +128,8 @@
 
 // isolate disconnects a controller from the key-value store and the other controllers, but not
 // from its agents.
-func (w *World) isolate(c *controller, d time.Duration, handling packetHandling) {
-	w.disconnect(d, handling, func(a, b string) bool {
+func (w *World) isolate(c *controller, d time.Duration, fate packetHandling) {
+	w.disconnect(d, fate, func(a, b string) bool {
 		return a == c.name && (b == storeHost || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
 	})
 }
