--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -150,7 +150,7 @@
 	return result, nil
 }
 
-// machinesPerLoss is the number of machines for each one that is lost while no controller is up.
+// One machine in machinesPerLoss is lost while no controller is up.
 const machinesPerLoss = 40
 
 // loseMachines ends the agents of n machines that have tasks.
