--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -116,7 +116,7 @@
 		return nil // the heartbeat was sent before the deletion
 	}
 	machine := h.state.EnsureMachine(heartbeat.Machine, heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
-	if !heartbeat.Newer(machine.Agent.Incarnation, machine.Agent.Sequence) {
+	if !heartbeat.NewerThan(machine.Agent.Incarnation, machine.Agent.Sequence) {
 		return nil
 	}
 	h.stored.startOutcomesKnown = from == fromHeartbeat
--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -71,7 +71,7 @@
 	store kv.Client, budgets Budgets, replies Replies, env Environment) *Service {
 	confirmed := &confirmedCancellations{cfg: cfg, env: env, jobs: map[protocol.JobID]time.Time{}}
 	responder := &responder{Replies: replies, env: env, confirmed: confirmed}
-	finished := &finishedJobs{finals: map[protocol.JobID]storage.Final{}}
+	finished := &finishedJobs{finals: map[protocol.JobID]storage.FinalRecord{}}
 	lookups := &lookups{store: store, env: env, replies: responder, finished: finished}
 	queries := &statusQueries{cfg: cfg, mirror: mirror, store: store, budgets: budgets, env: env,
 		replies: responder, finished: finished, lookups: lookups}
@@ -107,7 +107,7 @@
 func (s *Service) Due(wakeBy func(time.Time)) { s.queries.due(wakeBy) }
 
 // JobFinished caches the final state of a job.
-func (s *Service) JobFinished(jobID protocol.JobID, final storage.Final) {
+func (s *Service) JobFinished(jobID protocol.JobID, final storage.FinalRecord) {
 	s.finished.add(jobID, final)
 }
 
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -105,7 +105,7 @@
 func (c *controller) storeJob(t *testing.T, spec *protocol.Job, revision protocol.Revision) protocol.Entry {
 	t.Helper()
 	event := protocol.WatchEvent{Set: storage.JobKey(spec.ID), Revision: revision,
-		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, RecordTasks: 60})}
+		Value: storage.Encode(storage.Job{Writer: "other-1", Spec: spec, TasksPerBaseRecord: 60})}
 	if !c.queries.mirror.Apply(&event) {
 		t.Fatal("the mirror does not apply the record")
 	}
--- a/internal/coordination/api/cancellations.go
+++ b/internal/coordination/api/cancellations.go
@@ -80,8 +80,8 @@
 		return
 	}
 	record.Cancelled, record.Writer = true, c.env.UniqueName()
-	if record.Seq == 0 {
-		record.Seq = entry.Revision
+	if record.SubmissionRevision == 0 {
+		record.SubmissionRevision = entry.Revision
 	}
 	txn := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: entry.Key, Revision: entry.Revision}},
--- a/internal/coordination/api/finished_jobs.go
+++ b/internal/coordination/api/finished_jobs.go
@@ -8,11 +8,11 @@
 
 // finishedJobs caches the final states of jobs, which never change.
 type finishedJobs struct {
-	finals map[protocol.JobID]storage.Final
+	finals map[protocol.JobID]storage.FinalRecord
 }
 
 // add caches the final state of a job. A full cache is cleared first.
-func (fj *finishedJobs) add(jobID protocol.JobID, final storage.Final) {
+func (fj *finishedJobs) add(jobID protocol.JobID, final storage.FinalRecord) {
 	if len(fj.finals) >= tuning.MaxCachedFinalStates {
 		clear(fj.finals)
 	}
@@ -25,6 +25,6 @@
 	return finishedStatus(jobID, final), ok
 }
 
-func finishedStatus(jobID protocol.JobID, final storage.Final) protocol.Status {
+func finishedStatus(jobID protocol.JobID, final storage.FinalRecord) protocol.Status {
 	return protocol.Status{ID: jobID, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/coordination/api/lookups.go
+++ b/internal/coordination/api/lookups.go
@@ -56,12 +56,12 @@
 
 // readFinalStatus reads a job's state from its final record.
 func (l *lookups) readFinalStatus(requestID uint64, jobID protocol.JobID, deadline time.Time, done func(status *protocol.Status)) {
-	l.read(requestID, storage.FinalKey(jobID), deadline, func(entry *protocol.Entry) {
+	l.read(requestID, storage.FinalRecordKey(jobID), deadline, func(entry *protocol.Entry) {
 		if entry == nil {
 			done(nil)
 			return
 		}
-		var final storage.Final
+		var final storage.FinalRecord
 		if json.Unmarshal(entry.Value, &final) != nil || final.Phase == "" {
 			l.replies.Unavailable(requestID, reasonMalformedRecord)
 			return
--- a/internal/coordination/api/status_queries_test.go
+++ b/internal/coordination/api/status_queries_test.go
@@ -33,14 +33,14 @@
 	c.CheckQueries()
 	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
 	c.respond(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusNotFound, nil)
-	c.respond(t, protocol.KeyPath(storage.FinalKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone, Done: 2})})
+	c.respond(t, protocol.KeyPath(storage.FinalRecordKey(spec.ID)), http.StatusOK,
+		protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone, Done: 2})})
 	c.expect(t, "3 status done 2")
 	c.Query(4, spec.ID) // cached: a final state never changes
 	c.expect(t, "4 status done 2")
 
 	c.Query(5, "run-000002")
 	c.respond(t, protocol.KeyPath(storage.JobKey("run-000002")), http.StatusNotFound, nil)
-	c.respond(t, protocol.KeyPath(storage.FinalKey("run-000002")), http.StatusNotFound, nil)
+	c.respond(t, protocol.KeyPath(storage.FinalRecordKey("run-000002")), http.StatusNotFound, nil)
 	c.expect(t, "5 unknown")
 }
--- a/internal/coordination/api/submissions.go
+++ b/internal/coordination/api/submissions.go
@@ -66,10 +66,10 @@
 // that the job has neither a main record nor a final record.
 func (s *submissions) submissionTxn(spec *protocol.Job) []byte {
 	limits := s.cfg.Cluster.Store
-	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, AtMs: s.env.Now().UnixMilli(),
-		RecordTasks: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
+	record := storage.Job{Writer: s.env.UniqueName(), Spec: spec, SubmittedAtMs: s.env.Now().UnixMilli(),
+		TasksPerBaseRecord: storage.TasksPerRecord(limits.ValueKB, limits.TxnOps, spec)}
 	return storage.Encode(protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalRecordKey(spec.ID)}},
 		Changes:    []protocol.Change{{Set: storage.JobKey(spec.ID), Value: storage.Encode(record)}},
 	})
 }
--- a/internal/coordination/api/submissions_test.go
+++ b/internal/coordination/api/submissions_test.go
@@ -23,7 +23,7 @@
 	}
 	c.respond(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Failed: []string{storage.JobKey(spec.ID)}})
 	c.respond(t, protocol.KeyPath(storage.JobKey(spec.ID)), http.StatusOK,
-		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, RecordTasks: 60})})
+		protocol.Entry{Key: storage.JobKey(spec.ID), Revision: 5, Value: storage.Encode(storage.Job{Spec: &spec, TasksPerBaseRecord: 60})})
 	c.expect(t, "1 accepted pending")
 	c.Submit(2, &spec)
 	c.respond(t, protocol.PathTransactions, http.StatusOK, protocol.TransactionResponse{Revision: 7})
--- a/internal/coordination/autoscaler/cloud.go
+++ b/internal/coordination/autoscaler/cloud.go
@@ -7,7 +7,7 @@
 type Cloud interface {
 	// CreateMachines requests machines. It is idempotent: the same request under the same name
 	// returns the same machines.
-	CreateMachines(request protocol.Rental, done func(CreateResult))
+	CreateMachines(request protocol.CreateMachinesRequest, done func(CreateResult))
 	// DeleteMachines deletes machines. Machines that are already deleted don't make it fail.
 	DeleteMachines(machines []protocol.MachineID, done func(deleted bool))
 	// ListMachines reads the page of the machine list that follows the machine after. The page
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -86,7 +86,7 @@
 // enough after the move to justify it.
 func (as *Autoscaler) worthMoving(attempt *cluster.Attempt) bool {
 	spec := attempt.Job.Spec
-	if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointS == 0 {
+	if attempt.Stopping || attempt.RunningSince.IsZero() || spec.Gang() || spec.CheckpointIntervalS == 0 {
 		return false
 	}
 	return spec.EstimateS-as.state.Now().Sub(attempt.RunningSince).Seconds() >= tuning.MinRemainingSecondsToMove
--- a/internal/coordination/autoscaler/harness_test.go
+++ b/internal/coordination/autoscaler/harness_test.go
@@ -54,7 +54,7 @@
 }
 
 type createCall struct {
-	request protocol.Rental
+	request protocol.CreateMachinesRequest
 	done    func(CreateResult)
 }
 
@@ -69,7 +69,7 @@
 }
 
 // CreateMachines implements Cloud.
-func (c *cloud) CreateMachines(request protocol.Rental, done func(CreateResult)) {
+func (c *cloud) CreateMachines(request protocol.CreateMachinesRequest, done func(CreateResult)) {
 	c.creations = append(c.creations, createCall{request: request, done: done})
 }
 
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -12,7 +12,7 @@
 // machineRequest is a request for machines in flight.
 type machineRequest struct {
 	offer Offer
-	body  protocol.Rental
+	body  protocol.CreateMachinesRequest
 	tries int
 }
 
@@ -34,7 +34,7 @@
 		if !mr.calls.AllowN(mr.state.Now(), 1) {
 			return
 		}
-		mr.submit(offer, min(want[offer], tuning.MaxMachinesPerRental))
+		mr.submit(offer, min(want[offer], tuning.MaxMachinesPerRequest))
 	}
 }
 
@@ -42,8 +42,8 @@
 func (mr *machineRequests) submit(offer Offer, count int) {
 	request := &machineRequest{
 		offer: offer,
-		body: protocol.Rental{
-			Request: mr.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
+		body: protocol.CreateMachinesRequest{
+			RequestID: mr.env.UniqueName(), Type: offer.TypeName, Zone: offer.Zone, Spot: offer.Spot, Count: count,
 		},
 	}
 	mr.inFlight = append(mr.inFlight, request)
@@ -66,7 +66,7 @@
 	case NoCapacity:
 		mr.markUnavailable(request.offer)
 	case CreateOutcomeUnknown:
-		if request.tries < tuning.MaxRentalAttempts {
+		if request.tries < tuning.MaxMachineRequestAttempts {
 			mr.env.After(time.Second, func() { mr.send(request) })
 			return
 		}
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -167,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness()
 			spec := clustertest.Array(1)
-			spec.CheckpointS, spec.SaveS, spec.EstimateS = c.checkpointS, 1, 2*tuning.MinRemainingSecondsToMove
+			spec.CheckpointIntervalS, spec.CheckpointSaveS, spec.EstimateS = c.checkpointS, 1, 2*tuning.MinRemainingSecondsToMove
 			for _, id := range []protocol.MachineID{"i-1", "i-2"} {
 				job := h.cluster.AddJob(spec)
 				h.cluster.PlaceAll(job, h.cluster.AddMachine(id, "big", "a"))
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -130,7 +130,7 @@
 	for i := range 800 {
 		s := gangOf(10, 2)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", i)), "high"
-		rec := storage.Job{Spec: &s, Seq: protocol.Revision(i + 1), Attempt: 1, RecordTasks: 60}
+		rec := storage.Job{Spec: &s, SubmissionRevision: protocol.Revision(i + 1), Attempt: 1, TasksPerBaseRecord: 60}
 		for k := range 10 {
 			rec.Tasks = append(rec.Tasks, storage.Task{Index: k, Attempt: 1, Machine: protocol.MachineID(fmt.Sprintf("i-%06d", (i*10+k)%4000)), Incarnation: 1})
 		}
--- a/internal/coordination/cloud_client.go
+++ b/internal/coordination/cloud_client.go
@@ -14,9 +14,9 @@
 type cloudClient struct{ l *leader }
 
 // CreateMachines implements autoscaler.Cloud.
-func (c cloudClient) CreateMachines(request protocol.Rental, done func(autoscaler.CreateResult)) {
+func (c cloudClient) CreateMachines(request protocol.CreateMachinesRequest, done func(autoscaler.CreateResult)) {
 	c.call(http.MethodPost, protocol.PathMachines, request, func(status int, body []byte) {
-		names, isNames := parse[protocol.MachineNames](body)
+		names, isNames := parse[protocol.MachineIDs](body)
 		errorBody, _ := parse[protocol.ErrorBody](body)
 		result := autoscaler.CreateResult{Detail: fmt.Sprintf("status %d: %s", status, body)}
 		switch {
@@ -33,7 +33,7 @@
 
 // DeleteMachines implements autoscaler.Cloud.
 func (c cloudClient) DeleteMachines(machines []protocol.MachineID, done func(deleted bool)) {
-	c.call(http.MethodPost, protocol.PathDeleteMachines, protocol.MachineNames{Machines: machines}, func(status int, _ []byte) {
+	c.call(http.MethodPost, protocol.PathDeleteMachines, protocol.MachineIDs{Machines: machines}, func(status int, _ []byte) {
 		done(status == http.StatusOK)
 	})
 }
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -60,7 +60,7 @@
 // SpecAllows reports whether a job may use machines of the given type in the given zone. The
 // argument spot says whether they are spot machines.
 func SpecAllows(spec *protocol.Job, typeName protocol.MachineTypeName, zone protocol.ZoneName, spot bool) bool {
-	return protocol.Allowed(spec.Types, typeName) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
+	return protocol.TypeAllowed(spec.Types, typeName) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
 
 // Eligible reports whether a job may start tasks on a machine now. It does not check free
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -60,7 +60,7 @@
 	// that were committed with them.
 	JobCommitted(job *cluster.Job, placed []*cluster.Attempt)
 	// JobFinished is called when a job's final record is in the store.
-	JobFinished(id protocol.JobID, final storage.Final)
+	JobFinished(id protocol.JobID, final storage.FinalRecord)
 	// MergeRecord merges a job's main record, which a peer may have changed, into the job.
 	MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision)
 	// QuarantineJob freezes a job in its present state, because one of its records cannot be read.
@@ -203,7 +203,7 @@
 // placements are written. It marks such records dirty.
 func (c *Committer) AwaitsRecordSplit(job *cluster.Job) bool {
 	limits := c.limits.afterLowering()
-	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.GangRecordTasks(limits.TxnOps) {
+	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.MaxGangTasksPerRecord(limits.TxnOps) {
 		return false
 	}
 	return c.markOversized(job) || len(job.Records.UnnamedParts) > 0
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -14,7 +14,7 @@
 // leaderWithPlacedGang returns a leader that has placed a gang and sent the transaction for it.
 func leaderWithPlacedGang(t *testing.T, tasks int) (l *leader, id protocol.JobID, txn *sentTransaction) {
 	t.Helper()
-	l = newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l = newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	machine := l.addMachine("i-1")
 	job := l.AddJob(clustertest.Gang(tasks, 1))
 	job.Records.Revisions[0] = 4
@@ -65,7 +65,7 @@
 		"rejected":                {result: kv.TransactionResult{Outcome: kv.Rejected}},
 		"condition failed":        {result: kv.TransactionResult{Outcome: kv.ConditionFailed}},
 		"leader lease taken over": {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.LeaderKey}}, attemptsLeft: 2, stepsDown: true},
-		"machine record changed":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachinePrefix + "x"}}},
+		"machine record changed":  {result: kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.MachineRecordPrefix + "x"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, id, txn := leaderWithPlacedGang(t, 2)
@@ -153,7 +153,7 @@
 	if len(job.Attempts) != 0 || l.Machines["i-1"].Used.GPUs != 0 {
 		t.Fatalf("%d attempts of the refused transaction are left, or their GPUs are still in use", len(job.Attempts))
 	}
-	record := storage.Job{Writer: "another", Spec: job.Spec, RecordTasks: 60, Seq: job.ArrivalOrder, Cancelled: true}
+	record := storage.Job{Writer: "another", Spec: job.Spec, TasksPerBaseRecord: 60, SubmissionRevision: job.ArrivalOrder, Cancelled: true}
 	l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Key: storage.JobKey(id), Value: storage.Encode(record), Revision: 50}})
 	if !job.Cancelled || job.Records.Revisions[0] != 50 || job.FinalPhase() != protocol.PhaseCancelled {
 		t.Errorf("cancelled %v at revision %d", job.Cancelled, job.Records.Revisions[0])
@@ -167,10 +167,10 @@
 		final    kv.GetResult
 		finished bool
 	}{
-		"final record":                 {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})}}, finished: true},
+		"final record":                 {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone})}}, finished: true},
 		"no final record":              {final: kv.GetResult{Outcome: kv.NotFound}},
 		"malformed response":           {final: kv.GetResult{Outcome: kv.Done, Malformed: true}},
-		"final record without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.Final{})}}},
+		"final record without a phase": {final: kv.GetResult{Outcome: kv.Done, Entry: protocol.Entry{Value: storage.Encode(storage.FinalRecord{})}}},
 		"no response":                  {final: kv.GetResult{Outcome: kv.Unknown}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -178,7 +178,7 @@
 			job := l.Jobs[id]
 			txn.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(id)}})
 			l.reads[storage.JobKey(id)](kv.GetResult{Outcome: kv.NotFound})
-			read := l.reads[storage.FinalKey(id)]
+			read := l.reads[storage.FinalRecordKey(id)]
 			if read == nil {
 				t.Fatal("the final record is not read")
 			}
@@ -193,7 +193,7 @@
 // TestUrgentChangesUseTheReservedBudget: when little of the write budget is left, the placement
 // of a gang is written, but that of an array only when more is available.
 func TestUrgentChangesUseTheReservedBudget(t *testing.T) {
-	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	l.addMachine("i-1")
 	array, gang := l.AddJob(clustertest.Array(1)), l.AddJob(clustertest.Gang(1, 1))
 	l.scheduler.RunCycle()
@@ -220,7 +220,7 @@
 // TestOrphanedMachineRecordIsDeleted: the creation of a machine record may be applied late, after
 // the record was deleted. The machines that it lists must not come back with it.
 func TestOrphanedMachineRecordIsDeleted(t *testing.T) {
-	l := newLeader(newTestStore(), originalLimits, protocol.PeerLevel)
+	l := newLeader(newTestStore(), originalLimits, protocol.CurrentFeatureLevel)
 	machine := l.addMachine("i-1")
 	key := machine.Record.Key
 	deletion := func(revision protocol.Revision) *sentTransaction {
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -37,13 +37,13 @@
 
 // addFinal replaces the main record of a job that has ended with its final record.
 func (b *transactionBuilder) addFinal(job *cluster.Job, phase protocol.Phase) {
-	final := &storage.Final{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
+	final := &storage.FinalRecord{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 	if !b.fits(2, 2, finalRecordBytes) {
 		return
 	}
 	b.guard(storage.JobKey(job.ID), job.Records.Revisions[0])
-	b.guard(storage.FinalKey(job.ID), 0)
-	b.set(storage.FinalKey(job.ID), storage.Encode(final))
+	b.guard(storage.FinalRecordKey(job.ID), 0)
+	b.set(storage.FinalRecordKey(job.ID), storage.Encode(final))
 	b.remove(storage.JobKey(job.ID))
 	clear(job.Write.Dirty)
 	job.Write.InFlight = true
@@ -64,7 +64,7 @@
 func (b *transactionBuilder) recordWrite(job *cluster.Job, r int) recordWrite {
 	tasks, placed := recordContent(job, r)
 	write := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
-	maxMachineRecords, dropped := storage.GangRecordTasks(b.limits.TxnOps), false
+	maxMachineRecords, dropped := storage.MaxGangTasksPerRecord(b.limits.TxnOps), false
 	for _, attempt := range placed {
 		if attempt.Machine.Record == nil || write.machineRecords[attempt.Machine.Record] {
 			continue
@@ -259,6 +259,6 @@
 	if len(job.Records.ExtraParts) > 0 {
 		parts = len(job.Records.Revisions)
 	}
-	return storage.Job{Writer: writer, Spec: job.Spec, AtMs: job.SubmittedAt.UnixMilli(), Seq: job.ArrivalOrder, Attempt: job.Epoch,
-		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, RecordTasks: job.Records.TasksPerRecord, Parts: parts, Tasks: tasks}
+	return storage.Job{Writer: writer, Spec: job.Spec, SubmittedAtMs: job.SubmittedAt.UnixMilli(), SubmissionRevision: job.ArrivalOrder, Attempt: job.Epoch,
+		Cancelled: job.Cancelled, Done: job.DoneTasks, Placed: placed, TasksPerBaseRecord: job.Records.TasksPerRecord, TotalRecords: parts, Tasks: tasks}
 }
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -151,7 +151,7 @@
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil
@@ -237,7 +237,7 @@
 }
 
 // JobFinished implements commit.Outcomes.
-func (l *leader) JobFinished(protocol.JobID, storage.Final) {}
+func (l *leader) JobFinished(protocol.JobID, storage.FinalRecord) {}
 
 // MergeRecord implements commit.Outcomes.
 func (l *leader) MergeRecord(job *cluster.Job, record *storage.Job, revision protocol.Revision) {
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -58,13 +58,13 @@
 	entry := machineEntry(machine)
 	capacity := mr.capacity()
 	index := slices.IndexFunc(mr.records, func(record *cluster.MachineRecord) bool {
-		return record.Zone == machine.Zone && record.Bytes+entry.Size() <= capacity
+		return record.Zone == machine.Zone && record.Bytes+entry.MaxSize() <= capacity
 	})
 	if index < 0 {
 		index = len(mr.records)
 		mr.records = append(mr.records, &cluster.MachineRecord{Key: storage.MachineRecordKey(mr.env.UniqueName()), Zone: machine.Zone})
 	}
-	mr.records[index].Add(machine, entry.Size())
+	mr.records[index].Add(machine, entry.MaxSize())
 }
 
 func (mr *MachineRecords) capacity() int {
@@ -97,7 +97,7 @@
 		}
 		record.Zone = entry.Zone
 		machine.Cordoned, machine.Recorded, machine.Recovered = machine.Cordoned || entry.Cordoned, true, true
-		record.Add(machine, entry.Size())
+		record.Add(machine, entry.MaxSize())
 	}
 	mr.records = append(mr.records, record)
 }
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -100,7 +100,7 @@
 		c.handleCommit(tx, change.Revision)
 		return true
 	}
-	if !strings.HasPrefix(change.Set, storage.MachinePrefix) {
+	if !strings.HasPrefix(change.Set, storage.MachineRecordPrefix) {
 		return false
 	}
 	if !c.Machines.has(change.Set) && !c.Wrote(change.Value) {
@@ -140,7 +140,7 @@
 }
 
 // finish removes a job whose final record is committed, and queues its task records for deletion.
-func (c *Committer) finish(job *cluster.Job, final storage.Final) {
+func (c *Committer) finish(job *cluster.Job, final storage.FinalRecord) {
 	job.Finish()
 	delete(c.state.Jobs, job.ID)
 	c.outcomes.JobFinished(job.ID, final)
@@ -174,7 +174,7 @@
 		}
 	}
 	for _, key := range failed {
-		if strings.HasPrefix(key, storage.MachinePrefix) {
+		if strings.HasPrefix(key, storage.MachineRecordPrefix) {
 			c.reader.reread(key)
 		}
 	}
--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -15,7 +15,7 @@
 	store    Store
 	machines *MachineRecords
 	outcomes Outcomes
-	finish   func(*cluster.Job, storage.Final) // called for a job whose final record is stored
+	finish   func(*cluster.Job, storage.FinalRecord) // called for a job whose final record is stored
 }
 
 // reread reads the current revision of a key whose guard may have failed.
@@ -30,7 +30,7 @@
 			if job := rr.state.Jobs[id]; job != nil && r < len(job.Records.Revisions) {
 				job.Records.Revisions[r] = result.Entry.Revision
 			}
-		case strings.HasPrefix(key, storage.MachinePrefix):
+		case strings.HasPrefix(key, storage.MachineRecordPrefix):
 			rr.machines.setRevision(key, result.Entry.Revision)
 		default:
 			rr.rereadJob(key, result)
@@ -60,11 +60,11 @@
 
 // lookUpFinal finishes a job whose main record no longer exists, if its final record is stored.
 func (rr *recordReader) lookUpFinal(job *cluster.Job) {
-	rr.store.Get(storage.FinalKey(job.ID), func(result kv.GetResult) {
+	rr.store.Get(storage.FinalRecordKey(job.ID), func(result kv.GetResult) {
 		if result.Outcome != kv.Done || result.Malformed || job.Finished {
 			return
 		}
-		var final storage.Final
+		var final storage.FinalRecord
 		if json.Unmarshal(result.Entry.Value, &final) == nil && final.Phase != "" {
 			rr.finish(job, final)
 		}
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -26,12 +26,14 @@
 
 // maySplit reports whether records may be written in parts. Version 0.2 does not read the parts:
 // it takes them for abandoned records and deletes them.
-func (s *recordSplitter) maySplit() bool { return s.env.PeersSupport(protocol.PeerKnowsCancelled) }
+func (s *recordSplitter) maySplit() bool {
+	return s.env.PeersSupport(protocol.FeatureLevelCancellations)
+}
 
 // mayStage reports whether the parts of a record may be written by several transactions. When a
 // node of an earlier version becomes the leader, it deletes parts that the job's main record
 // does not reference, possibly after it has split the record itself.
-func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.PeerKnowsStaged) }
+func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.FeatureLevelStagedParts) }
 
 // currentLimits returns the limits that a record must keep within now.
 func (s *recordSplitter) currentLimits() config.StoreLimits {
@@ -47,7 +49,7 @@
 	if len(taskIndexes) < 2 {
 		return false
 	}
-	if job.Spec.Gang() && len(taskIndexes) > storage.GangRecordTasks(limits.TxnOps) {
+	if job.Spec.Gang() && len(taskIndexes) > storage.MaxGangTasksPerRecord(limits.TxnOps) {
 		return true
 	}
 	capacity := int(limits.ValueKB * 1024)
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -21,7 +21,7 @@
 // limits.
 func oversizedJob() *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	record := &storage.Job{Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, RecordTasks: 98}
+	record := &storage.Job{Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
@@ -37,7 +37,7 @@
 func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	record := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	record := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostID, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -91,7 +91,7 @@
 	l := newLeader(newTestStore(), loweredLimits, 0)
 	job := l.loader.AddJob(oversizedJob(), 9)
 	l.committer.MarkDirty(job, 0)
-	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+	l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	return l, job
 }
 
@@ -106,7 +106,7 @@
 		t.Fatalf("want one oversized record, got %d changes, the first of %d bytes", len(txn.Changes), len(txn.Changes[0].Value))
 	}
 	txn.respond(kv.TransactionResult{Outcome: kv.Done, Revision: 20})
-	l.peerLevel = protocol.PeerLevel
+	l.peerLevel = protocol.CurrentFeatureLevel
 	split := l.nextTransaction(t)
 	checkSizes(t, split)
 	mainRecord := split.Changes[len(split.Changes)-1]
@@ -116,7 +116,7 @@
 	checkReadBack(t, job, split)
 	// When a concurrent write causes a conflict, all parts are sent again.
 	split.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(job.ID)}})
-	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+	l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	if second := l.lastSent(t); len(second.Changes) != len(split.Changes) {
 		t.Errorf("the split is sent with %d changes, then with %d", len(split.Changes), len(second.Changes))
 	}
@@ -126,7 +126,7 @@
 // records of a job.
 func checkReadBack(t *testing.T, job *cluster.Job, txn *sentTransaction) {
 	t.Helper()
-	other := newLeader(newTestStore(), loweredLimits, protocol.PeerLevel)
+	other := newLeader(newTestStore(), loweredLimits, protocol.CurrentFeatureLevel)
 	mainRecord, err := storage.DecodeJob(txn.Changes[len(txn.Changes)-1].Value)
 	if err != nil {
 		t.Fatal(err)
@@ -160,13 +160,13 @@
 		l, _ := leaderWithOversizedJob(t)
 		l.peerUp = up
 		l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Rejected, Detail: "too large"})
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
 				t.Error("the record is sent while a peer may run version 0.2")
 			}
-			l.peerLevel = protocol.PeerLevel
-			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+			l.peerLevel = protocol.CurrentFeatureLevel
+			l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		}
 		if txn := l.lastSent(t); len(txn.Changes) < 2 {
 			t.Errorf("peer up: %v: the record is not split: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
@@ -193,8 +193,8 @@
 				}
 			}
 			mainRecord, err := storage.DecodeJob(s.entries[storage.JobKey(record.Spec.ID)].Value)
-			if err != nil || mainRecord.Parts < 5 {
-				t.Errorf("%s: the main record has error %v and %d parts, want at least 5", shape, err, mainRecord.Parts)
+			if err != nil || mainRecord.TotalRecords < 5 {
+				t.Errorf("%s: the main record has error %v and %d parts, want at least 5", shape, err, mainRecord.TotalRecords)
 			}
 		}
 	}
@@ -204,10 +204,10 @@
 // failoverAfter of them another leader takes over.
 func splitInSteps(t *testing.T, s *testStore, record *storage.Job, failoverAfter int) (steps int) {
 	t.Helper()
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	for range 40 {
 		if steps == failoverAfter {
-			l = newLeader(s, loweredLimits, protocol.PeerLevel)
+			l = newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 			checkTasks(t, l, record)
 		}
 		txn := l.nextTransaction(t)
@@ -217,7 +217,7 @@
 		steps++
 		checkSizes(t, txn)
 		l.applyAndRespond(t, txn)
-		checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+		checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 	}
 	return steps
 }
@@ -229,7 +229,7 @@
 	for _, staged := range []bool{false, true} {
 		record := jobWithLargeSpec(protocol.ShapeArray)
 		s := storeWithJob(record)
-		l := newLeader(s, loweredLimits, protocol.PeerLevel)
+		l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 		job := l.Jobs[record.Spec.ID]
 		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
 			t.Fatalf("no transaction, or only %d new parts", len(job.Records.UnnamedParts))
@@ -262,7 +262,7 @@
 		if job.Records.Splitting {
 			t.Fatal("the split is never completed")
 		}
-		if !newLeader(s, loweredLimits, protocol.PeerLevel).Jobs[record.Spec.ID].Tasks[ended].Done {
+		if !newLeader(s, loweredLimits, protocol.CurrentFeatureLevel).Jobs[record.Spec.ID].Tasks[ended].Done {
 			t.Errorf("part staged: %v: the end of the task is lost", staged)
 		}
 		if l.scheduler.WaitingTasks(job) == 0 {
@@ -276,7 +276,7 @@
 func TestNothingIsStagedWhilePeerMayRunEarlierVersion(t *testing.T) {
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	s := storeWithJob(record)
-	l := newLeader(s, loweredLimits, protocol.PeerKnowsCancelled)
+	l := newLeader(s, loweredLimits, protocol.FeatureLevelCancellations)
 	l.limits.NoteRejection()
 	for range 5 {
 		txn := l.nextTransaction(t)
@@ -294,7 +294,7 @@
 		}
 		l.applyAndRespond(t, txn)
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 }
 
 // TestAbandonedPartsAreReusedOrDeletedWithJob: parts that a previous leader staged but that no
@@ -306,7 +306,7 @@
 	s := storeWithJob(record)
 	key := storage.TaskRecordKey(record.Spec.ID, 1)
 	s.put(key, storage.TaskRecord{Writer: "w-3", Tasks: storage.Tasks{{Index: 40, Attempt: 1}}}, 7)
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	checkTasks(t, l, record)
 	for range 40 {
 		txn := l.nextTransaction(t)
@@ -320,7 +320,7 @@
 		}
 		l.applyAndRespond(t, txn) // refused unless the abandoned part's revision is used
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 	job := l.Jobs[record.Spec.ID]
 	l.CancelJob(job)
 	for _, attempt := range job.SortedAttempts() {
@@ -349,7 +349,7 @@
 	record := jobWithLargeSpec(protocol.ShapeArray)
 	record.Spec.Types[1] = protocol.MachineTypeName(strings.Repeat("x", 2100))
 	s := storeWithJob(record)
-	l := newLeader(s, loweredLimits, protocol.PeerLevel)
+	l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 	l.limits.NoteRejection()
 	for range 3 {
 		txn := l.nextTransaction(t)
@@ -362,7 +362,7 @@
 	if job := l.Jobs[record.Spec.ID]; !job.Records.Quarantined || l.scheduler.WaitingTasks(job) != 0 {
 		t.Errorf("quarantined: %v, %d tasks wait for placement", job.Records.Quarantined, l.scheduler.WaitingTasks(job))
 	}
-	checkTasks(t, newLeader(s, loweredLimits, protocol.PeerLevel), record)
+	checkTasks(t, newLeader(s, loweredLimits, protocol.CurrentFeatureLevel), record)
 }
 
 // TestMachineIsAlwaysInSomeRecord: machines move out of an oversized machine record into other
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -36,7 +36,7 @@
 type jobWrite struct {
 	job     *cluster.Job
 	records []int
-	final   *storage.Final
+	final   *storage.FinalRecord
 	placed  []*cluster.Attempt // attempts that this transaction commits
 	staging bool               // the records are parts that the main record does not reference yet
 }
--- a/internal/coordination/commit_outcomes.go
+++ b/internal/coordination/commit_outcomes.go
@@ -38,7 +38,7 @@
 }
 
 // JobFinished implements commit.Outcomes.
-func (co commitOutcomes) JobFinished(id protocol.JobID, final storage.Final) {
+func (co commitOutcomes) JobFinished(id protocol.JobID, final storage.FinalRecord) {
 	co.l.n.api.JobFinished(id, final)
 }
 
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -51,7 +51,7 @@
 func (pc *peerConfirmation) count(from protocol.NodeName, m protocol.PeerConfirmation) {
 	// The answer does not name cancellations that an earlier process of the peer told users of.
 	// So the peer must have started before this controller last knew every cancellation.
-	up := time.Duration(m.UpMs) * time.Millisecond
+	up := time.Duration(m.UptimeMs) * time.Millisecond
 	latestStart := pc.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
 	if m.Term != 0 || !m.Complete || latestStart.After(pc.mirror.SyncedAt()) {
 		return
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -170,7 +170,7 @@
 	if !e.lease.renewalDue() {
 		return
 	}
-	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MirrorFreshness {
+	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MaxMirrorAge {
 		e.mirror.FetchRevision()
 	}
 	e.lease.renew()
@@ -231,10 +231,10 @@
 // controller leads itself (0 if it does not), how long its process has been up, and the
 // cancellations that it has confirmed to users. If these do not fit into a frame, the answer
 // names none of them and is marked as incomplete.
-func (e *Election) Confirm(request protocol.PeerConfirmRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
-	m := protocol.PeerConfirmation{ID: request.ID, Term: e.Term(), UpMs: uint64(up.Milliseconds()), Cancels: cancelled}
-	if m.Complete = m.FitsFrame(); !m.Complete {
-		m.Cancels = nil
+func (e *Election) Confirm(request protocol.PeerConfirmationRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
+	m := protocol.PeerConfirmation{ID: request.ID, Term: e.Term(), UptimeMs: uint64(up.Milliseconds()), Cancellations: cancelled}
+	if m.Complete = m.FitsInFrame(); !m.Complete {
+		m.Cancellations = nil
 	}
 	return m
 }
@@ -248,7 +248,7 @@
 		e.StepDown("a peer leads under a higher term")
 		return
 	}
-	for _, jobID := range m.Cancels {
+	for _, jobID := range m.Cancellations {
 		e.env.CancellationConfirmed(jobID)
 	}
 	e.confirmation.count(from, m)
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -176,12 +176,12 @@
 		secondAnswer protocol.PeerConfirmation
 		want         bool
 	}{
-		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true}, true},
-		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UpMs: hour, Complete: true}, false},
-		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UpMs: hour}, false},
-		"peer just started":              {protocol.PeerConfirmation{ID: 1, UpMs: 1, Complete: true}, false},
-		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 4}, false},
-		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Term: 10}, false},
+		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true}, true},
+		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
+		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour}, false},
+		"peer just started":              {protocol.PeerConfirmation{ID: 1, UptimeMs: 1, Complete: true}, false},
+		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 4}, false},
+		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 10}, false},
 	} {
 		c := newController(t, 0, 2)
 		c.elect(t)
@@ -189,7 +189,7 @@
 		c.Tick()
 		asked := c.now
 		c.now = c.now.Add(time.Millisecond)
-		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UpMs: hour, Complete: true, Cancels: []protocol.JobID{"run-000001"}})
+		c.ReceiveConfirmation("a", protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Cancellations: []protocol.JobID{"run-000001"}})
 		if c.confirmation.holds() {
 			t.Fatalf("%s: confirmed by one of two peers", name)
 		}
@@ -213,7 +213,7 @@
 	c.elect(t)
 	synced := c.synced
 	c.now = c.now.Add(time.Second)
-	c.ReceiveConfirmation("a", protocol.PeerConfirmation{UpMs: uint64(time.Hour.Milliseconds()), Complete: true, Cancels: []protocol.JobID{"run-1"}})
+	c.ReceiveConfirmation("a", protocol.PeerConfirmation{UptimeMs: uint64(time.Hour.Milliseconds()), Complete: true, Cancellations: []protocol.JobID{"run-1"}})
 	if c.confirmation.holds() || !c.synced.Equal(synced) || len(c.cancelled) != 0 {
 		t.Errorf("confirmed %v, synced at %v, cancelled %v by a peer that was not asked", c.confirmation.holds(), c.synced, c.cancelled)
 	}
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -33,9 +33,9 @@
 func (ee electionEnvironment) RequestConfirmation() uint64 {
 	n := ee.n
 	n.nextID++
-	request := protocol.PeerConfirmRequest{ID: n.nextID}
+	request := protocol.PeerConfirmationRequest{ID: n.nextID}
 	for _, s := range n.cfg.Peers {
-		if n.peers.Supports(s.Name, protocol.PeerKnowsCancelled) {
+		if n.peers.Supports(s.Name, protocol.FeatureLevelCancellations) {
 			n.out = append(n.out, PeerSend{Peer: s.Name, Message: request})
 		}
 	}
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -9,7 +9,7 @@
 	n.peers.TriggerHeartbeat()      // tells the peers its share of direct heartbeats
 	n.machineTypes.requestRefresh() // fetches current prices, and writes the record of the types if there is none
 	l.loader.LoadAll(&n.mirror.Mirror)
-	if marker, ok := n.mirror.Get(storage.RestoredKey); ok {
+	if marker, ok := n.mirror.Get(storage.RestoreMarkerKey); ok {
 		l.restoreMonitor.LoadMarker(marker)
 	}
 	l.beginRecovery()
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -116,7 +116,7 @@
 		l.committer.Commit()
 	}
 	_, writes := countRequests(n.out, ToStore, protocol.PathTransactions)
-	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalKey(job.ID) {
+	if txn, _ := l.lastTransaction(t); writes != 1 || !l.committer.InFlight() || txn.Changes[0].Set != storage.FinalRecordKey(job.ID) {
 		t.Errorf("%d transactions, want one that writes the end of the job", writes)
 	}
 }
@@ -134,7 +134,7 @@
 		s := gangOf(1, 1)
 		s.ID, s.Priority = protocol.JobID(fmt.Sprintf("run-%06d", 50+i)), "high"
 		watch.Events = append(watch.Events, protocol.WatchEvent{Set: storage.JobKey(s.ID), Revision: protocol.Revision(80 + i),
-			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, RecordTasks: 60})})
+			Value: storage.Encode(storage.Job{Writer: writer, Spec: &s, TasksPerBaseRecord: 60})})
 	}
 	n.mirror.BeginLoad()
 	n.mirror.LoadPage(&protocol.Entries{Revision: 70})
--- a/internal/coordination/kv/kv_test.go
+++ b/internal/coordination/kv/kv_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestLeaseWithoutNameIsNone: an answer that names no lease grants none.
-func TestLeaseWithoutNameIsNone(t *testing.T) {
+// TestLeaseResponseWithoutIDGrantsNone: an answer that names no lease grants none.
+func TestLeaseResponseWithoutIDGrantsNone(t *testing.T) {
 	for body, want := range map[string]protocol.LeaseID{`{"permit":7}`: 7, `{}`: 0, `nonsense`: 0} {
 		New(&scriptedStore{status: http.StatusOK, body: body}).GrantLease(time.Second, func(result LeaseResult) {
 			if result.Outcome != Done || result.Lease != want {
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -55,7 +55,7 @@
 	if s.Priority == "" {
 		s.Priority = "normal"
 	}
-	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), RecordTasks: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
+	return l.loader.AddJob(&storage.Job{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), TasksPerBaseRecord: 60}, protocol.Revision(len(l.cluster.Jobs)+10))
 }
 
 // cycleFullyPlaces runs a scheduling cycle and reports whether every task of the job has a
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -17,7 +17,7 @@
 	case protocol.CauseDone, protocol.CauseStopped, protocol.CauseGangBroken, protocol.CauseGangTimeout:
 	case protocol.CauseError:
 		m.attributeError(job, machine)
-	case protocol.CauseNoCapacity, protocol.CauseBusy:
+	case protocol.CauseNoCapacity, protocol.CauseTaskPresent:
 		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineRefusalBackoff)
 	default:
 		// no_such, or a cause that only a later version knows: retry, but not at once.
--- a/internal/coordination/lifecycle/lifecycle_test.go
+++ b/internal/coordination/lifecycle/lifecycle_test.go
@@ -119,7 +119,7 @@
 		l := newTestLeader()
 		machine := l.AddMachine("i-1", "big", "a")
 		saves := clustertest.Array(1)
-		saves.CheckpointS, saves.SaveS = 60, 7
+		saves.CheckpointIntervalS, saves.CheckpointSaveS = 60, 7
 		saving, plain, service := l.addRunningJob(saves, machine), l.addRunningJob(clustertest.Array(1), machine), l.addRunningJob(clustertest.Service(1, 1), machine)
 		machine.Quarantined = quarantined
 		l.Drain(machine)
--- a/internal/coordination/lifecycle/stop.go
+++ b/internal/coordination/lifecycle/stop.go
@@ -25,7 +25,7 @@
 		m.env.RecordMachine(machine) // so that no later leader places tasks there either
 	}
 	for _, attempt := range cluster.SortedAttemptsOn(machine) {
-		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointS == 0 && !machine.Quarantined {
+		if attempt.Stopping || attempt.Job.Spec.Service() || attempt.Job.Spec.CheckpointIntervalS == 0 && !machine.Quarantined {
 			continue // the scheduler moves replicas, one of a service at a time
 		}
 		m.stopGracefully(attempt)
@@ -35,7 +35,7 @@
 // stopGracefully stops an attempt and gives it time to save its progress. If it belongs to a gang,
 // the whole gang stops.
 func (m *Manager) stopGracefully(attempt *cluster.Attempt) {
-	m.stopWithGang(attempt, attempt.Job.Spec.SaveS+tuning.StopGraceSeconds)
+	m.stopWithGang(attempt, attempt.Job.Spec.CheckpointSaveS+tuning.StopGraceSeconds)
 }
 
 // Preempt stops an attempt in favour of a waiting job. It stops the attempt gracefully if saving
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -39,7 +39,7 @@
 	outcome := allRead
 	var records []storedMachineRecord
 	var ids []protocol.MachineID
-	mirror.Each(storage.MachinePrefix, func(entry protocol.Entry) {
+	mirror.Each(storage.MachineRecordPrefix, func(entry protocol.Entry) {
 		var record storage.MachineRecord
 		// Empty machine records are deleted, so one without machines is malformed.
 		if json.Unmarshal(entry.Value, &record) != nil || len(record.Machines) == 0 {
@@ -79,7 +79,7 @@
 // loadTaskRecords loads the task records of the jobs.
 func (ld *Loader) loadTaskRecords(mirror Mirror) {
 	var orphaned []string
-	mirror.Each(storage.TaskPrefix, func(entry protocol.Entry) {
+	mirror.Each(storage.TaskRecordPrefix, func(entry protocol.Entry) {
 		id, r, isTaskRecord := storage.ParseTaskRecordKey(entry.Key)
 		if isTaskRecord && ld.quarantined[id] {
 			return
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -12,13 +12,13 @@
 func (ld *Loader) AddJob(record *storage.Job, revision protocol.Revision) *cluster.Job {
 	spec := record.Spec
 	job := &cluster.Job{
-		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: record.Seq, SubmittedAt: time.UnixMilli(record.AtMs),
+		ID: spec.ID, Spec: spec, Priority: spec.PriorityLevel(), ArrivalOrder: record.SubmissionRevision, SubmittedAt: time.UnixMilli(record.SubmittedAtMs),
 		Epoch: record.Attempt, Cancelled: record.Cancelled,
 		Tasks:    make([]cluster.Task, spec.Tasks),
 		Attempts: map[cluster.AttemptKey]*cluster.Attempt{},
 		Failures: cluster.FailureHistory{Machines: map[protocol.MachineID]bool{}, AvoidUntil: map[protocol.MachineID]time.Time{}},
 		Queue:    cluster.QueueState{WaitingSince: ld.state.Now()},
-		Records: cluster.RecordLayout{TasksPerRecord: record.RecordTasks, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.Parts)),
+		Records: cluster.RecordLayout{TasksPerRecord: record.TasksPerBaseRecord, Revisions: make([]protocol.Revision, max(record.BaseRecords(), record.TotalRecords)),
 			AbandonedParts: map[int]protocol.Revision{}},
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -60,7 +60,7 @@
 func jobRecord(tasks ...storage.Task) storage.Job {
 	spec := clustertest.Array(2)
 	spec.ID, spec.Priority = testJob, "normal"
-	return storage.Job{Writer: "w-1", Spec: &spec, Seq: 5, Attempt: 1, RecordTasks: 1, Tasks: tasks}
+	return storage.Job{Writer: "w-1", Spec: &spec, SubmissionRevision: 5, Attempt: 1, TasksPerBaseRecord: 1, Tasks: tasks}
 }
 
 func placedTask(index int, number protocol.AttemptNumber, machine protocol.MachineID) storage.Task {
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -20,7 +20,7 @@
 	for i := range 100 {
 		names = append(names, protocol.MachineID(fmt.Sprintf("i-%06d", i)))
 	}
-	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: names})})
+	l.n.handle(Response{ID: l.n.lastRequest(t, ToCloud).ID, Status: 200, Body: storage.Encode(protocol.MachineIDs{Machines: names})})
 	l.committer.Commit()
 	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
@@ -69,7 +69,7 @@
 		n := testLeader(time.Unix(1_800_000_000, 0)).n
 		s := gangOf(1, 1)
 		s.ID, s.Priority = "run-000077", "normal"
-		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, Seq: 5, Attempt: 3, RecordTasks: 60,
+		entries := []protocol.Entry{{Key: storage.JobKey(s.ID), Revision: 9, Value: storage.Encode(storage.Job{Spec: &s, SubmissionRevision: 5, Attempt: 3, TasksPerBaseRecord: 60,
 			Tasks: []storage.Task{{Index: 0, Attempt: 3, Machine: "i-1", Incarnation: 1}}})}}
 		if recorded {
 			entries = append(entries, protocol.Entry{Key: storage.MachineRecordKey("r"), Revision: 4,
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -238,7 +238,7 @@
 			t.Fatalf("heartbeat %d: %s", i, got)
 		}
 	}
-	if redirected != tuning.MaxConcurrentRedirects {
+	if redirected != tuning.MaxRedirectBurst {
 		t.Errorf("%d agents redirected at once", redirected)
 	}
 	more := 0
@@ -252,7 +252,7 @@
 			more++
 		}
 	}
-	pause := config.ProcessLimits{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
+	pause := config.ProcessLimits{Cores: cores}.ThrottleInterval(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
 	if want := int(5 / pause.Seconds()); more < want-1 || more > want+1 {
 		t.Errorf("%d agents redirected in 5 s, want %d", more, want)
 	}
@@ -263,7 +263,7 @@
 func TestExpiredForwardsAreRefusedInOrder(t *testing.T) {
 	for range 20 {
 		b := newController(t, 0, "b", 0)
-		b.connect("c", protocol.PeerStatus{StateOK: true})
+		b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 		var want []string
 		for id := range uint64(8) {
 			if !b.ForwardRequest(100+id, protocol.PeerUserRequest{Job: "run-000001"}) {
@@ -288,7 +288,7 @@
 	if b.ForwardRequest(7, protocol.PeerUserRequest{}) {
 		t.Error("forwarded though the store serves no peer")
 	}
-	b.connect("c", protocol.PeerStatus{StateOK: true})
+	b.connect("c", protocol.PeerStatus{HasStoreAccess: true})
 	b.ForwardRequest(7, protocol.PeerUserRequest{Job: "run-000001"})
 	request := b.sent[len(b.sent)-1].(protocol.PeerUserRequest)
 	b.log = nil
@@ -322,15 +322,15 @@
 		want    bool
 	}{
 		{3, protocol.PeerHello{Node: "s"}, false},
-		{3, protocol.Announcement("n"), true},
+		{3, protocol.FeatureLevelAnnouncement("n"), true},
 		{3, protocol.PeerStatus{}, true},
 		{4, protocol.PeerHello{Node: "s"}, false}, // restarted with an older version
-		{3, protocol.Announcement("n"), false},
+		{3, protocol.FeatureLevelAnnouncement("n"), false},
 		{4, protocol.PeerStatus{}, false},
-		{4, protocol.Announcement("n"), true},
+		{4, protocol.FeatureLevelAnnouncement("n"), true},
 	} {
 		c.Receive("s", step.link, step.message)
-		if got := c.AllSupport(protocol.PeerLevel); got != step.want {
+		if got := c.AllSupport(protocol.CurrentFeatureLevel); got != step.want {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -108,7 +108,7 @@
 	if link > peer.link {
 		peer.link, peer.featureLevel = link, 0 // perhaps restarted with an older version
 	}
-	if featureLevel, ok := protocol.Announced(message); ok {
+	if featureLevel, ok := protocol.AnnouncedFeatureLevel(message); ok {
 		if link == peer.link {
 			peer.featureLevel = featureLevel // an announcement from an earlier link does not count
 		}
@@ -152,7 +152,7 @@
 
 // NamesWithStoreAccess returns the names of the reachable peers that the store serves, sorted.
 func (p *Peers) NamesWithStoreAccess() []protocol.NodeName {
-	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.StateOK })
+	return slices.DeleteFunc(p.ReachableNames(), func(name protocol.NodeName) bool { return !p.peers[name].status.HasStoreAccess })
 }
 
 // Supports reports whether a peer is reachable and has announced at least this feature level on
@@ -278,7 +278,7 @@
 			peer.lastHeardAt = now // the next reset comes only after another such silence
 			p.env.ResetLink(name)
 		default:
-			p.env.Send(name, protocol.Announcement(name))
+			p.env.Send(name, protocol.FeatureLevelAnnouncement(name))
 			p.env.Send(name, status)
 		}
 	}
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -42,13 +42,13 @@
 	syncedAt time.Time        // every change made before then is in the mirror
 	awaited  observedRevision // a revision that the mirror has yet to reach
 
-	loading  bool
-	loadSent time.Time // when the first page was asked for
-	loadAt   time.Time
+	loading       bool
+	loadStartedAt time.Time // when the first page was asked for
+	nextLoadAt    time.Time
 
-	watching  bool
-	watchAt   time.Time // when the watch may be opened again
-	watchSent time.Time // when it was opened
+	watching      bool
+	nextWatchAt   time.Time // when the watch may be opened again
+	watchOpenedAt time.Time // when it was opened
 }
 
 // observedRevision is a revision that the store had when a request sent at that
@@ -77,15 +77,15 @@
 func (m *Mirror) Tick() {
 	now := m.env.Now()
 	if !m.Ready() {
-		if !m.loading && !now.Before(m.loadAt) {
-			m.loading, m.loadSent = true, now
+		if !m.loading && !now.Before(m.nextLoadAt) {
+			m.loading, m.loadStartedAt = true, now
 			m.BeginLoad()
 			m.requestPage("")
 		}
 		return
 	}
-	m.reopenStuckWatch()
-	if !m.watching && !now.Before(m.watchAt) {
+	m.replaceStalledWatch()
+	if !m.watching && !now.Before(m.nextWatchAt) {
 		m.openWatch()
 	}
 }
@@ -95,10 +95,10 @@
 	switch {
 	case !m.Ready():
 		if !m.loading {
-			by(m.loadAt)
+			by(m.nextLoadAt)
 		}
 	case !m.watching:
-		by(m.watchAt)
+		by(m.nextWatchAt)
 	case m.awaited.revision > m.Revision:
 		by(m.awaited.sentAt.Add(tuning.WatchStallTimeout))
 	}
@@ -107,7 +107,7 @@
 func (m *Mirror) requestPage(after string) {
 	m.store.Range(storage.LivePrefix, after, tuning.RangePageSize, func(result kv.RangeResult) {
 		if result.Outcome != kv.Done || result.Malformed {
-			m.loading, m.loadAt = false, m.env.Now().Add(tuning.StoreRetryDelay)
+			m.loading, m.nextLoadAt = false, m.env.Now().Add(tuning.StoreRetryDelay)
 			return
 		}
 		if next := m.LoadPage(&result.Page); next != "" {
@@ -115,7 +115,7 @@
 			return
 		}
 		m.loading = false
-		m.MarkSynced(m.loadSent)
+		m.MarkSynced(m.loadStartedAt)
 		m.log.Info("mirror loaded", "keys", m.Len(), "revision", m.Revision)
 		m.env.Loaded()
 	})
@@ -123,26 +123,26 @@
 
 func (m *Mirror) openWatch() {
 	sent, after := m.env.Now(), m.Revision
-	m.watching, m.watchSent = true, sent
+	m.watching, m.watchOpenedAt = true, sent
 	m.store.Watch(storage.LivePrefix, after, tuning.WatchLongPoll, func(result kv.WatchResult) {
-		m.handleChanges(sent, after, result)
+		m.handleWatchResult(sent, after, result)
 	})
 }
 
-// reopenStuckWatch opens another watch when the one that is open does not show what
+// replaceStalledWatch opens another watch when the one that is open does not show what
 // the store is known to have; its answer is taken all the same.
-func (m *Mirror) reopenStuckWatch() {
+func (m *Mirror) replaceStalledWatch() {
 	now := m.env.Now()
 	if m.awaited.revision > m.Revision && m.watching &&
-		now.Sub(m.awaited.sentAt) >= tuning.WatchStallTimeout && now.Sub(m.watchSent) >= tuning.WatchStallTimeout {
+		now.Sub(m.awaited.sentAt) >= tuning.WatchStallTimeout && now.Sub(m.watchOpenedAt) >= tuning.WatchStallTimeout {
 		m.log.Info("watch does not keep up", "revision", m.Revision, "ahead", m.awaited.revision)
-		m.watching, m.watchAt = false, now
+		m.watching, m.nextWatchAt = false, now
 	}
 }
 
-// handleChanges takes the answer to a watch for what came after a revision.
-func (m *Mirror) handleChanges(sent time.Time, after protocol.Revision, result kv.WatchResult) {
-	if sent.Equal(m.watchSent) {
+// handleWatchResult takes the answer to a watch for what came after a revision.
+func (m *Mirror) handleWatchResult(sent time.Time, after protocol.Revision, result kv.WatchResult) {
+	if sent.Equal(m.watchOpenedAt) {
 		m.watching = false
 	}
 	changes := &result.Changes
@@ -152,7 +152,7 @@
 		m.env.Diverged("watch too old")
 		m.Mirror = storage.Mirror{}
 	case result.Outcome != kv.Done || result.Malformed:
-		m.watchAt = m.env.Now().Add(tuning.StoreRetryDelay)
+		m.nextWatchAt = m.env.Now().Add(tuning.StoreRetryDelay)
 	case changes.Revision < after:
 		// The store was restored to an older state.
 		m.log.Error("store has gone back", "revision", changes.Revision, "known", after)
@@ -160,7 +160,7 @@
 		m.Mirror, m.awaited = storage.Mirror{}, observedRevision{}
 	default:
 		m.apply(changes, sent)
-		m.watchAt = m.env.Now().Add(m.watchPause())
+		m.nextWatchAt = m.env.Now().Add(m.watchPause())
 		m.Tick()
 	}
 }
@@ -184,7 +184,7 @@
 	if m.env.Leading() {
 		return tuning.MinWatchDelay
 	}
-	return m.limits.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
+	return m.limits.RequestDelay(tuning.MinWatchDelay, tuning.WatchCPUShare)
 }
 
 // FetchRevision asks how far the records have come. Renewing the leader lease proves only
--- a/internal/coordination/mirror/mirror_test.go
+++ b/internal/coordination/mirror/mirror_test.go
@@ -22,7 +22,7 @@
 	*Mirror
 	now     time.Time
 	leading bool
-	log     []string
+	events  []string
 	calls   []pendingCall
 }
 
@@ -46,15 +46,17 @@
 func (c *controller) LeaseCondition() protocol.Condition {
 	return protocol.Condition{Key: storage.LeaderKey, Revision: 7}
 }
-func (c *controller) Loaded()                { c.note("loaded") }
-func (c *controller) Diverged(reason string) { c.note("diverged: %s", reason) }
+func (c *controller) Loaded()                { c.record("loaded") }
+func (c *controller) Diverged(reason string) { c.record("diverged: %s", reason) }
 func (c *controller) Changed(event *protocol.WatchEvent) {
-	c.note("changed %s%s", event.Set, event.Delete)
+	c.record("changed %s%s", event.Set, event.Delete)
+}
+func (c *controller) record(format string, a ...any) {
+	c.events = append(c.events, fmt.Sprintf(format, a...))
 }
-func (c *controller) note(format string, a ...any) { c.log = append(c.log, fmt.Sprintf(format, a...)) }
 
-// answer answers the oldest call whose path begins so, after a while.
-func (c *controller) answer(t *testing.T, path string, status int, body any) {
+// status answers the oldest call whose path begins so, after a while.
+func (c *controller) reply(t *testing.T, path string, status int, body any) {
 	t.Helper()
 	c.now = c.now.Add(time.Millisecond)
 	for i, call := range c.calls {
@@ -70,10 +72,10 @@
 // expect compares what was noted since it was last called.
 func (c *controller) expect(t *testing.T, want ...string) {
 	t.Helper()
-	if !slices.Equal(c.log, want) {
-		t.Errorf("%q, want %q", c.log, want)
+	if !slices.Equal(c.events, want) {
+		t.Errorf("%q, want %q", c.events, want)
 	}
-	c.log = nil
+	c.events = nil
 }
 
 var (
@@ -90,7 +92,7 @@
 func (c *controller) load(t *testing.T) {
 	t.Helper()
 	c.Tick()
-	c.answer(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
+	c.reply(t, rangePath, http.StatusOK, protocol.Entries{Revision: 5})
 	c.expect(t, "loaded")
 }
 
@@ -98,13 +100,13 @@
 	return protocol.WatchEvent{Set: key, Revision: revision, Value: json.RawMessage(`{}`)}
 }
 
-// TestChangesArePassedOnInOrder: after a load the watch begins where it ended, and each change
+// TestLoadAndWatchDeliverEachChangeInOrder: after a load the watch begins where it ended, and each change
 // is passed on once, in its order; after it every change of before it was sent is known.
-func TestChangesArePassedOnInOrder(t *testing.T) {
+func TestLoadAndWatchDeliverEachChangeInOrder(t *testing.T) {
 	c := newController(t)
 	start := c.now
 	c.Tick()
-	c.answer(t, rangePath, 0, nil)
+	c.reply(t, rangePath, 0, nil)
 	c.expect(t)
 	c.Tick()
 	if len(c.calls) > 0 {
@@ -118,16 +120,16 @@
 	}
 	c.Tick()
 	opened := c.now
-	c.answer(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
+	c.reply(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/b", 8), event("g/c/a", 9)}})
 	c.expect(t, "changed g/c/b", "changed g/c/a")
 	if c.Revision != 9 || !c.SyncedAt().Equal(opened) {
 		t.Errorf("revision %d, synced at %v", c.Revision, c.SyncedAt())
 	}
 }
 
-// TestMirrorIsLoadedAnewWhenItDiverged: a watch that begins too far back, or a store that has
+// TestDivergedMirrorIsReloaded: a watch that begins too far back, or a store that has
 // gone back, ends this mirror; the owner hears of it first.
-func TestMirrorIsLoadedAnewWhenItDiverged(t *testing.T) {
+func TestDivergedMirrorIsReloaded(t *testing.T) {
 	for want, answer := range map[string]struct {
 		status int
 		body   any
@@ -138,7 +140,7 @@
 		c := newController(t)
 		c.load(t)
 		c.Tick()
-		c.answer(t, watchPath, answer.status, answer.body)
+		c.reply(t, watchPath, answer.status, answer.body)
 		c.expect(t, want)
 		if c.Ready() {
 			t.Errorf("%s: still ready", want)
@@ -147,17 +149,17 @@
 	}
 }
 
-// TestWatchThatHangsIsReopened: a revision that the store is known to have and the open watch
+// TestStalledWatchIsReplaced: a revision that the store is known to have and the open watch
 // does not show has another watch opened beside it; only when the mirror has come as far does
 // it count as synced.
-func TestWatchThatHangsIsReopened(t *testing.T) {
+func TestStalledWatchIsReplaced(t *testing.T) {
 	c := newController(t)
 	c.load(t)
 	c.Tick()
 	loaded := c.SyncedAt()
 	asked := c.now
 	c.FetchRevision()
-	c.answer(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
+	c.reply(t, protocol.PathTransactions, http.StatusConflict, protocol.TransactionResponse{Revision: 9, Failed: []string{storage.LeaderKey}})
 	if !c.SyncedAt().Equal(loaded) {
 		t.Error("synced though the mirror has not come as far")
 	}
@@ -176,7 +178,7 @@
 	if len(c.calls) != 2 {
 		t.Fatalf("%d watches", len(c.calls))
 	}
-	c.answer(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
+	c.reply(t, watchPath, http.StatusOK, protocol.WatchResponse{Revision: 9, Events: []protocol.WatchEvent{event("g/c/a", 9)}})
 	if c.SyncedAt().Before(asked) {
 		t.Errorf("synced at %v, asked at %v", c.SyncedAt(), asked)
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -22,7 +22,7 @@
 // forwardIfStoreUnavailable forwards a user's request to a peer with access to the store, if the
 // store does not serve this node. It reports whether the request was forwarded.
 func (n *Node) forwardIfStoreUnavailable(requestID uint64, request protocol.PeerUserRequest) bool {
-	return !n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness) && n.forwarder.ForwardRequest(requestID, request)
+	return !n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge) && n.forwarder.ForwardRequest(requestID, request)
 }
 
 // tickPeers routes heartbeats that wait for a leader, expires forwarded requests without a response
@@ -37,7 +37,7 @@
 		return
 	}
 	n.router.PruneContacts()
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), StateOK: n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness)}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), HasStoreAccess: n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge)}
 	if n.ownLeader != nil {
 		status.DirectShare = n.ownLeader.directShare()
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	switch message := message.(type) {
-	case protocol.PeerConfirmRequest:
+	case protocol.PeerConfirmationRequest:
 		confirmation := n.election.Confirm(message, n.now.Sub(n.startedAt), n.api.ConfirmedCancellations())
 		n.out = append(n.out, PeerSend{Peer: from, Message: confirmation})
 	case protocol.PeerConfirmation:
@@ -116,7 +116,7 @@
 		n.ownLeader.cancelByID(jobID)
 		return
 	}
-	if leader := n.election.Holder(); n.peers.Supports(leader, protocol.PeerKnowsCancelled) {
+	if leader := n.election.Holder(); n.peers.Supports(leader, protocol.FeatureLevelCancellations) {
 		n.out = append(n.out, PeerSend{Peer: leader, Message: protocol.PeerCancellation{Job: jobID}})
 	}
 }
--- a/internal/coordination/reconcile/reconcile.go
+++ b/internal/coordination/reconcile/reconcile.go
@@ -254,10 +254,10 @@
 	agents := snapshot.Machines()
 	for _, heartbeat := range heartbeats {
 		i := slices.IndexFunc(agents, func(agent Agent) bool { return agent.Machine == heartbeat.Machine })
-		if i >= 0 && !heartbeat.Newer(agents[i].Incarnation, agents[i].Sequence) {
+		if i >= 0 && !heartbeat.NewerThan(agents[i].Incarnation, agents[i].Sequence) {
 			continue
 		}
-		if known := newest[heartbeat.Machine]; known == nil || heartbeat.Newer(known.Incarnation, known.Sequence) {
+		if known := newest[heartbeat.Machine]; known == nil || heartbeat.NewerThan(known.Incarnation, known.Sequence) {
 			newest[heartbeat.Machine] = heartbeat
 		}
 	}
--- a/internal/coordination/reconcile_test.go
+++ b/internal/coordination/reconcile_test.go
@@ -14,7 +14,7 @@
 func (l *leader) addJobWithTasks(tasks ...storage.Task) *cluster.Job {
 	s := gangOf(2, 1)
 	s.ID, s.Priority, s.Shape = "run-000077", "normal", protocol.ShapeArray
-	return l.loader.AddJob(&storage.Job{Spec: &s, AtMs: l.n.now.UnixMilli(), Seq: 5, RecordTasks: 60, Tasks: tasks}, 9)
+	return l.loader.AddJob(&storage.Job{Spec: &s, SubmittedAtMs: l.n.now.UnixMilli(), SubmissionRevision: 5, TasksPerBaseRecord: 60, Tasks: tasks}, 9)
 }
 
 // TestRecordWithDuplicatePlacements: a malformed record that names an attempt twice, or two
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -195,8 +195,8 @@
 		return
 	}
 	budget.AllowN(now, 1)
-	marker := storage.Restored{Writer: m.env.UniqueName(), Token: m.highestToken}
-	m.writeMarker(protocol.Change{Set: storage.RestoredKey, Value: storage.Encode(marker)}, func() {
+	marker := storage.RestoreMarker{Writer: m.env.UniqueName(), Token: m.highestToken}
+	m.writeMarker(protocol.Change{Set: storage.RestoreMarkerKey, Value: storage.Encode(marker)}, func() {
 		m.markerStored = true
 		m.Tick()
 	})
@@ -207,7 +207,7 @@
 	if m.writingMarker || !m.store.WriteBudget().AllowN(m.state.Now(), 1) {
 		return
 	}
-	m.writeMarker(protocol.Change{Delete: storage.RestoredKey}, func() { m.markerStored = false })
+	m.writeMarker(protocol.Change{Delete: storage.RestoreMarkerKey}, func() { m.markerStored = false })
 }
 
 // writeMarker sets or deletes the marker, on condition that this leader still leads. done is
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -132,7 +132,7 @@
 	l.timers[0]()
 	for revision := protocol.Revision(11); revision <= 12; revision++ {
 		l.monitor.Tick()
-		if last := l.sent[len(l.sent)-1]; len(last.Changes) != 1 || last.Changes[0].Set != storage.RestoredKey {
+		if last := l.sent[len(l.sent)-1]; len(last.Changes) != 1 || last.Changes[0].Set != storage.RestoreMarkerKey {
 			t.Fatalf("%+v", last)
 		}
 		if l.steppedDown != "" {
@@ -179,7 +179,7 @@
 	l.monitor.Tick() // no token from a discarded history is left
 	l.recovering = false
 	l.monitor.Tick()
-	if last := l.sent[len(l.sent)-1]; last.Changes[0].Delete != storage.RestoredKey {
+	if last := l.sent[len(l.sent)-1]; last.Changes[0].Delete != storage.RestoreMarkerKey {
 		t.Errorf("%+v", last)
 	}
 }
@@ -188,7 +188,7 @@
 // has ended, and then deleted.
 func TestMarkerIsRemovedAfterRecovery(t *testing.T) {
 	l := newTestLeader()
-	l.monitor.LoadMarker(protocol.Entry{Key: storage.RestoredKey})
+	l.monitor.LoadMarker(protocol.Entry{Key: storage.RestoreMarkerKey})
 	l.monitor.Tick()
 	if len(l.sent) != 0 {
 		t.Fatal("marker removed during the recovery")
@@ -196,7 +196,7 @@
 	l.recovering = false
 	l.monitor.Tick()
 	l.monitor.Tick() // one write at a time
-	if len(l.sent) != 1 || l.sent[0].Changes[0].Delete != storage.RestoredKey {
+	if len(l.sent) != 1 || l.sent[0].Changes[0].Delete != storage.RestoreMarkerKey {
 		t.Fatalf("%+v", l.sent)
 	}
 	l.checkGuarded(t)
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -45,22 +45,22 @@
 	confirmAfterQueries := func(from, to int) protocol.PeerConfirmation {
 		for i := from; i < to; i++ {
 			jobID := protocol.JobID(fmt.Sprintf("run-%06d", i))
-			l.n.api.JobFinished(jobID, storage.Final{Phase: protocol.PhaseCancelled})
+			l.n.api.JobFinished(jobID, storage.FinalRecord{Phase: protocol.PhaseCancelled})
 			l.n.api.Query(uint64(i), jobID)
 		}
 		l.n.out = nil
-		l.n.receive("p", 1, protocol.PeerConfirmRequest{ID: 1})
+		l.n.receive("p", 1, protocol.PeerConfirmationRequest{ID: 1})
 		return l.n.out[0].(PeerSend).Message.(protocol.PeerConfirmation)
 	}
-	if m := confirmAfterQueries(0, 9000); !m.Complete || len(m.Cancels) != 9000 {
-		t.Errorf("complete %v, %d cancellations, want all 9000", m.Complete, len(m.Cancels))
+	if m := confirmAfterQueries(0, 9000); !m.Complete || len(m.Cancellations) != 9000 {
+		t.Errorf("complete %v, %d cancellations, want all 9000", m.Complete, len(m.Cancellations))
 	}
 	m := confirmAfterQueries(9000, 60_000)
-	if m.Complete || len(m.Cancels) > 0 {
-		t.Errorf("more than a frame holds: complete %v, %d cancellations, want none", m.Complete, len(m.Cancels))
+	if m.Complete || len(m.Cancellations) > 0 {
+		t.Errorf("more than a frame holds: complete %v, %d cancellations, want none", m.Complete, len(m.Cancellations))
 	}
 	l.n.now = l.n.now.Add(2 * config.Seconds(l.n.cfg.Cluster.Agents.CancelS))
-	if m := confirmAfterQueries(60_000, 60_001); !m.Complete || len(m.Cancels) != 1 {
-		t.Errorf("after the old ones expired: complete %v, %d cancellations, want 1", m.Complete, len(m.Cancels))
+	if m := confirmAfterQueries(60_000, 60_001); !m.Complete || len(m.Cancellations) != 1 {
+		t.Errorf("after the old ones expired: complete %v, %d cancellations, want 1", m.Complete, len(m.Cancellations))
 	}
 }
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	fetchSeconds := sc.state.ImageFetchSeconds(job.Spec)
-	if fetchSeconds < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
+	if fetchSeconds < tuning.MinFetchSecondsForImageLocality || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().examineLimitReached() || sc.currentCycle().preemptionImpossible(job, len(job.Tasks)) {
 		return false
 	}
@@ -48,7 +48,7 @@
 func preferableToFetch(job *cluster.Job, plan preemptionPlan, fetchSeconds float64) bool {
 	for i := range plan.machines {
 		for _, victim := range plan.machines[i].victims {
-			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.SaveS > fetchSeconds*tuning.MaxImageLocalSaveShare {
+			if ShouldCheckpointOnPreemption(victim.Job.Spec) && victim.Job.Spec.CheckpointSaveS > fetchSeconds*tuning.MaxImageLocalSaveShare {
 				return false
 			}
 		}
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -14,7 +14,7 @@
 // stops. Saving costs time on the machine and delays the waiting job. Without it, the work of
 // about half a checkpoint interval is lost.
 func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
-	return spec.CheckpointS > 0 && (spec.Gang() || spec.CheckpointS/2 > tuning.MinCheckpointBenefit*spec.SaveS)
+	return spec.CheckpointIntervalS > 0 && (spec.Gang() || spec.CheckpointIntervalS/2 > tuning.MinCheckpointBenefit*spec.CheckpointSaveS)
 }
 
 // mayPreempt reports whether an attempt may be stopped to free capacity for the job.
@@ -259,14 +259,14 @@
 	spec := attempt.Job.Spec
 	gpus := max(1, spec.GPUs)
 	switch {
-	case spec.Gang() && spec.CheckpointS > 0:
-		return (spec.SaveS + tuning.GangRestartSeconds) * gpus * float64(spec.Tasks)
+	case spec.Gang() && spec.CheckpointIntervalS > 0:
+		return (spec.CheckpointSaveS + tuning.GangRestartSeconds) * gpus * float64(spec.Tasks)
 	case attempt.RunningSince.IsZero():
 		return 0
 	case spec.Gang():
 		return now.Sub(attempt.RunningSince).Seconds() * gpus * float64(spec.Tasks)
-	case spec.CheckpointS > 0:
-		return min(spec.SaveS, spec.CheckpointS/2) * gpus
+	case spec.CheckpointIntervalS > 0:
+		return min(spec.CheckpointSaveS, spec.CheckpointIntervalS/2) * gpus
 	}
 	return now.Sub(attempt.RunningSince).Seconds() * gpus
 }
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -25,7 +25,7 @@
 	n.peers.Add("s")
 	n.peers.Receive("s", 1, protocol.PeerHello{Node: "s"})
 	s := protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: 98, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1}
-	rec := &storage.Job{Spec: &s, AtMs: n.now.UnixMilli(), Seq: 5, RecordTasks: 98}
+	rec := &storage.Job{Spec: &s, SubmittedAtMs: n.now.UnixMilli(), SubmissionRevision: 5, TasksPerBaseRecord: 98}
 	for i := range s.Tasks {
 		task := storage.Task{Index: i, Attempt: 1 + protocol.AttemptNumber(i%3), Machine: "i-000231", Incarnation: 1}
 		if i%5 == 0 {
@@ -66,16 +66,16 @@
 			l.n.peers.LinkUp("s")
 		}
 		l.committer.MarkDirty(job, 0)
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		_, r := l.lastTransaction(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		if connected {
 			if l.committer.InFlight() {
 				t.Error("sent again while a connected peer may have version 0.2")
 			}
-			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.Announcement("n")})
-			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.FeatureLevelAnnouncement("n")})
+			l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		}
 		if txn, _ := l.lastTransaction(t); len(txn.Changes) < 2 {
 			t.Errorf("connected %v: %d changes, the first of %d bytes, want a split record", connected, len(txn.Changes), len(txn.Changes[0].Value))
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -32,13 +32,13 @@
 		},
 	} {
 		rec := jobWithLargeSpec(protocol.ShapeGang)
-		rec.RecordTasks, rec.Tasks = 49, rec.Tasks[:49]
+		rec.TasksPerBaseRecord, rec.Tasks = 49, rec.Tasks[:49]
 		s := storeWith(rec)
 		mainKey, taskKey := storage.JobKey(rec.Spec.ID), storage.TaskRecordKey(rec.Spec.ID, 1)
 		s.entries[taskKey] = protocol.Entry{Key: taskKey, Revision: 9, Value: storage.Encode(storage.TaskRecord{Writer: "w-4",
 			Tasks: jobWithLargeSpec(protocol.ShapeGang).Tasks[49:]})}
 		corrupt(s, mainKey, taskKey)
-		l := s.leader(protocol.PeerLevel)
+		l := s.leader(protocol.CurrentFeatureLevel)
 		machine := l.cluster.Machines[hostName]
 		var tasks []protocol.TaskStatus
 		for i := range rec.Spec.Tasks {
@@ -91,7 +91,7 @@
 	n.budgets = newStoreBudgets(n.cfg)
 	n.peers.Add("s")
 	n.peers.LinkUp("s")
-	announcement := protocol.Announcement("n").(protocol.PeerResponse)
+	announcement := protocol.FeatureLevelAnnouncement("n").(protocol.PeerResponse)
 	announcement.Status = level
 	n.peers.Receive("s", 1, announcement)
 	page := protocol.Entries{Revision: s.revision}
@@ -113,7 +113,7 @@
 func jobWithLargeSpec(shape protocol.Shape) *storage.Job {
 	spec := &protocol.Job{ID: "run-000077", Class: "c", Team: "free", Shape: shape, Priority: "normal", Tasks: 98, CPUs: 0.1, MemoryGB: 0.1,
 		Image: "img", ImageGB: 1, Types: []protocol.MachineTypeName{"big", protocol.MachineTypeName(strings.Repeat("x", 1450))}}
-	rec := &storage.Job{Writer: "w-1", Spec: spec, AtMs: 1_800_000_000_000, Seq: 5, Attempt: 2, RecordTasks: 98}
+	rec := &storage.Job{Writer: "w-1", Spec: spec, SubmittedAtMs: 1_800_000_000_000, SubmissionRevision: 5, Attempt: 2, TasksPerBaseRecord: 98}
 	for i := range spec.Tasks {
 		task := storage.Task{Index: i, Attempt: 2, Machine: hostName, Incarnation: 1}
 		if shape == protocol.ShapeArray && i%5 == 0 {
@@ -139,7 +139,7 @@
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil, Request{}
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -40,7 +40,7 @@
 		read := n.lastRequest(t, ToStore)
 		body := []byte(nil)
 		if status == 200 {
-			body = storage.Encode(protocol.Entry{Key: storage.FinalKey(unrunnable.ID), Revision: 4, Value: storage.Encode(storage.Final{Phase: protocol.PhaseDone})})
+			body = storage.Encode(protocol.Entry{Key: storage.FinalRecordKey(unrunnable.ID), Revision: 4, Value: storage.Encode(storage.FinalRecord{Phase: protocol.PhaseDone})})
 		}
 		n.handle(Response{ID: read.ID, Status: status, Body: body})
 	}
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -76,8 +76,8 @@
 	return []string{path + " number"}
 }
 
-// fill sets every field of a value, down to one element of every list.
-func fill(v reflect.Value) {
+// setAllFields sets every field of a value, down to one element of every list.
+func setAllFields(v reflect.Value) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		v.SetBytes([]byte(`{"x":1}`))
 		return
@@ -85,14 +85,14 @@
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		setAllFields(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0))
+		setAllFields(v.Index(0))
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i))
+				setAllFields(v.Field(i))
 			}
 		}
 	case reflect.String:
@@ -110,7 +110,7 @@
 func samples(t *testing.T, typ reflect.Type, name string) []string {
 	t.Helper()
 	full, empty := reflect.New(typ), reflect.New(typ)
-	fill(full.Elem())
+	setAllFields(full.Elem())
 	var list []string
 	for kind, v := range map[string]reflect.Value{"full": full, "empty": empty} {
 		text, err := json.Marshal(v.Elem().Interface())
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -32,8 +32,8 @@
 	CauseGangTimeout Cause = "alone"
 	CauseError       Cause = "error"
 	CauseNoCapacity  Cause = "full"
-	CauseBusy        Cause = "in_use"
-	CauseUnknown     Cause = "no_such"
+	CauseTaskPresent Cause = "in_use"
+	CauseUnknownTask Cause = "no_such"
 )
 
 // CommandKind is what a command asks of an agent.
@@ -69,8 +69,8 @@
 	Tasks             []TaskStatus    `json:"pieces"`
 }
 
-// Newer says whether h is a newer message than (incarnation, sequence).
-func (h *Heartbeat) Newer(incarnation Incarnation, sequence Sequence) bool {
+// NewerThan says whether h is a newer message than (incarnation, sequence).
+func (h *Heartbeat) NewerThan(incarnation Incarnation, sequence Sequence) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
@@ -83,9 +83,9 @@
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, fmt.Errorf("not valid JSON for a report: %w", inWireTypes(err))
+		return nil, fmt.Errorf("not valid JSON for a report: %w", withWireTypeNames(err))
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
+	if r.Machine == "" || len(r.Machine) > maxNameBytes || strings.ContainsAny(string(r.Machine), " /") || r.Incarnation == 0 {
 		return nil, errors.New("a report needs a machine's name and a session")
 	}
 	return &r, nil
@@ -95,7 +95,7 @@
 func SplitTask(name string) (jobID JobID, index int, ok bool) {
 	before, rest, ok := strings.Cut(name, "/")
 	jobID = JobID(before)
-	if !ok || !ValidID(jobID) {
+	if !ok || !ValidJobID(jobID) {
 		return "", 0, false
 	}
 	index, err := strconv.Atoi(rest)
--- a/internal/protocol/bench_test.go
+++ b/internal/protocol/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkPeerFrames is what writing and reading a message of every kind cost.
 func BenchmarkPeerFrames(b *testing.B) {
-	samples := peerSamples()
+	samples := samplePeerMessages()
 	var stream []byte
 	for _, m := range samples {
 		stream = AppendPeerFrame(stream, m)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -30,7 +30,7 @@
 	if spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.MemoryGB > t.MemoryGB {
 		return false
 	}
-	if !Allowed(spec.Types, t.Name) {
+	if !TypeAllowed(spec.Types, t.Name) {
 		return false
 	}
 	if spec.Zone == "" {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// Allowed says whether a list of types, empty for any, has this one.
-func Allowed(types []MachineTypeName, name MachineTypeName) bool {
+// TypeAllowed says whether a list of types, empty for any, has this one.
+func TypeAllowed(types []MachineTypeName, name MachineTypeName) bool {
 	if len(types) == 0 {
 		return true
 	}
@@ -65,17 +65,17 @@
 	Types []MachineType `json:"builds"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Request string          `json:"hire"`
-	Type    MachineTypeName `json:"build"`
-	Zone    ZoneName        `json:"yard"`
-	Spot    bool            `json:"loaners"`
-	Count   int             `json:"count"`
+// CreateMachinesRequest asks the cloud for machines.
+type CreateMachinesRequest struct {
+	RequestID string          `json:"hire"`
+	Type      MachineTypeName `json:"build"`
+	Zone      ZoneName        `json:"yard"`
+	Spot      bool            `json:"loaners"`
+	Count     int             `json:"count"`
 }
 
-// MachineNames lists machines by name.
-type MachineNames struct {
+// MachineIDs lists machines by name.
+type MachineIDs struct {
 	Machines []MachineID `json:"berths"`
 }
 
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -53,21 +53,21 @@
 // that they are part of the protocol and do not follow the names of types in Go.
 type decodeError struct{ cause *json.UnmarshalTypeError }
 
-// errorWords puts the names of messages in errors in the place of the types' own.
-var errorWords = strings.NewReplacer(
+// wireTypeNames puts the names of messages in errors in the place of the types' own.
+var wireTypeNames = strings.NewReplacer(
 	"struct field Heartbeat.", "struct field Report.",
 	"struct field TaskStatus.", "struct field TaskReport.",
 	"protocol.Heartbeat", "protocol.Report",
 	"protocol.TaskStatus", "protocol.TaskReport",
 )
 
-func (e *decodeError) Error() string { return errorWords.Replace(e.cause.Error()) }
+func (e *decodeError) Error() string { return wireTypeNames.Replace(e.cause.Error()) }
 
 func (e *decodeError) Unwrap() error { return e.cause }
 
-// inWireTypes has a decoder's error name the type that an identifier has in JSON and not
+// withWireTypeNames has a decoder's error name the type that an identifier has in JSON and not
 // the identifier's own, and a message by its name in errors.
-func inWireTypes(err error) error {
+func withWireTypeNames(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
 		return err
--- a/internal/protocol/identifiers_test.go
+++ b/internal/protocol/identifiers_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestHeartbeatRefusalWords: an agent is told of a field of a wrong type in the types of JSON,
+// TestHeartbeatErrorsNameWireTypes: an agent is told of a field of a wrong type in the types of JSON,
 // to the byte as before identifiers had types of their own.
-func TestHeartbeatRefusalWords(t *testing.T) {
+func TestHeartbeatErrorsNameWireTypes(t *testing.T) {
 	for field, want := range map[string]string{
 		"berth":   "of type string",
 		"address": "of type string",
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// MaxSpec is the largest description of a job, in bytes as JSON: it must leave
+// MaxJobBytes is the largest description of a job, in bytes as JSON: it must leave
 // room for tasks in a record of the store.
-const MaxSpec = 2 << 10
+const MaxJobBytes = 2 << 10
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
@@ -65,26 +65,26 @@
 
 // Job is a submission.
 type Job struct {
-	ID          JobID             `json:"uid"`
-	Class       string            `json:"lane"`
-	Team        TeamName          `json:"crew"`
-	Shape       Shape             `json:"shape"`
-	Priority    string            `json:"rank"`
-	Tasks       int               `json:"pieces"`
-	CPUs        float64           `json:"cpus"`
-	GPUs        float64           `json:"gpus"`
-	MemoryGB    float64           `json:"memory_gb"`
-	Image       string            `json:"bundle"`
-	ImageGB     float64           `json:"pull_gb"`
-	Types       []MachineTypeName `json:"builds,omitempty"`
-	Zone        ZoneName          `json:"yard,omitempty"`
-	OneZone     bool              `json:"one_zone"`
-	Spread      bool              `json:"scatter"`
-	Spot        bool              `json:"loaners"`
-	EstimateS   float64           `json:"expect_s"`
-	CheckpointS float64           `json:"snapshot_s"`
-	SaveS       float64           `json:"flush_s"`
-	DeadlineS   float64           `json:"due_s,omitempty"`
+	ID                  JobID             `json:"uid"`
+	Class               string            `json:"lane"`
+	Team                TeamName          `json:"crew"`
+	Shape               Shape             `json:"shape"`
+	Priority            string            `json:"rank"`
+	Tasks               int               `json:"pieces"`
+	CPUs                float64           `json:"cpus"`
+	GPUs                float64           `json:"gpus"`
+	MemoryGB            float64           `json:"memory_gb"`
+	Image               string            `json:"bundle"`
+	ImageGB             float64           `json:"pull_gb"`
+	Types               []MachineTypeName `json:"builds,omitempty"`
+	Zone                ZoneName          `json:"yard,omitempty"`
+	OneZone             bool              `json:"one_zone"`
+	Spread              bool              `json:"scatter"`
+	Spot                bool              `json:"loaners"`
+	EstimateS           float64           `json:"expect_s"`
+	CheckpointIntervalS float64           `json:"snapshot_s"`
+	CheckpointSaveS     float64           `json:"flush_s"`
+	DeadlineS           float64           `json:"due_s,omitempty"`
 }
 
 // Gang says whether all tasks run at the same time.
@@ -101,30 +101,30 @@
 
 // jobWire mirrors Job with pointers, so that a missing field shows.
 type jobWire struct {
-	ID          *string   `json:"uid"`
-	Class       *string   `json:"lane"`
-	Team        *string   `json:"crew"`
-	Shape       *string   `json:"shape"`
-	Priority    *string   `json:"rank"`
-	Tasks       *uint64   `json:"pieces"`
-	CPUs        *float64  `json:"cpus"`
-	GPUs        *float64  `json:"gpus"`
-	MemoryGB    *float64  `json:"memory_gb"`
-	Image       *string   `json:"bundle"`
-	ImageGB     *float64  `json:"pull_gb"`
-	Types       []*string `json:"builds"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"one_zone"`
-	Spread      *bool     `json:"scatter"`
-	Spot        *bool     `json:"loaners"`
-	EstimateS   *float64  `json:"expect_s"`
-	CheckpointS *float64  `json:"snapshot_s"`
-	SaveS       *float64  `json:"flush_s"`
-	DeadlineS   *float64  `json:"due_s"`
+	ID                  *string   `json:"uid"`
+	Class               *string   `json:"lane"`
+	Team                *string   `json:"crew"`
+	Shape               *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	Tasks               *uint64   `json:"pieces"`
+	CPUs                *float64  `json:"cpus"`
+	GPUs                *float64  `json:"gpus"`
+	MemoryGB            *float64  `json:"memory_gb"`
+	Image               *string   `json:"bundle"`
+	ImageGB             *float64  `json:"pull_gb"`
+	Types               []*string `json:"builds"`
+	Zone                *string   `json:"yard"`
+	OneZone             *bool     `json:"one_zone"`
+	Spread              *bool     `json:"scatter"`
+	Spot                *bool     `json:"loaners"`
+	EstimateS           *float64  `json:"expect_s"`
+	CheckpointIntervalS *float64  `json:"snapshot_s"`
+	CheckpointSaveS     *float64  `json:"flush_s"`
+	DeadlineS           *float64  `json:"due_s"`
 }
 
-// ValidID says whether id has the form of a job id: "run-" and digits.
-func ValidID(id JobID) bool {
+// ValidJobID says whether id has the form of a job id: "run-" and digits.
+func ValidJobID(id JobID) bool {
 	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
 		return false
@@ -137,8 +137,8 @@
 	return true
 }
 
-// maxName bounds the length of a name in a submission or report, in bytes.
-const maxName = 200
+// maxNameBytes bounds the length of a name in a submission or report, in bytes.
+const maxNameBytes = 200
 
 // ParseJob decodes and validates a submission. Fields that may be null may
 // also be missing; everything else must be there and sound.
@@ -152,66 +152,66 @@
 		return nil, fmt.Errorf("not valid JSON for a job: %w", err)
 	}
 	c := &jobChecker{}
-	spec := c.job(&w)
-	if len(c.bad) > 0 {
-		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(c.bad, ", "))
+	spec := c.jobFromWire(&w)
+	if len(c.invalid) > 0 {
+		return nil, fmt.Errorf("missing or invalid: %s", strings.Join(c.invalid, ", "))
 	}
-	if size, err := json.Marshal(spec); err != nil || len(size) > MaxSpec {
-		return nil, fmt.Errorf("the description takes more than %d bytes", MaxSpec)
+	if size, err := json.Marshal(spec); err != nil || len(size) > MaxJobBytes {
+		return nil, fmt.Errorf("the description takes more than %d bytes", MaxJobBytes)
 	}
 	return spec, nil
 }
 
 // Keys of a submission's fields, by which a refusal names them.
 const (
-	keyID          = "uid"
-	keyClass       = "lane"
-	keyTeam        = "crew"
-	keyShape       = "shape"
-	keyPriority    = "rank"
-	keyTasks       = "pieces"
-	keyCPUs        = "cpus"
-	keyGPUs        = "gpus"
-	keyMemoryGB    = "memory_gb"
-	keyImage       = "bundle"
-	keyImageGB     = "pull_gb"
-	keyTypes       = "builds"
-	keyZone        = "yard"
-	keyOneZone     = "one_zone"
-	keySpread      = "scatter"
-	keySpot        = "loaners"
-	keyEstimateS   = "expect_s"
-	keyCheckpointS = "snapshot_s"
-	keySaveS       = "flush_s"
-	keyDeadlineS   = "due_s"
+	keyID                  = "uid"
+	keyClass               = "lane"
+	keyTeam                = "crew"
+	keyShape               = "shape"
+	keyPriority            = "rank"
+	keyTasks               = "pieces"
+	keyCPUs                = "cpus"
+	keyGPUs                = "gpus"
+	keyMemoryGB            = "memory_gb"
+	keyImage               = "bundle"
+	keyImageGB             = "pull_gb"
+	keyTypes               = "builds"
+	keyZone                = "yard"
+	keyOneZone             = "one_zone"
+	keySpread              = "scatter"
+	keySpot                = "loaners"
+	keyEstimateS           = "expect_s"
+	keyCheckpointIntervalS = "snapshot_s"
+	keyCheckpointSaveS     = "flush_s"
+	keyDeadlineS           = "due_s"
 )
 
 // jobChecker takes the fields of a submission and notes the wire names of those that
 // are missing or invalid.
-type jobChecker struct{ bad []string }
+type jobChecker struct{ invalid []string }
 
-// job takes all fields.
-func (c *jobChecker) job(w *jobWire) *Job {
+// jobFromWire takes all fields.
+func (c *jobChecker) jobFromWire(w *jobWire) *Job {
 	spec := &Job{
-		ID:          JobID(c.text(keyID, w.ID)),
-		Class:       c.text(keyClass, w.Class),
-		Team:        TeamName(c.text(keyTeam, w.Team)),
-		Shape:       Shape(c.text(keyShape, w.Shape)),
-		Priority:    c.text(keyPriority, w.Priority),
-		Image:       c.text(keyImage, w.Image),
-		CPUs:        c.amount(keyCPUs, w.CPUs),
-		GPUs:        c.amount(keyGPUs, w.GPUs),
-		MemoryGB:    c.amount(keyMemoryGB, w.MemoryGB),
-		ImageGB:     c.amount(keyImageGB, w.ImageGB),
-		EstimateS:   c.amount(keyEstimateS, w.EstimateS),
-		CheckpointS: c.amount(keyCheckpointS, w.CheckpointS),
-		SaveS:       c.amount(keySaveS, w.SaveS),
-		DeadlineS:   c.optionalAmount(keyDeadlineS, w.DeadlineS),
-		OneZone:     c.flag(keyOneZone, w.OneZone),
-		Spread:      c.flag(keySpread, w.Spread),
-		Spot:        c.flag(keySpot, w.Spot),
+		ID:                  JobID(c.text(keyID, w.ID)),
+		Class:               c.text(keyClass, w.Class),
+		Team:                TeamName(c.text(keyTeam, w.Team)),
+		Shape:               Shape(c.text(keyShape, w.Shape)),
+		Priority:            c.text(keyPriority, w.Priority),
+		Image:               c.text(keyImage, w.Image),
+		CPUs:                c.amount(keyCPUs, w.CPUs),
+		GPUs:                c.amount(keyGPUs, w.GPUs),
+		MemoryGB:            c.amount(keyMemoryGB, w.MemoryGB),
+		ImageGB:             c.amount(keyImageGB, w.ImageGB),
+		EstimateS:           c.amount(keyEstimateS, w.EstimateS),
+		CheckpointIntervalS: c.amount(keyCheckpointIntervalS, w.CheckpointIntervalS),
+		CheckpointSaveS:     c.amount(keyCheckpointSaveS, w.CheckpointSaveS),
+		DeadlineS:           c.optionalAmount(keyDeadlineS, w.DeadlineS),
+		OneZone:             c.flag(keyOneZone, w.OneZone),
+		Spread:              c.flag(keySpread, w.Spread),
+		Spot:                c.flag(keySpot, w.Spot),
 	}
-	c.check(keyID, ValidID(spec.ID))
+	c.check(keyID, ValidJobID(spec.ID))
 	c.check(keyShape, slices.Contains([]Shape{ShapeArray, ShapeGang, ShapeService}, spec.Shape))
 	_, known := ParsePriority(spec.Priority)
 	c.check(keyPriority, known)
@@ -226,12 +226,12 @@
 // check notes a field that is not sound.
 func (c *jobChecker) check(name string, sound bool) {
 	if !sound {
-		c.bad = append(c.bad, name)
+		c.invalid = append(c.invalid, name)
 	}
 }
 
 func (c *jobChecker) text(name string, value *string) string {
-	if value == nil || *value == "" || len(*value) > maxName {
+	if value == nil || *value == "" || len(*value) > maxNameBytes {
 		c.check(name, false)
 		return ""
 	}
@@ -271,11 +271,11 @@
 // not the same as null.
 func (c *jobChecker) types(values []*string) []MachineTypeName {
 	if values != nil && len(values) == 0 {
-		return []MachineTypeName{noType}
+		return []MachineTypeName{noMachineType}
 	}
 	var list []MachineTypeName
 	for _, t := range values {
-		if t == nil || *t == "" || len(*t) > maxTypeName || len(values) > maxTypes {
+		if t == nil || *t == "" || len(*t) > maxTypeNameBytes || len(values) > maxTypes {
 			c.check(keyTypes, false)
 			return nil
 		}
@@ -286,10 +286,10 @@
 
 // Limits of a job's machine types.
 const (
-	maxTypes    = 64 // names in the list
-	maxTypeName = 64 // bytes of each
-	// noType is the name of no machine type.
-	noType = " "
+	maxTypes         = 64 // names in the list
+	maxTypeNameBytes = 64 // bytes of each
+	// noMachineType is the name of no machine type.
+	noMachineType = " "
 )
 
 // Status is what a user is told of a job.
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -11,8 +11,8 @@
 // wireMessages are the messages in JSON, by names of this test's own.
 var wireMessages = map[string]reflect.Type{
 	"machine types": reflect.TypeFor[MachineTypes](),
-	"rental":        reflect.TypeFor[Rental](),
-	"machine names": reflect.TypeFor[MachineNames](),
+	"rental":        reflect.TypeFor[CreateMachinesRequest](),
+	"machine names": reflect.TypeFor[MachineIDs](),
 	"machine list":  reflect.TypeFor[MachineList](),
 	"job":           reflect.TypeFor[Job](),
 	"job as read":   reflect.TypeFor[jobWire](),
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -13,11 +13,11 @@
 
 // PeerStatus is what a node says of itself with each of its heartbeats.
 type PeerStatus struct {
-	Term        Term
-	Leader      NodeName
-	StateOK     bool
-	Links       []NodeName // peers that this node has a link to
-	DirectShare uint64     // of a thousand agents the leader answers so many itself
+	Term           Term
+	Leader         NodeName
+	HasStoreAccess bool
+	Links          []NodeName // peers that this node has a link to
+	DirectShare    uint64     // of a thousand agents the leader answers so many itself
 }
 
 // PeerForwardedHeartbeat carries an agent's heartbeat to the leader.
@@ -49,56 +49,56 @@
 }
 
 // PeerCancellation tells the leader of a job whose cancellation is in the records. It
-// goes only to a node that has announced PeerKnowsCancelled.
+// goes only to a node that has announced FeatureLevelCancellations.
 type PeerCancellation struct{ Job JobID }
 
-// PeerConfirmRequest has a node confirm for what it has told users and for not leading. ID is
+// PeerConfirmationRequest has a node confirm for what it has told users and for not leading. ID is
 // the one of the node that asks, and comes back.
-type PeerConfirmRequest struct{ ID uint64 }
+type PeerConfirmationRequest struct{ ID uint64 }
 
 // PeerConfirmation answers: at the time of writing the node led under that term, or not if
 // it is 0, had been up for so long, and had confirmed to users no cancellation that is
 // younger than they may take but these.
 type PeerConfirmation struct {
-	ID       uint64
-	Term     Term
-	UpMs     uint64
-	Complete bool // false: there were too many to name, or the node cannot say
-	Cancels  []JobID
+	ID            uint64
+	Term          Term
+	UptimeMs      uint64
+	Complete      bool // false: there were too many to name, or the node cannot say
+	Cancellations []JobID
 }
 
-// FitsFrame says whether the cancellations fit into one frame.
-func (m PeerConfirmation) FitsFrame() bool {
-	size := peerHeader + 5*binary.MaxVarintLen64
-	for _, jobID := range m.Cancels {
+// FitsInFrame says whether the cancellations fit into one frame.
+func (m PeerConfirmation) FitsInFrame() bool {
+	size := peerHeaderBytes + 5*binary.MaxVarintLen64
+	for _, jobID := range m.Cancellations {
 		size += binary.MaxVarintLen16 + len(jobID)
 	}
-	return size <= maxPeerFrame
+	return size <= maxPeerFrameBytes
 }
 
 // Levels of what a node knows. A node announces its own in a form that the first
 // version, which knows none, takes for an answer to nothing and drops.
 const (
-	// PeerKnowsCancelled: PeerCancellation, PeerConfirmRequest and PeerConfirmation, and job
+	// FeatureLevelCancellations: PeerCancellation, PeerConfirmationRequest and PeerConfirmation, and job
 	// records with more parts than their number of tasks per record implies.
-	PeerKnowsCancelled = 1
-	// PeerKnowsStaged: parts of a job that are written before the job's own record
+	FeatureLevelCancellations = 1
+	// FeatureLevelStagedParts: parts of a job that are written before the job's own record
 	// names them. An earlier version deletes such records when it takes over.
-	PeerKnowsStaged = 2
-	// PeerLevel is the level of this version.
-	PeerLevel = PeerKnowsStaged
+	FeatureLevelStagedParts = 2
+	// CurrentFeatureLevel is the level of this version.
+	CurrentFeatureLevel = FeatureLevelStagedParts
 )
 
 // announcementID is no request's: those count from a 40-bit number.
 const announcementID = math.MaxUint64
 
-// Announcement says to a peer what this node knows.
-func Announcement(target NodeName) PeerMessage {
-	return PeerResponse{ID: announcementID, Target: target, Status: PeerLevel, Body: []byte{}}
+// FeatureLevelAnnouncement says to a peer what this node knows.
+func FeatureLevelAnnouncement(target NodeName) PeerMessage {
+	return PeerResponse{ID: announcementID, Target: target, Status: CurrentFeatureLevel, Body: []byte{}}
 }
 
-// Announced is the level that a message announces, if it does.
-func Announced(m PeerMessage) (level uint64, ok bool) {
+// AnnouncedFeatureLevel is the level that a message announces, if it does.
+func AnnouncedFeatureLevel(m PeerMessage) (level uint64, ok bool) {
 	a, ok := m.(PeerResponse)
 	if !ok || a.ID != announcementID {
 		return 0, false
--- a/internal/protocol/peer_codec.go
+++ b/internal/protocol/peer_codec.go
@@ -7,13 +7,13 @@
 
 // Limits of what is decoded.
 const (
-	maxPeerString = MaxBody
-	// minEncodedTask is the least size of a task's status: five fields of a byte each.
-	minEncodedTask = 5
+	maxPeerStringBytes = MaxBodyBytes
+	// minTaskStatusBytes is the least size of a task's status: five fields of a byte each.
+	minTaskStatusBytes = 5
 )
 
-// oneByteVarint is the least number that takes more than one byte.
-const oneByteVarint = 0x80
+// minTwoByteVarint is the least number that takes more than one byte.
+const minTwoByteVarint = 0x80
 
 // codec encodes or decodes the fields of a message in their order. A message describes
 // itself once, in its method fields; each call there writes the field or reads it.
@@ -23,72 +23,72 @@
 	failed   bool // something does not parse, and nothing is left to read
 }
 
-func (m *PeerHello) fields(c *codec) { text(c, &m.Node) }
+func (m *PeerHello) fields(c *codec) { textField(c, &m.Node) }
 
 func (m *PeerStatus) fields(c *codec) {
-	number(c, &m.Term)
-	text(c, &m.Leader)
-	c.boolean(&m.StateOK)
-	texts(c, &m.Links)
-	number(c, &m.DirectShare)
+	numberField(c, &m.Term)
+	textField(c, &m.Leader)
+	c.booleanField(&m.HasStoreAccess)
+	textListField(c, &m.Links)
+	numberField(c, &m.DirectShare)
 }
 
 func (m *PeerForwardedHeartbeat) fields(c *codec) {
-	number(c, &m.ID)
-	text(c, &m.Origin)
-	text(c, &m.Target)
-	number(c, &m.Hops)
+	numberField(c, &m.ID)
+	textField(c, &m.Origin)
+	textField(c, &m.Target)
+	numberField(c, &m.Hops)
 	m.Heartbeat.fields(c)
 }
 
 func (m *PeerResponse) fields(c *codec) {
-	number(c, &m.ID)
-	text(c, &m.Target)
-	number(c, &m.Hops)
-	number(c, &m.Status)
-	c.bytes(&m.Body)
+	numberField(c, &m.ID)
+	textField(c, &m.Target)
+	numberField(c, &m.Hops)
+	numberField(c, &m.Status)
+	c.bytesField(&m.Body)
 }
 
 func (m *PeerUserRequest) fields(c *codec) {
-	number(c, &m.ID)
-	text(c, &m.Origin)
-	text(c, &m.Target)
-	text(c, &m.Operation)
-	text(c, &m.Job)
-	c.bytes(&m.Body)
+	numberField(c, &m.ID)
+	textField(c, &m.Origin)
+	textField(c, &m.Target)
+	textField(c, &m.Operation)
+	textField(c, &m.Job)
+	c.bytesField(&m.Body)
 }
 
 func (m *PeerAgentCall) fields(c *codec) {
-	number(c, &m.ID)
-	text(c, &m.Origin)
-	text(c, &m.Address)
-	c.bytes(&m.Body)
+	numberField(c, &m.ID)
+	textField(c, &m.Origin)
+	textField(c, &m.Address)
+	c.bytesField(&m.Body)
 }
 
-func (m *PeerCancellation) fields(c *codec) { text(c, &m.Job) }
+func (m *PeerCancellation) fields(c *codec) { textField(c, &m.Job) }
 
-func (m *PeerConfirmRequest) fields(c *codec) { number(c, &m.ID) }
+func (m *PeerConfirmationRequest) fields(c *codec) { numberField(c, &m.ID) }
 
 func (m *PeerConfirmation) fields(c *codec) {
-	number(c, &m.ID)
-	number(c, &m.Term)
-	number(c, &m.UpMs)
-	c.boolean(&m.Complete)
-	texts(c, &m.Cancels)
+	numberField(c, &m.ID)
+	numberField(c, &m.Term)
+	numberField(c, &m.UptimeMs)
+	c.booleanField(&m.Complete)
+	textListField(c, &m.Cancellations)
 }
 
 func (h *Heartbeat) fields(c *codec) {
-	text(c, &h.Machine)
-	text(c, &h.Address)
-	text(c, &h.Type)
-	text(c, &h.Zone)
-	c.boolean(&h.Spot)
-	number(c, &h.Incarnation)
-	number(c, &h.Sequence)
-	number(c, &h.FencingToken)
-	c.optionalFloat(&h.PreemptionNoticeS)
+	textField(c, &h.Machine)
+	textField(c, &h.Address)
+	textField(c, &h.Type)
+	textField(c, &h.Zone)
+	c.booleanField(&h.Spot)
+	numberField(c, &h.Incarnation)
+	numberField(c, &h.Sequence)
+	numberField(c, &h.FencingToken)
+	c.optionalFloatField(&h.PreemptionNoticeS)
 	if c.decoding {
-		for n := c.readCount(minEncodedTask); n > 0 && !c.failed; n-- {
+		for n := c.readCount(minTaskStatusBytes); n > 0 && !c.failed; n-- {
 			h.Tasks = append(h.Tasks, TaskStatus{})
 			h.Tasks[len(h.Tasks)-1].fields(c)
 		}
@@ -101,15 +101,15 @@
 }
 
 func (t *TaskStatus) fields(c *codec) {
-	text(c, &t.Task)
-	number(c, &t.Attempt)
-	text(c, &t.State)
-	text(c, &t.Cause)
-	c.boolean(&t.Saved)
+	textField(c, &t.Task)
+	numberField(c, &t.Attempt)
+	textField(c, &t.State)
+	textField(c, &t.Cause)
+	c.booleanField(&t.Saved)
 }
 
-// number is a field that holds an unsigned integer.
-func number[T ~uint64](c *codec, field *T) {
+// numberField is a field that holds an unsigned integer.
+func numberField[T ~uint64](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readNumber())
 	} else {
@@ -117,8 +117,8 @@
 	}
 }
 
-// text is a field that holds a string.
-func text[T ~string](c *codec, field *T) {
+// textField is a field that holds a string.
+func textField[T ~string](c *codec, field *T) {
 	if c.decoding {
 		*field = T(c.readString())
 		return
@@ -126,8 +126,8 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// texts is a field that holds a list of strings.
-func texts[T ~string](c *codec, field *[]T) {
+// textListField is a field that holds a list of strings.
+func textListField[T ~string](c *codec, field *[]T) {
 	if c.decoding {
 		for n := c.readCount(1); n > 0 && !c.failed; n-- {
 			*field = append(*field, T(c.readString()))
@@ -136,12 +136,12 @@
 	}
 	c.writeNumber(uint64(len(*field)))
 	for i := range *field {
-		text(c, &(*field)[i])
+		textField(c, &(*field)[i])
 	}
 }
 
-// bytes is a field that holds a body.
-func (c *codec) bytes(field *[]byte) {
+// bytesField is a field that holds a body.
+func (c *codec) bytesField(field *[]byte) {
 	if c.decoding {
 		b := c.readBytes()
 		*field = make([]byte, len(b))
@@ -151,8 +151,8 @@
 	c.data = append(appendNumber(c.data, uint64(len(*field))), *field...)
 }
 
-// boolean is a field that is true or false, 1 or 0.
-func (c *codec) boolean(field *bool) {
+// booleanField is a field that is true or false, 1 or 0.
+func (c *codec) booleanField(field *bool) {
 	if c.decoding {
 		*field = c.readBoolean()
 	} else {
@@ -160,8 +160,8 @@
 	}
 }
 
-// optionalFloat is a field that may be missing: whether it is there, and its bits.
-func (c *codec) optionalFloat(field **float64) {
+// optionalFloatField is a field that may be missing: whether it is there, and its bits.
+func (c *codec) optionalFloatField(field **float64) {
 	if c.decoding {
 		if c.readBoolean() {
 			v := math.Float64frombits(c.readNumber())
@@ -179,7 +179,7 @@
 
 // appendNumber appends a varint, one byte of which, the most frequent, without a loop.
 func appendNumber(b []byte, v uint64) []byte {
-	if v < oneByteVarint {
+	if v < minTwoByteVarint {
 		return append(b, byte(v))
 	}
 	return binary.AppendUvarint(b, v)
@@ -200,7 +200,7 @@
 }
 
 func (c *codec) readNumber() uint64 {
-	if len(c.data) > 0 && c.data[0] < oneByteVarint {
+	if len(c.data) > 0 && c.data[0] < minTwoByteVarint {
 		v := c.data[0]
 		c.data = c.data[1:]
 		return uint64(v)
@@ -227,7 +227,7 @@
 // readBytes reads a length and bytes, which it does not copy.
 func (c *codec) readBytes() []byte {
 	n := c.readNumber()
-	if n > uint64(len(c.data)) || n > maxPeerString {
+	if n > uint64(len(c.data)) || n > maxPeerStringBytes {
 		c.fail()
 		return nil
 	}
--- a/internal/protocol/peer_frame.go
+++ b/internal/protocol/peer_frame.go
@@ -13,9 +13,9 @@
 //
 // Numbers in a payload are unsigned varints, strings are a length and bytes.
 const (
-	peerVersion  = 2
-	peerHeader   = 8
-	maxPeerFrame = 256 << 10
+	peerVersion       = 2
+	peerHeaderBytes   = 8
+	maxPeerFrameBytes = 256 << 10
 )
 
 // Kinds of frames, one for each type of message.
@@ -27,19 +27,19 @@
 	kindUserRequest
 	kindAgentCall
 	kindCancellation
-	kindConfirmRequest
+	kindConfirmationRequest
 	kindConfirmation
 )
 
-func (PeerHello) kind() byte              { return kindHello }
-func (PeerStatus) kind() byte             { return kindStatus }
-func (PeerForwardedHeartbeat) kind() byte { return kindForwardedHeartbeat }
-func (PeerResponse) kind() byte           { return kindResponse }
-func (PeerUserRequest) kind() byte        { return kindUserRequest }
-func (PeerAgentCall) kind() byte          { return kindAgentCall }
-func (PeerCancellation) kind() byte       { return kindCancellation }
-func (PeerConfirmRequest) kind() byte     { return kindConfirmRequest }
-func (PeerConfirmation) kind() byte       { return kindConfirmation }
+func (PeerHello) kind() byte               { return kindHello }
+func (PeerStatus) kind() byte              { return kindStatus }
+func (PeerForwardedHeartbeat) kind() byte  { return kindForwardedHeartbeat }
+func (PeerResponse) kind() byte            { return kindResponse }
+func (PeerUserRequest) kind() byte         { return kindUserRequest }
+func (PeerAgentCall) kind() byte           { return kindAgentCall }
+func (PeerCancellation) kind() byte        { return kindCancellation }
+func (PeerConfirmationRequest) kind() byte { return kindConfirmationRequest }
+func (PeerConfirmation) kind() byte        { return kindConfirmation }
 
 // ErrFrame is wrapped by every error about a wrong frame.
 var ErrFrame = errors.New("bad peer frame")
@@ -63,19 +63,19 @@
 		m.fields(c)
 	case PeerCancellation:
 		m.fields(c)
-	case PeerConfirmRequest:
+	case PeerConfirmationRequest:
 		m.fields(c)
 	case PeerConfirmation:
 		m.fields(c)
 	}
-	binary.BigEndian.PutUint32(c.data[start+4:], uint32(len(c.data)-start-peerHeader))
+	binary.BigEndian.PutUint32(c.data[start+4:], uint32(len(c.data)-start-peerHeaderBytes))
 	return c.data
 }
 
 // ReadPeerFrame reads one frame. A frame that is wrong, too large or of another
 // version is an error that wraps ErrFrame; the link must then be closed.
 func ReadPeerFrame(r io.Reader) (PeerMessage, error) {
-	var h [peerHeader]byte
+	var h [peerHeaderBytes]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, h[2], peerVersion)
 	}
 	n := binary.BigEndian.Uint32(h[4:])
-	if n > maxPeerFrame {
+	if n > maxPeerFrameBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, n)
 	}
 	payload := make([]byte, n)
@@ -139,8 +139,8 @@
 		var m PeerCancellation
 		m.fields(c)
 		return m
-	case kindConfirmRequest:
-		var m PeerConfirmRequest
+	case kindConfirmationRequest:
+		var m PeerConfirmationRequest
 		m.fields(c)
 		return m
 	case kindConfirmation:
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -5,8 +5,8 @@
 // ordinary terms.
 package protocol
 
-// MaxBody is the largest request body that any interface accepts, in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body that any interface accepts, in bytes.
+const MaxBodyBytes = 64 << 10
 
 // ErrorBody is the body of every refusal.
 type ErrorBody struct {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,28 +12,28 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const goodJob = `{"uid":"run-000412","lane":"train","crew":"vision","shape":"gang","rank":"high","pieces":16,
+const validJob = `{"uid":"run-000412","lane":"train","crew":"vision","shape":"gang","rank":"high","pieces":16,
 "cpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,
 "builds":["g8"],"yard":null,"one_zone":true,"scatter":false,"loaners":true,
 "expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0}`
 
 func TestParseJob(t *testing.T) {
-	got, err := ParseJob([]byte(goodJob))
+	got, err := ParseJob([]byte(validJob))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Job{ID: "run-000412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: "high", Tasks: 16,
 		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []MachineTypeName{"g8"}, OneZone: true, Spot: true,
-		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+		EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// replace puts another value into the good job's field; "" takes it out.
-func replace(t *testing.T, field, value string) []byte {
+// withField puts another value into the good job's field; "" takes it out.
+func withField(t *testing.T, field, value string) []byte {
 	var m map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(goodJob), &m); err != nil {
+	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
 		t.Fatal(err)
 	}
 	if value == "" {
@@ -48,8 +48,8 @@
 	return b
 }
 
-func TestParseJobRefuses(t *testing.T) {
-	for _, body := range []string{"", "null", "[]", "7", `"x"`, "{", goodJob + "x", strings.Replace(goodJob, "240.0", "NaN", 1)} {
+func TestParseJobRejectsInvalidJobs(t *testing.T) {
+	for _, body := range []string{"", "null", "[]", "7", `"x"`, "{", validJob + "x", strings.Replace(validJob, "240.0", "NaN", 1)} {
 		if _, err := ParseJob([]byte(body)); err == nil {
 			t.Errorf("%.20q is taken", body)
 		}
@@ -78,42 +78,42 @@
 	}
 	for field, values := range bad {
 		for _, v := range values {
-			if _, err := ParseJob(replace(t, field, v)); err == nil {
+			if _, err := ParseJob(withField(t, field, v)); err == nil {
 				t.Errorf("%s = %q is taken", field, v)
 			}
 		}
 	}
 }
 
-// TestParseJobOptional: fields that may be null may also be missing, and
+// TestParseJobAcceptsMissingOptionalFields: fields that may be null may also be missing, and
 // unknown fields are ignored.
-func TestParseJobOptional(t *testing.T) {
+func TestParseJobAcceptsMissingOptionalFields(t *testing.T) {
 	for _, field := range []string{"builds", "yard", "due_s"} {
 		for _, v := range []string{"", "null"} {
-			if _, err := ParseJob(replace(t, field, v)); err != nil {
+			if _, err := ParseJob(withField(t, field, v)); err != nil {
 				t.Errorf("%s = %q: %v", field, v, err)
 			}
 		}
 	}
-	if _, err := ParseJob(replace(t, "later", `{"a":[1]}`)); err != nil {
+	if _, err := ParseJob(withField(t, "later", `{"a":[1]}`)); err != nil {
 		t.Error(err)
 	}
 	// An empty list allows no type; it is not the same as null.
-	spec, err := ParseJob(replace(t, "builds", "[]"))
-	if err != nil || Allowed(spec.Types, "g8") {
+	spec, err := ParseJob(withField(t, "builds", "[]"))
+	if err != nil || TypeAllowed(spec.Types, "g8") {
 		t.Errorf("an empty list allows g8 (%v)", err)
 	}
 }
 
-// TestParseJobSize: whatever is accepted fits into its record.
-func TestParseJobSize(t *testing.T) {
+// TestParseJobLimitsEncodedSize: whatever is accepted fits into its record.
+func TestParseJobLimitsEncodedSize(t *testing.T) {
 	long := `"` + strings.Repeat("\\u0001", 90) + `"`
-	body := replace(t, "lane", long)
+	body := withField(t, "lane", long)
 	if _, err := ParseJob(body); err != nil {
 		t.Errorf("one long name is refused: %v", err)
 	}
 	var m map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(goodJob), &m); err != nil {
+	if err := json.Unmarshal([]byte(validJob), &m); err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range []string{"lane", "crew", "bundle", "yard"} {
@@ -134,7 +134,7 @@
 	return b
 }
 
-func TestParseHeartbeatTolerates(t *testing.T) {
+func TestParseHeartbeatAcceptsUnknownValues(t *testing.T) {
 	r, err := ParseHeartbeat([]byte(`{"berth":"i-1","tenure":2,"tally":9,"mood":"good","recall_s":12.5,
 		"pieces":[{"piece":"run-1/0","try":1,"phase":"napping","cause":"bored","x":1}]}`))
 	if err != nil {
@@ -150,20 +150,20 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
+func TestHeartbeatNewerThan(t *testing.T) {
 	r := &Heartbeat{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
 		incarnation Incarnation
 		sequence    Sequence
 		want        bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {3, 1, false}} {
-		if r.Newer(c.incarnation, c.sequence) != c.want {
+		if r.NewerThan(c.incarnation, c.sequence) != c.want {
 			t.Errorf("newer than %d/%d: %v", c.incarnation, c.sequence, !c.want)
 		}
 	}
 }
 
-func TestCommandShowsZeroGrace(t *testing.T) {
+func TestStopCommandIncludesZeroGrace(t *testing.T) {
 	got := string(mustJSON([]Command{{Kind: CommandStop, Task: "run-1/0", Attempt: 2}, {Kind: CommandStart, Task: "run-1/1", Attempt: 1}}))
 	want := `[{"verb":"halt","piece":"run-1/0","try":2,"leeway_s":0},{"verb":"start","piece":"run-1/1","try":1}]`
 	if got != want {
@@ -171,17 +171,17 @@
 	}
 }
 
-func peerSamples() []PeerMessage {
+func samplePeerMessages() []PeerMessage {
 	n := 7.5
 	return []PeerMessage{
 		PeerHello{Node: "a"},
-		PeerStatus{Term: 9, Leader: "b", StateOK: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
+		PeerStatus{Term: 9, Leader: "b", HasStoreAccess: true, Links: []NodeName{"a", "c"}, DirectShare: 250},
 		PeerAgentCall{ID: 4, Origin: "a", Address: "h:1", Body: []byte("{}")},
 		PeerCancellation{Job: "run-000412"},
-		PeerConfirmRequest{ID: 1 << 40},
-		PeerConfirmation{ID: 1 << 40, UpMs: 7000, Complete: true, Cancels: []JobID{"run-000412", "run-2"}},
+		PeerConfirmationRequest{ID: 1 << 40},
+		PeerConfirmation{ID: 1 << 40, UptimeMs: 7000, Complete: true, Cancellations: []JobID{"run-000412", "run-2"}},
 		PeerConfirmation{ID: 3, Term: 9},
-		Announcement("berth-1"),
+		FeatureLevelAnnouncement("berth-1"),
 		PeerForwardedHeartbeat{ID: 1, Origin: "a", Target: "b", Hops: 1, Heartbeat: &Heartbeat{Machine: "i-1", Address: "h:1", Type: "t", Zone: "z", Spot: true,
 			Incarnation: 2, Sequence: 3, FencingToken: 4, PreemptionNoticeS: &n, Tasks: []TaskStatus{{Task: "run-1/0", Attempt: 1, State: TaskExited, Cause: CauseDone, Saved: true}}}},
 		PeerResponse{ID: 1, Target: "a", Status: 200, Body: []byte(`{}`)},
@@ -189,13 +189,13 @@
 	}
 }
 
-func TestPeerRoundTrip(t *testing.T) {
+func TestPeerFrameRoundTrip(t *testing.T) {
 	var stream []byte
-	for _, m := range peerSamples() {
+	for _, m := range samplePeerMessages() {
 		stream = AppendPeerFrame(stream, m)
 	}
 	r := bytes.NewReader(stream)
-	for _, want := range peerSamples() {
+	for _, want := range samplePeerMessages() {
 		got, err := ReadPeerFrame(r)
 		if err != nil {
 			t.Fatal(err)
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestPeerRefuses(t *testing.T) {
+func TestReadPeerFrameRejectsInvalidFrames(t *testing.T) {
 	good := AppendPeerFrame(nil, PeerHello{Node: "a"})
 	change := func(at int, b byte) []byte {
 		c := bytes.Clone(good)
@@ -215,7 +215,7 @@
 	}
 	for name, frame := range map[string][]byte{
 		"mark": change(0, 'X'), "version": change(2, 0), "kind": change(3, 99), "huge": change(4, 0xff),
-		"inner length": change(peerHeader, 200), "left over": append(change(7, 3), 0),
+		"inner length": change(peerHeaderBytes, 200), "left over": append(change(7, 3), 0),
 	} {
 		if m, err := ReadPeerFrame(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
 			t.Errorf("%s: %v, %v", name, m, err)
@@ -226,8 +226,8 @@
 	}
 }
 
-func FuzzReadPeer(f *testing.F) {
-	for _, m := range peerSamples() {
+func FuzzReadPeerFrame(f *testing.F) {
+	for _, m := range samplePeerMessages() {
 		f.Add(AppendPeerFrame(nil, m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -246,14 +246,14 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add([]byte(goodJob))
+	f.Add([]byte(validJob))
 	f.Add([]byte(`{"uid":"run-1"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		spec, err := ParseJob(b)
 		if err != nil {
 			return
 		}
-		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxSpec {
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidJobID(spec.ID) || spec.CPUs < 0 || len(mustJSON(spec)) > MaxJobBytes {
 			t.Errorf("%+v is taken", spec)
 		}
 	})
@@ -271,11 +271,11 @@
 	})
 }
 
-// TestEarlierFrames: frames as versions 0.2 and 0.3 wrote them read as what they said
+// TestFramesOfEarlierVersions: frames as versions 0.2 and 0.3 wrote them read as what they said
 // and are written byte for byte the same, since those versions, beside which this one
 // runs during an upgrade, cut a link on anything else. The announcement is a frame of
 // a kind that both know; only its level differs.
-func TestEarlierFrames(t *testing.T) {
+func TestFramesOfEarlierVersions(t *testing.T) {
 	for version, want := range map[string]int{"0.2": 6, "0.3": 9} {
 		data, err := os.ReadFile("testdata/frames-" + version + ".txt")
 		if err != nil {
@@ -297,19 +297,19 @@
 			if got := AppendPeerFrame(nil, m); !bytes.Equal(got, frame) {
 				t.Errorf("%s: %T is written as %x, was %x", version, m, got, frame)
 			}
-			if level, ok := Announced(m); ok && (version != "0.3" || level != PeerKnowsCancelled || level >= PeerLevel) {
+			if level, ok := AnnouncedFeatureLevel(m); ok && (version != "0.3" || level != FeatureLevelCancellations || level >= CurrentFeatureLevel) {
 				t.Errorf("%s announces level %d", version, level)
 			}
 		}
-		if len(kinds) != want || !kinds[Announcement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
+		if len(kinds) != want || !kinds[FeatureLevelAnnouncement("a").kind()] || kinds[PeerCancellation{}.kind()] != (version == "0.3") {
 			t.Errorf("%s: kinds %v", version, kinds)
 		}
 	}
 }
 
-// TestParseService: what a service may say and must not.
-func TestParseService(t *testing.T) {
-	service := strings.Replace(strings.Replace(goodJob, `"gang"`, `"standing"`, 1), "240.0", "0", 1)
+// TestParseServiceJob: what a service may say and must not.
+func TestParseServiceJob(t *testing.T) {
+	service := strings.Replace(strings.Replace(validJob, `"gang"`, `"standing"`, 1), "240.0", "0", 1)
 	field := func(name, value string) []byte {
 		i := strings.Index(service, `"`+name+`":`) + len(name) + 3
 		j := i + strings.IndexAny(service[i:], ",}")
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -313,7 +313,7 @@
 	a.w.Audit.began(a.w.Now, task.instance())
 	a.tasks[key] = task
 	if job == nil {
-		a.refuse(task, protocol.CauseUnknown)
+		a.refuse(task, protocol.CauseUnknownTask)
 		return
 	}
 	task.job = job.spec
@@ -346,7 +346,7 @@
 			continue
 		}
 		if other.name == task.name {
-			return protocol.CauseBusy
+			return protocol.CauseTaskPresent
 		}
 		cpus, gpus, memory = cpus+other.job.CPUs, gpus+other.job.GPUs, memory+other.job.MemoryGB
 	}
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -77,7 +77,7 @@
 
 // checkpointed has a job save a checkpoint every so many seconds, which takes some seconds.
 func checkpointed(job *protocol.Job, every, save float64) *protocol.Job {
-	job.CheckpointS, job.SaveS = every, save
+	job.CheckpointIntervalS, job.CheckpointSaveS = every, save
 	return job
 }
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -152,10 +152,10 @@
 
 // createMachines creates machines up to the capacity.
 func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
-	var r protocol.Rental
+	var r protocol.CreateMachinesRequest
 	decode(body, &r)
-	if names, ok := c.rented[r.Request]; ok {
-		respond(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+	if names, ok := c.rented[r.RequestID]; ok {
+		respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 		return
 	}
 	up := 0
@@ -172,8 +172,8 @@
 	for range min(r.Count, c.capacity-up) {
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.rented[r.Request] = names
-	respond(http.StatusOK, encode(protocol.MachineNames{Machines: names}))
+	c.rented[r.RequestID] = names
+	respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 }
 
 // bootTime returns how long a machine takes to boot. One in twenty takes so long that it counts as
@@ -191,7 +191,7 @@
 
 // deleteMachines deletes machines.
 func (c *cloudProvider) deleteMachines(body []byte, respond responseFunc) {
-	var r protocol.MachineNames
+	var r protocol.MachineIDs
 	decode(body, &r)
 	for _, h := range c.hosts {
 		if slices.Contains(r.Machines, h.ID) && !h.deleted {
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -360,7 +360,7 @@
 					t.Errorf("task %d of the job without places never ran", i)
 				}
 			}
-			if _, stays := c.store.keys[storage.RestoredKey]; stays {
+			if _, stays := c.store.keys[storage.RestoreMarkerKey]; stays {
 				t.Error("the marker stays")
 			}
 			c.expectRulesHeld(t)
@@ -444,7 +444,7 @@
 
 // pendingRecord is a job's record before any place.
 func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
-	return storage.Job{Writer: "before", Spec: spec, AtMs: now.UnixMilli(), Seq: 1, RecordTasks: 60}
+	return storage.Job{Writer: "before", Spec: spec, SubmittedAtMs: now.UnixMilli(), SubmissionRevision: 1, TasksPerBaseRecord: 60}
 }
 
 // TestColdRestartLeavesBadRecordsAlone: a job's record that cannot be read, one of a later version, and a
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -165,7 +165,7 @@
 func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
 	t.Helper()
 	for key, e := range w.store.keys {
-		if strings.HasPrefix(key, storage.MachinePrefix) && namesMachine(e.Value, id) {
+		if strings.HasPrefix(key, storage.MachineRecordPrefix) && namesMachine(e.Value, id) {
 			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
 		}
 	}
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -150,9 +150,9 @@
 	}
 	g.ended = true
 	j := w.rules.jobs[g.job.ID]
-	if g.stopRequestedAt.IsZero() && g.job.CheckpointS > 0 {
+	if g.stopRequestedAt.IsZero() && g.job.CheckpointIntervalS > 0 {
 		run := j.progress[0] + w.Now.Sub(g.startedAt).Seconds()
-		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointS)*g.job.CheckpointS)
+		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointIntervalS)*g.job.CheckpointIntervalS)
 	}
 	for _, task := range g.sortedMembers() {
 		if task != lost {
@@ -174,7 +174,7 @@
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
 	}
-	saves := t.state == protocol.TaskRunning && t.job.CheckpointS > 0 && grace >= t.job.SaveS
+	saves := t.state == protocol.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointSaveS
 	if !saves {
 		t.exit(protocol.CauseStopped, false)
 		return
@@ -193,7 +193,7 @@
 	w := t.agent.w
 	job := w.rules.jobs[t.job.ID]
 	run := job.progress[t.index] + w.Now.Sub(t.startedAt).Seconds()
-	t.agent.schedule(secs(t.job.SaveS), t, func() {
+	t.agent.schedule(secs(t.job.CheckpointSaveS), t, func() {
 		job.progress[t.index] = max(job.progress[t.index], run)
 		t.exit(protocol.CauseStopped, true)
 	})
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -207,7 +207,7 @@
 
 // limitViolation describes which limit a transaction exceeds, "" if it exceeds none.
 func (s *keyValueStore) limitViolation(t *protocol.Transaction, size int) string {
-	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBody {
+	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBodyBytes {
 		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
 	}
 	for _, c := range t.Changes {
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -30,7 +30,7 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		node := coordination.New(cfg, log, uint64(o.life*10+i), fmt.Sprint("life-", o.life, "-", i))
 		o.ended.Go(func() {
-			if err := transport.NewOwner(cfg, log, node).Run(ctx); err != nil {
+			if err := transport.NewController(cfg, log, node).Run(ctx); err != nil {
 				o.t.Error(err)
 			}
 		})
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -26,16 +26,16 @@
 	case release02:
 		return 0
 	case release03:
-		return protocol.PeerKnowsCancelled
+		return protocol.FeatureLevelCancellations
 	}
-	return protocol.PeerLevel
+	return protocol.CurrentFeatureLevel
 }
 
 // limitAnnouncement returns a message as a controller of one release receives it from one of
 // another. An announced feature level becomes the lower level of the two releases, because an
 // earlier release does nothing that a later level would allow.
 func limitAnnouncement(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
-	if _, ok := protocol.Announced(m); !ok {
+	if _, ok := protocol.AnnouncedFeatureLevel(m); !ok {
 		return m
 	}
 	a := m.(protocol.PeerResponse)
@@ -46,10 +46,10 @@
 // canSend reports whether the node's release knows a message. Version 0.2 does not know the
 // messages added later, and closes a link on which one arrives: sending it one breaks a rule.
 func (c *controller) canSend(a coordination.PeerSend) bool {
-	_, announces := protocol.Announced(a.Message)
+	_, announces := protocol.AnnouncedFeatureLevel(a.Message)
 	added := false
 	switch a.Message.(type) {
-	case protocol.PeerCancellation, protocol.PeerConfirmRequest, protocol.PeerConfirmation:
+	case protocol.PeerCancellation, protocol.PeerConfirmationRequest, protocol.PeerConfirmation:
 		added = true
 	}
 	if added && c.w.release[string(a.Peer)] == release02 {
@@ -82,7 +82,7 @@
 			continue
 		}
 		rec, err := storage.DecodeJob(r.w.store.keys[storage.JobKey(id)].Value)
-		if err != nil || num < max(rec.BaseRecords(), rec.Parts) {
+		if err != nil || num < max(rec.BaseRecords(), rec.TotalRecords) {
 			continue
 		}
 		r.stagedRecords++
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -16,7 +16,7 @@
 		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
 			Shape: protocol.ShapeArray, Priority: []string{"idle", "normal", "high"}[w.rng.IntN(3)], Tasks: 1 + w.rng.IntN(6),
 			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", w.rng.IntN(3)), ImageGB: 2 + 4*w.rng.Float64(),
-			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointS: float64(w.rng.IntN(2)) * 10, SaveS: 2}
+			Spot: w.rng.IntN(2) == 0, EstimateS: 20, CheckpointIntervalS: float64(w.rng.IntN(2)) * 10, CheckpointSaveS: 2}
 		if w.rng.IntN(2) == 0 {
 			spec.Class, spec.Shape, spec.Tasks = "gang", protocol.ShapeGang, 1+w.rng.IntN(4)
 			spec.GPUs = float64(1 + w.rng.IntN(2))
--- a/internal/storage/mirror.go
+++ b/internal/storage/mirror.go
@@ -8,19 +8,19 @@
 
 // Mirror is a node's copy of the live records: complete up to Revision.
 type Mirror struct {
-	Revision protocol.Revision
-	items    map[string]protocol.Entry
-	loading  map[string]protocol.Entry
-	loadRev  protocol.Revision
-	ready    bool
-	statuses map[string]status
+	Revision      protocol.Revision
+	entries       map[string]protocol.Entry
+	loadedEntries map[string]protocol.Entry
+	loadRevision  protocol.Revision
+	ready         bool
+	statuses      map[string]cachedStatus
 }
 
-// status is what a job's record says to its user, as of a revision: users ask
+// cachedStatus is what a job's record says to its user, as of a revision: users ask
 // far more often than records change.
-type status struct {
+type cachedStatus struct {
 	revision protocol.Revision
-	answer   protocol.Status
+	status   protocol.Status
 }
 
 // Ready says whether the mirror has been loaded.
@@ -28,27 +28,27 @@
 
 // BeginLoad starts reading everything anew.
 func (m *Mirror) BeginLoad() {
-	m.loading = map[string]protocol.Entry{}
-	m.loadRev = 0
+	m.loadedEntries = map[string]protocol.Entry{}
+	m.loadRevision = 0
 }
 
 // LoadPage takes a page and returns the key to go on after, or "" at the end.
 // The watch starts from the first page's revision: a change between two pages
 // is seen again, which does no harm.
 func (m *Mirror) LoadPage(page *protocol.Entries) (after string) {
-	if m.loadRev == 0 {
-		m.loadRev = page.Revision
+	if m.loadRevision == 0 {
+		m.loadRevision = page.Revision
 	}
 	for _, e := range page.Items {
-		m.loading[e.Key] = e
+		m.loadedEntries[e.Key] = e
 		after = e.Key
 	}
 	if page.More && after != "" {
 		return after
 	}
-	m.items, m.loading = m.loading, nil
-	m.statuses = map[string]status{}
-	m.Revision, m.ready = m.loadRev, true
+	m.entries, m.loadedEntries = m.loadedEntries, nil
+	m.statuses = map[string]cachedStatus{}
+	m.Revision, m.ready = m.loadRevision, true
 	return ""
 }
 
@@ -56,31 +56,31 @@
 // known.
 func (m *Mirror) Apply(ev *protocol.WatchEvent) bool {
 	if ev.Set != "" {
-		if old, ok := m.items[ev.Set]; ok && old.Revision >= ev.Revision {
+		if old, ok := m.entries[ev.Set]; ok && old.Revision >= ev.Revision {
 			return false
 		}
-		m.items[ev.Set] = protocol.Entry{Key: ev.Set, Value: ev.Value, Revision: ev.Revision}
+		m.entries[ev.Set] = protocol.Entry{Key: ev.Set, Value: ev.Value, Revision: ev.Revision}
 		return true
 	}
-	old, ok := m.items[ev.Delete]
+	old, ok := m.entries[ev.Delete]
 	if !ok || old.Revision >= ev.Revision {
 		return false
 	}
-	delete(m.items, ev.Delete)
+	delete(m.entries, ev.Delete)
 	delete(m.statuses, ev.Delete)
 	return true
 }
 
 // Get reads one key.
 func (m *Mirror) Get(key string) (protocol.Entry, bool) {
-	e, ok := m.items[key]
+	e, ok := m.entries[key]
 	return e, ok
 }
 
 // Status is what a job's user is told by the record under a key, and the
 // record's revision; false if there is no sound one.
 func (m *Mirror) Status(key string) (protocol.Status, protocol.Revision, bool) {
-	e, ok := m.items[key]
+	e, ok := m.entries[key]
 	if !ok {
 		return protocol.Status{}, 0, false
 	}
@@ -90,15 +90,15 @@
 		if err != nil {
 			return protocol.Status{}, 0, false
 		}
-		s = status{e.Revision, rec.Status()}
+		s = cachedStatus{e.Revision, rec.Status()}
 		m.statuses[key] = s
 	}
-	return s.answer, s.revision, true
+	return s.status, s.revision, true
 }
 
 // Each visits the keys below a prefix, in no order.
 func (m *Mirror) Each(prefix string, visit func(protocol.Entry)) {
-	for k, e := range m.items {
+	for k, e := range m.entries {
 		if strings.HasPrefix(k, prefix) {
 			visit(e)
 		}
@@ -106,4 +106,4 @@
 }
 
 // Len is the number of keys.
-func (m *Mirror) Len() int { return len(m.items) }
+func (m *Mirror) Len() int { return len(m.entries) }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -30,15 +30,15 @@
 
 // Prefixes and keys.
 const (
-	LivePrefix    = "g/"
-	LeaderKey     = "g/c/leader"
-	TypesKey      = "g/c/types"
-	RestoredKey   = "g/c/restored"
-	JobPrefix     = "g/j/"
-	TaskPrefix    = "g/t/"
-	MachinePrefix = "g/m/"
-	RelayPrefix   = "g/x/"
-	FinalPrefix   = "h/"
+	LivePrefix          = "g/"
+	LeaderKey           = "g/c/leader"
+	TypesKey            = "g/c/types"
+	RestoreMarkerKey    = "g/c/restored"
+	JobPrefix           = "g/j/"
+	TaskRecordPrefix    = "g/t/"
+	MachineRecordPrefix = "g/m/"
+	RelayPrefix         = "g/x/"
+	FinalRecordPrefix   = "h/"
 )
 
 // JobKey is the key of an unfinished job.
@@ -50,17 +50,17 @@
 	return protocol.JobID(rest), ok
 }
 
-// FinalKey is the key of a finished job.
-func FinalKey(id protocol.JobID) string { return FinalPrefix + string(id) }
+// FinalRecordKey is the key of a finished job.
+func FinalRecordKey(id protocol.JobID) string { return FinalRecordPrefix + string(id) }
 
 // TaskRecordKey is the key of a job's n-th record of tasks, n from 1.
 func TaskRecordKey(id protocol.JobID, n int) string {
-	return TaskPrefix + string(id) + "/" + strconv.Itoa(n)
+	return TaskRecordPrefix + string(id) + "/" + strconv.Itoa(n)
 }
 
 // ParseTaskRecordKey takes such a key apart.
 func ParseTaskRecordKey(key string) (id protocol.JobID, n int, ok bool) {
-	rest, ok := strings.CutPrefix(key, TaskPrefix)
+	rest, ok := strings.CutPrefix(key, TaskRecordPrefix)
 	if !ok {
 		return "", 0, false
 	}
@@ -73,7 +73,7 @@
 }
 
 // MachineRecordKey is the key of a machine record.
-func MachineRecordKey(id string) string { return MachinePrefix + id }
+func MachineRecordKey(id string) string { return MachineRecordPrefix + id }
 
 // RelayKey is the key of the messages from one controller to another.
 func RelayKey(from, to protocol.NodeName) string {
@@ -107,9 +107,9 @@
 	Boot string `json:"boot"`
 }
 
-// Restored marks a state service that lacks what workers have seen of it: jobs of before
+// RestoreMarker marks a state service that lacks what workers have seen of it: jobs of before
 // may run on workers that have yet to report. Token is the highest that a worker held.
-type Restored struct {
+type RestoreMarker struct {
 	Writer string        `json:"w"`
 	Token  protocol.Term `json:"token"`
 }
@@ -156,7 +156,7 @@
 func (list *Tasks) UnmarshalJSON(value []byte) error {
 	var short [][]json.RawMessage
 	if err := json.Unmarshal(value, &short); err != nil {
-		return list.unmarshalLong(value)
+		return list.unmarshalObjects(value)
 	}
 	*list = make(Tasks, len(short))
 	for i, fields := range short {
@@ -185,7 +185,7 @@
 	return N(n), err
 }
 
-func (list *Tasks) unmarshalLong(value []byte) error {
+func (list *Tasks) unmarshalObjects(value []byte) error {
 	var long []struct {
 		Index       int                    `json:"i"`
 		Attempt     protocol.AttemptNumber `json:"n"`
@@ -204,36 +204,38 @@
 // Job is the record of an unfinished job. Writer is unique to every write: by
 // it a transaction whose answer was lost is told from one that never happened.
 type Job struct {
-	Writer      string                 `json:"w"`
-	Spec        *protocol.Job          `json:"spec"`
-	AtMs        int64                  `json:"at"`            // time of day of the submission
-	Seq         protocol.Revision      `json:"seq,omitempty"` // revision of the submission: the order of arrival
-	Attempt     protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
-	Cancelled   bool                   `json:"off,omitempty"`
-	Done        int                    `json:"done,omitempty"`
-	Placed      int                    `json:"placed,omitempty"`
-	RecordTasks int                    `json:"chunk"` // tasks per record
-	// Parts is the number of records if there are more than RecordTasks says: one that
+	Writer             string                 `json:"w"`
+	Spec               *protocol.Job          `json:"spec"`
+	SubmittedAtMs      int64                  `json:"at"`            // time of day of the submission
+	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // revision of the submission: the order of arrival
+	Attempt            protocol.AttemptNumber `json:"try,omitempty"` // the gang's epoch
+	Cancelled          bool                   `json:"off,omitempty"`
+	Done               int                    `json:"done,omitempty"`
+	Placed             int                    `json:"placed,omitempty"`
+	TasksPerBaseRecord int                    `json:"chunk"` // tasks per record
+	// TotalRecords is the number of records if there are more than TasksPerRecord says: one that
 	// had outgrown the limits was split, and what it gave away is in the last ones.
 	// Version 0.2 would not find those.
-	Parts int   `json:"parts,omitempty"`
-	Tasks Tasks `json:"tasks,omitempty"`
+	TotalRecords int   `json:"parts,omitempty"`
+	Tasks        Tasks `json:"tasks,omitempty"`
 	// Version is 0 as long as every version that may run beside this one reads the
 	// record whole. A record of a higher version is left alone.
 	Version int `json:"v,omitempty"`
 }
 
-// ErrVersion is wrapped by the error about a record of a version that is not known.
-var ErrVersion = errors.New("record of an unknown version")
+// ErrUnknownVersion is wrapped by the error about a record of a version that is not known.
+var ErrUnknownVersion = errors.New("record of an unknown version")
 
-// ErrRecord is wrapped by the error about a record that makes no sense.
-var ErrRecord = errors.New("record without a sound description")
+// ErrMalformedRecord is wrapped by the error about a record that makes no sense.
+var ErrMalformedRecord = errors.New("record without a sound description")
 
-// jobVersion is the highest version of a job's record that is known.
-const jobVersion = 0
+// maxJobRecordVersion is the highest version of a job's record that is known.
+const maxJobRecordVersion = 0
 
-// BaseRecords is the number of records that RecordTasks says.
-func (j *Job) BaseRecords() int { return (j.Spec.Tasks + j.RecordTasks - 1) / j.RecordTasks }
+// BaseRecords is the number of records that TasksPerRecord says.
+func (j *Job) BaseRecords() int {
+	return (j.Spec.Tasks + j.TasksPerBaseRecord - 1) / j.TasksPerBaseRecord
+}
 
 // Writer is the writer's name that a record begins with, found without decoding
 // the rest; "" if it begins otherwise.
@@ -273,18 +275,18 @@
 	Cordoned bool `json:"closed,omitempty"`
 }
 
-// Size is how many bytes an entry takes at most, whatever address it gets and
+// MaxSize is how many bytes an entry takes at most, whatever address it gets and
 // whether or not it is closed.
-func (r MachineEntry) Size() int {
+func (r MachineEntry) MaxSize() int {
 	r.Cordoned, r.Spot = true, true
-	return len(Encode(r)) + 1 + max(0, maxAddress-len(r.Address))
+	return len(Encode(r)) + 1 + max(0, maxAddressBytes-len(r.Address))
 }
 
-// maxAddress is the longest IPv4 address with its port, in bytes.
-const maxAddress = 21
+// maxAddressBytes is the longest IPv4 address with its port, in bytes.
+const maxAddressBytes = 21
 
-// Final is the record of a finished job.
-type Final struct {
+// FinalRecord is the record of a finished job.
+type FinalRecord struct {
 	Writer string         `json:"w"`
 	Phase  protocol.Phase `json:"phase"`
 	Done   int            `json:"done"`
@@ -296,15 +298,15 @@
 	n := (int(valueKB*1024) - len(Encode(spec)) - tuning.RecordHeaderBytes) / tuning.BytesPerTask
 	n = min(n, tuning.MaxTasksPerRecord)
 	if spec.Gang() {
-		n = min(n, GangRecordTasks(txnOps))
+		n = min(n, MaxGangTasksPerRecord(txnOps))
 	}
 	return max(1, n)
 }
 
-// GangRecordTasks is how many tasks of a gang a record may have: with every one on
+// MaxGangTasksPerRecord is how many tasks of a gang a record may have: with every one on
 // another machine, in another machine record, the transaction that places them keeps within
 // its conditions, four for every change, the leader lease and two records among them.
-func GangRecordTasks(txnOps int) int { return 4*txnOps - 4 }
+func MaxGangTasksPerRecord(txnOps int) int { return 4*txnOps - 4 }
 
 // Storable says whether a job's description leaves room for a task.
 func Storable(valueKB float64, spec *protocol.Job) bool {
@@ -330,11 +332,11 @@
 	if err := json.Unmarshal(value, &j); err != nil {
 		return nil, err
 	}
-	if j.Version > jobVersion {
-		return nil, fmt.Errorf("%w: %d", ErrVersion, j.Version)
+	if j.Version > maxJobRecordVersion {
+		return nil, fmt.Errorf("%w: %d", ErrUnknownVersion, j.Version)
 	}
-	if j.Parts < 0 || j.Parts > protocol.MaxTasks || j.Spec == nil || !protocol.ValidID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.RecordTasks < 1 {
-		return nil, ErrRecord
+	if j.TotalRecords < 0 || j.TotalRecords > protocol.MaxTasks || j.Spec == nil || !protocol.ValidJobID(j.Spec.ID) || j.Spec.Tasks < 1 || j.Spec.Tasks > protocol.MaxTasks || j.TasksPerBaseRecord < 1 {
+		return nil, ErrMalformedRecord
 	}
 	return &j, nil
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -10,12 +10,12 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestRecordsFit: a job's records keep within the value limit with the largest
+// TestJobRecordFitsValueLimit: a job's records keep within the value limit with the largest
 // description, numbers and names that they may hold.
-func TestRecordsFit(t *testing.T) {
+func TestJobRecordFitsValueLimit(t *testing.T) {
 	for _, kb := range []float64{2, 4, 8, 64} {
 		spec := &protocol.Job{ID: protocol.JobID("run-" + strings.Repeat("9", 30)), Tasks: protocol.MaxTasks}
-		for len(Encode(spec)) < protocol.MaxSpec-1 && Storable(kb, spec) {
+		for len(Encode(spec)) < protocol.MaxJobBytes-1 && Storable(kb, spec) {
 			spec.Image += "x"
 		}
 		spec.Image = spec.Image[1:]
@@ -24,15 +24,15 @@
 		for i := range size {
 			tasks = append(tasks, Task{Index: 90_000 + i, Attempt: 99_999, Machine: "i-000000000231", Incarnation: 9_999, Done: false})
 		}
-		rec := Job{Writer: strings.Repeat("w", 40), Spec: spec, AtMs: 1 << 50, Seq: 1 << 60, Attempt: 1 << 30, Cancelled: true,
-			Done: protocol.MaxTasks, Placed: protocol.MaxTasks, RecordTasks: size, Tasks: tasks}
+		rec := Job{Writer: strings.Repeat("w", 40), Spec: spec, SubmittedAtMs: 1 << 50, SubmissionRevision: 1 << 60, Attempt: 1 << 30, Cancelled: true,
+			Done: protocol.MaxTasks, Placed: protocol.MaxTasks, TasksPerBaseRecord: size, Tasks: tasks}
 		if n := len(Encode(rec)); n > int(kb*1024) {
 			t.Errorf("%v KiB: a record of %d bytes", kb, n)
 		}
 	}
 }
 
-func TestChunkKeys(t *testing.T) {
+func TestParseTaskRecordKey(t *testing.T) {
 	id, n, ok := ParseTaskRecordKey(TaskRecordKey("run-1", 12))
 	if id != "run-1" || n != 12 || !ok {
 		t.Errorf("%s %d %v", id, n, ok)
@@ -48,9 +48,9 @@
 	return protocol.Entry{Key: key, Value: []byte(fmt.Sprint(stamp)), Revision: stamp}
 }
 
-// TestMirrorBetweenPages: what changes while the pages are read is neither
+// TestChangesDuringLoad: what changes while the pages are read is neither
 // missed nor undone when the watch shows it again.
-func TestMirrorBetweenPages(t *testing.T) {
+func TestChangesDuringLoad(t *testing.T) {
 	var m Mirror
 	m.BeginLoad()
 	if after := m.LoadPage(&protocol.Entries{Revision: 100, More: true, Items: []protocol.Entry{entry("g/a", 5), entry("g/b", 6)}}); after != "g/b" {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestStatus(t *testing.T) {
+func TestJobStatus(t *testing.T) {
 	spec := &protocol.Job{ID: "run-1", Tasks: 3}
 	for _, c := range []struct {
 		rec  Job
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestTaskForm: the short form of a task says all that it must.
-func TestTaskForm(t *testing.T) {
+// TestTaskEncoding: the short form of a task says all that it must.
+func TestTaskEncoding(t *testing.T) {
 	for want, task := range map[string]Task{
 		`[3,2]`:            {Index: 3, Attempt: 2},
 		`[3,2,1]`:          {Index: 3, Attempt: 2, Done: true},
@@ -145,7 +145,7 @@
 		{ID: "run-1", Phase: protocol.PhaseRunning, Done: 1, Running: 2},
 		{ID: "run-1", Phase: protocol.PhaseCancelled, Done: 1},
 	} {
-		rec := Job{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, RecordTasks: 9, Done: want.Done, Placed: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
+		rec := Job{Writer: "w-1", Spec: &protocol.Job{ID: "run-1", Tasks: 3}, TasksPerBaseRecord: 9, Done: want.Done, Placed: want.Running, Cancelled: want.Phase == protocol.PhaseCancelled}
 		value := Encode(rec)
 		m.Apply(&protocol.WatchEvent{Set: key, Value: value, Revision: protocol.Revision(stamp + 2)})
 		for range 2 {
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestEarlierRecords: records as versions 0.2 and 0.3 wrote them are read whole, and
+// TestRecordsOfEarlierVersions: records as versions 0.2 and 0.3 wrote them are read whole, and
 // written the same while both versions run: nothing in them is new to the earlier one.
-func TestEarlierRecords(t *testing.T) {
+func TestRecordsOfEarlierVersions(t *testing.T) {
 	for version, want := range map[string]int{"0.2": 8, "0.3": 10} {
 		data, err := os.ReadFile("testdata/records-" + version + ".txt")
 		if err != nil {
@@ -198,27 +198,27 @@
 		if err != nil {
 			return nil, err
 		}
-		if want := (j.Spec.Tasks + 97) / 98; j.BaseRecords() != want || j.Parts != 0 && j.Parts <= want {
-			t.Errorf("%s: %d parts, %d records", key, j.Parts, j.BaseRecords())
+		if want := (j.Spec.Tasks + 97) / 98; j.BaseRecords() != want || j.TotalRecords != 0 && j.TotalRecords <= want {
+			t.Errorf("%s: %d parts, %d records", key, j.TotalRecords, j.BaseRecords())
 		}
 		return Encode(j), nil
-	case strings.HasPrefix(key, TaskPrefix):
-		return through[TaskRecord](value)
-	case strings.HasPrefix(key, FinalPrefix):
-		return through[Final](value)
-	case strings.HasPrefix(key, MachinePrefix):
-		return through[MachineRecord](value)
+	case strings.HasPrefix(key, TaskRecordPrefix):
+		return decodeAndEncode[TaskRecord](value)
+	case strings.HasPrefix(key, FinalRecordPrefix):
+		return decodeAndEncode[FinalRecord](value)
+	case strings.HasPrefix(key, MachineRecordPrefix):
+		return decodeAndEncode[MachineRecord](value)
 	case strings.HasPrefix(key, RelayPrefix):
-		return through[RelayedFrames](value)
+		return decodeAndEncode[RelayedFrames](value)
 	case key == LeaderKey:
-		return through[LeaderLease](value)
+		return decodeAndEncode[LeaderLease](value)
 	case key == TypesKey:
-		return through[protocol.MachineTypes](value)
+		return decodeAndEncode[protocol.MachineTypes](value)
 	}
 	return nil, fmt.Errorf("%s is no key", key)
 }
 
-func through[T any](value string) (json.RawMessage, error) {
+func decodeAndEncode[T any](value string) (json.RawMessage, error) {
 	var v T
 	err := json.Unmarshal([]byte(value), &v)
 	return Encode(v), err
