--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -18,36 +18,36 @@
 	incarnation        protocol.Incarnation
 	sequence           protocol.Sequence
 	token              protocol.Term
-	answeredAt         time.Time // when the last answered report was sent, or the session began
+	leaseRenewedAt     time.Time // when the last heartbeat that got a response was sent, or the incarnation began
 	tasks              map[string]*agentTask
 	images             map[string]bool
 	controllerIndex    int
 	inFlight           bool
-	heartbeatDue       time.Time // when the next report is due if nothing changes
+	heartbeatDue       time.Time // when the next heartbeat is due if nothing changes
 	lastSent           time.Time
-	changed            bool // since the last report
+	changed            bool // since the last heartbeat was sent
 	timer              *tickTimer
 	dead               bool
 	hung               bool
-	heldPackets        []func() // what arrives while the machine hangs
-	noticeS            *float64
+	heldPackets        []func() // handlers of what arrives while the machine hangs
+	preemptionNoticeS  *float64
 	failsTasks         bool
-	opensNoConnections bool // opens no connection
+	opensNoConnections bool // the agent's heartbeats reach no controller
 	tokenReportedAt    time.Time
 }
 
 func newAgent(w *World, h *host) *agent {
-	agent := &agent{w: w, host: h, incarnation: 1, answeredAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
+	agent := &agent{w: w, host: h, incarnation: 1, leaseRenewedAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
 	agent.heartbeatDue = w.Now.Add(w.between(0, secs(w.shape.Agents.ReportS)))
 	agent.timer = newTickTimer(w, agent.tick)
 	agent.setTimer()
 	return agent
 }
 
-// minHeartbeatGap is the least time between two heartbeats.
+// minHeartbeatGap is the minimum time between two heartbeats.
 const minHeartbeatGap = 500 * time.Millisecond
 
-// tick does what is due: the lease may be over, or it is time for a heartbeat.
+// tick ends an expired lease and sends a heartbeat that is due.
 func (a *agent) tick() {
 	if a.dead {
 		return
@@ -55,30 +55,31 @@
 	if a.w.Now.After(a.leaseEnd()) {
 		a.expireLease()
 	}
-	if a.canReport() && !a.w.Now.Before(a.nextHeartbeat()) {
+	if a.canSendHeartbeat() && !a.w.Now.Before(a.nextHeartbeat()) {
 		a.heartbeatDue = a.w.Now.Add(a.w.between(secs(a.w.shape.Agents.ReportS*0.75), secs(a.w.shape.Agents.ReportS*1.25)))
 		a.sendHeartbeat()
 	}
 	a.setTimer()
 }
 
-// setTimer sets the timer to the next thing that is due. Whatever brings something
-// forward calls it.
+// setTimer sets the timer to the next deadline. It must be called whenever the next deadline moves
+// to an earlier time.
 func (a *agent) setTimer() {
-	due := a.leaseEnd().Add(1) // a lease is over after its end
-	if next := a.nextHeartbeat(); a.canReport() && next.Before(due) {
+	due := a.leaseEnd().Add(1) // a lease has expired only after its end
+	if next := a.nextHeartbeat(); a.canSendHeartbeat() && next.Before(due) {
 		due = next
 	}
 	a.timer.wakeBy(due)
 }
 
-// leaseEnd is the end of the machine's lease.
-func (a *agent) leaseEnd() time.Time { return a.answeredAt.Add(secs(a.w.shape.Agents.LeaseS)) }
+// leaseEnd returns the end of the machine's lease.
+func (a *agent) leaseEnd() time.Time { return a.leaseRenewedAt.Add(secs(a.w.shape.Agents.LeaseS)) }
 
-// canReport says whether the machine can heartbeat now.
-func (a *agent) canReport() bool { return !a.hung && !a.inFlight }
+// canSendHeartbeat reports whether the machine can send a heartbeat now.
+func (a *agent) canSendHeartbeat() bool { return !a.hung && !a.inFlight }
 
-// nextHeartbeat is when the next heartbeat is due: at its time, or sooner if there is news.
+// nextHeartbeat returns when the next heartbeat is due, which is sooner if there is a change to
+// report.
 func (a *agent) nextHeartbeat() time.Time {
 	if soonest := a.lastSent.Add(minHeartbeatGap); a.changed && soonest.Before(a.heartbeatDue) {
 		return soonest
@@ -86,8 +87,8 @@
 	return a.heartbeatDue
 }
 
-// expireLease begins a new incarnation once the lease is over. A machine resumes within its
-// lease or not at all: its tasks are gone when the lease ends, hanging or not.
+// expireLease begins a new incarnation because the lease has expired. The tasks end with the lease
+// even while the machine hangs: a machine that hangs resumes them within its lease or not at all.
 func (a *agent) expireLease() {
 	for _, task := range a.sortedTasks() {
 		task.lose()
@@ -95,24 +96,24 @@
 	a.tasks = map[string]*agentTask{}
 	a.incarnation++
 	a.sequence = 0
-	a.answeredAt = a.w.Now
+	a.leaseRenewedAt = a.w.Now
 	a.changed = true
 }
 
-// noteChange has news reported before the next heartbeat's time.
-func (a *agent) noteChange() {
+// reportChange notes a change, so that a heartbeat reports it before the next one is due.
+func (a *agent) reportChange() {
 	a.changed = true
 	a.setTimer()
 }
 
-// heartbeatSoon has the next heartbeat sent after one that was of no use.
-func (a *agent) heartbeatSoon() {
+// retryHeartbeat schedules another heartbeat after one that no controller accepted.
+func (a *agent) retryHeartbeat() {
 	a.inFlight, a.changed = false, true
 	a.setTimer()
 }
 
-// hang stops the machine for a while; what arrives meanwhile is handled when
-// it resumes.
+// hang stops the machine for the time d. What arrives meanwhile is handled when the machine
+// resumes.
 func (a *agent) hang(d time.Duration) {
 	a.hung = true
 	a.w.after(d, func() {
@@ -121,9 +122,9 @@
 			return
 		}
 		a.setTimer()
-		stuck := a.heldPackets
+		packets := a.heldPackets
 		a.heldPackets = nil
-		for _, do := range stuck {
+		for _, do := range packets {
 			do()
 		}
 	})
@@ -150,9 +151,9 @@
 func (a *agent) heartbeat() *protocol.Heartbeat {
 	a.sequence++
 	r := &protocol.Heartbeat{Machine: a.host.ID, Address: a.host.Address, Type: a.host.Type, Zone: a.host.Zone, Spot: a.host.Spot,
-		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, PreemptionNoticeS: a.noticeS}
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, PreemptionNoticeS: a.preemptionNoticeS}
 	for _, task := range a.sortedTasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.kept})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.saved})
 	}
 	return r
 }
@@ -162,13 +163,13 @@
 	a.inFlight, a.changed, a.lastSent = true, false, w.Now
 	sent, incarnation := w.Now, a.incarnation
 	body := encode(a.heartbeat())
-	if w.keep {
-		w.kept = append(w.kept, body)
+	if w.recordHeartbeats {
+		w.recordedHeartbeats = append(w.recordedHeartbeats, body)
 	}
-	if w.copies > 0 && w.rng.IntN(4) == 0 {
-		w.after(w.between(time.Second, w.copies), func() { w.deliverCopy(w.nodes[w.rng.IntN(len(w.nodes))], body) })
+	if w.maxCopyDelay > 0 && w.rng.IntN(4) == 0 {
+		w.after(w.between(time.Second, w.maxCopyDelay), func() { w.deliverHeartbeatCopy(w.nodes[w.rng.IntN(len(w.nodes))], body) })
 	}
-	w.reach(string(a.host.ID), a.controllerIndex, 4*time.Second, func(id uint64) coordination.Event {
+	w.callController(string(a.host.ID), a.controllerIndex, 4*time.Second, func(id uint64) coordination.Event {
 		r, err := protocol.ParseHeartbeat(body)
 		if err != nil {
 			panic(err)
@@ -177,7 +178,7 @@
 	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, incarnation) })
 }
 
-// handleHeartbeatResponse takes the answer to a heartbeat.
+// handleHeartbeatResponse handles the response to a heartbeat.
 func (a *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
 	if a.dead {
 		return
@@ -194,7 +195,7 @@
 		if a.incarnation != incarnation || !a.accept(response.FencingToken) {
 			return
 		}
-		a.answeredAt = sent
+		a.leaseRenewedAt = sent
 		a.execute(response.Commands)
 	case http.StatusMisdirectedRequest:
 		a.followRedirect(body)
@@ -203,29 +204,29 @@
 	}
 }
 
-// followRedirect goes to the node that an answer names, or to the next one.
+// followRedirect switches to the node that a response names, or else to the next node.
 func (a *agent) followRedirect(body []byte) {
 	var r protocol.Redirect
 	decode(body, &r)
 	for i, o := range a.w.nodes {
 		if o.name == string(r.Target) && i != a.controllerIndex {
 			a.controllerIndex = i
-			a.w.after(a.w.between(0, 500*time.Millisecond), a.heartbeatSoon)
+			a.w.after(a.w.between(0, 500*time.Millisecond), a.retryHeartbeat)
 			return
 		}
 	}
 	a.tryNextController()
 }
 
-// tryNextController heartbeats to the next node a second later.
+// tryNextController sends a heartbeat to the next node a second later.
 func (a *agent) tryNextController() {
 	a.controllerIndex = (a.controllerIndex + 1) % len(a.w.nodes)
-	a.w.after(time.Second, a.heartbeatSoon)
+	a.w.after(time.Second, a.retryHeartbeat)
 }
 
-// deliverCopy delivers a late duplicate of an old heartbeat to a controller; nobody reads the
-// answer.
-func (w *World) deliverCopy(c *controller, body []byte) {
+// deliverHeartbeatCopy delivers a late duplicate of a heartbeat to a controller. The response is
+// discarded.
+func (w *World) deliverHeartbeatCopy(c *controller, body []byte) {
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		panic(err)
@@ -233,53 +234,54 @@
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
 }
 
+// accept reports whether the agent accepts a fencing token, and stores a higher one.
 func (a *agent) accept(token protocol.Term) bool {
 	if token < a.token {
-		a.w.rules.lowerTokens++
+		a.w.rules.staleTokens++
 		return false
 	}
 	if token > a.token {
 		a.token = token
 		if a.w.Now.Sub(a.tokenReportedAt) > secs(a.w.shape.Agents.LeaseS/2) {
 			a.tokenReportedAt = a.w.Now
-			a.noteChange()
+			a.reportChange()
 		}
 	}
 	return true
 }
 
-// serve answers direct orders and probes.
-func (a *agent) serve(method, path string, body []byte, answer func(int, []byte)) {
+// serve handles probes, and commands that a controller sends outside a heartbeat response.
+func (a *agent) serve(method, path string, body []byte, respond func(int, []byte)) {
 	if a.dead {
 		return
 	}
 	if a.hung {
-		a.heldPackets = append(a.heldPackets, func() { a.serve(method, path, body, answer) })
+		a.heldPackets = append(a.heldPackets, func() { a.serve(method, path, body, respond) })
 		return
 	}
 	if path == protocol.PathInspect {
-		answer(200, encode(a.heartbeat()))
+		respond(200, encode(a.heartbeat()))
 		return
 	}
 	var o protocol.CommandBatch
 	decode(body, &o)
 	if o.Incarnation != a.incarnation || !a.accept(o.FencingToken) {
-		answer(409, encode(a.heartbeat()))
+		respond(409, encode(a.heartbeat()))
 		return
 	}
 	a.execute(o.Commands)
-	answer(200, encode(a.heartbeat()))
+	respond(200, encode(a.heartbeat()))
 }
 
 func (a *agent) execute(commands []protocol.Command) {
 	for _, c := range commands {
 		id, index, ok := protocol.SplitTask(c.Task)
 		if !ok {
-			panic("simulation: bad task " + c.Task)
+			panic("simulation: malformed task name " + c.Task)
 		}
 		key := attemptName(c.Task, c.Attempt)
 		task := a.tasks[key]
-		a.w.Audit.ordered(a.w.Now, a.host.ID, c)
+		a.w.Audit.executed(a.w.Now, a.host.ID, c)
 		switch c.Kind {
 		case protocol.CommandStart:
 			if task == nil {
@@ -287,7 +289,7 @@
 			}
 		case protocol.CommandStop:
 			if task != nil {
-				task.halt(c.GraceS)
+				task.stop(c.GraceS)
 			}
 		case protocol.CommandForget:
 			if task != nil && task.state == protocol.TaskExited {
@@ -298,16 +300,16 @@
 	}
 }
 
-// attemptName names an attempt on its agent.
+// attemptName returns the key of an attempt among the tasks of an agent.
 func attemptName(task string, attempt protocol.AttemptNumber) string {
 	return fmt.Sprintf("%s#%d", task, attempt)
 }
 
-// start carries out a command to start a task, or refuses it.
+// start executes a command to start a task, or refuses it.
 func (a *agent) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	job := a.w.rules.jobs[id]
 	task := &agentTask{agent: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
-	a.noteChange()
+	a.reportChange()
 	a.w.Audit.began(a.w.Now, task.instance())
 	a.tasks[key] = task
 	if job == nil {
@@ -323,19 +325,20 @@
 	if a.images[task.job.Image] {
 		fetch = 0
 	}
-	a.wait(fetch, task, func() {
+	a.schedule(fetch, task, func() {
 		a.images[task.job.Image] = true
-		task.arrive()
+		task.imageReady()
 	})
 }
 
-// refuse ends a task before it has begun.
+// refuse ends a task before it starts.
 func (a *agent) refuse(task *agentTask, cause protocol.Cause) {
 	task.state, task.cause = protocol.TaskExited, cause
 	a.w.Audit.ended(task.instance(), cause, false)
 }
 
-// refusalCause says why a task cannot start beside the others, "" if it can.
+// refusalCause returns why a task cannot start on the machine in addition to the tasks that are
+// there, "" if it can.
 func (a *agent) refusalCause(task *agentTask) protocol.Cause {
 	cpus, gpus, memory := task.job.CPUs, task.job.GPUs, task.job.MemoryGB
 	for _, other := range a.tasks {
@@ -354,15 +357,15 @@
 	return ""
 }
 
-// wait does something for a task later, unless it is over by then or the
-// machine hangs, in which case it waits for the machine.
-func (a *agent) wait(d time.Duration, task *agentTask, do func()) {
+// schedule calls do for a task after d, unless the task has exited by then. While the machine
+// hangs, the call is held until it resumes.
+func (a *agent) schedule(d time.Duration, task *agentTask, do func()) {
 	a.w.after(d, func() {
 		if a.dead || task.state == protocol.TaskExited {
 			return
 		}
 		if a.hung {
-			a.heldPackets = append(a.heldPackets, func() { a.wait(0, task, do) })
+			a.heldPackets = append(a.heldPackets, func() { a.schedule(0, task, do) })
 			return
 		}
 		if a.tasks[attemptName(task.name, task.attempt)] == task {
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -8,23 +8,23 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Audit judges what workers were told by their own logs and the jobs alone. It knows
-// nothing of the controllers, their records or their logs.
+// Audit judges the commands that agents have executed. It uses only the jobs and what happened on
+// the agents, and nothing from the controllers: neither their records nor their logs.
 type Audit struct {
-	jobs   map[protocol.JobID]*auditedJob
-	here   map[instance]bool // attempts on machines: true until they have exited
-	at     map[string]int    // attempts of a task that have not exited
-	need   [3]map[string]int // orders that the state of things asks for, by kind and task
-	from   time.Time         // judged from then on, zero: not yet
-	since  map[instance]time.Time
-	before map[instance]float64 // seconds that attempts had run by then
-	// when a worker was told again to forget a task's earlier attempt
-	again   map[instance]time.Time
-	Orders  [3]int // starts, stops and forgets that workers have executed
-	Verdict Verdict
+	jobs          map[protocol.JobID]*auditedJob
+	attempts      map[instance]bool // attempts on machines; true until they have exited
+	at            map[string]int    // by task name, the attempts that have not exited
+	needed        [3]map[string]int // commands that are due, by kind and task name
+	countedFrom   time.Time         // when the count began; zero: not yet
+	startedAt     map[instance]time.Time
+	secondsBefore map[instance]float64 // by attempt, the seconds that it had run when the count began
+	// by machine and task, when an agent last executed a forget command that was not due
+	forgetRepeatedAt map[instance]time.Time
+	Orders           [3]int // starts, stops and forgets that agents have executed
+	Verdict          Verdict
 }
 
-// auditedJob is a job as its user submitted it and as workers have done it.
+// auditedJob is a job as its user submitted it, and what the agents have done of it.
 type auditedJob struct {
 	tasks     int
 	gang      bool
@@ -39,16 +39,16 @@
 	attempt protocol.AttemptNumber
 }
 
-// Verdict counts orders that workers have executed since a moment, and what of them the
-// true state at that moment and what became of it asked for.
+// Verdict counts the commands that agents have executed since the count began. It tells apart
+// those that were due, according to the true state at that time and the events since.
 type Verdict struct {
-	Orders          [3]int // starts, stops, forgets
-	Needed          int    // orders of all kinds that were due
-	Excess          [3]int // starts, stops and forgets beyond those, repeated ones among them
-	DuplicateStarts int    // of a task that was on a machine, or done
+	Orders          [3]int // starts, stops and forgets
+	Needed          int    // commands of all kinds that were due
+	Excess          [3]int // starts, stops and forgets that were not due, repeated ones included
+	DuplicateStarts int    // starts of a task that was on a machine or done
 	First, Last     time.Duration
-	BeforeSeconds   float64 // task time from before
-	KeptSeconds     float64 // of it, what went on or came to its end
+	BeforeSeconds   float64 // run time of the tasks that ran when the count began, until then
+	KeptSeconds     float64 // the part of it whose tasks are still running, or done
 }
 
 const (
@@ -58,11 +58,11 @@
 )
 
 func newAudit() *Audit {
-	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, here: map[instance]bool{}, at: map[string]int{},
-		since: map[instance]time.Time{}, before: map[instance]float64{}, again: map[instance]time.Time{}, need: [3]map[string]int{{}, {}, {}}}
+	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, at: map[string]int{},
+		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, forgetRepeatedAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
 }
 
-// submitted notes a job that its user has begun to submit.
+// submitted notes a job when its user first tries to submit it.
 func (a *Audit) submitted(spec *protocol.Job) {
 	if a.jobs[spec.ID] != nil {
 		return
@@ -70,11 +70,12 @@
 	j := &auditedJob{tasks: spec.Tasks, gang: spec.Gang(), done: map[string]bool{}}
 	a.jobs[spec.ID] = j
 	for i := range spec.Tasks {
-		a.need[needStart][protocol.TaskName(spec.ID, i)]++
+		a.needed[needStart][protocol.TaskName(spec.ID, i)]++
 	}
 }
 
-// cancelled notes that a user has asked for it: whatever is there may be stopped.
+// cancelled notes that a user has asked to cancel a job. From then on its running tasks are due to
+// be stopped.
 func (a *Audit) cancelled(id protocol.JobID) {
 	if j := a.jobs[id]; j != nil && !j.cancelled {
 		j.cancelled = true
@@ -82,51 +83,52 @@
 	}
 }
 
-// stopAll notes that whatever is there of a job is to be stopped.
+// stopAll makes a stop command due for every attempt of a job that has not exited.
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
-		a.need[needStop][name] += a.at[name]
+		a.needed[needStop][name] += a.at[name]
 	}
 }
 
-// Judge begins to count: the controllers are back. What is due then is reckoned anew.
-func (a *Audit) Judge(now time.Time) {
-	a.from, a.Verdict = now, Verdict{}
-	a.need = [3]map[string]int{{}, {}, {}}
-	ending := map[protocol.JobID]bool{} // jobs of which nothing is to go on
+// Begin begins the count when the controllers are back. It computes anew which commands are due.
+func (a *Audit) Begin(now time.Time) {
+	a.countedFrom, a.Verdict = now, Verdict{}
+	a.needed = [3]map[string]int{{}, {}, {}}
+	ending := map[protocol.JobID]bool{} // jobs whose running tasks must all stop
 	for id, j := range a.jobs {
 		present := 0
 		for i := range j.tasks {
 			name := protocol.TaskName(id, i)
 			present += min(a.at[name], 1)
 			if !j.done[name] && !j.cancelled && a.at[name] == 0 {
-				a.need[needStart][name]++
+				a.needed[needStart][name]++
 			}
 		}
 		if j.cancelled || j.gang && present > 0 && present < j.tasks && len(j.done) == 0 {
-			a.stopAll(id, j) // what is left of a gang starts again as a whole
+			a.stopAll(id, j) // an incomplete gang stops and starts again as a whole
 			ending[id] = true
 		}
 	}
-	for k, on := range a.here {
+	for k, on := range a.attempts {
 		id, _, _ := protocol.SplitTask(k.task)
 		switch {
 		case !on:
-			a.need[needForget][k.task]++
+			a.needed[needForget][k.task]++
 		case a.jobs[id] == nil:
-			a.need[needStop][k.task]++
+			a.needed[needStop][k.task]++
 		case !ending[id]:
-			a.before[k] = now.Sub(a.since[k]).Seconds()
+			a.secondsBefore[k] = now.Sub(a.startedAt[k]).Seconds()
 		}
 	}
 }
 
-// Finish counts what of the work from before has gone on until now, or to its end.
+// Finish adds up the work from before the count and how much of it was kept: its task still runs,
+// or is done.
 func (a *Audit) Finish() Verdict {
-	for k, seconds := range a.before {
+	for k, seconds := range a.secondsBefore {
 		id, _, _ := protocol.SplitTask(k.task)
-		if a.here[k] || a.jobs[id].done[k.task] {
+		if a.attempts[k] || a.jobs[id].done[k.task] {
 			a.Verdict.KeptSeconds += seconds
 		}
 		a.Verdict.BeforeSeconds += seconds
@@ -135,58 +137,59 @@
 	return a.Verdict
 }
 
-// ordered takes an order that a worker has executed.
-func (a *Audit) ordered(now time.Time, machineID protocol.MachineID, c protocol.Command) {
+// executed counts a command that an agent has executed.
+func (a *Audit) executed(now time.Time, machineID protocol.MachineID, c protocol.Command) {
 	kind := slices.Index([]protocol.CommandKind{protocol.CommandStart, protocol.CommandStop, protocol.CommandForget}, c.Kind)
 	a.Orders[kind]++
-	if a.from.IsZero() {
+	if a.countedFrom.IsZero() {
 		return
 	}
 	a.Verdict.Orders[kind]++
 	if kind == needStart {
 		if a.Verdict.First == 0 {
-			a.Verdict.First = now.Sub(a.from)
+			a.Verdict.First = now.Sub(a.countedFrom)
 		}
-		a.Verdict.Last = now.Sub(a.from)
+		a.Verdict.Last = now.Sub(a.countedFrom)
 		id, _, _ := protocol.SplitTask(c.Task)
-		if _, known := a.here[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
+		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
 			a.Verdict.DuplicateStarts++
 		}
 	}
 	at := instance{machine: machineID, task: c.Task}
 	switch {
-	case a.need[kind][c.Task] > 0:
-		a.need[kind][c.Task]--
+	case a.needed[kind][c.Task] > 0:
+		a.needed[kind][c.Task]--
 		a.Verdict.Needed++
 	case kind == needForget:
 		a.Verdict.Excess[kind]++
-		a.again[at] = now
+		a.forgetRepeatedAt[at] = now
 	default:
 		a.Verdict.Excess[kind]++
 	}
-	if at, repeated := a.again[at]; kind == needStart && repeated && at.Equal(now) {
-		a.Verdict.Excess[needForget]-- // the start needs it, were the first one lost
+	if at, repeated := a.forgetRepeatedAt[at]; kind == needStart && repeated && at.Equal(now) {
+		a.Verdict.Excess[needForget]-- // the forget was due for the start, in case the first forget was lost
 		a.Verdict.Needed++
 	}
 }
 
-// began notes an attempt that a worker has taken in.
+// began notes an attempt that an agent has accepted.
 func (a *Audit) began(now time.Time, k instance) {
-	a.here[k], a.since[k] = true, now
+	a.attempts[k], a.startedAt[k] = true, now
 	a.at[k.task]++
 }
 
-// ended notes the end of an attempt, for whatever cause. A task that is not done is due
-// again, an exited attempt to be forgotten, the rest of its gang to be stopped.
+// ended notes the end of an attempt, for any cause. If it was lost, its agent no longer has it.
+// Otherwise a forget command is due for it. If the attempt did not complete and its job is not
+// cancelled, the task is due to start again and the rest of its gang is due to be stopped.
 func (a *Audit) ended(k instance, cause protocol.Cause, lost bool) {
-	if !a.here[k] {
+	if !a.attempts[k] {
 		return
 	}
 	a.at[k.task]--
-	if a.here[k] = false; lost {
-		delete(a.here, k)
+	if a.attempts[k] = false; lost {
+		delete(a.attempts, k)
 	} else {
-		a.need[needForget][k.task]++
+		a.needed[needForget][k.task]++
 	}
 	id, _, _ := protocol.SplitTask(k.task)
 	j := a.jobs[id]
@@ -195,28 +198,28 @@
 	case cause == protocol.CauseDone:
 		j.done[k.task] = true
 	case !j.cancelled:
-		a.need[needStart][k.task]++
+		a.needed[needStart][k.task]++
 		if j.gang {
-			a.brokenBy(id, k, j)
+			a.gangBroken(id, k, j)
 		}
 	}
 }
 
-// brokenBy: the first task of a gang's attempt to end otherwise than done has the others
-// stopped, those that do not end by themselves.
-func (a *Audit) brokenBy(id protocol.JobID, k instance, j *auditedJob) {
-	for other, on := range a.here {
+// gangBroken makes a stop command due for the other tasks of a gang's attempt, once a task of it
+// has ended without completing. It covers those that do not exit by themselves.
+func (a *Audit) gangBroken(id protocol.JobID, k instance, j *auditedJob) {
+	for other, on := range a.attempts {
 		if !on || other.attempt != k.attempt {
 			continue
 		}
 		job, index, ok := protocol.SplitTask(other.task)
-		if ok && job == id && index < j.tasks && a.need[needStop][other.task] == 0 {
-			a.need[needStop][other.task] = 1
+		if ok && job == id && index < j.tasks && a.needed[needStop][other.task] == 0 {
+			a.needed[needStop][other.task] = 1
 		}
 	}
 }
 
-// forgot notes that a worker has dropped an exited attempt.
+// forgot notes that an agent has dropped an exited attempt.
 func (a *Audit) forgot(k instance) {
-	delete(a.here, k)
+	delete(a.attempts, k)
 }
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -28,7 +28,7 @@
 // startWorld makes a deployment and lets it settle: a leader is elected and the machines
 // have reported.
 func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
@@ -120,7 +120,7 @@
 	list := w.workersInOrder()
 	list = list[:min(n, len(list))]
 	for _, agent := range list {
-		w.loseWorker(agent)
+		w.loseAgent(agent)
 	}
 	return len(list)
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -13,28 +13,28 @@
 	"golang.org/x/time/rate"
 )
 
-// cloudProvider is a stand-in for the cloud.
+// cloudProvider is the stand-in for the cloud.
 type cloudProvider struct {
-	w        *World
-	hosts    []*host
-	rented   map[string][]protocol.MachineID
-	next     int
-	down     bool
-	capacity int
-	calls    *rate.Limiter
-	requests int
-	history  []snapshot
-	fastBoot bool // machines are up within two seconds
+	w              *World
+	hosts          []*host
+	rented         map[string][]protocol.MachineID // by request ID, so that a repeated request creates nothing
+	next           int
+	down           bool
+	capacity       int
+	requestLimiter *rate.Limiter
+	requests       int
+	snapshots      []snapshot
+	fastBoot       bool // machines boot within two seconds
 }
 
 // host is a machine in the cloud.
 type host struct {
 	protocol.Machine
 	createdAt time.Time
-	gone      bool
+	deleted   bool
 }
 
-// snapshot is the machine list of a moment.
+// snapshot is the machine list at one time.
 type snapshot struct {
 	at   time.Time
 	list []protocol.Machine
@@ -42,7 +42,7 @@
 
 func newCloudProvider(w *World) *cloudProvider {
 	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
-		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
+		requestLimiter: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
 		c.add(w.shape.Zones[i%len(w.shape.Zones)], false, 0)
@@ -50,43 +50,43 @@
 	return c
 }
 
-// A snapshot of the machine list is taken every so often, and so many are kept: more than
-// the longest lag of a list.
+// Snapshots of the machine list are taken at snapshotInterval. Those that are kept reach back
+// further than the longest lag of a list.
 const (
 	snapshotInterval = 500 * time.Millisecond
 	snapshotsKept    = 30
 )
 
-// recordSnapshot takes snapshots of the machine list, again and again.
+// recordSnapshot takes a snapshot of the machine list and schedules the next one.
 func (c *cloudProvider) recordSnapshot() {
 	var list []protocol.Machine
 	for _, h := range c.hosts {
-		if !h.gone {
+		if !h.deleted {
 			m := h.Machine
 			m.AgeS = c.w.Now.Sub(h.createdAt).Seconds()
 			list = append(list, m)
 		}
 	}
-	c.history = append(c.history, snapshot{c.w.Now, list})
-	if len(c.history) > snapshotsKept {
-		c.history = c.history[1:]
+	c.snapshots = append(c.snapshots, snapshot{c.w.Now, list})
+	if len(c.snapshots) > snapshotsKept {
+		c.snapshots = c.snapshots[1:]
 	}
 	c.w.after(snapshotInterval, c.recordSnapshot)
 }
 
-// add makes a machine that is up after a while.
+// add creates a machine that runs after the given boot time.
 func (c *cloudProvider) add(zone protocol.ZoneName, spot bool, boot time.Duration) protocol.MachineID {
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
 	address := string(id)
-	if c.w.live != nil {
-		address = c.w.live.address(id)
+	if c.w.loopback != nil {
+		address = c.w.loopback.address(id)
 	}
 	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
 	c.hosts = append(c.hosts, h)
 	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
-		if !h.gone {
+		if !h.deleted {
 			h.Phase = protocol.MachineRunning
 			c.w.agents[id] = newAgent(c.w, h)
 		}
@@ -94,49 +94,49 @@
 	return id
 }
 
-// destroy takes a machine and everything on it away at once.
+// destroy deletes a machine and everything on it at once.
 func (c *cloudProvider) destroy(h *host) {
-	h.gone = true
+	h.deleted = true
 	if agent := c.w.agents[h.ID]; agent != nil {
-		c.w.loseWorker(agent)
+		c.w.loseAgent(agent)
 	}
 }
 
-// loseWorker ends a machine's worker and its tasks; the cloud goes on listing the machine.
-func (w *World) loseWorker(agent *agent) {
+// loseAgent ends a machine's agent and its tasks. The cloud still lists the machine.
+func (w *World) loseAgent(agent *agent) {
 	agent.kill()
 	delete(w.agents, agent.host.ID)
 }
 
-// serve answers a call as the protocol says, within the budget.
-func (c *cloudProvider) serve(method, path string, body []byte, answer answerFunc) {
+// serve responds to a request as the protocol says, within the rate limit.
+func (c *cloudProvider) serve(method, path string, body []byte, respond responseFunc) {
 	c.requests++
 	if c.down {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
-	if !c.calls.AllowN(c.w.Now, 1) {
-		answer(http.StatusTooManyRequests, nil)
+	if !c.requestLimiter.AllowN(c.w.Now, 1) {
+		respond(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	switch {
 	case u.Path == protocol.PathMachineTypes:
-		answer(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
+		respond(http.StatusOK, encode(protocol.MachineTypes{Types: []protocol.MachineType{c.w.shape.Type}}))
 	case u.Path == protocol.PathMachines && method == http.MethodGet:
-		c.list(u.Query(), answer)
+		c.list(u.Query(), respond)
 	case u.Path == protocol.PathMachines:
-		c.rent(body, answer)
+		c.createMachines(body, respond)
 	default:
-		c.remove(body, answer)
+		c.deleteMachines(body, respond)
 	}
 }
 
-// list answers with a page of the machine list as it was a while ago.
-func (c *cloudProvider) list(q url.Values, answer answerFunc) {
+// list responds with a page of the machine list as it was some seconds ago.
+func (c *cloudProvider) list(q url.Values, respond responseFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
-	for _, s := range c.history {
+	for _, s := range c.snapshots {
 		if c.w.Now.Sub(s.at) >= lag {
 			list = s.list
 		}
@@ -147,25 +147,25 @@
 	}
 	limit, _ := strconv.Atoi(q.Get("page"))
 	list = list[from:]
-	answer(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
+	respond(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
-// rent rents machines as far as there are any.
-func (c *cloudProvider) rent(body []byte, answer answerFunc) {
+// createMachines creates machines up to the capacity.
+func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
 	var r protocol.CreateMachinesRequest
 	decode(body, &r)
 	if names, ok := c.rented[r.RequestID]; ok {
-		answer(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
+		respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 		return
 	}
 	up := 0
 	for _, h := range c.hosts {
-		if !h.gone {
+		if !h.deleted {
 			up++
 		}
 	}
 	if up >= c.capacity {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
 	var names []protocol.MachineID
@@ -173,10 +173,11 @@
 		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
 	c.rented[r.RequestID] = names
-	answer(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
+	respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
 }
 
-// bootTime is how long a machine takes to come up; one in twenty never does.
+// bootTime returns how long a machine takes to boot. One in twenty takes so long that it counts as
+// never booting.
 func (c *cloudProvider) bootTime() time.Duration {
 	boot := c.w.between(12*time.Second, 30*time.Second)
 	if c.w.rng.IntN(20) == 0 {
@@ -188,14 +189,14 @@
 	return boot
 }
 
-// remove deletes machines.
-func (c *cloudProvider) remove(body []byte, answer answerFunc) {
+// deleteMachines deletes machines.
+func (c *cloudProvider) deleteMachines(body []byte, respond responseFunc) {
 	var r protocol.MachineIDs
 	decode(body, &r)
 	for _, h := range c.hosts {
-		if slices.Contains(r.Machines, h.ID) && !h.gone {
+		if slices.Contains(r.Machines, h.ID) && !h.deleted {
 			c.destroy(h)
 		}
 	}
-	answer(http.StatusOK, encode(struct{}{}))
+	respond(http.StatusOK, encode(struct{}{}))
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -15,7 +15,7 @@
 
 // recovering is the small shape with recoveries followed.
 func recovering() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Recovery = true
 	return s
 }
@@ -201,8 +201,8 @@
 	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.crashAllApart(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
-	if c.rules.lateStarts > 0 {
-		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
+	if c.rules.startsAfterCancellation > 0 {
+		t.Errorf("%d starts after the cancellation", c.rules.startsAfterCancellation)
 	}
 	c.finishBoth()
 }
@@ -212,17 +212,17 @@
 // nothing and prove nothing.
 func TestColdRestartLateCopiesStopNothing(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(46, logs(), recovering())
+	w := NewWithShape(46, logs(), recovering())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
 	waves.Team = "red" // whose limit allows ten tasks at once
 	u := w.submit(arrival{job: waves, run: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
-	w.keep = true
+	w.recordHeartbeats = true
 	w.Run(4 * time.Second)
-	w.keep = false
-	copies := w.kept
+	w.recordHeartbeats = false
+	copies := w.recordedHeartbeats
 	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldWorld{World: w, t: t, gang: u, array: u}
@@ -230,7 +230,7 @@
 	c.crashAllApart(time.Second, 0)
 	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
-		w.deliverCopy(w.leader(), body)
+		w.deliverHeartbeatCopy(w.leader(), body)
 	}
 	w.Run(12 * time.Second)
 	c.expectKept("late copies")
@@ -299,7 +299,7 @@
 	shape.Machines = 8
 	c := newColdWorld(t, 49, shape)
 	c.crashAllApart(time.Second, 0)
-	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
+	c.disconnect(130*time.Second, packetsDropped, c.acrossZoneBoundary("west"))
 	c.Run(2 * time.Second)
 	fresh := array("run-000006", 2)
 	fresh.Zone = "east"
@@ -389,7 +389,7 @@
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
 	c.store.restore(old)
-	lost.silent, later.silent = true, true // what they were told is lost
+	lost.stoppedAsking, later.stoppedAsking = true, true // what they were told is lost
 	c.mark()
 	return later
 }
@@ -403,7 +403,7 @@
 			other.hang(6 * time.Second)
 		}
 	}
-	c.after(4*time.Second, agent.noteChange)
+	c.after(4*time.Second, agent.reportChange)
 	return c.tasksLostWith(agent)
 }
 
@@ -458,7 +458,7 @@
 			shape := recovering()
 			shape.Machines = 8
 			c := newColdWorld(t, 51, shape)
-			c.gang.silent = true // its user would get no answer
+			c.gang.stoppedAsking = true // its user would get no answer
 			c.crashAllApart(3*time.Second, 0)
 			c.damage("g/j/run-000001", value)
 			c.damage("g/m/nobody", value)
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -9,30 +9,30 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller is a process that runs a node.
+// controller is a simulated process that runs a node.
 type controller struct {
-	w       *World
-	name    string
-	node    *coordination.Node
-	life    int // counts the processes
-	alive   bool
-	linked  map[string]bool // peers to which there is a link
-	nextID  uint64          // of requests from outside
-	waiting map[uint64]answerFunc
-	refused bool      // the key-value store refuses this node alone
-	wakeAt  time.Time // when the node is to be stepped by its timer
-	timerAt time.Time // when the timer goes off, zero while it is not set
-	backlog backlog   // of a slow node
-	working bool      // a slow node takes time for a batch
-	calling int       // calls to workers that this life of the process has under way
+	w              *World
+	name           string
+	node           *coordination.Node
+	life           int // counts the starts of the process
+	alive          bool
+	linked         map[string]bool // peers with a link to this node
+	nextID         uint64          // of external requests
+	pendingReplies map[uint64]responseFunc
+	refused        bool      // the key-value store refuses this node's requests
+	wakeAt         time.Time // when the node must be stepped next if no event arrives
+	timerAt        time.Time // when the timer fires; zero while it is not set
+	backlog        backlog   // of a slow controller
+	busy           bool      // a slow controller is processing a batch
+	callsInFlight  int       // calls to agents that this process has in flight
 }
 
-// boot starts the process anew.
-func (c *controller) boot() {
+// startProcess starts a new process of the controller.
+func (c *controller) startProcess() {
 	c.life++
 	c.alive = true
 	c.linked = map[string]bool{}
-	c.waiting = map[uint64]answerFunc{}
+	c.pendingReplies = map[uint64]responseFunc{}
 	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
 	life := c.life
 	var pollLinks func()
@@ -44,12 +44,12 @@
 	}
 	c.w.after(c.w.between(0, tuning.MinTimerInterval), pollLinks)
 	c.timerAt = time.Time{}
-	c.backlog, c.working, c.calling = backlog{}, false, 0
+	c.backlog, c.busy, c.callsInFlight = backlog{}, false, 0
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
-// setTimer has the node stepped after a while, unless something happens before: a
-// timer that is set anew at every step, as the owner's is.
+// setTimer has the node stepped after d. Each step sets the timer anew, as the event loop of a real
+// controller does.
 func (c *controller) setTimer(d time.Duration) {
 	c.wakeAt = c.w.Now.Add(d)
 	if c.timerAt.IsZero() || c.wakeAt.Before(c.timerAt) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// armTimer has the timer go off when the node is to be stepped.
+// armTimer sets the timer to fire at wakeAt.
 func (c *controller) armTimer() {
 	life, at := c.life, c.wakeAt
 	c.timerAt = at
@@ -73,30 +73,30 @@
 	})
 }
 
-// crash ends the process without a signal; it is back after a while.
+// crash ends the process without a signal. It starts again after the time back.
 func (c *controller) crash(back time.Duration) {
 	if !c.alive {
 		return
 	}
 	c.alive = false
-	c.w.after(back, c.boot)
+	c.w.after(back, c.startProcess)
 }
 
-// crashAll ends all controllers without a signal; they are back after a while.
+// crashAll ends all controllers without a signal. They start again after the time back.
 func (w *World) crashAll(back time.Duration) {
 	for _, c := range w.nodes {
 		c.crash(back)
 	}
 }
 
-// updateLinks finds out which peers have a link.
+// updateLinks tells the node which links to peers have come up or gone down.
 func (c *controller) updateLinks() {
 	for _, o := range c.w.nodes {
 		if o == c {
 			continue
 		}
 		up := o.alive
-		for _, k := range c.w.cuts {
+		for _, k := range c.w.partitions {
 			up = up && !k.match(c.name, o.name)
 		}
 		if up != c.linked[o.name] {
@@ -110,29 +110,29 @@
 	}
 }
 
-// ask hands the node a request from outside.
-func (c *controller) ask(r request, answer answerFunc) {
+// ask passes an external request to the node, if the process is up.
+func (c *controller) ask(r request, respond responseFunc) {
 	if !c.alive {
 		return
 	}
 	c.nextID++
-	c.waiting[c.nextID] = answer
+	c.pendingReplies[c.nextID] = respond
 	c.step(r(c.nextID))
 }
 
-// step has the node take events. A slow node takes them when it has time.
+// step passes events to the node. A slow controller processes them when it has time.
 func (c *controller) step(events ...coordination.Event) {
 	if c.w.shape.Slow {
 		c.backlog.add(events)
-		c.takeBatch()
+		c.processBatch()
 		return
 	}
-	c.carryOut(c.node.Step(c.w.Now, events))
+	c.perform(c.node.Step(c.w.Now, events))
 	c.setTimer(c.node.Due())
 }
 
-// carryOut does what the node wants done.
-func (c *controller) carryOut(actions []coordination.Action) {
+// perform carries out the actions that the node returned.
+func (c *controller) perform(actions []coordination.Action) {
 	c.w.steps++
 	for _, a := range actions {
 		if c.w.recorder != nil {
@@ -140,9 +140,9 @@
 		}
 		switch a := a.(type) {
 		case coordination.Reply:
-			if answer := c.waiting[a.ID]; answer != nil {
-				delete(c.waiting, a.ID)
-				answer(a.Status, a.Body)
+			if respond := c.pendingReplies[a.ID]; respond != nil {
+				delete(c.pendingReplies, a.ID)
+				respond(a.Status, a.Body)
 			}
 		case coordination.PeerSend:
 			c.send(a)
@@ -152,9 +152,9 @@
 	}
 }
 
-// send sends a message to a peer, if there is a link and both releases know the message.
+// send sends a message to a peer if there is a link to it and the node's release knows the message.
 func (c *controller) send(a coordination.PeerSend) {
-	if !c.maySend(a) {
+	if !c.canSend(a) {
 		return
 	}
 	life := c.life
@@ -163,8 +163,8 @@
 			continue
 		}
 		to := o.life
-		m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
-		c.w.carry(c.name, o.name, func() {
+		m := reencode(limitAnnouncement(a.Message, c.w.release[c.name], c.w.release[o.name]))
+		c.w.transmit(c.name, o.name, func() {
 			if o.alive && o.life == to {
 				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
 			}
@@ -172,7 +172,7 @@
 	}
 }
 
-// request makes a request of an outside system.
+// request makes a request of an external system.
 func (c *controller) request(a coordination.Request) {
 	life := c.life
 	done := func(status int, body []byte) {
@@ -182,39 +182,39 @@
 	}
 	switch a.To {
 	case coordination.ToCloud:
-		c.w.call(c.name, cloudHost, a.Timeout, func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
+		c.w.call(c.name, cloudHost, a.Timeout, func(respond responseFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, respond) }, done)
 	case coordination.ToAgent:
-		c.callWorker(a, done)
+		c.callAgent(a, done)
 	default:
 		c.callStore(a, done)
 	}
 }
 
-// callStore makes a request of the key-value store; version 0.2 drops new fields of what it
-// reads.
-func (c *controller) callStore(a coordination.Request, done answerFunc) {
-	c.w.call(c.name, storeHost, a.Timeout, func(answer answerFunc) {
+// callStore makes a request of the key-value store. A node of version 0.2 drops newer fields from
+// what it reads.
+func (c *controller) callStore(a coordination.Request, done responseFunc) {
+	c.w.call(c.name, storeHost, a.Timeout, func(respond responseFunc) {
 		if c.w.release[c.name] == release02 {
-			whole := answer
-			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
+			respondInFull := respond
+			respond = func(status int, body []byte) { respondInFull(status, dropNewFields(body)) }
 		}
-		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
+		c.w.store.serve(a.Method, a.Path, a.Body, c, respond)
 	}, done)
 }
 
-// callWorker calls a worker and counts the calls under way.
-func (c *controller) callWorker(a coordination.Request, done answerFunc) {
+// callAgent calls an agent and counts the calls in flight.
+func (c *controller) callAgent(a coordination.Request, done responseFunc) {
 	c.w.calls++
-	c.calling++
-	c.w.mostCalls = max(c.w.mostCalls, c.calling)
+	c.callsInFlight++
+	c.w.maxConcurrentCalls = max(c.w.maxConcurrentCalls, c.callsInFlight)
 	life := c.life
-	c.w.call(c.name, a.Address, a.Timeout, func(answer answerFunc) {
+	c.w.call(c.name, a.Address, a.Timeout, func(respond responseFunc) {
 		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
-			agent.serve(a.Method, a.Path, a.Body, answer)
+			agent.serve(a.Method, a.Path, a.Body, respond)
 		}
 	}, func(status int, body []byte) {
 		if c.life == life {
-			c.calling--
+			c.callsInFlight--
 		}
 		done(status, body)
 	})
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -14,57 +14,57 @@
 	"golang.org/x/time/rate"
 )
 
-// storeTick is how often the store looks for leases that are over, and how often a watch
-// whose time is over while the store does not serve its node is tried again.
+// storeTick is the interval at which the store looks for expired leases. It is also the interval
+// of further tries to respond to a watch that timed out while the store does not serve its node.
 const storeTick = 50 * time.Millisecond
 
-// keyValueStore is a stand-in for the key-value store, by the protocol.
+// keyValueStore is the stand-in for the key-value store, written from the protocol.
 type keyValueStore struct {
 	keyspace
 	leaseTable
 	storeFaults
 	storeUsage
 
-	w       *World
-	watches []*watch
-	limits  config.StoreLimits
-	calls   *rate.Limiter
-	writes  *rate.Limiter
+	w              *World
+	watches        []*watch
+	limits         config.StoreLimits
+	requestLimiter *rate.Limiter
+	writeLimiter   *rate.Limiter
 }
 
-// storeUsage counts what was asked of the store.
+// storeUsage counts the requests to the store.
 type storeUsage struct {
-	requests int
-	bytes    int // of requests
-	changed  int // keys, by transactions within the budget
-	refused  int // requests and transactions beyond the budgets
-	tooLarge int // transactions beyond the limits
+	requests              int
+	bytes                 int // of request bodies
+	changed               int // key changes requested by transactions within the write rate limit
+	refused               int // requests and transactions beyond the rate limits
+	oversizedTransactions int // transactions beyond the size limits
 }
 
 // watch is a request that waits for changes of keys with a prefix.
 type watch struct {
-	from   *controller
-	prefix string
-	after  protocol.Revision
-	answer answerFunc
-	ended  bool
+	from    *controller
+	prefix  string
+	after   protocol.Revision
+	respond responseFunc
+	ended   bool
 }
 
 func newKeyValueStore(w *World) *keyValueStore {
 	budget := func(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), int(rps)) }
 	s := &keyValueStore{
-		keyspace:   keyspace{keys: map[string]protocol.Entry{}},
-		leaseTable: leaseTable{leases: map[protocol.LeaseID]*lease{}},
-		w:          w,
-		limits:     w.shape.Store,
-		calls:      budget(w.shape.Store.RPS),
-		writes:     budget(w.shape.Store.WriteRPS),
+		keyspace:       keyspace{keys: map[string]protocol.Entry{}},
+		leaseTable:     leaseTable{leases: map[protocol.LeaseID]*lease{}},
+		w:              w,
+		limits:         w.shape.Store,
+		requestLimiter: budget(w.shape.Store.RPS),
+		writeLimiter:   budget(w.shape.Store.WriteRPS),
 	}
 	w.after(0, s.tick)
 	return s
 }
 
-// tick ends the leases that are over, again and again.
+// tick ends the expired leases and schedules the next tick.
 func (s *keyValueStore) tick() {
 	if !s.down {
 		for _, id := range s.expired(s.w.Now) {
@@ -76,117 +76,120 @@
 	s.w.after(storeTick, s.tick)
 }
 
-// restore puts the store back to an earlier state; it knows no lease and no watch then.
+// restore restores the store from a backup. No lease and no watch survives.
 func (s *keyValueStore) restore(b backup) {
 	s.keyspace.restore(b)
 	s.leases, s.watches = map[protocol.LeaseID]*lease{}, nil
 }
 
-// serve answers a request as the protocol says, within the budgets.
-func (s *keyValueStore) serve(method, path string, body []byte, from *controller, answer answerFunc) {
+// serve responds to a request as the protocol says, within the rate limits.
+func (s *keyValueStore) serve(method, path string, body []byte, from *controller, respond responseFunc) {
 	s.requests++
 	s.bytes += len(body)
-	if s.slow > 0 {
-		prompt := answer
-		answer = func(status int, body []byte) { s.w.after(s.slow, func() { prompt(status, body) }) }
+	if s.extraLatency > 0 {
+		respondNow := respond
+		respond = func(status int, body []byte) { s.w.after(s.extraLatency, func() { respondNow(status, body) }) }
 	}
-	if !s.calls.AllowN(s.w.Now, 1) {
+	if !s.requestLimiter.AllowN(s.w.Now, 1) {
 		s.refused++
-		answer(http.StatusTooManyRequests, nil)
+		respond(http.StatusTooManyRequests, nil)
 		return
 	}
 	u, _ := url.Parse(path)
 	if s.down || from.refused {
-		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
+		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
 	switch {
 	case u.Path == "/watch":
-		s.watch(u.Query(), from, answer)
+		s.watch(u.Query(), from, respond)
 	case method == http.MethodGet && u.Path == "/kv":
-		s.list(u.Query(), answer)
+		s.list(u.Query(), respond)
 	case method == http.MethodGet:
-		s.get(strings.TrimPrefix(u.Path, "/kv/"), answer)
+		s.get(strings.TrimPrefix(u.Path, "/kv/"), respond)
 	case u.Path == protocol.PathTransactions:
-		s.receive(body, answer)
+		s.handleTransaction(body, respond)
 	case u.Path == protocol.PathLeases:
-		s.grantLease(body, answer)
+		s.grantLease(body, respond)
 	default:
-		s.renewLease(u.Path, answer)
+		s.renewLease(u.Path, respond)
 	}
 }
 
-// list answers with a page of keys.
-func (s *keyValueStore) list(q url.Values, answer answerFunc) {
+// list responds with a page of keys.
+func (s *keyValueStore) list(q url.Values, respond responseFunc) {
 	limit, _ := strconv.Atoi(q.Get("page"))
-	answer(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
+	respond(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
 }
 
-// get answers with one key.
-func (s *keyValueStore) get(key string, answer answerFunc) {
+// get responds with one key.
+func (s *keyValueStore) get(key string, respond responseFunc) {
 	if e, ok := s.keys[key]; ok {
-		answer(http.StatusOK, encode(e))
+		respond(http.StatusOK, encode(e))
 		return
 	}
-	answer(http.StatusNotFound, encode(protocol.TransactionResponse{Revision: s.revision}))
+	respond(http.StatusNotFound, encode(protocol.TransactionResponse{Revision: s.revision}))
 }
 
-// grantLease gives a lease.
-func (s *keyValueStore) grantLease(body []byte, answer answerFunc) {
+// grantLease grants a lease.
+func (s *keyValueStore) grantLease(body []byte, respond responseFunc) {
 	var r protocol.LeaseRequest
 	decode(body, &r)
 	id := s.grant(s.w.Now, time.Duration(r.TTLMs)*time.Millisecond)
-	answer(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
+	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// renewLease renews the lease that a path names.
-func (s *keyValueStore) renewLease(path string, answer answerFunc) {
+// renewLease renews the lease named in the path.
+func (s *keyValueStore) renewLease(path string, respond responseFunc) {
 	number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	id := protocol.LeaseID(number)
 	if !s.renew(s.w.Now, id) {
-		answer(http.StatusNotFound, nil)
+		respond(http.StatusNotFound, nil)
 		return
 	}
-	answer(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
+	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// receive carries a transaction out, unless it, or its answer, is to be lost.
-func (s *keyValueStore) receive(body []byte, answer answerFunc) {
-	unanswered := func(int, []byte) {}
+// handleTransaction commits a transaction. A share of them, chosen at random while such a fault is
+// set, gets no response, and may be committed late.
+func (s *keyValueStore) handleTransaction(body []byte, respond responseFunc) {
+	discardResponse := func(int, []byte) {}
 	switch {
-	case s.lost == 0 || s.w.rng.Float64() >= s.lost:
-		s.commit(body, answer)
-	case s.late:
-		s.w.after(s.w.between(2*time.Second, 12*time.Second), func() { s.commit(body, unanswered) })
+	case s.lostShare == 0 || s.w.rng.Float64() >= s.lostShare:
+		s.commit(body, respond)
+	case s.lateCommits:
+		s.w.after(s.w.between(2*time.Second, 12*time.Second), func() { s.commit(body, discardResponse) })
 	default:
-		s.commit(body, unanswered)
+		s.commit(body, discardResponse)
 	}
 }
 
-// commit carries a transaction out if it keeps within the limits and its conditions hold.
-func (s *keyValueStore) commit(body []byte, answer answerFunc) {
+// commit commits a transaction if it is within the limits and its conditions hold.
+func (s *keyValueStore) commit(body []byte, respond responseFunc) {
 	var t protocol.Transaction
 	decode(body, &t)
 	if status, refusal := s.refusal(&t, len(body)); status != 0 {
-		answer(status, refusal)
+		respond(status, refusal)
 		return
 	}
 	s.apply(t.Changes)
-	s.w.rules.checkStaged(t.Changes)
-	answer(http.StatusOK, encode(protocol.TransactionResponse{Revision: s.revision}))
+	s.w.rules.checkStagedRecords(t.Changes)
+	respond(http.StatusOK, encode(protocol.TransactionResponse{Revision: s.revision}))
 	s.notify()
 }
 
-// refusal is the answer to a transaction that is not carried out, status 0 for one that is.
+// refusal returns the response to a transaction that must not be committed, status 0 for one that
+// may.
 func (s *keyValueStore) refusal(t *protocol.Transaction, size int) (status int, body []byte) {
-	if n := len(t.Changes); n > 0 && !s.writes.AllowN(s.w.Now, n) {
+	if n := len(t.Changes); n > 0 && !s.writeLimiter.AllowN(s.w.Now, n) {
 		s.refused++
 		return http.StatusTooManyRequests, nil
 	}
 	s.changed += len(t.Changes)
-	if excess := s.beyondLimits(t, size); excess != "" {
-		s.tooLarge++
-		if s.limits == s.w.shape.Store || s.tooLarge > 20 { // they were lowered without notice
+	if excess := s.limitViolation(t, size); excess != "" {
+		s.oversizedTransactions++
+		// The limits are lowered without notice, so up to 20 transactions may exceed the new ones.
+		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 {
 			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
@@ -202,8 +205,8 @@
 	return 0, nil
 }
 
-// beyondLimits says in which way a transaction is too large, "" if it is not.
-func (s *keyValueStore) beyondLimits(t *protocol.Transaction, size int) string {
+// limitViolation describes which limit a transaction exceeds, "" if it exceeds none.
+func (s *keyValueStore) limitViolation(t *protocol.Transaction, size int) string {
 	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBodyBytes {
 		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
 	}
@@ -216,26 +219,26 @@
 }
 
 // watch opens a watch.
-func (s *keyValueStore) watch(q url.Values, from *controller, answer answerFunc) {
+func (s *keyValueStore) watch(q url.Values, from *controller, respond responseFunc) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
-	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), answer: answer}
+	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), respond: respond}
 	s.watches = append(s.watches, x)
 	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.answerWatch(x, true) })
 	s.notify()
 }
 
-// notify answers the watches that have something to show.
+// notify responds to the watches that have events.
 func (s *keyValueStore) notify() {
 	for _, x := range slices.Clone(s.watches) {
 		s.answerWatch(x, false)
 	}
 }
 
-// answerWatch answers a watch that has something to show, or whose time is over. While
-// the store does not serve its node, a watch waits.
+// answerWatch responds to a watch that has events or has timed out. While the store does not serve
+// its node, the watch waits.
 func (s *keyValueStore) answerWatch(x *watch, over bool) {
-	if x.ended || x.from == s.blind {
+	if x.ended || x.from == s.nodeWithoutWatches {
 		return
 	}
 	if s.down || x.from.refused {
@@ -250,5 +253,5 @@
 	}
 	x.ended = true
 	s.watches = slices.DeleteFunc(s.watches, func(o *watch) bool { return o == x })
-	x.answer(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
+	x.respond(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
 }
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -8,19 +8,20 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// release is a version of the program. A controller of an earlier release runs
-// today's state machine behind the boundaries that the earlier one had: what it
-// sends, what it is sent and which fields of a record it keeps.
+// release is a version of the program. A controller of an earlier release runs the current state
+// machine, limited at its boundaries to what the earlier release had: what it sends, what it
+// receives and which fields of a record it keeps.
 type release int
 
 const (
-	current   release = iota // as built
-	release03                // 0.3: knows services and split records, no staged parts
-	release02                // 0.2: knows none of these
+	current   release = iota // the version under test
+	release03                // 0.3: knows services and split records, but no staged records
+	release02                // 0.2: knows none of them
 )
 
-// level is the level that a release announces to its peers, 0 if it announces none.
-func (r release) level() uint64 {
+// featureLevel returns the feature level that a release announces to its peers, 0 if it announces
+// none.
+func (r release) featureLevel() uint64 {
 	switch r {
 	case release02:
 		return 0
@@ -30,21 +31,21 @@
 	return protocol.CurrentFeatureLevel
 }
 
-// announced is a message as a controller of one release takes it from another: the
-// announced level is the lower of both, since an earlier release does nothing that a
-// later level would allow.
-func announced(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
+// limitAnnouncement returns a message as a controller of one release receives it from one of
+// another. An announced feature level becomes the lower level of the two releases, because an
+// earlier release does nothing that a later level would allow.
+func limitAnnouncement(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
 	if _, ok := protocol.AnnouncedFeatureLevel(m); !ok {
 		return m
 	}
 	a := m.(protocol.PeerResponse)
-	a.Status = min(from.level(), to.level())
+	a.Status = min(from.featureLevel(), to.featureLevel())
 	return a
 }
 
-// maySend says whether a node sends a message: version 0.2 knows nothing of what was
-// added, and cuts a link on which it comes.
-func (c *controller) maySend(a coordination.PeerSend) bool {
+// canSend reports whether the node's release knows a message. Version 0.2 does not know the
+// messages added later, and closes a link on which one arrives: sending it one breaks a rule.
+func (c *controller) canSend(a coordination.PeerSend) bool {
 	_, announces := protocol.AnnouncedFeatureLevel(a.Message)
 	added := false
 	switch a.Message.(type) {
@@ -57,13 +58,13 @@
 	return c.w.release[c.name] != release02 || !announces && !added
 }
 
-// withoutNewFields takes out of records what version 0.2 drops when it reads them.
-func withoutNewFields(body []byte) []byte { return newFields.ReplaceAll(body, nil) }
+// dropNewFields removes from records the fields that version 0.2 drops when it reads them.
+func dropNewFields(body []byte) []byte { return newFields.ReplaceAll(body, nil) }
 
 var newFields = regexp.MustCompile(`"parts":\d+,`)
 
-// recode passes a message through the peers' wire format.
-func recode(m protocol.PeerMessage) protocol.PeerMessage {
+// reencode encodes a message in the wire format of the peers and decodes it again.
+func reencode(m protocol.PeerMessage) protocol.PeerMessage {
 	out, err := protocol.ReadPeerFrame(newReader(protocol.AppendPeerFrame(nil, m)))
 	if err != nil {
 		panic(err)
@@ -71,9 +72,10 @@
 	return out
 }
 
-// checkStaged reports a part of a job that its own record does not name while a
-// controller of an earlier release is up, which would delete it.
-func (r *rules) checkStaged(changes []protocol.Change) {
+// checkStagedRecords counts the staged task records: those that the job's main record does not name
+// yet. It reports one that is written while a controller of an earlier release is up, because that
+// release would delete it.
+func (r *rules) checkStagedRecords(changes []protocol.Change) {
 	for _, c := range changes {
 		id, num, ok := storage.ParseTaskRecordKey(c.Set)
 		if !ok {
@@ -83,10 +85,10 @@
 		if err != nil || num < max(rec.BaseRecords(), rec.TotalRecords) {
 			continue
 		}
-		r.staged++
+		r.stagedRecords++
 		for _, n := range r.w.nodes {
 			if n.alive && r.w.release[n.name] != current {
-				r.violated(ruleCompatibility, "%s is staged beside %s of an earlier release", c.Set, n.name)
+				r.violated(ruleCompatibility, "%s is staged while %s of an earlier release is up", c.Set, n.name)
 			}
 		}
 	}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -12,7 +12,7 @@
 
 // lowered is the shape of a deployment whose key-value store will lower its limits.
 func lowered(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+	s.NextStoreLimits = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
@@ -51,12 +51,12 @@
 
 // newUpgradeWorld is a world of controllers of earlier versions.
 func newUpgradeWorld(seed int) *World {
-	shape := lowered(Small(), 12, 4)
+	shape := lowered(SmallShape(), 12, 4)
 	if seed%2 == 1 {
 		shape = lowered(tiny(), 12, 4)
 	}
 	shape.Capacity = 30
-	w := NewShaped(uint64(900+seed), logs(), shape)
+	w := NewWithShape(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
 		// From 0.2, from 0.3, or from both.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
@@ -83,11 +83,11 @@
 	}
 	w.upgrade(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.Run(40 * time.Second)
 	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.healWorkers()
 	w.watchWaitingJobs()
 	w.runUntilOver()
@@ -108,7 +108,7 @@
 	t.Parallel()
 	shape := lowered(thousandMachines(), 21, 8)
 	shape.Store.TxnOps = 24
-	w := NewShaped(77, logs(), shape)
+	w := NewWithShape(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -134,10 +134,10 @@
 			t.Errorf("%s still has %d bytes", key, len(e.Value))
 		}
 	}
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 500*time.Second)
 	again := w.gangTasksStartedAgain() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
@@ -163,9 +163,9 @@
 // split, and a new leader that knows nothing of its peers finds the records.
 func TestOversizedUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := lowered(Small(), 15, 4)
+	shape := lowered(SmallShape(), 15, 4)
 	shape.Capacity = 40
-	w := NewShaped(78, logs(), shape)
+	w := NewWithShape(78, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -178,7 +178,7 @@
 	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
 	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
@@ -205,24 +205,24 @@
 	{"after the upgrade", release02, func(w *World) {
 		w.upgrade(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"after the upgrade, all records untouched", release03, func(w *World) {
 		w.upgrade(time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"in the middle of the upgrade", release03, func(w *World) {
 		w.upgrade(10 * time.Second)
-		w.after(14*time.Second, w.store.lower)
+		w.after(14*time.Second, w.store.applyNextLimits)
 	}},
 	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
 		w.upgrade(5 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"in a takeover", release02, func(w *World) {
 		w.upgrade(time.Second)
 		w.Run(8 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 		w.crashLeader(300 * time.Millisecond)
 		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
@@ -230,21 +230,21 @@
 	{"while the key-value store is slow", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.store.slow = 400 * time.Millisecond
-		w.store.lower()
-		w.after(25*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 400 * time.Millisecond
+		w.store.applyNextLimits()
+		w.after(25*time.Second, func() { w.store.extraLatency = 0 })
 	}},
 	{"in an outage", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.outage(12 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"answers are lost", release02, func(w *World) {
 		w.upgrade(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.store.lower()
-		w.store.loseAnswers(0.3, 20*time.Second)
+		w.store.applyNextLimits()
+		w.store.loseResponses(0.3, 20*time.Second)
 	}},
 }
 
@@ -270,19 +270,19 @@
 	users := w.submitWide()
 	c.play(w)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.stagedRecords, w.store.oversizedTransactions, w.rules.started)
 	w.expectRulesHeld(t)
 }
 
 // newWorld is a world of the earlier version whose records may be large.
 func (c lowering) newWorld(seed uint64) *World {
-	shape := lowered(Small(), 15, 4)
+	shape := lowered(SmallShape(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
-	w := NewShaped(300+seed, logs(), shape)
+	w := NewWithShape(300+seed, logs(), shape)
 	for _, n := range w.nodes {
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
