--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -9,7 +9,7 @@
 
 // someWorkers draws up to n machines.
 func (w *World) someWorkers(n int) []*agent {
-	list := w.workersInOrder()
+	list := w.agentsInCreationOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -173,7 +173,7 @@
 // drawFault draws what a fault may need: a controller, a machine, its time.
 func (w *World) drawFault() faultDraw {
 	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
-	for _, agent := range w.workersInOrder() {
+	for _, agent := range w.agentsInCreationOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
 			d.machine = agent
 		}
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -42,7 +42,7 @@
 				if busy {
 					job := array("run-000001", 2)
 					job.Zone = zone
-					u := w.submitRunning(t, 20*time.Second, job, 500)
+					u := w.submitAndWaitUntilRunning(t, 20*time.Second, job, 500)
 					w.after(time.Second+time.Millisecond, u.cancel)
 				}
 
@@ -69,16 +69,16 @@
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
 	t.Parallel()
 	w := startWorld(22, Small(), 6*time.Second)
-	job := checkpointed(gangJob("run-000001", 4), 10, 2)
+	job := withCheckpoints(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
-	u := w.submitRunning(t, 20*time.Second, job, 80)
-	id := w.workerOf("run-000001", 0).host.ID
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, job, 80)
+	id := w.agentOf("run-000001", 0).host.ID
 
 	w.blockInbound(id, 400*time.Second, packetsLost)
 	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
-		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
+		return w.running(u) && w.agentOf("run-000001", 0).host.ID != id
 	})
 	t.Logf("repaired %v after the lease ran out", took)
 	w.waitUntilOver(t, 120*time.Second, u)
@@ -98,7 +98,7 @@
 		if c := w.leader(); c != nil {
 			c.crash(time.Second)
 		}
-		if list := w.workersInOrder(); len(list) > 0 {
+		if list := w.agentsInCreationOrder(); len(list) > 0 {
 			w.cloud.destroy(list[0].host)
 		}
 	}
@@ -115,8 +115,8 @@
 func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, Small(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	agent := w.workerOf("run-000001", 0)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	agent := w.agentOf("run-000001", 0)
 	old := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
 	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.agents[agent.host.ID] == nil })
@@ -183,8 +183,8 @@
 func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
 	w := startWorld(26, Small(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	agent := w.workerOf("run-000001", 0)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	agent := w.agentOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
 	old := encode(agent.heartbeat())
 
@@ -195,7 +195,7 @@
 	w.deliverCopy(w.leader(), old)
 
 	// Its image is there, so it would be the first choice.
-	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
+	w.submitAndWaitUntilRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.expectRulesHeld(t)
 }
 
@@ -208,13 +208,13 @@
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(25, Small(), 6*time.Second)
-			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
+			u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
 			w.isolate(c, 100*time.Second, fate)
 
 			w.waitFor(t, 10*time.Second, "another leads", func() bool {
-				return slices.ContainsFunc(w.others(c), func(o *controller) bool { return o.node.Leading() })
+				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
 			w.waitUntilOver(t, 200*time.Second, u)
@@ -244,7 +244,7 @@
 		t.Error("it still leads")
 	}
 	status = 0
-	report := w.workerOf("run-000001", 0).heartbeat()
+	report := w.agentOf("run-000001", 0).heartbeat()
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
@@ -300,9 +300,9 @@
 	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
-	w.loseOldest(len(w.cloud.hosts) / 3)
+	w.loseOldestAgents(len(w.cloud.hosts) / 3)
 	for i := range 12 {
-		job := queued(largeGang(jobID(900+i)), "gang", "team-0", "high")
+		job := withQueue(largeGang(jobID(900+i)), "gang", "team-0", "high")
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, run: 60})
 	}
 	w.Run(30 * time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -144,7 +144,7 @@
 	recoveringTiny.Recovery, slow.Slow = true, true
 	return []fingerprintDay{
 		{"small", 6, ofShape(Small())},
-		{"small-recovery", 6, ofShape(recovering())},
+		{"small-recovery", 6, ofShape(smallWithRecovery())},
 		{"tiny", 5, ofShape(tiny())},
 		{"tiny-recovery", 5, ofShape(recoveringTiny)},
 		{"slow", 3, ofShape(slow)},
@@ -152,7 +152,7 @@
 		{"upgrade-0.2", 4, upgradeDay(0)},
 		{"upgrade-0.3", 4, upgradeDay(1)},
 		{"upgrade-mixed", 4, upgradeDay(2)},
-		{"lowered-limits", len(lowerings), loweredLimitsDay},
+		{"lowered-limits", len(loweringScenarios), loweredLimitsDay},
 		{"services", len(serviceFaults), servicesDay},
 		{"cold-restart", 4, coldRestartDay},
 		{"restored-store", 3, restoredStoreDay},
@@ -167,7 +167,7 @@
 	w.Run(time.Duration(times) * apart)
 	w.Run(40 * time.Second)
 	w.faultsOver = w.Now
-	w.healWorkers()
+	w.healAgents()
 }
 
 // slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
@@ -186,21 +186,21 @@
 	w.Run(60 * time.Second)
 }
 
-// upgradeDay is a day of TestUpgrade: from 0.2, 0.3 or both; the limits are lowered after.
+// upgradeDay is a day of TestUpgradeUnderFaultsKeepsRules: from 0.2, 0.3 or both; the limits are lowered after.
 // Only the first seed is without other faults.
 func upgradeDay(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
-		f.watch(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
+		f.watch(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsDay has the limits fall far in one of the ways of TestLimitsLoweredFar, with
+// loweredLimitsDay has the limits fall far in one of the ways of TestLimitsLoweredFarBelowRecordSizes, with
 // other faults after.
 func loweredLimitsDay(seed uint64, f *fingerprint) {
-	c := lowerings[seed%uint64(len(lowerings))]
+	c := loweringScenarios[seed%uint64(len(loweringScenarios))]
 	w := f.watch(c.newWorld(seed))
-	w.submitWide()
-	c.play(w)
+	w.submitLargeJobs()
+	c.lowerLimits(w)
 	w.Run(20 * time.Second)
 	w.randomFaults(9*time.Second, 5)
 	w.Run(60 * time.Second)
@@ -269,11 +269,11 @@
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
 	w.crashAll(3 * time.Second)
-	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
-	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
-	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
-	w.damage("g/m/nobody", `{"w":"x","rooms":7}`)
-	w.damage("g/q/unknown", `1`)
+	w.writeMalformedRecord("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
+	w.writeMalformedRecord("g/j/run-999998", `{"w":"x","v":9}`)
+	w.writeMalformedRecord("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
+	w.writeMalformedRecord("g/m/nobody", `{"w":"x","rooms":7}`)
+	w.writeMalformedRecord("g/q/unknown", `1`)
 	w.Run(60 * time.Second)
 	w.randomFaults(9*time.Second, 4)
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -60,7 +60,7 @@
 	w := NewShaped(1, logs(), fleet4000())
 	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec := withQueue(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
 		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
@@ -77,7 +77,7 @@
 	w.Run(40 * time.Second)
 	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := w.loseOldest(die)
+	lost := w.loseOldestAgents(die)
 	w.Run(10 * time.Second)
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -38,12 +38,12 @@
 func (w *World) submitCrowd(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
-		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
+		withQueue(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			withCheckpoints(withTaskResources(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
 			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
 		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -119,7 +119,7 @@
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	at := w.Now
 	s.w = w
-	s.lose(w.workerOf("run-000000", 1))
+	s.lose(w.agentOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
 		s.observe()
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -24,21 +24,21 @@
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
+		k := w.agentOf(u.job.spec.ID, 1)
 		w.loseWorker(k)
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
+		k := w.agentOf(u.job.spec.ID, 1)
 		k.giveNotice(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(k.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.workerOf(u.job.spec.ID, 1).failsTasks = true
+		w.agentOf(u.job.spec.ID, 1).failsTasks = true
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
+		k := w.agentOf(u.job.spec.ID, 1)
 		k.opensNoConnections = true
 		w.after(100*time.Second, func() { k.opensNoConnections = false })
 	}, 0.98},
@@ -122,7 +122,9 @@
 }
 
 // wholeMachines is a gang of two tasks that take most of a machine of the small shape each.
-func wholeMachines(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
+func wholeMachines(id protocol.JobID) *protocol.Job {
+	return withTaskResources(gangJob(id, 2), 28, 4, 200)
+}
 
 // TestReplicasLeaveGPUs: replicas are spread over machines, and take no processors
 // or memory that work on GPUs needs while there are others.
@@ -131,14 +133,14 @@
 	shape := Small()
 	shape.Machines, shape.Capacity = 8, 8
 	w := startWorld(73, shape, 6*time.Second)
-	big := w.submitRunning(t, 20*time.Second, wholeMachines("run-000001"), 20)
+	big := w.submitAndWaitUntilRunning(t, 20*time.Second, wholeMachines("run-000001"), 20)
 	for i := range 4 {
 		spec := service(jobID(10+i), 4)
 		spec.Spread = i%2 == 0
-		w.submitRunning(t, 10*time.Second, spec, 0)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, spec, 0)
 		on := map[protocol.MachineID]int{}
 		for k := range 4 {
-			on[w.workerOf(spec.ID, k).host.ID]++
+			on[w.agentOf(spec.ID, k).host.ID]++
 		}
 		if len(on) != 4 {
 			t.Errorf("%s is on %v", spec.ID, on)
@@ -146,7 +148,7 @@
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
 	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
-		w.submitRunning(t, 10*time.Second, wholeMachines(jobID(20+i)), 20)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, wholeMachines(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -14,7 +14,7 @@
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	starts := w.rules.started
 
 	w.leader().crash(time.Minute)
@@ -68,7 +68,7 @@
 func TestShortStoreOutageCostsNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
 
 	w.store.outage(14 * time.Second)
@@ -94,7 +94,7 @@
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := startWorld(5, Small(), 5*time.Second)
-	c := w.others(w.leader())[1]
+	c := w.otherControllers(w.leader())[1]
 
 	c.refused = true
 	w.Run(8 * time.Second)
@@ -162,7 +162,7 @@
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
 	w := startWorld(13, Small(), 5*time.Second)
-	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
+	w.submitAndWaitUntilRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
 	answers, asked := 0, 0
@@ -194,11 +194,11 @@
 func TestCutOffLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, Small(), 5*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
 	inside := map[string]bool{c.name: true}
 	for i := range 8 {
-		inside[string(w.workerOf("run-000001", i).host.ID)] = true
+		inside[string(w.agentOf("run-000001", i).host.ID)] = true
 	}
 
 	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
@@ -218,9 +218,9 @@
 func TestPeersRelayReportsAcrossZoneCut(t *testing.T) {
 	t.Parallel()
 	w := startWorld(8, Small(), 5*time.Second)
-	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
+	u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
-	bridge := w.others(c)[0].name // reaches everybody, wherever it is
+	bridge := w.otherControllers(c)[0].name // reaches everybody, wherever it is
 
 	w.interrupt(60*time.Second, packetsLost, func(a, b string) bool {
 		return a != bridge && b != bridge && w.inDifferentZones(a, b)
@@ -236,7 +236,7 @@
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	w := startWorld(9, Small(), 5*time.Second)
-	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
+	u := w.submit(arrival{job: withTaskResources(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
 
 	w.leader().crash(2 * time.Second)
@@ -256,7 +256,7 @@
 func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
 	w := startWorld(14, Small(), 5*time.Second)
-	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
+	job := withTaskResources(array("run-000001", 100_000), 0.2, 0, 0.5)
 	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
@@ -279,12 +279,12 @@
 func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
 	w := startWorld(10, Small(), 6*time.Second)
-	job := checkpointed(gangJob("run-000001", 2), 10, 2)
+	job := withCheckpoints(gangJob("run-000001", 2), 10, 2)
 	job.GPUs, job.OneZone = 2, true
-	u := w.submitRunning(t, 10*time.Second, job, 60)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, job, 60)
 	w.Run(25 * time.Second)
 
-	w.loseWorker(w.workerOf("run-000001", 0))
+	w.loseWorker(w.agentOf("run-000001", 0))
 
 	// Silence, two probes and a deletion: well before the lease would expire.
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
@@ -306,7 +306,7 @@
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(11, Small(), 5*time.Second)
-			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
+			u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
 			w.interrupt(90*time.Second, fate, w.inDifferentZones)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,7 +32,7 @@
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
 			spec.Class, spec.Shape, spec.Priority = "service", protocol.ShapeService, "critical"
-			checkpointed(perTask(spec, 1, 0, 4), 0, 0).EstimateS = 0
+			withCheckpoints(withTaskResources(spec, 1, 0, 4), 0, 0).EstimateS = 0
 			cancel = w.between(150*time.Second, 320*time.Second)
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -32,14 +32,14 @@
 	}
 	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
 	w.Run(quiet)
-	zone := w.workerOf("run-000000", 1).host.Zone
+	zone := w.agentOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
 		}
 	}
-	for _, agent := range w.workersInOrder() {
+	for _, agent := range w.agentsInCreationOrder() {
 		machines++
 		if agent.host.Zone == zone {
 			w.loseWorker(agent)
