--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -11,13 +11,13 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// The builders of deployments and jobs for all tests of this package, and what tests wait
-// for and count.
+// This file has what all tests of this package share: builders of deployments and jobs, waits,
+// and checks.
 
-// waitPollInterval is how often a wait looks at the world.
+// waitPollInterval is the simulated time between two checks of a condition that is waited for.
 const waitPollInterval = 20 * time.Millisecond
 
-// logs is where a run's log goes: nowhere, unless SIMULATION_LOG asks for it.
+// logs returns the writer of a run's log: stderr if SIMULATION_LOG is set, nil otherwise.
 func logs() io.Writer {
 	if os.Getenv("SIMULATION_LOG") != "" {
 		return os.Stderr
@@ -25,63 +25,67 @@
 	return nil
 }
 
-// startWorld makes a deployment and lets it settle: a leader is elected and the machines
-// have reported.
+// startWorld creates a deployment and runs it for a while, so that a leader is elected and the
+// machines have sent heartbeats.
 func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
 	w := NewShaped(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
 
-// jobID is the name of the job of a number.
+// jobID returns the ID of the job with this number.
 func jobID(number int) protocol.JobID { return protocol.JobID(fmt.Sprintf("run-%06d", number)) }
 
-// array is a job array of small tasks with a GPU each.
+// array returns an array job of small tasks that need one GPU each.
 func array(id protocol.JobID, tasks int) *protocol.Job {
 	return &protocol.Job{ID: id, Class: "c", Team: "free", Shape: protocol.ShapeArray, Priority: "normal", Tasks: tasks,
 		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 20}
 }
 
-// gangJob is an array whose tasks run together or not at all.
+// gangJob returns a gang job, whose tasks run all together or not at all.
 func gangJob(id protocol.JobID, tasks int) *protocol.Job {
 	job := array(id, tasks)
 	job.Shape = protocol.ShapeGang
 	return job
 }
 
-// service is a service of small replicas without GPUs, spread over the zones.
+// service returns a service of small replicas without GPUs, spread over the zones.
 func service(id protocol.JobID, replicas int) *protocol.Job {
 	job := withTaskResources(array(id, replicas), 2, 0, 10)
 	job.Class, job.Shape, job.Priority, job.EstimateS, job.Spread = "service", protocol.ShapeService, "critical", 0, true
 	return job
 }
 
-// largeGang is a gang of 32 tasks that take whole machines of one zone.
+// largeGang returns a gang of 32 tasks in one zone. Each task takes a whole machine with two
+// GPUs.
 func largeGang(id protocol.JobID) *protocol.Job {
 	job := withTaskResources(gangJob(id, 32), 20, 2, 110)
 	job.OneZone = true
 	return job
 }
 
-// withTaskResources sets what each task of a job takes of a machine.
+// withTaskResources sets the resources that each task of a job needs, and returns the job.
 func withTaskResources(job *protocol.Job, cpus, gpus, memoryGB float64) *protocol.Job {
 	job.CPUs, job.GPUs, job.MemoryGB = cpus, gpus, memoryGB
 	return job
 }
 
-// withQueue sets the queue that a job waits in.
+// withQueue sets the class, team and priority of a job, which determine its queue, and returns
+// the job.
 func withQueue(job *protocol.Job, class string, team protocol.TeamName, priority string) *protocol.Job {
 	job.Class, job.Team, job.Priority = class, team, priority
 	return job
 }
 
-// withCheckpoints has a job save a checkpoint every so many seconds, which takes some seconds.
+// withCheckpoints sets a job's checkpoint interval and the time to save a checkpoint, both in
+// seconds, and returns the job.
 func withCheckpoints(job *protocol.Job, every, save float64) *protocol.Job {
 	job.CheckpointIntervalS, job.CheckpointSaveS = every, save
 	return job
 }
 
-// submitAndWaitUntilRunning has a user submit a job at once and waits until all its tasks run.
+// submitAndWaitUntilRunning has a new user submit a job at once, and waits until all its tasks
+// run. The tasks run for run seconds.
 func (w *World) submitAndWaitUntilRunning(t *testing.T, limit time.Duration, job *protocol.Job, run float64) *user {
 	t.Helper()
 	u := w.submit(arrival{job: job, run: run})
@@ -89,7 +93,7 @@
 	return u
 }
 
-// leader is the node that leads, nil while none does.
+// leader returns the controller that leads, or nil if none does.
 func (w *World) leader() *controller {
 	for _, c := range w.nodes {
 		if c.alive && c.node.Leading() {
@@ -99,12 +103,13 @@
 	return nil
 }
 
-// otherControllers are the nodes that are not the one given.
+// otherControllers returns all controllers but c.
 func (w *World) otherControllers(c *controller) []*controller {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(o *controller) bool { return o == c })
 }
 
-// agentsInCreationOrder are the machines that are up, in the order in which they were rented.
+// agentsInCreationOrder returns the agents of the machines that are up, in the order in which the
+// machines were created.
 func (w *World) agentsInCreationOrder() (list []*agent) {
 	for _, h := range w.cloud.hosts {
 		if agent := w.agents[h.ID]; agent != nil {
@@ -114,8 +119,8 @@
 	return list
 }
 
-// loseOldestAgents ends the workers of up to n machines, those that were rented first, and returns
-// how many.
+// loseOldestAgents ends the agents of the n machines that were created first, or of all if there
+// are fewer. It returns how many it ended.
 func (w *World) loseOldestAgents(n int) int {
 	list := w.agentsInCreationOrder()
 	list = list[:min(n, len(list))]
@@ -125,12 +130,12 @@
 	return len(list)
 }
 
-// agentOf is the machine that a task of a job is on.
+// agentOf returns the agent of the machine that a task is placed on.
 func (w *World) agentOf(job protocol.JobID, task int) *agent {
 	return w.rules.placed[protocol.TaskName(job, task)].agent
 }
 
-// running says whether all tasks of some users' jobs run.
+// running reports whether all tasks of these users' jobs run.
 func (w *World) running(users ...*user) bool {
 	for _, u := range users {
 		for i := range u.job.spec.Tasks {
@@ -143,7 +148,7 @@
 	return true
 }
 
-// over says whether some users have had a final answer.
+// over reports whether all these users have been told the final phase of their jobs.
 func over(users ...*user) bool {
 	for _, u := range users {
 		if !u.over {
@@ -153,38 +158,39 @@
 	return true
 }
 
-// waitFor runs the world until something holds and returns how long it took.
+// waitFor runs the world until holds returns true, and returns the simulated time that this took.
+// The test fails if it takes longer than limit.
 func (w *World) waitFor(t *testing.T, limit time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	from := w.Now
 	for !holds() {
 		if w.Now.Sub(from) > limit {
-			t.Fatalf("%s: not within %v", what, limit)
+			t.Fatalf("%s: did not happen within %v", what, limit)
 		}
 		w.Run(waitPollInterval)
 	}
 	return w.Now.Sub(from)
 }
 
-// waitUntilRunning waits until all tasks of some users' jobs run.
+// waitUntilRunning waits until all tasks of these users' jobs run.
 func (w *World) waitUntilRunning(t *testing.T, limit time.Duration, users ...*user) time.Duration {
 	t.Helper()
 	return w.waitFor(t, limit, fmt.Sprint(jobIDsOf(users), " run"), func() bool { return w.running(users...) })
 }
 
-// waitUntilOver waits until some users have had a final answer.
+// waitUntilOver waits until all these users have been told the final phase of their jobs.
 func (w *World) waitUntilOver(t *testing.T, limit time.Duration, users ...*user) time.Duration {
 	t.Helper()
 	return w.waitFor(t, limit, fmt.Sprint(jobIDsOf(users), " are over"), func() bool { return over(users...) })
 }
 
-// waitForLeader waits until a node leads.
+// waitForLeader waits until a controller leads.
 func (w *World) waitForLeader(t *testing.T, limit time.Duration) time.Duration {
 	t.Helper()
-	return w.waitFor(t, limit, "a node leads", func() bool { return w.leader() != nil })
+	return w.waitFor(t, limit, "a controller leads", func() bool { return w.leader() != nil })
 }
 
-// jobIDsOf lists the names of some users' jobs.
+// jobIDsOf returns the IDs of these users' jobs.
 func jobIDsOf(users []*user) (jobs []protocol.JobID) {
 	for _, u := range users {
 		jobs = append(jobs, u.job.spec.ID)
@@ -192,23 +198,23 @@
 	return jobs
 }
 
-// statusOf has a node take a request and returns the status that it has been answered with
-// a second later, 0 for none.
+// statusOf sends a request to a controller and returns the HTTP status of its response, or 0 if
+// there is none within a second.
 func (w *World) statusOf(c *controller, r request) (status int) {
 	c.ask(r, func(s int, _ []byte) { status = s })
 	w.Run(time.Second)
 	return status
 }
 
-// expectStarts checks how many tasks have been started since the count was as given.
+// expectStarts checks that want tasks were started after rules.started had the value since.
 func (w *World) expectStarts(t *testing.T, since, want int, during string) {
 	t.Helper()
 	if n := w.rules.started - since; n != want {
-		t.Errorf("%s: %d tasks were started, want %d", during, n, want)
+		t.Errorf("%s: %d tasks started, want %d", during, n, want)
 	}
 }
 
-// expectRulesHeld reports every rule of the protocol that was broken.
+// expectRulesHeld reports every violation of a protocol rule as an error.
 func (w *World) expectRulesHeld(t *testing.T) {
 	t.Helper()
 	for _, f := range w.rules.failures {
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -10,27 +10,27 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// These tests lose all controllers at once while workers go on, and bring them back:
-// what is valid goes on, nothing is started or stopped twice.
+// These tests crash all controllers at once while the agents keep running, and restart them.
+// Valid attempts keep running, and nothing is started or stopped twice.
 
-// smallWithRecovery is the small shape with recoveries followed.
+// smallWithRecovery returns the small shape with the recovery phase enabled.
 func smallWithRecovery() Shape {
 	s := Small()
 	s.Recovery = true
 	return s
 }
 
-// coldRestartWorld is a world with work of every kind that runs, about to lose its controllers.
+// coldRestartWorld is a world that runs a gang and an array when its controllers are lost.
 type coldRestartWorld struct {
 	*World
 	t              *testing.T
 	gang           *user
 	array          *user
-	commandsBefore [3]int // orders
-	startsBefore   int
+	commandsBefore [3]int // commands executed until resetCounts, by kind
+	starts         int
 }
 
-// newColdRestartWorld has a gang over two machines and an array run.
+// newColdRestartWorld returns a world in which a gang on two machines and an array run.
 func newColdRestartWorld(t *testing.T, seed uint64, shape Shape) *coldRestartWorld {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
@@ -43,44 +43,48 @@
 	return c
 }
 
-// resetCounts has orders and starts count from now on.
+// resetCounts makes the counts of commands and starts begin at zero.
 func (c *coldRestartWorld) resetCounts() {
-	c.commandsBefore, c.startsBefore = c.Audit.Orders, c.rules.started
+	c.commandsBefore, c.starts = c.Audit.Orders, c.rules.started
 }
 
-// crashAllStaggered ends all controllers; they are back some time later, one after the other.
-func (c *coldRestartWorld) crashAllStaggered(away, apart time.Duration) {
+// crashAllStaggered crashes all controllers. The first one restarts after downFor, each further
+// one after another stagger.
+func (c *coldRestartWorld) crashAllStaggered(downFor, stagger time.Duration) {
 	for i, n := range c.nodes {
-		n.crash(away + time.Duration(i)*apart)
+		n.crash(downFor + time.Duration(i)*stagger)
 	}
 }
 
-// idleAgent is a worker without tasks.
+// idleAgent returns an agent without tasks.
 func (c *coldRestartWorld) idleAgent() *agent {
 	for _, h := range c.cloud.hosts {
 		if agent := c.agents[h.ID]; agent != nil && len(agent.tasks) == 0 {
 			return agent
 		}
 	}
-	c.t.Fatal("no worker is idle")
+	c.t.Fatal("no agent is idle")
 	return nil
 }
 
-// commandsExecuted counts the orders of a kind since the mark.
+// commandsExecuted returns how many commands of a kind the agents have executed since
+// resetCounts.
 func (c *coldRestartWorld) commandsExecuted(kind int) int {
 	return c.Audit.Orders[kind] - c.commandsBefore[kind]
 }
 
-// expectNothingStartedOrStopped checks that nothing was started, stopped or ordered in vain since the mark.
+// expectNothingStartedOrStopped checks that since resetCounts no task has started, and the agents
+// have executed no start or stop command.
 func (c *coldRestartWorld) expectNothingStartedOrStopped(what string) {
 	c.t.Helper()
-	c.expectStarts(c.t, c.startsBefore, 0, what)
+	c.expectStarts(c.t, c.starts, 0, what)
 	if starts, stops := c.commandsExecuted(needStart), c.commandsExecuted(needStop); starts+stops > 0 {
-		c.t.Errorf("%s: %d starts and %d stops were ordered", what, starts, stops)
+		c.t.Errorf("%s: %d start and %d stop commands executed, want none", what, starts, stops)
 	}
 }
 
-// recoverySummary is what the leader's recovery has found.
+// recoverySummary returns the leader's summary of its recovery, an empty one if no controller
+// leads.
 func (c *coldRestartWorld) recoverySummary() reconcile.Summary {
 	if n := c.leader(); n != nil {
 		return n.node.TakeMetrics().Recovery
@@ -88,7 +92,7 @@
 	return reconcile.Summary{}
 }
 
-// waitUntilRecovered waits for the end of the leader's recovery.
+// waitUntilRecovered waits until the leader's recovery ends, and returns its summary.
 func (c *coldRestartWorld) waitUntilRecovered(limit time.Duration) reconcile.Summary {
 	c.t.Helper()
 	var s reconcile.Summary
@@ -99,7 +103,7 @@
 	return s
 }
 
-// finishBothJobs waits until both jobs are done and checks the rules.
+// finishBothJobs waits until both jobs are done, and checks the rules.
 func (c *coldRestartWorld) finishBothJobs() {
 	c.t.Helper()
 	c.waitUntilOver(c.t, 400*time.Second, c.gang, c.array)
@@ -107,28 +111,28 @@
 	c.expectRulesHeld(c.t)
 }
 
-// TestColdRestartKeepsWork: all controllers are lost and back within the workers' lease,
-// at once or seconds apart, in this version or mixed with 0.3: everything goes on.
+// TestColdRestartKeepsWork: all controllers crash and restart within the agents' lease, at once
+// or seconds apart, all in the current version or some in version 0.3. All tasks keep running.
 func TestColdRestartKeepsWork(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]struct {
-		away, apart time.Duration
-		earlier     []release
+	for name, scenario := range map[string]struct {
+		downFor, stagger time.Duration
+		releases         []release
 	}{
-		"at once":         {2 * time.Second, 0, nil},
-		"a fraction":      {100 * time.Millisecond, 70 * time.Millisecond, nil},
-		"seconds apart":   {4 * time.Second, 3 * time.Second, nil},
-		"mixed with 0.3":  {2 * time.Second, 2 * time.Second, []release{release03, current, release03}},
-		"0.3 comes first": {time.Second, 4 * time.Second, []release{release03, release03, current}},
+		"at once":                      {2 * time.Second, 0, nil},
+		"a fraction of a second apart": {100 * time.Millisecond, 70 * time.Millisecond, nil},
+		"seconds apart":                {4 * time.Second, 3 * time.Second, nil},
+		"mixed with 0.3":               {2 * time.Second, 2 * time.Second, []release{release03, current, release03}},
+		"two in 0.3 restart first":     {time.Second, 4 * time.Second, []release{release03, release03, current}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newColdRestartWorld(t, 41, smallWithRecovery())
-			for i, r := range play.earlier {
+			for i, r := range scenario.releases {
 				c.release[c.nodes[i].name] = r
 			}
-			c.crashAllStaggered(play.away, play.apart)
-			c.Run(play.away)
+			c.crashAllStaggered(scenario.downFor, scenario.stagger)
+			c.Run(scenario.downFor)
 			s := c.waitUntilRecovered(20 * time.Second)
 			if s.Reason != reconcile.EndAllAccountedFor || s.Classes[reconcile.Matching] != 11 || s.RecordedAttempts != 11 {
 				t.Errorf("%+v", s)
@@ -140,37 +144,38 @@
 	}
 }
 
-// TestColdRestartBeyondLeaseStartsEachTaskOnce: the controllers are away for longer than the workers' lease.
-// Every task is started once again, and nothing is stopped.
+// TestColdRestartBeyondLeaseStartsEachTaskOnce: the controllers are down for longer than the
+// agents' lease. Every task starts again exactly once, and nothing is stopped.
 func TestColdRestartBeyondLeaseStartsEachTaskOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdRestartWorld(t, 42, smallWithRecovery())
 	c.crashAllStaggered(secs(c.shape.Agents.LeaseS)+9*time.Second, 0)
 	c.Run(secs(c.shape.Agents.LeaseS) + 9*time.Second)
 	c.waitUntilRunning(t, 60*time.Second, c.gang, c.array)
-	c.expectStarts(t, c.startsBefore, 11, "for 11 tasks")
+	c.expectStarts(t, c.starts, 11, "after the agents' leases expired")
 	if n := c.commandsExecuted(needStop); n != 0 {
-		t.Errorf("%d stops", n)
+		t.Errorf("%d stop commands executed, want none", n)
 	}
 	c.finishBothJobs()
 }
 
-// TestColdRestartHalfReportedGangIsNotBroken: half of a gang's machines report much later than the
-// others. It is not taken for broken.
+// TestColdRestartHalfReportedGangIsNotBroken: after the restart, one of a gang's two machines
+// sends its first heartbeat much later than the other. The gang must not be treated as broken.
 func TestColdRestartHalfReportedGangIsNotBroken(t *testing.T) {
 	t.Parallel()
 	c := newColdRestartWorld(t, 43, smallWithRecovery())
 	c.crashAllStaggered(time.Second, 0)
-	late := c.agentOf("run-000001", 0)
-	late.opensNoConnections = true
-	c.after(14*time.Second, func() { late.opensNoConnections = false })
+	lateAgent := c.agentOf("run-000001", 0)
+	lateAgent.opensNoConnections = true
+	c.after(14*time.Second, func() { lateAgent.opensNoConnections = false })
 	c.Run(25 * time.Second)
-	c.expectNothingStartedOrStopped("half reported")
+	c.expectNothingStartedOrStopped("half of the gang reported")
 	c.finishBothJobs()
 }
 
-// TestColdRestartRecordsEndOfTaskOnce: an end that only the dead leader was told, or that was in a
-// transaction of its, is recorded once; the task is not started again.
+// TestColdRestartRecordsEndOfTaskOnce: tasks end, and only the leader that then crashes learns of
+// it. Its transaction that records the ends fails in a store outage, or is carried out late and
+// without a response. The ends are recorded once, and the tasks do not start again.
 func TestColdRestartRecordsEndOfTaskOnce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []bool{true, false} {
@@ -183,21 +188,21 @@
 			} else {
 				c.store.outage(9 * time.Second)
 			}
-			c.waitFor(t, 20*time.Second, "it is done", func() bool { return short.job.done[0] && short.job.done[1] })
-			c.Run(700 * time.Millisecond) // the leader has the reports
+			c.waitFor(t, 20*time.Second, "the short tasks are done", func() bool { return short.job.done[0] && short.job.done[1] })
+			c.Run(700 * time.Millisecond) // the leader receives the heartbeats
 			c.resetCounts()
 
 			c.crashAllStaggered(2*time.Second, 0)
 
 			c.waitUntilOver(t, 40*time.Second, short)
-			c.expectNothingStartedOrStopped("end of a task")
+			c.expectNothingStartedOrStopped("after the tasks ended")
 			c.finishBothJobs()
 		})
 	}
 }
 
-// TestColdRestartHonoursConfirmedCancellation: a cancellation that was confirmed the moment before the loss
-// takes effect in time, and nothing of the job starts again.
+// TestColdRestartHonoursConfirmedCancellation: a cancellation is confirmed just before all
+// controllers crash. It takes effect in time, and no task of the job starts again.
 func TestColdRestartHonoursConfirmedCancellation(t *testing.T) {
 	t.Parallel()
 	c := newColdRestartWorld(t, 45, smallWithRecovery())
@@ -206,20 +211,20 @@
 	c.crashAllStaggered(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
 	if c.rules.lateStarts > 0 {
-		t.Errorf("%d starts after the cancellation", c.rules.lateStarts)
+		t.Errorf("%d tasks started after the cancellation", c.rules.lateStarts)
 	}
 	c.finishBothJobs()
 }
 
-// TestColdRestartLateHeartbeatCopiesStopNothing: copies of reports from before reach the new leader before the
-// workers do: they show tasks that have ended since, and lack those that run. They stop
-// nothing and prove nothing.
+// TestColdRestartLateHeartbeatCopiesStopNothing: copies of heartbeats from before the crash reach
+// the new leader before any agent does. They contain tasks that have ended since, and lack tasks
+// that run now. They cause no stop and prove nothing absent.
 func TestColdRestartLateHeartbeatCopiesStopNothing(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(46, logs(), smallWithRecovery())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
-	waves.Team = "red" // whose limit allows ten tasks at once
+	waves.Team = "red" // the team's limit allows ten tasks at once
 	u := w.submit(arrival{job: waves, run: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
@@ -227,7 +232,7 @@
 	w.Run(4 * time.Second)
 	w.keep = false
 	copies := w.kept
-	w.waitFor(t, 60*time.Second, "the last two run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
+	w.waitFor(t, 60*time.Second, "the last two tasks run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldRestartWorld{World: w, t: t, gang: u, array: u}
 	c.resetCounts()
@@ -237,44 +242,44 @@
 		w.deliverCopy(w.leader(), body)
 	}
 	w.Run(12 * time.Second)
-	c.expectNothingStartedOrStopped("late copies")
+	c.expectNothingStartedOrStopped("late heartbeat copies")
 	if s := c.recoverySummary(); s.Commands.Stops > 0 {
-		t.Errorf("%d stops were ordered in the answers to copies", s.Commands.Stops)
+		t.Errorf("%d stop commands sent in the responses to copies", s.Commands.Stops)
 	}
 	c.finishBothJobs()
 }
 
-// TestColdRestartStopsUnrecordedAttemptOnce: a worker runs an attempt of a job that the records never
-// had. It is stopped, once, and takes capacity and place from nothing that is recorded. An
-// attempt that is on no record of a known job comes with a restored key-value store alone.
+// TestColdRestartStopsUnrecordedAttemptOnce: an agent runs an attempt of a job that was never
+// recorded. The attempt is stopped once, and takes neither capacity nor a placement from recorded
+// tasks. Unrecorded attempts of a recorded job occur only after a restore of the key-value store.
 func TestColdRestartStopsUnrecordedAttemptOnce(t *testing.T) {
 	t.Parallel()
 	c := newColdRestartWorld(t, 47, smallWithRecovery())
-	ghost := array("run-000077", 1)
-	c.rules.jobs[ghost.ID] = newSimJob(ghost)
-	c.rules.jobs[ghost.ID].run = 500
+	unrecorded := array("run-000077", 1)
+	c.rules.jobs[unrecorded.ID] = newSimJob(unrecorded)
+	c.rules.jobs[unrecorded.ID].run = 500
 	c.crashAllStaggered(4*time.Second, 0)
 	c.idleAgent().execute([]protocol.Command{{Kind: protocol.CommandStart, Task: "run-000077/0", Attempt: 4}})
 	c.Run(3 * time.Second)
 	c.resetCounts()
 	c.Run(20 * time.Second)
 	if c.rules.placed["run-000077/0"] != nil {
-		t.Error("the unknown job runs on")
+		t.Error("the unrecorded attempt still runs")
 	}
 	if n := c.commandsExecuted(needStop); n != 1 {
-		t.Errorf("%d stops for one unknown attempt", n)
+		t.Errorf("%d stop commands for one unrecorded attempt", n)
 	}
-	c.expectStarts(t, c.startsBefore, 0, "beside the unknown attempt")
+	c.expectStarts(t, c.starts, 0, "while stopping the unrecorded attempt")
 	c.finishBothJobs()
 }
 
-// TestColdRestartSecondFailureStartsOrStopsNothing: the new leader, or the key-value store, is lost at every stage
-// of the recovery. Nothing is started or stopped.
+// TestColdRestartSecondFailureStartsOrStopsNothing: the new leader or the key-value store fails
+// at any stage of the recovery. Nothing is started or stopped.
 func TestColdRestartSecondFailureStartsOrStopsNothing(t *testing.T) {
 	t.Parallel()
 	for i := range 12 {
 		for _, loseStore := range []bool{false, true} {
-			t.Run(fmt.Sprint("after ", i*400, " ms, key-value store ", loseStore), func(t *testing.T) {
+			t.Run(fmt.Sprint("after ", i*400, " ms, store outage ", loseStore), func(t *testing.T) {
 				t.Parallel()
 				c := newColdRestartWorld(t, uint64(48+i), smallWithRecovery())
 				c.crashAllStaggered(time.Second, 300*time.Millisecond)
@@ -287,16 +292,16 @@
 					c.nodes[i%3].crash(time.Second)
 				}
 				c.Run(20 * time.Second)
-				c.expectNothingStartedOrStopped("second loss")
+				c.expectNothingStartedOrStopped("second failure")
 				c.finishBothJobs()
 			})
 		}
 	}
 }
 
-// TestColdRestartWithUnreachableZoneEndsAfterLeases: a zone stays dark after the restart. New jobs start at once
-// elsewhere, the recovery ends when its agents' leases have expired, and what ran there
-// starts again after that.
+// TestColdRestartWithUnreachableZoneEndsAfterLeases: a zone stays unreachable after the restart.
+// New jobs start in the other zone at once. The recovery ends when the leases of the unreachable
+// agents have expired, and only then do their tasks start again.
 func TestColdRestartWithUnreachableZoneEndsAfterLeases(t *testing.T) {
 	t.Parallel()
 	shape := smallWithRecovery()
@@ -305,39 +310,40 @@
 	c.crashAllStaggered(time.Second, 0)
 	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
 	c.Run(2 * time.Second)
-	fresh := array("run-000006", 2)
-	fresh.Zone = "east"
-	u := c.submit(arrival{job: fresh, run: 10})
+	newJob := array("run-000006", 2)
+	newJob.Zone = "east"
+	u := c.submit(arrival{job: newJob, run: 10})
 	if took := c.waitUntilRunning(t, 15*time.Second, u); took > 8*time.Second {
-		t.Errorf("a new job waits %v", took)
+		t.Errorf("the new job started after %v, want at most 8 s", took)
 	}
 	s := c.waitUntilRecovered(90 * time.Second)
-	t.Logf("the recovery ends after %v: %s, %d silent", s.Ended.Sub(s.Began), s.Reason, s.SilentAgents)
+	t.Logf("recovery ended after %v: %s, %d silent agents", s.Ended.Sub(s.Began), s.Reason, s.SilentAgents)
 	c.finishBothJobs()
 }
 
-// storeRestore is a return of the key-value store to an earlier state.
+// storeRestore is a restore of the key-value store to an earlier state.
 type storeRestore struct {
 	name           string
-	extraRevisions protocol.Revision // revisions beyond those of the last seconds
-	agentHangs     bool              // a worker with attempts that are on no record
-	excessiveToken bool              // a worker holds a token beyond reason
-	tasksContinue  bool              // the workers go on
+	extraRevisions protocol.Revision // discarded in addition to those of the last seconds
+	agentHangs     bool              // an agent with unrecorded attempts hangs
+	excessiveToken bool              // an agent holds a token far above every revision
+	tasksContinue  bool              // the agents keep their recorded tasks
 }
 
 var storeRestores = []storeRestore{
-	{name: "seconds old", tasksContinue: true},
-	{name: "a little more", extraRevisions: 60, tasksContinue: true},
-	{name: "long ago", extraRevisions: 1_000_000},
-	{name: "a worker is silent", agentHangs: true},
-	{name: "a wild token", excessiveToken: true},
+	{name: "backup is seconds old", tasksContinue: true},
+	{name: "60 more revisions discarded", extraRevisions: 60, tasksContinue: true},
+	{name: "1000000 more revisions discarded", extraRevisions: 1_000_000},
+	{name: "an agent hangs", agentHangs: true},
+	{name: "an agent holds an excessive token", excessiveToken: true},
 }
 
-// TestStoreRestoreDuringColdRestartRunsNothingTwice: the key-value store comes back with the controllers in a state of some
-// seconds or of long before. Workers hold tokens that it never gave, and attempts that it
-// does not have. If the revision can be raised above the tokens in time all goes on, but
-// for what is on no record, which is stopped once; else the workers are returned and the
-// work starts on others. Nothing runs twice, and it is logged by name.
+// TestStoreRestoreDuringColdRestartRunsNothingTwice: while all controllers are down, the
+// key-value store is restored to a state from seconds or from long before. Agents then hold
+// tokens that the restored store never issued, and attempts that it has no record of. If the
+// leader can raise the revision above these tokens in time, all recorded attempts keep running,
+// and each unrecorded attempt is stopped once. Otherwise the agents' machines are deleted, and
+// their tasks start on others. Nothing runs twice, and the log names the restore as the cause.
 func TestStoreRestoreDuringColdRestartRunsNothingTwice(t *testing.T) {
 	t.Parallel()
 	for _, restore := range storeRestores {
@@ -347,9 +353,9 @@
 			shape.Capacity = 24
 			c := newColdRestartWorld(t, 50, shape)
 			later := c.restoreOlderBackup(restore.extraRevisions)
-			due := 3 // starts of the job whose places are lost
+			wantStarts := 3 // for the tasks of the job whose placements are lost
 			if restore.excessiveToken {
-				due += c.giveExcessiveToken(c.agentOf("run-000008", 0))
+				wantStarts += c.giveExcessiveToken(c.agentOf("run-000008", 0))
 			}
 			if restore.agentHangs {
 				c.agentOf("run-000007", 0).hang(20 * time.Second)
@@ -357,24 +363,24 @@
 
 			c.Run(90 * time.Second)
 
-			c.expectRestored(restore, due)
+			c.expectRestored(restore, wantStarts)
 			c.Run(200 * time.Second)
 			for i, done := range later.job.done {
 				if !done {
-					t.Errorf("task %d of the job without places never ran", i)
+					t.Errorf("task %d of the job without placements never completed", i)
 				}
 			}
 			if _, stays := c.store.keys[storage.RestoreMarkerKey]; stays {
-				t.Error("the marker stays")
+				t.Error("the restore marker was not deleted")
 			}
 			c.expectRulesHeld(t)
 		})
 	}
 }
 
-// restoreOlderBackup puts the store back while all controllers are away. Of the two jobs
-// submitted since, run-000008 is on no record then, and run-000007, which it returns,
-// has its record and no places.
+// restoreOlderBackup restores the store to an earlier state while all controllers are down. Two
+// jobs were submitted after that state. The restored store has no record of run-000008. It has
+// the main record of run-000007, but without placements. The user of run-000007 is returned.
 func (c *coldRestartWorld) restoreOlderBackup(lacks protocol.Revision) (later *user) {
 	c.t.Helper()
 	old := c.store.backup()
@@ -383,23 +389,24 @@
 	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
 	c.Run(5 * time.Second)
 	c.store.revision += lacks
-	c.leader().crash(time.Second) // workers get the token of the next leader
+	c.leader().crash(time.Second) // agents get the token of the next leader
 	c.Run(12 * time.Second)
 	c.crashAllStaggered(2*time.Second, 0)
 	c.Run(time.Second)
-	// The record of the later job was there before its places were.
+	// The main record of the later job was written before its placements were.
 	e := old.keys["g/j/run-000002"]
 	e.Value = encode(pendingRecord(later.job.spec, c.Now))
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
 	c.store.restore(old)
-	lost.silent, later.silent = true, true // what they were told is lost
+	lost.silent, later.silent = true, true // the store has lost what they were told
 	c.resetCounts()
 	return later
 }
 
-// giveExcessiveToken has a worker hold a token beyond reason, and be heard before all others. It
-// returns how many tasks of recorded jobs start again for it.
+// giveExcessiveToken gives an agent a token far above every revision, and makes the agent send a
+// heartbeat before all others do. It returns how many tasks of recorded jobs start again as a
+// result.
 func (c *coldRestartWorld) giveExcessiveToken(agent *agent) int {
 	agent.token = 1 << 60
 	for _, other := range c.agentsInCreationOrder() {
@@ -411,58 +418,58 @@
 	return c.tasksRestartedIfLost(agent)
 }
 
-// expectRestored checks what was started and stopped after the store came back.
-func (c *coldRestartWorld) expectRestored(restore storeRestore, due int) {
+// expectRestored checks which tasks were started and stopped after the restore.
+func (c *coldRestartWorld) expectRestored(restore storeRestore, wantStarts int) {
 	c.t.Helper()
 	if restore.tasksContinue || restore.excessiveToken {
-		c.expectStarts(c.t, c.startsBefore, due, "after the return of the store")
+		c.expectStarts(c.t, c.starts, wantStarts, "after the restore of the store")
 	}
 	if n := c.commandsExecuted(needStop); restore.tasksContinue && n != 6 {
-		c.t.Errorf("%d stops for six attempts on no record", n)
+		c.t.Errorf("%d stop commands for six unrecorded attempts", n)
 	}
 	if c.rules.placed["run-000008/0"] != nil {
-		c.t.Error("a job that no record has runs on")
+		c.t.Error("the job without a record still runs")
 	}
 	if c.leader() == nil {
-		c.t.Error("nobody leads")
+		c.t.Error("no controller leads")
 	}
 }
 
-// tasksRestartedIfLost counts the tasks of the recorded jobs that start again if a worker is lost: a
-// gang's all together.
+// tasksRestartedIfLost returns how many tasks of the recorded jobs start again if an agent is
+// lost. If any task of the gang is on it, the whole gang starts again.
 func (c *coldRestartWorld) tasksRestartedIfLost(agent *agent) (n int) {
 	for _, u := range []*user{c.gang, c.array} {
-		on := 0
+		onAgent := 0
 		for i := range u.job.spec.Tasks {
 			if c.agentOf(u.job.spec.ID, i) == agent {
-				on++
+				onAgent++
 			}
 		}
-		if on > 0 && u == c.gang {
-			on = u.job.spec.Tasks
+		if onAgent > 0 && u == c.gang {
+			onAgent = u.job.spec.Tasks
 		}
-		n += on
+		n += onAgent
 	}
 	return n
 }
 
-// pendingRecord is a job's record before any place.
+// pendingRecord returns a job's main record without any placements.
 func pendingRecord(spec *protocol.Job, now time.Time) storage.Job {
 	return storage.Job{Writer: "before", Spec: spec, SubmittedAtMs: now.UnixMilli(), SubmissionRevision: 1, TasksPerBaseRecord: 60}
 }
 
-// TestColdRestartKeepsTasksOfUnreadableRecords: a job's record that cannot be read, one of a later version, and a
-// damaged machine record leave what they name alone: it runs on, the rest goes its way, a
-// new job starts and the recovery ends.
+// TestColdRestartKeepsTasksOfUnreadableRecords: a job record is malformed or has a later format
+// version, and a machine record is malformed. The tasks of that job keep running, other jobs are
+// not affected, a new job starts, and the recovery ends.
 func TestColdRestartKeepsTasksOfUnreadableRecords(t *testing.T) {
 	t.Parallel()
-	for name, value := range map[string]string{"damaged": `{"w":"x","spec":7}`, "later version": `{"w":"x","v":9}`, "empty": `null`} {
+	for name, value := range map[string]string{"malformed": `{"w":"x","spec":7}`, "later version": `{"w":"x","v":9}`, "empty": `null`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			shape := smallWithRecovery()
 			shape.Machines = 8
 			c := newColdRestartWorld(t, 51, shape)
-			c.gang.silent = true // its user would get no answer
+			c.gang.silent = true // its user would get no response
 			c.crashAllStaggered(3*time.Second, 0)
 			c.writeMalformedRecord("g/j/run-000001", value)
 			c.writeMalformedRecord("g/m/nobody", value)
@@ -473,14 +480,14 @@
 				t.Errorf("%+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
-				t.Error("what ran does not go on")
+				t.Error("tasks that ran before the restart no longer run")
 			}
 			c.expectRulesHeld(t)
 		})
 	}
 }
 
-// writeMalformedRecord writes a value that makes no sense under a key.
+// writeMalformedRecord writes a malformed value under a key.
 func (w *World) writeMalformedRecord(key, value string) {
 	w.store.apply([]protocol.Change{{Set: key, Value: []byte(value)}})
 }
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -9,23 +9,24 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestCancellationUnknownToLeaderTakesEffectInOutage: the leader's watches hang while its renewals pass, others confirm
-// cancellations, and the key-value store is then away for longer than cancel_s. The
-// leader's workers must be without those tasks in time all the same: its authority
-// counts from when it last knew all cancellations, not from its renewal.
+// TestCancellationUnknownToLeaderTakesEffectInOutage: the leader's watches hang while it can
+// still renew the leader lease, and other controllers confirm cancellations. Then the key-value
+// store is down for longer than cancel_s. The cancelled tasks must nevertheless be gone from the
+// leader's agents in time. This requires that the leader's authority counts from the time when it
+// last knew all cancellations, not from its last renewal.
 func TestCancellationUnknownToLeaderTakesEffectInOutage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		for _, blindFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
-			t.Run(fmt.Sprintf("seed %d, blind for %v", seed, blindFor), func(t *testing.T) {
+		for _, hungFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
+			t.Run(fmt.Sprintf("seed %d, watches hang for %v", seed, hungFor), func(t *testing.T) {
 				t.Parallel()
 				w, u, c := leaderWithHungWatches(t, 600+seed, 8)
-				for _, o := range w.otherControllers(c) { // no word over the links
+				for _, o := range w.otherControllers(c) { // no messages over the links to its peers
 					w.interrupt(100*time.Second, packetsLost, oneWay(c, o))
 				}
 
 				w.cancelUntilConfirmed(u)
-				w.Run(blindFor)
+				w.Run(hungFor)
 				w.store.outage(61 * time.Second)
 				w.Run(100 * time.Second)
 
@@ -35,7 +36,8 @@
 	}
 }
 
-// leaderWithHungWatches has an array run under a leader whose watches have hung for a moment.
+// leaderWithHungWatches returns a world that runs an array, the array's user, and the leader,
+// whose watches have hung for 400 ms.
 func leaderWithHungWatches(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
 	t.Helper()
 	w := startWorld(seed, Small(), 6*time.Second)
@@ -46,7 +48,7 @@
 	return w, u, c
 }
 
-// cancelUntilConfirmed has a user ask for a cancellation until it is confirmed.
+// cancelUntilConfirmed has a user request a cancellation until it is confirmed.
 func (w *World) cancelUntilConfirmed(u *user) {
 	for !u.over {
 		u.cancel()
@@ -54,13 +56,14 @@
 	}
 }
 
-// oneWay matches packets from one node to another.
+// oneWay matches packets from one controller to another.
 func oneWay(from, to *controller) func(a, b string) bool {
 	return func(a, b string) bool { return a == from.name && b == to.name }
 }
 
-// TestLeaderRefusedByStoreStopsTasksCancelledAtPeer: a leader that the key-value store refuses stops a job's
-// tasks as soon as a peer that has confirmed the cancellation tells it.
+// TestLeaderRefusedByStoreStopsTasksCancelledAtPeer: the key-value store refuses the leader's
+// requests. The leader stops a job's tasks as soon as a peer that has confirmed the cancellation
+// tells it.
 func TestLeaderRefusedByStoreStopsTasksCancelledAtPeer(t *testing.T) {
 	t.Parallel()
 	w := startWorld(610, Small(), 6*time.Second)
@@ -73,21 +76,21 @@
 	u.cancelRequested = true
 	w.otherControllers(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
 
-	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
-	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
+	took := w.waitFor(t, 2*time.Second, "the tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
+	t.Logf("cancellation status %d, tasks gone after %v", cmp.Or(status, -1), took)
 	if status != 200 {
-		t.Errorf("the cancellation is answered %d", status)
+		t.Errorf("status of the cancellation is %d, want 200", status)
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestOutageLongerThanAuthorityKeepsTasksRunning: the key-value store is out for far longer than a leader's
-// authority. All controllers are there and confirm for one another, so nothing that
-// runs is lost, and what was cancelled a moment before is gone in time.
+// TestOutageLongerThanAuthorityKeepsTasksRunning: the key-value store is down for far longer than
+// a leader's authority. All controllers are up and confirm the leader's authority, so no running
+// task is lost. A job that was cancelled just before is gone in time.
 func TestOutageLongerThanAuthorityKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{false, true} {
-		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
+		t.Run(fmt.Sprint("store refuses leader ", refused), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(620, Small(), 6*time.Second)
 			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
@@ -97,7 +100,8 @@
 			if refused {
 				w.store.refuse(c, 100*time.Second)
 				w.store.blind = c
-				// The message about the cancellation is lost: only the confirmation names it.
+				// The message about the cancellation is lost. Only the confirmation of the
+				// authority names the cancellation.
 				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
 					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
@@ -110,16 +114,16 @@
 			w.store.blind = nil
 
 			w.waitUntilOver(t, 200*time.Second, u)
-			w.expectStarts(t, starts, 0, "across the outage")
+			w.expectStarts(t, starts, 0, "during the outage")
 			w.expectRulesHeld(t)
 		})
 	}
 }
 
-// TestRestartedPeerCannotConfirmForEarlierProcess: a peer confirms a cancellation that the leader does
-// not hear of, ends, and is back in an outage that all share. It can't confirm for its
-// earlier life: the leader gives up within its authority, and the cancelled tasks
-// are gone in time.
+// TestRestartedPeerCannotConfirmForEarlierProcess: a peer confirms a cancellation that the leader
+// does not learn of. The peer then crashes, and restarts during a store outage that affects all
+// controllers. It cannot confirm the leader's authority on behalf of its earlier process. So the
+// leader steps down before its authority ends, and the cancelled tasks are gone in time.
 func TestRestartedPeerCannotConfirmForEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -138,7 +142,7 @@
 			w.Run(60 * time.Second)
 
 			if c.node.Leading() {
-				t.Error("it still leads")
+				t.Error("the leader did not step down")
 			}
 			w.Run(60 * time.Second)
 			w.expectRulesHeld(t)
@@ -146,7 +150,7 @@
 	}
 }
 
-// cancelAtController has a user ask one node for a cancellation until it confirms.
+// cancelAtController has a user request a cancellation from one controller until it is confirmed.
 func (w *World) cancelAtController(c *controller, u *user) {
 	u.cancelRequested = true
 	for status := 0; status != 200; {
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -9,22 +9,22 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// downtime counts what users and workers notice while controllers are replaced.
+// downtime records what users and agents notice while controllers are replaced.
 type downtime struct {
 	w             *World
-	requests      int // requests to a node that was up until it had answered or its time was over
-	unanswered    int // of them
-	refused       int // answered with a status that has the user come back
-	leaseExpiries int // agents' leases that ran out
+	requestsSent  int // to a controller that was up until it responded or the request timed out
+	unanswered    int // of these, requests that timed out
+	refused       int // responses with a status after which the user retries
+	leaseExpiries int // expired leases of agents
 	lastServed    time.Time
-	longestGap    time.Duration // the longest time without a request that was served
+	longestGap    time.Duration // longest time without a served request
 	incarnations  map[protocol.MachineID]protocol.Incarnation
 	until         time.Time
 }
 
-// watchDowntime sends requests of every kind to the nodes that are up, as the load
-// balancer does, and looks at the agents' incarnations.
-func (w *World) watchDowntime(accepted string, until time.Duration) *downtime {
+// watchDowntime sends a request to one of the controllers that are up every 50 ms, as the load
+// balancer does, with the kinds of request in turn. It also watches the agents' incarnations.
+func (w *World) watchDowntime(acceptedJob string, until time.Duration) *downtime {
 	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
@@ -37,7 +37,7 @@
 		requests++
 		switch i % 3 {
 		case 0:
-			d.ask(2*time.Second, statusQuery(protocol.JobID(accepted)))
+			d.ask(2*time.Second, statusQuery(protocol.JobID(acceptedJob)))
 		case 1:
 			d.ask(5*time.Second, submission(array(jobID(700000+requests), 1)))
 		case 2:
@@ -47,7 +47,7 @@
 	return d
 }
 
-// ask sends one request to a node that is up and ready, if there is one.
+// ask sends a request to a random controller that is up and ready, if there is one.
 func (d *downtime) ask(limit time.Duration, event request) {
 	var up []*controller
 	for _, c := range d.w.nodes {
@@ -62,9 +62,9 @@
 	life := c.life
 	d.w.call("users", c.name, limit, func(answer answerFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
 		if status == 0 && (!c.alive || c.life != life) {
-			return // it was killed under the request: the connection tells the user
+			return // the controller crashed: the closed connection tells the user to retry
 		}
-		d.requests++
+		d.requestsSent++
 		switch {
 		case status == 0:
 			d.unanswered++
@@ -77,85 +77,86 @@
 	})
 }
 
-// restartDelay is how long a controller that is replaced is away.
+// restartDelay is how long a controller is down while it is replaced.
 const restartDelay = 4 * time.Second
 
-// replacementOrder is an order in which the controllers are replaced by the new version.
+// replacementOrder is an order in which the controllers are replaced by the current version.
 type replacementOrder struct {
-	replace    func(w *World, one func(c *controller))
-	allDownFor time.Duration // how long no controller may be up
+	replace    func(w *World, replaceOne func(c *controller))
+	allDownFor time.Duration // how long all controllers may be down
 }
 
 var replacementOrders = map[string]replacementOrder{
-	"one after the other": {func(w *World, one func(c *controller)) {
+	"one after the other": {func(w *World, replaceOne func(c *controller)) {
 		for i, c := range w.nodes {
-			w.after(time.Duration(i)*10*time.Second, func() { one(c) })
+			w.after(time.Duration(i)*10*time.Second, func() { replaceOne(c) })
 		}
 	}, 0},
-	"two at once": {func(w *World, one func(c *controller)) {
-		one(w.nodes[0])
-		one(w.nodes[1])
-		w.after(10*time.Second, func() { one(w.nodes[2]) })
+	"two at once": {func(w *World, replaceOne func(c *controller)) {
+		replaceOne(w.nodes[0])
+		replaceOne(w.nodes[1])
+		w.after(10*time.Second, func() { replaceOne(w.nodes[2]) })
 	}, 0},
-	"all at once": {func(w *World, one func(c *controller)) {
+	"all at once": {func(w *World, replaceOne func(c *controller)) {
 		for _, c := range w.nodes {
-			one(c)
+			replaceOne(c)
 		}
 	}, restartDelay},
-	"the leader first": {func(w *World, one func(c *controller)) {
+	"the leader first": {func(w *World, replaceOne func(c *controller)) {
 		first := w.leader()
-		one(first)
+		replaceOne(first)
 		i := 1
 		for _, c := range w.nodes {
 			if c != first {
-				w.after(time.Duration(i)*8*time.Second, func() { one(c) })
+				w.after(time.Duration(i)*8*time.Second, func() { replaceOne(c) })
 				i++
 			}
 		}
 	}, 0},
-	"the leader last, again and again": {func(w *World, one func(c *controller)) {
+	"the leader last, then the next leader": {func(w *World, replaceOne func(c *controller)) {
 		last := w.leader()
 		for _, c := range w.nodes {
 			if c != last {
-				one(c)
+				replaceOne(c)
 			}
 		}
-		w.after(8*time.Second, func() { one(last) })
-		w.after(16*time.Second, func() { one(w.leader()) })
+		w.after(8*time.Second, func() { replaceOne(last) })
+		w.after(16*time.Second, func() { replaceOne(w.leader()) })
 	}, 0},
-	"each dies once more on its way": {func(w *World, one func(c *controller)) {
+	"each crashes 2 s before its replacement": {func(w *World, replaceOne func(c *controller)) {
 		for i, c := range w.nodes {
 			w.after(time.Duration(i)*9*time.Second, func() { c.crash(300 * time.Millisecond) })
-			w.after(time.Duration(i)*9*time.Second+2*time.Second, func() { one(c) })
+			w.after(time.Duration(i)*9*time.Second+2*time.Second, func() { replaceOne(c) })
 		}
 	}, 0},
 }
 
-// TestUpgradeCausesNoDowntime: while the controllers are replaced by the new version, in any order
-// and from either earlier version, every user's request gets an answer, and one is
-// served again soon after one is up; no agent's lease expires; tokens only rise; and
-// nothing that runs stops, no replica and no gang.
+// TestUpgradeCausesNoDowntime: the controllers are replaced by the current version, in any order,
+// from either earlier version or from the current one. Every request of a user gets a response,
+// and requests are served again soon after a controller is up. No agent's lease expires, fencing
+// tokens never decrease, and no running replica or gang stops.
 func TestUpgradeCausesNoDowntime(t *testing.T) {
 	t.Parallel()
 	for name, order := range replacementOrders {
-		for from, label := range map[release]string{release02: "0.2", release03: "0.3", current: "itself"} {
+		for from, label := range map[release]string{release02: "0.2", release03: "0.3", current: "current"} {
 			t.Run(name+" from "+label, func(t *testing.T) {
 				t.Parallel()
-				order.run(t, from)
+				order.replaceAndMeasure(t, from)
 			})
 		}
 	}
 }
 
-// run replaces the controllers of one release and counts what is noticed.
-func (order replacementOrder) run(t *testing.T, from release) {
+// replaceAndMeasure replaces controllers that run the given release, and checks what users and
+// agents notice.
+func (order replacementOrder) replaceAndMeasure(t *testing.T, from release) {
 	shape := withLoweredLimits(Small(), 15, 4)
 	shape.Capacity = 20
 	w := NewShaped(500, logs(), shape)
 	for i, c := range w.nodes {
 		w.release[c.name] = from
 		if i == 2 && from == release02 {
-			w.release[c.name] = release03 // both earlier versions at once
+			w.release[c.name] = release03 // both earlier versions together
 		}
 		c.crash(time.Millisecond)
 	}
@@ -179,33 +180,33 @@
 	w.Run(55 * time.Second)
 	d.check(t, order.allDownFor)
 	for _, u := range append(services, gang) {
-		if again := sum(u.job.starts) - starts[u.job.spec.ID]; again > 0 || u.unserved > 0 || !w.running(u) {
-			t.Errorf("%s: %d tasks are started again, %v are not served", u.job.spec.ID, again, u.unserved)
+		if restarts := sum(u.job.starts) - starts[u.job.spec.ID]; restarts > 0 || u.unserved > 0 || !w.running(u) {
+			t.Errorf("%s: %d tasks restarted, %v of replica time not served", u.job.spec.ID, restarts, u.unserved)
 		}
 	}
 	w.expectRulesHeld(t)
 }
 
-// check reports what must not be noticed: requests without an answer, a time without
-// service beyond that in which no controller is up, expired leases and lower tokens.
+// check reports as errors: requests without a response, a time without served requests that is
+// too long even for the time with all controllers down, expired leases, and lower tokens.
 func (d *downtime) check(t *testing.T, away time.Duration) {
 	t.Helper()
-	t.Logf("%d requests, %d refused, served again within %v", d.requests, d.refused, d.longestGap)
-	if d.requests < 500 || d.unanswered > 0 {
-		t.Errorf("%d of %d requests are not answered", d.unanswered, d.requests)
+	t.Logf("%d requests, %d refused, longest time without a served request %v", d.requestsSent, d.refused, d.longestGap)
+	if d.requestsSent < 500 || d.unanswered > 0 {
+		t.Errorf("%d of %d requests got no response, want 0 of at least 500", d.unanswered, d.requestsSent)
 	}
 	if limit := away + tuning.LeaderLeaseTTL + 3*time.Second; d.longestGap > limit {
-		t.Errorf("nothing is served for %v", d.longestGap)
+		t.Errorf("no request was served for %v", d.longestGap)
 	}
 	if d.leaseExpiries > 0 {
-		t.Errorf("%d leases expired", d.leaseExpiries)
+		t.Errorf("%d agent leases expired", d.leaseExpiries)
 	}
 	if d.w.rules.lowerTokens > 0 {
-		t.Errorf("%d times a worker was shown a lower token", d.w.rules.lowerTokens)
+		t.Errorf("agents were sent a lower token %d times", d.w.rules.lowerTokens)
 	}
 }
 
-// sum adds up the starts of a job's tasks.
+// sum returns the total number of starts of a job's tasks.
 func sum(starts map[int]int) (n int) {
 	for _, s := range starts {
 		n += s
@@ -213,9 +214,9 @@
 	return n
 }
 
-// TestRequestsInMixedVersions: a service is refused, taken, repeated, asked after and
-// cancelled at every node, whichever version each of them has. (Nothing new is asked of
-// a node of version 0.2, which does not know services.)
+// TestRequestsInMixedVersions: at every controller, whichever version each of them runs, a
+// service is rejected, accepted, submitted again, queried and cancelled. No controller runs
+// version 0.2 here, because that version does not support services.
 func TestRequestsInMixedVersions(t *testing.T) {
 	t.Parallel()
 	for mixture := range 8 {
@@ -238,8 +239,8 @@
 	}
 }
 
-// expectServiceServed checks the answers of all nodes about a service that is submitted to
-// one and cancelled at the next.
+// expectServiceServed checks the responses of all controllers about a service that is submitted
+// to one controller and cancelled at the next.
 func (w *World) expectServiceServed(t *testing.T, node int) {
 	t.Helper()
 	job := service(jobID(10+node), 3)
@@ -248,32 +249,32 @@
 	tooLarge := service("run-000099", 3)
 	tooLarge.Team, tooLarge.GPUs = "red", 4
 	if status, _ := w.phaseAt(w.nodes[node], submission(tooLarge)); status != 422 {
-		t.Errorf("beyond its team's limit: %d", status)
+		t.Errorf("service beyond its team's limit: status %d, want 422", status)
 	}
-	w.expectPhase(t, w.nodes[node], "submitted", submit, 201, protocol.PhasePending)
+	w.expectPhase(t, w.nodes[node], "submission", submit, 201, protocol.PhasePending)
 	w.Run(8 * time.Second)
 	for _, c := range w.nodes {
-		w.expectPhase(t, c, "repeated", submit, 200, protocol.PhaseRunning)
+		w.expectPhase(t, c, "repeated submission", submit, 200, protocol.PhaseRunning)
 	}
-	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancelled", cancel, 200, protocol.PhaseCancelled)
+	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancellation", cancel, 200, protocol.PhaseCancelled)
 	w.rules.jobs[job.ID].cancelled = w.Now
 	for _, c := range w.nodes {
 		for _, r := range []request{submit, cancel, statusQuery(job.ID)} {
-			w.expectPhase(t, c, "after its cancellation", r, 200, protocol.PhaseCancelled)
+			w.expectPhase(t, c, "request after the cancellation", r, 200, protocol.PhaseCancelled)
 		}
 	}
 }
 
-// expectPhase checks a node's answer to a request about a job.
+// expectPhase checks a controller's response to a request about a job.
 func (w *World) expectPhase(t *testing.T, c *controller, what string, r request, status int, phase protocol.Phase) {
 	t.Helper()
 	if gotStatus, gotPhase := w.phaseAt(c, r); gotStatus != status || gotPhase != phase {
-		t.Errorf("%s at %s: %d %s, want %d %s", what, c.name, gotStatus, gotPhase, status, phase)
+		t.Errorf("%s at %s: status %d, phase %q, want %d, %q", what, c.name, gotStatus, gotPhase, status, phase)
 	}
 }
 
-// phaseAt has a node take a request about a job and returns its answer of half a second
-// later.
+// phaseAt sends a request about a job to a controller, and returns the status and the phase in
+// its response, or 0 and "" if there is none within half a second.
 func (w *World) phaseAt(c *controller, r request) (status int, phase protocol.Phase) {
 	c.ask(r, func(s int, body []byte) {
 		var a protocol.Accepted
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -10,17 +10,18 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// withLoweredLimits is the shape of a deployment whose key-value store will lower its limits.
+// withLoweredLimits returns the shape of a deployment whose key-value store will lower its
+// limits.
 func withLoweredLimits(s Shape, writes float64, ops int) Shape {
 	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
-// upgradeInTurn ends the controllers one after the other; each comes back as the new
-// version. One that ends before its turn comes back as it was.
-func (w *World) upgradeInTurn(every time.Duration) {
+// upgradeInTurn crashes the controllers one after the other. Each restarts in the current
+// version. A controller that crashes and restarts before its turn keeps its version.
+func (w *World) upgradeInTurn(interval time.Duration) {
 	for i, c := range w.nodes {
-		w.after(time.Duration(i)*every, func() {
+		w.after(time.Duration(i)*interval, func() {
 			w.release[c.name] = current
 			if c.alive {
 				c.crash(w.between(200*time.Millisecond, 4*time.Second))
@@ -29,10 +30,10 @@
 	}
 }
 
-// TestUpgradeUnderFaultsKeepsRules: version 0.2, 0.3 or both serve, with records that the lowered limits do
-// not allow; the controllers are replaced while faults go on, the limits are
-// lowered, and every rule holds; nothing is lost and all is served. The leader may
-// be any of both versions at any time.
+// TestUpgradeUnderFaultsKeepsRules: controllers of version 0.2, of 0.3 or of both write records
+// that exceed the lowered limits. The controllers are replaced, in two thirds of the runs under
+// faults, and then the limits are lowered. The leader may run an earlier or the current version
+// at any time. Every rule holds, nothing is lost, and all jobs are served.
 func TestUpgradeUnderFaultsKeepsRules(t *testing.T) {
 	t.Parallel()
 	days := 36
@@ -49,7 +50,7 @@
 	}
 }
 
-// newUpgradeWorld is a world of controllers of earlier versions.
+// newUpgradeWorld returns a world whose controllers run earlier versions.
 func newUpgradeWorld(seed int) *World {
 	shape := withLoweredLimits(Small(), 12, 4)
 	if seed%2 == 1 {
@@ -58,15 +59,15 @@
 	shape.Capacity = 30
 	w := NewShaped(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
-		// From 0.2, from 0.3, or from both.
+		// All in 0.2, all in 0.3, or both versions.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
 		c.crash(time.Millisecond)
 	}
 	return w
 }
 
-// runUpgrade lets the controllers be replaced amid work, with faults or without, and the
-// limits be lowered, until all is over.
+// runUpgrade replaces the controllers while jobs run, with or without faults, then has the limits
+// lowered, and runs the world until all jobs are over.
 func (w *World) runUpgrade(faults bool) {
 	w.submitMixedJobs(12, 100*time.Second)
 	for i := range 4 {
@@ -93,17 +94,17 @@
 	w.runUntilOver()
 }
 
-// healAgents lets sick machines work again.
+// healAgents makes machines that fail all tasks work again.
 func (w *World) healAgents() {
 	for _, agent := range w.agents {
 		agent.failsTasks = false
 	}
 }
 
-// TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all know
-// the new form, by transactions within the lowered limits, also when these come
-// while a new leader has yet to hear from its peers; a thousand machines' room
-// records are as well, and no machine is forgotten on the way.
+// TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all
+// controllers support the new form. The transactions keep within the lowered limits, also if the
+// limits are lowered while a new leader has not heard from its peers yet. The machine records of
+// a thousand machines are split too, and no machine is forgotten in the process.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
 	shape := withLoweredLimits(thousandMachines(), 21, 8)
@@ -131,7 +132,7 @@
 	w.Run(12 * time.Second)
 	for key, e := range w.store.keys {
 		if len(e.Value) > 2048 {
-			t.Errorf("%s still has %d bytes", key, len(e.Value))
+			t.Errorf("record %s still has %d bytes, want at most 2048", key, len(e.Value))
 		}
 	}
 	w.store.lower()
@@ -140,14 +141,14 @@
 	w.faultsOver = w.Now
 	w.finishDay(t, 500*time.Second)
 	again := w.gangTaskRestarts() - before
-	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
+	t.Logf("%d tasks started before the upgrade, %d gang tasks restarted since", starts, again)
 	if again > 0 {
-		t.Errorf("%d tasks of gangs were started again", again)
+		t.Errorf("%d gang tasks were restarted", again)
 	}
 }
 
-// gangTaskRestarts counts the starts of gangs' tasks beyond the first; arrays
-// make way for them.
+// gangTaskRestarts counts the starts of gang tasks after the first start of each. Array tasks are
+// not counted, because they are preempted for gangs.
 func (w *World) gangTaskRestarts() (again int) {
 	for _, j := range w.rules.jobs {
 		if j.spec.Gang() {
@@ -159,8 +160,8 @@
 	return again
 }
 
-// TestOversizedRecordsAreSplitUnderLoweredLimits: the limits are lowered before anything was
-// split, and a new leader that knows nothing of its peers finds the records.
+// TestOversizedRecordsAreSplitUnderLoweredLimits: the limits are lowered before any record is
+// split. A new leader that knows nothing about its peers then finds the oversized records.
 func TestOversizedRecordsAreSplitUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
 	shape := withLoweredLimits(Small(), 15, 4)
@@ -173,9 +174,9 @@
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
 	withTaskResources(spec, 2, 0.5, 10)
-	u := w.submit(arrival{job: spec, run: 60})
+	arrayUser := w.submit(arrival{job: spec, run: 60})
 	g := gangJob("run-600001", 20)
-	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
+	gangUser := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
 	cancelled := w.submit(arrival{after: 5 * time.Second, job: withTaskResources(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
 	w.store.lower()
@@ -183,18 +184,19 @@
 		w.release[c.name] = current
 		c.crash(time.Second)
 	}
-	w.waitUntilOver(t, 300*time.Second, u, v, cancelled)
+	w.waitUntilOver(t, 300*time.Second, arrayUser, gangUser, cancelled)
 	w.Run(80 * time.Second)
 	w.expectRulesHeld(t)
 }
 
-// withLargeDescription is a job whose description takes most of a record's lowered size.
+// withLargeDescription gives a job a description that takes up most of the lowered record size,
+// and returns the job.
 func withLargeDescription(spec *protocol.Job) *protocol.Job {
 	spec.Types = []protocol.MachineTypeName{"four", protocol.MachineTypeName(strings.Repeat("x", 1400))}
 	return spec
 }
 
-// loweringScenario is a way in which the limits fall while a release is upgraded.
+// loweringScenario is a way in which the limits are lowered around an upgrade.
 type loweringScenario struct {
 	name        string
 	from        release
@@ -207,19 +209,19 @@
 		w.Run(40 * time.Second)
 		w.store.lower()
 	}},
-	{"after the upgrade, all records untouched", release03, func(w *World) {
+	{"at the start of the upgrade, no record split yet", release03, func(w *World) {
 		w.upgradeInTurn(time.Second)
 		w.store.lower()
 	}},
-	{"in the middle of the upgrade", release03, func(w *World) {
+	{"during the upgrade from 0.3", release03, func(w *World) {
 		w.upgradeInTurn(10 * time.Second)
 		w.after(14*time.Second, w.store.lower)
 	}},
-	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
+	{"during the upgrade from 0.2", release02, func(w *World) {
 		w.upgradeInTurn(5 * time.Second)
 		w.after(6*time.Second, w.store.lower)
 	}},
-	{"in a takeover", release02, func(w *World) {
+	{"during a failover", release02, func(w *World) {
 		w.upgradeInTurn(time.Second)
 		w.Run(8 * time.Second)
 		w.store.lower()
@@ -234,13 +236,13 @@
 		w.store.lower()
 		w.after(25*time.Second, func() { w.store.slow = 0 })
 	}},
-	{"in an outage", release02, func(w *World) {
+	{"during a store outage", release02, func(w *World) {
 		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.outage(12 * time.Second)
 		w.after(6*time.Second, w.store.lower)
 	}},
-	{"answers are lost", release02, func(w *World) {
+	{"responses are lost", release02, func(w *World) {
 		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.lower()
@@ -248,10 +250,11 @@
 	}},
 }
 
-// TestLimitsLoweredFarBelowRecordSizes: the limits fall to a sixteenth at a stroke, so that a record
-// needs more parts than a transaction has changes. They fall in the middle of an
-// upgrade, in a takeover, or while the key-value store is slow or absent. Every rule
-// holds, nothing is refused twice, and all that is there runs to its end.
+// TestLimitsLoweredFarBelowRecordSizes: the limit on record sizes falls to a sixteenth at once,
+// so that a record needs more parts than a transaction may have changes. This happens around an
+// upgrade, during a failover, or while the key-value store is slow or down. Every rule holds, and
+// all jobs run to their end. No transaction is rejected twice as too large: the rules allow 20
+// such rejections in total.
 func TestLimitsLoweredFarBelowRecordSizes(t *testing.T) {
 	t.Parallel()
 	for _, c := range loweringScenarios {
@@ -264,7 +267,7 @@
 	}
 }
 
-// run plays it with records that need many parts.
+// run plays the scenario with records that need many parts.
 func (c loweringScenario) run(t *testing.T, seed uint64) {
 	w := c.newWorld(seed)
 	users := w.submitLargeJobs()
@@ -273,11 +276,11 @@
 	w.faultsOver = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	t.Logf("%d parts staged, %d transactions rejected as too large, %d tasks started", w.rules.staged, w.store.tooLarge, w.rules.started)
 	w.expectRulesHeld(t)
 }
 
-// newWorld is a world of the earlier version whose records may be large.
+// newWorld returns a world of the earlier version whose records may be large.
 func (c loweringScenario) newWorld(seed uint64) *World {
 	shape := withLoweredLimits(Small(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
@@ -290,7 +293,7 @@
 	return w
 }
 
-// submitLargeJobs makes users with jobs whose records are the largest, and lets them run for a while.
+// submitLargeJobs submits jobs with the largest records, and lets them run for a while.
 func (w *World) submitLargeJobs() (users []*user) {
 	w.Run(5 * time.Second)
 	for i := range 3 {
