--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -218,7 +218,7 @@
 
 // TestColdRestartLateHeartbeatCopiesStopNothing: copies of heartbeats from before the crash reach
 // the new leader before any agent does. They contain tasks that have ended since, and lack tasks
-// that run now. They cause no stop and prove nothing absent.
+// that run now. They must not cause a stop, and must not count as proof of anything.
 func TestColdRestartLateHeartbeatCopiesStopNothing(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(46, logs(), smallWithRecovery())
@@ -381,14 +381,14 @@
 // restoreOlderBackup restores the store to an earlier state while all controllers are down. Two
 // jobs were submitted after that state. The restored store has no record of run-000008. It has
 // the main record of run-000007, but without placements. The user of run-000007 is returned.
-func (c *coldRestartWorld) restoreOlderBackup(lacks protocol.Revision) (later *user) {
+func (c *coldRestartWorld) restoreOlderBackup(extraRevisions protocol.Revision) (later *user) {
 	c.t.Helper()
 	old := c.store.backup()
 	lost := c.submit(arrival{job: array("run-000008", 3), run: 60})
 	later = c.submit(arrival{job: array("run-000007", 3), run: 60})
 	c.waitUntilRunning(c.t, 30*time.Second, lost, later)
 	c.Run(5 * time.Second)
-	c.store.revision += lacks
+	c.store.revision += extraRevisions
 	c.leader().crash(time.Second) // agents get the token of the next leader
 	c.Run(12 * time.Second)
 	c.crashAllStaggered(2*time.Second, 0)
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -100,8 +100,8 @@
 			if refused {
 				w.store.refuse(c, 100*time.Second)
 				w.store.blind = c
-				// The message about the cancellation is lost. Only the confirmation of the
-				// authority names the cancellation.
+				// The message about the cancellation is lost. Only the peers' confirmations of
+				// the leader's authority name the cancelled job.
 				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
 					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
@@ -122,8 +122,9 @@
 
 // TestRestartedPeerCannotConfirmForEarlierProcess: a peer confirms a cancellation that the leader
 // does not learn of. The peer then crashes, and restarts during a store outage that affects all
-// controllers. It cannot confirm the leader's authority on behalf of its earlier process. So the
-// leader steps down before its authority ends, and the cancelled tasks are gone in time.
+// controllers. Its confirmation of the leader's authority does not count, because it does not
+// name the cancellations that its earlier process confirmed. So the leader steps down before its
+// authority ends, and the cancelled tasks are gone in time.
 func TestRestartedPeerCannotConfirmForEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -22,8 +22,9 @@
 	until         time.Time
 }
 
-// watchDowntime sends a request to one of the controllers that are up every 50 ms, as the load
-// balancer does, with the kinds of request in turn. It also watches the agents' incarnations.
+// watchDowntime sends a request every 50 ms, each to one of the controllers that are up, as the
+// load balancer does. The kinds of request alternate. It also counts the leases that expire, by
+// the agents' incarnations.
 func (w *World) watchDowntime(acceptedJob string, until time.Duration) *downtime {
 	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -104,7 +104,7 @@
 // TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all
 // controllers support the new form. The transactions keep within the lowered limits, also if the
 // limits are lowered while a new leader has not heard from its peers yet. The machine records of
-// a thousand machines are split too, and no machine is forgotten in the process.
+// the thousandMachines shape are split too, and no machine is forgotten in the process.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
 	shape := withLoweredLimits(thousandMachines(), 21, 8)
@@ -280,7 +280,7 @@
 	w.expectRulesHeld(t)
 }
 
-// newWorld returns a world of the earlier version whose records may be large.
+// newWorld returns a world of an earlier version, with store limits that allow large records.
 func (c loweringScenario) newWorld(seed uint64) *World {
 	shape := withLoweredLimits(Small(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
