--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -28,7 +28,7 @@
 // startWorld creates a deployment and runs it for a while, so that a leader is elected and the
 // machines have sent heartbeats.
 func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
@@ -125,7 +125,7 @@
 	list := w.agentsInCreationOrder()
 	list = list[:min(n, len(list))]
 	for _, agent := range list {
-		w.loseWorker(agent)
+		w.loseAgent(agent)
 	}
 	return len(list)
 }
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -15,7 +15,7 @@
 
 // smallWithRecovery returns the small shape with the recovery phase enabled.
 func smallWithRecovery() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Recovery = true
 	return s
 }
@@ -210,8 +210,8 @@
 	c.waitUntilOver(t, 5*time.Second, c.array)
 	c.crashAllStaggered(3*time.Second, time.Second)
 	c.Run(secs(c.shape.Agents.CancelS) + time.Second)
-	if c.rules.lateStarts > 0 {
-		t.Errorf("%d tasks started after the cancellation", c.rules.lateStarts)
+	if c.rules.startsAfterCancellation > 0 {
+		t.Errorf("%d tasks started after the cancellation", c.rules.startsAfterCancellation)
 	}
 	c.finishBothJobs()
 }
@@ -221,17 +221,17 @@
 // that run now. They must not cause a stop, and must not count as proof of anything.
 func TestColdRestartLateHeartbeatCopiesStopNothing(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(46, logs(), smallWithRecovery())
+	w := NewWithShape(46, logs(), smallWithRecovery())
 	w.Run(6 * time.Second)
 	waves := array("run-000009", 12)
 	waves.Team = "red" // the team's limit allows ten tasks at once
 	u := w.submit(arrival{job: waves, run: 25})
 	w.waitFor(t, 60*time.Second, "ten tasks run", func() bool { return w.rules.gpusInUse["red"] == 10 })
 	w.Run(10 * time.Second)
-	w.keep = true
+	w.recordHeartbeats = true
 	w.Run(4 * time.Second)
-	w.keep = false
-	copies := w.kept
+	w.recordHeartbeats = false
+	copies := w.recordedHeartbeats
 	w.waitFor(t, 60*time.Second, "the last two tasks run", func() bool { return w.rules.placed["run-000009/11"] != nil && w.rules.gpusInUse["red"] == 2 })
 	w.Run(3 * time.Second)
 	c := &coldRestartWorld{World: w, t: t, gang: u, array: u}
@@ -239,7 +239,7 @@
 	c.crashAllStaggered(time.Second, 0)
 	w.waitForLeader(t, 10*time.Second)
 	for _, body := range copies {
-		w.deliverCopy(w.leader(), body)
+		w.deliverHeartbeatCopy(w.leader(), body)
 	}
 	w.Run(12 * time.Second)
 	c.expectNothingStartedOrStopped("late heartbeat copies")
@@ -308,7 +308,7 @@
 	shape.Machines = 8
 	c := newColdRestartWorld(t, 49, shape)
 	c.crashAllStaggered(time.Second, 0)
-	c.interrupt(130*time.Second, packetsLost, c.aroundZone("west"))
+	c.disconnect(130*time.Second, packetsDropped, c.acrossZoneBoundary("west"))
 	c.Run(2 * time.Second)
 	newJob := array("run-000006", 2)
 	newJob.Zone = "east"
@@ -399,7 +399,7 @@
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
 	c.store.restore(old)
-	lost.silent, later.silent = true, true // the store has lost what they were told
+	lost.stoppedAsking, later.stoppedAsking = true, true // the store has lost what they were told
 	c.resetCounts()
 	return later
 }
@@ -414,7 +414,7 @@
 			other.hang(6 * time.Second)
 		}
 	}
-	c.after(4*time.Second, agent.noteChange)
+	c.after(4*time.Second, agent.reportChange)
 	return c.tasksRestartedIfLost(agent)
 }
 
@@ -469,7 +469,7 @@
 			shape := smallWithRecovery()
 			shape.Machines = 8
 			c := newColdRestartWorld(t, 51, shape)
-			c.gang.silent = true // its user would get no response
+			c.gang.stoppedAsking = true // its user would get no response
 			c.crashAllStaggered(3*time.Second, 0)
 			c.writeMalformedRecord("g/j/run-000001", value)
 			c.writeMalformedRecord("g/m/nobody", value)
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -22,7 +22,7 @@
 				t.Parallel()
 				w, u, c := leaderWithHungWatches(t, 600+seed, 8)
 				for _, o := range w.otherControllers(c) { // no messages over the links to its peers
-					w.interrupt(100*time.Second, packetsLost, oneWay(c, o))
+					w.disconnect(100*time.Second, packetsDropped, oneWay(c, o))
 				}
 
 				w.cancelUntilConfirmed(u)
@@ -40,10 +40,10 @@
 // whose watches have hung for 400 ms.
 func leaderWithHungWatches(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
 	t.Helper()
-	w := startWorld(seed, Small(), 6*time.Second)
+	w := startWorld(seed, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", tasks), 500)
 	c := w.leader()
-	w.store.blind = c
+	w.store.nodeWithoutWatches = c
 	w.Run(400 * time.Millisecond)
 	return w, u, c
 }
@@ -66,11 +66,11 @@
 // tells it.
 func TestLeaderRefusedByStoreStopsTasksCancelledAtPeer(t *testing.T) {
 	t.Parallel()
-	w := startWorld(610, Small(), 6*time.Second)
+	w := startWorld(610, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
-	w.store.blind = c
-	w.store.refuse(c, 60*time.Second)
+	w.store.nodeWithoutWatches = c
+	w.store.refuseNode(c, 60*time.Second)
 
 	status := 0
 	u.cancelRequested = true
@@ -92,17 +92,17 @@
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprint("store refuses leader ", refused), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(620, Small(), 6*time.Second)
+			w := startWorld(620, SmallShape(), 6*time.Second)
 			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
 			cancelled := w.submit(arrival{job: array("run-000002", 2), run: 500})
 			w.waitUntilRunning(t, 20*time.Second, u, cancelled)
 			c, starts := w.leader(), w.rules.started
 			if refused {
-				w.store.refuse(c, 100*time.Second)
-				w.store.blind = c
+				w.store.refuseNode(c, 100*time.Second)
+				w.store.nodeWithoutWatches = c
 				// The message about the cancellation is lost. Only the peers' confirmations of
 				// the leader's authority name the cancelled job.
-				w.interrupt(1500*time.Millisecond, packetsLost, func(a, b string) bool {
+				w.disconnect(1500*time.Millisecond, packetsDropped, func(a, b string) bool {
 					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
 				w.Run(200 * time.Millisecond)
@@ -111,7 +111,7 @@
 			w.cancelUntilConfirmed(cancelled)
 			w.store.outage(80 * time.Second)
 			w.Run(85 * time.Second)
-			w.store.blind = nil
+			w.store.nodeWithoutWatches = nil
 
 			w.waitUntilOver(t, 200*time.Second, u)
 			w.expectStarts(t, starts, 0, "during the outage")
@@ -132,8 +132,8 @@
 			t.Parallel()
 			w, u, c := leaderWithHungWatches(t, 630+seed, 6)
 			peer := w.otherControllers(c)[1]
-			cutOff := &cut{match: oneWay(peer, c)}
-			w.cuts = append(w.cuts, cutOff)
+			cutOff := &partition{match: oneWay(peer, c)}
+			w.partitions = append(w.partitions, cutOff)
 
 			w.cancelAtController(peer, u)
 			w.store.outage(100 * time.Second)
@@ -157,7 +157,7 @@
 	for status := 0; status != 200; {
 		c.ask(cancellation(u.job.spec.ID), func(got int, body []byte) {
 			if status = got; got == 200 && !u.over {
-				u.handleAnswer(body)
+				u.handleResponse(body)
 			}
 		})
 		w.Run(30 * time.Millisecond)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -61,7 +61,7 @@
 	}
 	c := up[d.w.rng.IntN(len(up))]
 	life := c.life
-	d.w.call("users", c.name, limit, func(answer answerFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
+	d.w.call("users", c.name, limit, func(answer responseFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
 		if status == 0 && (!c.alive || c.life != life) {
 			return // the controller crashed: the closed connection tells the user to retry
 		}
@@ -151,9 +151,9 @@
 // replaceAndMeasure replaces controllers that run the given release, and checks what users and
 // agents notice.
 func (order replacementOrder) replaceAndMeasure(t *testing.T, from release) {
-	shape := withLoweredLimits(Small(), 15, 4)
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Capacity = 20
-	w := NewShaped(500, logs(), shape)
+	w := NewWithShape(500, logs(), shape)
 	for i, c := range w.nodes {
 		w.release[c.name] = from
 		if i == 2 && from == release02 {
@@ -202,8 +202,8 @@
 	if d.leaseExpiries > 0 {
 		t.Errorf("%d agent leases expired", d.leaseExpiries)
 	}
-	if d.w.rules.lowerTokens > 0 {
-		t.Errorf("agents were sent a lower token %d times", d.w.rules.lowerTokens)
+	if d.w.rules.staleTokens > 0 {
+		t.Errorf("agents were sent a lower token %d times", d.w.rules.staleTokens)
 	}
 }
 
@@ -223,7 +223,7 @@
 	for mixture := range 8 {
 		t.Run(fmt.Sprint("mixture ", mixture), func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(uint64(520+mixture), logs(), withLoweredLimits(Small(), 15, 4))
+			w := NewWithShape(uint64(520+mixture), logs(), withLoweredLimits(SmallShape(), 15, 4))
 			for i, c := range w.nodes {
 				if mixture>>i&1 == 1 {
 					w.release[c.name] = release03
@@ -258,7 +258,7 @@
 		w.expectPhase(t, c, "repeated submission", submit, 200, protocol.PhaseRunning)
 	}
 	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancellation", cancel, 200, protocol.PhaseCancelled)
-	w.rules.jobs[job.ID].cancelled = w.Now
+	w.rules.jobs[job.ID].cancelledAt = w.Now
 	for _, c := range w.nodes {
 		for _, r := range []request{submit, cancel, statusQuery(job.ID)} {
 			w.expectPhase(t, c, "request after the cancellation", r, 200, protocol.PhaseCancelled)
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -32,15 +32,15 @@
 		}
 		w.every(6*time.Second, 6, func(int) {
 			for _, k := range w.someWorkers(1) {
-				w.loseWorker(k)
+				w.loseAgent(k)
 			}
 		})
 		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
 	{name: "a cancellation, a question and a repeated submission meet the end", play: func(w *World) {
-		w.cancelAtEnd, w.askAllNodes = 0.7, true
+		w.cancelAtEndShare, w.askAllNodes = 0.7, true
 		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
-		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
+		w.after(110*time.Second, func() { w.cancelAtEndShare = 0 })
 	}},
 	{name: "jobs are cancelled while the lead changes hands", play: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
@@ -52,7 +52,7 @@
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
 				id := k.host.ID
-				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
 			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
@@ -62,8 +62,8 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.someWorkers(3) {
 				id := k.host.ID
-				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
-				w.cuts = append(w.cuts, held)
+				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
 			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
@@ -78,7 +78,7 @@
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
-				w.store.loseAnswers(0.4, 10*time.Second)
+				w.store.loseResponses(0.4, 10*time.Second)
 			} else {
 				w.store.delayTransactions(0.4, 10*time.Second)
 			}
@@ -111,17 +111,17 @@
 		w.every(100*time.Second, 2, func(int) {
 			if c := w.leader(); c != nil {
 				// Its watches hang while renewals pass: it knows of no cancellation.
-				w.store.blind = c
+				w.store.nodeWithoutWatches = c
 				w.after(500*time.Millisecond, func() { w.cancelNow(20, 0) })
 				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
-				w.after(75*time.Second, func() { w.store.blind = nil })
+				w.after(75*time.Second, func() { w.store.nodeWithoutWatches = nil })
 			}
 		})
 	}, most: 20},
 	{name: "the leader alone is refused, then everybody", play: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 14*time.Second)
+				w.store.refuseNode(c, 14*time.Second)
 				w.cancelNow(20, 0)
 				w.after(time.Duration(1+i)*time.Second, func() { w.store.outage(58 * time.Second) })
 			}
@@ -183,16 +183,16 @@
 					w.blockInbound(k.host.ID, 35*time.Second, i%2 == 0)
 				} else {
 					id := k.host.ID
-					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
+					w.disconnect(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
 			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than a lease", play: func(w *World) {
-		for i, fate := range []packetFate{packetsHeld, packetsLost} {
+		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelNow(6, 0) })
 			})
 		}
@@ -202,7 +202,7 @@
 			w.keepCopiesForNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
 				for _, k := range w.someWorkers(1) {
-					w.loseWorker(k)
+					w.loseAgent(k)
 				}
 				w.cancelNow(2, 0)
 				w.crashLeader(time.Duration(i) * 400 * time.Millisecond)
@@ -211,18 +211,18 @@
 	}, most: 2},
 	{name: "more work than capacity, urgent and not, over slow links", play: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
-		w.store.slow = 150 * time.Millisecond
-		w.after(100*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 150 * time.Millisecond
+		w.after(100*time.Second, func() { w.store.extraLatency = 0 })
 		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
 	}, most: 4},
 	{name: "transactions are carried out at once and their answers lost", play: func(w *World) {
 		w.askAllNodes = true
-		w.store.loseAnswers(0.4, 110*time.Second)
+		w.store.loseResponses(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, most: 4},
 	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
-		w.copies = 3 * secs(w.shape.Agents.LeaseS)
-		w.after(110*time.Second, func() { w.copies = 0 })
+		w.maxCopyDelay = 3 * secs(w.shape.Agents.LeaseS)
+		w.after(110*time.Second, func() { w.maxCopyDelay = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.someWorkers(2) {
 				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
@@ -240,22 +240,22 @@
 			w.cancelNow(5, 20*time.Second)
 			for _, k := range w.someWorkers(1) {
 				id := k.host.ID
-				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, most: 10},
 	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
 		w.askAllNodes = true
-		w.store.slow = 300 * time.Millisecond
+		w.store.extraLatency = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelNow(1, 0) })
 		w.after(20*time.Second, func() {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 20*time.Second)
+				w.store.refuseNode(c, 20*time.Second)
 			}
 		})
 		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
-		w.after(95*time.Second, func() { w.store.slow = 0 })
+		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
 	}, most: 4},
 	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
@@ -285,7 +285,7 @@
 			t.Parallel()
 			late := 0
 			for seed := range seeds {
-				shape := Small()
+				shape := SmallShape()
 				if seed%2 == 1 {
 					shape = tiny()
 				}
@@ -304,13 +304,13 @@
 // run plays a combination on a seed and returns the starts after a confirmed cancellation.
 func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
 	m.play(w)
 	w.Run(200 * time.Second)
-	w.cancelAtEnd, w.askAllNodes, w.cloud.fastBoot = 0, false, false
-	w.faultsOver = w.Now
+	w.cancelAtEndShare, w.askAllNodes, w.cloud.fastBoot = 0, false, false
+	w.faultsEndedAt = w.Now
 	w.watchWaitingJobs()
 	w.runUntilOver()
 	if w.rules.started == 0 {
@@ -319,5 +319,5 @@
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
-	return w.rules.lateStarts
+	return w.rules.startsAfterCancellation
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -25,25 +25,25 @@
 // keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
 func (w *World) keepCopiesForNextLeader(d time.Duration) {
-	w.keep, w.kept = true, nil
+	w.recordHeartbeats, w.recordedHeartbeats = true, nil
 	was := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != was {
-			w.keep = false
-			for _, body := range w.kept {
+			w.recordHeartbeats = false
+			for _, body := range w.recordedHeartbeats {
 				for _, n := range w.nodes {
-					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverCopy(n, body) })
+					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverHeartbeatCopy(n, body) })
 				}
 			}
-			w.kept = nil
+			w.recordedHeartbeats = nil
 			return
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
 			w.after(5*time.Millisecond, awaitLeader)
 		} else {
-			w.keep, w.kept = false, nil
+			w.recordHeartbeats, w.recordedHeartbeats = false, nil
 		}
 	}
 	awaitLeader()
@@ -152,7 +152,7 @@
 // capacity for it, a gang for all, and its team is under its limit.
 func (w *World) waitsBesideCapacity(u *user) bool {
 	spec := u.job.spec
-	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
+	if !u.accepted || u.cancelRequested || u.over || u.job.alwaysFails {
 		return false
 	}
 	want := w.unplaced(u)
@@ -193,7 +193,7 @@
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
-		if agent.hung || agent.noticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
+		if agent.hung || agent.preemptionNoticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
 		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
@@ -223,7 +223,7 @@
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.job.mistaken {
+		if !u.over && !u.job.alwaysFails {
 			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -12,7 +12,7 @@
 	node    *controller
 	machine *agent // nil if none is up
 	span    time.Duration
-	fate    packetFate // at a cut
+	fate    packetHandling // at a cut
 }
 
 // faultKind is a kind of fault that random days inject.
@@ -42,19 +42,19 @@
 		}
 	}},
 	// Nothing passes between the zones.
-	{"zones cut off from each other", func(w *World, d faultDraw) { w.interrupt(d.span, d.fate, w.inDifferentZones) }},
+	{"zones cut off from each other", func(w *World, d faultDraw) { w.disconnect(d.span, d.fate, w.inDifferentZones) }},
 	// A controller reaches neither the key-value store nor any other host.
 	{"controller cut off", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
+		w.disconnect(d.span, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
 	// A controller reaches everything but the key-value store.
 	{"controller cut off from the store", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
+		w.disconnect(d.span, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
 	// The key-value store refuses every request.
 	{"store outage", func(w *World, d faultDraw) { w.store.outage(d.span) }},
 	// The key-value store refuses one controller alone.
-	{"store refuses a controller", func(w *World, d faultDraw) { w.store.refuse(d.node, d.span) }},
+	{"store refuses a controller", func(w *World, d faultDraw) { w.store.refuseNode(d.node, d.span) }},
 	// The cloud refuses every request.
 	{"cloud outage", func(w *World, d faultDraw) {
 		w.cloud.down = true
@@ -62,12 +62,12 @@
 	}},
 	// A machine reaches nobody and nobody reaches it.
 	{"machine cut off", onMachine(func(w *World, k *agent, d faultDraw) {
-		w.interrupt(d.span, d.fate, fromHost(string(k.host.ID)))
+		w.disconnect(d.span, d.fate, fromHost(string(k.host.ID)))
 	})},
 	// A machine stands still and goes on.
 	{"machine hangs", onMachine(func(_ *World, k *agent, d faultDraw) { k.hang(d.span) })},
 	// A machine's worker ends with its tasks; the cloud goes on listing the machine.
-	{"machine dies", onMachine(func(w *World, k *agent, _ faultDraw) { w.loseWorker(k) })},
+	{"machine dies", onMachine(func(w *World, k *agent, _ faultDraw) { w.loseAgent(k) })},
 	// Every task that starts on a machine ends with an error.
 	{"machine fails every task", onMachine(func(_ *World, k *agent, _ faultDraw) { k.failsTasks = true })},
 	// A machine's reports arrive, but no answer and no order reaches it.
@@ -76,8 +76,8 @@
 	})},
 	// Copies of reports arrive late, at any controller.
 	{"copies of reports come late", func(w *World, d faultDraw) {
-		w.copies = w.between(2*time.Second, 90*time.Second)
-		w.after(d.span, func() { w.copies = 0 })
+		w.maxCopyDelay = w.between(2*time.Second, 90*time.Second)
+		w.after(d.span, func() { w.maxCopyDelay = 0 })
 	}},
 	// A controller reaches its workers, but neither the store nor its peers.
 	{"controller isolated", func(w *World, d faultDraw) { w.isolate(d.node, d.span, d.fate) }},
@@ -91,8 +91,8 @@
 	}},
 	// Every answer of the key-value store takes long.
 	{"store slow", func(w *World, d faultDraw) {
-		w.store.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
-		w.after(d.span, func() { w.store.slow = 0 })
+		w.store.extraLatency = w.between(50*time.Millisecond, 400*time.Millisecond)
+		w.after(d.span, func() { w.store.extraLatency = 0 })
 	}},
 	// The cloud takes a spot instance back, with notice.
 	{"spot instance reclaimed", onMachine(func(w *World, k *agent, _ faultDraw) {
@@ -104,7 +104,7 @@
 	// Some transactions are carried out late, after newer ones, and get no answer.
 	{"transactions late", func(w *World, d faultDraw) { w.store.delayTransactions(0.3, d.span) }},
 	// Some transactions are carried out at once and get no answer.
-	{"answers to transactions lost", func(w *World, d faultDraw) { w.store.loseAnswers(0.3, d.span) }},
+	{"answers to transactions lost", func(w *World, d faultDraw) { w.store.loseResponses(0.3, d.span) }},
 	// Two machines open no connection; calls reach them.
 	{"machines cannot report", func(w *World, d faultDraw) { w.blockReports(2, d.span) }},
 	// All controllers are away for long.
@@ -128,8 +128,8 @@
 	{"jobs cancelled, machines hang", func(w *World, d faultDraw) { w.cancelNow(4, d.span) }},
 	// Half of the jobs are cancelled at the moment of their end.
 	{"jobs cancelled at their end", func(w *World, d faultDraw) {
-		w.cancelAtEnd = 0.5
-		w.after(d.span, func() { w.cancelAtEnd = 0 })
+		w.cancelAtEndShare = 0.5
+		w.after(d.span, func() { w.cancelAtEndShare = 0 })
 	}},
 	// Users ask every node after every answer.
 	{"users ask all nodes", func(w *World, d faultDraw) {
@@ -140,13 +140,13 @@
 	{"odd requests", func(w *World, d faultDraw) { w.oddRequests(min(d.span, 10*time.Second)) }},
 	// No watch of a controller is answered, while its other requests are.
 	{"watches of a controller hang", func(w *World, d faultDraw) {
-		w.store.blind = d.node
-		w.after(d.span, func() { w.store.blind = nil })
+		w.store.nodeWithoutWatches = d.node
+		w.after(d.span, func() { w.store.nodeWithoutWatches = nil })
 	}},
 	// The store refuses the leader alone, jobs are cancelled, and then it refuses everybody.
 	{"the leader is refused, then all are", func(w *World, d faultDraw) {
 		if c := w.leader(); c != nil {
-			w.store.refuse(c, 3*time.Second)
+			w.store.refuseNode(c, 3*time.Second)
 			w.cancelNow(3, 0)
 			w.after(w.between(time.Second, 4*time.Second), func() { w.store.outage(d.span) })
 		}
@@ -184,6 +184,6 @@
 
 // giveNotice has a machine report that it is taken away after some seconds.
 func (a *agent) giveNotice(seconds float64) {
-	a.noticeS = &seconds
-	a.noteChange()
+	a.preemptionNoticeS = &seconds
+	a.reportChange()
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -18,7 +18,7 @@
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
 	}
-	w.checkServed(largestStartWithin)
+	w.checkServed(maxLargestJobWait)
 	w.expectRulesHeld(t)
 	if !over(w.users...) {
 		t.Errorf("not all is over within %v", limit)
@@ -31,10 +31,10 @@
 func TestMachineNotReceivingIsReturned(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, fate := range []packetFate{packetsHeld, packetsLost} {
+		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
-				shape := Small()
+				shape := SmallShape()
 				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
@@ -68,13 +68,13 @@
 // newer session or its deletion, and a job that waits is started elsewhere.
 func TestMachineNotReceivingIsNotUsed(t *testing.T) {
 	t.Parallel()
-	w := startWorld(22, Small(), 6*time.Second)
+	w := startWorld(22, SmallShape(), 6*time.Second)
 	job := withCheckpoints(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, job, 80)
 	id := w.agentOf("run-000001", 0).host.ID
 
-	w.blockInbound(id, 400*time.Second, packetsLost)
+	w.blockInbound(id, 400*time.Second, packetsDropped)
 	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
@@ -90,7 +90,7 @@
 func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
-	w.copies = 4 * secs(w.shape.Agents.LeaseS)
+	w.maxCopyDelay = 4 * secs(w.shape.Agents.LeaseS)
 	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
@@ -104,7 +104,7 @@
 	}
 
 	w.waitFor(t, 500*time.Second, "all is over", func() bool {
-		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.mistaken })
+		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.alwaysFails })
 	})
 	w.expectRulesHeld(t)
 }
@@ -114,7 +114,7 @@
 // that means anything, no record, no work, and does not keep the name alive.
 func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
-	w := startWorld(24, Small(), 6*time.Second)
+	w := startWorld(24, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.agentOf("run-000001", 0)
 	old := encode(agent.heartbeat())
@@ -182,17 +182,17 @@
 // first sign of it is a late duplicate of an old report. It gets no work.
 func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
-	w := startWorld(26, Small(), 6*time.Second)
+	w := startWorld(26, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.agentOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
 	old := encode(agent.heartbeat())
 
-	w.loseWorker(agent)
+	w.loseAgent(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.deliverCopy(w.leader(), old)
+	w.deliverHeartbeatCopy(w.leader(), old)
 
 	// Its image is there, so it would be the first choice.
 	w.submitAndWaitUntilRunning(t, 5*time.Second, array("run-000002", 4), 10)
@@ -204,10 +204,10 @@
 // sends them away; users who ask it are told at once to come back elsewhere.
 func TestIsolatedLeaderRefusesUsersAndWorkers(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(25, Small(), 6*time.Second)
+			w := startWorld(25, SmallShape(), 6*time.Second)
 			u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
@@ -257,21 +257,21 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(30+seed, logs())
-			w.copies = 5 * time.Second // reports of their former lives come late
+			w.maxCopyDelay = 5 * time.Second // reports of their former lives come late
 			w.Run(5 * time.Second)
 			for i := range 8 {
 				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
 
 			w.restartOften(12)
-			w.copies = 0
-			w.faultsOver = w.Now
+			w.maxCopyDelay = 0
+			w.faultsEndedAt = w.Now
 
 			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
 				t.Errorf("a leader after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
-			w.checkServed(largestStartWithin)
+			w.checkServed(maxLargestJobWait)
 			w.expectRulesHeld(t)
 		})
 	}
@@ -296,7 +296,7 @@
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(3, logs(), thousandMachines())
+	w := NewWithShape(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
@@ -308,6 +308,6 @@
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 500*time.Second)
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -135,15 +135,15 @@
 
 // ofShape is a random day of a shape.
 func ofShape(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.watch(NewShaped(seed, logs(), shape)).playDay() }
+	return func(seed uint64, f *fingerprint) { f.watch(NewWithShape(seed, logs(), shape)).playDay() }
 }
 
 // fingerprintDays are shapes and events that between them reach all that a controller does.
 func fingerprintDays() []fingerprintDay {
-	recoveringTiny, slow := tiny(), Small()
+	recoveringTiny, slow := tiny(), SmallShape()
 	recoveringTiny.Recovery, slow.Slow = true, true
 	return []fingerprintDay{
-		{"small", 6, ofShape(Small())},
+		{"small", 6, ofShape(SmallShape())},
 		{"small-recovery", 6, ofShape(smallWithRecovery())},
 		{"tiny", 5, ofShape(tiny())},
 		{"tiny-recovery", 5, ofShape(recoveringTiny)},
@@ -166,7 +166,7 @@
 	w.every(apart, times, func(int) { w.injectFault() })
 	w.Run(time.Duration(times) * apart)
 	w.Run(40 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.healAgents()
 }
 
@@ -175,7 +175,7 @@
 	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.watch(NewWithShape(seed, logs(), shape))
 	w.Run(3 * time.Second)
 	w.submitCrowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
@@ -228,9 +228,9 @@
 
 // coldRestartDay loses all controllers of a hundred and twenty machines in the middle of work.
 func coldRestartDay(seed uint64, f *fingerprint) {
-	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, Equal: seed%3 == 0}
+	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, EqualPriorities: seed%3 == 0}
 	w := f.watch(newWorld(seed, logs(), c.Shape(), nil))
-	if _, err := c.run(&simulated{w}); err != nil {
+	if _, err := c.run(&simulatedDeployment{w}); err != nil {
 		panic(err)
 	}
 }
@@ -238,9 +238,9 @@
 // restoredStoreDay has the key-value store come back without its newest records while no
 // controller is up.
 func restoredStoreDay(seed uint64, f *fingerprint) {
-	shape := Small()
+	shape := SmallShape()
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.watch(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
@@ -260,9 +260,9 @@
 
 // damagedRecordsDay has new leaders find records that make no sense.
 func damagedRecordsDay(seed uint64, f *fingerprint) {
-	shape := Small()
+	shape := SmallShape()
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.watch(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submit(arrival{job: array("run-000001", 5), run: 150})
 	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
@@ -283,11 +283,11 @@
 func fleetDay(seed uint64, f *fingerprint) {
 	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.watch(NewWithShape(seed, logs(), shape))
 	w.submitCrowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
-	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(dark))
+	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(dark))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
 	w.crashAll(4 * time.Second)
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -11,7 +11,7 @@
 
 // thousandMachines is a deployment of a thousand machines and three zones.
 func thousandMachines() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
@@ -52,7 +52,7 @@
 
 // smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
 func smallestBudgets() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	s.Agents.ReportS = 5
@@ -71,7 +71,7 @@
 	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(1, logs(), day.shape)
+			w := NewWithShape(1, logs(), day.shape)
 			w.submitCrowd(day.jobs, 120*time.Second)
 			w.finishDay(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -13,7 +13,7 @@
 // withLoweredLimits returns the shape of a deployment whose key-value store will lower its
 // limits.
 func withLoweredLimits(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+	s.NextStoreLimits = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
@@ -52,12 +52,12 @@
 
 // newUpgradeWorld returns a world whose controllers run earlier versions.
 func newUpgradeWorld(seed int) *World {
-	shape := withLoweredLimits(Small(), 12, 4)
+	shape := withLoweredLimits(SmallShape(), 12, 4)
 	if seed%2 == 1 {
 		shape = withLoweredLimits(tiny(), 12, 4)
 	}
 	shape.Capacity = 30
-	w := NewShaped(uint64(900+seed), logs(), shape)
+	w := NewWithShape(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
 		// All in 0.2, all in 0.3, or both versions.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
@@ -84,11 +84,11 @@
 	}
 	w.upgradeInTurn(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.Run(40 * time.Second)
 	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.healAgents()
 	w.watchWaitingJobs()
 	w.runUntilOver()
@@ -109,7 +109,7 @@
 	t.Parallel()
 	shape := withLoweredLimits(thousandMachines(), 21, 8)
 	shape.Store.TxnOps = 24
-	w := NewShaped(77, logs(), shape)
+	w := NewWithShape(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -135,10 +135,10 @@
 			t.Errorf("record %s still has %d bytes, want at most 2048", key, len(e.Value))
 		}
 	}
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishDay(t, 500*time.Second)
 	again := w.gangTaskRestarts() - before
 	t.Logf("%d tasks started before the upgrade, %d gang tasks restarted since", starts, again)
@@ -164,9 +164,9 @@
 // split. A new leader that knows nothing about its peers then finds the oversized records.
 func TestOversizedRecordsAreSplitUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := withLoweredLimits(Small(), 15, 4)
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Capacity = 40
-	w := NewShaped(78, logs(), shape)
+	w := NewWithShape(78, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
@@ -179,7 +179,7 @@
 	gangUser := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
 	cancelled := w.submit(arrival{after: 5 * time.Second, job: withTaskResources(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
@@ -207,24 +207,24 @@
 	{"after the upgrade", release02, func(w *World) {
 		w.upgradeInTurn(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"at the start of the upgrade, no record split yet", release03, func(w *World) {
 		w.upgradeInTurn(time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"during the upgrade from 0.3", release03, func(w *World) {
 		w.upgradeInTurn(10 * time.Second)
-		w.after(14*time.Second, w.store.lower)
+		w.after(14*time.Second, w.store.applyNextLimits)
 	}},
 	{"during the upgrade from 0.2", release02, func(w *World) {
 		w.upgradeInTurn(5 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"during a failover", release02, func(w *World) {
 		w.upgradeInTurn(time.Second)
 		w.Run(8 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 		w.crashLeader(300 * time.Millisecond)
 		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
@@ -232,21 +232,21 @@
 	{"while the key-value store is slow", release02, func(w *World) {
 		w.upgradeInTurn(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.store.slow = 400 * time.Millisecond
-		w.store.lower()
-		w.after(25*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 400 * time.Millisecond
+		w.store.applyNextLimits()
+		w.after(25*time.Second, func() { w.store.extraLatency = 0 })
 	}},
 	{"during a store outage", release02, func(w *World) {
 		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.outage(12 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"responses are lost", release02, func(w *World) {
 		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.store.lower()
-		w.store.loseAnswers(0.3, 20*time.Second)
+		w.store.applyNextLimits()
+		w.store.loseResponses(0.3, 20*time.Second)
 	}},
 }
 
@@ -273,19 +273,19 @@
 	users := w.submitLargeJobs()
 	c.lowerLimits(w)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions rejected as too large, %d tasks started", w.rules.staged, w.store.tooLarge, w.rules.started)
+	t.Logf("%d parts staged, %d transactions rejected as too large, %d tasks started", w.rules.stagedRecords, w.store.oversizedTransactions, w.rules.started)
 	w.expectRulesHeld(t)
 }
 
 // newWorld returns a world of an earlier version, with store limits that allow large records.
 func (c loweringScenario) newWorld(seed uint64) *World {
-	shape := withLoweredLimits(Small(), 15, 4)
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
-	w := NewShaped(300+seed, logs(), shape)
+	w := NewWithShape(300+seed, logs(), shape)
 	for _, n := range w.nodes {
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -42,7 +42,7 @@
 	for _, agent := range w.agentsInCreationOrder() {
 		machines++
 		if agent.host.Zone == zone {
-			w.loseWorker(agent)
+			w.loseAgent(agent)
 		}
 	}
 	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
@@ -54,7 +54,7 @@
 func TestZoneLossWithoutBoot(t *testing.T) {
 	t.Parallel()
 	three := threeZones(9)
-	two := Small()
+	two := SmallShape()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
 		shape Shape
