--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -9,23 +9,24 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// TestUnseenCancellationThenOutage: the leader's watches hang while its renewals pass, others confirm
-// cancellations, and the key-value store is then away for longer than cancel_s. The
-// leader's workers must be without those tasks in time all the same: its authority
-// counts from when it last knew all cancellations, not from its renewal.
-func TestUnseenCancellationThenOutage(t *testing.T) {
+// TestCancellationUnknownToLeaderTakesEffectInOutage: the leader's watches hang while it can
+// still renew the leader lease, and other controllers confirm cancellations. Then the key-value
+// store is down for longer than cancel_s. The cancelled tasks must nevertheless be gone from the
+// leader's agents in time. This requires that the leader's authority counts from the time when it
+// last knew all cancellations, not from its last renewal.
+func TestCancellationUnknownToLeaderTakesEffectInOutage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		for _, blindFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
-			t.Run(fmt.Sprintf("seed %d, blind for %v", seed, blindFor), func(t *testing.T) {
+		for _, hungFor := range []time.Duration{3 * time.Second, 7 * time.Second, 11 * time.Second, 30 * time.Second} {
+			t.Run(fmt.Sprintf("seed %d, watches hang for %v", seed, hungFor), func(t *testing.T) {
 				t.Parallel()
-				w, u, c := blindLeader(t, 600+seed, 8)
-				for _, o := range w.others(c) { // no word over the links
+				w, u, c := leaderWithHungWatches(t, 600+seed, 8)
+				for _, o := range w.otherControllers(c) { // no messages over the links to its peers
 					w.disconnect(100*time.Second, packetsDropped, oneWay(c, o))
 				}
 
 				w.cancelUntilConfirmed(u)
-				w.Run(blindFor)
+				w.Run(hungFor)
 				w.store.outage(61 * time.Second)
 				w.Run(100 * time.Second)
 
@@ -35,18 +36,19 @@
 	}
 }
 
-// blindLeader has an array run under a leader whose watches have hung for a moment.
-func blindLeader(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
+// leaderWithHungWatches returns a world that runs an array, the array's user, and the leader,
+// whose watches have hung for 400 ms.
+func leaderWithHungWatches(t *testing.T, seed uint64, tasks int) (*World, *user, *controller) {
 	t.Helper()
 	w := startWorld(seed, SmallShape(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", tasks), 500)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", tasks), 500)
 	c := w.leader()
 	w.store.nodeWithoutWatches = c
 	w.Run(400 * time.Millisecond)
 	return w, u, c
 }
 
-// cancelUntilConfirmed has a user ask for a cancellation until it is confirmed.
+// cancelUntilConfirmed has a user request a cancellation until it is confirmed.
 func (w *World) cancelUntilConfirmed(u *user) {
 	for !u.over {
 		u.cancel()
@@ -54,40 +56,41 @@
 	}
 }
 
-// oneWay matches packets from one node to another.
+// oneWay matches packets from one controller to another.
 func oneWay(from, to *controller) func(a, b string) bool {
 	return func(a, b string) bool { return a == from.name && b == to.name }
 }
 
-// TestRefusedLeaderStopsTasksToldByPeer: a leader that the key-value store refuses stops a job's
-// tasks as soon as a peer that has confirmed the cancellation tells it.
-func TestRefusedLeaderStopsTasksToldByPeer(t *testing.T) {
+// TestLeaderRefusedByStoreStopsTasksCancelledAtPeer: the key-value store refuses the leader's
+// requests. The leader stops a job's tasks as soon as a peer that has confirmed the cancellation
+// tells it.
+func TestLeaderRefusedByStoreStopsTasksCancelledAtPeer(t *testing.T) {
 	t.Parallel()
 	w := startWorld(610, SmallShape(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 500)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 500)
 	c := w.leader()
 	w.store.nodeWithoutWatches = c
 	w.store.refuseNode(c, 60*time.Second)
 
 	status := 0
 	u.cancelRequested = true
-	w.others(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
+	w.otherControllers(c)[0].ask(cancellation(u.job.spec.ID), func(s int, _ []byte) { status = s })
 
-	took := w.waitFor(t, 2*time.Second, "its tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
-	t.Logf("answered %d, gone after %v", cmp.Or(status, -1), took)
+	took := w.waitFor(t, 2*time.Second, "the tasks are gone", func() bool { return w.rules.placed["run-000001/0"] == nil && w.rules.placed["run-000001/3"] == nil })
+	t.Logf("cancellation status %d, tasks gone after %v", cmp.Or(status, -1), took)
 	if status != 200 {
-		t.Errorf("the cancellation is answered %d", status)
+		t.Errorf("status of the cancellation is %d, want 200", status)
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestOutageBeyondAuthorityKeepsConfirmedLeadersWork: the key-value store is out for far longer than a leader's
-// authority. All controllers are there and confirm for one another, so nothing that
-// runs is lost, and what was cancelled a moment before is gone in time.
-func TestOutageBeyondAuthorityKeepsConfirmedLeadersWork(t *testing.T) {
+// TestOutageLongerThanAuthorityKeepsTasksRunning: the key-value store is down for far longer than
+// a leader's authority. All controllers are up and confirm the leader's authority, so no running
+// task is lost. A job that was cancelled just before is gone in time.
+func TestOutageLongerThanAuthorityKeepsTasksRunning(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{false, true} {
-		t.Run(fmt.Sprint("leader refused ", refused), func(t *testing.T) {
+		t.Run(fmt.Sprint("store refuses leader ", refused), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(620, SmallShape(), 6*time.Second)
 			u := w.submit(arrival{job: array("run-000001", 6), run: 200})
@@ -97,7 +100,8 @@
 			if refused {
 				w.store.refuseNode(c, 100*time.Second)
 				w.store.nodeWithoutWatches = c
-				// The message about the cancellation is lost: only the confirmation names it.
+				// The message about the cancellation is lost. Only the peers' confirmations of
+				// the leader's authority name the cancelled job.
 				w.disconnect(1500*time.Millisecond, packetsDropped, func(a, b string) bool {
 					return a == c.name && b != storeHost && w.agents[protocol.MachineID(b)] == nil
 				})
@@ -110,27 +114,28 @@
 			w.store.nodeWithoutWatches = nil
 
 			w.waitUntilOver(t, 200*time.Second, u)
-			w.expectStarts(t, starts, 0, "across the outage")
+			w.expectStarts(t, starts, 0, "during the outage")
 			w.expectRulesHeld(t)
 		})
 	}
 }
 
-// TestRestartedPeerCannotConfirm: a peer confirms a cancellation that the leader does
-// not hear of, ends, and is back in an outage that all share. It can't confirm for its
-// earlier life: the leader gives up within its authority, and the cancelled tasks
-// are gone in time.
-func TestRestartedPeerCannotConfirm(t *testing.T) {
+// TestRestartedPeerCannotConfirmForEarlierProcess: a peer confirms a cancellation that the leader
+// does not learn of. The peer then crashes, and restarts during a store outage that affects all
+// controllers. Its confirmation of the leader's authority does not count, because it does not
+// name the cancellations that its earlier process confirmed. So the leader steps down before its
+// authority ends, and the cancelled tasks are gone in time.
+func TestRestartedPeerCannotConfirmForEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			w, u, c := blindLeader(t, 630+seed, 6)
-			peer := w.others(c)[1]
+			w, u, c := leaderWithHungWatches(t, 630+seed, 6)
+			peer := w.otherControllers(c)[1]
 			cutOff := &partition{match: oneWay(peer, c)}
 			w.partitions = append(w.partitions, cutOff)
 
-			w.cancelAt(peer, u)
+			w.cancelAtController(peer, u)
 			w.store.outage(100 * time.Second)
 			peer.crash(200 * time.Millisecond)
 			w.Run(100 * time.Millisecond)
@@ -138,7 +143,7 @@
 			w.Run(60 * time.Second)
 
 			if c.node.Leading() {
-				t.Error("it still leads")
+				t.Error("the leader did not step down")
 			}
 			w.Run(60 * time.Second)
 			w.expectRulesHeld(t)
@@ -146,8 +151,8 @@
 	}
 }
 
-// cancelAt has a user ask one node for a cancellation until it confirms.
-func (w *World) cancelAt(c *controller, u *user) {
+// cancelAtController has a user request a cancellation from one controller until it is confirmed.
+func (w *World) cancelAtController(c *controller, u *user) {
 	u.cancelRequested = true
 	for status := 0; status != 200; {
 		c.ask(cancellation(u.job.spec.ID), func(got int, body []byte) {
