--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -7,29 +7,29 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) []*agent {
+// randomMachines draws up to n machines.
+func (w *World) randomMachines(n int) []*agent {
 	list := w.workersInOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// blockReports lets machines reach no controller for a while, though calls reach them.
-func (w *World) blockReports(n int, d time.Duration) {
-	for _, agent := range w.someWorkers(n) {
-		agent.opensNoConnections = true
-		w.after(d, func() { agent.opensNoConnections = false })
+// blockHeartbeats lets machines reach no controller for a while, though calls reach them.
+func (w *World) blockHeartbeats(n int, d time.Duration) {
+	for _, machine := range w.randomMachines(n) {
+		machine.opensNoConnections = true
+		w.after(d, func() { machine.opensNoConnections = false })
 	}
 }
 
-// keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
+// replayHeartbeatsToNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
-func (w *World) keepCopiesForNextLeader(d time.Duration) {
+func (w *World) replayHeartbeatsToNextLeader(d time.Duration) {
 	w.keep, w.kept = true, nil
-	was := w.leader()
+	previousLeader := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
-		if c := w.leader(); c != nil && c != was {
+		if c := w.leader(); c != nil && c != previousLeader {
 			w.keep = false
 			for _, body := range w.kept {
 				for _, n := range w.nodes {
@@ -49,9 +49,9 @@
 	awaitLeader()
 }
 
-// cancelNow has users cancel up to n jobs that run, within a fifth of a second;
+// cancelRunningJobs has users cancel up to n jobs that run, within a fifth of a second;
 // the machines of some hang.
-func (w *World) cancelNow(n int, hang time.Duration) {
+func (w *World) cancelRunningJobs(n int, hang time.Duration) {
 	for _, u := range w.users {
 		if n == 0 {
 			return
@@ -69,22 +69,22 @@
 }
 
 // crashLeader ends the leader; it is back after a while.
-func (w *World) crashLeader(back time.Duration) {
+func (w *World) crashLeader(downtime time.Duration) {
 	if c := w.leader(); c != nil {
-		c.crash(back)
+		c.crash(downtime)
 	}
 }
 
-// oddRequests has users repeat submissions, cancel what is over and send what can
+// sendRedundantAndInvalidRequests has users repeat submissions, cancel what is over and send what can
 // never run.
-func (w *World) oddRequests(d time.Duration) {
-	const apart = 500 * time.Millisecond
-	w.every(apart, int(d/apart), func(int) {
+func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
+	const interval = 500 * time.Millisecond
+	w.every(interval, int(d/interval), func(int) {
 		c := w.nodes[w.rng.IntN(len(w.nodes))]
 		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
 			u.askAllNodes()
 			if u.over {
-				u.cancelTooLate(c)
+				u.cancelFinishedJob(c)
 			}
 		}
 		job := w.impossibleJob()
@@ -96,13 +96,13 @@
 	})
 }
 
-// cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
-func (u *user) cancelTooLate(c *controller) {
-	told := u.phase
+// cancelFinishedJob asks a node for the cancellation of a job that is over, which changes nothing.
+func (u *user) cancelFinishedJob(c *controller) {
+	earlier := u.phase
 	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
-		if decode(body, &a); status == http.StatusOK && a.Phase != told {
-			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
+		if decode(body, &a); status == http.StatusOK && a.Phase != earlier {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, earlier, a.Phase)
 		}
 	})
 }
@@ -127,43 +127,43 @@
 
 // watchWaitingJobs checks, from calm on, that no job waits beside capacity for it.
 func (w *World) watchWaitingJobs() {
-	since := map[*user]time.Time{}
-	var inspect func()
-	inspect = func() {
+	waitingSince := map[*user]time.Time{}
+	var check func()
+	check = func() {
 		for _, u := range w.users {
-			if !w.waitsBesideCapacity(u) {
-				delete(since, u)
+			if !w.waitsDespiteCapacity(u) {
+				delete(waitingSince, u)
 				continue
 			}
-			if since[u].IsZero() {
-				since[u] = w.Now
+			if waitingSince[u].IsZero() {
+				waitingSince[u] = w.Now
 			}
-			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
-				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(since[u]))
-				since[u] = w.Now
+			if w.Now.Sub(waitingSince[u]) > maxWaitDespiteCapacity {
+				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(waitingSince[u]))
+				waitingSince[u] = w.Now
 			}
 		}
-		w.after(time.Second, inspect)
+		w.after(time.Second, check)
 	}
-	inspect()
+	check()
 }
 
-// waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
+// waitsDespiteCapacity says whether an accepted job has a task nowhere while machines have
 // capacity for it, a gang for all, and its team is under its limit.
-func (w *World) waitsBesideCapacity(u *user) bool {
+func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
 	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
 		return false
 	}
-	want := w.unplaced(u)
-	if want == 0 || spec.Gang() && want < spec.Tasks {
+	needed := w.unplacedTasks(u)
+	if needed == 0 || spec.Gang() && needed < spec.Tasks {
 		return false
 	}
 	if !spec.Gang() {
-		want = 1
+		needed = 1
 	}
 	for _, team := range w.shape.Teams {
-		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
+		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(needed) > team.MaxGPUs+1e-6 {
 			return false
 		}
 	}
@@ -171,15 +171,15 @@
 		return false // what it may have of a zone depends on the others
 	}
 	for _, n := range w.tasksThatFit(spec) {
-		if n >= want {
+		if n >= needed {
 			return true
 		}
 	}
 	return false
 }
 
-// unplaced counts the tasks of a user's job that are neither done nor on a machine.
-func (w *World) unplaced(u *user) (n int) {
+// unplacedTasks counts the tasks of a user's job that are neither done nor on a machine.
+func (w *World) unplacedTasks(u *user) (n int) {
 	for i := range u.job.spec.Tasks {
 		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
 			n++
@@ -211,9 +211,9 @@
 }
 
 // every does something again and again.
-func (w *World) every(d time.Duration, times int, do func(i int)) {
+func (w *World) every(interval time.Duration, times int, do func(i int)) {
 	for i := range times {
-		w.after(time.Duration(i)*d, func() { do(i) })
+		w.after(time.Duration(i)*interval, func() { do(i) })
 	}
 }
 
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -12,8 +12,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// finishDay lets a day come to its end and checks whom it served.
-func (w *World) finishDay(t *testing.T, limit time.Duration) {
+// finishAndCheck lets a day come to its end and checks whom it served.
+func (w *World) finishAndCheck(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
@@ -25,10 +25,10 @@
 	}
 }
 
-// TestMachineNotReceivingIsReturned: a machine whose reports arrive, but which no answer and no
+// TestMachineThatReceivesNothingIsDeleted: a machine whose reports arrive, but which no answer and no
 // order reaches, keeps neither a gang nor a cancellation waiting. Its lease
 // runs out again and again; it is noticed, takes no work and is returned.
-func TestMachineNotReceivingIsReturned(t *testing.T) {
+func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
 		for _, fate := range []packetFate{packetsHeld, packetsLost} {
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestMachineNotReceivingIsNotUsed: work on a not receiving machine is given back by its own
+// TestGangMovesOffMachineThatReceivesNothing: work on a not receiving machine is given back by its own
 // newer session or its deletion, and a job that waits is started elsewhere.
-func TestMachineNotReceivingIsNotUsed(t *testing.T) {
+func TestGangMovesOffMachineThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	w := startWorld(22, Small(), 6*time.Second)
 	job := checkpointed(gangJob("run-000001", 4), 10, 2)
@@ -85,9 +85,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestLateCopiesOfReportsBreakNoRule: copies of reports, late by up to four leases, reach every
+// TestLateHeartbeatCopiesBreakNoRule: copies of reports, late by up to four leases, reach every
 // controller while leaders change and machines are lost and returned.
-func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
+func TestLateHeartbeatCopiesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
 	w.copies = 4 * secs(w.shape.Agents.LeaseS)
@@ -109,15 +109,15 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCopyOfDeletedMachineIsNoSignOfLife: a copy of a report of a machine that was returned
+// TestHeartbeatCopyDoesNotReviveDeletedMachine: a copy of a report of a machine that was returned
 // under an earlier leader is no sign of life to a later one: it gets no order
 // that means anything, no record, no work, and does not keep the name alive.
-func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
+func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
-	old := encode(agent.heartbeat())
+	oldHeartbeat := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
 	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.agents[agent.host.ID] == nil })
 	w.Run(20 * time.Second)
@@ -126,11 +126,11 @@
 	starts, rented := w.rules.started, len(w.cloud.rented)
 
 	for _, c := range w.nodes {
-		w.expectOnlyStops(t, c, old)
+		w.expectOnlyStopCommands(t, c, oldHeartbeat)
 	}
 	w.Run(2 * time.Second)
 
-	w.expectNotRecorded(t, agent.host.ID)
+	w.expectNoMachineRecord(t, agent.host.ID)
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
@@ -140,11 +140,11 @@
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStops shows a node a copy of a report and checks that its answer orders nothing
+// expectOnlyStopCommands shows a node a copy of a report and checks that its answer orders nothing
 // but stops.
-func (w *World) expectOnlyStops(t *testing.T, c *controller, copied []byte) {
+func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
-	r, err := protocol.ParseHeartbeat(copied)
+	r, err := protocol.ParseHeartbeat(heartbeatCopy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,48 +161,48 @@
 	})
 }
 
-// expectNotRecorded checks that no record of machines names one.
-func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
+// expectNoMachineRecord checks that no record of machines names one.
+func (w *World) expectNoMachineRecord(t *testing.T, id protocol.MachineID) {
 	t.Helper()
 	for key, e := range w.store.keys {
-		if strings.HasPrefix(key, storage.MachineRecordPrefix) && namesMachine(e.Value, id) {
+		if strings.HasPrefix(key, storage.MachineRecordPrefix) && containsMachine(e.Value, id) {
 			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
 		}
 	}
 }
 
-// namesMachine says whether a record of machines names one.
-func namesMachine(value []byte, id protocol.MachineID) bool {
+// containsMachine says whether a record of machines names one.
+func containsMachine(value []byte, id protocol.MachineID) bool {
 	var record storage.MachineRecord
 	decode(value, &record)
 	return slices.ContainsFunc(record.Machines, func(m storage.MachineEntry) bool { return m.ID == id })
 }
 
-// TestCopyOfDeadMachineGetsNoWork: a machine dies with its leader, and the next leader's
+// TestHeartbeatCopyOfDeadMachineGetsNoWork: a machine dies with its leader, and the next leader's
 // first sign of it is a late duplicate of an old report. It gets no work.
-func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
+func TestHeartbeatCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
 	w := startWorld(26, Small(), 6*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.workerOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
-	old := encode(agent.heartbeat())
+	oldHeartbeat := encode(agent.heartbeat())
 
 	w.loseWorker(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.deliverCopy(w.leader(), old)
+	w.deliverCopy(w.leader(), oldHeartbeat)
 
 	// Its image is there, so it would be the first choice.
 	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.expectRulesHeld(t)
 }
 
-// TestIsolatedLeaderRefusesUsersAndWorkers: a leader without the key-value store and the other
+// TestIsolatedLeaderRefusesUsersAndAgents: a leader without the key-value store and the other
 // controllers, but with its workers, stops answering them within its bound and
 // sends them away; users who ask it are told at once to come back elsewhere.
-func TestIsolatedLeaderRefusesUsersAndWorkers(t *testing.T) {
+func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
 		t.Run(fate.String(), func(t *testing.T) {
@@ -232,12 +232,12 @@
 	if c.node.Ready() {
 		t.Error("the isolated node says it is ready")
 	}
-	status, began := 0, w.Now
-	note := func(s int, _ []byte) { status = s }
-	c.ask(statusQuery("run-000001"), note)
+	status, askedAt := 0, w.Now
+	recordStatus := func(s int, _ []byte) { status = s }
+	c.ask(statusQuery("run-000001"), recordStatus)
 	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
 	if status != 503 {
-		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
+		t.Errorf("answered %d after %v", status, w.Now.Sub(askedAt))
 	}
 	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
@@ -245,13 +245,13 @@
 	}
 	status = 0
 	report := w.workerOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
 	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
 }
 
-// TestInstantRestartsElectLeaderInTime: processes that are back within a fraction of a second, in the
+// TestLeaderIsElectedInTimeAfterRapidRestarts: processes that are back within a fraction of a second, in the
 // middle of an election, of a transaction, and several at once.
-func TestInstantRestartsElectLeaderInTime(t *testing.T) {
+func TestLeaderIsElectedInTimeAfterRapidRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -263,7 +263,7 @@
 				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
 
-			w.restartOften(12)
+			w.restartRepeatedly(12)
 			w.copies = 0
 			w.faultsOver = w.Now
 
@@ -277,10 +277,10 @@
 	}
 }
 
-// restartOften ends leaders in the middle of transactions and other nodes in the middle of
+// restartRepeatedly ends leaders in the middle of transactions and other nodes in the middle of
 // elections; all are back within a fraction of a second.
-func (w *World) restartOften(times int) {
-	for i := range times {
+func (w *World) restartRepeatedly(rounds int) {
+	for i := range rounds {
 		if c := w.leader(); c != nil && i%3 == 0 {
 			c.crash(w.between(5*time.Millisecond, 300*time.Millisecond))
 		}
@@ -292,9 +292,9 @@
 	}
 }
 
-// TestLargestGangsBeginAfterLossOfThirdOfMachines: a third of a thousand machines dies at once while a burst of
+// TestLargestGangsStartAfterLossOfThirdOfMachines: a third of a thousand machines dies at once while a burst of
 // gangs comes; the largest gangs begin in time, nobody starves.
-func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
+func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
@@ -309,5 +309,5 @@
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
-	w.finishDay(t, 500*time.Second)
+	w.finishAndCheck(t, 500*time.Second)
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -86,7 +86,7 @@
 
 	w.expectQuickReturn(t)
 	w.faultsOver = w.Now
-	w.finishDay(t, 700*time.Second)
+	w.finishAndCheck(t, 700*time.Second)
 
 	t.Logf("at most %d calls to workers at once", w.mostCalls)
 	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -73,7 +73,7 @@
 			t.Parallel()
 			w := NewShaped(1, logs(), day.shape)
 			w.submitCrowd(day.jobs, 120*time.Second)
-			w.finishDay(t, 600*time.Second)
+			w.finishAndCheck(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
 	}
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -29,7 +29,7 @@
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
 		k := w.workerOf(u.job.spec.ID, 1)
-		k.giveNotice(20)
+		k.announcePreemption(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(k.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -47,7 +47,7 @@
 			w.Run(20 * time.Second)
 			terms = w.terms()
 			w.faultsOver = w.Now
-			w.finishDay(t, 700*time.Second)
+			w.finishAndCheck(t, 700*time.Second)
 			if got := w.terms(); got != terms {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -138,7 +138,7 @@
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsOver = w.Now
-	w.finishDay(t, 500*time.Second)
+	w.finishAndCheck(t, 500*time.Second)
 	again := w.gangTasksStartedAgain() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
 	if again > 0 {
