--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -7,21 +7,22 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// maxWaitDespiteCapacity is how long a job may wait beside capacity for it once all faults are
-// over.
+// maxWaitDespiteCapacity is how long a job may wait after the faults have ended while machines
+// have free capacity for it.
 const maxWaitDespiteCapacity = 90 * time.Second
 
-// faultCombination is a pair or more of faults that fall together, in a deployment that
-// works at its limit.
+// faultCombination is two or more faults that overlap, in a deployment under full load.
 type faultCombination struct {
-	name               string
-	shape              func(s *Shape)
-	inject             func(w *World)
-	maxCancelledStarts int // starts after a confirmed cancellation, held-up commands apart
+	name   string
+	shape  func(s *Shape)
+	inject func(w *World)
+	// maxCancelledStarts bounds the starts of tasks after their job's cancellation was confirmed,
+	// as an average over the seeds. One start command that may be in flight is not counted.
+	maxCancelledStarts int
 }
 
 var faultCombinations = []faultCombination{
-	{name: "jobs bound to a zone lose machines", inject: func(w *World) {
+	{name: "jobs that must run in one zone lose machines", inject: func(w *World) {
 		for i := range 6 {
 			s := array(jobID(800010+i), 4)
 			s.OneZone = true
@@ -37,18 +38,18 @@
 		})
 		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "a cancellation, a question and a repeated submission meet the end", inject: func(w *World) {
+	{name: "jobs are cancelled, queried and resubmitted as they end", inject: func(w *World) {
 		w.cancelAtEnd, w.askAllNodes = 0.7, true
 		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
 		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
 	}},
-	{name: "jobs are cancelled while the lead changes hands", inject: func(w *World) {
+	{name: "jobs are cancelled while the leader changes", inject: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
 			w.crashLeader(time.Duration(100+i*700) * time.Millisecond)
 			w.every(700*time.Millisecond, 6, func(int) { w.cancelRunningJobs(1, 0) })
 		})
 	}, maxCancelledStarts: 4},
-	{name: "a team at its limit, some machines cannot be asked, the leader changes", inject: func(w *World) {
+	{name: "a team is at its limit, some machines are unreachable, the leader changes", inject: func(w *World) {
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.randomMachines(2) {
 				id := k.host.ID
@@ -58,7 +59,7 @@
 			w.after(3*time.Second, func() { w.cancelRunningJobs(4, 0) })
 		})
 	}, maxCancelledStarts: 8},
-	{name: "a report is held back until a new leader has acted", inject: func(w *World) {
+	{name: "heartbeats are held back until a new leader has acted", inject: func(w *World) {
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.randomMachines(3) {
 				id := k.host.ID
@@ -69,12 +70,12 @@
 			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
 		})
 	}},
-	{name: "transactions are carried out late, after newer ones", inject: func(w *World) {
+	{name: "transactions are committed late, after newer ones", inject: func(w *World) {
 		w.store.delayTransactions(0.3, 100*time.Second)
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, maxCancelledStarts: 2},
-	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
+	{name: "machines boot within two seconds, transactions get no response or run late, the leader crashes", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
@@ -85,7 +86,7 @@
 			w.after(w.between(time.Second, 6*time.Second), func() { w.crashLeader(500 * time.Millisecond) })
 		})
 	}},
-	{name: "users ask all nodes within milliseconds, some cancel at once", inject: func(w *World) {
+	{name: "users query all nodes within milliseconds, some cancel at once", inject: func(w *World) {
 		w.askAllNodes = true
 		w.every(time.Second, 100, func(i int) {
 			var cancel time.Duration
@@ -96,7 +97,7 @@
 		})
 		w.every(30*time.Second, 3, func(int) { w.crashLeader(400 * time.Millisecond) })
 	}, maxCancelledStarts: 2},
-	{name: "controllers hand over and back, all end, one returns within a second", inject: func(w *World) {
+	{name: "leadership moves back and forth, all controllers crash, one restarts within a second", inject: func(w *World) {
 		w.every(10*time.Second, 9, func(i int) {
 			if i%3 < 2 {
 				w.crashLeader(w.between(50*time.Millisecond, 900*time.Millisecond))
@@ -107,10 +108,11 @@
 			}
 		})
 	}},
-	{name: "the gap", inject: func(w *World) {
+	{name: "the leader misses cancellations, then the store fails", inject: func(w *World) {
 		w.every(100*time.Second, 2, func(int) {
 			if c := w.leader(); c != nil {
-				// Its watches hang while renewals pass: it knows of no cancellation.
+				// The leader's watches get no response while its lease renewals succeed, so
+				// they report no cancellation to it.
 				w.store.blind = c
 				w.after(500*time.Millisecond, func() { w.cancelRunningJobs(20, 0) })
 				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
@@ -118,7 +120,7 @@
 			}
 		})
 	}, maxCancelledStarts: 20},
-	{name: "the leader alone is refused, then everybody", inject: func(w *World) {
+	{name: "the store refuses the leader, then every node", inject: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.store.refuse(c, 14*time.Second)
@@ -127,7 +129,7 @@
 			}
 		})
 	}, maxCancelledStarts: 4},
-	{name: "a leader without key-value store and peers keeps workers and users", inject: func(w *World) {
+	{name: "a leader cut off from the store and its peers still reaches agents and users", inject: func(w *World) {
 		w.every(60*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.isolate(c, 40*time.Second, i == 0)
@@ -136,28 +138,28 @@
 			}
 		})
 	}, maxCancelledStarts: 6},
-	{name: "workers open no connections, calls reach them", inject: func(w *World) {
+	{name: "agents open no connections but receive calls", inject: func(w *World) {
 		w.every(45*time.Second, 3, func(i int) {
 			w.blockHeartbeats([]int{1, 3, 99}[i], 35*time.Second)
 			w.after(10*time.Second, func() { w.cancelRunningJobs(4, 0) })
 			w.after(14*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, maxCancelledStarts: 4},
-	{name: "all controllers are away for longer than a lease", inject: func(w *World) {
+	{name: "all controllers are down for longer than an agent lease", inject: func(w *World) {
 		w.after(20*time.Second, func() {
 			for _, c := range w.nodes {
 				c.crash(secs(w.shape.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
 			}
 		})
 	}},
-	{name: "jobs of a few tasks end far apart across changes of leader", inject: func(w *World) {
+	{name: "tasks of small jobs end far apart while the leader changes", inject: func(w *World) {
 		for i := range 8 {
 			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
 			u.job.progress[0], u.job.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.crashLeader(1500 * time.Millisecond) })
 	}},
-	{name: "commands and answers are held up and the machine goes on", inject: func(w *World) {
+	{name: "machines hang, then resume and handle late commands and responses", inject: func(w *World) {
 		w.every(12*time.Second, 8, func(i int) {
 			for _, k := range w.randomMachines(2) {
 				k.hang(w.between(2*time.Second, 20*time.Second))
@@ -168,7 +170,7 @@
 			}
 		})
 	}, maxCancelledStarts: 6},
-	{name: "leaders change ten times in two minutes, also in an outage", inject: func(w *World) {
+	{name: "the leader crashes ten times in two minutes, also in a store outage", inject: func(w *World) {
 		w.every(12*time.Second, 10, func(i int) {
 			w.crashLeader(w.between(100*time.Millisecond, 5*time.Second))
 			if i == 4 {
@@ -176,7 +178,7 @@
 			}
 		})
 	}},
-	{name: "a leader ends while machines with long tasks are cut off or receive nothing", inject: func(w *World) {
+	{name: "the leader crashes while machines are cut off or receive nothing", inject: func(w *World) {
 		w.every(40*time.Second, 3, func(i int) {
 			for n, k := range w.randomMachines(3) {
 				if n == 0 {
@@ -189,7 +191,7 @@
 			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
-	{name: "a zone with a controller is cut off for longer than a lease", inject: func(w *World) {
+	{name: "a zone with a controller is cut off for longer than an agent lease", inject: func(w *World) {
 		for i, fate := range []packetFate{packetsHeld, packetsLost} {
 			w.after(time.Duration(i)*70*time.Second, func() {
 				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
@@ -197,7 +199,7 @@
 			})
 		}
 	}, maxCancelledStarts: 6},
-	{name: "old reports reach every controller as a new leader begins", inject: func(w *World) {
+	{name: "old heartbeats reach every controller as a new leader takes over", inject: func(w *World) {
 		w.every(25*time.Second, 5, func(i int) {
 			w.replayHeartbeatsToNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
@@ -209,18 +211,18 @@
 			})
 		})
 	}, maxCancelledStarts: 2},
-	{name: "more work than capacity, urgent and not, over slow links", inject: func(w *World) {
+	{name: "more work than capacity, urgent and not, with a slow store", inject: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
 		w.store.slow = 150 * time.Millisecond
 		w.after(100*time.Second, func() { w.store.slow = 0 })
 		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
 	}, maxCancelledStarts: 4},
-	{name: "transactions are carried out at once and their answers lost", inject: func(w *World) {
+	{name: "transactions are committed at once but their responses are lost", inject: func(w *World) {
 		w.askAllNodes = true
 		w.store.loseAnswers(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, maxCancelledStarts: 4},
-	{name: "old reports arrive after newer ones, of earlier sessions and attempts", inject: func(w *World) {
+	{name: "heartbeats of earlier incarnations and attempts arrive after newer ones", inject: func(w *World) {
 		w.copies = 3 * secs(w.shape.Agents.LeaseS)
 		w.after(110*time.Second, func() { w.copies = 0 })
 		w.every(30*time.Second, 4, func(i int) {
@@ -230,7 +232,7 @@
 			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
 	}, maxCancelledStarts: 2},
-	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", inject: func(w *World) {
+	{name: "teams are at their limits, jobs are cancelled, machines are cut off or hang, the leader changes", inject: func(w *World) {
 		for i := range 10 {
 			s := array(jobID(800040+i), 6)
 			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
@@ -245,7 +247,7 @@
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, maxCancelledStarts: 10},
-	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", inject: func(w *World) {
+	{name: "the store is slow and refuses the leader, then every node, while users cancel and query", inject: func(w *World) {
 		w.askAllNodes = true
 		w.store.slow = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelRunningJobs(1, 0) })
@@ -257,7 +259,7 @@
 		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
 		w.after(95*time.Second, func() { w.store.slow = 0 })
 	}, maxCancelledStarts: 4},
-	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
+	{name: "four one-task jobs a second arrive, a quarter are cancelled", shape: func(s *Shape) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
 	}, inject: func(w *World) {
 		w.every(250*time.Millisecond, 400, func(i int) {
@@ -270,10 +272,11 @@
 	}, maxCancelledStarts: 10},
 }
 
-// TestFaultCombinations plays every combination of faults on a few seeds, over work of every
-// shape, with reports going to the leader and by way of the other controllers. All
-// rules are checked at every step, and once the faults are over that no job is
-// forgotten, none waits beside capacity for it and all end.
+// TestFaultCombinations runs every combination of faults with a few seeds and with jobs of every
+// shape. With even seeds the agents send their heartbeats to the leader. With odd seeds the leader
+// has CPU time for few of them, so most come through the other controllers. All rules are checked
+// at every step. After the faults no job may be forgotten or wait although there is free capacity
+// for it, and all jobs must end.
 func TestFaultCombinations(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
@@ -294,14 +297,15 @@
 				}
 				cancelledStarts += c.run(t, 500+seed, shape)
 			}
-			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one may be on its way at any time
-				t.Errorf("%d starts after a confirmed cancellation", cancelledStarts)
+			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start command may be in flight at any time
+				t.Errorf("%d starts of tasks after their cancellation was confirmed", cancelledStarts)
 			}
 		})
 	}
 }
 
-// run plays a combination on a seed and returns the starts after a confirmed cancellation.
+// run runs a combination with a seed and returns how many tasks were started after their job's
+// cancellation was confirmed.
 func (c *faultCombination) run(t *testing.T, seed uint64, shape Shape) (cancelledStarts int) {
 	t.Helper()
 	w := NewShaped(seed, logs(), shape)
@@ -314,7 +318,7 @@
 	w.watchWaitingJobs()
 	w.runUntilOver()
 	if w.rules.started == 0 {
-		t.Errorf("seed %d: nothing ran", seed)
+		t.Errorf("seed %d: no task was started", seed)
 	}
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -7,14 +7,15 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// randomMachines draws up to n machines.
+// randomMachines returns up to n machines in random order.
 func (w *World) randomMachines(n int) []*agent {
 	list := w.workersInOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// blockHeartbeats lets machines reach no controller for a while, though calls reach them.
+// blockHeartbeats prevents n random machines from reaching any controller for a while. Calls from
+// controllers still reach them.
 func (w *World) blockHeartbeats(n int, d time.Duration) {
 	for _, machine := range w.randomMachines(n) {
 		machine.opensNoConnections = true
@@ -22,8 +23,9 @@
 	}
 }
 
-// replayHeartbeatsToNextLeader keeps copies of the reports of a while; every controller gets them just
-// as the next leader begins.
+// replayHeartbeatsToNextLeader records all heartbeats until the next leader takes over, and then
+// delivers copies of them to every controller within 20 ms. If no new leader appears within d, the
+// copies are dropped.
 func (w *World) replayHeartbeatsToNextLeader(d time.Duration) {
 	w.keep, w.kept = true, nil
 	previousLeader := w.leader()
@@ -49,8 +51,8 @@
 	awaitLeader()
 }
 
-// cancelRunningJobs has users cancel up to n jobs that run, within a fifth of a second;
-// the machines of some hang.
+// cancelRunningJobs has users cancel up to n jobs whose first task is on a machine, within 200 ms.
+// If hang is not zero, the machines of about half of these tasks hang for that long.
 func (w *World) cancelRunningJobs(n int, hang time.Duration) {
 	for _, u := range w.users {
 		if n == 0 {
@@ -68,15 +70,15 @@
 	}
 }
 
-// crashLeader ends the leader; it is back after a while.
+// crashLeader crashes the leader's process, which restarts after downtime.
 func (w *World) crashLeader(downtime time.Duration) {
 	if c := w.leader(); c != nil {
 		c.crash(downtime)
 	}
 }
 
-// sendRedundantAndInvalidRequests has users repeat submissions, cancel what is over and send what can
-// never run.
+// sendRedundantAndInvalidRequests has users repeat submissions, cancel jobs that are over and submit
+// jobs that can never run.
 func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
 	const interval = 500 * time.Millisecond
 	w.every(interval, int(d/interval), func(int) {
@@ -90,24 +92,25 @@
 		job := w.impossibleJob()
 		c.ask(submission(job), func(status int, _ []byte) {
 			if status == http.StatusOK || status == http.StatusCreated {
-				w.rules.violated(ruleAccepted, "%+v can never run", *job)
+				w.rules.violated(ruleAccepted, "a job that can never run is accepted: %+v", *job)
 			}
 		})
 	})
 }
 
-// cancelFinishedJob asks a node for the cancellation of a job that is over, which changes nothing.
+// cancelFinishedJob asks a node to cancel a job that is over, and checks that the job's phase stays
+// the same.
 func (u *user) cancelFinishedJob(c *controller) {
 	earlier := u.phase
 	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
 		if decode(body, &a); status == http.StatusOK && a.Phase != earlier {
-			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, earlier, a.Phase)
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s after a late cancellation", a.ID, earlier, a.Phase)
 		}
 	})
 }
 
-// impossibleJob is a job that can never run.
+// impossibleJob returns a random job that can never run.
 func (w *World) impossibleJob() *protocol.Job {
 	job := array(jobID(900_000+w.rng.IntN(100_000)), 2)
 	switch w.rng.IntN(5) {
@@ -125,7 +128,8 @@
 	return job
 }
 
-// watchWaitingJobs checks, from calm on, that no job waits beside capacity for it.
+// watchWaitingJobs checks every second from now on that no job waits for longer than
+// maxWaitDespiteCapacity while there is free capacity for it.
 func (w *World) watchWaitingJobs() {
 	waitingSince := map[*user]time.Time{}
 	var check func()
@@ -139,7 +143,7 @@
 				waitingSince[u] = w.Now
 			}
 			if w.Now.Sub(waitingSince[u]) > maxWaitDespiteCapacity {
-				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(waitingSince[u]))
+				w.rules.violated(ruleLeftWaiting, "%s waits although there is free capacity, for %v", u.job.spec.ID, w.Now.Sub(waitingSince[u]))
 				waitingSince[u] = w.Now
 			}
 		}
@@ -148,8 +152,9 @@
 	check()
 }
 
-// waitsDespiteCapacity says whether an accepted job has a task nowhere while machines have
-// capacity for it, a gang for all, and its team is under its limit.
+// waitsDespiteCapacity reports whether an accepted job waits although it could be placed: a zone
+// has free capacity for at least one of its unplaced tasks, or for all tasks of a gang, and the team
+// stays within its limit.
 func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
 	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
@@ -168,7 +173,7 @@
 		}
 	}
 	if spec.Spread && spec.Tasks > 1 {
-		return false // what it may have of a zone depends on the others
+		return false // how many tasks may be in one zone depends on the other zones
 	}
 	for _, n := range w.tasksThatFit(spec) {
 		if n >= needed {
@@ -178,7 +183,7 @@
 	return false
 }
 
-// unplacedTasks counts the tasks of a user's job that are neither done nor on a machine.
+// unplacedTasks returns the number of a job's tasks that are neither done nor on a machine.
 func (w *World) unplacedTasks(u *user) (n int) {
 	for i := range u.job.spec.Tasks {
 		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
@@ -188,8 +193,9 @@
 	return n
 }
 
-// tasksThatFit counts how many more tasks of a job the machines of each zone have capacity
-// for.
+// tasksThatFit returns for each zone how many more tasks of a job fit on its machines, without
+// machines that hang or have a preemption notice. It counts no further than the job's number of
+// tasks.
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
@@ -210,21 +216,22 @@
 	return fit
 }
 
-// every does something again and again.
+// every calls do several times at a fixed interval, for the first time at once.
 func (w *World) every(interval time.Duration, times int, do func(i int)) {
 	for i := range times {
 		w.after(time.Duration(i)*interval, func() { do(i) })
 	}
 }
 
-// runUntilOver lets a day come to its end: every job but a mistaken one must be over.
+// runUntilOver runs the world until all jobs are over, for at most 600 s. Every job must be over
+// then, except those whose tasks always fail.
 func (w *World) runUntilOver() {
 	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !over(w.users...); {
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
 		if !u.over && !u.job.mistaken {
-			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
+			w.rules.violated(ruleLiveness, "%s, %s of %d tasks, is still %q; tasks done: %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
 }
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -7,21 +7,22 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// faultParameters is what the lot has drawn for a fault.
+// faultParameters are the randomly drawn parameters of a fault. Each kind of fault uses some of them.
 type faultParameters struct {
 	node     *controller
-	machine  *agent // nil if none is up
+	machine  *agent // nil if no machine is up
 	duration time.Duration
-	fate     packetFate // at a cut
+	fate     packetFate // of packets in a partition
 }
 
-// faultKind is a kind of fault that random days inject.
+// faultKind is a kind of fault that runs with random faults inject.
 type faultKind struct {
 	name   string
 	inject func(w *World, d faultParameters)
 }
 
-// machineFault makes a fault of a machine one that does nothing if no machine is up.
+// machineFault returns the inject function for a fault of a machine. It does nothing if no machine
+// is up.
 func machineFault(inject func(w *World, agent *agent, d faultParameters)) func(*World, faultParameters) {
 	return func(w *World, d faultParameters) {
 		if d.machine != nil {
@@ -30,121 +31,121 @@
 	}
 }
 
-// faultKinds are all kinds, equally likely. Their order and number decide what a seed draws:
-// a new kind changes every random day.
+// faultKinds are all kinds of faults, which are equally likely. Their order and number determine
+// which faults a seed draws, so a new kind changes every run with random faults.
 var faultKinds = []faultKind{
-	// A controller's process ends without a signal and is back within seconds.
+	// A controller's process crashes without a signal and restarts within seconds.
 	{"controller crashes", func(w *World, d faultParameters) { d.node.crash(w.randomDowntime()) }},
-	// All controllers end at once and are back one after the other.
+	// All controllers crash at once and restart one after the other.
 	{"all controllers crash", func(w *World, _ faultParameters) {
 		for _, c := range w.nodes {
 			c.crash(w.randomDowntime())
 		}
 	}},
-	// Nothing passes between the zones.
+	// No packet passes between zones.
 	{"zones cut off from each other", func(w *World, d faultParameters) { w.interrupt(d.duration, d.fate, w.inDifferentZones) }},
-	// A controller reaches neither the key-value store nor any other host.
+	// A controller reaches neither the store nor any machine or other controller.
 	{"controller cut off", func(w *World, d faultParameters) {
 		w.interrupt(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
-	// A controller reaches everything but the key-value store.
+	// A controller reaches everything except the store.
 	{"controller cut off from the store", func(w *World, d faultParameters) {
 		w.interrupt(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
-	// The key-value store refuses every request.
+	// The store refuses every request.
 	{"store outage", func(w *World, d faultParameters) { w.store.outage(d.duration) }},
-	// The key-value store refuses one controller alone.
+	// The store refuses the requests of one controller only.
 	{"store refuses a controller", func(w *World, d faultParameters) { w.store.refuse(d.node, d.duration) }},
 	// The cloud refuses every request.
 	{"cloud outage", func(w *World, d faultParameters) {
 		w.cloud.down = true
 		w.after(d.duration, func() { w.cloud.down = false })
 	}},
-	// A machine reaches nobody and nobody reaches it.
+	// A machine reaches no other host, and no other host reaches it.
 	{"machine cut off", machineFault(func(w *World, machine *agent, d faultParameters) {
 		w.interrupt(d.duration, d.fate, fromHost(string(machine.host.ID)))
 	})},
-	// A machine stands still and goes on.
+	// A machine stops for a while and then resumes.
 	{"machine hangs", machineFault(func(_ *World, machine *agent, d faultParameters) { machine.hang(d.duration) })},
-	// A machine's worker ends with its tasks; the cloud goes on listing the machine.
+	// A machine's agent and tasks end, but the cloud still lists the machine.
 	{"machine dies", machineFault(func(w *World, machine *agent, _ faultParameters) { w.loseWorker(machine) })},
-	// Every task that starts on a machine ends with an error.
+	// Every task that starts on a machine fails.
 	{"machine fails every task", machineFault(func(_ *World, machine *agent, _ faultParameters) { machine.failsTasks = true })},
-	// A machine's reports arrive, but no answer and no order reaches it.
+	// A machine's heartbeats arrive, but no response and no command reaches the machine.
 	{"machine receives nothing", machineFault(func(w *World, machine *agent, d faultParameters) {
 		w.blockInbound(machine.host.ID, 2*d.duration, d.fate)
 	})},
-	// Copies of reports arrive late, at any controller.
-	{"copies of reports come late", func(w *World, d faultParameters) {
+	// Copies of heartbeats arrive late, at random controllers.
+	{"heartbeat copies arrive late", func(w *World, d faultParameters) {
 		w.copies = w.between(2*time.Second, 90*time.Second)
 		w.after(d.duration, func() { w.copies = 0 })
 	}},
-	// A controller reaches its workers, but neither the store nor its peers.
+	// A controller reaches agents, but neither the store nor its peers.
 	{"controller isolated", func(w *World, d faultParameters) { w.isolate(d.node, d.duration, d.fate) }},
-	// Controllers end one after the other and are back within a fraction of a second.
-	{"controllers restart at once", func(w *World, _ faultParameters) {
+	// Random controllers crash one after the other and restart within a fraction of a second.
+	{"controllers restart quickly", func(w *World, _ faultParameters) {
 		for i := range 3 {
 			w.after(time.Duration(i)*w.between(100*time.Millisecond, 2*time.Second), func() {
 				w.nodes[w.rng.IntN(len(w.nodes))].crash(w.between(10*time.Millisecond, 400*time.Millisecond))
 			})
 		}
 	}},
-	// Every answer of the key-value store takes long.
+	// Every response of the store takes long.
 	{"store slow", func(w *World, d faultParameters) {
 		w.store.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
 		w.after(d.duration, func() { w.store.slow = 0 })
 	}},
-	// The cloud takes a spot instance back, with notice.
+	// The cloud reclaims a spot instance, with notice.
 	{"spot instance reclaimed", machineFault(func(w *World, machine *agent, _ faultParameters) {
 		if machine.host.Spot {
 			machine.announcePreemption(20)
 			w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(machine.host) })
 		}
 	})},
-	// Some transactions are carried out late, after newer ones, and get no answer.
-	{"transactions late", func(w *World, d faultParameters) { w.store.delayTransactions(0.3, d.duration) }},
-	// Some transactions are carried out at once and get no answer.
-	{"answers to transactions lost", func(w *World, d faultParameters) { w.store.loseAnswers(0.3, d.duration) }},
-	// Two machines open no connection; calls reach them.
-	{"machines cannot report", func(w *World, d faultParameters) { w.blockHeartbeats(2, d.duration) }},
-	// All controllers are away for long.
+	// Some transactions are committed late, after newer ones, and get no response.
+	{"transactions committed late", func(w *World, d faultParameters) { w.store.delayTransactions(0.3, d.duration) }},
+	// Some transactions are committed at once but get no response.
+	{"transaction responses lost", func(w *World, d faultParameters) { w.store.loseAnswers(0.3, d.duration) }},
+	// Two machines open no connections, but calls reach them.
+	{"machines open no connections", func(w *World, d faultParameters) { w.blockHeartbeats(2, d.duration) }},
+	// All controllers are down for up to 45 s.
 	{"cold restart", func(w *World, d faultParameters) {
 		for _, c := range w.nodes {
 			c.crash(w.between(d.duration/2, d.duration))
 		}
 	}},
-	// All controllers end; the next leader gets copies of old reports, and some machines
-	// report late.
-	{"cold restart, copies and machines late", func(w *World, d faultParameters) {
+	// All controllers crash. Copies of old heartbeats arrive as the next leader takes over, and
+	// some machines send their heartbeats late.
+	{"cold restart with late heartbeats and copies", func(w *World, d faultParameters) {
 		for _, c := range w.nodes {
 			c.crash(w.between(time.Second, 8*time.Second))
 		}
 		w.replayHeartbeatsToNextLeader(2 * d.duration)
 		w.blockHeartbeats(2, d.duration/2)
 	}},
-	// The next leader gets copies of old reports as it begins.
-	{"copies kept for the next leader", func(w *World, d faultParameters) { w.replayHeartbeatsToNextLeader(2 * d.duration) }},
-	// Jobs are cancelled whose machines hang.
+	// Copies of old heartbeats reach every controller as the next leader takes over.
+	{"old heartbeats replayed to the next leader", func(w *World, d faultParameters) { w.replayHeartbeatsToNextLeader(2 * d.duration) }},
+	// Jobs are cancelled, and some of their machines hang.
 	{"jobs cancelled, machines hang", func(w *World, d faultParameters) { w.cancelRunningJobs(4, d.duration) }},
-	// Half of the jobs are cancelled at the moment of their end.
+	// Half of the jobs are cancelled at the moment their last task completes.
 	{"jobs cancelled at their end", func(w *World, d faultParameters) {
 		w.cancelAtEnd = 0.5
 		w.after(d.duration, func() { w.cancelAtEnd = 0 })
 	}},
-	// Users ask every node after every answer.
-	{"users ask all nodes", func(w *World, d faultParameters) {
+	// Users query every node each time they learn of a new phase of their job.
+	{"users query all nodes", func(w *World, d faultParameters) {
 		w.askAllNodes = true
 		w.after(d.duration, func() { w.askAllNodes = false })
 	}},
-	// Users repeat submissions, cancel what is over and submit what can never run.
-	{"odd requests", func(w *World, d faultParameters) { w.sendRedundantAndInvalidRequests(min(d.duration, 10*time.Second)) }},
-	// No watch of a controller is answered, while its other requests are.
+	// Users repeat submissions, cancel jobs that are over and submit jobs that can never run.
+	{"redundant and invalid requests", func(w *World, d faultParameters) { w.sendRedundantAndInvalidRequests(min(d.duration, 10*time.Second)) }},
+	// A controller's watches get no response, while its other requests do.
 	{"watches of a controller hang", func(w *World, d faultParameters) {
 		w.store.blind = d.node
 		w.after(d.duration, func() { w.store.blind = nil })
 	}},
-	// The store refuses the leader alone, jobs are cancelled, and then it refuses everybody.
-	{"the leader is refused, then all are", func(w *World, d faultParameters) {
+	// The store refuses only the leader, jobs are cancelled, and then the store refuses all nodes.
+	{"store refuses the leader, then all nodes", func(w *World, d faultParameters) {
 		if c := w.leader(); c != nil {
 			w.store.refuse(c, 3*time.Second)
 			w.cancelRunningJobs(3, 0)
@@ -153,10 +154,10 @@
 	}},
 }
 
-// randomDowntime draws how long a crashed controller is away.
+// randomDowntime returns a random time for which a crashed controller is down.
 func (w *World) randomDowntime() time.Duration { return w.between(200*time.Millisecond, 6*time.Second) }
 
-// injectFault injects one fault of a kind drawn by lot, and says which.
+// injectFault injects one fault of a random kind and returns a description of it.
 func (w *World) injectFault() string {
 	d := w.drawFaultParameters()
 	kind := faultKinds[w.rng.IntN(len(faultKinds))]
@@ -165,12 +166,12 @@
 	if d.machine != nil {
 		machine = d.machine.host.ID
 	}
-	description := fmt.Sprintf("%s (of %s or %s, %v, %v)", kind.name, d.node.name, machine, d.duration, d.fate)
+	description := fmt.Sprintf("%s (drawn: controller %s, machine %s, %v, %v)", kind.name, d.node.name, machine, d.duration, d.fate)
 	w.log.Info("fault injected", "fault", description)
 	return description
 }
 
-// drawFaultParameters draws what a fault may need: a controller, a machine, its time.
+// drawFaultParameters draws the parameters that a fault may need.
 func (w *World) drawFaultParameters() faultParameters {
 	d := faultParameters{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
 	for _, agent := range w.workersInOrder() {
@@ -182,7 +183,7 @@
 	return d
 }
 
-// announcePreemption has a machine report that it is taken away after some seconds.
+// announcePreemption has a machine report that it will be preempted after some seconds.
 func (a *agent) announcePreemption(seconds float64) {
 	a.noticeS = &seconds
 	a.noteChange()
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -12,7 +12,9 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// finishAndCheck lets a day come to its end and checks whom it served.
+// finishAndCheck runs the world until all jobs are over, for at most limit. It checks that at least
+// half of the jobs of every class and team were done, that the largest jobs started in time and that
+// no rule was broken.
 func (w *World) finishAndCheck(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
@@ -21,13 +23,13 @@
 	w.checkServed(largestStartWithin)
 	w.expectRulesHeld(t)
 	if !over(w.users...) {
-		t.Errorf("not all is over within %v", limit)
+		t.Errorf("not all jobs are over within %v", limit)
 	}
 }
 
-// TestMachineThatReceivesNothingIsDeleted: a machine whose reports arrive, but which no answer and no
-// order reaches, keeps neither a gang nor a cancellation waiting. Its lease
-// runs out again and again; it is noticed, takes no work and is returned.
+// TestMachineThatReceivesNothingIsDeleted: a machine's heartbeats arrive, but no response and no
+// command reaches the machine, so that its lease expires again and again. The leader must notice
+// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may be delayed.
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
@@ -35,7 +37,7 @@
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
 				shape := Small()
-				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
+				shape.Machines, shape.Capacity = 2, 3 // one per zone, and one more that can be created
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
 				zone := w.zoneOf[string(id)]
@@ -53,9 +55,9 @@
 				u := w.submit(arrival{job: wholeMachine, run: 15})
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
-				t.Logf("done after %v", took)
+				t.Logf("gang done after %v", took)
 				if w.agents[id] != nil {
-					t.Error("the machine that receives nothing is still rented")
+					t.Error("the machine that receives nothing is not deleted")
 				}
 				w.Run(secs(w.shape.Agents.CancelS))
 				w.expectRulesHeld(t)
@@ -64,8 +66,9 @@
 	}
 }
 
-// TestGangMovesOffMachineThatReceivesNothing: work on a not receiving machine is given back by its own
-// newer session or its deletion, and a job that waits is started elsewhere.
+// TestGangMovesOffMachineThatReceivesNothing: the attempts on a machine that receives nothing are
+// released when the machine reports a newer incarnation or is deleted. The gang, which waits for this,
+// must then start on other machines.
 func TestGangMovesOffMachineThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	w := startWorld(22, Small(), 6*time.Second)
@@ -77,16 +80,16 @@
 	w.blockInbound(id, 400*time.Second, packetsLost)
 	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
-	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
+	took := w.waitFor(t, 60*time.Second, "run-000001 runs on another machine", func() bool {
 		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
 	})
-	t.Logf("repaired %v after the lease ran out", took)
+	t.Logf("the gang runs again %v after the agent lease expired", took)
 	w.waitUntilOver(t, 120*time.Second, u)
 	w.expectRulesHeld(t)
 }
 
-// TestLateHeartbeatCopiesBreakNoRule: copies of reports, late by up to four leases, reach every
-// controller while leaders change and machines are lost and returned.
+// TestLateHeartbeatCopiesBreakNoRule: copies of heartbeats, up to four agent leases late, reach
+// random controllers while leaders change and machines are lost and deleted.
 func TestLateHeartbeatCopiesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
@@ -103,15 +106,16 @@
 		}
 	}
 
-	w.waitFor(t, 500*time.Second, "all is over", func() bool {
+	w.waitFor(t, 500*time.Second, "all jobs are over", func() bool {
 		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.mistaken })
 	})
 	w.expectRulesHeld(t)
 }
 
-// TestHeartbeatCopyDoesNotReviveDeletedMachine: a copy of a report of a machine that was returned
-// under an earlier leader is no sign of life to a later one: it gets no order
-// that means anything, no record, no work, and does not keep the name alive.
+// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine that
+// was deleted under an earlier leader. The current leader must not take the copy as proof that the
+// machine is up: it may respond with stop commands only, and it neither records the machine, nor
+// places work on it, nor keeps its ID in use.
 func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, Small(), 6*time.Second)
@@ -119,7 +123,7 @@
 	agent := w.workerOf("run-000001", 0)
 	oldHeartbeat := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
-	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.agents[agent.host.ID] == nil })
+	w.waitFor(t, 300*time.Second, "the machine is deleted", func() bool { return w.agents[agent.host.ID] == nil })
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
@@ -135,13 +139,13 @@
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
 	if n := len(w.cloud.rented) - rented; n > 2 {
-		t.Errorf("%d rentals", n)
+		t.Errorf("%d requests to create machines, want at most 2", n)
 	}
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStopCommands shows a node a copy of a report and checks that its answer orders nothing
-// but stops.
+// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response contains
+// no commands except stops.
 func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
 	r, err := protocol.ParseHeartbeat(heartbeatCopy)
@@ -155,31 +159,32 @@
 		}
 		for _, o := range a.Commands {
 			if o.Kind != protocol.CommandStop {
-				t.Errorf("%s answers the copy with %s", c.name, o.Kind)
+				t.Errorf("%s responds to the copy with the command %s", c.name, o.Kind)
 			}
 		}
 	})
 }
 
-// expectNoMachineRecord checks that no record of machines names one.
+// expectNoMachineRecord checks that no machine record in the store contains a machine.
 func (w *World) expectNoMachineRecord(t *testing.T, id protocol.MachineID) {
 	t.Helper()
 	for key, e := range w.store.keys {
 		if strings.HasPrefix(key, storage.MachineRecordPrefix) && containsMachine(e.Value, id) {
-			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
+			t.Errorf("%s still contains the deleted machine: %s", key, e.Value)
 		}
 	}
 }
 
-// containsMachine says whether a record of machines names one.
+// containsMachine reports whether an encoded machine record contains a machine.
 func containsMachine(value []byte, id protocol.MachineID) bool {
 	var record storage.MachineRecord
 	decode(value, &record)
 	return slices.ContainsFunc(record.Machines, func(m storage.MachineEntry) bool { return m.ID == id })
 }
 
-// TestHeartbeatCopyOfDeadMachineGetsNoWork: a machine dies with its leader, and the next leader's
-// first sign of it is a late duplicate of an old report. It gets no work.
+// TestHeartbeatCopyOfDeadMachineGetsNoWork: a machine and the leader fail together, and the first
+// heartbeat of the machine that the next leader gets is a late copy of an old one. The leader must
+// place no work on the machine.
 func TestHeartbeatCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
 	w := startWorld(26, Small(), 6*time.Second)
@@ -194,14 +199,15 @@
 	w.Run(4 * time.Second)
 	w.deliverCopy(w.leader(), oldHeartbeat)
 
-	// Its image is there, so it would be the first choice.
+	// The machine has the image, so the scheduler would prefer it.
 	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.expectRulesHeld(t)
 }
 
-// TestIsolatedLeaderRefusesUsersAndAgents: a leader without the key-value store and the other
-// controllers, but with its workers, stops answering them within its bound and
-// sends them away; users who ask it are told at once to come back elsewhere.
+// TestIsolatedLeaderRefusesUsersAndAgents: a leader is cut off from the store and the other
+// controllers but still reaches its agents. It must respond to users at once with 503, so that they
+// go to another node. It must stop accepting heartbeats when its authority ends, and send the agents
+// to another node.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
@@ -213,7 +219,7 @@
 
 			w.isolate(c, 100*time.Second, fate)
 
-			w.waitFor(t, 10*time.Second, "another leads", func() bool {
+			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
 				return slices.ContainsFunc(w.others(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
@@ -224,40 +230,41 @@
 	}
 }
 
-// expectRefusals checks that an isolated leader refuses users at once, and once its
-// authority is over its workers.
+// expectRefusals checks that an isolated leader refuses users at once, and agents when its authority
+// has ended.
 func (w *World) expectRefusals(t *testing.T, c *controller) {
 	t.Helper()
 	w.Run(8 * time.Second)
 	if c.node.Ready() {
-		t.Error("the isolated node says it is ready")
+		t.Error("the isolated node reports that it is ready")
 	}
 	status, askedAt := 0, w.Now
 	recordStatus := func(s int, _ []byte) { status = s }
 	c.ask(statusQuery("run-000001"), recordStatus)
-	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
+	w.waitFor(t, 200*time.Millisecond, "the user gets a response", func() bool { return status != 0 })
 	if status != 503 {
-		t.Errorf("answered %d after %v", status, w.Now.Sub(askedAt))
+		t.Errorf("the user gets status %d after %v, want 503", status, w.Now.Sub(askedAt))
 	}
 	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
-		t.Error("it still leads")
+		t.Error("the isolated node still leads")
 	}
 	status = 0
 	report := w.workerOf("run-000001", 0).heartbeat()
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
-	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
+	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
 }
 
-// TestLeaderIsElectedInTimeAfterRapidRestarts: processes that are back within a fraction of a second, in the
-// middle of an election, of a transaction, and several at once.
+// TestLeaderIsElectedInTimeAfterRapidRestarts: controllers crash during elections and transactions,
+// also several at once, and restart within a fraction of a second. Afterwards a leader must be
+// elected within 6 s.
 func TestLeaderIsElectedInTimeAfterRapidRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(30+seed, logs())
-			w.copies = 5 * time.Second // reports of their former lives come late
+			w.copies = 5 * time.Second // heartbeats from before a restart also arrive late
 			w.Run(5 * time.Second)
 			for i := range 8 {
 				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
@@ -268,7 +275,7 @@
 			w.faultsOver = w.Now
 
 			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
-				t.Errorf("a leader after %v", took)
+				t.Errorf("a leader is elected only after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
 			w.checkServed(largestStartWithin)
@@ -277,8 +284,8 @@
 	}
 }
 
-// restartRepeatedly ends leaders in the middle of transactions and other nodes in the middle of
-// elections; all are back within a fraction of a second.
+// restartRepeatedly crashes leaders during transactions and other nodes during elections. All
+// restart within a fraction of a second.
 func (w *World) restartRepeatedly(rounds int) {
 	for i := range rounds {
 		if c := w.leader(); c != nil && i%3 == 0 {
@@ -292,8 +299,9 @@
 	}
 }
 
-// TestLargestGangsStartAfterLossOfThirdOfMachines: a third of a thousand machines dies at once while a burst of
-// gangs comes; the largest gangs begin in time, nobody starves.
+// TestLargestGangsStartAfterLossOfThirdOfMachines: in a deployment for a thousand machines, a third of
+// the machines fails at once while a burst of gangs arrives. The largest gangs must start in time,
+// and no class or team may starve.
 func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(3, logs(), thousandMachines())
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -22,28 +22,28 @@
 
 const fingerprintsFile = "testdata/fingerprints.txt"
 
-// fingerprint is a hash over every action of every controller in order, in the form in
-// which it leaves the process: no type, field or package of the program has a part in it.
+// fingerprint hashes every action of every controller, in order. Each action is hashed in the form in
+// which it leaves the process, so that no type, field or package of the program affects the hash.
 type fingerprint struct {
 	w       *World
 	hash    hash.Hash
 	actions int
-	trace   io.Writer // a readable copy, nil for none
+	trace   io.Writer // gets the actions in readable form, nil for none
 }
 
-// attach has a fingerprint made of what the controllers of a world do from now on.
+// attach makes f record the actions of a world's controllers from now on, and returns the world.
 func (f *fingerprint) attach(w *World) *World {
 	f.w, f.hash = w, sha256.New()
 	w.recorder = f.record
 	return w
 }
 
-// sum is the hash in hexadecimal and the number of actions.
+// sum returns the first 16 bytes of the hash in hexadecimal, and the number of actions.
 func (f *fingerprint) sum() string {
 	return fmt.Sprintf("%s %d", hex.EncodeToString(f.hash.Sum(nil)[:16]), f.actions)
 }
 
-// record adds an action.
+// record adds an action of a controller.
 func (f *fingerprint) record(controller string, action coordination.Action) {
 	switch a := action.(type) {
 	case coordination.Request:
@@ -55,11 +55,12 @@
 	case coordination.PeerLinkReset:
 		f.add(controller, "reset", string(a.Peer))
 	default:
-		panic("an action that fingerprints do not know")
+		panic("fingerprint: unknown type of action")
 	}
 }
 
-// targetName names an outside system, and the connection kept for the leader lease.
+// targetName returns the name of an external system in the hash. The separate connection to the store
+// for the leader lease has its own name.
 func targetName(to coordination.Target) string {
 	switch to {
 	case coordination.ToStore:
@@ -71,10 +72,11 @@
 	case coordination.ToAgent:
 		return "worker"
 	}
-	panic("a target that fingerprints do not know")
+	panic("fingerprint: unknown target")
 }
 
-// add hashes the parts of an action, each with its length before it.
+// add hashes an action: the time, the controller, the kind and the parts. The length of each string
+// is hashed before the string.
 func (f *fingerprint) add(controller, kind string, parts ...any) {
 	f.actions++
 	f.addNumber(uint64(f.w.Now.UnixNano()))
@@ -93,7 +95,7 @@
 		case time.Duration:
 			f.addNumber(uint64(p))
 		default:
-			panic("a part that fingerprints do not know")
+			panic("fingerprint: unknown type of part")
 		}
 	}
 	if f.trace != nil {
@@ -101,7 +103,7 @@
 	}
 }
 
-// readable shows the parts of an action on one line.
+// readable formats the parts of an action on one line.
 func readable(parts []any) string {
 	var out strings.Builder
 	for _, part := range parts {
@@ -126,19 +128,19 @@
 	f.hash.Write(b)
 }
 
-// fingerprintScenario is a kind of day that fingerprints are taken of.
+// fingerprintScenario is a kind of run of which fingerprints are taken.
 type fingerprintScenario struct {
 	name  string
-	seeds int // that the golden file has, from 0 on
+	seeds int // the golden file has the seeds from 0 to seeds-1
 	run   func(seed uint64, f *fingerprint)
 }
 
-// randomFaultsScenario is a random day of a shape.
+// randomFaultsScenario returns a run with random faults in a deployment of a shape.
 func randomFaultsScenario(shape Shape) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) { f.attach(NewShaped(seed, logs(), shape)).playDay() }
 }
 
-// fingerprintScenarios are shapes and events that between them reach all that a controller does.
+// fingerprintScenarios returns scenarios that together exercise everything that a controller does.
 func fingerprintScenarios() []fingerprintScenario {
 	recoveringTiny, slow := tiny(), Small()
 	recoveringTiny.Recovery, slow.Slow = true, true
@@ -161,7 +163,8 @@
 	}
 }
 
-// runWithRandomFaults injects faults of kinds drawn by lot for a while.
+// runWithRandomFaults runs the world and injects count random faults, one per interval. It runs for
+// 40 s more before the faults count as over, and then repairs machines on which every task fails.
 func (w *World) runWithRandomFaults(interval time.Duration, count int) {
 	w.every(interval, count, func(int) { w.injectFault() })
 	w.Run(time.Duration(count) * interval)
@@ -170,7 +173,8 @@
 	w.healWorkers()
 }
 
-// slowCrowdScenario is a crowd of jobs and questions at controllers that take time for all.
+// slowCrowdScenario submits many jobs and status queries to slow controllers, which take time for
+// each step.
 func slowCrowdScenario(seed uint64, f *fingerprint) {
 	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
@@ -186,16 +190,16 @@
 	w.Run(60 * time.Second)
 }
 
-// upgradeScenario is a day of TestUpgrade: from 0.2, 0.3 or both; the limits are lowered after.
-// Only the first seed is without other faults.
+// upgradeScenario returns a run of TestUpgrade: an upgrade from release 0.2, 0.3 or both, after which
+// the store's limits are lowered. Only the first seed injects no other faults.
 func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
 		f.attach(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsScenario has the limits fall far in one of the ways of TestLimitsLoweredFar, with
-// other faults after.
+// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFar, and
+// then injects other faults.
 func loweredLimitsScenario(seed uint64, f *fingerprint) {
 	c := lowerings[seed%uint64(len(lowerings))]
 	w := f.attach(c.newWorld(seed))
@@ -206,8 +210,8 @@
 	w.Run(60 * time.Second)
 }
 
-// servicesScenario has services beside other work, one of the faults of TestServicesServeThroughFaults and others
-// after.
+// servicesScenario runs services in addition to other jobs, with one of the faults of
+// TestServicesServeThroughFaults and then random faults.
 func servicesScenario(seed uint64, f *fingerprint) {
 	w := f.attach(New(seed, logs()))
 	w.Run(6 * time.Second)
@@ -226,7 +230,7 @@
 	w.Run(60 * time.Second)
 }
 
-// coldRestartScenario loses all controllers of a hundred and twenty machines in the middle of work.
+// coldRestartScenario crashes all controllers of a deployment of 120 machines while jobs run.
 func coldRestartScenario(seed uint64, f *fingerprint) {
 	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, Equal: seed%3 == 0}
 	w := f.attach(newWorld(seed, logs(), c.Shape(), nil))
@@ -235,7 +239,7 @@
 	}
 }
 
-// restoredStoreScenario has the key-value store come back without its newest records while no
+// restoredStoreScenario restores the store from a backup, without its newest records, while no
 // controller is up.
 func restoredStoreScenario(seed uint64, f *fingerprint) {
 	shape := Small()
@@ -258,7 +262,7 @@
 	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// malformedRecordsScenario has new leaders find records that make no sense.
+// malformedRecordsScenario makes new leaders read malformed records.
 func malformedRecordsScenario(seed uint64, f *fingerprint) {
 	shape := Small()
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
@@ -278,8 +282,8 @@
 	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// largeClusterScenario is a day of some three hundred machines with random faults, the loss of a zone
-// and of all controllers.
+// largeClusterScenario runs a deployment of about three hundred machines in which a zone is cut off,
+// machines die, all controllers crash and random faults follow.
 func largeClusterScenario(seed uint64, f *fingerprint) {
 	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
@@ -295,7 +299,8 @@
 	w.runWithRandomFaults(8*time.Second, 6)
 }
 
-// fingerprintOf plays a day; FINGERPRINT_TRACE names a directory for readable copies.
+// fingerprintOf runs a scenario with a seed and returns the fingerprint. If the environment variable
+// FINGERPRINT_TRACE names a directory, the actions are also written there in readable form.
 func fingerprintOf(t *testing.T, scenario fingerprintScenario, seed uint64) string {
 	f := &fingerprint{}
 	if dir := os.Getenv("FINGERPRINT_TRACE"); dir != "" {
@@ -312,16 +317,16 @@
 	return f.sum()
 }
 
-// TestFingerprints: the same seed makes every controller do the same at the same moment, to
-// the byte, in every process and in every version of the program that is to behave the
-// same. A change of a hash is a change of behaviour: -update writes the golden file anew.
-// FINGERPRINT_SEEDS=a-b prints the hashes of other seeds instead, without comparing.
+// TestFingerprints: with the same seed, every controller must do the same at the same time, byte for
+// byte, in every process and in every version of the program that is meant to behave the same. A hash
+// that changes means that the behaviour has changed; -update rewrites the golden file. With
+// FINGERPRINT_SEEDS=a-b, the test prints the hashes of these seeds instead and compares nothing.
 func TestFingerprints(t *testing.T) {
 	var first, last uint64
 	seedRange := os.Getenv("FINGERPRINT_SEEDS")
 	if seedRange != "" {
 		if n, err := fmt.Sscanf(seedRange, "%d-%d", &first, &last); n != 2 || err != nil || last < first {
-			t.Fatalf("FINGERPRINT_SEEDS=%s: not of the form a-b", seedRange)
+			t.Fatalf("FINGERPRINT_SEEDS=%s: want a range a-b with a <= b", seedRange)
 		}
 	}
 	expected := readFingerprints(t)
@@ -343,7 +348,7 @@
 				computed[name] = sum
 				lock.Unlock()
 				if seedRange == "" && !golden.Updating() && sum != expected[name] {
-					t.Errorf("%s, in the golden file %q", sum, expected[name])
+					t.Errorf("the fingerprint is %s, the golden file has %q", sum, expected[name])
 				}
 			})
 		}
@@ -355,7 +360,7 @@
 				fmt.Println("fingerprint", name, computed[name])
 			}
 		case golden.Updating() && len(computed) < len(names):
-			t.Errorf("%d of %d fingerprints were taken: the golden file stays as it was", len(computed), len(names))
+			t.Errorf("only %d of %d fingerprints were taken: the golden file is not rewritten", len(computed), len(names))
 		case golden.Updating():
 			writeFingerprints(t, names, computed)
 		case len(expected) != len(names):
@@ -364,7 +369,7 @@
 	})
 }
 
-// readFingerprints reads the golden file.
+// readFingerprints returns the fingerprints in the golden file by scenario and seed.
 func readFingerprints(t *testing.T) map[string]string {
 	t.Helper()
 	expected := map[string]string{}
@@ -375,7 +380,7 @@
 	return expected
 }
 
-// writeFingerprints writes the golden file anew.
+// writeFingerprints rewrites the golden file with the fingerprints in the order of names.
 func writeFingerprints(t *testing.T, names []string, computed map[string]string) {
 	t.Helper()
 	var out strings.Builder
