--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -274,9 +274,9 @@
 
 // TestFaultCombinations runs every combination of faults with a few seeds and with jobs of every
 // shape. With even seeds the agents send their heartbeats to the leader. With odd seeds the leader
-// has CPU time for few of them, so most come through the other controllers. All rules are checked
-// at every step. After the faults no job may be forgotten or wait although there is free capacity
-// for it, and all jobs must end.
+// has CPU time for few of them, so most go through the other controllers. All rules are checked at
+// every step. After the faults, no job may be forgotten or wait although there is free capacity for
+// it, and all jobs must end.
 func TestFaultCombinations(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(6)
@@ -297,7 +297,7 @@
 				}
 				cancelledStarts += c.run(t, 500+seed, shape)
 			}
-			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start command may be in flight at any time
+			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start may be in flight
 				t.Errorf("%d starts of tasks after their cancellation was confirmed", cancelledStarts)
 			}
 		})
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// sendRedundantAndInvalidRequests has users repeat submissions, cancel jobs that are over and submit
-// jobs that can never run.
+// sendRedundantAndInvalidRequests has users repeat submissions, cancel jobs that are over and
+// submit jobs that can never run.
 func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
 	const interval = 500 * time.Millisecond
 	w.every(interval, int(d/interval), func(int) {
@@ -153,8 +153,8 @@
 }
 
 // waitsDespiteCapacity reports whether an accepted job waits although it could be placed: a zone
-// has free capacity for at least one of its unplaced tasks, or for all tasks of a gang, and the team
-// stays within its limit.
+// has free capacity for at least one of its unplaced tasks, or for all tasks of a gang, and the
+// team would stay within its limit.
 func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
 	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
@@ -216,7 +216,7 @@
 	return fit
 }
 
-// every calls do several times at a fixed interval, for the first time at once.
+// every calls do several times at a fixed interval, the first time at once.
 func (w *World) every(interval time.Duration, times int, do func(i int)) {
 	for i := range times {
 		w.after(time.Duration(i)*interval, func() { do(i) })
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -7,7 +7,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// faultParameters are the randomly drawn parameters of a fault. Each kind of fault uses some of them.
+// faultParameters are the randomly drawn parameters of a fault. Each kind uses some of them.
 type faultParameters struct {
 	node     *controller
 	machine  *agent // nil if no machine is up
@@ -15,7 +15,7 @@
 	fate     packetFate // of packets in a partition
 }
 
-// faultKind is a kind of fault that runs with random faults inject.
+// faultKind is a kind of fault that a run with random faults can inject.
 type faultKind struct {
 	name   string
 	inject func(w *World, d faultParameters)
@@ -34,7 +34,7 @@
 // faultKinds are all kinds of faults, which are equally likely. Their order and number determine
 // which faults a seed draws, so a new kind changes every run with random faults.
 var faultKinds = []faultKind{
-	// A controller's process crashes without a signal and restarts within seconds.
+	// A controller's process crashes without a shutdown signal and restarts within seconds.
 	{"controller crashes", func(w *World, d faultParameters) { d.node.crash(w.randomDowntime()) }},
 	// All controllers crash at once and restart one after the other.
 	{"all controllers crash", func(w *World, _ faultParameters) {
@@ -65,7 +65,7 @@
 	{"machine cut off", machineFault(func(w *World, machine *agent, d faultParameters) {
 		w.interrupt(d.duration, d.fate, fromHost(string(machine.host.ID)))
 	})},
-	// A machine stops for a while and then resumes.
+	// A machine hangs for a while and then resumes.
 	{"machine hangs", machineFault(func(_ *World, machine *agent, d faultParameters) { machine.hang(d.duration) })},
 	// A machine's agent and tasks end, but the cloud still lists the machine.
 	{"machine dies", machineFault(func(w *World, machine *agent, _ faultParameters) { w.loseWorker(machine) })},
@@ -108,7 +108,7 @@
 	{"transaction responses lost", func(w *World, d faultParameters) { w.store.loseAnswers(0.3, d.duration) }},
 	// Two machines open no connections, but calls reach them.
 	{"machines open no connections", func(w *World, d faultParameters) { w.blockHeartbeats(2, d.duration) }},
-	// All controllers are down for up to 45 s.
+	// All controllers are down for a long time, up to 45 s.
 	{"cold restart", func(w *World, d faultParameters) {
 		for _, c := range w.nodes {
 			c.crash(w.between(d.duration/2, d.duration))
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -29,7 +29,8 @@
 
 // TestMachineThatReceivesNothingIsDeleted: a machine's heartbeats arrive, but no response and no
 // command reaches the machine, so that its lease expires again and again. The leader must notice
-// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may be delayed.
+// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may have to
+// wait for the machine.
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
@@ -67,8 +68,8 @@
 }
 
 // TestGangMovesOffMachineThatReceivesNothing: the attempts on a machine that receives nothing are
-// released when the machine reports a newer incarnation or is deleted. The gang, which waits for this,
-// must then start on other machines.
+// released when the machine reports a newer incarnation or is deleted. The gang, which waits for
+// this, must then start on other machines.
 func TestGangMovesOffMachineThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	w := startWorld(22, Small(), 6*time.Second)
@@ -299,9 +300,9 @@
 	}
 }
 
-// TestLargestGangsStartAfterLossOfThirdOfMachines: in a deployment for a thousand machines, a third of
-// the machines fails at once while a burst of gangs arrives. The largest gangs must start in time,
-// and no class or team may starve.
+// TestLargestGangsStartAfterLossOfThirdOfMachines: in a deployment for a thousand machines, a third
+// of the machines fails at once while a burst of gangs arrives. The largest gangs must start in
+// time, and no class or team may starve.
 func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
 	w := NewShaped(3, logs(), thousandMachines())
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -22,8 +22,8 @@
 
 const fingerprintsFile = "testdata/fingerprints.txt"
 
-// fingerprint hashes every action of every controller, in order. Each action is hashed in the form in
-// which it leaves the process, so that no type, field or package of the program affects the hash.
+// fingerprint hashes every action of every controller, in order. Each action is hashed in the form
+// in which it leaves the process, so that no type, field or package of the program affects the hash.
 type fingerprint struct {
 	w       *World
 	hash    hash.Hash
@@ -59,8 +59,8 @@
 	}
 }
 
-// targetName returns the name of an external system in the hash. The separate connection to the store
-// for the leader lease has its own name.
+// targetName returns the name of an external system in the hash. The separate connection to the
+// store for the leader lease has its own name.
 func targetName(to coordination.Target) string {
 	switch to {
 	case coordination.ToStore:
@@ -190,16 +190,16 @@
 	w.Run(60 * time.Second)
 }
 
-// upgradeScenario returns a run of TestUpgrade: an upgrade from release 0.2, 0.3 or both, after which
-// the store's limits are lowered. Only the first seed injects no other faults.
+// upgradeScenario returns a run of TestUpgrade: an upgrade from release 0.2, 0.3 or both, after
+// which the store's limits are lowered. Only the first seed injects no other faults.
 func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
 		f.attach(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFar, and
-// then injects other faults.
+// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFar,
+// and then injects other faults.
 func loweredLimitsScenario(seed uint64, f *fingerprint) {
 	c := lowerings[seed%uint64(len(lowerings))]
 	w := f.attach(c.newWorld(seed))
@@ -318,8 +318,8 @@
 }
 
 // TestFingerprints: with the same seed, every controller must do the same at the same time, byte for
-// byte, in every process and in every version of the program that is meant to behave the same. A hash
-// that changes means that the behaviour has changed; -update rewrites the golden file. With
+// byte, in every process and in every version of the program that is meant to behave the same. A
+// changed hash means that the behaviour has changed; -update rewrites the golden file. With
 // FINGERPRINT_SEEDS=a-b, the test prints the hashes of these seeds instead and compares nothing.
 func TestFingerprints(t *testing.T) {
 	var first, last uint64
