--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := logger(os.Getenv("LOG_LEVEL"))
+	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
@@ -89,20 +89,20 @@
 	if mb := cfg.Cluster.Process.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * tuning.GCMemoryShare * (1 << 20)))
 	}
-	seed, bootID, err := newBoot()
+	seed, bootID, err := newBootIdentity()
 	if err != nil {
 		return err
 	}
-	warnOfObjectives(log, cfg)
+	warnUnknownObjectives(log, cfg)
 	node := coordination.New(cfg, log, seed, bootID)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log.Info("serving", "node", cfg.Name, "listen", cfg.Listen, "version", version)
-	return transport.NewOwner(cfg, log, node).Run(ctx)
+	return transport.NewController(cfg, log, node).Run(ctx)
 }
 
-// newBoot makes the seed of a controller's random numbers and the name of this life of it.
-func newBoot() (seed uint64, id string, err error) {
+// newBootIdentity makes the seed of a controller's random numbers and the name of this life of it.
+func newBootIdentity() (seed uint64, id string, err error) {
 	var random [16]byte
 	if _, err := crand.Read(random[:]); err != nil {
 		return 0, "", fmt.Errorf("read random numbers: %w", err)
@@ -110,15 +110,15 @@
 	return binary.LittleEndian.Uint64(random[8:]), hex.EncodeToString(random[:8]), nil
 }
 
-// warnOfObjectives names the objectives that have no effect.
-func warnOfObjectives(log *slog.Logger, cfg *config.Config) {
+// warnUnknownObjectives names the objectives that have no effect.
+func warnUnknownObjectives(log *slog.Logger, cfg *config.Config) {
 	if kinds := cfg.Cluster.UnknownObjectives(); len(kinds) > 0 {
 		log.Warn("objectives of unknown kinds are ignored", "kinds", kinds)
 	}
 }
 
-// logger writes to standard error, to the extent that the level gives.
-func logger(level string) (*slog.Logger, error) {
+// newLogger writes to standard error, to the extent that the level gives.
+func newLogger(level string) (*slog.Logger, error) {
 	l := slog.LevelInfo
 	switch level {
 	case "", "info":
--- a/cmd/recoverybench/main.go
+++ b/cmd/recoverybench/main.go
@@ -37,8 +37,8 @@
 	Result   simulation.ColdResult
 }
 
-// plan is what all commands play.
-type plan struct {
+// measurementOptions is what all commands play.
+type measurementOptions struct {
 	Machines []int         `default:"50,100,200" help:"Numbers of machines."`
 	Runs     int           `default:"3" help:"Runs of each, with seeds from 1 on."`
 	Before   time.Duration `default:"20s" help:"From the first job to the loss."`
@@ -48,12 +48,12 @@
 }
 
 // coldRestart is the cold restart of so many machines.
-func (p *plan) coldRestart(machines int, recovery bool) simulation.ColdRestart {
+func (p *measurementOptions) coldRestart(machines int, recovery bool) simulation.ColdRestart {
 	return simulation.ColdRestart{Machines: machines, Before: p.Before, Away: p.Away, After: p.After, Recovery: recovery}
 }
 
-// record appends a measurement to the file.
-func (p *plan) record(m Measurement) error {
+// appendMeasurement appends a measurement to the file.
+func (p *measurementOptions) appendMeasurement(m Measurement) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 	kindSimulated = "simulated"
 )
 
-// each plays all sizes as often as the plan has it.
-func (p *plan) each(play func(machines, run int) error) error {
+// forEachRun plays all sizes as often as the plan has it.
+func (p *measurementOptions) forEachRun(play func(machines, run int) error) error {
 	for _, machines := range p.Machines {
 		for run := 1; run <= p.Runs; run++ {
 			if err := play(machines, run); err != nil {
@@ -89,7 +89,7 @@
 }
 
 type loopbackCommand struct {
-	plan
+	measurementOptions
 	Program []string `required:"" placeholder:"NAME=COMMAND" help:"A program to measure with its arguments, as often as there are; played in turn."`
 }
 
@@ -99,13 +99,13 @@
 	if err != nil {
 		return err
 	}
-	return c.each(func(machines, run int) error {
+	return c.forEachRun(func(machines, run int) error {
 		for _, p := range programs {
 			result, err := measureProcesses(c.coldRestart(machines, false), uint64(run), p.command)
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.name, err)
 			}
-			if err := c.record(Measurement{p.name, kindLoopback, machines, run, result}); err != nil {
+			if err := c.appendMeasurement(Measurement{p.name, kindLoopback, machines, run, result}); err != nil {
 				return err
 			}
 		}
@@ -132,18 +132,18 @@
 }
 
 type simulatedCommand struct {
-	plan
+	measurementOptions
 	Name     string `required:"" help:"The name to give to this program."`
 	Recovery bool   `help:"Have recoveries followed."`
 }
 
 // Run measures this program's state machine.
 func (c *simulatedCommand) Run() error {
-	return c.each(func(machines, run int) error {
+	return c.forEachRun(func(machines, run int) error {
 		result, err := c.coldRestart(machines, c.Recovery).Simulate(uint64(run))
 		if err != nil {
 			return err
 		}
-		return c.record(Measurement{c.Name, kindSimulated, machines, run, result})
+		return c.appendMeasurement(Measurement{c.Name, kindSimulated, machines, run, result})
 	})
 }
--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// processes are controllers that are processes of a program.
-type processes struct {
+// processControllers are controllers that are processes of a program.
+type processControllers struct {
 	command []string // the program and its arguments beyond the settings
 	dir     string
 	running []*exec.Cmd
@@ -24,13 +24,13 @@
 		return simulation.ColdResult{}, err
 	}
 	defer os.RemoveAll(dir)
-	p := &processes{command: command, dir: dir}
+	p := &processControllers{command: command, dir: dir}
 	defer p.Kill()
-	return c.RunLive(seed, p)
+	return c.RunOnLoopback(seed, p)
 }
 
 // Start implements simulation.Controllers.
-func (p *processes) Start(v *simulation.Live) error {
+func (p *processControllers) Start(v *simulation.Loopback) error {
 	for i := range v.Controllers() {
 		settings, err := toml.Marshal(v.Config(i))
 		if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // Kill implements simulation.Controllers.
-func (p *processes) Kill() {
+func (p *processControllers) Kill() {
 	for _, cmd := range p.running {
 		cmd.Process.Kill() // it may have ended by itself
 	}
--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -132,7 +132,7 @@
 // figure is one quantity over the number of machines.
 type figure struct {
 	title, unit string
-	of          func(r row) float64
+	value       func(r row) float64
 }
 
 var figures = []figure{
@@ -155,7 +155,7 @@
 		if bySource[r.Source] == nil {
 			sources = append(sources, r.Source)
 		}
-		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.of(r)})
+		bySource[r.Source] = append(bySource[r.Source], plotter.XY{X: float64(r.Machines), Y: f.value(r)})
 	}
 	slices.Sort(sources)
 	var lines []any
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,8 +13,8 @@
 // The least limits of the store that the records keep within: the
 // description of a job in one value, the parts of a record in one transaction.
 const (
-	leastValueKB = 2.0
-	leastTxnOps  = 4
+	minValueKB = 2.0
+	minTxnOps  = 4
 )
 
 // Problems that several settings may have.
@@ -28,8 +28,8 @@
 // checker collects what is wrong with the settings.
 type checker struct{ problems []error }
 
-// add notes a problem of a setting that is there.
-func (c *checker) add(key string, value any, problem string) {
+// addProblem notes a problem of a setting that is there.
+func (c *checker) addProblem(key string, value any, problem string) {
 	text := fmt.Sprint(value)
 	if reflect.ValueOf(value).Kind() == reflect.String {
 		text = fmt.Sprintf("%q", value)
@@ -54,23 +54,23 @@
 func (c *checker) address(key, a string) {
 	_, port, err := net.SplitHostPort(a)
 	if err != nil {
-		c.add(key, a, "is not host:port")
+		c.addProblem(key, a, "is not host:port")
 		return
 	}
 	if p, err := strconv.Atoi(port); err != nil || p < 0 || p > 65535 {
-		c.add(key, a, "has no valid port")
+		c.addProblem(key, a, "has no valid port")
 	}
 }
 
 func (c *checker) positive(key string, v float64) {
 	if !(v > 0) || math.IsInf(v, 0) {
-		c.add(key, v, "must be above 0")
+		c.addProblem(key, v, "must be above 0")
 	}
 }
 
-func (c *checker) amount(key string, v float64) {
+func (c *checker) nonNegative(key string, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
-		c.add(key, v, problemNegative)
+		c.addProblem(key, v, problemNegative)
 	}
 }
 
@@ -79,13 +79,13 @@
 	seen := map[protocol.TeamName]bool{}
 	for i, t := range teams {
 		if t.Name == "" || seen[t.Name] {
-			c.add(fmt.Sprintf("cluster.teams[%d].name", i), t.Name, problemNotUnique)
+			c.addProblem(fmt.Sprintf("cluster.teams[%d].name", i), t.Name, problemNotUnique)
 		}
 		seen[t.Name] = true
-		c.amount("cluster.teams["+string(t.Name)+"].cpus", t.CPUs)
-		c.amount("cluster.teams["+string(t.Name)+"].cpus_max", t.MaxCPUs)
-		c.amount("cluster.teams["+string(t.Name)+"].gpus", t.GPUs)
-		c.amount("cluster.teams["+string(t.Name)+"].gpus_max", t.MaxGPUs)
+		c.nonNegative("cluster.teams["+string(t.Name)+"].cpus", t.CPUs)
+		c.nonNegative("cluster.teams["+string(t.Name)+"].cpus_max", t.MaxCPUs)
+		c.nonNegative("cluster.teams["+string(t.Name)+"].gpus", t.GPUs)
+		c.nonNegative("cluster.teams["+string(t.Name)+"].gpus_max", t.MaxGPUs)
 	}
 }
 
@@ -97,7 +97,7 @@
 	c.positive("cluster.workers.gang_peer_s", w.GangPeerS)
 	c.positive("cluster.workers.cancel_s", w.CancelS)
 	if w.CancelS <= w.LeaseS {
-		c.add("cluster.workers.cancel_s", w.CancelS,
+		c.addProblem("cluster.workers.cancel_s", w.CancelS,
 			fmt.Sprintf("must be above lease_s (%v), or a cut-off worker outlives a cancellation", w.LeaseS))
 	}
 }
@@ -106,11 +106,11 @@
 func (c *checker) storeLimits(key string, s StoreLimits) {
 	c.positive(key+".rps", s.RPS)
 	c.positive(key+".write_rps", s.WriteRPS)
-	if !(s.ValueKB >= leastValueKB) {
-		c.add(key+".value_kb", s.ValueKB, fmt.Sprintf("is too small for a job's record (%v at least)", leastValueKB))
+	if !(s.ValueKB >= minValueKB) {
+		c.addProblem(key+".value_kb", s.ValueKB, fmt.Sprintf("is too small for a job's record (%v at least)", minValueKB))
 	}
-	if s.TxnOps < leastTxnOps {
-		c.add(key+".txn_ops", s.TxnOps, fmt.Sprintf("is too small (%d at least)", leastTxnOps))
+	if s.TxnOps < minTxnOps {
+		c.addProblem(key+".txn_ops", s.TxnOps, fmt.Sprintf("is too small (%d at least)", minTxnOps))
 	}
 }
 
@@ -126,7 +126,7 @@
 	seen := map[protocol.NodeName]bool{cfg.Name: true}
 	for i, peer := range cfg.Peers {
 		if peer.Name == "" || seen[peer.Name] {
-			c.add(fmt.Sprintf("siblings[%d].host_name", i), peer.Name, problemNotUnique)
+			c.addProblem(fmt.Sprintf("siblings[%d].host_name", i), peer.Name, problemNotUnique)
 		}
 		seen[peer.Name] = true
 		c.address(fmt.Sprintf("siblings[%d].addr", i), peer.Addr)
@@ -140,7 +140,7 @@
 	if len(k.Zones) == 0 {
 		found.addMissing("cluster.zones", problemEmpty)
 	}
-	found.amount("cluster.skew_ms", k.SkewMs)
+	found.nonNegative("cluster.skew_ms", k.SkewMs)
 	found.teams(k.Teams)
 	found.agentTimings(k.Agents)
 	found.storeLimits("cluster.state", k.Store)
@@ -148,11 +148,11 @@
 		found.storeLimits("cluster.state.next", k.Store.Smallest())
 	}
 	found.positive("cluster.cloud.rps", k.Cloud.RPS)
-	found.amount("cluster.cloud.list_lag_s", k.Cloud.ListLagS)
-	found.amount("cluster.resources.cores", k.Process.Cores)
-	found.amount("cluster.resources.memory_mb", k.Process.MemoryMB)
+	found.nonNegative("cluster.cloud.list_lag_s", k.Cloud.ListLagS)
+	found.nonNegative("cluster.resources.cores", k.Process.Cores)
+	found.nonNegative("cluster.resources.memory_mb", k.Process.MemoryMB)
 	if k.Process.FDLimit < 0 {
-		found.add("cluster.resources.fd_limit", k.Process.FDLimit, problemNegative)
+		found.addProblem("cluster.resources.fd_limit", k.Process.FDLimit, problemNegative)
 	}
 	return found.err()
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `
+const validSettings = `
 host_name = "n0"
 domain = "east"
 listen = "127.0.0.1:8080"
@@ -61,8 +61,8 @@
 fd_limit = 2000
 `
 
-func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good))
+func TestParseValidSettings(t *testing.T) {
+	c, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestExampleSettings shows that the files which README's commands name are sound.
-func TestExampleSettings(t *testing.T) {
+// TestExampleSettingsAreValid shows that the files which README's commands name are sound.
+func TestExampleSettingsAreValid(t *testing.T) {
 	c, err := Load("../../docs/settings.example.toml", "../../deploy/gappond.properties")
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ from, to, says string }{
 		{`host_name = "n0"`, ``, "host_name"},
 		{`host_name = "n1"`, `host_name = "n0"`, "siblings[0]"},
@@ -98,17 +98,17 @@
 		{`rps = 8.0`, `rps = inf`, "cloud.rps"},
 		{`skew_ms = 5.0`, `skew_ms = `, "skew_ms"},
 	} {
-		if !strings.Contains(good, c.from) {
+		if !strings.Contains(validSettings, c.from) {
 			t.Fatalf("%q is not in the settings", c.from)
 		}
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%q: error %v does not name %s", c.to, err, c.says)
 		}
 	}
 }
 
-func TestProperties(t *testing.T) {
+func TestParseProperties(t *testing.T) {
 	o, err := ParseProperties([]byte("# ours\nfleet.idle-return.seconds = 45.5\nfleet.spares-per-zone: 2\nworkers.direct-starts=false\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -130,38 +130,38 @@
 	}
 }
 
-// TestNextLimits: of the limits that the state service has and those that it will
+// TestAnnouncedStoreLimits: of the limits that the state service has and those that it will
 // have, the smaller of each count; a part of them, larger ones or none at all are
 // valid, and what cannot be one is refused with its name.
-func TestNextLimits(t *testing.T) {
+func TestAnnouncedStoreLimits(t *testing.T) {
 	for next, want := range map[string]StoreLimits{
 		"": {RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
 		"[cluster.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 8": {RPS: 250, WriteRPS: 21, ValueKB: 2, TxnOps: 8},
 		"[cluster.state.next]\nvalue_kb = 64.0\nrps = 100.0\nnew = true":      {RPS: 100, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
 	} {
-		c, err := Parse([]byte(good + next))
+		c, err := Parse([]byte(validSettings + next))
 		if err != nil {
 			t.Fatalf("%q: %v", next, err)
 		}
 		if got := c.Cluster.Store.Smallest(); got != want {
 			t.Errorf("%q: %+v", next, got)
 		}
-		if got := c.Cluster.StoreNow(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
+		if got := c.Cluster.CurrentStoreLimits(); got.ValueKB != 8 || got.TxnOps != 24 || got.WriteRPS != 30 {
 			t.Errorf("%q: %+v now", next, got)
 		}
 	}
 	for _, bad := range []string{"value_kb = 0.0", "value_kb = -1.0", "txn_ops = 0", "txn_ops = -3", "write_rps = 0.0", "rps = -5.0", "value_kb = nan"} {
 		name, _, _ := strings.Cut(bad, " ")
-		if _, err := Parse([]byte(good + "[cluster.state.next]\n" + bad)); err == nil || !strings.Contains(err.Error(), "cluster.state.next."+name) {
+		if _, err := Parse([]byte(validSettings + "[cluster.state.next]\n" + bad)); err == nil || !strings.Contains(err.Error(), "cluster.state.next."+name) {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
 }
 
-// TestUnknownObjectives: objectives of kinds that nobody knows are valid and named
+// TestUnknownObjectivesAreListedOnce: objectives of kinds that nobody knows are valid and named
 // once; those of the operators' pages are known.
-func TestUnknownObjectives(t *testing.T) {
-	text := good
+func TestUnknownObjectivesAreListedOnce(t *testing.T) {
+	text := validSettings
 	for _, kind := range []string{"wait", "finished", "deadline", "guarantee", "up", "harmony", "harmony", "haste"} {
 		text = strings.Replace(text, "[cluster.workers]", "[[cluster.objectives]]\nkind = \""+kind+"\"\nclass = \"c\"\nwithin_s = 5.0\nnew = 1\n\n[cluster.workers]", 1)
 	}
@@ -174,10 +174,10 @@
 	}
 }
 
-// TestErrorTexts: all that is wrong with a file is told at once, with the keys, the values
+// TestErrorsNameEveryProblem: all that is wrong with a file is told at once, with the keys, the values
 // and what is allowed, in the words of version 0.5.
-func TestErrorTexts(t *testing.T) {
-	bad := good
+func TestErrorsNameEveryProblem(t *testing.T) {
+	bad := validSettings
 	for _, c := range [][2]string{
 		{`host_name = "n0"`, ``}, {`listen = "127.0.0.1:8080"`, `listen = "here"`}, {`"127.0.0.4:2379"`, `"127.0.0.4:99999"`},
 		{`host_name = "n1"`, `host_name = ""`}, {`addr = "127.0.0.2:8081"`, ``}, {`zones = ["east", "west"]`, `zones = []`},
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestErrorTypes: callers find the file, each setting and each unknown key in an error.
-func TestErrorTypes(t *testing.T) {
-	_, err := Parse([]byte(strings.NewReplacer("report_s = 3.0", "report_s = 0.0", `listen = "127.0.0.1:8080"`, `listen = "here"`).Replace(good)))
+// TestErrorsAs: callers find the file, each setting and each unknown key in an error.
+func TestErrorsAs(t *testing.T) {
+	_, err := Parse([]byte(strings.NewReplacer("report_s = 3.0", "report_s = 0.0", `listen = "127.0.0.1:8080"`, `listen = "here"`).Replace(validSettings)))
 	err = &FileError{File: "settings.toml", Err: err}
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
@@ -246,7 +246,7 @@
 	}, invalid.Problems); d != "" {
 		t.Error(d)
 	}
-	_, err = Parse([]byte(strings.Replace(good, "value_kb = 8.0", `value_kb = "big"`, 1)))
+	_, err = Parse([]byte(strings.Replace(validSettings, "value_kb = 8.0", `value_kb = "big"`, 1)))
 	var syntax *SyntaxError
 	if !errors.As(err, &syntax) || syntax.Key != "cluster.state.value_kb" {
 		t.Errorf("%#v", err)
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -10,9 +10,9 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestNames: every key of the settings with the kind of its value, and every operators' key
+// TestKeysMatchGoldenList: every key of the settings with the kind of its value, and every operators' key
 // with its default, are those of the golden list.
-func TestNames(t *testing.T) {
+func TestKeysMatchGoldenList(t *testing.T) {
 	list := settingsKeys(reflect.TypeFor[Config](), "")
 	defaults := &Config{Operator: tuning.Defaults()}
 	for _, key := range Keys() {
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -23,14 +23,14 @@
 	ObjectiveUp = "up"
 )
 
-var objectiveKinds = []string{ObjectiveWait, ObjectiveFinished, ObjectiveDeadline, ObjectiveGuarantee, ObjectiveUp}
+var knownObjectiveKinds = []string{ObjectiveWait, ObjectiveFinished, ObjectiveDeadline, ObjectiveGuarantee, ObjectiveUp}
 
 // UnknownObjectives lists the kinds of objectives that this version does not know and
 // ignores, each once.
 func (c *Cluster) UnknownObjectives() []string {
 	var kinds []string
 	for _, o := range c.Objectives {
-		if !slices.Contains(objectiveKinds, o.Kind) && !slices.Contains(kinds, o.Kind) {
+		if !slices.Contains(knownObjectiveKinds, o.Kind) && !slices.Contains(kinds, o.Kind) {
 			kinds = append(kinds, o.Kind)
 		}
 	}
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -13,23 +13,23 @@
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// Pause is the pause between things that cost so much processor time each, for
+// ThrottleInterval is the pause between things that cost so much processor time each, for
 // them to take no more than a part of the process's share of a core.
-func (p ProcessLimits) Pause(cost time.Duration, part float64) time.Duration {
+func (p ProcessLimits) ThrottleInterval(cost time.Duration, part float64) time.Duration {
 	if p.Cores <= 0 {
 		return 0
 	}
 	return time.Duration(float64(cost) / (p.Cores * part))
 }
 
-// RequestPause is the pause before a request that can wait, longer the smaller the share of
+// RequestDelay is the pause before a request that can wait, longer the smaller the share of
 // a core is.
-func (p ProcessLimits) RequestPause(least time.Duration, part float64) time.Duration {
-	return max(least, min(p.Pause(tuning.StoreRequestCPUCost, part), tuning.MaxRequestDelay))
+func (p ProcessLimits) RequestDelay(least time.Duration, part float64) time.Duration {
+	return max(least, min(p.ThrottleInterval(tuning.StoreRequestCPUCost, part), tuning.MaxRequestDelay))
 }
 
-// UserRequests bounds users' requests under way at one node: a part of the connections
+// MaxUserRequests bounds users' requests under way at one node: a part of the connections
 // that are kept for users, so that heartbeats always find room.
-func (p ProcessLimits) UserRequests() int {
+func (p ProcessLimits) MaxUserRequests() int {
 	return max(tuning.MinUserQueueLength, int(float64(p.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
--- a/internal/config/properties.go
+++ b/internal/config/properties.go
@@ -13,9 +13,9 @@
 
 // A property is one key of the operators' file.
 type property struct {
-	doc   string
-	apply func(o *tuning.Operator, value string) error // the error says what is allowed
-	show  func(o *tuning.Operator) string
+	doc    string
+	apply  func(o *tuning.Operator, value string) error // the error says what is allowed
+	format func(o *tuning.Operator) string
 }
 
 // maxSeconds bounds a span: a day.
@@ -52,7 +52,7 @@
 // maxSpares is the largest number of spares per zone: far more than any zone's machines.
 const maxSpares = 100_000
 
-var known = map[string]property{
+var knownProperties = map[string]property{
 	"fleet.idle-return.seconds": seconds("seconds a machine may be idle before it is returned",
 		func(o *tuning.Operator) *time.Duration { return &o.MachineIdleTimeout }),
 	"fleet.spares-per-zone": {"idle machines kept in every zone, 0 to 100000",
@@ -85,14 +85,14 @@
 	}
 	found := &checker{}
 	for _, key := range p.Keys() {
-		k, ok := known[key]
+		k, ok := knownProperties[key]
 		if !ok {
 			found.problems = append(found.problems, &UnknownKeyError{Key: key, Known: Keys()})
 			continue
 		}
 		value, _ := p.Get(key)
 		if err := k.apply(&o, value); err != nil {
-			found.add(key, value, err.Error())
+			found.addProblem(key, value, err.Error())
 		}
 	}
 	return o, found.err()
@@ -100,8 +100,8 @@
 
 // Keys lists the operators' keys in order.
 func Keys() []string {
-	keys := make([]string, 0, len(known))
-	for k := range known {
+	keys := make([]string, 0, len(knownProperties))
+	for k := range knownProperties {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
@@ -109,7 +109,7 @@
 }
 
 // Value is what an operators' key is set to.
-func (c *Config) Value(key string) string { return known[key].show(&c.Operator) }
+func (c *Config) Value(key string) string { return knownProperties[key].format(&c.Operator) }
 
 // Doc explains an operators' key.
-func Doc(key string) string { return known[key].doc }
+func Doc(key string) string { return knownProperties[key].doc }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -24,22 +24,22 @@
 	t := s
 	t.Next = nil
 	if n := s.Next; n != nil {
-		lower(&t.RPS, n.RPS)
-		lower(&t.WriteRPS, n.WriteRPS)
-		lower(&t.ValueKB, n.ValueKB)
-		lower(&t.TxnOps, n.TxnOps)
+		lowerLimit(&t.RPS, n.RPS)
+		lowerLimit(&t.WriteRPS, n.WriteRPS)
+		lowerLimit(&t.ValueKB, n.ValueKB)
+		lowerLimit(&t.TxnOps, n.TxnOps)
 	}
 	return t
 }
 
-func lower[T int | float64](limit *T, next *T) {
+func lowerLimit[T int | float64](limit *T, next *T) {
 	if next != nil {
 		*limit = min(*limit, *next)
 	}
 }
 
-// StoreNow holds the limits that the store has before they are lowered.
-func (c *Cluster) StoreNow() StoreLimits {
+// CurrentStoreLimits holds the limits that the store has before they are lowered.
+func (c *Cluster) CurrentStoreLimits() StoreLimits {
 	if c.Present != nil {
 		return *c.Present
 	}
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -64,7 +64,7 @@
 			// holds the attempt, so start the attempt and stop it at once.
 			commands = append(commands, d.startCommand(attempt, via))
 		}
-		if via == viaResponse || now.Sub(attempt.StopSentAt) > tuning.StopResendDelay {
+		if via == viaResponse || now.Sub(attempt.StopSentAt) > tuning.CommandResendDelay {
 			attempt.MarkStopSent(now)
 			commands = append(commands, protocol.Command{Kind: protocol.CommandStop, Task: protocol.TaskName(attempt.Job.ID, attempt.Key.Index), Attempt: attempt.Key.Number, GraceS: attempt.GraceS})
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	now := d.state.Now()
-	if now.Sub(machine.Delivery.ForgetSentAt[key]) < tuning.StopResendDelay {
+	if now.Sub(machine.Delivery.ForgetSentAt[key]) < tuning.CommandResendDelay {
 		return false
 	}
 	machine.Delivery.ForgetSentAt[key] = now
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -106,7 +106,7 @@
 		}
 		d.heartbeats.ObserveCallResult(machine, result)
 		if result.Outcome == Refused {
-			machine.Delivery.CallNotBefore = d.state.Now().Add(tuning.StopResendDelay)
+			machine.Delivery.CallNotBefore = d.state.Now().Add(tuning.CommandResendDelay)
 			d.Enqueue(machine)
 		}
 	})
@@ -132,7 +132,7 @@
 func (d *Delivery) retryUnanswered(machine *cluster.Machine) {
 	now := d.state.Now()
 	machine.Agent.IneffectiveResponses = max(machine.Agent.IneffectiveResponses, 1)
-	machine.Delivery.CallNotBefore = now.Add(tuning.StopResendDelay)
+	machine.Delivery.CallNotBefore = now.Add(tuning.CommandResendDelay)
 	switch {
 	case !machine.Agent.Heard:
 		machine.Delivery.CallNotBefore = now.Add(d.state.SilenceTimeout()) // let the leader call other agents first
--- a/internal/coordination/api/status_queries.go
+++ b/internal/coordination/api/status_queries.go
@@ -81,12 +81,12 @@
 // are waiting.
 func (sq *statusQueries) enqueue(query statusQuery) {
 	resources := sq.cfg.Cluster.Process
-	if len(sq.waiting) >= resources.UserRequests() {
+	if len(sq.waiting) >= resources.MaxUserRequests() {
 		sq.replies.shedLoad(query.requestID)
 		return
 	}
 	if len(sq.waiting) == 0 {
-		sq.nextCheckAt = sq.env.Now().Add(resources.RequestPause(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
+		sq.nextCheckAt = sq.env.Now().Add(resources.RequestDelay(tuning.StatusQueryBatchDelay, tuning.StatusQueryCPUShare))
 	}
 	query.deadline = sq.env.Now().Add(tuning.UserRequestTimeout)
 	sq.waiting = append(sq.waiting, query)
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -34,7 +34,7 @@
 		if !mr.calls.AllowN(mr.state.Now(), 1) {
 			return
 		}
-		mr.submit(offer, min(want[offer], tuning.MaxMachinesPerRental))
+		mr.submit(offer, min(want[offer], tuning.MaxMachinesPerRequest))
 	}
 }
 
@@ -66,7 +66,7 @@
 	case NoCapacity:
 		mr.markUnavailable(request.offer)
 	case CreateOutcomeUnknown:
-		if request.tries < tuning.MaxRentalAttempts {
+		if request.tries < tuning.MaxMachineRequestAttempts {
 			mr.env.After(time.Second, func() { mr.send(request) })
 			return
 		}
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -85,7 +85,7 @@
 	suspected, reachable = map[protocol.ZoneName]bool{}, map[protocol.ZoneName]bool{}
 	for name, zone := range perZone {
 		suspected[name] = zone.exceeds(tuning.MaxZoneSilentShare) || all.exceeds(tuning.MaxSilentShare)
-		reachable[name] = zone.total > 0 && float64(zone.silent) < tuning.MaxHeardZoneSilentShare*float64(zone.total)
+		reachable[name] = zone.total > 0 && float64(zone.silent) < tuning.MaxReachableZoneSilentShare*float64(zone.total)
 	}
 	return suspected, reachable
 }
--- a/internal/coordination/commit/leader_test.go
+++ b/internal/coordination/commit/leader_test.go
@@ -151,7 +151,7 @@
 	t.Helper()
 	if !l.committer.InFlight() {
 		l.committer.MarkOversizedRecords(l.scheduler)
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	}
 	if !l.committer.InFlight() {
 		return nil
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -27,7 +27,9 @@
 func (kl *KnownLimits) afterLowering() config.StoreLimits { return kl.settings.Cluster.Store }
 
 // beforeLowering returns the limits that hold until the store lowers them.
-func (kl *KnownLimits) beforeLowering() config.StoreLimits { return kl.settings.Cluster.StoreNow() }
+func (kl *KnownLimits) beforeLowering() config.StoreLimits {
+	return kl.settings.Cluster.CurrentStoreLimits()
+}
 
 // rejects reports whether the store is known to reject a value of this size.
 func (kl *KnownLimits) rejects(bytes int) bool {
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -91,7 +91,7 @@
 	l := newLeader(newTestStore(), loweredLimits, 0)
 	job := l.loader.AddJob(oversizedJob(), 9)
 	l.committer.MarkDirty(job, 0)
-	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+	l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	return l, job
 }
 
@@ -116,7 +116,7 @@
 	checkReadBack(t, job, split)
 	// When a concurrent write causes a conflict, all parts are sent again.
 	split.respond(kv.TransactionResult{Outcome: kv.ConditionFailed, Failed: []string{storage.JobKey(job.ID)}})
-	l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+	l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 	if second := l.lastSent(t); len(second.Changes) != len(split.Changes) {
 		t.Errorf("the split is sent with %d changes, then with %d", len(split.Changes), len(second.Changes))
 	}
@@ -160,13 +160,13 @@
 		l, _ := leaderWithOversizedJob(t)
 		l.peerUp = up
 		l.lastSent(t).respond(kv.TransactionResult{Outcome: kv.Rejected, Detail: "too large"})
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		if up {
 			if l.committer.InFlight() {
 				t.Error("the record is sent while a peer may run version 0.2")
 			}
 			l.peerLevel = protocol.CurrentFeatureLevel
-			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+			l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		}
 		if txn := l.lastSent(t); len(txn.Changes) < 2 {
 			t.Errorf("peer up: %v: the record is not split: %d changes, the first of %d bytes", up, len(txn.Changes), len(txn.Changes[0].Value))
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -40,7 +40,7 @@
 func urgencyOf(job *cluster.Job, now time.Time) urgency {
 	age := now.Sub(job.Write.DirtySince)
 	switch {
-	case job.Records.Splitting, age > tuning.MaxDoneMarkDelay:
+	case job.Records.Splitting, age > tuning.MaxCompletionWriteDelay:
 		return urgent
 	case job.HasUncommitted():
 		if job.Spec.Gang() || job.Spec.Service() || age > tuning.MaxWriteDelay {
@@ -52,7 +52,7 @@
 			return urgent
 		}
 		return ordinary
-	case age > tuning.DoneMarkDelay:
+	case age > tuning.CompletionWriteDelay:
 		return taskCompletions
 	}
 	return notDue
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -23,7 +23,7 @@
 
 // failoverTime returns the time allowed for a failover on this controller's share of a core.
 func (ab authorityBounds) failoverTime() time.Duration {
-	return min(ab.cluster.Process.Pause(tuning.FailoverCPUCost, 1), tuning.MaxFailoverAllowance)
+	return min(ab.cluster.Process.ThrottleInterval(tuning.FailoverCPUCost, 1), tuning.MaxFailoverAllowance)
 }
 
 // leaseTTL returns how long the leader lease stays valid after its last renewal.
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -170,7 +170,7 @@
 	if !e.lease.renewalDue() {
 		return
 	}
-	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MirrorFreshness {
+	if e.env.Now().Sub(e.mirror.SyncedAt()) >= tuning.MaxMirrorAge {
 		e.mirror.FetchRevision()
 	}
 	e.lease.renew()
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -71,9 +71,9 @@
 	hr := &HeartbeatRouter{self: cfg.Name, peers: peers, forwarder: forwarder, leader: leader, replies: replies,
 		redirects: rate.NewLimiter(rate.Inf, 0), leaderRedirects: rate.NewLimiter(rate.Inf, 0),
 		contacts: map[protocol.MachineID]contact{}}
-	if pause := cfg.Cluster.Process.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
-		hr.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxConcurrentRedirects)
-		hr.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxConcurrentRedirects)
+	if pause := cfg.Cluster.Process.ThrottleInterval(tuning.RedirectCPUCost, tuning.RedirectCPUShare); pause > 0 {
+		hr.redirects = rate.NewLimiter(rate.Every(pause), tuning.MaxRedirectBurst)
+		hr.leaderRedirects = rate.NewLimiter(rate.Every(pause/time.Duration(max(1, len(cfg.Peers)))), tuning.MaxRedirectBurst)
 	}
 	return hr
 }
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -238,7 +238,7 @@
 			t.Fatalf("heartbeat %d: %s", i, got)
 		}
 	}
-	if redirected != tuning.MaxConcurrentRedirects {
+	if redirected != tuning.MaxRedirectBurst {
 		t.Errorf("%d agents redirected at once", redirected)
 	}
 	more := 0
@@ -252,7 +252,7 @@
 			more++
 		}
 	}
-	pause := config.ProcessLimits{Cores: cores}.Pause(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
+	pause := config.ProcessLimits{Cores: cores}.ThrottleInterval(tuning.RedirectCPUCost, tuning.RedirectCPUShare)
 	if want := int(5 / pause.Seconds()); more < want-1 || more > want+1 {
 		t.Errorf("%d agents redirected in 5 s, want %d", more, want)
 	}
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -81,7 +81,7 @@
 	}
 	machines := float64(len(l.cluster.OrderedMachines))
 	// Hysteresis: a fleet about as large as the limit must not make agents switch back and forth.
-	l.usingProxies = machines > maxDirect || l.usingProxies && machines > maxDirect*tuning.ProxyReleaseShare
+	l.usingProxies = machines > maxDirect || l.usingProxies && machines > maxDirect*tuning.DirectResumeShare
 	if !l.usingProxies {
 		return tuning.DirectShareScale
 	}
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -190,7 +190,7 @@
 	if m.env.Leading() {
 		return tuning.MinWatchDelay
 	}
-	return m.limits.RequestPause(tuning.MinWatchDelay, tuning.WatchCPUShare)
+	return m.limits.RequestDelay(tuning.MinWatchDelay, tuning.WatchCPUShare)
 }
 
 // FetchRevision asks the store for the current revision of its records. A renewal of the leader
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -22,7 +22,7 @@
 // forwardIfStoreUnavailable forwards a user's request to a peer with access to the store, if the
 // store does not serve this node. It reports whether the request was forwarded.
 func (n *Node) forwardIfStoreUnavailable(requestID uint64, request protocol.PeerUserRequest) bool {
-	return !n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness) && n.forwarder.ForwardRequest(requestID, request)
+	return !n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge) && n.forwarder.ForwardRequest(requestID, request)
 }
 
 // tickPeers routes heartbeats that wait for a leader, expires forwarded requests without a response
@@ -37,7 +37,7 @@
 		return
 	}
 	n.router.PruneContacts()
-	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), HasStoreAccess: n.storeAccess.servedWithin(n.now, tuning.StoreServedFreshness)}
+	status := protocol.PeerStatus{Term: n.election.HolderTerm(), Leader: n.election.Holder(), HasStoreAccess: n.storeAccess.servedWithin(n.now, tuning.MaxStoreServedAge)}
 	if n.ownLeader != nil {
 		status.DirectShare = n.ownLeader.directShare()
 	}
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -84,7 +84,7 @@
 // examined and the smaller the controller's share of a core is, so that scheduling leaves
 // processor time for heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
-	pause := sc.state.Config.Cluster.Process.Pause(time.Duration(sc.machinesExamined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
+	pause := sc.state.Config.Cluster.Process.ThrottleInterval(time.Duration(sc.machinesExamined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
 }
 
@@ -108,7 +108,7 @@
 	machines := state.OrderedMachines
 	c := &cycle{state: state, machinesExamined: len(machines), examineLimit: len(machines) + tuning.MinExaminedMachines}
 	if cores := state.Config.Cluster.Process.Cores; cores > 0 {
-		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost)))
+		c.examineLimit = max(c.examineLimit, int(cores*float64(tuning.MaxSchedulingCycleTime/tuning.CandidateCPUCost)))
 	}
 	for _, machine := range machines {
 		if !state.Schedulable(machine) {
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -30,7 +30,7 @@
 // leader lease lasts, and then every new leader loses its lease in the same way.
 func TestCycleExaminesBoundedNumberOfMachines(t *testing.T) {
 	const cores = 0.2
-	budget := int(cores * float64(tuning.MaxSchedulingCycle/tuning.CandidateCPUCost))
+	budget := int(cores * float64(tuning.MaxSchedulingCycleTime/tuning.CandidateCPUCost))
 	t.Run("nothing preemptible", func(t *testing.T) {
 		h := newHarness()
 		h.fillFleet()
--- a/internal/coordination/scheduler/image_locality.go
+++ b/internal/coordination/scheduler/image_locality.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	fetchSeconds := sc.state.ImageFetchSeconds(job.Spec)
-	if fetchSeconds < tuning.ImageLocalFetchSeconds || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
+	if fetchSeconds < tuning.MinFetchSecondsForImageLocality || len(job.Reserved) > 0 || sc.state.Now().Before(job.Queue.ImageLocalSearchNotBefore) ||
 		sc.state.TasksWithinLimit(job) < len(job.Tasks) || sc.currentCycle().examineLimitReached() || sc.currentCycle().preemptionImpossible(job, len(job.Tasks)) {
 		return false
 	}
--- a/internal/coordination/store_limits_test.go
+++ b/internal/coordination/store_limits_test.go
@@ -66,16 +66,16 @@
 			l.n.peers.LinkUp("s")
 		}
 		l.committer.MarkDirty(job, 0)
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		_, r := l.lastTransaction(t)
 		l.n.handle(Response{ID: r.ID, Status: 400, Body: []byte(`{"error":"too large"}`)})
-		l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+		l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		if connected {
 			if l.committer.InFlight() {
 				t.Error("sent again while a connected peer may have version 0.2")
 			}
 			l.n.handle(PeerReceive{Peer: "s", Link: 1, Message: protocol.FeatureLevelAnnouncement("n")})
-			l.commitAfter(tuning.MaxDoneMarkDelay + time.Second)
+			l.commitAfter(tuning.MaxCompletionWriteDelay + time.Second)
 		}
 		if txn, _ := l.lastTransaction(t); len(txn.Changes) < 2 {
 			t.Errorf("connected %v: %d changes, the first of %d bytes, want a split record", connected, len(txn.Changes), len(txn.Changes[0].Value))
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -33,15 +33,15 @@
 		}
 		w.every(6*time.Second, 6, func(int) {
 			for _, k := range w.randomMachines(1) {
-				w.loseWorker(k)
+				w.loseAgent(k)
 			}
 		})
 		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
 	{name: "jobs are cancelled, queried and resubmitted as they end", inject: func(w *World) {
-		w.cancelAtEnd, w.askAllNodes = 0.7, true
+		w.cancelAtEndShare, w.askAllNodes = 0.7, true
 		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
-		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
+		w.after(110*time.Second, func() { w.cancelAtEndShare = 0 })
 	}},
 	{name: "jobs are cancelled while the leader changes", inject: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
@@ -53,7 +53,7 @@
 		w.every(25*time.Second, 4, func(i int) {
 			for _, k := range w.randomMachines(2) {
 				id := k.host.ID
-				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
 			w.after(3*time.Second, func() { w.cancelRunningJobs(4, 0) })
@@ -63,8 +63,8 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.randomMachines(3) {
 				id := k.host.ID
-				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
-				w.cuts = append(w.cuts, held)
+				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
 			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
@@ -79,7 +79,7 @@
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
-				w.store.loseAnswers(0.4, 10*time.Second)
+				w.store.loseResponses(0.4, 10*time.Second)
 			} else {
 				w.store.delayTransactions(0.4, 10*time.Second)
 			}
@@ -113,17 +113,17 @@
 			if c := w.leader(); c != nil {
 				// The leader's watches get no response while its lease renewals succeed, so
 				// they report no cancellation to it.
-				w.store.blind = c
+				w.store.nodeWithoutWatches = c
 				w.after(500*time.Millisecond, func() { w.cancelRunningJobs(20, 0) })
 				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
-				w.after(75*time.Second, func() { w.store.blind = nil })
+				w.after(75*time.Second, func() { w.store.nodeWithoutWatches = nil })
 			}
 		})
 	}, maxCancelledStarts: 20},
 	{name: "the store refuses the leader, then every node", inject: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 14*time.Second)
+				w.store.refuseNode(c, 14*time.Second)
 				w.cancelRunningJobs(20, 0)
 				w.after(time.Duration(1+i)*time.Second, func() { w.store.outage(58 * time.Second) })
 			}
@@ -185,16 +185,16 @@
 					w.blockInbound(k.host.ID, 35*time.Second, i%2 == 0)
 				} else {
 					id := k.host.ID
-					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
+					w.disconnect(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
 			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than an agent lease", inject: func(w *World) {
-		for i, fate := range []packetFate{packetsHeld, packetsLost} {
+		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelRunningJobs(6, 0) })
 			})
 		}
@@ -204,7 +204,7 @@
 			w.replayHeartbeatsToNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
 				for _, k := range w.randomMachines(1) {
-					w.loseWorker(k)
+					w.loseAgent(k)
 				}
 				w.cancelRunningJobs(2, 0)
 				w.crashLeader(time.Duration(i) * 400 * time.Millisecond)
@@ -213,18 +213,18 @@
 	}, maxCancelledStarts: 2},
 	{name: "more work than capacity, urgent and not, with a slow store", inject: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
-		w.store.slow = 150 * time.Millisecond
-		w.after(100*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 150 * time.Millisecond
+		w.after(100*time.Second, func() { w.store.extraLatency = 0 })
 		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
 	}, maxCancelledStarts: 4},
 	{name: "transactions are committed at once but their responses are lost", inject: func(w *World) {
 		w.askAllNodes = true
-		w.store.loseAnswers(0.4, 110*time.Second)
+		w.store.loseResponses(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
 	}, maxCancelledStarts: 4},
 	{name: "heartbeats of earlier incarnations and attempts arrive after newer ones", inject: func(w *World) {
-		w.copies = 3 * secs(w.shape.Agents.LeaseS)
-		w.after(110*time.Second, func() { w.copies = 0 })
+		w.maxCopyDelay = 3 * secs(w.shape.Agents.LeaseS)
+		w.after(110*time.Second, func() { w.maxCopyDelay = 0 })
 		w.every(30*time.Second, 4, func(i int) {
 			for _, k := range w.randomMachines(2) {
 				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
@@ -242,22 +242,22 @@
 			w.cancelRunningJobs(5, 20*time.Second)
 			for _, k := range w.randomMachines(1) {
 				id := k.host.ID
-				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, maxCancelledStarts: 10},
 	{name: "the store is slow and refuses the leader, then every node, while users cancel and query", inject: func(w *World) {
 		w.askAllNodes = true
-		w.store.slow = 300 * time.Millisecond
+		w.store.extraLatency = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelRunningJobs(1, 0) })
 		w.after(20*time.Second, func() {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 20*time.Second)
+				w.store.refuseNode(c, 20*time.Second)
 			}
 		})
 		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
-		w.after(95*time.Second, func() { w.store.slow = 0 })
+		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
 	}, maxCancelledStarts: 4},
 	{name: "four one-task jobs a second arrive, a quarter are cancelled", shape: func(s *Shape) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
@@ -288,7 +288,7 @@
 			t.Parallel()
 			cancelledStarts := 0
 			for seed := range seeds {
-				shape := Small()
+				shape := SmallShape()
 				if seed%2 == 1 {
 					shape = tiny()
 				}
@@ -308,13 +308,13 @@
 // cancellation was confirmed.
 func (c *faultCombination) run(t *testing.T, seed uint64, shape Shape) (cancelledStarts int) {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
 	c.inject(w)
 	w.Run(200 * time.Second)
-	w.cancelAtEnd, w.askAllNodes, w.cloud.fastBoot = 0, false, false
-	w.faultsOver = w.Now
+	w.cancelAtEndShare, w.askAllNodes, w.cloud.fastBoot = 0, false, false
+	w.faultsEndedAt = w.Now
 	w.watchWaitingJobs()
 	w.runUntilOver()
 	if w.rules.started == 0 {
@@ -323,5 +323,5 @@
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
-	return w.rules.lateStarts
+	return w.rules.startsAfterCancellation
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -9,7 +9,7 @@
 
 // randomMachines returns up to n machines in random order.
 func (w *World) randomMachines(n int) []*agent {
-	list := w.workersInOrder()
+	list := w.agentsInCreationOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
@@ -27,25 +27,25 @@
 // delivers copies of them to every controller within 20 ms. If no new leader appears within d, the
 // copies are dropped.
 func (w *World) replayHeartbeatsToNextLeader(d time.Duration) {
-	w.keep, w.kept = true, nil
+	w.recordHeartbeats, w.recordedHeartbeats = true, nil
 	previousLeader := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != previousLeader {
-			w.keep = false
-			for _, body := range w.kept {
+			w.recordHeartbeats = false
+			for _, body := range w.recordedHeartbeats {
 				for _, n := range w.nodes {
-					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverCopy(n, body) })
+					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverHeartbeatCopy(n, body) })
 				}
 			}
-			w.kept = nil
+			w.recordedHeartbeats = nil
 			return
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
 			w.after(5*time.Millisecond, awaitLeader)
 		} else {
-			w.keep, w.kept = false, nil
+			w.recordHeartbeats, w.recordedHeartbeats = false, nil
 		}
 	}
 	awaitLeader()
@@ -157,7 +157,7 @@
 // team would stay within its limit.
 func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
-	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
+	if !u.accepted || u.cancelRequested || u.over || u.job.alwaysFails {
 		return false
 	}
 	needed := w.unplacedTasks(u)
@@ -199,7 +199,7 @@
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
-		if agent.hung || agent.noticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
+		if agent.hung || agent.preemptionNoticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
 		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
@@ -230,7 +230,7 @@
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.job.mistaken {
+		if !u.over && !u.job.alwaysFails {
 			w.rules.violated(ruleLiveness, "%s, %s of %d tasks, is still %q; tasks done: %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -12,7 +12,7 @@
 	node     *controller
 	machine  *agent // nil if no machine is up
 	duration time.Duration
-	fate     packetFate // of packets in a partition
+	fate     packetHandling // of packets in a partition
 }
 
 // faultKind is a kind of fault that a run with random faults can inject.
@@ -43,19 +43,19 @@
 		}
 	}},
 	// No packet passes between zones.
-	{"zones cut off from each other", func(w *World, d faultParameters) { w.interrupt(d.duration, d.fate, w.inDifferentZones) }},
+	{"zones cut off from each other", func(w *World, d faultParameters) { w.disconnect(d.duration, d.fate, w.inDifferentZones) }},
 	// A controller reaches neither the store nor any machine or other controller.
 	{"controller cut off", func(w *World, d faultParameters) {
-		w.interrupt(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
+		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
 	// A controller reaches everything except the store.
 	{"controller cut off from the store", func(w *World, d faultParameters) {
-		w.interrupt(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
+		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
 	// The store refuses every request.
 	{"store outage", func(w *World, d faultParameters) { w.store.outage(d.duration) }},
 	// The store refuses the requests of one controller only.
-	{"store refuses a controller", func(w *World, d faultParameters) { w.store.refuse(d.node, d.duration) }},
+	{"store refuses a controller", func(w *World, d faultParameters) { w.store.refuseNode(d.node, d.duration) }},
 	// The cloud refuses every request.
 	{"cloud outage", func(w *World, d faultParameters) {
 		w.cloud.down = true
@@ -63,12 +63,12 @@
 	}},
 	// A machine reaches no other host, and no other host reaches it.
 	{"machine cut off", machineFault(func(w *World, machine *agent, d faultParameters) {
-		w.interrupt(d.duration, d.fate, fromHost(string(machine.host.ID)))
+		w.disconnect(d.duration, d.fate, fromHost(string(machine.host.ID)))
 	})},
 	// A machine hangs for a while and then resumes.
 	{"machine hangs", machineFault(func(_ *World, machine *agent, d faultParameters) { machine.hang(d.duration) })},
 	// A machine's agent and tasks end, but the cloud still lists the machine.
-	{"machine dies", machineFault(func(w *World, machine *agent, _ faultParameters) { w.loseWorker(machine) })},
+	{"machine dies", machineFault(func(w *World, machine *agent, _ faultParameters) { w.loseAgent(machine) })},
 	// Every task that starts on a machine fails.
 	{"machine fails every task", machineFault(func(_ *World, machine *agent, _ faultParameters) { machine.failsTasks = true })},
 	// A machine's heartbeats arrive, but no response and no command reaches the machine.
@@ -77,8 +77,8 @@
 	})},
 	// Copies of heartbeats arrive late, at random controllers.
 	{"heartbeat copies arrive late", func(w *World, d faultParameters) {
-		w.copies = w.between(2*time.Second, 90*time.Second)
-		w.after(d.duration, func() { w.copies = 0 })
+		w.maxCopyDelay = w.between(2*time.Second, 90*time.Second)
+		w.after(d.duration, func() { w.maxCopyDelay = 0 })
 	}},
 	// A controller reaches agents, but neither the store nor its peers.
 	{"controller isolated", func(w *World, d faultParameters) { w.isolate(d.node, d.duration, d.fate) }},
@@ -92,8 +92,8 @@
 	}},
 	// Every response of the store takes long.
 	{"store slow", func(w *World, d faultParameters) {
-		w.store.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
-		w.after(d.duration, func() { w.store.slow = 0 })
+		w.store.extraLatency = w.between(50*time.Millisecond, 400*time.Millisecond)
+		w.after(d.duration, func() { w.store.extraLatency = 0 })
 	}},
 	// The cloud reclaims a spot instance, with notice.
 	{"spot instance reclaimed", machineFault(func(w *World, machine *agent, _ faultParameters) {
@@ -105,7 +105,7 @@
 	// Some transactions are committed late, after newer ones, and get no response.
 	{"transactions committed late", func(w *World, d faultParameters) { w.store.delayTransactions(0.3, d.duration) }},
 	// Some transactions are committed at once but get no response.
-	{"transaction responses lost", func(w *World, d faultParameters) { w.store.loseAnswers(0.3, d.duration) }},
+	{"transaction responses lost", func(w *World, d faultParameters) { w.store.loseResponses(0.3, d.duration) }},
 	// Two machines open no connections, but calls reach them.
 	{"machines open no connections", func(w *World, d faultParameters) { w.blockHeartbeats(2, d.duration) }},
 	// All controllers are down for a long time, up to 45 s.
@@ -129,8 +129,8 @@
 	{"jobs cancelled, machines hang", func(w *World, d faultParameters) { w.cancelRunningJobs(4, d.duration) }},
 	// Half of the jobs are cancelled at the moment their last task completes.
 	{"jobs cancelled at their end", func(w *World, d faultParameters) {
-		w.cancelAtEnd = 0.5
-		w.after(d.duration, func() { w.cancelAtEnd = 0 })
+		w.cancelAtEndShare = 0.5
+		w.after(d.duration, func() { w.cancelAtEndShare = 0 })
 	}},
 	// Users query every node each time they learn of a new phase of their job.
 	{"users query all nodes", func(w *World, d faultParameters) {
@@ -141,13 +141,13 @@
 	{"redundant and invalid requests", func(w *World, d faultParameters) { w.sendRedundantAndInvalidRequests(min(d.duration, 10*time.Second)) }},
 	// A controller's watches get no response, while its other requests do.
 	{"watches of a controller hang", func(w *World, d faultParameters) {
-		w.store.blind = d.node
-		w.after(d.duration, func() { w.store.blind = nil })
+		w.store.nodeWithoutWatches = d.node
+		w.after(d.duration, func() { w.store.nodeWithoutWatches = nil })
 	}},
 	// The store refuses only the leader, jobs are cancelled, and then the store refuses all nodes.
 	{"store refuses the leader, then all nodes", func(w *World, d faultParameters) {
 		if c := w.leader(); c != nil {
-			w.store.refuse(c, 3*time.Second)
+			w.store.refuseNode(c, 3*time.Second)
 			w.cancelRunningJobs(3, 0)
 			w.after(w.between(time.Second, 4*time.Second), func() { w.store.outage(d.duration) })
 		}
@@ -174,7 +174,7 @@
 // drawFaultParameters draws the parameters that a fault may need.
 func (w *World) drawFaultParameters() faultParameters {
 	d := faultParameters{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
-	for _, agent := range w.workersInOrder() {
+	for _, agent := range w.agentsInCreationOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
 			d.machine = agent
 		}
@@ -185,6 +185,6 @@
 
 // announcePreemption has a machine report that it will be preempted after some seconds.
 func (a *agent) announcePreemption(seconds float64) {
-	a.noticeS = &seconds
-	a.noteChange()
+	a.preemptionNoticeS = &seconds
+	a.reportChange()
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -20,7 +20,7 @@
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
 	}
-	w.checkServed(largestStartWithin)
+	w.checkServed(maxLargestJobWait)
 	w.expectRulesHeld(t)
 	if !over(w.users...) {
 		t.Errorf("not all jobs are over within %v", limit)
@@ -34,10 +34,10 @@
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, fate := range []packetFate{packetsHeld, packetsLost} {
+		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
-				shape := Small()
+				shape := SmallShape()
 				shape.Machines, shape.Capacity = 2, 3 // one per zone, and one more that can be created
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
@@ -45,7 +45,7 @@
 				if busy {
 					job := array("run-000001", 2)
 					job.Zone = zone
-					u := w.submitRunning(t, 20*time.Second, job, 500)
+					u := w.submitAndWaitUntilRunning(t, 20*time.Second, job, 500)
 					w.after(time.Second+time.Millisecond, u.cancel)
 				}
 
@@ -72,17 +72,17 @@
 // this, must then start on other machines.
 func TestGangMovesOffMachineThatReceivesNothing(t *testing.T) {
 	t.Parallel()
-	w := startWorld(22, Small(), 6*time.Second)
-	job := checkpointed(gangJob("run-000001", 4), 10, 2)
+	w := startWorld(22, SmallShape(), 6*time.Second)
+	job := withCheckpoints(gangJob("run-000001", 4), 10, 2)
 	job.OneZone = true
-	u := w.submitRunning(t, 20*time.Second, job, 80)
-	id := w.workerOf("run-000001", 0).host.ID
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, job, 80)
+	id := w.agentOf("run-000001", 0).host.ID
 
-	w.blockInbound(id, 400*time.Second, packetsLost)
+	w.blockInbound(id, 400*time.Second, packetsDropped)
 	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
 	took := w.waitFor(t, 60*time.Second, "run-000001 runs on another machine", func() bool {
-		return w.running(u) && w.workerOf("run-000001", 0).host.ID != id
+		return w.running(u) && w.agentOf("run-000001", 0).host.ID != id
 	})
 	t.Logf("the gang runs again %v after the agent lease expired", took)
 	w.waitUntilOver(t, 120*time.Second, u)
@@ -94,7 +94,7 @@
 func TestLateHeartbeatCopiesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
-	w.copies = 4 * secs(w.shape.Agents.LeaseS)
+	w.maxCopyDelay = 4 * secs(w.shape.Agents.LeaseS)
 	w.submitMixedJobs(24, 120*time.Second)
 
 	for range 5 {
@@ -102,13 +102,13 @@
 		if c := w.leader(); c != nil {
 			c.crash(time.Second)
 		}
-		if list := w.workersInOrder(); len(list) > 0 {
+		if list := w.agentsInCreationOrder(); len(list) > 0 {
 			w.cloud.destroy(list[0].host)
 		}
 	}
 
 	w.waitFor(t, 500*time.Second, "all jobs are over", func() bool {
-		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.mistaken })
+		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.alwaysFails })
 	})
 	w.expectRulesHeld(t)
 }
@@ -119,9 +119,9 @@
 // places work on it, nor keeps its ID in use.
 func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
-	w := startWorld(24, Small(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	agent := w.workerOf("run-000001", 0)
+	w := startWorld(24, SmallShape(), 6*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	agent := w.agentOf("run-000001", 0)
 	oldHeartbeat := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
 	w.waitFor(t, 300*time.Second, "the machine is deleted", func() bool { return w.agents[agent.host.ID] == nil })
@@ -188,20 +188,20 @@
 // place no work on the machine.
 func TestHeartbeatCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
-	w := startWorld(26, Small(), 6*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 4), 10)
-	agent := w.workerOf("run-000001", 0)
+	w := startWorld(26, SmallShape(), 6*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
+	agent := w.agentOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
 	oldHeartbeat := encode(agent.heartbeat())
 
-	w.loseWorker(agent)
+	w.loseAgent(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.deliverCopy(w.leader(), oldHeartbeat)
+	w.deliverHeartbeatCopy(w.leader(), oldHeartbeat)
 
 	// The machine has the image, so the scheduler would prefer it.
-	w.submitRunning(t, 5*time.Second, array("run-000002", 4), 10)
+	w.submitAndWaitUntilRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.expectRulesHeld(t)
 }
 
@@ -211,17 +211,17 @@
 // to another node.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(25, Small(), 6*time.Second)
-			u := w.submitRunning(t, 20*time.Second, array("run-000001", 6), 100)
+			w := startWorld(25, SmallShape(), 6*time.Second)
+			u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
 			w.isolate(c, 100*time.Second, fate)
 
 			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
-				return slices.ContainsFunc(w.others(c), func(o *controller) bool { return o.node.Leading() })
+				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
 			w.waitUntilOver(t, 200*time.Second, u)
@@ -251,7 +251,7 @@
 		t.Error("the isolated node still leads")
 	}
 	status = 0
-	report := w.workerOf("run-000001", 0).heartbeat()
+	report := w.agentOf("run-000001", 0).heartbeat()
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
 	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
 }
@@ -265,21 +265,21 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(30+seed, logs())
-			w.copies = 5 * time.Second // heartbeats from before a restart also arrive late
+			w.maxCopyDelay = 5 * time.Second // heartbeats from before a restart also arrive late
 			w.Run(5 * time.Second)
 			for i := range 8 {
 				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
 
 			w.restartRepeatedly(12)
-			w.copies = 0
-			w.faultsOver = w.Now
+			w.maxCopyDelay = 0
+			w.faultsEndedAt = w.Now
 
 			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
 				t.Errorf("a leader is elected only after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
-			w.checkServed(largestStartWithin)
+			w.checkServed(maxLargestJobWait)
 			w.expectRulesHeld(t)
 		})
 	}
@@ -305,18 +305,18 @@
 // time, and no class or team may starve.
 func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(3, logs(), thousandMachines())
+	w := NewWithShape(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
-	w.loseOldest(len(w.cloud.hosts) / 3)
+	w.loseOldestAgents(len(w.cloud.hosts) / 3)
 	for i := range 12 {
-		job := queued(largeGang(jobID(900+i)), "gang", "team-0", "high")
+		job := withQueue(largeGang(jobID(900+i)), "gang", "team-0", "high")
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: job, run: 60})
 	}
 	w.Run(30 * time.Second)
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishAndCheck(t, 500*time.Second)
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -137,16 +137,16 @@
 
 // randomFaultsScenario returns a run with random faults in a deployment of a shape.
 func randomFaultsScenario(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.attach(NewShaped(seed, logs(), shape)).playDay() }
+	return func(seed uint64, f *fingerprint) { f.attach(NewWithShape(seed, logs(), shape)).playDay() }
 }
 
 // fingerprintScenarios returns scenarios that together exercise everything that a controller does.
 func fingerprintScenarios() []fingerprintScenario {
-	recoveringTiny, slow := tiny(), Small()
+	recoveringTiny, slow := tiny(), SmallShape()
 	recoveringTiny.Recovery, slow.Slow = true, true
 	return []fingerprintScenario{
-		{"small", 6, randomFaultsScenario(Small())},
-		{"small-recovery", 6, randomFaultsScenario(recovering())},
+		{"small", 6, randomFaultsScenario(SmallShape())},
+		{"small-recovery", 6, randomFaultsScenario(smallWithRecovery())},
 		{"tiny", 5, randomFaultsScenario(tiny())},
 		{"tiny-recovery", 5, randomFaultsScenario(recoveringTiny)},
 		{"slow", 3, randomFaultsScenario(slow)},
@@ -154,7 +154,7 @@
 		{"upgrade-0.2", 4, upgradeScenario(0)},
 		{"upgrade-0.3", 4, upgradeScenario(1)},
 		{"upgrade-mixed", 4, upgradeScenario(2)},
-		{"lowered-limits", len(lowerings), loweredLimitsScenario},
+		{"lowered-limits", len(loweringScenarios), loweredLimitsScenario},
 		{"services", len(serviceFaults), servicesScenario},
 		{"cold-restart", 4, coldRestartScenario},
 		{"restored-store", 3, restoredStoreScenario},
@@ -169,8 +169,8 @@
 	w.every(interval, count, func(int) { w.injectFault() })
 	w.Run(time.Duration(count) * interval)
 	w.Run(40 * time.Second)
-	w.faultsOver = w.Now
-	w.healWorkers()
+	w.faultsEndedAt = w.Now
+	w.healAgents()
 }
 
 // slowCrowdScenario submits many jobs and status queries to slow controllers, which take time for
@@ -179,7 +179,7 @@
 	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
-	w := f.attach(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(3 * time.Second)
 	w.submitCrowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
@@ -190,21 +190,21 @@
 	w.Run(60 * time.Second)
 }
 
-// upgradeScenario returns a run of TestUpgrade: an upgrade from release 0.2, 0.3 or both, after
+// upgradeScenario returns a run of TestUpgradeUnderFaultsKeepsRules: an upgrade from release 0.2, 0.3 or both, after
 // which the store's limits are lowered. Only the first seed injects no other faults.
 func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
-		f.attach(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
+		f.attach(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFar,
+// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFarBelowRecordSizes,
 // and then injects other faults.
 func loweredLimitsScenario(seed uint64, f *fingerprint) {
-	c := lowerings[seed%uint64(len(lowerings))]
+	c := loweringScenarios[seed%uint64(len(loweringScenarios))]
 	w := f.attach(c.newWorld(seed))
-	w.submitWide()
-	c.play(w)
+	w.submitLargeJobs()
+	c.lowerLimits(w)
 	w.Run(20 * time.Second)
 	w.runWithRandomFaults(9*time.Second, 5)
 	w.Run(60 * time.Second)
@@ -232,9 +232,9 @@
 
 // coldRestartScenario crashes all controllers of a deployment of 120 machines while jobs run.
 func coldRestartScenario(seed uint64, f *fingerprint) {
-	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, Equal: seed%3 == 0}
+	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, EqualPriorities: seed%3 == 0}
 	w := f.attach(newWorld(seed, logs(), c.Shape(), nil))
-	if _, err := c.run(&simulated{w}); err != nil {
+	if _, err := c.run(&simulatedDeployment{w}); err != nil {
 		panic(err)
 	}
 }
@@ -242,9 +242,9 @@
 // restoredStoreScenario restores the store from a backup, without its newest records, while no
 // controller is up.
 func restoredStoreScenario(seed uint64, f *fingerprint) {
-	shape := Small()
+	shape := SmallShape()
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
-	w := f.attach(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
@@ -264,20 +264,20 @@
 
 // malformedRecordsScenario makes new leaders read malformed records.
 func malformedRecordsScenario(seed uint64, f *fingerprint) {
-	shape := Small()
+	shape := SmallShape()
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
-	w := f.attach(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submit(arrival{job: array("run-000001", 5), run: 150})
 	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
 	w.crashAll(3 * time.Second)
-	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
-	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
-	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
-	w.damage("g/m/nobody", `{"w":"x","rooms":7}`)
-	w.damage("g/q/unknown", `1`)
+	w.writeMalformedRecord("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
+	w.writeMalformedRecord("g/j/run-999998", `{"w":"x","v":9}`)
+	w.writeMalformedRecord("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
+	w.writeMalformedRecord("g/m/nobody", `{"w":"x","rooms":7}`)
+	w.writeMalformedRecord("g/q/unknown", `1`)
 	w.Run(60 * time.Second)
 	w.runWithRandomFaults(9*time.Second, 4)
 }
@@ -287,11 +287,11 @@
 func largeClusterScenario(seed uint64, f *fingerprint) {
 	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
-	w := f.attach(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.submitCrowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	zone := shape.Zones[2]
-	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(zone))
+	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(zone))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
 	w.crashAll(4 * time.Second)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -45,7 +45,7 @@
 		t.Skip("a day of two thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet())
+	w := NewWithShape(1, logs(), fleet())
 	w.submitCrowd(200, 70*time.Second)
 	w.fallsTogether(t, 150)
 }
@@ -57,10 +57,10 @@
 		t.Skip("a day of four thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet4000())
+	w := NewWithShape(1, logs(), fleet4000())
 	w.submitCrowd(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec := withQueue(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
 		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
@@ -75,9 +75,9 @@
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
-	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
+	w.disconnect(40*time.Second, packetsHeld, w.acrossZoneBoundary(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := w.loseOldest(die)
+	lost := w.loseOldestAgents(die)
 	w.Run(10 * time.Second)
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
@@ -85,12 +85,12 @@
 	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.agents)+lost)
 
 	w.expectQuickReturn(t)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.finishAndCheck(t, 700*time.Second)
 
-	t.Logf("at most %d calls to workers at once", w.mostCalls)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
-		t.Errorf("%d calls to workers under way at once", w.mostCalls)
+	t.Logf("at most %d calls to workers at once", w.maxConcurrentCalls)
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.maxConcurrentCalls > limit {
+		t.Errorf("%d calls to workers under way at once", w.maxConcurrentCalls)
 	}
 	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -21,7 +21,7 @@
 	ended  sync.WaitGroup
 }
 
-func (o *owners) Start(v *Live) error {
+func (o *owners) Start(v *Loopback) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	o.cancel = cancel
 	o.life++
@@ -30,7 +30,7 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		node := coordination.New(cfg, log, uint64(o.life*10+i), fmt.Sprint("life-", o.life, "-", i))
 		o.ended.Go(func() {
-			if err := transport.NewOwner(cfg, log, node).Run(ctx); err != nil {
+			if err := transport.NewController(cfg, log, node).Run(ctx); err != nil {
 				o.t.Error(err)
 			}
 		})
@@ -54,8 +54,8 @@
 		t.Skip("takes real time")
 	}
 	// Not in parallel: the days on the fake clock would take its processors.
-	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, Equal: true}
-	r, err := c.RunLive(1, &owners{t: t})
+	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, EqualPriorities: true}
+	r, err := c.RunOnLoopback(1, &owners{t: t})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -107,7 +107,7 @@
 func replicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
 	t.Helper()
 	s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-	w := NewShaped(seed, s, shape)
+	w := NewWithShape(seed, s, shape)
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
@@ -119,7 +119,7 @@
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	at := w.Now
 	s.w = w
-	s.lose(w.workerOf("run-000000", 1))
+	s.lose(w.agentOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
 		s.observe()
@@ -135,7 +135,7 @@
 			s.lost[name] = string(agent.host.ID)
 		}
 	}
-	s.w.loseWorker(agent)
+	s.w.loseAgent(agent)
 }
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
@@ -211,7 +211,7 @@
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-		w := NewShaped(750+seed, s, shape)
+		w := NewWithShape(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
 		spec := service("run-000000", 6)
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -46,13 +46,13 @@
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
 			terms = w.terms()
-			w.faultsOver = w.Now
+			w.faultsEndedAt = w.Now
 			w.finishAndCheck(t, 700*time.Second)
 			if got := w.terms(); got != terms {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
 			for _, c := range w.nodes {
-				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
+				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.maxQueued)
 			}
 		})
 	}
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -60,26 +60,26 @@
 	return fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-// BenchmarkServe is what the answers cost, connection, HTTP, decoding and owner
+// BenchmarkRequests is what the answers cost, connection, HTTP, decoding and owner
 // included: a worker's report that changes nothing, a health probe, a question
 // about a job that is over, and a submission that is refused.
-func BenchmarkServe(b *testing.B) {
-	cfg, _ := startOwner(b, true, 800)
-	eventually(b, "ready", ready(b, cfg))
-	status, _, _ := call(b, cfg, "POST", protocol.PathJobs, job("run-000001", "vision", 1))
+func BenchmarkRequests(b *testing.B) {
+	cfg, _ := startController(b, true, 800)
+	eventually(b, "ready", isReady(b, cfg))
+	status, _, _ := call(b, cfg, "POST", protocol.PathJobs, jobBody("run-000001", "vision", 1))
 	if status != http.StatusCreated {
 		b.Fatal(status)
 	}
 	call(b, cfg, "POST", protocol.PathJobs+"/run-000001/withdraw", "")
-	eventually(b, "leads", answersReport(b, cfg, machineReport("i-000001", "t", 1)))
+	eventually(b, "leads", acceptsHeartbeat(b, cfg, heartbeatBody("i-000001", "t", 1)))
 	seq := 1
 	for name, request := range map[string]func(i int) []byte{
 		"report": func(i int) []byte {
-			return rawRequest("POST", protocol.PathHeartbeat, machineReport("i-000007", "t", i))
+			return rawRequest("POST", protocol.PathHeartbeat, heartbeatBody("i-000007", "t", i))
 		},
 		"ready":   func(int) []byte { return rawRequest("GET", protocol.PathReady, "") },
 		"poll":    func(int) []byte { return rawRequest("GET", protocol.PathJobs+"/run-000001", "") },
-		"refused": func(int) []byte { return rawRequest("POST", protocol.PathJobs, job("run-000009", "vision", 0)[1:]) },
+		"refused": func(int) []byte { return rawRequest("POST", protocol.PathJobs, jobBody("run-000009", "vision", 0)[1:]) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			c := dialRaw(b, cfg.Listen)
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestServeAllocations bounds what a request costs in allocations, on any machine:
+// TestAllocationsPerRequest bounds what a request costs in allocations, on any machine:
 // those of the client, which formats its requests, included.
-func TestServeAllocations(t *testing.T) {
-	cfg, _ := startOwner(t, true, 800)
-	eventually(t, "ready", ready(t, cfg))
-	eventually(t, "leads", answersReport(t, cfg, machineReport("i-000001", "t", 1)))
+func TestAllocationsPerRequest(t *testing.T) {
+	cfg, _ := startController(t, true, 800)
+	eventually(t, "ready", isReady(t, cfg))
+	eventually(t, "leads", acceptsHeartbeat(t, cfg, heartbeatBody("i-000001", "t", 1)))
 	c := dialRaw(t, cfg.Listen)
 	seq := 10
 	for _, k := range []struct {
@@ -106,7 +106,7 @@
 		status int
 		what   func() []byte
 	}{
-		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, machineReport("i-000007", "t", seq)) }},
+		{"unchanged report", 90, 200, func() []byte { return rawRequest("POST", protocol.PathHeartbeat, heartbeatBody("i-000007", "t", seq)) }},
 		{"refused submission", 60, 400, func() []byte { return rawRequest("POST", protocol.PathJobs, "[]") }},
 		{"health probe", 45, 200, func() []byte { return rawRequest("GET", protocol.PathReady, "") }},
 	} {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -16,28 +16,28 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// statusLost stands for the status of an answer that did not come.
-const statusLost = 0
+// statusNoResponse stands for the status of an answer that did not come.
+const statusNoResponse = 0
 
-// errTooLarge says that an answer was cut short; the same request's would be again.
-var errTooLarge = errors.New("the answer is larger than any may be")
+// errResponseTooLarge says that an answer was cut short; the same request's would be again.
+var errResponseTooLarge = errors.New("the answer is larger than any may be")
 
 // endpoint is an outside system: where it is and the client that calls it.
 type endpoint struct {
-	base   string // of its URLs
-	client *http.Client
+	baseURL string // of its URLs
+	client  *http.Client
 }
 
 // clients carry out the node's requests to outside systems and to agents. Every request
 // ends in exactly one Response on the event loop's queue, unless the context ends.
 type clients struct {
-	store       endpoint
-	leaderLease endpoint // the store: renewals of the leader lease wait for no other request
-	cloud       endpoint
-	agents      *http.Client
-	agentCalls  chan struct{} // one for each call to an agent under way
-	responses   chan<- coordination.Event
-	running     sync.WaitGroup // requests under way
+	store          endpoint
+	leaderLease    endpoint // the store: renewals of the leader lease wait for no other request
+	cloud          endpoint
+	agents         *http.Client
+	agentCallSlots chan struct{} // one for each call to an agent under way
+	responses      chan<- coordination.Event
+	running        sync.WaitGroup // requests under way
 }
 
 func newClients(cfg *config.Config, responses chan<- coordination.Event) *clients {
@@ -50,8 +50,8 @@
 		cloud:       endpoint{"http://" + cfg.Endpoints.Cloud, outside},
 		agents:      newHTTPClient(max(tuning.MinConnections, int(float64(sockets)*tuning.AgentIdleConnectionShare)), 1),
 		// The node bounds its calls by the same share; this holds whatever it does.
-		agentCalls: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(sockets)*tuning.AgentCallConnectionShare))),
-		responses:  responses,
+		agentCallSlots: make(chan struct{}, max(tuning.MinConcurrentAgentCalls, int(float64(sockets)*tuning.AgentCallConnectionShare))),
+		responses:      responses,
 	}
 }
 
@@ -89,19 +89,19 @@
 func (c *clients) call(ctx context.Context, r coordination.Request) {
 	if r.To == coordination.ToAgent {
 		select {
-		case c.agentCalls <- struct{}{}:
-			defer func() { <-c.agentCalls }()
+		case c.agentCallSlots <- struct{}{}:
+			defer func() { <-c.agentCallSlots }()
 		case <-ctx.Done():
 			return
 		}
 	}
 	response := coordination.Response{ID: r.ID}
-	status, body, err := c.fetch(ctx, r)
+	status, body, err := c.roundTrip(ctx, r)
 	switch {
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, errResponseTooLarge):
 		response.Status = http.StatusRequestEntityTooLarge
 	case err != nil:
-		response.Status = statusLost // it may have been carried out or not
+		response.Status = statusNoResponse // it may have been carried out or not
 	default:
 		response.Status, response.Body = status, body
 	}
@@ -124,8 +124,8 @@
 	return c.store
 }
 
-// fetch sends a request and reads its answer, whatever its status.
-func (c *clients) fetch(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
+// roundTrip sends a request and reads its answer, whatever its status.
+func (c *clients) roundTrip(ctx context.Context, r coordination.Request) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	to := c.endpoint(r)
@@ -133,7 +133,7 @@
 	if r.Body != nil {
 		in = bytes.NewReader(r.Body)
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, to.base+r.Path, in)
+	req, err := http.NewRequestWithContext(ctx, r.Method, to.baseURL+r.Path, in)
 	if err != nil {
 		return 0, nil, fmt.Errorf("make request %s %s: %w", r.Method, r.Path, err)
 	}
@@ -152,7 +152,7 @@
 		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, err)
 	}
 	if len(body) == tuning.MaxResponseBytes {
-		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errTooLarge)
+		return 0, nil, fmt.Errorf("read answer to %s %s: %w", r.Method, r.Path, errResponseTooLarge)
 	}
 	return resp.StatusCode, body, nil
 }
--- a/internal/transport/clients_test.go
+++ b/internal/transport/clients_test.go
@@ -13,10 +13,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestAnswerTooLarge: an answer beyond the bound is told from one that was lost. A watch
+// TestOversizedResponseIsReportedAsTooLarge: an answer beyond the bound is told from one that was lost. A watch
 // with more changes than that once came back cut short, was taken for a lost answer and
 // opened again for ever.
-func TestAnswerTooLarge(t *testing.T) {
+func TestOversizedResponseIsReportedAsTooLarge(t *testing.T) {
 	chunk := bytes.Repeat([]byte("x"), 1<<20)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for range tuning.MaxResponseBytes/len(chunk) + 1 {
--- a/internal/transport/connection_limits.go
+++ b/internal/transport/connection_limits.go
@@ -25,9 +25,9 @@
 // for the moment of its heartbeat. Users' connections are closed sooner, so that
 // they never take the agents' sockets.
 type connectionLimits struct {
-	open                  atomic.Int64
-	maxOpen               int // accepted at once; 0: no limit, and nothing is closed early
-	keepUsers, keepAgents int64
+	open                                    atomic.Int64
+	maxOpen                                 int // accepted at once; 0: no limit, and nothing is closed early
+	userKeepAliveLimit, agentKeepAliveLimit int64
 }
 
 // newConnectionLimits derives the shares from the limit of sockets, 0 for none.
@@ -36,7 +36,7 @@
 	if limit <= 0 {
 		return &connectionLimits{}
 	}
-	return &connectionLimits{maxOpen: share(tuning.ServerConnectionShare), keepUsers: int64(share(tuning.UserKeepAliveShare)), keepAgents: int64(share(tuning.AgentKeepAliveShare))}
+	return &connectionLimits{maxOpen: share(tuning.ServerConnectionShare), userKeepAliveLimit: int64(share(tuning.UserKeepAliveShare)), agentKeepAliveLimit: int64(share(tuning.AgentKeepAliveShare))}
 }
 
 // track is told of every connection's state.
@@ -49,8 +49,8 @@
 	}
 }
 
-// closeBeyond has a connection closed after its answer when more than keep are open.
-func (c *connectionLimits) closeBeyond(keep int64, w http.ResponseWriter) {
+// closeIfAbove has a connection closed after its answer when more than keep are open.
+func (c *connectionLimits) closeIfAbove(keep int64, w http.ResponseWriter) {
 	if c.maxOpen > 0 && c.open.Load() > keep {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -28,32 +28,32 @@
 	defer timer.Stop()
 	var batch []coordination.Event
 	for ctx.Err() == nil {
-		batch = l.next(batch[:0])
+		batch = l.fillBatch(batch[:0])
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
 			case <-timer.C:
 			case e := <-l.queues.responses:
-				batch = l.admit(batch, e)
+				batch = l.appendUnlessAbandoned(batch, e)
 			case e := <-l.queues.heartbeats:
-				batch = l.admit(batch, e)
+				batch = l.appendUnlessAbandoned(batch, e)
 			case e := <-l.queues.users:
-				batch = l.admit(batch, e)
+				batch = l.appendUnlessAbandoned(batch, e)
 			}
-			batch = l.next(batch)
+			batch = l.fillBatch(batch)
 		}
 		for _, a := range l.node.Step(time.Now(), batch) {
 			l.execute(ctx, a)
 		}
 		timer.Reset(l.node.Due())
 		l.ready.Store(l.node.Ready())
-		l.metrics.take(l.node, int(l.connections.open.Load()), l.queues.depth())
+		l.metrics.update(l.node, int(l.connections.open.Load()), l.queues.depth())
 	}
 }
 
-// next adds what waits to the batch, each kind by its rank and up to its limit.
-func (l *eventLoop) next(batch []coordination.Event) []coordination.Event {
+// fillBatch adds what waits to the batch, each kind by its rank and up to its limit.
+func (l *eventLoop) fillBatch(batch []coordination.Event) []coordination.Event {
 	batch = l.drain(batch, l.queues.responses, tuning.MaxUrgentEventsPerBatch)
 	batch = l.drain(batch, l.queues.heartbeats, tuning.MaxUrgentEventsPerBatch)
 	return l.drain(batch, l.queues.users, tuning.MaxUserEventsPerBatch)
@@ -64,7 +64,7 @@
 	for range limit {
 		select {
 		case e := <-queue:
-			batch = l.admit(batch, e)
+			batch = l.appendUnlessAbandoned(batch, e)
 		default:
 			return batch
 		}
@@ -72,10 +72,10 @@
 	return batch
 }
 
-// admit adds an event to the batch, unless whoever asked has gone: a node that has
+// appendUnlessAbandoned adds an event to the batch, unless whoever asked has gone: a node that has
 // fallen behind must not spend its time on answers that nobody waits for.
-func (l *eventLoop) admit(batch []coordination.Event, e coordination.Event) []coordination.Event {
-	if id := requestID(e); id != 0 && !l.pending.waits(id) {
+func (l *eventLoop) appendUnlessAbandoned(batch []coordination.Event, e coordination.Event) []coordination.Event {
+	if id := requestID(e); id != 0 && !l.pending.isPending(id) {
 		return batch
 	}
 	return append(batch, e)
--- a/internal/transport/names_test.go
+++ b/internal/transport/names_test.go
@@ -16,7 +16,7 @@
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	now := time.Unix(1_800_000_000, 0)
-	m.recovery.take(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
+	m.recovery.update(reconcile.Summary{Began: now}, now) // the only labels but a histogram's
 	answer := httptest.NewRecorder()
 	m.handler().ServeHTTP(answer, httptest.NewRequest("GET", protocol.PathMetrics, nil))
 	var list []string
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -27,7 +27,7 @@
 // coalesceDelay is how long heartbeats are gathered for one write, so that what all
 // peers send costs the leader no more than its share of processor time.
 func coalesceDelay(cfg *config.Config) time.Duration {
-	each := cfg.Cluster.Process.Pause(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
+	each := cfg.Cluster.Process.ThrottleInterval(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
 	return min(each*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
 }
 
@@ -40,18 +40,18 @@
 			l.mu.Lock()
 			l.conn = conn
 			l.mu.Unlock()
-			emit(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
-			l.serve(ctx, conn)
-			emit(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
+			enqueue(ctx, l.events, coordination.PeerLinkUp{Peer: l.peer})
+			l.sendUntilClosed(ctx, conn)
+			enqueue(ctx, l.events, coordination.PeerLinkDown{Peer: l.peer})
 		}
-		pause(ctx, tuning.PeerRedialDelay)
+		sleep(ctx, tuning.PeerRedialDelay)
 	}
 }
 
-// serve sends on a connection until it ends, and closes it.
-func (l *outgoingLink) serve(ctx context.Context, conn net.Conn) {
+// sendUntilClosed sends on a connection until it ends, and closes it.
+func (l *outgoingLink) sendUntilClosed(ctx context.Context, conn net.Conn) {
 	closed := make(chan struct{})
-	end := closeWith(ctx, conn)
+	end := closeOnDone(ctx, conn)
 	defer func() {
 		end()
 		<-closed
@@ -68,13 +68,13 @@
 		if _, err := conn.Write(frames); err != nil {
 			return
 		}
-		frames = l.collect(ctx, closed, frames[:0])
+		frames = l.nextFrames(ctx, closed, frames[:0])
 	}
 }
 
-// collect appends the frames of the messages that wait, as many as one write takes;
+// nextFrames appends the frames of the messages that wait, as many as one write takes;
 // heartbeats alone are gathered for a while. Nothing: the connection has ended.
-func (l *outgoingLink) collect(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
+func (l *outgoingLink) nextFrames(ctx context.Context, closed <-chan struct{}, frames []byte) []byte {
 	gathering := true // only heartbeats so far
 	var gathered <-chan time.Time
 	for len(frames) < tuning.PeerBatchBytes {
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -20,11 +20,11 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// newIdleOwner makes an owner whose loop never runs.
-func newIdleOwner() *Owner {
+// newStoppedController makes an owner whose loop never runs.
+func newStoppedController() *Controller {
 	cfg := &config.Config{Name: "n0", Operator: tuning.Defaults()}
 	log := slog.New(slog.DiscardHandler)
-	return NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot"))
+	return NewController(cfg, log, coordination.New(cfg, log, 1, "boot"))
 }
 
 // heartbeatEvent is the event of an empty heartbeat that came with a request.
@@ -32,17 +32,17 @@
 	return coordination.AgentHeartbeat{ID: id, Heartbeat: &protocol.Heartbeat{}}
 }
 
-// TestShed: when the owner does not keep up, users are turned away at once
+// TestUserRequestsAreShedWhenTheQueueIsFull: when the owner does not keep up, users are turned away at once
 // while workers' reports still find room.
-func TestShed(t *testing.T) {
-	o := newIdleOwner()
+func TestUserRequestsAreShedWhenTheQueueIsFull(t *testing.T) {
+	o := newStoppedController()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range tuning.MinUserQueueLength {
-		go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
+		go o.server.awaitReply(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id, Job: "run-1"} })
 	}
 	eventually(t, "the queue is full", func() bool { return len(o.loop.queues.users) == tuning.MinUserQueueLength })
-	if r := o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
+	if r := o.server.awaitReply(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} }); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("one too many gets %+v", r)
 	}
 	// A submission is then refused before its body is read.
@@ -52,15 +52,15 @@
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" || body.reads > 0 {
 		t.Errorf("a submission gets %d, Retry-After %q, after %d reads", w.Code, w.Header().Get("Retry-After"), body.reads)
 	}
-	go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
+	go o.server.awaitReply(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
 	eventually(t, "the report is queued", func() bool { return len(o.loop.queues.heartbeats) == 1 })
 }
 
-// TestFlood: stalled connections and a flood of polls for jobs that nobody knows
+// TestHeartbeatsAreAcceptedDuringAQueryFlood: stalled connections and a flood of polls for jobs that nobody knows
 // leave every worker's report its answer; each poll has one, too.
-func TestFlood(t *testing.T) {
-	cfg, _ := startOwner(t, true, 0)
-	eventually(t, "ready", ready(t, cfg))
+func TestHeartbeatsAreAcceptedDuringAQueryFlood(t *testing.T) {
+	cfg, _ := startController(t, true, 0)
+	eventually(t, "ready", isReady(t, cfg))
 	for range 100 {
 		conn, err := net.Dial("tcp", cfg.Listen)
 		if err != nil {
@@ -82,10 +82,10 @@
 			}
 		}()
 	}
-	eventually(t, "a report is answered with 200", answersReport(t, cfg, machineReport("i-1", "big", 1)))
+	eventually(t, "a report is answered with 200", acceptsHeartbeat(t, cfg, heartbeatBody("i-1", "big", 1)))
 	for seq := range 40 {
 		began := time.Now()
-		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, machineReport("i-1", "big", seq+1000))
+		status, body, _ := call(t, cfg, "POST", protocol.PathHeartbeat, heartbeatBody("i-1", "big", seq+1000))
 		if took := time.Since(began); status != 200 || took > 4*time.Second {
 			t.Fatalf("report %d: %d %s after %v", seq, status, body, took)
 		}
@@ -96,13 +96,13 @@
 	}
 }
 
-// TestMoreWorkersThanSockets: a fleet of more workers than the process has
+// TestMoreAgentsThanSockets: a fleet of more workers than the process has
 // sockets has every report answered, and users and health checks are not kept
 // waiting: beyond their share connections are closed after the answer.
-func TestMoreWorkersThanSockets(t *testing.T) {
+func TestMoreAgentsThanSockets(t *testing.T) {
 	const sockets, workers, users = 100, 200, 60
-	cfg, _ := startOwner(t, true, sockets)
-	eventually(t, "ready", ready(t, cfg))
+	cfg, _ := startController(t, true, sockets)
+	eventually(t, "ready", isReady(t, cfg))
 	var clients sync.WaitGroup
 	var served atomic.Int32
 	stop := make(chan struct{})
@@ -143,7 +143,7 @@
 	}
 	for k := range workers {
 		loop(func(i int) (string, string, string) {
-			return "POST", protocol.PathHeartbeat, machineReport(fmt.Sprint("i-", 100+k), "big", i+1)
+			return "POST", protocol.PathHeartbeat, heartbeatBody(fmt.Sprint("i-", 100+k), "big", i+1)
 		})
 	}
 	for range users {
@@ -153,19 +153,19 @@
 	t.Cleanup(func() { close(stop) })
 	eventually(t, "every worker and user is answered three times", func() bool { return served.Load() == workers+users })
 	for range 5 {
-		eventually(t, "health checks are answered", ready(t, cfg))
+		eventually(t, "health checks are answered", isReady(t, cfg))
 	}
 }
 
-// TestAnswersFirst: the renewal of the leader lease is not behind the reports of a
+// TestResponsesGoBeforeHeartbeats: the renewal of the leader lease is not behind the reports of a
 // whole fleet: answers to what the node asked are taken first.
-func TestAnswersFirst(t *testing.T) {
-	o := newIdleOwner()
+func TestResponsesGoBeforeHeartbeats(t *testing.T) {
+	o := newStoppedController()
 	for range 2 * tuning.MaxUrgentEventsPerBatch {
 		o.loop.queues.heartbeats <- coordination.AgentHeartbeat{Heartbeat: &protocol.Heartbeat{}}
 	}
 	o.loop.queues.responses <- coordination.Response{ID: 1}
-	batch := o.loop.next(nil)
+	batch := o.loop.fillBatch(nil)
 	if _, ok := batch[0].(coordination.Response); !ok || len(batch) != 1+tuning.MaxUrgentEventsPerBatch {
 		t.Errorf("a batch of %d begins with %T", len(batch), batch[0])
 	}
@@ -179,17 +179,17 @@
 	return 0, io.EOF
 }
 
-// TestGoneAskers: a node that has fallen behind does no work for requests whose
+// TestAbandonedRequestsAreSkipped: a node that has fallen behind does no work for requests whose
 // askers have given up; what nobody asked for in this way it does take.
-func TestGoneAskers(t *testing.T) {
-	o := newIdleOwner()
+func TestAbandonedRequestsAreSkipped(t *testing.T) {
+	o := newStoppedController()
 	gone, leave := context.WithCancel(context.Background())
 	here, end := context.WithCancel(context.Background())
 	defer end()
 	for _, ctx := range []context.Context{gone, here} {
 		for range 3 {
-			go o.server.ask(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
-			go o.server.ask(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
+			go o.server.awaitReply(ctx, o.loop.queues.heartbeats, time.Minute, heartbeatEvent)
+			go o.server.awaitReply(ctx, o.loop.queues.users, time.Minute, func(id uint64) coordination.Event { return coordination.StatusQuery{ID: id} })
 		}
 	}
 	o.loop.queues.responses <- coordination.Response{ID: 99}
@@ -201,7 +201,7 @@
 		defer pending.mu.Unlock()
 		return len(pending.replies) == 6
 	})
-	if batch := o.loop.next(nil); len(batch) != 7 {
+	if batch := o.loop.fillBatch(nil); len(batch) != 7 {
 		t.Errorf("a batch of %d, want the answer and six requests", len(batch))
 	}
 }
--- a/internal/transport/owner.go
+++ b/internal/transport/owner.go
@@ -18,22 +18,22 @@
 	"github.com/gappond/gappond/internal/coordination"
 )
 
-// Owner runs one controller: the event loop, which owns the state machine, and what
+// Controller runs one controller: the event loop, which owns the state machine, and what
 // brings it events and carries out its actions.
-type Owner struct {
+type Controller struct {
 	loop    *eventLoop
 	server  *httpServer
 	clients *clients
 	peers   *peerLinks
 }
 
-// NewOwner makes an owner for the node.
-func NewOwner(cfg *config.Config, log *slog.Logger, node *coordination.Node) *Owner {
+// NewController makes an owner for the node.
+func NewController(cfg *config.Config, log *slog.Logger, node *coordination.Node) *Controller {
 	queues := newEventQueues(cfg)
 	pending := newPendingRequests()
 	metrics := newMetrics()
 	connections := newConnectionLimits(cfg.Cluster.Process.FDLimit)
-	o := &Owner{
+	o := &Controller{
 		clients: newClients(cfg, queues.responses),
 		peers:   newPeerLinks(cfg, log, queues.responses),
 	}
@@ -43,7 +43,7 @@
 }
 
 // Run serves until the context ends, which is no error, or a listener fails.
-func (o *Owner) Run(ctx context.Context) error {
+func (o *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer o.clients.close() // after the loop, which makes calls
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -19,11 +19,11 @@
 // peerLinks are the links between controllers. Every node dials every peer and sends on
 // the connection that it dialled; it only reads from those that it accepted.
 type peerLinks struct {
-	address  string
-	log      *slog.Logger
-	events   chan<- coordination.Event
-	outgoing map[protocol.NodeName]*outgoingLink
-	accepted atomic.Uint64 // links so far, which number them
+	address       string
+	log           *slog.Logger
+	events        chan<- coordination.Event
+	outgoing      map[protocol.NodeName]*outgoingLink
+	acceptedLinks atomic.Uint64 // links so far, which number them
 }
 
 func newPeerLinks(cfg *config.Config, log *slog.Logger, events chan<- coordination.Event) *peerLinks {
@@ -65,7 +65,7 @@
 		case err != nil:
 			// Out of sockets, perhaps: what is there goes on.
 			p.log.Error("peer link not accepted", "error", err)
-			pause(ctx, tuning.PeerRedialDelay)
+			sleep(ctx, tuning.PeerRedialDelay)
 		default:
 			running.Go(func() { p.receive(ctx, conn) })
 		}
@@ -74,9 +74,9 @@
 
 // receive takes a peer's frames until one is wrong or none comes.
 func (p *peerLinks) receive(ctx context.Context, conn net.Conn) {
-	defer closeWith(ctx, conn)()
+	defer closeOnDone(ctx, conn)()
 	r := bufio.NewReaderSize(conn, tuning.PeerBatchBytes)
-	name, number := protocol.NodeName(""), p.accepted.Add(1)
+	name, number := protocol.NodeName(""), p.acceptedLinks.Add(1)
 	for {
 		conn.SetReadDeadline(time.Now().Add(tuning.PeerReadTimeout))
 		m, err := protocol.ReadPeerFrame(r)
@@ -95,7 +95,7 @@
 			p.log.Error("peer link refused", "peer", hello.Node, "remote", conn.RemoteAddr().String())
 			return
 		}
-		emit(ctx, p.events, coordination.PeerReceive{Peer: name, Link: number, Message: m})
+		enqueue(ctx, p.events, coordination.PeerReceive{Peer: name, Link: number, Message: m})
 	}
 }
 
@@ -113,24 +113,24 @@
 	}
 }
 
-// emit queues an event for the event loop, unless the context ends first.
-func emit(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
+// enqueue queues an event for the event loop, unless the context ends first.
+func enqueue(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
 	select {
 	case events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// pause waits, but not beyond the context's end.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, but not beyond the context's end.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// closeWith closes a connection when the context ends or the function returned is called.
-func closeWith(ctx context.Context, conn net.Conn) (end func()) {
+// closeOnDone closes a connection when the context ends or the function returned is called.
+func closeOnDone(ctx context.Context, conn net.Conn) (end func()) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	return func() {
 		stop()
--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -17,8 +17,8 @@
 	return &pendingRequests{replies: map[uint64]chan coordination.Reply{}}
 }
 
-// open numbers a request and gives the channel to which its reply comes.
-func (p *pendingRequests) open() (id uint64, reply <-chan coordination.Reply) {
+// register numbers a request and gives the channel to which its reply comes.
+func (p *pendingRequests) register() (id uint64, reply <-chan coordination.Reply) {
 	ch := make(chan coordination.Reply, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,15 +27,15 @@
 	return p.lastID, ch
 }
 
-// forget gives a request up: nobody waits for its reply any more.
-func (p *pendingRequests) forget(id uint64) {
+// remove gives a request up: nobody waits for its reply any more.
+func (p *pendingRequests) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.replies, id)
 }
 
-// waits says whether somebody waits for the reply to a request.
-func (p *pendingRequests) waits(id uint64) bool {
+// isPending says whether somebody waits for the reply to a request.
+func (p *pendingRequests) isPending(id uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.replies[id] != nil
--- a/internal/transport/queues.go
+++ b/internal/transport/queues.go
@@ -19,7 +19,7 @@
 	return &eventQueues{
 		responses:  make(chan coordination.Event, tuning.EventQueueLength),
 		heartbeats: make(chan coordination.Event, max(tuning.EventQueueLength, cfg.Cluster.Process.FDLimit)),
-		users:      make(chan coordination.Event, cfg.Cluster.Process.UserRequests()),
+		users:      make(chan coordination.Event, cfg.Cluster.Process.MaxUserRequests()),
 	}
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -77,21 +77,21 @@
 
 // readBody reads a request's body, or answers why it does not.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes), r.ContentLength, tuning.TrustedBodyBytes)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes), r.ContentLength, tuning.MaxBodyPreallocationBytes)
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			refuse(w, http.StatusRequestEntityTooLarge, "larger than 64 KiB")
+			writeError(w, http.StatusRequestEntityTooLarge, "larger than 64 KiB")
 		} else {
-			refuse(w, http.StatusBadRequest, "body cannot be read")
+			writeError(w, http.StatusBadRequest, "body cannot be read")
 		}
 		return nil, false
 	}
 	return body, true
 }
 
-// refuse answers a request that is not served, and why.
-func refuse(w http.ResponseWriter, status int, why string) {
+// writeError answers a request that is not served, and why.
+func writeError(w http.ResponseWriter, status int, why string) {
 	writeJSON(w, status, storage.Encode(protocol.ErrorBody{Error: why}))
 }
 
@@ -102,32 +102,32 @@
 	w.Write(body)
 }
 
-// respond writes the node's reply.
-func respond(w http.ResponseWriter, r coordination.Reply) {
+// writeReply writes the node's reply.
+func writeReply(w http.ResponseWriter, r coordination.Reply) {
 	if r.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(retryAfter(r.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(r.RetryAfter)))
 	}
 	if r.Body == nil {
-		refuse(w, r.Status, http.StatusText(r.Status))
+		writeError(w, r.Status, http.StatusText(r.Status))
 		return
 	}
 	writeJSON(w, r.Status, r.Body)
 }
 
-// retryAfter writes a pause as the header's whole seconds.
-func retryAfter(d time.Duration) int { return max(1, int((d+time.Second-1)/time.Second)) }
+// retryAfterSeconds writes a pause as the header's whole seconds.
+func retryAfterSeconds(d time.Duration) int { return max(1, int((d+time.Second-1)/time.Second)) }
 
 // shed is the answer when there is too much to do.
 func (s *httpServer) shed() coordination.Reply {
-	s.metrics.sheds.Inc()
+	s.metrics.shedRequests.Inc()
 	return coordination.Reply{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 }
 
-// ask hands a request to the event loop and waits for its reply: 503 if too many wait,
+// awaitReply hands a request to the event loop and waits for its reply: 503 if too many wait,
 // 504 if none comes in time.
-func (s *httpServer) ask(ctx context.Context, queue chan<- coordination.Event, limit time.Duration, event func(id uint64) coordination.Event) coordination.Reply {
-	id, reply := s.pending.open()
-	defer s.pending.forget(id)
+func (s *httpServer) awaitReply(ctx context.Context, queue chan<- coordination.Event, limit time.Duration, event func(id uint64) coordination.Event) coordination.Reply {
+	id, reply := s.pending.register()
+	defer s.pending.remove(id)
 	select {
 	case queue <- event(id):
 	default:
@@ -145,9 +145,9 @@
 }
 
 func (s *httpServer) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	s.connections.closeBeyond(s.connections.keepUsers, w)
+	s.connections.closeIfAbove(s.connections.userKeepAliveLimit, w)
 	if len(s.queues.users) == cap(s.queues.users) {
-		respond(w, s.shed()) // before anything is spent on its body
+		writeReply(w, s.shed()) // before anything is spent on its body
 		return
 	}
 	body, ok := readBody(w, r)
@@ -156,41 +156,41 @@
 	}
 	job, err := protocol.ParseJob(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, s.ask(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+	writeReply(w, s.awaitReply(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return coordination.Submit{ID: id, Job: job}
 	}))
 }
 
-// askJob asks the owner about the job that the path names.
-func (s *httpServer) askJob(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
-	s.connections.closeBeyond(s.connections.keepUsers, w)
+// handleJobRequest asks the owner about the job that the path names.
+func (s *httpServer) handleJobRequest(w http.ResponseWriter, r *http.Request, event func(id uint64, jobID protocol.JobID) coordination.Event) {
+	s.connections.closeIfAbove(s.connections.userKeepAliveLimit, w)
 	jobID := protocol.JobID(r.PathValue("id"))
 	if !protocol.ValidJobID(jobID) {
-		refuse(w, http.StatusNotFound, "no such job")
+		writeError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	respond(w, s.ask(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+	writeReply(w, s.awaitReply(r.Context(), s.queues.users, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return event(id, jobID)
 	}))
 }
 
 func (s *httpServer) handleQuery(w http.ResponseWriter, r *http.Request) {
-	s.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+	s.handleJobRequest(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
 		return coordination.StatusQuery{ID: id, Job: jobID}
 	})
 }
 
 func (s *httpServer) handleCancel(w http.ResponseWriter, r *http.Request) {
-	s.askJob(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
+	s.handleJobRequest(w, r, func(id uint64, jobID protocol.JobID) coordination.Event {
 		return coordination.Cancel{ID: id, Job: jobID}
 	})
 }
 
 func (s *httpServer) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	s.connections.closeBeyond(s.connections.keepAgents, w)
+	s.connections.closeIfAbove(s.connections.agentKeepAliveLimit, w)
 	body, ok := readBody(w, r)
 	if !ok {
 		return
@@ -198,17 +198,17 @@
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		s.log.Error("heartbeat refused", "error", err)
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	respond(w, s.ask(r.Context(), s.queues.heartbeats, tuning.ReplyTimeout, func(id uint64) coordination.Event {
+	writeReply(w, s.awaitReply(r.Context(), s.queues.heartbeats, tuning.ReplyTimeout, func(id uint64) coordination.Event {
 		return coordination.AgentHeartbeat{ID: id, Heartbeat: heartbeat}
 	}))
 }
 
 func (s *httpServer) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready() {
-		refuse(w, http.StatusServiceUnavailable, "not ready")
+		writeError(w, http.StatusServiceUnavailable, "not ready")
 		return
 	}
 	writeJSON(w, http.StatusOK, []byte(`{}`))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -26,16 +26,16 @@
 // TestMain checks that no goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stateStub is a scripted state service: it holds keys, grants every lease and
+// storeStub is a scripted state service: it holds keys, grants every lease and
 // shows a watch what was set since.
-type stateStub struct {
+type storeStub struct {
 	mu       sync.Mutex
 	revision protocol.Revision
 	keys     map[string]protocol.Entry
 	changed  chan struct{}
 }
 
-func (s *stateStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *storeStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	answer := func(status int, v any) {
 		w.WriteHeader(status)
 		json.NewEncoder(w).Encode(v)
@@ -94,15 +94,15 @@
 // cloudStub is a scripted cloud with one machine type and no machines; it
 // answers nothing until it is told to.
 type cloudStub struct {
-	mu sync.Mutex
-	up bool
+	mu        sync.Mutex
+	available bool
 }
 
 func (c *cloudStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !c.up:
+	case !c.available:
 		w.WriteHeader(503)
 	case r.URL.Path == protocol.PathMachineTypes:
 		json.NewEncoder(w).Encode(protocol.MachineTypes{Types: []protocol.MachineType{{Name: "t", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []protocol.ZoneName{"a"}, BootS: 30}}})
@@ -122,11 +122,11 @@
 	return ln.Addr().String()
 }
 
-func startOwner(t testing.TB, up bool, sockets int) (*config.Config, *cloudStub) {
+func startController(t testing.TB, up bool, sockets int) (*config.Config, *cloudStub) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	state := httptest.NewServer(&stateStub{keys: map[string]protocol.Entry{}, changed: make(chan struct{})})
-	stub := &cloudStub{up: up}
+	state := httptest.NewServer(&storeStub{keys: map[string]protocol.Entry{}, changed: make(chan struct{})})
+	stub := &cloudStub{available: up}
 	cloud := httptest.NewServer(stub)
 	cfg := &config.Config{Name: "n0", Listen: freeAddr(t), PeerListen: freeAddr(t), Operator: tuning.Defaults(),
 		Peers:     []config.Peer{{Name: "n1", Addr: freeAddr(t)}},
@@ -138,7 +138,7 @@
 	log := slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- NewOwner(cfg, log, coordination.New(cfg, log, 1, "boot")).Run(ctx) }()
+	go func() { ended <- NewController(cfg, log, coordination.New(cfg, log, 1, "boot")).Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -191,34 +191,34 @@
 	t.Fatalf("%s: never", what)
 }
 
-func ready(t testing.TB, cfg *config.Config) func() bool {
+func isReady(t testing.TB, cfg *config.Config) func() bool {
 	return func() bool {
 		status, _, _ := call(t, cfg, "GET", protocol.PathReady, "")
 		return status == 200
 	}
 }
 
-// answersReport says whether a report is answered with 200, as a leader does.
-func answersReport(t testing.TB, cfg *config.Config, report string) func() bool {
+// acceptsHeartbeat says whether a report is answered with 200, as a leader does.
+func acceptsHeartbeat(t testing.TB, cfg *config.Config, report string) func() bool {
 	return func() bool {
 		status, _, _ := call(t, cfg, "POST", protocol.PathHeartbeat, report)
 		return status == http.StatusOK
 	}
 }
 
-// machineReport is what an idle agent says that no leader has answered yet.
-func machineReport(machine, machineType string, seq int) string {
+// heartbeatBody is what an idle agent says that no leader has answered yet.
+func heartbeatBody(machine, machineType string, seq int) string {
 	return fmt.Sprintf(`{"berth":%q,"address":"127.0.0.1:1","build":%q,"yard":"a","loaners":false,"tenure":1,"tally":%d,"warrant":0,"recall_s":null,"pieces":[]}`, machine, machineType, seq)
 }
 
-func job(id, team string, gpus float64) string {
+func jobBody(id, team string, gpus float64) string {
 	return fmt.Sprintf(`{"uid":%q,"lane":"x","crew":%q,"shape":"gang","rank":"high","pieces":2,"cpus":1,"gpus":%v,"memory_gb":1,
 "bundle":"i","pull_gb":1,"one_zone":true,"scatter":false,"loaners":true,"expect_s":1,"snapshot_s":0,"flush_s":0}`, id, team, gpus)
 }
 
-func TestStatuses(t *testing.T) {
-	cfg, _ := startOwner(t, true, 0)
-	eventually(t, "ready", ready(t, cfg))
+func TestResponseStatuses(t *testing.T) {
+	cfg, _ := startController(t, true, 0)
+	eventually(t, "ready", isReady(t, cfg))
 	// The first node to be started leads; until then nothing is lost by asking.
 	for _, c := range []struct {
 		method, path, body string
@@ -227,10 +227,10 @@
 		{"POST", "/v2/runs", "{", 400},
 		{"POST", "/v2/runs", "[]", 400},
 		{"POST", "/v2/runs", strings.Repeat(" ", protocol.MaxBodyBytes+1), 413},
-		{"POST", "/v2/runs", job("run-000001", "nobody", 1), 422},
-		{"POST", "/v2/runs", job("run-000001", "vision", 3), 422}, // fits no machine
-		{"POST", "/v2/runs", job("run-000001", "vision", 1), 201},
-		{"POST", "/v2/runs", job("run-000001", "vision", 1), 200},
+		{"POST", "/v2/runs", jobBody("run-000001", "nobody", 1), 422},
+		{"POST", "/v2/runs", jobBody("run-000001", "vision", 3), 422}, // fits no machine
+		{"POST", "/v2/runs", jobBody("run-000001", "vision", 1), 201},
+		{"POST", "/v2/runs", jobBody("run-000001", "vision", 1), 200},
 		{"GET", "/v2/runs/run-000001", "", 200},
 		{"GET", "/v2/runs/run-000002", "", 404},
 		{"GET", "/v2/runs/nonsense", "", 404},
@@ -254,33 +254,33 @@
 	}
 }
 
-// TestTypesUnknown: until the machine types are known a submission is answered
+// TestSubmissionBeforeMachineTypesAreKnown: until the machine types are known a submission is answered
 // at once with 503 and when to come back.
-func TestTypesUnknown(t *testing.T) {
-	cfg, cloud := startOwner(t, false, 0)
+func TestSubmissionBeforeMachineTypesAreKnown(t *testing.T) {
+	cfg, cloud := startController(t, false, 0)
 	var status int
 	var header http.Header
 	eventually(t, "listening", func() bool {
-		status, _, header = call(t, cfg, "POST", "/v2/runs", job("run-000001", "vision", 1))
+		status, _, header = call(t, cfg, "POST", "/v2/runs", jobBody("run-000001", "vision", 1))
 		return status != 0
 	})
 	if status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("%d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	if ready(t, cfg)() {
+	if isReady(t, cfg)() {
 		t.Error("ready without machine types")
 	}
 	cloud.mu.Lock()
-	cloud.up = true
+	cloud.available = true
 	cloud.mu.Unlock()
-	eventually(t, "ready", ready(t, cfg))
+	eventually(t, "ready", isReady(t, cfg))
 }
 
-// TestSlowClient: a client that stalls in the middle of a request is cut off,
+// TestStalledClientIsDisconnected: a client that stalls in the middle of a request is cut off,
 // and others are answered meanwhile.
-func TestSlowClient(t *testing.T) {
-	cfg, _ := startOwner(t, true, 0)
-	eventually(t, "ready", ready(t, cfg))
+func TestStalledClientIsDisconnected(t *testing.T) {
+	cfg, _ := startController(t, true, 0)
+	eventually(t, "ready", isReady(t, cfg))
 	conn, err := net.Dial("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -296,11 +296,11 @@
 	}
 }
 
-// TestWrongPeers: a peer that sends anything but sound frames is cut off, and
+// TestInvalidPeersAreDisconnected: a peer that sends anything but sound frames is cut off, and
 // the node goes on.
-func TestWrongPeers(t *testing.T) {
-	cfg, _ := startOwner(t, true, 0)
-	eventually(t, "ready", ready(t, cfg))
+func TestInvalidPeersAreDisconnected(t *testing.T) {
+	cfg, _ := startController(t, true, 0)
+	eventually(t, "ready", isReady(t, cfg))
 	good := protocol.AppendPeerFrame(nil, protocol.PeerHello{Node: "n1"})
 	old := bytes.Clone(good)
 	old[2] = 0
@@ -326,7 +326,7 @@
 		}
 		conn.Close()
 	}
-	if !ready(t, cfg)() {
+	if !isReady(t, cfg)() {
 		t.Error("no longer ready")
 	}
 }
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -44,9 +44,9 @@
 	MaxSilentShare = 0.34
 	// MaxZoneSilentShare is the same for one zone's machines.
 	MaxZoneSilentShare = 0.5
-	// MaxHeardZoneSilentShare is the part of a zone's machines that may be silent for the
+	// MaxReachableZoneSilentShare is the part of a zone's machines that may be silent for the
 	// zone to be heard all the same: heartbeats jitter by a quarter.
-	MaxHeardZoneSilentShare = 0.25
+	MaxReachableZoneSilentShare = 0.25
 	// RedirectRetention is how long a follower remembers that it redirected an agent;
 	// one that comes back within it could not reach the leader, and its heartbeats are forwarded.
 	RedirectRetention = time.Minute
@@ -61,15 +61,15 @@
 	// RetainedAgentShare is the part of the agents that it could pay for which the leader
 	// keeps when it cannot keep all: scheduling cycles come in bursts.
 	RetainedAgentShare = 0.33
-	// ProxyReleaseShare is the part of that number below which it keeps all again.
-	ProxyReleaseShare = 0.8
+	// DirectResumeShare is the part of that number below which it keeps all again.
+	DirectResumeShare = 0.8
 	// RedirectCPUCost is about what sending an agent to its proxy costs: the answer, and
 	// there a new connection with its first heartbeat.
 	RedirectCPUCost = 600 * time.Microsecond
 	// RedirectCPUShare is the part of each node's processor time for moves to it.
 	RedirectCPUShare = 0.25
-	// MaxConcurrentRedirects is how many agents may be sent away at once.
-	MaxConcurrentRedirects = 20
+	// MaxRedirectBurst is how many agents may be sent away at once.
+	MaxRedirectBurst = 20
 	// DelegatedCallMargin is added to the time of a call that a peer makes.
 	DelegatedCallMargin = time.Second
 	// DirectShareScale stands for all agents where a share of them is meant.
@@ -90,8 +90,8 @@
 	// comes meanwhile: a command mostly takes some milliseconds, and the heartbeat was sent
 	// before it came.
 	DirectStartSettleTime = 300 * time.Millisecond
-	// StopResendDelay is the pause before a direct command is repeated.
-	StopResendDelay = 1500 * time.Millisecond
+	// CommandResendDelay is the pause before a direct command is repeated.
+	CommandResendDelay = 1500 * time.Millisecond
 )
 
 // Failures of machines, jobs and replicas.
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -17,8 +17,8 @@
 	MachineTypesInterval = 30 * time.Second
 	// MachineListPageSize is the page size of the machine list, the largest allowed.
 	MachineListPageSize = 500
-	// MaxMachinesPerRental is the most machines one request may name.
-	MaxMachinesPerRental = 50
+	// MaxMachinesPerRequest is the most machines one request may name.
+	MaxMachinesPerRequest = 50
 	// MaxMachinesPerDeletion is the most names one deletion may carry.
 	MaxMachinesPerDeletion = 100
 	// NoCapacityBackoff is how long a refused type, zone and kind is not asked for.
@@ -63,7 +63,7 @@
 	// MinRemainingSecondsToMove is how much longer, in seconds, a task must be expected to run
 	// to be worth moving: saving it and fetching its image take some ten.
 	MinRemainingSecondsToMove = 40.0
-	// MaxRentalAttempts is how often a request is sent before it is given up; what it
+	// MaxMachineRequestAttempts is how often a request is sent before it is given up; what it
 	// rented all the same shows in the machine list.
-	MaxRentalAttempts = 5
+	MaxMachineRequestAttempts = 5
 )
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -41,9 +41,9 @@
 	// MaxRememberedCancellations is how many acknowledged cancellations are kept before those that have taken
 	// effect are searched for; how many a confirmation names is bounded by its frame alone.
 	MaxRememberedCancellations = 1000
-	// MirrorFreshness is how old a leader's knowledge of the records may be before it asks
+	// MaxMirrorAge is how old a leader's knowledge of the records may be before it asks
 	// the store how far they have come: with every renewal at most.
-	MirrorFreshness = LeaderLeaseRenewInterval
+	MaxMirrorAge = LeaderLeaseRenewInterval
 	// WatchStallTimeout is how long a watch may fail to show a change that the state
 	// service is known to have made before another watch is opened beside it.
 	WatchStallTimeout = 2 * time.Second
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -15,10 +15,10 @@
 	// StoreProbeInterval is how long a node asks the store for nothing before
 	// it asks just to know whether it is served.
 	StoreProbeInterval = time.Second
-	// StoreServedFreshness is how fresh the last served request must be for a node to
+	// MaxStoreServedAge is how fresh the last served request must be for a node to
 	// tell its peers that the store serves it: less than IsolationTimeout,
 	// so that in an outage no node takes an old word for a sign of life.
-	StoreServedFreshness = 1500 * time.Millisecond
+	MaxStoreServedAge = 1500 * time.Millisecond
 	// PeerHeartbeatInterval is the interval of the heartbeats between peers.
 	PeerHeartbeatInterval = time.Second
 	// RelayWriteInterval is the least pause between two values written for a peer
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -12,9 +12,9 @@
 	MaxSchedulingInterval = time.Second
 	// CandidateCPUCost is about what examining one machine for one job costs of a core.
 	CandidateCPUCost = 100 * time.Nanosecond
-	// MaxSchedulingCycle is how long one scheduling cycle may go on preempting: a
+	// MaxSchedulingCycleTime is how long one scheduling cycle may go on preempting: a
 	// leader lease must be renewed, and heartbeats answered, between two cycles.
-	MaxSchedulingCycle = 100 * time.Millisecond
+	MaxSchedulingCycleTime = 100 * time.Millisecond
 	// MinExaminedMachines is the number of machines that a cycle may examine however small the
 	// controller's share of a core: a few jobs' searches on a small fleet.
 	MinExaminedMachines = 5000
@@ -35,9 +35,9 @@
 	// long enough for another job to show whether the machine is to blame, well below
 	// the 90 s that no job may wait beside free capacity for it.
 	MachineFailureBackoff = time.Minute
-	// ImageLocalFetchSeconds is the fetch time, in seconds, from which a gang would rather
+	// MinFetchSecondsForImageLocality is the fetch time, in seconds, from which a gang would rather
 	// take machines that have its image.
-	ImageLocalFetchSeconds = 5.0
+	MinFetchSecondsForImageLocality = 5.0
 	// ImageLocalWaitFactor is for how many times its fetch an array leaves machines
 	// without its image to others: it gains one fetch and may lose its deadline.
 	ImageLocalWaitFactor = 2.0
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -60,11 +60,11 @@
 	// GangBurstReserve is the part of the leader's burst of writes that is kept for
 	// the places of gangs, whose tasks all wait for one commit.
 	GangBurstReserve = 0.25
-	// DoneMarkDelay is how long done tasks wait to be written, for others of their job.
-	DoneMarkDelay = 700 * time.Millisecond
-	// MaxDoneMarkDelay is how long they may wait when there is much else to write: what
+	// CompletionWriteDelay is how long done tasks wait to be written, for others of their job.
+	CompletionWriteDelay = 700 * time.Millisecond
+	// MaxCompletionWriteDelay is how long they may wait when there is much else to write: what
 	// a machine did is lost with it until it is stored.
-	MaxDoneMarkDelay = 5 * time.Second
+	MaxCompletionWriteDelay = 5 * time.Second
 	// StaleMachineRecordDelay is how long a machine record may name machines that are gone: they
 	// take no task, and a machine in its place would be told by its own name.
 	StaleMachineRecordDelay = 10 * time.Second
--- a/internal/tuning/transport.go
+++ b/internal/tuning/transport.go
@@ -44,10 +44,10 @@
 	// MaxResponseBytes bounds an answer from outside. A watch's answer has no limit of its own:
 	// one that is longer is not read, and its node reads the records again page by page.
 	MaxResponseBytes = 32 << 20
-	// TrustedBodyBytes is how many bytes of a request's body are made room for before
+	// MaxBodyPreallocationBytes is how many bytes of a request's body are made room for before
 	// they have come: most heartbeats are smaller, and hundreds of stalled clients
 	// that announce more cost no more than this each.
-	TrustedBodyBytes = 2 << 10
+	MaxBodyPreallocationBytes = 2 << 10
 	// ServerConnectionShare is the share of the socket limit for users and agents.
 	ServerConnectionShare = 0.8
 	// AgentKeepAliveShare is the share up to which an agent's connection is kept open
