--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -7,29 +7,31 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) []*agent {
+// randomMachines returns up to n machines in random order.
+func (w *World) randomMachines(n int) []*agent {
 	list := w.agentsInCreationOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// blockReports lets machines reach no controller for a while, though calls reach them.
-func (w *World) blockReports(n int, d time.Duration) {
-	for _, agent := range w.someWorkers(n) {
-		agent.opensNoConnections = true
-		w.after(d, func() { agent.opensNoConnections = false })
+// blockHeartbeats prevents n random machines from reaching any controller for a while. Calls from
+// controllers still reach them.
+func (w *World) blockHeartbeats(n int, d time.Duration) {
+	for _, machine := range w.randomMachines(n) {
+		machine.opensNoConnections = true
+		w.after(d, func() { machine.opensNoConnections = false })
 	}
 }
 
-// keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
-// as the next leader begins.
-func (w *World) keepCopiesForNextLeader(d time.Duration) {
+// replayHeartbeatsToNextLeader records all heartbeats until the next leader takes over, and then
+// delivers copies of them to every controller within 20 ms. If no new leader appears within d, the
+// copies are dropped.
+func (w *World) replayHeartbeatsToNextLeader(d time.Duration) {
 	w.recordHeartbeats, w.recordedHeartbeats = true, nil
-	was := w.leader()
+	previousLeader := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
-		if c := w.leader(); c != nil && c != was {
+		if c := w.leader(); c != nil && c != previousLeader {
 			w.recordHeartbeats = false
 			for _, body := range w.recordedHeartbeats {
 				for _, n := range w.nodes {
@@ -49,9 +51,9 @@
 	awaitLeader()
 }
 
-// cancelNow has users cancel up to n jobs that run, within a fifth of a second;
-// the machines of some hang.
-func (w *World) cancelNow(n int, hang time.Duration) {
+// cancelRunningJobs has users cancel up to n jobs whose first task is on a machine, within 200 ms.
+// If hang is not zero, the machines of about half of these tasks hang for that long.
+func (w *World) cancelRunningJobs(n int, hang time.Duration) {
 	for _, u := range w.users {
 		if n == 0 {
 			return
@@ -68,46 +70,47 @@
 	}
 }
 
-// crashLeader ends the leader; it is back after a while.
-func (w *World) crashLeader(back time.Duration) {
+// crashLeader crashes the leader's process, which restarts after downtime.
+func (w *World) crashLeader(downtime time.Duration) {
 	if c := w.leader(); c != nil {
-		c.crash(back)
+		c.crash(downtime)
 	}
 }
 
-// oddRequests has users repeat submissions, cancel what is over and send what can
-// never run.
-func (w *World) oddRequests(d time.Duration) {
-	const apart = 500 * time.Millisecond
-	w.every(apart, int(d/apart), func(int) {
+// sendRedundantAndInvalidRequests has users repeat submissions, cancel jobs that are over and
+// submit jobs that can never run.
+func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
+	const interval = 500 * time.Millisecond
+	w.every(interval, int(d/interval), func(int) {
 		c := w.nodes[w.rng.IntN(len(w.nodes))]
 		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
 			u.askAllNodes()
 			if u.over {
-				u.cancelTooLate(c)
+				u.cancelFinishedJob(c)
 			}
 		}
 		job := w.impossibleJob()
 		c.ask(submission(job), func(status int, _ []byte) {
 			if status == http.StatusOK || status == http.StatusCreated {
-				w.rules.violated(ruleAccepted, "%+v can never run", *job)
+				w.rules.violated(ruleAccepted, "a job that can never run is accepted: %+v", *job)
 			}
 		})
 	})
 }
 
-// cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
-func (u *user) cancelTooLate(c *controller) {
-	told := u.phase
+// cancelFinishedJob asks a node to cancel a job that is over, and checks that the job's phase stays
+// the same.
+func (u *user) cancelFinishedJob(c *controller) {
+	earlier := u.phase
 	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
-		if decode(body, &a); status == http.StatusOK && a.Phase != told {
-			u.w.rules.violated(ruleWentBack, "%s was %s and is %s when cancelled", a.ID, told, a.Phase)
+		if decode(body, &a); status == http.StatusOK && a.Phase != earlier {
+			u.w.rules.violated(ruleWentBack, "%s was %s and is %s after a late cancellation", a.ID, earlier, a.Phase)
 		}
 	})
 }
 
-// impossibleJob is a job that can never run.
+// impossibleJob returns a random job that can never run.
 func (w *World) impossibleJob() *protocol.Job {
 	job := array(jobID(900_000+w.rng.IntN(100_000)), 2)
 	switch w.rng.IntN(5) {
@@ -125,61 +128,63 @@
 	return job
 }
 
-// watchWaitingJobs checks, from calm on, that no job waits beside capacity for it.
+// watchWaitingJobs checks every second from now on that no job waits for longer than
+// maxWaitDespiteCapacity while there is free capacity for it.
 func (w *World) watchWaitingJobs() {
-	since := map[*user]time.Time{}
-	var inspect func()
-	inspect = func() {
+	waitingSince := map[*user]time.Time{}
+	var check func()
+	check = func() {
 		for _, u := range w.users {
-			if !w.waitsBesideCapacity(u) {
-				delete(since, u)
+			if !w.waitsDespiteCapacity(u) {
+				delete(waitingSince, u)
 				continue
 			}
-			if since[u].IsZero() {
-				since[u] = w.Now
+			if waitingSince[u].IsZero() {
+				waitingSince[u] = w.Now
 			}
-			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
-				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(since[u]))
-				since[u] = w.Now
+			if w.Now.Sub(waitingSince[u]) > maxWaitDespiteCapacity {
+				w.rules.violated(ruleLeftWaiting, "%s waits although there is free capacity, for %v", u.job.spec.ID, w.Now.Sub(waitingSince[u]))
+				waitingSince[u] = w.Now
 			}
 		}
-		w.after(time.Second, inspect)
+		w.after(time.Second, check)
 	}
-	inspect()
+	check()
 }
 
-// waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
-// capacity for it, a gang for all, and its team is under its limit.
-func (w *World) waitsBesideCapacity(u *user) bool {
+// waitsDespiteCapacity reports whether an accepted job waits although it could be placed: a zone
+// has free capacity for at least one of its unplaced tasks, or for all tasks of a gang, and the
+// team would stay within its limit.
+func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
 	if !u.accepted || u.cancelRequested || u.over || u.job.alwaysFails {
 		return false
 	}
-	want := w.unplaced(u)
-	if want == 0 || spec.Gang() && want < spec.Tasks {
+	needed := w.unplacedTasks(u)
+	if needed == 0 || spec.Gang() && needed < spec.Tasks {
 		return false
 	}
 	if !spec.Gang() {
-		want = 1
+		needed = 1
 	}
 	for _, team := range w.shape.Teams {
-		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(want) > team.MaxGPUs+1e-6 {
+		if team.Name == spec.Team && team.MaxGPUs > 0 && w.rules.gpusInUse[spec.Team]+spec.GPUs*float64(needed) > team.MaxGPUs+1e-6 {
 			return false
 		}
 	}
 	if spec.Spread && spec.Tasks > 1 {
-		return false // what it may have of a zone depends on the others
+		return false // how many tasks may be in one zone depends on the other zones
 	}
 	for _, n := range w.tasksThatFit(spec) {
-		if n >= want {
+		if n >= needed {
 			return true
 		}
 	}
 	return false
 }
 
-// unplaced counts the tasks of a user's job that are neither done nor on a machine.
-func (w *World) unplaced(u *user) (n int) {
+// unplacedTasks returns the number of a job's tasks that are neither done nor on a machine.
+func (w *World) unplacedTasks(u *user) (n int) {
 	for i := range u.job.spec.Tasks {
 		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
 			n++
@@ -188,8 +193,9 @@
 	return n
 }
 
-// tasksThatFit counts how many more tasks of a job the machines of each zone have capacity
-// for.
+// tasksThatFit returns for each zone how many more tasks of a job fit on its machines, without
+// machines that hang or have a preemption notice. It counts no further than the job's number of
+// tasks.
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
@@ -210,21 +216,22 @@
 	return fit
 }
 
-// every does something again and again.
-func (w *World) every(d time.Duration, times int, do func(i int)) {
+// every calls do several times at a fixed interval, the first time at once.
+func (w *World) every(interval time.Duration, times int, do func(i int)) {
 	for i := range times {
-		w.after(time.Duration(i)*d, func() { do(i) })
+		w.after(time.Duration(i)*interval, func() { do(i) })
 	}
 }
 
-// runUntilOver lets a day come to its end: every job but a mistaken one must be over.
+// runUntilOver runs the world until all jobs are over, for at most 600 s. Every job must be over
+// then, except those whose tasks always fail.
 func (w *World) runUntilOver() {
 	for end := w.Now.Add(600 * time.Second); w.Now.Before(end) && !over(w.users...); {
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
 		if !u.over && !u.job.alwaysFails {
-			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
+			w.rules.violated(ruleLiveness, "%s, %s of %d tasks, is still %q; tasks done: %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -12,8 +12,10 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// finishDay lets a day come to its end and checks whom it served.
-func (w *World) finishDay(t *testing.T, limit time.Duration) {
+// finishAndCheck runs the world until all jobs are over, for at most limit. It checks that at least
+// half of the jobs of every class and team were done, that the largest jobs started in time and that
+// no rule was broken.
+func (w *World) finishAndCheck(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
 		w.Run(time.Second)
@@ -21,21 +23,22 @@
 	w.checkServed(maxLargestJobWait)
 	w.expectRulesHeld(t)
 	if !over(w.users...) {
-		t.Errorf("not all is over within %v", limit)
+		t.Errorf("not all jobs are over within %v", limit)
 	}
 }
 
-// TestMachineNotReceivingIsReturned: a machine whose reports arrive, but which no answer and no
-// order reaches, keeps neither a gang nor a cancellation waiting. Its lease
-// runs out again and again; it is noticed, takes no work and is returned.
-func TestMachineNotReceivingIsReturned(t *testing.T) {
+// TestMachineThatReceivesNothingIsDeleted: a machine's heartbeats arrive, but no response and no
+// command reaches the machine, so that its lease expires again and again. The leader must notice
+// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may have to
+// wait for the machine.
+func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
 		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
 				t.Parallel()
 				shape := SmallShape()
-				shape.Machines, shape.Capacity = 2, 3 // one a zone, and one that can be rented
+				shape.Machines, shape.Capacity = 2, 3 // one per zone, and one more that can be created
 				w := startWorld(21, shape, 6*time.Second)
 				id := w.cloud.hosts[0].ID
 				zone := w.zoneOf[string(id)]
@@ -53,9 +56,9 @@
 				u := w.submit(arrival{job: wholeMachine, run: 15})
 
 				took := w.waitUntilOver(t, 100*time.Second, u)
-				t.Logf("done after %v", took)
+				t.Logf("gang done after %v", took)
 				if w.agents[id] != nil {
-					t.Error("the machine that receives nothing is still rented")
+					t.Error("the machine that receives nothing is not deleted")
 				}
 				w.Run(secs(w.shape.Agents.CancelS))
 				w.expectRulesHeld(t)
@@ -64,9 +67,10 @@
 	}
 }
 
-// TestMachineNotReceivingIsNotUsed: work on a not receiving machine is given back by its own
-// newer session or its deletion, and a job that waits is started elsewhere.
-func TestMachineNotReceivingIsNotUsed(t *testing.T) {
+// TestGangMovesOffMachineThatReceivesNothing: the attempts on a machine that receives nothing are
+// released when the machine reports a newer incarnation or is deleted. The gang, which waits for
+// this, must then start on other machines.
+func TestGangMovesOffMachineThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	w := startWorld(22, SmallShape(), 6*time.Second)
 	job := withCheckpoints(gangJob("run-000001", 4), 10, 2)
@@ -77,17 +81,17 @@
 	w.blockInbound(id, 400*time.Second, packetsDropped)
 	w.Run(secs(w.shape.Agents.LeaseS) + 2*time.Second)
 
-	took := w.waitFor(t, 60*time.Second, "it runs elsewhere", func() bool {
+	took := w.waitFor(t, 60*time.Second, "run-000001 runs on another machine", func() bool {
 		return w.running(u) && w.agentOf("run-000001", 0).host.ID != id
 	})
-	t.Logf("repaired %v after the lease ran out", took)
+	t.Logf("the gang runs again %v after the agent lease expired", took)
 	w.waitUntilOver(t, 120*time.Second, u)
 	w.expectRulesHeld(t)
 }
 
-// TestLateCopiesOfReportsBreakNoRule: copies of reports, late by up to four leases, reach every
-// controller while leaders change and machines are lost and returned.
-func TestLateCopiesOfReportsBreakNoRule(t *testing.T) {
+// TestLateHeartbeatCopiesBreakNoRule: copies of heartbeats, up to four agent leases late, reach
+// random controllers while leaders change and machines are lost and deleted.
+func TestLateHeartbeatCopiesBreakNoRule(t *testing.T) {
 	t.Parallel()
 	w := New(23, logs())
 	w.maxCopyDelay = 4 * secs(w.shape.Agents.LeaseS)
@@ -103,48 +107,49 @@
 		}
 	}
 
-	w.waitFor(t, 500*time.Second, "all is over", func() bool {
+	w.waitFor(t, 500*time.Second, "all jobs are over", func() bool {
 		return !slices.ContainsFunc(w.users, func(u *user) bool { return !u.over && !u.job.alwaysFails })
 	})
 	w.expectRulesHeld(t)
 }
 
-// TestCopyOfDeletedMachineIsNoSignOfLife: a copy of a report of a machine that was returned
-// under an earlier leader is no sign of life to a later one: it gets no order
-// that means anything, no record, no work, and does not keep the name alive.
-func TestCopyOfDeletedMachineIsNoSignOfLife(t *testing.T) {
+// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine that
+// was deleted under an earlier leader. The current leader must not take the copy as proof that the
+// machine is up: it may respond with stop commands only, and it neither records the machine, nor
+// places work on it, nor keeps its ID in use.
+func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.agentOf("run-000001", 0)
-	old := encode(agent.heartbeat())
+	oldHeartbeat := encode(agent.heartbeat())
 	w.waitUntilOver(t, 60*time.Second, u)
-	w.waitFor(t, 300*time.Second, "the machine is returned", func() bool { return w.agents[agent.host.ID] == nil })
+	w.waitFor(t, 300*time.Second, "the machine is deleted", func() bool { return w.agents[agent.host.ID] == nil })
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	starts, rented := w.rules.started, len(w.cloud.rented)
 
 	for _, c := range w.nodes {
-		w.expectOnlyStops(t, c, old)
+		w.expectOnlyStopCommands(t, c, oldHeartbeat)
 	}
 	w.Run(2 * time.Second)
 
-	w.expectNotRecorded(t, agent.host.ID)
+	w.expectNoMachineRecord(t, agent.host.ID)
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
 	if n := len(w.cloud.rented) - rented; n > 2 {
-		t.Errorf("%d rentals", n)
+		t.Errorf("%d requests to create machines, want at most 2", n)
 	}
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStops shows a node a copy of a report and checks that its answer orders nothing
-// but stops.
-func (w *World) expectOnlyStops(t *testing.T, c *controller, copied []byte) {
+// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response contains
+// no commands except stops.
+func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
-	r, err := protocol.ParseHeartbeat(copied)
+	r, err := protocol.ParseHeartbeat(heartbeatCopy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,54 +160,56 @@
 		}
 		for _, o := range a.Commands {
 			if o.Kind != protocol.CommandStop {
-				t.Errorf("%s answers the copy with %s", c.name, o.Kind)
+				t.Errorf("%s responds to the copy with the command %s", c.name, o.Kind)
 			}
 		}
 	})
 }
 
-// expectNotRecorded checks that no record of machines names one.
-func (w *World) expectNotRecorded(t *testing.T, id protocol.MachineID) {
+// expectNoMachineRecord checks that no machine record in the store contains a machine.
+func (w *World) expectNoMachineRecord(t *testing.T, id protocol.MachineID) {
 	t.Helper()
 	for key, e := range w.store.keys {
-		if strings.HasPrefix(key, storage.MachineRecordPrefix) && namesMachine(e.Value, id) {
-			t.Errorf("%s names the machine that is gone: %s", key, e.Value)
+		if strings.HasPrefix(key, storage.MachineRecordPrefix) && containsMachine(e.Value, id) {
+			t.Errorf("%s still contains the deleted machine: %s", key, e.Value)
 		}
 	}
 }
 
-// namesMachine says whether a record of machines names one.
-func namesMachine(value []byte, id protocol.MachineID) bool {
+// containsMachine reports whether an encoded machine record contains a machine.
+func containsMachine(value []byte, id protocol.MachineID) bool {
 	var record storage.MachineRecord
 	decode(value, &record)
 	return slices.ContainsFunc(record.Machines, func(m storage.MachineEntry) bool { return m.ID == id })
 }
 
-// TestCopyOfDeadMachineGetsNoWork: a machine dies with its leader, and the next leader's
-// first sign of it is a late duplicate of an old report. It gets no work.
-func TestCopyOfDeadMachineGetsNoWork(t *testing.T) {
+// TestHeartbeatCopyOfDeadMachineGetsNoWork: a machine and the leader fail together, and the first
+// heartbeat of the machine that the next leader gets is a late copy of an old one. The leader must
+// place no work on the machine.
+func TestHeartbeatCopyOfDeadMachineGetsNoWork(t *testing.T) {
 	t.Parallel()
 	w := startWorld(26, SmallShape(), 6*time.Second)
 	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 4), 10)
 	agent := w.agentOf("run-000001", 0)
 	w.waitUntilOver(t, 60*time.Second, u)
-	old := encode(agent.heartbeat())
+	oldHeartbeat := encode(agent.heartbeat())
 
 	w.loseAgent(agent)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
 	w.Run(4 * time.Second)
-	w.deliverHeartbeatCopy(w.leader(), old)
+	w.deliverHeartbeatCopy(w.leader(), oldHeartbeat)
 
-	// Its image is there, so it would be the first choice.
+	// The machine has the image, so the scheduler would prefer it.
 	w.submitAndWaitUntilRunning(t, 5*time.Second, array("run-000002", 4), 10)
 	w.expectRulesHeld(t)
 }
 
-// TestIsolatedLeaderRefusesUsersAndWorkers: a leader without the key-value store and the other
-// controllers, but with its workers, stops answering them within its bound and
-// sends them away; users who ask it are told at once to come back elsewhere.
-func TestIsolatedLeaderRefusesUsersAndWorkers(t *testing.T) {
+// TestIsolatedLeaderRefusesUsersAndAgents: a leader is cut off from the store and the other
+// controllers but still reaches its agents. It must respond to users at once with 503, so that they
+// go to another node. It must stop accepting heartbeats when its authority ends, and send the agents
+// to another node.
+func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
@@ -213,7 +220,7 @@
 
 			w.isolate(c, 100*time.Second, fate)
 
-			w.waitFor(t, 10*time.Second, "another leads", func() bool {
+			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
 				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
@@ -224,51 +231,52 @@
 	}
 }
 
-// expectRefusals checks that an isolated leader refuses users at once, and once its
-// authority is over its workers.
+// expectRefusals checks that an isolated leader refuses users at once, and agents when its authority
+// has ended.
 func (w *World) expectRefusals(t *testing.T, c *controller) {
 	t.Helper()
 	w.Run(8 * time.Second)
 	if c.node.Ready() {
-		t.Error("the isolated node says it is ready")
+		t.Error("the isolated node reports that it is ready")
 	}
-	status, began := 0, w.Now
-	note := func(s int, _ []byte) { status = s }
-	c.ask(statusQuery("run-000001"), note)
-	w.waitFor(t, 200*time.Millisecond, "the user is told to go elsewhere", func() bool { return status != 0 })
+	status, askedAt := 0, w.Now
+	recordStatus := func(s int, _ []byte) { status = s }
+	c.ask(statusQuery("run-000001"), recordStatus)
+	w.waitFor(t, 200*time.Millisecond, "the user gets a response", func() bool { return status != 0 })
 	if status != 503 {
-		t.Errorf("answered %d after %v", status, w.Now.Sub(began))
+		t.Errorf("the user gets status %d after %v, want 503", status, w.Now.Sub(askedAt))
 	}
 	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
-		t.Error("it still leads")
+		t.Error("the isolated node still leads")
 	}
 	status = 0
 	report := w.agentOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, note)
-	w.waitFor(t, 4*time.Second, "the worker is sent away", func() bool { return status == 421 || status == 503 })
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
+	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
 }
 
-// TestInstantRestartsElectLeaderInTime: processes that are back within a fraction of a second, in the
-// middle of an election, of a transaction, and several at once.
-func TestInstantRestartsElectLeaderInTime(t *testing.T) {
+// TestLeaderIsElectedInTimeAfterRapidRestarts: controllers crash during elections and transactions,
+// also several at once, and restart within a fraction of a second. Afterwards a leader must be
+// elected within 6 s.
+func TestLeaderIsElectedInTimeAfterRapidRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := New(30+seed, logs())
-			w.maxCopyDelay = 5 * time.Second // reports of their former lives come late
+			w.maxCopyDelay = 5 * time.Second // heartbeats from before a restart also arrive late
 			w.Run(5 * time.Second)
 			for i := range 8 {
 				w.submit(arrival{after: time.Duration(i) * 2 * time.Second, job: array(jobID(i), 3), run: 10})
 			}
 
-			w.restartOften(12)
+			w.restartRepeatedly(12)
 			w.maxCopyDelay = 0
 			w.faultsEndedAt = w.Now
 
 			if took := w.waitForLeader(t, 15*time.Second); took > 6*time.Second {
-				t.Errorf("a leader after %v", took)
+				t.Errorf("a leader is elected only after %v", took)
 			}
 			w.waitUntilOver(t, 200*time.Second, w.users...)
 			w.checkServed(maxLargestJobWait)
@@ -277,10 +285,10 @@
 	}
 }
 
-// restartOften ends leaders in the middle of transactions and other nodes in the middle of
-// elections; all are back within a fraction of a second.
-func (w *World) restartOften(times int) {
-	for i := range times {
+// restartRepeatedly crashes leaders during transactions and other nodes during elections. All
+// restart within a fraction of a second.
+func (w *World) restartRepeatedly(rounds int) {
+	for i := range rounds {
 		if c := w.leader(); c != nil && i%3 == 0 {
 			c.crash(w.between(5*time.Millisecond, 300*time.Millisecond))
 		}
@@ -292,9 +300,10 @@
 	}
 }
 
-// TestLargestGangsBeginAfterLossOfThirdOfMachines: a third of a thousand machines dies at once while a burst of
-// gangs comes; the largest gangs begin in time, nobody starves.
-func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
+// TestLargestGangsStartAfterLossOfThirdOfMachines: in a deployment for a thousand machines, a third
+// of the machines fails at once while a burst of gangs arrives. The largest gangs must start in
+// time, and no class or team may starve.
+func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
 	w := NewWithShape(3, logs(), thousandMachines())
 	w.submitCrowd(120, 60*time.Second)
@@ -309,5 +318,5 @@
 	w.leader().crash(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsEndedAt = w.Now
-	w.finishDay(t, 500*time.Second)
+	w.finishAndCheck(t, 500*time.Second)
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -22,28 +22,28 @@
 
 const fingerprintsFile = "testdata/fingerprints.txt"
 
-// fingerprint is a hash over every action of every controller in order, in the form in
-// which it leaves the process: no type, field or package of the program has a part in it.
+// fingerprint hashes every action of every controller, in order. Each action is hashed in the form
+// in which it leaves the process, so that no type, field or package of the program affects the hash.
 type fingerprint struct {
 	w       *World
 	hash    hash.Hash
 	actions int
-	trace   io.Writer // a readable copy, nil for none
+	trace   io.Writer // gets the actions in readable form, nil for none
 }
 
-// watch has a fingerprint made of what the controllers of a world do from now on.
-func (f *fingerprint) watch(w *World) *World {
+// attach makes f record the actions of a world's controllers from now on, and returns the world.
+func (f *fingerprint) attach(w *World) *World {
 	f.w, f.hash = w, sha256.New()
 	w.recorder = f.record
 	return w
 }
 
-// sum is the hash in hexadecimal and the number of actions.
+// sum returns the first 16 bytes of the hash in hexadecimal, and the number of actions.
 func (f *fingerprint) sum() string {
 	return fmt.Sprintf("%s %d", hex.EncodeToString(f.hash.Sum(nil)[:16]), f.actions)
 }
 
-// record adds an action.
+// record adds an action of a controller.
 func (f *fingerprint) record(controller string, action coordination.Action) {
 	switch a := action.(type) {
 	case coordination.Request:
@@ -55,11 +55,12 @@
 	case coordination.PeerLinkReset:
 		f.add(controller, "reset", string(a.Peer))
 	default:
-		panic("an action that fingerprints do not know")
+		panic("fingerprint: unknown type of action")
 	}
 }
 
-// targetName names an outside system, and the connection kept for the leader lease.
+// targetName returns the name of an external system in the hash. The separate connection to the
+// store for the leader lease has its own name.
 func targetName(to coordination.Target) string {
 	switch to {
 	case coordination.ToStore:
@@ -71,29 +72,30 @@
 	case coordination.ToAgent:
 		return "worker"
 	}
-	panic("a target that fingerprints do not know")
+	panic("fingerprint: unknown target")
 }
 
-// add hashes the parts of an action, each with its length before it.
+// add hashes an action: the time, the controller, the kind and the parts. The length of each string
+// is hashed before the string.
 func (f *fingerprint) add(controller, kind string, parts ...any) {
 	f.actions++
-	f.number(uint64(f.w.Now.UnixNano()))
-	f.text([]byte(controller))
-	f.text([]byte(kind))
+	f.addNumber(uint64(f.w.Now.UnixNano()))
+	f.addBytes([]byte(controller))
+	f.addBytes([]byte(kind))
 	for _, part := range parts {
 		switch p := part.(type) {
 		case string:
-			f.text([]byte(p))
+			f.addBytes([]byte(p))
 		case []byte:
-			f.text(p)
+			f.addBytes(p)
 		case int:
-			f.number(uint64(p))
+			f.addNumber(uint64(p))
 		case uint64:
-			f.number(p)
+			f.addNumber(p)
 		case time.Duration:
-			f.number(uint64(p))
+			f.addNumber(uint64(p))
 		default:
-			panic("a part that fingerprints do not know")
+			panic("fingerprint: unknown type of part")
 		}
 	}
 	if f.trace != nil {
@@ -101,7 +103,7 @@
 	}
 }
 
-// readable shows the parts of an action on one line.
+// readable formats the parts of an action on one line.
 func readable(parts []any) string {
 	var out strings.Builder
 	for _, part := range parts {
@@ -115,101 +117,103 @@
 	return out.String()
 }
 
-func (f *fingerprint) number(n uint64) {
+func (f *fingerprint) addNumber(n uint64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], n)
 	f.hash.Write(b[:])
 }
 
-func (f *fingerprint) text(b []byte) {
-	f.number(uint64(len(b)))
+func (f *fingerprint) addBytes(b []byte) {
+	f.addNumber(uint64(len(b)))
 	f.hash.Write(b)
 }
 
-// fingerprintDay is a kind of day that fingerprints are taken of.
-type fingerprintDay struct {
+// fingerprintScenario is a kind of run of which fingerprints are taken.
+type fingerprintScenario struct {
 	name  string
-	seeds int // that the golden file has, from 0 on
-	play  func(seed uint64, f *fingerprint)
+	seeds int // the golden file has the seeds from 0 to seeds-1
+	run   func(seed uint64, f *fingerprint)
 }
 
-// ofShape is a random day of a shape.
-func ofShape(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.watch(NewWithShape(seed, logs(), shape)).playDay() }
+// randomFaultsScenario returns a run with random faults in a deployment of a shape.
+func randomFaultsScenario(shape Shape) func(seed uint64, f *fingerprint) {
+	return func(seed uint64, f *fingerprint) { f.attach(NewWithShape(seed, logs(), shape)).playDay() }
 }
 
-// fingerprintDays are shapes and events that between them reach all that a controller does.
-func fingerprintDays() []fingerprintDay {
+// fingerprintScenarios returns scenarios that together exercise everything that a controller does.
+func fingerprintScenarios() []fingerprintScenario {
 	recoveringTiny, slow := tiny(), SmallShape()
 	recoveringTiny.Recovery, slow.Slow = true, true
-	return []fingerprintDay{
-		{"small", 6, ofShape(SmallShape())},
-		{"small-recovery", 6, ofShape(smallWithRecovery())},
-		{"tiny", 5, ofShape(tiny())},
-		{"tiny-recovery", 5, ofShape(recoveringTiny)},
-		{"slow", 3, ofShape(slow)},
-		{"slow-crowd", 2, slowCrowdDay},
-		{"upgrade-0.2", 4, upgradeDay(0)},
-		{"upgrade-0.3", 4, upgradeDay(1)},
-		{"upgrade-mixed", 4, upgradeDay(2)},
-		{"lowered-limits", len(loweringScenarios), loweredLimitsDay},
-		{"services", len(serviceFaults), servicesDay},
-		{"cold-restart", 4, coldRestartDay},
-		{"restored-store", 3, restoredStoreDay},
-		{"damaged-records", 2, damagedRecordsDay},
-		{"fleet", 2, fleetDay},
+	return []fingerprintScenario{
+		{"small", 6, randomFaultsScenario(SmallShape())},
+		{"small-recovery", 6, randomFaultsScenario(smallWithRecovery())},
+		{"tiny", 5, randomFaultsScenario(tiny())},
+		{"tiny-recovery", 5, randomFaultsScenario(recoveringTiny)},
+		{"slow", 3, randomFaultsScenario(slow)},
+		{"slow-crowd", 2, slowCrowdScenario},
+		{"upgrade-0.2", 4, upgradeScenario(0)},
+		{"upgrade-0.3", 4, upgradeScenario(1)},
+		{"upgrade-mixed", 4, upgradeScenario(2)},
+		{"lowered-limits", len(loweringScenarios), loweredLimitsScenario},
+		{"services", len(serviceFaults), servicesScenario},
+		{"cold-restart", 4, coldRestartScenario},
+		{"restored-store", 3, restoredStoreScenario},
+		{"damaged-records", 2, malformedRecordsScenario},
+		{"fleet", 2, largeClusterScenario},
 	}
 }
 
-// randomFaults injects faults of kinds drawn by lot for a while.
-func (w *World) randomFaults(apart time.Duration, times int) {
-	w.every(apart, times, func(int) { w.injectFault() })
-	w.Run(time.Duration(times) * apart)
+// runWithRandomFaults runs the world and injects count random faults, one per interval. It runs for
+// 40 s more before the faults count as over, and then repairs machines on which every task fails.
+func (w *World) runWithRandomFaults(interval time.Duration, count int) {
+	w.every(interval, count, func(int) { w.injectFault() })
+	w.Run(time.Duration(count) * interval)
 	w.Run(40 * time.Second)
 	w.faultsEndedAt = w.Now
 	w.healAgents()
 }
 
-// slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
-func slowCrowdDay(seed uint64, f *fingerprint) {
+// slowCrowdScenario submits many jobs and status queries to slow controllers, which take time for
+// each step.
+func slowCrowdScenario(seed uint64, f *fingerprint) {
 	shape := smallestBudgets()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
-	w := f.watch(NewWithShape(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(3 * time.Second)
 	w.submitCrowd(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
-	w.randomFaults(7*time.Second, 8)
+	w.runWithRandomFaults(7*time.Second, 8)
 	w.Run(60 * time.Second)
 }
 
-// upgradeDay is a day of TestUpgradeUnderFaultsKeepsRules: from 0.2, 0.3 or both; the limits are lowered after.
-// Only the first seed is without other faults.
-func upgradeDay(from int) func(seed uint64, f *fingerprint) {
+// upgradeScenario returns a run of TestUpgradeUnderFaultsKeepsRules: an upgrade from release 0.2, 0.3 or both, after
+// which the store's limits are lowered. Only the first seed injects no other faults.
+func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
-		f.watch(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
+		f.attach(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsDay has the limits fall far in one of the ways of TestLimitsLoweredFarBelowRecordSizes, with
-// other faults after.
-func loweredLimitsDay(seed uint64, f *fingerprint) {
+// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFarBelowRecordSizes,
+// and then injects other faults.
+func loweredLimitsScenario(seed uint64, f *fingerprint) {
 	c := loweringScenarios[seed%uint64(len(loweringScenarios))]
-	w := f.watch(c.newWorld(seed))
+	w := f.attach(c.newWorld(seed))
 	w.submitLargeJobs()
 	c.lowerLimits(w)
 	w.Run(20 * time.Second)
-	w.randomFaults(9*time.Second, 5)
+	w.runWithRandomFaults(9*time.Second, 5)
 	w.Run(60 * time.Second)
 }
 
-// servicesDay has services beside other work, one of the faults of TestServicesServeThroughFaults and others
-// after.
-func servicesDay(seed uint64, f *fingerprint) {
-	w := f.watch(New(seed, logs()))
+// servicesScenario runs services in addition to other jobs, with one of the faults of
+// TestServicesServeThroughFaults and then random faults.
+func servicesScenario(seed uint64, f *fingerprint) {
+	w := f.attach(New(seed, logs()))
 	w.Run(6 * time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 150 * time.Second})
 	w.Run(10 * time.Second)
@@ -222,25 +226,25 @@
 	w.Run(4 * time.Second)
 	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
 	w.Run(40 * time.Second)
-	w.randomFaults(9*time.Second, 6)
+	w.runWithRandomFaults(9*time.Second, 6)
 	w.Run(60 * time.Second)
 }
 
-// coldRestartDay loses all controllers of a hundred and twenty machines in the middle of work.
-func coldRestartDay(seed uint64, f *fingerprint) {
+// coldRestartScenario crashes all controllers of a deployment of 120 machines while jobs run.
+func coldRestartScenario(seed uint64, f *fingerprint) {
 	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, EqualPriorities: seed%3 == 0}
-	w := f.watch(newWorld(seed, logs(), c.Shape(), nil))
+	w := f.attach(newWorld(seed, logs(), c.Shape(), nil))
 	if _, err := c.run(&simulatedDeployment{w}); err != nil {
 		panic(err)
 	}
 }
 
-// restoredStoreDay has the key-value store come back without its newest records while no
+// restoredStoreScenario restores the store from a backup, without its newest records, while no
 // controller is up.
-func restoredStoreDay(seed uint64, f *fingerprint) {
+func restoredStoreScenario(seed uint64, f *fingerprint) {
 	shape := SmallShape()
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
-	w := f.watch(NewWithShape(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
@@ -255,14 +259,14 @@
 	w.Run(time.Second)
 	w.store.restore(old)
 	w.Run(100 * time.Second)
-	w.randomFaults(9*time.Second, 4)
+	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// damagedRecordsDay has new leaders find records that make no sense.
-func damagedRecordsDay(seed uint64, f *fingerprint) {
+// malformedRecordsScenario makes new leaders read malformed records.
+func malformedRecordsScenario(seed uint64, f *fingerprint) {
 	shape := SmallShape()
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
-	w := f.watch(NewWithShape(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submit(arrival{job: array("run-000001", 5), run: 150})
 	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
@@ -275,31 +279,32 @@
 	w.writeMalformedRecord("g/m/nobody", `{"w":"x","rooms":7}`)
 	w.writeMalformedRecord("g/q/unknown", `1`)
 	w.Run(60 * time.Second)
-	w.randomFaults(9*time.Second, 4)
+	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// fleetDay is a day of some three hundred machines with random faults, the loss of a zone
-// and of all controllers.
-func fleetDay(seed uint64, f *fingerprint) {
+// largeClusterScenario runs a deployment of about three hundred machines in which a zone is cut off,
+// machines die, all controllers crash and random faults follow.
+func largeClusterScenario(seed uint64, f *fingerprint) {
 	shape := thousandMachines()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
-	w := f.watch(NewWithShape(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.submitCrowd(70, 60*time.Second)
 	w.Run(30 * time.Second)
-	dark := shape.Zones[2]
-	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(dark))
+	zone := shape.Zones[2]
+	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(zone))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
 	w.crashAll(4 * time.Second)
 	w.Run(20 * time.Second)
-	w.randomFaults(8*time.Second, 6)
+	w.runWithRandomFaults(8*time.Second, 6)
 }
 
-// fingerprintOf plays a day; FINGERPRINT_TRACE names a directory for readable copies.
-func fingerprintOf(t *testing.T, day fingerprintDay, seed uint64) string {
+// fingerprintOf runs a scenario with a seed and returns the fingerprint. If the environment variable
+// FINGERPRINT_TRACE names a directory, the actions are also written there in readable form.
+func fingerprintOf(t *testing.T, scenario fingerprintScenario, seed uint64) string {
 	f := &fingerprint{}
 	if dir := os.Getenv("FINGERPRINT_TRACE"); dir != "" {
-		file, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.txt", day.name, seed)))
+		file, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.txt", scenario.name, seed)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -308,79 +313,79 @@
 		defer out.Flush()
 		f.trace = out
 	}
-	day.play(seed, f)
+	scenario.run(seed, f)
 	return f.sum()
 }
 
-// TestFingerprints: the same seed makes every controller do the same at the same moment, to
-// the byte, in every process and in every version of the program that is to behave the
-// same. A change of a hash is a change of behaviour: -update writes the golden file anew.
-// FINGERPRINT_SEEDS=a-b prints the hashes of other seeds instead, without comparing.
+// TestFingerprints: with the same seed, every controller must do the same at the same time, byte for
+// byte, in every process and in every version of the program that is meant to behave the same. A
+// changed hash means that the behaviour has changed; -update rewrites the golden file. With
+// FINGERPRINT_SEEDS=a-b, the test prints the hashes of these seeds instead and compares nothing.
 func TestFingerprints(t *testing.T) {
 	var first, last uint64
-	printed := os.Getenv("FINGERPRINT_SEEDS")
-	if printed != "" {
-		if n, err := fmt.Sscanf(printed, "%d-%d", &first, &last); n != 2 || err != nil || last < first {
-			t.Fatalf("FINGERPRINT_SEEDS=%s: not of the form a-b", printed)
+	seedRange := os.Getenv("FINGERPRINT_SEEDS")
+	if seedRange != "" {
+		if n, err := fmt.Sscanf(seedRange, "%d-%d", &first, &last); n != 2 || err != nil || last < first {
+			t.Fatalf("FINGERPRINT_SEEDS=%s: want a range a-b with a <= b", seedRange)
 		}
 	}
-	stored := readFingerprints(t)
+	expected := readFingerprints(t)
 	var lock sync.Mutex
 	var names []string
-	found := map[string]string{}
-	for _, day := range fingerprintDays() {
+	computed := map[string]string{}
+	for _, scenario := range fingerprintScenarios() {
 		from, to := first, last+1
-		if printed == "" {
-			from, to = 0, uint64(day.seeds)
+		if seedRange == "" {
+			from, to = 0, uint64(scenario.seeds)
 		}
 		for seed := from; seed < to; seed++ {
-			name := fmt.Sprint(day.name, "/", seed)
+			name := fmt.Sprint(scenario.name, "/", seed)
 			names = append(names, name)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				sum := fingerprintOf(t, day, seed)
+				sum := fingerprintOf(t, scenario, seed)
 				lock.Lock()
-				found[name] = sum
+				computed[name] = sum
 				lock.Unlock()
-				if printed == "" && !golden.Updating() && sum != stored[name] {
-					t.Errorf("%s, in the golden file %q", sum, stored[name])
+				if seedRange == "" && !golden.Updating() && sum != expected[name] {
+					t.Errorf("the fingerprint is %s, the golden file has %q", sum, expected[name])
 				}
 			})
 		}
 	}
 	t.Cleanup(func() {
 		switch {
-		case printed != "":
+		case seedRange != "":
 			for _, name := range names {
-				fmt.Println("fingerprint", name, found[name])
+				fmt.Println("fingerprint", name, computed[name])
 			}
-		case golden.Updating() && len(found) < len(names):
-			t.Errorf("%d of %d fingerprints were taken: the golden file stays as it was", len(found), len(names))
+		case golden.Updating() && len(computed) < len(names):
+			t.Errorf("only %d of %d fingerprints were taken: the golden file is not rewritten", len(computed), len(names))
 		case golden.Updating():
-			writeFingerprints(t, names, found)
-		case len(stored) != len(names):
-			t.Errorf("the golden file has %d fingerprints, want %d", len(stored), len(names))
+			writeFingerprints(t, names, computed)
+		case len(expected) != len(names):
+			t.Errorf("the golden file has %d fingerprints, want %d", len(expected), len(names))
 		}
 	})
 }
 
-// readFingerprints reads the golden file.
+// readFingerprints returns the fingerprints in the golden file by scenario and seed.
 func readFingerprints(t *testing.T) map[string]string {
 	t.Helper()
-	stored := map[string]string{}
+	expected := map[string]string{}
 	for line := range strings.Lines(golden.Read(t, fingerprintsFile)) {
 		name, sum, _ := strings.Cut(strings.TrimSpace(line), " ")
-		stored[name] = sum
+		expected[name] = sum
 	}
-	return stored
+	return expected
 }
 
-// writeFingerprints writes the golden file anew.
-func writeFingerprints(t *testing.T, names []string, found map[string]string) {
+// writeFingerprints rewrites the golden file with the fingerprints in the order of names.
+func writeFingerprints(t *testing.T, names []string, computed map[string]string) {
 	t.Helper()
 	var out strings.Builder
 	for _, name := range names {
-		fmt.Fprintln(&out, name, found[name])
+		fmt.Fprintln(&out, name, computed[name])
 	}
 	golden.Write(t, fingerprintsFile, out.String())
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -139,7 +139,7 @@
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
 	w.faultsEndedAt = w.Now
-	w.finishDay(t, 500*time.Second)
+	w.finishAndCheck(t, 500*time.Second)
 	again := w.gangTaskRestarts() - before
 	t.Logf("%d tasks started before the upgrade, %d gang tasks restarted since", starts, again)
 	if again > 0 {
