--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -287,7 +287,7 @@
 			for seed := range seeds {
 				shape := Small()
 				if seed%2 == 1 {
-					shape = tiny()
+					shape = tinyCPUShape()
 				}
 				if m.shape != nil {
 					m.shape(&shape)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -296,8 +296,8 @@
 // gangs comes; the largest gangs begin in time, nobody starves.
 func TestLargestGangsBeginAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewShaped(3, logs(), thousandMachines())
-	w.submitCrowd(120, 60*time.Second)
+	w := NewShaped(3, logs(), thousandMachineShape())
+	w.submitJobBurst(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
 	w.loseOldest(len(w.cloud.hosts) / 3)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -135,17 +135,17 @@
 
 // ofShape is a random day of a shape.
 func ofShape(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.watch(NewShaped(seed, logs(), shape)).playDay() }
+	return func(seed uint64, f *fingerprint) { f.watch(NewShaped(seed, logs(), shape)).runWithFaults() }
 }
 
 // fingerprintDays are shapes and events that between them reach all that a controller does.
 func fingerprintDays() []fingerprintDay {
-	recoveringTiny, slow := tiny(), Small()
+	recoveringTiny, slow := tinyCPUShape(), Small()
 	recoveringTiny.Recovery, slow.Slow = true, true
 	return []fingerprintDay{
 		{"small", 6, ofShape(Small())},
 		{"small-recovery", 6, ofShape(recovering())},
-		{"tiny", 5, ofShape(tiny())},
+		{"tiny", 5, ofShape(tinyCPUShape())},
 		{"tiny-recovery", 5, ofShape(recoveringTiny)},
 		{"slow", 3, ofShape(slow)},
 		{"slow-crowd", 2, slowCrowdDay},
@@ -172,12 +172,12 @@
 
 // slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
 func slowCrowdDay(seed uint64, f *fingerprint) {
-	shape := smallestBudgets()
+	shape := smallestBudgetShape()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
 	w := f.watch(NewShaped(seed, logs(), shape))
 	w.Run(3 * time.Second)
-	w.submitCrowd(60, 60*time.Second)
+	w.submitJobBurst(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
@@ -220,7 +220,7 @@
 	}
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(4 * time.Second)
-	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
+	serviceFaults[seed%uint64(len(serviceFaults))].inject(w, u)
 	w.Run(40 * time.Second)
 	w.randomFaults(9*time.Second, 6)
 	w.Run(60 * time.Second)
@@ -281,10 +281,10 @@
 // fleetDay is a day of some three hundred machines with random faults, the loss of a zone
 // and of all controllers.
 func fleetDay(seed uint64, f *fingerprint) {
-	shape := thousandMachines()
+	shape := thousandMachineShape()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
 	w := f.watch(NewShaped(seed, logs(), shape))
-	w.submitCrowd(70, 60*time.Second)
+	w.submitJobBurst(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
 	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(dark))
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// thousandMachines is a deployment of a thousand machines and three zones.
-func thousandMachines() Shape {
+// thousandMachineShape is a deployment of a thousand machines and three zones.
+func thousandMachineShape() Shape {
 	s := Small()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
@@ -26,16 +26,16 @@
 	return s
 }
 
-// threeZones is a deployment of a few machines in three zones, whose controllers have all the
+// threeZoneShape is a deployment of a few machines in three zones, whose controllers have all the
 // resources that they want.
-func threeZones(machines int) Shape {
-	s := thousandMachines()
+func threeZoneShape(machines int) Shape {
+	s := thousandMachineShape()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
 }
 
-// submitCrowd makes gangs and arrays of many sizes come for a while.
-func (w *World) submitCrowd(jobs int, span time.Duration) {
+// submitJobBurst makes gangs and arrays of many sizes come for a while.
+func (w *World) submitJobBurst(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
 		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
@@ -50,8 +50,8 @@
 	}
 }
 
-// smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
-func smallestBudgets() Shape {
+// smallestBudgetShape is a deployment of two hundred machines behind the smallest budgets.
+func smallestBudgetShape() Shape {
 	s := Small()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
@@ -59,20 +59,20 @@
 	return s
 }
 
-// TestDaysKeepWithinCountedBounds plays a day of a thousand machines and one behind the smallest
+// TestControllerWorkKeepsWithinCountedBounds plays a day of a thousand machines and one behind the smallest
 // budgets: everything is served, and the work that is done and asked of the
 // key-value store keeps within bounds, counted, not timed.
-func TestDaysKeepWithinCountedBounds(t *testing.T) {
+func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, day := range []struct {
 		name  string
 		shape Shape
 		jobs  int
-	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
+	}{{"thousand", thousandMachineShape(), 200}, {"weakest", smallestBudgetShape(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			w := NewShaped(1, logs(), day.shape)
-			w.submitCrowd(day.jobs, 120*time.Second)
+			w.submitJobBurst(day.jobs, 120*time.Second)
 			w.finishDay(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -7,14 +7,14 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// share is the part of a service's replica time that was served.
-func (u *user) share() float64 { return float64(u.served) / float64(u.served+u.unserved) }
+// servedShare is the part of a service's replica time that was served.
+func (u *user) servedShare() float64 { return float64(u.served) / float64(u.served+u.unserved) }
 
 // serviceFault is something that happens to a service's machines or to the controllers.
 type serviceFault struct {
-	name  string
-	play  func(w *World, u *user)
-	least float64 // share of 200 s of four replicas that must be served
+	name     string
+	inject   func(w *World, u *user)
+	minShare float64 // share of 200 s of four replicas that must be served
 }
 
 var serviceFaults = []serviceFault{
@@ -64,9 +64,9 @@
 	w.waitUntilRunning(t, 5*time.Second, u)
 	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // no machine but its own goes idle
 	w.Run(20 * time.Second)
-	c.play(w, u)
+	c.inject(w, u)
 	w.Run(200 * time.Second)
-	if got := u.share(); got < c.least {
+	if got := u.servedShare(); got < c.minShare {
 		t.Errorf("%.4f of the replica time is served", got)
 	} else {
 		t.Logf("%.4f", got)
@@ -87,7 +87,7 @@
 	u := w.submit(arrival{job: service("run-000001", 4)})
 	u.job.ends = 60 * time.Second
 	w.Run(200 * time.Second)
-	if got := u.share(); got < 0.95 {
+	if got := u.servedShare(); got < 0.95 {
 		t.Errorf("%.4f of the replica time is served", got)
 	}
 	u.cancelRequested = false
@@ -121,17 +121,17 @@
 	}
 }
 
-// wholeMachines is a gang of two tasks that take most of a machine of the small shape each.
-func wholeMachines(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
+// gangOfLargeTasks is a gang of two tasks that take most of a machine of the small shape each.
+func gangOfLargeTasks(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
 
-// TestReplicasLeaveGPUs: replicas are spread over machines, and take no processors
+// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and take no processors
 // or memory that work on GPUs needs while there are others.
-func TestReplicasLeaveGPUs(t *testing.T) {
+func TestReplicasLeaveRoomForGPUJobs(t *testing.T) {
 	t.Parallel()
 	shape := Small()
 	shape.Machines, shape.Capacity = 8, 8
 	w := startWorld(73, shape, 6*time.Second)
-	big := w.submitRunning(t, 20*time.Second, wholeMachines("run-000001"), 20)
+	big := w.submitRunning(t, 20*time.Second, gangOfLargeTasks("run-000001"), 20)
 	for i := range 4 {
 		spec := service(jobID(10+i), 4)
 		spec.Spread = i%2 == 0
@@ -146,7 +146,7 @@
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
 	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
-		w.submitRunning(t, 10*time.Second, wholeMachines(jobID(20+i)), 20)
+		w.submitRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -46,9 +46,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestHeldBackStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
+// TestDelayedStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
 // must not start its task again after it is done and forgotten.
-func TestHeldBackStartDoesNotRunDoneTask(t *testing.T) {
+func TestDelayedStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
 	w := startWorld(3, Small(), 6*time.Second)
 	c := w.leader()
@@ -63,9 +63,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestShortStoreOutageCostsNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
+// TestShortStoreOutageLosesNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
 // takes no node out of the load balancer and changes no leader.
-func TestShortStoreOutageCostsNoTaskAndNoLeader(t *testing.T) {
+func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, Small(), 5*time.Second)
 	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestLostStoreAnswersApplyNothingTwice: the key-value store carries out what the leader sends, but
+// TestLostStoreResponsesApplyNothingTwice: the key-value store carries out what the leader sends, but
 // its answers are lost for a while. Nothing is applied twice or forgotten.
-func TestLostStoreAnswersApplyNothingTwice(t *testing.T) {
+func TestLostStoreResponsesApplyNothingTwice(t *testing.T) {
 	t.Parallel()
 	w := startWorld(6, Small(), 5*time.Second)
 	c := w.leader()
@@ -189,9 +189,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCutOffLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
+// TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
 // not know of a cancellation; its grace ends before the cancellation must hold.
-func TestCutOffLeaderStopsBeforeCancellationMustHold(t *testing.T) {
+func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, Small(), 5*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
@@ -213,9 +213,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestPeersRelayReportsAcrossZoneCut: across a cut between two zones, reports of the far zone's workers
+// TestPeersRelayHeartbeatsAcrossZonePartition: across a cut between two zones, reports of the far zone's workers
 // reach the leader through the controllers, and nothing is lost.
-func TestPeersRelayReportsAcrossZoneCut(t *testing.T) {
+func TestPeersRelayHeartbeatsAcrossZonePartition(t *testing.T) {
 	t.Parallel()
 	w := startWorld(8, Small(), 5*time.Second)
 	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
@@ -297,10 +297,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestZoneCutOffFromAllPeersCostsNoTask: a cut between two zones that leaves no path between their
+// TestZonePartitionedFromAllPeersLosesNoTask: a cut between two zones that leaves no path between their
 // controllers costs nothing that runs: the reports of the far zone reach the
 // leader by way of the key-value store, and so do its answers.
-func TestZoneCutOffFromAllPeersCostsNoTask(t *testing.T) {
+func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
 		t.Run(fate.String(), func(t *testing.T) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// tiny is a deployment whose leader's share of a core pays for a few workers
+// tinyCPUShape is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
-func tiny() Shape {
+func tinyCPUShape() Shape {
 	s := Small()
 	s.Resources.Cores = 0.0006
 	return s
@@ -66,18 +66,18 @@
 			t.Parallel()
 			shape := Small()
 			if seed%2 == 1 {
-				shape = tiny()
+				shape = tinyCPUShape()
 			}
 			shape.Recovery = seed%4 > 1
-			day(t, uint64(seed), shape)
+			checkRandomRun(t, uint64(seed), shape)
 		})
 	}
 }
 
-// day plays a random day and reports every rule that was broken, with the faults of the day.
-func day(t *testing.T, seed uint64, shape Shape) {
+// checkRandomRun plays a random day and reports every rule that was broken, with the faults of the day.
+func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
-	history := w.playDay()
+	history := w.runWithFaults()
 	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
 		t.Error("nothing ran")
@@ -90,8 +90,8 @@
 	}
 }
 
-// playDay lets a day with overlapping faults pass until all is over, and lists the faults.
-func (w *World) playDay() (history []string) {
+// runWithFaults lets a day with overlapping faults pass until all is over, and lists the faults.
+func (w *World) runWithFaults() (history []string) {
 	w.submitMixedJobs(24, 150*time.Second)
 	for w.elapsed() < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -53,7 +53,7 @@
 func newUpgradeWorld(seed int) *World {
 	shape := lowered(Small(), 12, 4)
 	if seed%2 == 1 {
-		shape = lowered(tiny(), 12, 4)
+		shape = lowered(tinyCPUShape(), 12, 4)
 	}
 	shape.Capacity = 30
 	w := NewShaped(uint64(900+seed), logs(), shape)
@@ -106,7 +106,7 @@
 // records are as well, and no machine is forgotten on the way.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
-	shape := lowered(thousandMachines(), 21, 8)
+	shape := lowered(thousandMachineShape(), 21, 8)
 	shape.Store.TxnOps = 24
 	w := NewShaped(77, logs(), shape)
 	for _, c := range w.nodes {
@@ -114,7 +114,7 @@
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	w.submitCrowd(60, 30*time.Second)
+	w.submitJobBurst(60, 30*time.Second)
 	for i := range 5 {
 		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
 		w.submit(arrival{job: spec, run: 150})
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -7,10 +7,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// zoneLoss runs services until the fleet has shrunk to what they need, then loses every
+// measureZoneLoss runs services until the fleet has shrunk to what they need, then loses every
 // machine of a zone. It returns how long it took until as many replicas as the rules
 // allow ran again, and the machines that were up before.
-func zoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
+func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
@@ -48,12 +48,12 @@
 	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
 }
 
-// TestZoneLossWithoutBoot: when a zone is lost with all its machines, the replicas that
+// TestZoneLossIsRepairedWithoutBootingMachines: when a zone is lost with all its machines, the replicas that
 // the rules allow elsewhere run again in the other zones on machines that are up, also
 // when nothing but services has run for a long while.
-func TestZoneLossWithoutBoot(t *testing.T) {
+func TestZoneLossIsRepairedWithoutBootingMachines(t *testing.T) {
 	t.Parallel()
-	three := threeZones(9)
+	three := threeZoneShape(9)
 	two := Small()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
@@ -69,7 +69,7 @@
 			var sum time.Duration
 			total := 0
 			for seed := range uint64(6) {
-				took, machines := zoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
+				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
 				if took > c.limit {
 					t.Errorf("%s, quiet for %v, seed %d: %v", name, quiet, seed, took)
 				}
