--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -71,13 +71,13 @@
 // key-value store is out for 25 s and all controllers are lost at its end. Every rule
 // holds, everybody is served, and what is done and asked keeps within bounds that are
 // counted, not timed.
-func (w *World) runThroughOverlappingFailures(t *testing.T, die int) {
+func (w *World) runThroughOverlappingFailures(t *testing.T, machinesToLose int) {
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
 	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := w.loseOldest(die)
+	lost := w.loseOldest(machinesToLose)
 	w.Run(10 * time.Second)
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
@@ -101,15 +101,15 @@
 func (w *World) expectQuickRecovery(t *testing.T) {
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
-	lost := w.Now
+	lostAt := w.Now
 	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
 	u.job.spec.Team = w.shape.Teams[0].Name
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
-	t.Logf("a submission is accepted after %v", w.Now.Sub(lost))
+	t.Logf("a submission is accepted after %v", w.Now.Sub(lostAt))
 	starts := w.rules.started
 	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
-	t.Logf("a task starts after %v", w.Now.Sub(lost))
-	w.Run(lost.Add(20 * time.Second).Sub(w.Now))
+	t.Logf("a task starts after %v", w.Now.Sub(lostAt))
+	w.Run(lostAt.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -64,17 +64,17 @@
 // key-value store keeps within bounds, counted, not timed.
 func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
-	for _, day := range []struct {
+	for _, c := range []struct {
 		name  string
 		shape Shape
 		jobs  int
 	}{{"thousand", thousandMachineShape(), 200}, {"weakest", smallestBudgetShape(), 60}} {
-		t.Run(day.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(1, logs(), day.shape)
-			w.submitJobBurst(day.jobs, 120*time.Second)
+			w := NewShaped(1, logs(), c.shape)
+			w.submitJobBurst(c.jobs, 120*time.Second)
 			w.finishDay(t, 600*time.Second)
-			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
+			w.expectWithin(t, workBounds{refused: 20, changes: 25 * c.jobs, bytes: 40_000 * c.jobs})
 		})
 	}
 }
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -67,16 +67,16 @@
 }
 
 // recordEnd notes the first end of a stage of a task that was lost.
-func (s *stageLog) recordEnd(task string, x stage) {
+func (s *stageLog) recordEnd(task string, stage stage) {
 	if _, ok := s.lostMachine[task]; !ok {
 		return
 	}
 	ends := s.ends[task]
-	if x > detection && ends[x-1].IsZero() {
-		ends[x-1] = s.w.Now // it ended in the same step, or needed none
+	if stage > detection && ends[stage-1].IsZero() {
+		ends[stage-1] = s.w.Now // it ended in the same step, or needed none
 	}
-	if ends[x].IsZero() {
-		ends[x] = s.w.Now
+	if ends[stage].IsZero() {
+		ends[stage] = s.w.Now
 		s.ends[task] = ends
 	}
 }
@@ -104,7 +104,7 @@
 
 // measureReplicaLoss lets the machine of a replica die and returns the mean of each stage over
 // the replicas that were on it and run again, and how many do not.
-func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
+func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, running, missing int) {
 	t.Helper()
 	s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
 	w := NewShaped(seed, s, shape)
@@ -117,7 +117,7 @@
 	}
 	w.waitUntilRunning(t, 60*time.Second, users...)
 	w.Run(w.between(40*time.Second, 45*time.Second))
-	at := w.Now
+	lostAt := w.Now
 	s.w = w
 	s.loseMachine(w.workerOf("run-000000", 1))
 	for range 3000 {
@@ -125,7 +125,7 @@
 		s.observeAgents()
 	}
 	w.expectRulesHeld(t)
-	return s.mean(at, detection)
+	return s.mean(lostAt, detection)
 }
 
 // loseMachine lets a machine die and notes the replicas that it had.
@@ -140,24 +140,24 @@
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
 // how many run and do not.
-func (s *stageLog) mean(at time.Time, first stage) (mean [stages]time.Duration, again, missing int) {
+func (s *stageLog) mean(since time.Time, first stage) (mean [stages]time.Duration, running, missing int) {
 	for task := range s.lostMachine {
 		ends := s.ends[task]
 		if ends[image].IsZero() {
 			missing++
 			continue
 		}
-		again++
-		from := at
+		running++
+		from := since
 		for x := first; x < stages; x++ {
 			mean[x] += max(0, ends[x].Sub(from))
 			from = ends[x]
 		}
 	}
 	for x := range mean {
-		mean[x] /= time.Duration(max(1, again))
+		mean[x] /= time.Duration(max(1, running))
 	}
-	return mean, again, missing
+	return mean, running, missing
 }
 
 // stageSums adds up the means of several seeds.
@@ -167,11 +167,11 @@
 }
 
 // add takes in the means of a seed, by the number of replicas that they are of.
-func (s *stageSums) add(mean [stages]time.Duration, again int) {
+func (s *stageSums) add(mean [stages]time.Duration, replicas int) {
 	for x := range mean {
-		s.sum[x] += mean[x] * time.Duration(again)
+		s.sum[x] += mean[x] * time.Duration(replicas)
 	}
-	s.replicas += again
+	s.replicas += replicas
 }
 
 // expectWithin logs the mean of each stage from the first one on and keeps it within a limit.
@@ -193,11 +193,11 @@
 	shape := threeZoneShape(12)
 	var sums stageSums
 	for seed := range uint64(12) {
-		mean, again, missing := measureReplicaLoss(t, 700+seed, shape)
+		mean, running, missing := measureReplicaLoss(t, 700+seed, shape)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run again", seed, missing)
 		}
-		sums.add(mean, again)
+		sums.add(mean, running)
 	}
 	sums.expectWithin(t, detection, [stages]time.Duration{8 * time.Second, 1500 * time.Millisecond, time.Second, 500 * time.Millisecond, 200 * time.Millisecond, 5 * time.Second})
 	t.Logf("%d replicas", sums.replicas)
@@ -216,7 +216,7 @@
 		s.w = w
 		spec := service("run-000000", 6)
 		spec.Team = shape.Teams[0].Name
-		at := w.Now
+		submittedAt := w.Now
 		w.submit(arrival{job: spec})
 		for i := range spec.Tasks {
 			s.lostMachine[protocol.TaskName(spec.ID, i)] = ""
@@ -225,11 +225,11 @@
 			w.Run(10 * time.Millisecond)
 			s.observeAgents()
 		}
-		mean, again, missing := s.mean(at, placement)
+		mean, running, missing := s.mean(submittedAt, placement)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run", seed, missing)
 		}
-		sums.add(mean, again)
+		sums.add(mean, running)
 		w.expectRulesHeld(t)
 	}
 	sums.expectWithin(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -24,13 +24,13 @@
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
-		w.loseWorker(k)
+		agent := w.workerOf(u.job.spec.ID, 1)
+		w.loseWorker(agent)
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
-		k.giveNotice(20)
-		w.after(20*time.Second, func() { w.cloud.destroy(k.host) })
+		agent := w.workerOf(u.job.spec.ID, 1)
+		agent.giveNotice(20)
+		w.after(20*time.Second, func() { w.cloud.destroy(agent.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
 		w.workerOf(u.job.spec.ID, 1).failsTasks = true
@@ -38,9 +38,9 @@
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
-		k.opensNoConnections = true
-		w.after(100*time.Second, func() { k.opensNoConnections = false })
+		agent := w.workerOf(u.job.spec.ID, 1)
+		agent.opensNoConnections = true
+		w.after(100*time.Second, func() { agent.opensNoConnections = false })
 	}, 0.98},
 	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is cut off", func(w *World, _ *user) {
@@ -136,12 +136,12 @@
 		spec := service(jobID(10+i), 4)
 		spec.Spread = i%2 == 0
 		w.submitRunning(t, 10*time.Second, spec, 0)
-		on := map[protocol.MachineID]int{}
+		replicasPerMachine := map[protocol.MachineID]int{}
 		for k := range 4 {
-			on[w.workerOf(spec.ID, k).host.ID]++
+			replicasPerMachine[w.workerOf(spec.ID, k).host.ID]++
 		}
-		if len(on) != 4 {
-			t.Errorf("%s is on %v", spec.ID, on)
+		if len(replicasPerMachine) != 4 {
+			t.Errorf("%s is on %v", spec.ID, replicasPerMachine)
 		}
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -196,12 +196,12 @@
 	w := startWorld(7, Small(), 5*time.Second)
 	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
-	inside := map[string]bool{c.name: true}
+	leaderSide := map[string]bool{c.name: true}
 	for i := range 8 {
-		inside[string(w.workerOf("run-000001", i).host.ID)] = true
+		leaderSide[string(w.workerOf("run-000001", i).host.ID)] = true
 	}
 
-	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
+	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
 	w.Run(2 * time.Second)
 	w.waitFor(t, 20*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -54,14 +54,14 @@
 // second day most reports go to the leader by way of the other controllers.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
-	days := 24
+	seeds := 24
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil {
-		days = n
+		seeds = n
 	}
 	if testing.Short() {
-		days = 6
+		seeds = 6
 	}
-	for seed := range days {
+	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			shape := Small()
@@ -77,13 +77,13 @@
 // checkRandomRun plays a random day and reports every rule that was broken, with the faults of the day.
 func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
-	history := w.runWithFaults()
+	faults := w.runWithFaults()
 	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
 		t.Error("nothing ran")
 	}
 	if len(w.rules.failures) > 0 {
-		t.Errorf("faults: %v", history)
+		t.Errorf("faults: %v", faults)
 		for _, f := range w.rules.failures {
 			t.Error(f)
 		}
@@ -91,11 +91,11 @@
 }
 
 // runWithFaults lets a day with overlapping faults pass until all is over, and lists the faults.
-func (w *World) runWithFaults() (history []string) {
+func (w *World) runWithFaults() (faults []string) {
 	w.submitMixedJobs(24, 150*time.Second)
 	for w.elapsed() < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
-		history = append(history, w.clock()+" "+w.injectFault())
+		faults = append(faults, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
 	w.faultsOver = w.Now
@@ -104,7 +104,7 @@
 	}
 	w.watchWaitingJobs()
 	w.runUntilOver()
-	return history
+	return faults
 }
 
 // TestSameSeedSameRun guards the determinism that makes a failing seed worth
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -24,7 +24,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(seed, shape, 3*time.Second)
-			terms := w.leaderLeaseRevision()
+			revision := w.leaderLeaseRevision()
 			w.submitJobBurst(60, 100*time.Second)
 			// Users ask about jobs that nobody submitted, fifty a second.
 			for i := range 500 {
@@ -38,18 +38,18 @@
 				})
 			}
 			w.Run(60 * time.Second)
-			if got := w.leaderLeaseRevision(); got != terms {
-				t.Errorf("the leader lease was lost to load: revision %d, then %d", terms, got)
+			if got := w.leaderLeaseRevision(); got != revision {
+				t.Errorf("the leader lease was lost to load: revision %d, then %d", revision, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
-			terms = w.leaderLeaseRevision()
+			revision = w.leaderLeaseRevision()
 			w.faultsOver = w.Now
 			w.finishDay(t, 700*time.Second)
-			if got := w.leaderLeaseRevision(); got != terms {
-				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
+			if got := w.leaderLeaseRevision(); got != revision {
+				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", revision, got)
 			}
 			for _, c := range w.nodes {
 				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -10,7 +10,7 @@
 // measureZoneLoss runs services until the fleet has shrunk to what they need, then loses every
 // machine of a zone. It returns how long it took until as many replicas as the rules
 // allow ran again, and the machines that were up before.
-func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
+func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, settle time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
@@ -23,7 +23,7 @@
 	running := func() (n int) {
 		for _, u := range users {
 			for i := range u.job.spec.Tasks {
-				if a := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; a != nil && a.state == protocol.TaskRunning {
+				if task := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil && task.state == protocol.TaskRunning {
 					n++
 				}
 			}
@@ -31,7 +31,7 @@
 		return n
 	}
 	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
-	w.Run(quiet)
+	w.Run(settle)
 	zone := w.workerOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
@@ -65,18 +65,18 @@
 		// lost machines are kept until their leases have expired, for their sake.
 		"two zones": {two, secs(two.Agents.LeaseS) + 5*time.Second},
 	} {
-		for _, quiet := range []time.Duration{90 * time.Second, 200 * time.Second} {
+		for _, settle := range []time.Duration{90 * time.Second, 200 * time.Second} {
 			var sum time.Duration
 			total := 0
 			for seed := range uint64(6) {
-				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
+				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, settle)
 				if took > c.limit {
-					t.Errorf("%s, quiet for %v, seed %d: %v", name, quiet, seed, took)
+					t.Errorf("%s, quiet for %v, seed %d: %v", name, settle, seed, took)
 				}
 				sum += took
 				total += machines
 			}
-			t.Logf("%s, quiet for %v: %v, %.1f machines", name, quiet, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
+			t.Logf("%s, quiet for %v: %v, %.1f machines", name, settle, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
 		}
 	}
 }
