--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// twoThousandMachineShape is a deployment of two thousand machines on controllers and budgets not
-// much larger than those of a thousand.
+// twoThousandMachineShape returns a deployment that can grow to two thousand machines. The resources
+// and budgets of its controllers are not much larger than those of thousandMachineShape.
 func twoThousandMachineShape() Shape {
 	s := thousandMachineShape()
 	s.Machines, s.Capacity = 420, 2000
@@ -20,8 +20,9 @@
 	return s
 }
 
-// fourThousandMachineShape is a deployment of four thousand machines and half as many again that a
-// burst can rent, on controllers and budgets that are wider by about the same.
+// fourThousandMachineShape returns a deployment of four thousand machines to which a burst of jobs
+// can add half as many. The resources and budgets of its controllers are larger than those of
+// twoThousandMachineShape in about the same proportion.
 func fourThousandMachineShape() Shape {
 	s := twoThousandMachineShape()
 	s.Machines, s.Capacity = 4000, 6000
@@ -32,17 +33,18 @@
 	return s
 }
 
-// setQuotas gives every team the same quota.
+// setQuotas sets the same guaranteed quota and limit of GPUs for every team.
 func (s *Shape) setQuotas(guaranteed, limit float64) {
 	for i := range s.Teams {
 		s.Teams[i].GPUs, s.Teams[i].MaxGPUs = guaranteed, limit
 	}
 }
 
-// TestTwoThousandMachinesSurviveOverlappingFailures plays a day of two thousand machines.
+// TestTwoThousandMachinesSurviveOverlappingFailures: two thousand machines with a burst of jobs
+// survive the failures of runThroughOverlappingFailures.
 func TestTwoThousandMachinesSurviveOverlappingFailures(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a day of two thousand machines")
+		t.Skip("simulates two thousand machines")
 	}
 	t.Parallel()
 	w := NewShaped(1, logs(), twoThousandMachineShape())
@@ -50,11 +52,12 @@
 	w.runThroughOverlappingFailures(t, 150)
 }
 
-// TestFourThousandMachinesSurviveOverlappingFailures plays one of four thousand, which work takes whole at once and half as
-// many again after: arrays of thousands of tasks beside gangs.
+// TestFourThousandMachinesSurviveOverlappingFailures: four thousand machines survive the same
+// failures. The jobs need all of them at once and then half as many more: arrays of more than a
+// thousand tasks each, in addition to gangs.
 func TestFourThousandMachinesSurviveOverlappingFailures(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a day of four thousand machines")
+		t.Skip("simulates four thousand machines")
 	}
 	t.Parallel()
 	w := NewShaped(1, logs(), fourThousandMachineShape())
@@ -67,10 +70,11 @@
 	w.runThroughOverlappingFailures(t, 1400)
 }
 
-// runThroughOverlappingFailures goes on with a day: a zone goes dark, many machines die together, the
-// key-value store is out for 25 s and all controllers are lost at its end. Every rule
-// holds, everybody is served, and what is done and asked keeps within bounds that are
-// counted, not timed.
+// runThroughOverlappingFailures continues a run through overlapping failures: a zone is partitioned
+// from the others, many machines die together, the key-value store is down for 25 s, and all
+// controllers crash at the end of this outage. It checks that every rule holds, that all jobs are
+// served, and that the controllers' work and requests stay within bounds. The bounds are counts,
+// not durations.
 func (w *World) runThroughOverlappingFailures(t *testing.T, machinesToLose int) {
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
@@ -82,22 +86,22 @@
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
 	w.crashAll(4 * time.Second)
-	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.agents)+lost)
+	t.Logf("%d machines of %d lost, then all controllers crashed", lost, len(w.agents)+lost)
 
 	w.expectQuickRecovery(t)
 	w.faultsOver = w.Now
 	w.finishDay(t, 700*time.Second)
 
-	t.Logf("at most %d calls to workers at once", w.mostCalls)
+	t.Logf("at most %d calls to agents in progress at once at a controller", w.mostCalls)
 	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
-		t.Errorf("%d calls to workers under way at once", w.mostCalls)
+		t.Errorf("%d calls to agents in progress at once at a controller", w.mostCalls)
 	}
 	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
 }
 
-// expectQuickRecovery checks that controllers that were all lost just now take a submission
-// and start a task soon, and that their calls to workers keep within their share.
+// expectQuickRecovery checks that controllers that have all just crashed soon accept a submission
+// and start a task, and that their calls to agents stay within their share of the processor time.
 func (w *World) expectQuickRecovery(t *testing.T) {
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
@@ -107,11 +111,11 @@
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
 	t.Logf("a submission is accepted after %v", w.Now.Sub(lostAt))
 	starts := w.rules.started
-	w.waitFor(t, 20*time.Second, "something is placed", func() bool { return w.rules.started > starts })
+	w.waitFor(t, 20*time.Second, "a task starts", func() bool { return w.rules.started > starts })
 	t.Logf("a task starts after %v", w.Now.Sub(lostAt))
 	w.Run(lostAt.Add(20 * time.Second).Sub(w.Now))
-	t.Logf("in the 20 s after the loss: %d steps, %d calls to workers, %d requests, %d changes", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
+	t.Logf("in the 20 s after the crash: %d steps, %d calls to agents, %d requests to the store, %d changed keys", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
-		t.Errorf("%d calls to workers in 20 s, %d fit the controllers' share", n, limit)
+		t.Errorf("%d calls to agents in 20 s, the controllers' share of the processor time allows %d", n, limit)
 	}
 }
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestIdleControllersRarelyWake: controllers that nothing happens to are woken a few times a second at
-// most, whatever their share of a core, and ask the key-value store for little.
+// TestIdleControllersRarelyWake: controllers without jobs and machines wake up only a few times a
+// second, whatever their share of a core, and send few requests to the key-value store.
 func TestIdleControllersRarelyWake(t *testing.T) {
 	t.Parallel()
 	shape := Small()
@@ -18,14 +18,14 @@
 		w.Run(60 * time.Second)
 		stepRate := float64(w.steps-steps) / 60 / float64(len(w.nodes))
 		requestRate := float64(w.store.requests-requests) / 60
-		t.Logf("on %v of a core: %.1f steps a second at each node, %.1f requests a second by all", cores, stepRate, requestRate)
-		// Two beats come a second, two answers; the leader looks its machines over
-		// twice a second and asks the cloud, the rest are timers.
+		t.Logf("on %v of a core: %.1f steps a second at each node, %.1f requests to the store a second by all nodes", cores, stepRate, requestRate)
+		// A node receives two peer heartbeats and two responses a second. The leader also checks
+		// its machines twice a second and calls the cloud. All other steps are due to timers.
 		if stepRate > 9 {
 			t.Errorf("on %v of a core: %.1f steps a second at each node", cores, stepRate)
 		}
 		if requestRate > 6 {
-			t.Errorf("on %v of a core: %.1f requests a second", cores, requestRate)
+			t.Errorf("on %v of a core: %.1f requests to the store a second", cores, requestRate)
 		}
 	}
 }
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -13,7 +13,7 @@
 	"github.com/gappond/gappond/internal/transport"
 )
 
-// inProcessControllers are three controllers of this process with the real transport.
+// inProcessControllers runs three controllers in this process with the real transport.
 type inProcessControllers struct {
 	t      *testing.T
 	boots  int
@@ -21,39 +21,39 @@
 	exited sync.WaitGroup
 }
 
-func (o *inProcessControllers) Start(v *Live) error {
+func (c *inProcessControllers) Start(v *Live) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	o.cancel = cancel
-	o.boots++
+	c.cancel = cancel
+	c.boots++
 	for i := range 3 {
 		cfg := v.Config(i)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		node := coordination.New(cfg, log, uint64(o.boots*10+i), fmt.Sprint("life-", o.boots, "-", i))
-		o.exited.Go(func() {
+		node := coordination.New(cfg, log, uint64(c.boots*10+i), fmt.Sprint("boot-", c.boots, "-", i))
+		c.exited.Go(func() {
 			if err := transport.NewController(cfg, log, node).Run(ctx); err != nil {
-				o.t.Error(err)
+				c.t.Error(err)
 			}
 		})
 	}
 	return nil
 }
 
-func (o *inProcessControllers) Kill() {
-	o.cancel()
-	o.exited.Wait()
+func (c *inProcessControllers) Kill() {
+	c.cancel()
+	c.exited.Wait()
 }
 
-// TestColdRestartOnLoopbackKeepsWork: three controllers with the real transport and two hundred workers
-// on loopback; all controllers are lost at once with hundreds of tasks half-way and come
-// back together. By the workers' own logs no task is started twice, no order goes beyond
-// what the true state asked for, and all work that ran goes on. All jobs have one priority:
-// what makes way for others is no difference. It takes real time, some
-// forty seconds, and the race detector watches it in CI.
+// TestColdRestartOnLoopbackKeepsWork: three controllers with the real transport serve two hundred
+// agents on loopback. All controllers are killed at once while hundreds of tasks are in progress,
+// and come back together. According to what the agents record, no task is started twice, no command
+// goes beyond what the true state required, and all work that was running continues. All jobs have
+// the same priority, because a stop for preemption is not a command that the true state required.
+// The test runs in real time, for about forty seconds. CI runs it with the race detector.
 func TestColdRestartOnLoopbackKeepsWork(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes real time")
+		t.Skip("runs in real time")
 	}
-	// Not in parallel: the days on the fake clock would take its processors.
+	// Not in parallel: the simulations on the fake clock would take processor time from it.
 	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, Equal: true}
 	r, err := c.RunLive(1, &inProcessControllers{t: t})
 	if err != nil {
@@ -61,13 +61,13 @@
 	}
 	t.Logf("%+v", r)
 	if r.Tasks < 500 || r.BeforeSeconds < 1000 || r.Orders[needStart] == 0 {
-		t.Errorf("too little happened: %+v", r)
+		t.Errorf("too few tasks, too little work or no starts: %+v", r)
 	}
 	if r.DuplicateStarts > 0 || r.Excess != [3]int{} {
-		t.Errorf("%d duplicate starts; starts, stops and forgets beyond the differences: %v", r.DuplicateStarts, r.Excess)
+		t.Errorf("%d duplicate starts; starts, stops and forgets beyond those required: %v", r.DuplicateStarts, r.Excess)
 	}
 	if r.KeptSeconds < r.BeforeSeconds {
-		t.Errorf("%v of %v seconds of work were kept", r.KeptSeconds, r.BeforeSeconds)
+		t.Errorf("%v of %v s of work were kept", r.KeptSeconds, r.BeforeSeconds)
 	}
 	for _, f := range r.Rules {
 		t.Error(f)
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -10,31 +10,32 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// stage is a part of the time for which a replica whose machine is lost is away.
+// stage is a part of the time from the loss of a replica's machine until the replica runs again.
 type stage int
 
 const (
-	detection  stage = iota // from the loss to the decision that the machine is gone
+	detection  stage = iota // from the loss to the decision to delete the machine
 	proof                   // until its tasks are known to be gone
-	placement               // until the replica has its next place
-	commitment              // until the place is written and its start is ordered
-	command                 // until the worker has the order
+	placement               // until the replica has a new placement
+	commitment              // until the placement is stored and the start command is issued
+	command                 // until the agent has the start command
 	image                   // until the replica runs
 	stages
 )
 
 var stageNames = [stages]string{"detection", "proof", "placement", "commit", "command", "image"}
 
-// stageLog reads from the leader's log when each stage of a replica's way ends.
+// stageLog records when each stage of a replica's restart ends, from the leader's log and from the
+// state of the agents.
 type stageLog struct {
 	w           *World
-	ends        map[string][stages]time.Time // by task
-	lostMachine map[string]string            // machines that were lost, by the tasks that they had
+	ends        map[string][stages]time.Time // by task name
+	lostMachine map[string]string            // the lost machine of each observed task, by task name; "" for a new task
 }
 
 var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
 
-// Write takes one line of the log.
+// Write reads one line of the log.
 func (s *stageLog) Write(line []byte) (int, error) {
 	m := logLine.FindSubmatch(line)
 	if m == nil || s.w == nil {
@@ -66,14 +67,14 @@
 	return len(line), nil
 }
 
-// recordEnd notes the first end of a stage of a task that was lost.
+// recordEnd records when a stage of an observed task ends for the first time.
 func (s *stageLog) recordEnd(task string, stage stage) {
 	if _, ok := s.lostMachine[task]; !ok {
 		return
 	}
 	ends := s.ends[task]
 	if stage > detection && ends[stage-1].IsZero() {
-		ends[stage-1] = s.w.Now // it ended in the same step, or needed none
+		ends[stage-1] = s.w.Now // this stage ended in the same step, or was not needed
 	}
 	if ends[stage].IsZero() {
 		ends[stage] = s.w.Now
@@ -81,7 +82,7 @@
 	}
 }
 
-// observeAgents notes what the workers have.
+// observeAgents records which of the tasks agents have been told to start, and which run.
 func (s *stageLog) observeAgents() {
 	for task, machine := range s.lostMachine {
 		id, index, _ := strings.Cut(task, "/")
@@ -102,8 +103,8 @@
 	}
 }
 
-// measureReplicaLoss lets the machine of a replica die and returns the mean of each stage over
-// the replicas that were on it and run again, and how many do not.
+// measureReplicaLoss lets a machine with replicas die. It returns the mean duration of each stage
+// over those of its replicas that run again, their number, and the number of the others.
 func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, running, missing int) {
 	t.Helper()
 	s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
@@ -128,7 +129,7 @@
 	return s.mean(lostAt, detection)
 }
 
-// loseMachine lets a machine die and notes the replicas that it had.
+// loseMachine lets a machine die and records the replicas that were on it.
 func (s *stageLog) loseMachine(agent *agent) {
 	for name, task := range s.w.rules.placed {
 		if task.agent == agent {
@@ -138,8 +139,8 @@
 	s.w.loseWorker(agent)
 }
 
-// mean is the mean of each stage from the first one on, over the tasks that run, and
-// how many run and do not.
+// mean returns the mean duration of each stage, beginning with stage first, over the observed tasks
+// that run, their number, and the number of the others.
 func (s *stageLog) mean(since time.Time, first stage) (mean [stages]time.Duration, running, missing int) {
 	for task := range s.lostMachine {
 		ends := s.ends[task]
@@ -160,13 +161,13 @@
 	return mean, running, missing
 }
 
-// stageSums adds up the means of several seeds.
+// stageSums adds up the stage durations of several seeds.
 type stageSums struct {
 	sum      [stages]time.Duration
 	replicas int
 }
 
-// add takes in the means of a seed, by the number of replicas that they are of.
+// add adds the means of a seed, weighted by its number of replicas.
 func (s *stageSums) add(mean [stages]time.Duration, replicas int) {
 	for x := range mean {
 		s.sum[x] += mean[x] * time.Duration(replicas)
@@ -174,7 +175,8 @@
 	s.replicas += replicas
 }
 
-// expectWithin logs the mean of each stage from the first one on and keeps it within a limit.
+// expectWithin logs the mean duration of each stage, beginning with stage first, and checks it
+// against the stage's limit.
 func (s *stageSums) expectWithin(t *testing.T, first stage, limits [stages]time.Duration) {
 	t.Helper()
 	for x := first; x < stages; x++ {
@@ -186,8 +188,8 @@
 	}
 }
 
-// TestReplicaLossByStage measures where the time goes for which replicas of a lost
-// machine are away, and keeps each part within its bound.
+// TestReplicaLossByStage: the time until the replicas of a lost machine run again is measured by
+// stage, and each stage stays within its limit.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
 	shape := threeZoneShape(12)
@@ -203,8 +205,8 @@
 	t.Logf("%d replicas", sums.replicas)
 }
 
-// TestServiceStartByStage measures where the time goes from a service's submission until
-// its replicas run, on machines that are up and do not have its image.
+// TestServiceStartByStage: the time from a service's submission until its replicas run is measured
+// by stage, and each stage stays within its limit. The machines are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
 	shape := threeZoneShape(30)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -7,27 +7,27 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// servedShare is the part of a service's replica time that was served.
+// servedShare returns the share of a service's replica time that was served.
 func (u *user) servedShare() float64 { return float64(u.served) / float64(u.served+u.unserved) }
 
-// serviceFault is something that happens to a service's machines or to the controllers.
+// serviceFault is a fault of a service's machines, of the controllers or of what they depend on.
 type serviceFault struct {
 	name     string
 	inject   func(w *World, u *user)
-	minShare float64 // share of 200 s of four replicas that must be served
+	minShare float64 // least share of the replica time that must be served, over 200 s of four replicas
 }
 
 var serviceFaults = []serviceFault{
-	{"nothing", func(*World, *user) {}, 1},
-	{"the leader ends", func(w *World, _ *user) { w.crashLeader(4 * time.Second) }, 1},
-	{"all controllers end", func(w *World, _ *user) {
+	{"no fault", func(*World, *user) {}, 1},
+	{"the leader crashes", func(w *World, _ *user) { w.crashLeader(4 * time.Second) }, 1},
+	{"all controllers crash", func(w *World, _ *user) {
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
 		agent := w.workerOf(u.job.spec.ID, 1)
 		w.loseWorker(agent)
 	}, 0.97},
-	{"a machine is taken away with notice", func(w *World, u *user) {
+	{"a machine is preempted with notice", func(w *World, u *user) {
 		agent := w.workerOf(u.job.spec.ID, 1)
 		agent.giveNotice(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(agent.host) })
@@ -37,19 +37,19 @@
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
-	{"a machine opens no connection", func(w *World, u *user) {
+	{"a machine cannot open connections", func(w *World, u *user) {
 		agent := w.workerOf(u.job.spec.ID, 1)
 		agent.opensNoConnections = true
 		w.after(100*time.Second, func() { agent.opensNoConnections = false })
 	}, 0.98},
 	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
-	{"a zone is cut off", func(w *World, _ *user) {
+	{"a zone is partitioned", func(w *World, _ *user) {
 		w.interrupt(25*time.Second, packetsLost, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 	}, 0.9},
 }
 
-// TestServicesServeThroughFaults: what a service's replicas lose under each fault is no more than
-// the time that proof of their end and another start take; only its user ends it.
+// TestServicesServeThroughFaults: under each fault, a service's replicas are down no longer than it
+// takes to prove that they have ended and to start them again. Only its user ends the service.
 func TestServicesServeThroughFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range serviceFaults {
@@ -57,12 +57,12 @@
 	}
 }
 
-// run plays it with one service of four replicas.
+// run injects the fault while a service of four replicas runs.
 func (c serviceFault) run(t *testing.T) {
 	w := startWorld(70, Small(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
-	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // no machine but its own goes idle
+	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // keeps machines other than the service's from becoming idle
 	w.Run(20 * time.Second)
 	c.inject(w, u)
 	w.Run(200 * time.Second)
@@ -73,14 +73,14 @@
 	}
 	w.Run(60 * time.Second)
 	if !u.over || u.phase != protocol.PhaseCancelled {
-		t.Errorf("it is %s", u.phase)
+		t.Errorf("the service is %s", u.phase)
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestEndedReplicasRestartWithoutStorm: a replica that ends by itself, whatever its cause, runs again;
-// a service whose replicas end at once makes no storm of starts, also when it
-// fails on every machine, and takes no machine from others.
+// TestEndedReplicasRestartWithoutStorm: a replica that ends by itself, for whatever reason, runs
+// again. A service whose replicas end as soon as they start causes no storm of starts, even if it
+// fails on every machine, and makes no machine unavailable to other jobs.
 func TestEndedReplicasRestartWithoutStorm(t *testing.T) {
 	t.Parallel()
 	w := startWorld(71, Small(), 6*time.Second)
@@ -108,7 +108,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestServiceBeyondTeamLimitIsRefused: a service needs quota for all its tasks.
+// TestServiceBeyondTeamLimitIsRefused: a service whose replicas together need more than the team's
+// limit is refused.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	w := startWorld(72, Small(), 6*time.Second)
@@ -121,11 +122,11 @@
 	}
 }
 
-// gangOfLargeTasks is a gang of two tasks that take most of a machine of the small shape each.
+// gangOfLargeTasks returns a gang of two tasks that each take most of a machine of the small shape.
 func gangOfLargeTasks(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
 
-// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and take no processors
-// or memory that work on GPUs needs while there are others.
+// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and do not take processors
+// or memory that GPU jobs need while other capacity is available.
 func TestReplicasLeaveRoomForGPUJobs(t *testing.T) {
 	t.Parallel()
 	shape := Small()
@@ -141,11 +142,11 @@
 			replicasPerMachine[w.workerOf(spec.ID, k).host.ID]++
 		}
 		if len(replicasPerMachine) != 4 {
-			t.Errorf("%s is on %v", spec.ID, replicasPerMachine)
+			t.Errorf("replicas of %s by machine: %v", spec.ID, replicasPerMachine)
 		}
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
-	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
+	for i := range 4 { // eight machines with two replicas each, which take 4 of 32 processors
 		w.submitRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease expires,
-// and what runs goes on running.
+// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease
+// expires, and running tasks continue.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, Small(), 5*time.Second)
@@ -27,8 +27,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestRestartedLeaderReplacesItsOwnLease: a process that is back within a fraction of a second
-// replaces its predecessor's leader lease without waiting for it to expire.
+// TestRestartedLeaderReplacesItsOwnLease: a leader that restarts within a fraction of a second
+// replaces the leader lease of its previous process without waiting for it to expire.
 func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(2, Small(), 5*time.Second)
@@ -38,7 +38,7 @@
 	w.Run(250 * time.Millisecond)
 
 	if took := w.waitForLeader(t, 5*time.Second); took > time.Second {
-		t.Errorf("after %v", took)
+		t.Errorf("a node leads again after %v", took)
 	}
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
@@ -46,8 +46,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestDelayedStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
-// must not start its task again after it is done and forgotten.
+// TestDelayedStartDoesNotRunDoneTask: a direct start command that the network delays for a minute
+// must not start its task again after the task is done and the agent has forgotten it.
 func TestDelayedStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
 	w := startWorld(3, Small(), 6*time.Second)
@@ -63,8 +63,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestShortStoreOutageLosesNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
-// takes no node out of the load balancer and changes no leader.
+// TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is shorter
+// than the leader's grace, no task is lost, no node is taken out of the load balancer, and the leader
+// does not change.
 func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, Small(), 5*time.Second)
@@ -77,7 +78,7 @@
 		w.Run(time.Second)
 		for _, n := range w.nodes {
 			if !n.node.Ready() {
-				t.Fatalf("%s is not ready in an outage that all share", n.name)
+				t.Fatalf("%s is not ready in an outage that affects all nodes", n.name)
 			}
 		}
 	}
@@ -89,8 +90,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestNodeRefusedByStoreAloneIsNotReady: a node that alone is refused by the key-value store says it
-// is not ready.
+// TestNodeRefusedByStoreAloneIsNotReady: a node that is the only one refused by the key-value store
+// reports that it is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := startWorld(5, Small(), 5*time.Second)
@@ -102,24 +103,24 @@
 	if c.node.Ready() {
 		t.Error("ready")
 	}
-	// Users whose connections it still has are answered by a peer.
+	// Requests of users who are still connected to it are answered by a peer.
 	if got := w.statusOf(c, submission(array("run-000009", 1))); got != 201 {
-		t.Errorf("a submission is answered %d", got)
+		t.Errorf("status %d for a submission", got)
 	}
 	if got := w.statusOf(c, statusQuery("run-000009")); got != 200 {
-		t.Errorf("a status query is answered %d", got)
+		t.Errorf("status %d for a status query", got)
 	}
 
 	c.refused = false
 	w.Run(2 * time.Second)
 
 	if !c.node.Ready() {
-		t.Error("not ready once it is served again")
+		t.Error("not ready after the store serves it again")
 	}
 }
 
-// TestLostStoreResponsesApplyNothingTwice: the key-value store carries out what the leader sends, but
-// its answers are lost for a while. Nothing is applied twice or forgotten.
+// TestLostStoreResponsesApplyNothingTwice: for a while, the key-value store executes the leader's
+// requests, but half of its responses are lost. No change is applied twice or forgotten.
 func TestLostStoreResponsesApplyNothingTwice(t *testing.T) {
 	t.Parallel()
 	w := startWorld(6, Small(), 5*time.Second)
@@ -137,8 +138,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestNodesStartWithoutCloud: nodes that start while the cloud does not answer know
-// the machine types from the records and take submissions.
+// TestNodesStartWithoutCloud: nodes that start while the cloud does not respond read the machine
+// types from the stored records and accept submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
 	w := startWorld(12, Small(), 5*time.Second)
@@ -157,8 +158,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestStatusQueriesKeepWithinStoreBudget: far more polls than the key-value store's budget allows neither
-// exceed it nor keep the leader from its leader lease; every user gets an answer.
+// TestStatusQueriesKeepWithinStoreBudget: far more status queries than the key-value store's budget
+// allows neither exceed it nor keep the leader from renewing its leader lease. Every query gets an
+// answer.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
 	w := startWorld(13, Small(), 5*time.Second)
@@ -166,7 +168,7 @@
 	c, before := w.leader(), w.store.requests
 
 	answers, asked := 0, 0
-	for range 400 { // 20 s of 600 queries a second, half for jobs that nobody knows
+	for range 400 { // 20 s of 600 queries a second, half of them for a job that does not exist
 		for i, n := range w.nodes {
 			for k := range 10 {
 				asked++
@@ -181,16 +183,17 @@
 		t.Errorf("%d answers to %d status queries", answers, asked)
 	}
 	if rate := float64(w.store.requests-before) / 25; rate > 80 {
-		t.Errorf("%.0f requests a second", rate)
+		t.Errorf("%.0f requests to the store a second", rate)
 	}
 	if w.leader() != c {
-		t.Error("the leader lost its lease")
+		t.Error("the leader has changed")
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
-// not know of a cancellation; its grace ends before the cancellation must hold.
+// TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader that a partition leaves connected
+// only to some agents does not know of a cancellation. Its grace ends before the cancellation must
+// hold.
 func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, Small(), 5*time.Second)
@@ -203,36 +206,36 @@
 
 	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
 	w.Run(2 * time.Second)
-	w.waitFor(t, 20*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != c })
+	w.waitFor(t, 20*time.Second, "another node leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
 	w.Run(150 * time.Second)
 
 	if !u.over {
-		t.Error("not cancelled")
+		t.Error("the job is not cancelled")
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestPeersRelayHeartbeatsAcrossZonePartition: across a cut between two zones, reports of the far zone's workers
-// reach the leader through the controllers, and nothing is lost.
+// TestPeersRelayHeartbeatsAcrossZonePartition: during a partition between two zones, the heartbeats
+// of agents in the zone without the leader reach the leader through its peers, and no task is lost.
 func TestPeersRelayHeartbeatsAcrossZonePartition(t *testing.T) {
 	t.Parallel()
 	w := startWorld(8, Small(), 5*time.Second)
 	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
-	bridge := w.others(c)[0].name // reaches everybody, wherever it is
+	bridge := w.others(c)[0].name // is connected to all hosts in both zones
 
 	w.interrupt(60*time.Second, packetsLost, func(a, b string) bool {
 		return a != bridge && b != bridge && w.inDifferentZones(a, b)
 	})
 
 	w.waitUntilOver(t, 200*time.Second, u)
-	w.expectStarts(t, starts, 0, "across the cut")
+	w.expectStarts(t, starts, 0, "during the partition")
 	w.expectRulesHeld(t)
 }
 
-// TestArrayOfManyRecordsSurvivesFailover: a job whose tasks fill many records keeps the state
-// service's limits and survives a change of leader.
+// TestArrayOfManyRecordsSurvivesFailover: a job whose tasks fill many records stays within the
+// key-value store's limits and survives a change of leader.
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
 	w := startWorld(9, Small(), 5*time.Second)
@@ -245,14 +248,14 @@
 	w.Run(20 * time.Second)
 	for k := range w.store.keys {
 		if k == "g/j/run-000001" || strings.HasPrefix(k, "g/t/") {
-			t.Errorf("%s is left", k)
+			t.Errorf("the record %s is left", k)
 		}
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestLargestJobSurvivesFailoverAndIsCancelled: a job of the largest size is taken, keeps every limit of the
-// key-value store, survives a change of leader and is cancelled in time.
+// TestLargestJobSurvivesFailoverAndIsCancelled: a job of the largest size is accepted, stays within
+// every limit of the key-value store, survives a change of leader and is cancelled in time.
 func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
 	w := startWorld(14, Small(), 5*time.Second)
@@ -260,7 +263,7 @@
 	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
-		t.Error("nothing starts")
+		t.Error("no task starts")
 	}
 
 	w.leader().crash(2 * time.Second)
@@ -269,13 +272,13 @@
 	w.waitUntilOver(t, 30*time.Second, u)
 	w.Run(60 * time.Second)
 	if _, ok := w.store.keys["g/j/run-000001"]; ok {
-		t.Error("its record is still among the unfinished")
+		t.Error("its main record is still among those of unfinished jobs")
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestGangRestartsOnSpareFromCheckpoint: a gang that loses a machine runs again at once on a machine
-// that is there, keeping its checkpoint.
+// TestGangRestartsOnSpareFromCheckpoint: a gang that loses a machine restarts at once from its
+// checkpoint, on a spare machine that is already up.
 func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
 	w := startWorld(10, Small(), 6*time.Second)
@@ -286,9 +289,9 @@
 
 	w.loseWorker(w.workerOf("run-000001", 0))
 
-	// Silence, two probes and a deletion: well before the lease would expire.
+	// The machine is silent, two probes fail and it is deleted, well before its lease would expire.
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
-		t.Errorf("repaired after %v", took)
+		t.Errorf("the gang runs again after %v", took)
 	}
 	if u.job.progress[0] < 20 {
 		t.Errorf("progress %v", u.job.progress[0])
@@ -297,9 +300,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestZonePartitionedFromAllPeersLosesNoTask: a cut between two zones that leaves no path between their
-// controllers costs nothing that runs: the reports of the far zone reach the
-// leader by way of the key-value store, and so do its answers.
+// TestZonePartitionedFromAllPeersLosesNoTask: a partition between two zones that leaves no path
+// between their controllers loses no running task. The heartbeats of the zone without the leader
+// reach the leader through the key-value store, and the leader's responses return the same way.
 func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []packetFate{packetsHeld, packetsLost} {
@@ -315,7 +318,7 @@
 
 			w.waitUntilOver(t, 60*time.Second, needsBothZones)
 			w.waitUntilOver(t, 200*time.Second, u)
-			w.expectStarts(t, starts, 16, "across the cut")
+			w.expectStarts(t, starts, 16, "during the partition")
 			w.expectRulesHeld(t)
 		})
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -10,7 +10,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// submitMixedJobs makes users with jobs of every shape.
+// submitMixedJobs submits jobs of every shape at random times within span.
 func (w *World) submitMixedJobs(jobs int, span time.Duration) {
 	for range jobs {
 		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
@@ -41,17 +41,17 @@
 	}
 }
 
-// tinyCPUShape is a deployment whose leader's share of a core pays for a few workers
-// only: the other controllers answer the rest for it.
+// tinyCPUShape returns a deployment whose leader has too small a share of a core to respond to more
+// than a few agents. The other controllers respond to the rest on its behalf.
 func tinyCPUShape() Shape {
 	s := Small()
 	s.Resources.Cores = 0.0006
 	return s
 }
 
-// TestRulesHold lets whole days with overlapping faults pass and checks every
-// rule at every step, and that all jobs are over once the faults are. On every
-// second day most reports go to the leader by way of the other controllers.
+// TestRulesHold: in random runs with overlapping faults every rule holds at every step, and all jobs
+// are over some time after the faults have ended. In every second run most heartbeats reach the
+// leader through the other controllers.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
 	seeds := 24
@@ -74,13 +74,13 @@
 	}
 }
 
-// checkRandomRun plays a random day and reports every rule that was broken, with the faults of the day.
+// checkRandomRun performs a random run and reports every broken rule, and the faults of the run.
 func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
 	faults := w.runWithFaults()
-	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
+	w.checkServed(2 * largestStartWithin) // twice the limit, because faults occur every few seconds for four minutes
 	if w.rules.started == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
 	if len(w.rules.failures) > 0 {
 		t.Errorf("faults: %v", faults)
@@ -90,7 +90,8 @@
 	}
 }
 
-// runWithFaults lets a day with overlapping faults pass until all is over, and lists the faults.
+// runWithFaults submits jobs, injects overlapping faults and runs until all jobs are over. It
+// returns the faults.
 func (w *World) runWithFaults() (faults []string) {
 	w.submitMixedJobs(24, 150*time.Second)
 	for w.elapsed() < 240*time.Second {
@@ -107,8 +108,8 @@
 	return faults
 }
 
-// TestSameSeedSameRun guards the determinism that makes a failing seed worth
-// having: the state machine must not depend on the order of maps.
+// TestSameSeedSameRun: runs with the same seed are identical, so that a failing seed can be
+// reproduced. The state machine must not depend on the iteration order of maps.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	run := func() (uint64, int) {
@@ -129,14 +130,14 @@
 	}
 }
 
-// TestUnknownJobIsNotFound asks for a job that was never submitted.
+// TestUnknownJobIsNotFound: a status query for a job that was never submitted is answered with 404.
 func TestUnknownJobIsNotFound(t *testing.T) {
 	t.Parallel()
 	w := New(1, nil)
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
 		if got := w.statusOf(c, statusQuery("run-999999")); got != 404 {
-			t.Errorf("%s answers %d", c.name, got)
+			t.Errorf("%s answers with status %d", c.name, got)
 		}
 	}
 }
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -9,11 +9,11 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestSlowControllersKeepLeaseUnderLoad plays days of controllers that take time for what they do,
-// on 1.8% of a core each and with half as many machines again as the deployment
-// of such controllers has: a crowd of jobs, a flood of questions, and the loss of
-// one controller and then of all. Every rule holds, everybody is served, and a
-// leader loses its leader lease to nothing but its own end.
+// TestSlowControllersKeepLeaseUnderLoad: in this simulation the controllers' work takes time. Each
+// controller has 1.8% of a core, and there are half as many machines again as in the deployment with
+// such controllers. Under a burst of jobs, a flood of status queries, and the crash of one controller
+// and then of all, every rule holds, all jobs are served, and a leader loses its leader lease only
+// by its own crash.
 func TestSlowControllersKeepLeaseUnderLoad(t *testing.T) {
 	t.Parallel()
 	shape := smallestBudgetShape()
@@ -26,20 +26,20 @@
 			w := startWorld(seed, shape, 3*time.Second)
 			revision := w.leaderLeaseRevision()
 			w.submitJobBurst(60, 100*time.Second)
-			// Users ask about jobs that nobody submitted, fifty a second.
+			// Users send fifty status queries a second for jobs that nobody submitted.
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					c := w.nodes[i%len(w.nodes)]
 					c.ask(statusQuery(jobID(900_000+i)), func(status int, _ []byte) {
 						if status == 200 {
-							t.Error("a job that nobody submitted is known")
+							t.Error("a status query for a job that nobody submitted finds it")
 						}
 					})
 				})
 			}
 			w.Run(60 * time.Second)
 			if got := w.leaderLeaseRevision(); got != revision {
-				t.Errorf("the leader lease was lost to load: revision %d, then %d", revision, got)
+				t.Errorf("the leader lease was lost under load: revision %d, then %d", revision, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
@@ -52,13 +52,14 @@
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", revision, got)
 			}
 			for _, c := range w.nodes {
-				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
+				t.Logf("%s: at most %v responses and peer messages, agents' heartbeats and users' requests waited", c.name, c.backlog.most)
 			}
 		})
 	}
 }
 
-// leaderLeaseRevision is the revision of the leader lease that stands.
+// leaderLeaseRevision returns the revision of the leader lease's record, which changes whenever the
+// lease is acquired.
 func (w *World) leaderLeaseRevision() protocol.Revision {
 	return w.store.keys[storage.LeaderKey].Revision
 }
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -9,7 +9,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// thousandMachineShape is a deployment of a thousand machines and three zones.
+// thousandMachineShape returns a deployment in three zones that can grow to about a thousand
+// machines.
 func thousandMachineShape() Shape {
 	s := Small()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
@@ -26,15 +27,15 @@
 	return s
 }
 
-// threeZoneShape is a deployment of a few machines in three zones, whose controllers have all the
-// resources that they want.
+// threeZoneShape returns a deployment of a few machines in three zones. The resources of its
+// controllers are not limited.
 func threeZoneShape(machines int) Shape {
 	s := thousandMachineShape()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
 }
 
-// submitJobBurst makes gangs and arrays of many sizes come for a while.
+// submitJobBurst submits gangs and arrays of many sizes at random times within span.
 func (w *World) submitJobBurst(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
@@ -50,7 +51,8 @@
 	}
 }
 
-// smallestBudgetShape is a deployment of two hundred machines behind the smallest budgets.
+// smallestBudgetShape returns a deployment with the smallest budgets, which can grow to about two
+// hundred machines.
 func smallestBudgetShape() Shape {
 	s := Small()
 	s.Machines, s.Capacity = 36, 218
@@ -59,16 +61,16 @@
 	return s
 }
 
-// TestControllerWorkKeepsWithinCountedBounds plays a day of a thousand machines and one behind the smallest
-// budgets: everything is served, and the work that is done and asked of the
-// key-value store keeps within bounds, counted, not timed.
+// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest budgets,
+// all jobs are served, and the controllers' work and their requests to the key-value store stay
+// within bounds. The bounds are counts, not durations.
 func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
 		shape Shape
 		jobs  int
-	}{{"thousand", thousandMachineShape(), 200}, {"weakest", smallestBudgetShape(), 60}} {
+	}{{"thousand machines", thousandMachineShape(), 200}, {"smallest budgets", smallestBudgetShape(), 60}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := NewShaped(1, logs(), c.shape)
@@ -79,29 +81,28 @@
 	}
 }
 
-// workBounds are bounds of what the controllers ask of the key-value store.
+// workBounds are upper bounds on the controllers' requests to the key-value store.
 type workBounds struct {
-	refused int // requests beyond its budget
-	changes int // of keys
-	bytes   int // of requests
+	refused int // requests refused because they exceed the store's budget
+	changes int // changed keys
+	bytes   int // bytes in requests
 }
 
-// expectWithin checks that what the controllers have done and asked since the start keeps
-// within bounds.
+// expectWithin checks that the controllers' work and requests since the start stay within bounds.
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
 	span := w.elapsed().Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
+	t.Logf("%.0f s: %d steps, %d requests, %d changed keys, %d bytes, %d requests refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
 	if w.store.refused > bounds.refused {
-		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
+		t.Errorf("the key-value store refused %d requests beyond its budget", w.store.refused)
 	}
 	if w.store.changed > bounds.changes {
-		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
+		t.Errorf("%d changed keys, want at most %d", w.store.changed, bounds.changes)
 	}
 	if w.store.bytes > bounds.bytes {
-		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
+		t.Errorf("%d bytes in requests, want at most %d", w.store.bytes, bounds.bytes)
 	}
-	// Ten ticks a second at each of three nodes, and the events.
+	// Ten ticks a second at each of the three nodes, and the steps that handle events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
 		t.Errorf("%d steps in %.0f s", w.steps, span)
 	}
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -7,9 +7,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// measureZoneLoss runs services until the fleet has shrunk to what they need, then loses every
-// machine of a zone. It returns how long it took until as many replicas as the rules
-// allow ran again, and the machines that were up before.
+// measureZoneLoss runs services for the settle time, in which the fleet shrinks to what they need,
+// and then lets every machine of a zone die. It returns how long it took until as many replicas ran
+// again as the spread rules allow, and how many machines were up before the loss.
 func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, settle time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
@@ -30,13 +30,13 @@
 		}
 		return n
 	}
-	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
+	w.waitFor(t, 90*time.Second, "all replicas run", func() bool { return running() == services*replicas })
 	w.Run(settle)
 	zone := w.workerOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
-			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
+			allowed -= replicas / 2 // no more than half of its replicas may be in the remaining zone
 		}
 	}
 	for _, agent := range w.workersInOrder() {
@@ -45,12 +45,12 @@
 			w.loseWorker(agent)
 		}
 	}
-	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
+	return w.waitFor(t, 120*time.Second, "the replicas run again", func() bool { return running() >= allowed }), machines
 }
 
-// TestZoneLossIsRepairedWithoutBootingMachines: when a zone is lost with all its machines, the replicas that
-// the rules allow elsewhere run again in the other zones on machines that are up, also
-// when nothing but services has run for a long while.
+// TestZoneLossIsRepairedWithoutBootingMachines: when a zone is lost with all its machines, as many
+// replicas as the spread rules allow run again in the other zones on machines that are already up,
+// even if nothing but services has run for a long time.
 func TestZoneLossIsRepairedWithoutBootingMachines(t *testing.T) {
 	t.Parallel()
 	three := threeZoneShape(9)
@@ -61,8 +61,8 @@
 		limit time.Duration
 	}{
 		"three zones": {three, 14 * time.Second},
-		// Half of the services may not have more replicas in the zone that is left: the
-		// lost machines are kept until their leases have expired, for their sake.
+		// Half of the services may not have more replicas in the remaining zone. For their sake,
+		// the lost machines are kept until their leases have expired.
 		"two zones": {two, secs(two.Agents.LeaseS) + 5*time.Second},
 	} {
 		for _, settle := range []time.Duration{90 * time.Second, 200 * time.Second} {
@@ -71,12 +71,12 @@
 			for seed := range uint64(6) {
 				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, settle)
 				if took > c.limit {
-					t.Errorf("%s, quiet for %v, seed %d: %v", name, settle, seed, took)
+					t.Errorf("%s, settled for %v, seed %d: %v", name, settle, seed, took)
 				}
 				sum += took
 				total += machines
 			}
-			t.Logf("%s, quiet for %v: %v, %.1f machines", name, settle, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
+			t.Logf("%s, settled for %v: %v, %.1f machines", name, settle, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
 		}
 	}
 }
