--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -30,7 +30,7 @@
 type stageLog struct {
 	w           *World
 	ends        map[string][stages]time.Time // by task name
-	lostMachine map[string]string            // the lost machine of each observed task, by task name; "" for a new task
+	lostMachine map[string]string            // by observed task; "" for a task not yet started
 }
 
 var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
@@ -68,16 +68,16 @@
 }
 
 // recordEnd records when a stage of an observed task ends for the first time.
-func (s *stageLog) recordEnd(task string, stage stage) {
+func (s *stageLog) recordEnd(task string, ended stage) {
 	if _, ok := s.lostMachine[task]; !ok {
 		return
 	}
 	ends := s.ends[task]
-	if stage > detection && ends[stage-1].IsZero() {
-		ends[stage-1] = s.w.Now // this stage ended in the same step, or was not needed
+	if ended > detection && ends[ended-1].IsZero() {
+		ends[ended-1] = s.w.Now // this stage ended in the same step, or was not needed
 	}
-	if ends[stage].IsZero() {
-		ends[stage] = s.w.Now
+	if ends[ended].IsZero() {
+		ends[ended] = s.w.Now
 		s.ends[task] = ends
 	}
 }
@@ -168,11 +168,11 @@
 }
 
 // add adds the means of a seed, weighted by its number of replicas.
-func (s *stageSums) add(mean [stages]time.Duration, replicas int) {
+func (s *stageSums) add(mean [stages]time.Duration, count int) {
 	for x := range mean {
-		s.sum[x] += mean[x] * time.Duration(replicas)
+		s.sum[x] += mean[x] * time.Duration(count)
 	}
-	s.replicas += replicas
+	s.replicas += count
 }
 
 // expectWithin logs the mean duration of each stage, beginning with stage first, and checks it
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -62,7 +62,8 @@
 	w := startWorld(70, Small(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
-	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // keeps machines other than the service's from becoming idle
+	// Keeps machines other than the service's from becoming idle.
+	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300})
 	w.Run(20 * time.Second)
 	c.inject(w, u)
 	w.Run(200 * time.Second)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -186,7 +186,7 @@
 		t.Errorf("%.0f requests to the store a second", rate)
 	}
 	if w.leader() != c {
-		t.Error("the leader has changed")
+		t.Error("the leader no longer leads")
 	}
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -78,7 +78,8 @@
 func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
 	w := NewShaped(seed, logs(), shape)
 	faults := w.runWithFaults()
-	w.checkServed(2 * largestStartWithin) // twice the limit, because faults occur every few seconds for four minutes
+	// Twice the usual limit, because faults occur every few seconds for four minutes.
+	w.checkServed(2 * largestStartWithin)
 	if w.rules.started == 0 {
 		t.Error("no task was started")
 	}
