--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -67,7 +67,7 @@
 	return len(line), nil
 }
 
-// recordEnd records when a stage of an observed task ends for the first time.
+// recordEnd records the first end of a stage of an observed task, and ignores later ones.
 func (s *stageLog) recordEnd(task string, ended stage) {
 	if _, ok := s.lostMachine[task]; !ok {
 		return
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -24,7 +24,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(seed, shape, 3*time.Second)
-			leaseRevision := w.leaderLeaseRevision()
+			leaderLeaseRevision := w.leaderLeaseRevision()
 			w.submitJobBurst(60, 100*time.Second)
 			// Users send fifty status queries a second for jobs that nobody submitted.
 			for i := range 500 {
@@ -38,18 +38,18 @@
 				})
 			}
 			w.Run(60 * time.Second)
-			if got := w.leaderLeaseRevision(); got != leaseRevision {
-				t.Errorf("the leader lease was lost under load: revision %d, then %d", leaseRevision, got)
+			if got := w.leaderLeaseRevision(); got != leaderLeaseRevision {
+				t.Errorf("the leader lease was lost under load: revision %d, then %d", leaderLeaseRevision, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
-			leaseRevision = w.leaderLeaseRevision()
+			leaderLeaseRevision = w.leaderLeaseRevision()
 			w.faultsOver = w.Now
 			w.finishDay(t, 700*time.Second)
-			if got := w.leaderLeaseRevision(); got != leaseRevision {
-				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", leaseRevision, got)
+			if got := w.leaderLeaseRevision(); got != leaderLeaseRevision {
+				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", leaderLeaseRevision, got)
 			}
 			for _, c := range w.nodes {
 				t.Logf("%s: at most %v responses and peer messages, agents' heartbeats and users' requests waited", c.name, c.backlog.most)
