--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -47,7 +47,7 @@
 		t.Skip("simulates two thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), twoThousandMachineShape())
+	w := NewWithShape(1, logs(), twoThousandMachineShape())
 	w.submitJobBurst(200, 70*time.Second)
 	w.runThroughOverlappingFailures(t, 150)
 }
@@ -60,10 +60,10 @@
 		t.Skip("simulates four thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fourThousandMachineShape())
+	w := NewWithShape(1, logs(), fourThousandMachineShape())
 	w.submitJobBurst(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec := withQueue(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
 		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
@@ -79,9 +79,9 @@
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
-	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
+	w.disconnect(40*time.Second, packetsHeld, w.acrossZoneBoundary(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := w.loseOldest(machinesToLose)
+	lost := w.loseOldestAgents(machinesToLose)
 	w.Run(10 * time.Second)
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
@@ -89,12 +89,12 @@
 	t.Logf("%d machines of %d lost, then all controllers crashed", lost, len(w.agents)+lost)
 
 	w.expectQuickRecovery(t)
-	w.faultsOver = w.Now
-	w.finishDay(t, 700*time.Second)
+	w.faultsEndedAt = w.Now
+	w.finishAndCheck(t, 700*time.Second)
 
-	t.Logf("at most %d calls to agents in progress at once at a controller", w.mostCalls)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
-		t.Errorf("%d calls to agents in progress at once at a controller", w.mostCalls)
+	t.Logf("at most %d calls to agents in progress at once at a controller", w.maxConcurrentCalls)
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.maxConcurrentCalls > limit {
+		t.Errorf("%d calls to agents in progress at once at a controller", w.maxConcurrentCalls)
 	}
 	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -21,7 +21,7 @@
 	exited sync.WaitGroup
 }
 
-func (c *inProcessControllers) Start(v *Live) error {
+func (c *inProcessControllers) Start(v *Loopback) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	c.boots++
@@ -54,8 +54,8 @@
 		t.Skip("runs in real time")
 	}
 	// Not in parallel: the simulations on the fake clock would take processor time from it.
-	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, Equal: true}
-	r, err := c.RunLive(1, &inProcessControllers{t: t})
+	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, EqualPriorities: true}
+	r, err := c.RunOnLoopback(1, &inProcessControllers{t: t})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -108,7 +108,7 @@
 func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, running, missing int) {
 	t.Helper()
 	s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
-	w := NewShaped(seed, s, shape)
+	w := NewWithShape(seed, s, shape)
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
@@ -120,7 +120,7 @@
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	lostAt := w.Now
 	s.w = w
-	s.loseMachine(w.workerOf("run-000000", 1))
+	s.loseMachine(w.agentOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
 		s.observeAgents()
@@ -136,7 +136,7 @@
 			s.lostMachine[name] = string(agent.host.ID)
 		}
 	}
-	s.w.loseWorker(agent)
+	s.w.loseAgent(agent)
 }
 
 // mean returns the mean duration of each stage, beginning with stage first, over the observed tasks
@@ -213,7 +213,7 @@
 	var sums stageSums
 	for seed := range uint64(12) {
 		s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
-		w := NewShaped(750+seed, s, shape)
+		w := NewWithShape(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
 		spec := service("run-000000", 6)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -24,27 +24,27 @@
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		agent := w.workerOf(u.job.spec.ID, 1)
-		w.loseWorker(agent)
+		agent := w.agentOf(u.job.spec.ID, 1)
+		w.loseAgent(agent)
 	}, 0.97},
 	{"a machine is preempted with notice", func(w *World, u *user) {
-		agent := w.workerOf(u.job.spec.ID, 1)
-		agent.giveNotice(20)
+		agent := w.agentOf(u.job.spec.ID, 1)
+		agent.announcePreemption(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(agent.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.workerOf(u.job.spec.ID, 1).failsTasks = true
+		w.agentOf(u.job.spec.ID, 1).failsTasks = true
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine cannot open connections", func(w *World, u *user) {
-		agent := w.workerOf(u.job.spec.ID, 1)
+		agent := w.agentOf(u.job.spec.ID, 1)
 		agent.opensNoConnections = true
 		w.after(100*time.Second, func() { agent.opensNoConnections = false })
 	}, 0.98},
 	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is partitioned", func(w *World, _ *user) {
-		w.interrupt(25*time.Second, packetsLost, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+		w.disconnect(25*time.Second, packetsDropped, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 	}, 0.9},
 }
 
@@ -59,7 +59,7 @@
 
 // run injects the fault while a service of four replicas runs.
 func (c serviceFault) run(t *testing.T) {
-	w := startWorld(70, Small(), 6*time.Second)
+	w := startWorld(70, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
 	// Keeps machines other than the service's from becoming idle.
@@ -84,7 +84,7 @@
 // fails on every machine, and makes no machine unavailable to other jobs.
 func TestEndedReplicasRestartWithoutStorm(t *testing.T) {
 	t.Parallel()
-	w := startWorld(71, Small(), 6*time.Second)
+	w := startWorld(71, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4)})
 	u.job.ends = 60 * time.Second
 	w.Run(200 * time.Second)
@@ -93,7 +93,7 @@
 	}
 	u.cancelRequested = false
 	for i, ends := range []time.Duration{200 * time.Millisecond, 0} {
-		v := w.submit(arrival{job: service(jobID(10+i), 6), mistaken: ends == 0})
+		v := w.submit(arrival{job: service(jobID(10+i), 6), alwaysFails: ends == 0})
 		v.job.ends = ends
 		w.Run(150 * time.Second)
 		n := sum(v.job.starts)
@@ -113,7 +113,7 @@
 // limit is refused.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
-	w := startWorld(72, Small(), 6*time.Second)
+	w := startWorld(72, SmallShape(), 6*time.Second)
 	for _, c := range []struct{ replicas, status int }{{2, 201}, {3, 422}} {
 		spec := service(jobID(c.replicas), c.replicas)
 		spec.Team, spec.GPUs = "red", 4 // of 10
@@ -124,23 +124,25 @@
 }
 
 // gangOfLargeTasks returns a gang of two tasks that each take most of a machine of the small shape.
-func gangOfLargeTasks(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
+func gangOfLargeTasks(id protocol.JobID) *protocol.Job {
+	return withTaskResources(gangJob(id, 2), 28, 4, 200)
+}
 
 // TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and do not take processors
 // or memory that GPU jobs need while other capacity is available.
 func TestReplicasLeaveRoomForGPUJobs(t *testing.T) {
 	t.Parallel()
-	shape := Small()
+	shape := SmallShape()
 	shape.Machines, shape.Capacity = 8, 8
 	w := startWorld(73, shape, 6*time.Second)
-	big := w.submitRunning(t, 20*time.Second, gangOfLargeTasks("run-000001"), 20)
+	big := w.submitAndWaitUntilRunning(t, 20*time.Second, gangOfLargeTasks("run-000001"), 20)
 	for i := range 4 {
 		spec := service(jobID(10+i), 4)
 		spec.Spread = i%2 == 0
-		w.submitRunning(t, 10*time.Second, spec, 0)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, spec, 0)
 		replicasPerMachine := map[protocol.MachineID]int{}
 		for k := range 4 {
-			replicasPerMachine[w.workerOf(spec.ID, k).host.ID]++
+			replicasPerMachine[w.agentOf(spec.ID, k).host.ID]++
 		}
 		if len(replicasPerMachine) != 4 {
 			t.Errorf("replicas of %s by machine: %v", spec.ID, replicasPerMachine)
@@ -148,7 +150,7 @@
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
 	for i := range 4 { // eight machines with two replicas each, which take 4 of 32 processors
-		w.submitRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -13,8 +13,8 @@
 // expires, and running tasks continue.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(1, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	w := startWorld(1, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	starts := w.rules.started
 
 	w.leader().crash(time.Minute)
@@ -31,7 +31,7 @@
 // replaces the leader lease of its previous process without waiting for it to expire.
 func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(2, Small(), 5*time.Second)
+	w := startWorld(2, SmallShape(), 5*time.Second)
 	c := w.leader()
 
 	c.crash(200 * time.Millisecond)
@@ -50,9 +50,9 @@
 // must not start its task again after the task is done and the agent has forgotten it.
 func TestDelayedStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
-	w := startWorld(3, Small(), 6*time.Second)
+	w := startWorld(3, SmallShape(), 6*time.Second)
 	c := w.leader()
-	w.interrupt(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
+	w.disconnect(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
 	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
 	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
@@ -68,8 +68,8 @@
 // does not change.
 func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
-	w := startWorld(4, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	w := startWorld(4, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
 
 	w.store.outage(14 * time.Second)
@@ -94,8 +94,8 @@
 // reports that it is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
-	w := startWorld(5, Small(), 5*time.Second)
-	c := w.others(w.leader())[1]
+	w := startWorld(5, SmallShape(), 5*time.Second)
+	c := w.otherControllers(w.leader())[1]
 
 	c.refused = true
 	w.Run(8 * time.Second)
@@ -123,16 +123,16 @@
 // requests, but half of its responses are lost. No change is applied twice or forgotten.
 func TestLostStoreResponsesApplyNothingTwice(t *testing.T) {
 	t.Parallel()
-	w := startWorld(6, Small(), 5*time.Second)
+	w := startWorld(6, SmallShape(), 5*time.Second)
 	c := w.leader()
 	for i := range 6 {
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
 	}
 
-	lossy := &cut{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
-	w.cuts = append(w.cuts, lossy)
+	lossy := &partition{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
+	w.partitions = append(w.partitions, lossy)
 	w.Run(12 * time.Second)
-	w.cuts = nil
+	w.partitions = nil
 
 	w.waitUntilOver(t, 120*time.Second, w.users...)
 	w.expectRulesHeld(t)
@@ -142,7 +142,7 @@
 // types from the stored records and accept submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
-	w := startWorld(12, Small(), 5*time.Second)
+	w := startWorld(12, SmallShape(), 5*time.Second)
 
 	w.cloud.down = true
 	w.crashAll(time.Second)
@@ -163,8 +163,8 @@
 // answer.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
-	w := startWorld(13, Small(), 5*time.Second)
-	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
+	w := startWorld(13, SmallShape(), 5*time.Second)
+	w.submitAndWaitUntilRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
 	answers, asked := 0, 0
@@ -196,15 +196,15 @@
 // hold.
 func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
-	w := startWorld(7, Small(), 5*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
+	w := startWorld(7, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
 	leaderSide := map[string]bool{c.name: true}
 	for i := range 8 {
-		leaderSide[string(w.workerOf("run-000001", i).host.ID)] = true
+		leaderSide[string(w.agentOf("run-000001", i).host.ID)] = true
 	}
 
-	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
+	w.disconnect(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
 	w.Run(2 * time.Second)
 	w.waitFor(t, 20*time.Second, "another node leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
@@ -220,12 +220,12 @@
 // of agents in the zone without the leader reach the leader through its peers, and no task is lost.
 func TestPeersRelayHeartbeatsAcrossZonePartition(t *testing.T) {
 	t.Parallel()
-	w := startWorld(8, Small(), 5*time.Second)
-	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
+	w := startWorld(8, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
-	bridge := w.others(c)[0].name // is connected to all hosts in both zones
+	bridge := w.otherControllers(c)[0].name // is connected to all hosts in both zones
 
-	w.interrupt(60*time.Second, packetsLost, func(a, b string) bool {
+	w.disconnect(60*time.Second, packetsDropped, func(a, b string) bool {
 		return a != bridge && b != bridge && w.inDifferentZones(a, b)
 	})
 
@@ -238,8 +238,8 @@
 // key-value store's limits and survives a change of leader.
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
-	w := startWorld(9, Small(), 5*time.Second)
-	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
+	w := startWorld(9, SmallShape(), 5*time.Second)
+	u := w.submit(arrival{job: withTaskResources(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
 
 	w.leader().crash(2 * time.Second)
@@ -258,8 +258,8 @@
 // every limit of the key-value store, survives a change of leader and is cancelled in time.
 func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
-	w := startWorld(14, Small(), 5*time.Second)
-	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
+	w := startWorld(14, SmallShape(), 5*time.Second)
+	job := withTaskResources(array("run-000001", 100_000), 0.2, 0, 0.5)
 	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
@@ -281,13 +281,13 @@
 // checkpoint, on a spare machine that is already up.
 func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
-	w := startWorld(10, Small(), 6*time.Second)
-	job := checkpointed(gangJob("run-000001", 2), 10, 2)
+	w := startWorld(10, SmallShape(), 6*time.Second)
+	job := withCheckpoints(gangJob("run-000001", 2), 10, 2)
 	job.GPUs, job.OneZone = 2, true
-	u := w.submitRunning(t, 10*time.Second, job, 60)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, job, 60)
 	w.Run(25 * time.Second)
 
-	w.loseWorker(w.workerOf("run-000001", 0))
+	w.loseAgent(w.agentOf("run-000001", 0))
 
 	// The machine is silent, two probes fail and it is deleted, well before its lease would expire.
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
@@ -305,14 +305,14 @@
 // reach the leader through the key-value store, and the leader's responses return the same way.
 func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(11, Small(), 5*time.Second)
-			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
+			w := startWorld(11, SmallShape(), 5*time.Second)
+			u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
-			w.interrupt(90*time.Second, fate, w.inDifferentZones)
+			w.disconnect(90*time.Second, fate, w.inDifferentZones)
 			w.Run(20 * time.Second)
 			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,19 +32,19 @@
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
 			spec.Class, spec.Shape, spec.Priority = "service", protocol.ShapeService, "critical"
-			checkpointed(perTask(spec, 1, 0, 4), 0, 0).EstimateS = 0
+			withCheckpoints(withTaskResources(spec, 1, 0, 4), 0, 0).EstimateS = 0
 			cancel = w.between(150*time.Second, 320*time.Second)
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, mistaken: cancel > 0 && w.rng.IntN(3) == 0})
+		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, alwaysFails: cancel > 0 && w.rng.IntN(3) == 0})
 	}
 }
 
 // tinyCPUShape returns a deployment whose leader has too small a share of a core to respond to more
 // than a few agents. The other controllers respond to the rest on its behalf.
 func tinyCPUShape() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Resources.Cores = 0.0006
 	return s
 }
@@ -64,7 +64,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shape := Small()
+			shape := SmallShape()
 			if seed%2 == 1 {
 				shape = tinyCPUShape()
 			}
@@ -76,10 +76,10 @@
 
 // checkRandomRun performs a random run and reports every broken rule, and the faults of the run.
 func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	faults := w.runWithFaults()
 	// Twice the usual limit, because faults occur every few seconds for four minutes.
-	w.checkServed(2 * largestStartWithin)
+	w.checkServed(2 * maxLargestJobWait)
 	if w.rules.started == 0 {
 		t.Error("no task was started")
 	}
@@ -100,7 +100,7 @@
 		faults = append(faults, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	for _, agent := range w.agents {
 		agent.failsTasks = false
 	}
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -46,13 +46,13 @@
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
 			leaderLeaseRevision = w.leaderLeaseRevision()
-			w.faultsOver = w.Now
-			w.finishDay(t, 700*time.Second)
+			w.faultsEndedAt = w.Now
+			w.finishAndCheck(t, 700*time.Second)
 			if got := w.leaderLeaseRevision(); got != leaderLeaseRevision {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", leaderLeaseRevision, got)
 			}
 			for _, c := range w.nodes {
-				t.Logf("%s: at most %v responses and peer messages, agents' heartbeats and users' requests waited", c.name, c.backlog.most)
+				t.Logf("%s: at most %v responses and peer messages, agents' heartbeats and users' requests waited", c.name, c.backlog.maxQueued)
 			}
 		})
 	}
--- a/internal/simulation/work_bounds_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -12,7 +12,7 @@
 // thousandMachineShape returns a deployment in three zones that can grow to about a thousand
 // machines.
 func thousandMachineShape() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
@@ -39,12 +39,12 @@
 func (w *World) submitJobBurst(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
-		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
+		withQueue(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			withCheckpoints(withTaskResources(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
 			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
 		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
@@ -54,7 +54,7 @@
 // smallestBudgetShape returns a deployment with the smallest budgets, which can grow to about two
 // hundred machines.
 func smallestBudgetShape() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	s.Agents.ReportS = 5
@@ -73,9 +73,9 @@
 	}{{"thousand machines", thousandMachineShape(), 200}, {"smallest budgets", smallestBudgetShape(), 60}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(1, logs(), c.shape)
+			w := NewWithShape(1, logs(), c.shape)
 			w.submitJobBurst(c.jobs, 120*time.Second)
-			w.finishDay(t, 600*time.Second)
+			w.finishAndCheck(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * c.jobs, bytes: 40_000 * c.jobs})
 		})
 	}
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -32,17 +32,17 @@
 	}
 	w.waitFor(t, 90*time.Second, "all replicas run", func() bool { return running() == services*replicas })
 	w.Run(settle)
-	zone := w.workerOf("run-000000", 1).host.Zone
+	zone := w.agentOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of its replicas may be in the remaining zone
 		}
 	}
-	for _, agent := range w.workersInOrder() {
+	for _, agent := range w.agentsInCreationOrder() {
 		machines++
 		if agent.host.Zone == zone {
-			w.loseWorker(agent)
+			w.loseAgent(agent)
 		}
 	}
 	return w.waitFor(t, 120*time.Second, "the replicas run again", func() bool { return running() >= allowed }), machines
@@ -54,7 +54,7 @@
 func TestZoneLossIsRepairedWithoutBootingMachines(t *testing.T) {
 	t.Parallel()
 	three := threeZoneShape(9)
-	two := Small()
+	two := SmallShape()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
 		shape Shape
