--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -290,7 +290,7 @@
 			for seed := range seeds {
 				shape := SmallShape()
 				if seed%2 == 1 {
-					shape = tiny()
+					shape = tinyCPUShape()
 				}
 				if c.shape != nil {
 					c.shape(&shape)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -305,8 +305,8 @@
 // time, and no class or team may starve.
 func TestLargestGangsStartAfterLossOfThirdOfMachines(t *testing.T) {
 	t.Parallel()
-	w := NewWithShape(3, logs(), thousandMachines())
-	w.submitCrowd(120, 60*time.Second)
+	w := NewWithShape(3, logs(), thousandMachineShape())
+	w.submitJobBurst(120, 60*time.Second)
 	w.Run(60 * time.Second)
 
 	w.loseOldestAgents(len(w.cloud.hosts) / 3)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -137,17 +137,17 @@
 
 // randomFaultsScenario returns a run with random faults in a deployment of a shape.
 func randomFaultsScenario(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.attach(NewWithShape(seed, logs(), shape)).playDay() }
+	return func(seed uint64, f *fingerprint) { f.attach(NewWithShape(seed, logs(), shape)).runWithFaults() }
 }
 
 // fingerprintScenarios returns scenarios that together exercise everything that a controller does.
 func fingerprintScenarios() []fingerprintScenario {
-	recoveringTiny, slow := tiny(), SmallShape()
+	recoveringTiny, slow := tinyCPUShape(), SmallShape()
 	recoveringTiny.Recovery, slow.Slow = true, true
 	return []fingerprintScenario{
 		{"small", 6, randomFaultsScenario(SmallShape())},
 		{"small-recovery", 6, randomFaultsScenario(smallWithRecovery())},
-		{"tiny", 5, randomFaultsScenario(tiny())},
+		{"tiny", 5, randomFaultsScenario(tinyCPUShape())},
 		{"tiny-recovery", 5, randomFaultsScenario(recoveringTiny)},
 		{"slow", 3, randomFaultsScenario(slow)},
 		{"slow-crowd", 2, slowCrowdScenario},
@@ -176,12 +176,12 @@
 // slowCrowdScenario submits many jobs and status queries to slow controllers, which take time for
 // each step.
 func slowCrowdScenario(seed uint64, f *fingerprint) {
-	shape := smallestBudgets()
+	shape := smallestBudgetShape()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
 	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(3 * time.Second)
-	w.submitCrowd(60, 60*time.Second)
+	w.submitJobBurst(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
@@ -224,7 +224,7 @@
 	}
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(4 * time.Second)
-	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
+	serviceFaults[seed%uint64(len(serviceFaults))].inject(w, u)
 	w.Run(40 * time.Second)
 	w.runWithRandomFaults(9*time.Second, 6)
 	w.Run(60 * time.Second)
@@ -285,10 +285,10 @@
 // largeClusterScenario runs a deployment of about three hundred machines in which a zone is cut off,
 // machines die, all controllers crash and random faults follow.
 func largeClusterScenario(seed uint64, f *fingerprint) {
-	shape := thousandMachines()
+	shape := thousandMachineShape()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
 	w := f.attach(NewWithShape(seed, logs(), shape))
-	w.submitCrowd(70, 60*time.Second)
+	w.submitJobBurst(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	zone := shape.Zones[2]
 	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(zone))
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -10,31 +10,32 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// stage is a part of the time for which a replica whose machine is lost is away.
+// stage is a part of the time from the loss of a replica's machine until the replica runs again.
 type stage int
 
 const (
-	detection  stage = iota // from the loss to the decision that the machine is gone
+	detection  stage = iota // from the loss to the decision to delete the machine
 	proof                   // until its tasks are known to be gone
-	placement               // until the replica has its next place
-	commitment              // until the place is written and its start is ordered
-	command                 // until the worker has the order
+	placement               // until the replica has a new placement
+	commitment              // until the placement is stored and the start command is issued
+	command                 // until the agent has the start command
 	image                   // until the replica runs
 	stages
 )
 
 var stageNames = [stages]string{"detection", "proof", "placement", "commit", "command", "image"}
 
-// stageLog reads from the leader's log when each stage of a replica's way ends.
+// stageLog records when each stage of a replica's restart ends, from the leader's log and from the
+// state of the agents.
 type stageLog struct {
-	w    *World
-	ends map[string][stages]time.Time // by task
-	lost map[string]string            // machines that were lost, by the tasks that they had
+	w           *World
+	ends        map[string][stages]time.Time // by task name
+	lostMachine map[string]string            // by observed task; "" for a task not yet started
 }
 
 var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
 
-// Write takes one line of the log.
+// Write reads one line of the log.
 func (s *stageLog) Write(line []byte) (int, error) {
 	m := logLine.FindSubmatch(line)
 	if m == nil || s.w == nil {
@@ -49,41 +50,41 @@
 	name := field["job"] + "/" + field["task"]
 	switch string(m[1]) {
 	case "deleting machine":
-		for task, machine := range s.lost {
+		for task, machine := range s.lostMachine {
 			if machine == field["machine"] {
-				s.end(task, detection)
+				s.recordEnd(task, detection)
 			}
 		}
 	case "task gone":
-		if s.lost[name] == field["machine"] {
-			s.end(name, proof)
+		if s.lostMachine[name] == field["machine"] {
+			s.recordEnd(name, proof)
 		}
 	case "task placed":
-		s.end(name, placement)
+		s.recordEnd(name, placement)
 	case "start":
-		s.end(name, commitment)
+		s.recordEnd(name, commitment)
 	}
 	return len(line), nil
 }
 
-// end notes the first end of a stage of a task that was lost.
-func (s *stageLog) end(task string, x stage) {
-	if _, ok := s.lost[task]; !ok {
+// recordEnd records the first end of a stage of an observed task, and ignores later ones.
+func (s *stageLog) recordEnd(task string, ended stage) {
+	if _, ok := s.lostMachine[task]; !ok {
 		return
 	}
 	ends := s.ends[task]
-	if x > detection && ends[x-1].IsZero() {
-		ends[x-1] = s.w.Now // it ended in the same step, or needed none
+	if ended > detection && ends[ended-1].IsZero() {
+		ends[ended-1] = s.w.Now // this stage ended in the same step, or was not needed
 	}
-	if ends[x].IsZero() {
-		ends[x] = s.w.Now
+	if ends[ended].IsZero() {
+		ends[ended] = s.w.Now
 		s.ends[task] = ends
 	}
 }
 
-// observe notes what the workers have.
-func (s *stageLog) observe() {
-	for task, machine := range s.lost {
+// observeAgents records which of the tasks agents have been told to start, and which run.
+func (s *stageLog) observeAgents() {
+	for task, machine := range s.lostMachine {
 		id, index, _ := strings.Cut(task, "/")
 		for _, agent := range s.w.agents {
 			if string(agent.host.ID) == machine || agent.dead {
@@ -93,20 +94,20 @@
 				if t.name != task || t.job == nil || string(t.job.ID) != id || strconv.Itoa(t.index) != index || s.ends[task][commitment].IsZero() {
 					continue
 				}
-				s.end(task, command)
+				s.recordEnd(task, command)
 				if t.state == protocol.TaskRunning {
-					s.end(task, image)
+					s.recordEnd(task, image)
 				}
 			}
 		}
 	}
 }
 
-// replicaLoss lets the machine of a replica die and returns the mean of each stage over
-// the replicas that were on it and run again, and how many do not.
-func replicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
+// measureReplicaLoss lets a machine with replicas die. It returns the mean duration of each stage
+// over those of its replicas that run again, their number, and the number of the others.
+func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, running, missing int) {
 	t.Helper()
-	s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
+	s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
 	w := NewWithShape(seed, s, shape)
 	w.Run(6 * time.Second)
 	var users []*user
@@ -117,68 +118,69 @@
 	}
 	w.waitUntilRunning(t, 60*time.Second, users...)
 	w.Run(w.between(40*time.Second, 45*time.Second))
-	at := w.Now
+	lostAt := w.Now
 	s.w = w
-	s.lose(w.agentOf("run-000000", 1))
+	s.loseMachine(w.agentOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
-		s.observe()
+		s.observeAgents()
 	}
 	w.expectRulesHeld(t)
-	return s.mean(at, detection)
+	return s.mean(lostAt, detection)
 }
 
-// lose lets a machine die and notes the replicas that it had.
-func (s *stageLog) lose(agent *agent) {
+// loseMachine lets a machine die and records the replicas that were on it.
+func (s *stageLog) loseMachine(agent *agent) {
 	for name, task := range s.w.rules.placed {
 		if task.agent == agent {
-			s.lost[name] = string(agent.host.ID)
+			s.lostMachine[name] = string(agent.host.ID)
 		}
 	}
 	s.w.loseAgent(agent)
 }
 
-// mean is the mean of each stage from the first one on, over the tasks that run, and
-// how many run and do not.
-func (s *stageLog) mean(at time.Time, first stage) (mean [stages]time.Duration, again, missing int) {
-	for task := range s.lost {
+// mean returns the mean duration of each stage, beginning with stage first, over the observed tasks
+// that run, their number, and the number of the others.
+func (s *stageLog) mean(since time.Time, first stage) (mean [stages]time.Duration, running, missing int) {
+	for task := range s.lostMachine {
 		ends := s.ends[task]
 		if ends[image].IsZero() {
 			missing++
 			continue
 		}
-		again++
-		from := at
+		running++
+		from := since
 		for x := first; x < stages; x++ {
 			mean[x] += max(0, ends[x].Sub(from))
 			from = ends[x]
 		}
 	}
 	for x := range mean {
-		mean[x] /= time.Duration(max(1, again))
+		mean[x] /= time.Duration(max(1, running))
 	}
-	return mean, again, missing
+	return mean, running, missing
 }
 
-// stageSums adds up the means of several seeds.
+// stageSums adds up the stage durations of several seeds.
 type stageSums struct {
-	sum   [stages]time.Duration
-	total int
+	sum      [stages]time.Duration
+	replicas int
 }
 
-// add takes in the means of a seed, by the number of replicas that they are of.
-func (s *stageSums) add(mean [stages]time.Duration, again int) {
+// add adds the means of a seed, weighted by its number of replicas.
+func (s *stageSums) add(mean [stages]time.Duration, count int) {
 	for x := range mean {
-		s.sum[x] += mean[x] * time.Duration(again)
+		s.sum[x] += mean[x] * time.Duration(count)
 	}
-	s.total += again
+	s.replicas += count
 }
 
-// check logs the mean of each stage from the first one on and keeps it within a limit.
-func (s *stageSums) check(t *testing.T, first stage, limits [stages]time.Duration) {
+// expectWithin logs the mean duration of each stage, beginning with stage first, and checks it
+// against the stage's limit.
+func (s *stageSums) expectWithin(t *testing.T, first stage, limits [stages]time.Duration) {
 	t.Helper()
 	for x := first; x < stages; x++ {
-		mean := s.sum[x] / time.Duration(max(1, s.total))
+		mean := s.sum[x] / time.Duration(max(1, s.replicas))
 		t.Logf("%-10s %v", stageNames[x], mean.Round(time.Millisecond))
 		if mean > limits[x] {
 			t.Errorf("%s takes %v", stageNames[x], mean)
@@ -186,51 +188,51 @@
 	}
 }
 
-// TestReplicaLossByStage measures where the time goes for which replicas of a lost
-// machine are away, and keeps each part within its bound.
+// TestReplicaLossByStage: the time until the replicas of a lost machine run again is measured by
+// stage, and each stage stays within its limit.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
-	shape := threeZones(12)
+	shape := threeZoneShape(12)
 	var sums stageSums
 	for seed := range uint64(12) {
-		mean, again, missing := replicaLoss(t, 700+seed, shape)
+		mean, running, missing := measureReplicaLoss(t, 700+seed, shape)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run again", seed, missing)
 		}
-		sums.add(mean, again)
+		sums.add(mean, running)
 	}
-	sums.check(t, detection, [stages]time.Duration{8 * time.Second, 1500 * time.Millisecond, time.Second, 500 * time.Millisecond, 200 * time.Millisecond, 5 * time.Second})
-	t.Logf("%d replicas", sums.total)
+	sums.expectWithin(t, detection, [stages]time.Duration{8 * time.Second, 1500 * time.Millisecond, time.Second, 500 * time.Millisecond, 200 * time.Millisecond, 5 * time.Second})
+	t.Logf("%d replicas", sums.replicas)
 }
 
-// TestServiceStartByStage measures where the time goes from a service's submission until
-// its replicas run, on machines that are up and do not have its image.
+// TestServiceStartByStage: the time from a service's submission until its replicas run is measured
+// by stage, and each stage stays within its limit. The machines are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
-	shape := threeZones(30)
+	shape := threeZoneShape(30)
 	var sums stageSums
 	for seed := range uint64(12) {
-		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
+		s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
 		w := NewWithShape(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
 		spec := service("run-000000", 6)
 		spec.Team = shape.Teams[0].Name
-		at := w.Now
+		submittedAt := w.Now
 		w.submit(arrival{job: spec})
 		for i := range spec.Tasks {
-			s.lost[protocol.TaskName(spec.ID, i)] = ""
+			s.lostMachine[protocol.TaskName(spec.ID, i)] = ""
 		}
 		for range 800 {
 			w.Run(10 * time.Millisecond)
-			s.observe()
+			s.observeAgents()
 		}
-		mean, again, missing := s.mean(at, placement)
+		mean, running, missing := s.mean(submittedAt, placement)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run", seed, missing)
 		}
-		sums.add(mean, again)
+		sums.add(mean, running)
 		w.expectRulesHeld(t)
 	}
-	sums.check(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
+	sums.expectWithin(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -10,7 +10,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// submitMixedJobs makes users with jobs of every shape.
+// submitMixedJobs submits jobs of every shape at random times within span.
 func (w *World) submitMixedJobs(jobs int, span time.Duration) {
 	for range jobs {
 		spec := &protocol.Job{ID: jobID(100 + len(w.users)*7), Class: "array", Team: w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name,
@@ -41,61 +41,63 @@
 	}
 }
 
-// tiny is a deployment whose leader's share of a core pays for a few workers
-// only: the other controllers answer the rest for it.
-func tiny() Shape {
+// tinyCPUShape returns a deployment whose leader has too small a share of a core to respond to more
+// than a few agents. The other controllers respond to the rest on its behalf.
+func tinyCPUShape() Shape {
 	s := SmallShape()
 	s.Resources.Cores = 0.0006
 	return s
 }
 
-// TestRulesHold lets whole days with overlapping faults pass and checks every
-// rule at every step, and that all jobs are over once the faults are. On every
-// second day most reports go to the leader by way of the other controllers.
+// TestRulesHold: in random runs with overlapping faults every rule holds at every step, and all jobs
+// are over some time after the faults have ended. In every second run most heartbeats reach the
+// leader through the other controllers.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
-	days := 24
+	seeds := 24
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil {
-		days = n
+		seeds = n
 	}
 	if testing.Short() {
-		days = 6
+		seeds = 6
 	}
-	for seed := range days {
+	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			shape := SmallShape()
 			if seed%2 == 1 {
-				shape = tiny()
+				shape = tinyCPUShape()
 			}
 			shape.Recovery = seed%4 > 1
-			day(t, uint64(seed), shape)
+			checkRandomRun(t, uint64(seed), shape)
 		})
 	}
 }
 
-// day plays a random day and reports every rule that was broken, with the faults of the day.
-func day(t *testing.T, seed uint64, shape Shape) {
+// checkRandomRun performs a random run and reports every broken rule, and the faults of the run.
+func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
 	w := NewWithShape(seed, logs(), shape)
-	history := w.playDay()
-	w.checkServed(2 * maxLargestJobWait) // with a fault every few seconds for four minutes
+	faults := w.runWithFaults()
+	// Twice the usual limit, because faults occur every few seconds for four minutes.
+	w.checkServed(2 * maxLargestJobWait)
 	if w.rules.started == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
 	if len(w.rules.failures) > 0 {
-		t.Errorf("faults: %v", history)
+		t.Errorf("faults: %v", faults)
 		for _, f := range w.rules.failures {
 			t.Error(f)
 		}
 	}
 }
 
-// playDay lets a day with overlapping faults pass until all is over, and lists the faults.
-func (w *World) playDay() (history []string) {
+// runWithFaults submits jobs, injects overlapping faults and runs until all jobs are over. It
+// returns the faults.
+func (w *World) runWithFaults() (faults []string) {
 	w.submitMixedJobs(24, 150*time.Second)
 	for w.elapsed() < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
-		history = append(history, w.clock()+" "+w.injectFault())
+		faults = append(faults, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
 	w.faultsEndedAt = w.Now
@@ -104,11 +106,11 @@
 	}
 	w.watchWaitingJobs()
 	w.runUntilOver()
-	return history
+	return faults
 }
 
-// TestSameSeedSameRun guards the determinism that makes a failing seed worth
-// having: the state machine must not depend on the order of maps.
+// TestSameSeedSameRun: runs with the same seed are identical, so that a failing seed can be
+// reproduced. The state machine must not depend on the iteration order of maps.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	run := func() (uint64, int) {
@@ -129,14 +131,14 @@
 	}
 }
 
-// TestUnknownJobIsNotFound asks for a job that was never submitted.
+// TestUnknownJobIsNotFound: a status query for a job that was never submitted is answered with 404.
 func TestUnknownJobIsNotFound(t *testing.T) {
 	t.Parallel()
 	w := New(1, nil)
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
 		if got := w.statusOf(c, statusQuery("run-999999")); got != 404 {
-			t.Errorf("%s answers %d", c.name, got)
+			t.Errorf("%s answers with status %d", c.name, got)
 		}
 	}
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -54,7 +54,7 @@
 func newUpgradeWorld(seed int) *World {
 	shape := withLoweredLimits(SmallShape(), 12, 4)
 	if seed%2 == 1 {
-		shape = withLoweredLimits(tiny(), 12, 4)
+		shape = withLoweredLimits(tinyCPUShape(), 12, 4)
 	}
 	shape.Capacity = 30
 	w := NewWithShape(uint64(900+seed), logs(), shape)
@@ -104,10 +104,10 @@
 // TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all
 // controllers support the new form. The transactions keep within the lowered limits, also if the
 // limits are lowered while a new leader has not heard from its peers yet. The machine records of
-// the thousandMachines shape are split too, and no machine is forgotten in the process.
+// the thousandMachineShape shape are split too, and no machine is forgotten in the process.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
-	shape := withLoweredLimits(thousandMachines(), 21, 8)
+	shape := withLoweredLimits(thousandMachineShape(), 21, 8)
 	shape.Store.TxnOps = 24
 	w := NewWithShape(77, logs(), shape)
 	for _, c := range w.nodes {
@@ -115,7 +115,7 @@
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	w.submitCrowd(60, 30*time.Second)
+	w.submitJobBurst(60, 30*time.Second)
 	for i := range 5 {
 		spec := withQueue(array(jobID(600000+i), 150), "array", "team-0", "idle")
 		w.submit(arrival{job: spec, run: 150})
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -9,8 +9,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// thousandMachines is a deployment of a thousand machines and three zones.
-func thousandMachines() Shape {
+// thousandMachineShape returns a deployment in three zones that can grow to about a thousand
+// machines.
+func thousandMachineShape() Shape {
 	s := SmallShape()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
@@ -26,16 +27,16 @@
 	return s
 }
 
-// threeZones is a deployment of a few machines in three zones, whose controllers have all the
-// resources that they want.
-func threeZones(machines int) Shape {
-	s := thousandMachines()
+// threeZoneShape returns a deployment of a few machines in three zones. The resources of its
+// controllers are not limited.
+func threeZoneShape(machines int) Shape {
+	s := thousandMachineShape()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
 }
 
-// submitCrowd makes gangs and arrays of many sizes come for a while.
-func (w *World) submitCrowd(jobs int, span time.Duration) {
+// submitJobBurst submits gangs and arrays of many sizes at random times within span.
+func (w *World) submitJobBurst(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
 		withQueue(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
@@ -50,8 +51,9 @@
 	}
 }
 
-// smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
-func smallestBudgets() Shape {
+// smallestBudgetShape returns a deployment with the smallest budgets, which can grow to about two
+// hundred machines.
+func smallestBudgetShape() Shape {
 	s := SmallShape()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
@@ -59,49 +61,48 @@
 	return s
 }
 
-// TestDaysKeepWithinCountedBounds plays a day of a thousand machines and one behind the smallest
-// budgets: everything is served, and the work that is done and asked of the
-// key-value store keeps within bounds, counted, not timed.
-func TestDaysKeepWithinCountedBounds(t *testing.T) {
+// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest budgets,
+// all jobs are served, and the controllers' work and their requests to the key-value store stay
+// within bounds. The bounds are counts, not durations.
+func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
-	for _, day := range []struct {
+	for _, c := range []struct {
 		name  string
 		shape Shape
 		jobs  int
-	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
-		t.Run(day.name, func(t *testing.T) {
+	}{{"thousand machines", thousandMachineShape(), 200}, {"smallest budgets", smallestBudgetShape(), 60}} {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewWithShape(1, logs(), day.shape)
-			w.submitCrowd(day.jobs, 120*time.Second)
+			w := NewWithShape(1, logs(), c.shape)
+			w.submitJobBurst(c.jobs, 120*time.Second)
 			w.finishAndCheck(t, 600*time.Second)
-			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
+			w.expectWithin(t, workBounds{refused: 20, changes: 25 * c.jobs, bytes: 40_000 * c.jobs})
 		})
 	}
 }
 
-// workBounds are bounds of what the controllers ask of the key-value store.
+// workBounds are upper bounds on the controllers' requests to the key-value store.
 type workBounds struct {
-	refused int // requests beyond its budget
-	changes int // of keys
-	bytes   int // of requests
+	refused int // requests refused because they exceed the store's budget
+	changes int // changed keys
+	bytes   int // bytes in requests
 }
 
-// expectWithin checks that what the controllers have done and asked since the start keeps
-// within bounds.
+// expectWithin checks that the controllers' work and requests since the start stay within bounds.
 func (w *World) expectWithin(t *testing.T, bounds workBounds) {
 	t.Helper()
 	span := w.elapsed().Seconds()
-	t.Logf("%.0f s: %d steps, %d requests, %d changes, %d bytes, %d refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
+	t.Logf("%.0f s: %d steps, %d requests, %d changed keys, %d bytes, %d requests refused", span, w.steps, w.store.requests, w.store.changed, w.store.bytes, w.store.refused)
 	if w.store.refused > bounds.refused {
-		t.Errorf("the key-value store refuses %d requests beyond its budget", w.store.refused)
+		t.Errorf("the key-value store refused %d requests beyond its budget", w.store.refused)
 	}
 	if w.store.changed > bounds.changes {
-		t.Errorf("%d changes, at most %d are due", w.store.changed, bounds.changes)
+		t.Errorf("%d changed keys, want at most %d", w.store.changed, bounds.changes)
 	}
 	if w.store.bytes > bounds.bytes {
-		t.Errorf("%d bytes, at most %d are due", w.store.bytes, bounds.bytes)
+		t.Errorf("%d bytes in requests, want at most %d", w.store.bytes, bounds.bytes)
 	}
-	// Ten ticks a second at each of three nodes, and the events.
+	// Ten ticks a second at each of the three nodes, and the steps that handle events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
 		t.Errorf("%d steps in %.0f s", w.steps, span)
 	}
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -7,10 +7,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// zoneLoss runs services until the fleet has shrunk to what they need, then loses every
-// machine of a zone. It returns how long it took until as many replicas as the rules
-// allow ran again, and the machines that were up before.
-func zoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
+// measureZoneLoss runs services for the settle time, in which the fleet shrinks to what they need,
+// and then lets every machine of a zone die. It returns how long it took until as many replicas ran
+// again as the spread rules allow, and how many machines were up before the loss.
+func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, settle time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
@@ -23,20 +23,20 @@
 	running := func() (n int) {
 		for _, u := range users {
 			for i := range u.job.spec.Tasks {
-				if a := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; a != nil && a.state == protocol.TaskRunning {
+				if task := w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil && task.state == protocol.TaskRunning {
 					n++
 				}
 			}
 		}
 		return n
 	}
-	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
-	w.Run(quiet)
+	w.waitFor(t, 90*time.Second, "all replicas run", func() bool { return running() == services*replicas })
+	w.Run(settle)
 	zone := w.agentOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
-			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
+			allowed -= replicas / 2 // no more than half of its replicas may be in the remaining zone
 		}
 	}
 	for _, agent := range w.agentsInCreationOrder() {
@@ -45,15 +45,15 @@
 			w.loseAgent(agent)
 		}
 	}
-	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
+	return w.waitFor(t, 120*time.Second, "the replicas run again", func() bool { return running() >= allowed }), machines
 }
 
-// TestZoneLossWithoutBoot: when a zone is lost with all its machines, the replicas that
-// the rules allow elsewhere run again in the other zones on machines that are up, also
-// when nothing but services has run for a long while.
-func TestZoneLossWithoutBoot(t *testing.T) {
+// TestZoneLossIsRepairedWithoutBootingMachines: when a zone is lost with all its machines, as many
+// replicas as the spread rules allow run again in the other zones on machines that are already up,
+// even if nothing but services has run for a long time.
+func TestZoneLossIsRepairedWithoutBootingMachines(t *testing.T) {
 	t.Parallel()
-	three := threeZones(9)
+	three := threeZoneShape(9)
 	two := SmallShape()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
@@ -61,22 +61,22 @@
 		limit time.Duration
 	}{
 		"three zones": {three, 14 * time.Second},
-		// Half of the services may not have more replicas in the zone that is left: the
-		// lost machines are kept until their leases have expired, for their sake.
+		// Half of the services may not have more replicas in the remaining zone. For their sake,
+		// the lost machines are kept until their leases have expired.
 		"two zones": {two, secs(two.Agents.LeaseS) + 5*time.Second},
 	} {
-		for _, quiet := range []time.Duration{90 * time.Second, 200 * time.Second} {
+		for _, settle := range []time.Duration{90 * time.Second, 200 * time.Second} {
 			var sum time.Duration
 			total := 0
 			for seed := range uint64(6) {
-				took, machines := zoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
+				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, settle)
 				if took > c.limit {
-					t.Errorf("%s, quiet for %v, seed %d: %v", name, quiet, seed, took)
+					t.Errorf("%s, settled for %v, seed %d: %v", name, settle, seed, took)
 				}
 				sum += took
 				total += machines
 			}
-			t.Logf("%s, quiet for %v: %v, %.1f machines", name, quiet, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
+			t.Logf("%s, settled for %v: %v, %.1f machines", name, settle, (sum / 6).Round(10*time.Millisecond), float64(total)/6)
 		}
 	}
 }
