--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -13,29 +13,29 @@
 
 // declarations are what the module's packages declare, test files included.
 type declarations struct {
-	files    []string               // Go files, by path from the root
-	packages map[string]*scope      // by path from the root
-	outside  map[string]bool        // names of imported packages that are not of this module
-	embedded map[*scope]embeddedMap // for members that a type has from another of its package
-	metrics  map[string]bool        // names of metrics, as string literals outside tests
+	files            []string                        // Go files, by path from the root
+	packages         map[string]*packageScope        // by path from the root
+	externalPackages map[string]bool                 // names of imported packages that are not of this module
+	embedded         map[*packageScope]embeddedTypes // for members that a type has from another of its package
+	metrics          map[string]bool                 // names of metrics, as string literals outside tests
 }
 
-// scope is what one package declares: "Name" of a constant, variable, function or type,
+// packageScope is what one package declares: "Name" of a constant, variable, function or type,
 // and "Type.Member" of a field or method.
-type scope struct {
+type packageScope struct {
 	name      string
 	names     map[string]bool
 	functions map[string]bool // functions and methods by their own name
 }
 
-// embeddedMap lists by type the types that it embeds.
-type embeddedMap map[string][]string
+// embeddedTypes lists by type the types that it embeds.
+type embeddedTypes map[string][]string
 
 // readDeclarations reads all packages of the module.
 func readDeclarations(t *testing.T) *declarations {
 	t.Helper()
 	d := &declarations{
-		files: goFiles(t), packages: map[string]*scope{}, outside: map[string]bool{}, embedded: map[*scope]embeddedMap{},
+		files: goFiles(t), packages: map[string]*packageScope{}, externalPackages: map[string]bool{}, embedded: map[*packageScope]embeddedTypes{},
 		metrics: map[string]bool{},
 	}
 	for _, file := range d.files {
@@ -46,16 +46,16 @@
 		directory := path.Dir(file)
 		s := d.packages[directory]
 		if s == nil {
-			s = &scope{name: path.Base(directory), names: map[string]bool{}, functions: map[string]bool{}}
-			d.packages[directory], d.embedded[s] = s, embeddedMap{}
+			s = &packageScope{name: path.Base(directory), names: map[string]bool{}, functions: map[string]bool{}}
+			d.packages[directory], d.embedded[s] = s, embeddedTypes{}
 		}
 		for _, spec := range parsed.Imports {
 			if imported, err := strconv.Unquote(spec.Path.Value); err == nil && !strings.HasPrefix(imported, modulePath) {
-				d.outside[path.Base(imported)] = true
+				d.externalPackages[path.Base(imported)] = true
 			}
 		}
 		for _, declaration := range parsed.Decls {
-			d.add(s, declaration)
+			d.addDeclaration(s, declaration)
 		}
 		if !strings.HasSuffix(file, "_test.go") {
 			ast.Inspect(parsed, d.addMetric)
@@ -77,8 +77,8 @@
 	return true
 }
 
-// add takes up one declaration of a file.
-func (d *declarations) add(s *scope, declaration ast.Decl) {
+// addDeclaration takes up one declaration of a file.
+func (d *declarations) addDeclaration(s *packageScope, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
 		name := declared.Name.Name
@@ -103,7 +103,7 @@
 }
 
 // addMembers takes up a struct's fields or an interface's methods.
-func (d *declarations) addMembers(s *scope, spec *ast.TypeSpec) {
+func (d *declarations) addMembers(s *packageScope, spec *ast.TypeSpec) {
 	var fields *ast.FieldList
 	switch declared := spec.Type.(type) {
 	case *ast.StructType:
@@ -142,8 +142,8 @@
 	return ""
 }
 
-// has reports whether a package declares "Name" or "Type.Member".
-func (d *declarations) has(s *scope, name string) bool {
+// declares reports whether a package declares "Name" or "Type.Member".
+func (d *declarations) declares(s *packageScope, name string) bool {
 	if s.names[name] {
 		return true
 	}
@@ -152,7 +152,7 @@
 		return false
 	}
 	for _, embedded := range d.embedded[s][owner] {
-		if embedded != owner && d.has(s, embedded+"."+member) {
+		if embedded != owner && d.declares(s, embedded+"."+member) {
 			return true
 		}
 	}
@@ -169,20 +169,20 @@
 	return false
 }
 
-// inPackage reports whether a package that is called so declares the name.
-func (d *declarations) inPackage(packageName, name string) bool {
+// declaredInPackage reports whether a package that is called so declares the name.
+func (d *declarations) declaredInPackage(packageName, name string) bool {
 	for _, s := range d.packages {
-		if s.name == packageName && d.has(s, name) {
+		if s.name == packageName && d.declares(s, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// anywhere reports whether any package declares the name.
-func (d *declarations) anywhere(name string) bool {
+// declaredAnywhere reports whether any package declares the name.
+func (d *declarations) declaredAnywhere(name string) bool {
 	for _, s := range d.packages {
-		if d.has(s, name) {
+		if d.declares(s, name) {
 			return true
 		}
 	}
--- a/internal/architecture/design_test.go
+++ b/internal/architecture/design_test.go
@@ -21,14 +21,14 @@
 const invariantsHeading = "\n## Invariants\n"
 
 var (
-	// invariantRow is a row of that table: what holds, and what shows it.
-	invariantRow = regexp.MustCompile(`(?m)^\|([^|]+)\|([^|]+)\|$`)
-	namedTest    = regexp.MustCompile("`Test[A-Z]\\w*`")
+	// tableRow is a row of that table: what holds, and what shows it.
+	tableRow  = regexp.MustCompile(`(?m)^\|([^|]+)\|([^|]+)\|$`)
+	namedTest = regexp.MustCompile("`Test[A-Z]\\w*`")
 )
 
-// TestInvariantsNameTheirTests: every design page is in the index and states its invariants,
-// and each of them names a test. That the tests exist is TestPagesNameRealThings.
-func TestInvariantsNameTheirTests(t *testing.T) {
+// TestEveryInvariantNamesATest: every design page is in the index and states its invariants,
+// and each of them names a test. That the tests exist is TestNamesOnPagesExist.
+func TestEveryInvariantNamesATest(t *testing.T) {
 	index, err := os.ReadFile(filepath.Join(moduleRoot, designIndex))
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 		return []string{"no section of invariants"}
 	}
 	var problems []string
-	rows := invariantRow.FindAllStringSubmatch(table, -1)
+	rows := tableRow.FindAllStringSubmatch(table, -1)
 	const head = 2 // the columns' names and the line under them
 	if len(rows) <= head {
 		return []string{"no invariant is stated"}
--- a/internal/architecture/events_test.go
+++ b/internal/architecture/events_test.go
@@ -123,7 +123,7 @@
 	ast.Inspect(function.Body, func(node ast.Node) bool {
 		message, byDefault, ok := loggedMessage(node)
 		if !ok {
-			message, byDefault, ok = r.handedOnMessage(node)
+			message, byDefault, ok = r.forwardedMessage(node)
 		}
 		if ok {
 			if name, isName := message.(*ast.Ident); isName {
@@ -140,7 +140,7 @@
 func (r *eventReader) addEvent(node ast.Node) {
 	message, byDefault, ok := loggedMessage(node)
 	if !ok {
-		message, byDefault, ok = r.handedOnMessage(node)
+		message, byDefault, ok = r.forwardedMessage(node)
 	}
 	if !ok {
 		return
@@ -180,8 +180,8 @@
 	}
 }
 
-// handedOnMessage is the message of a call of a function that logs one of its parameters.
-func (r *eventReader) handedOnMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
+// forwardedMessage is the message of a call of a function that logs one of its parameters.
+func (r *eventReader) forwardedMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall {
 		return nil, false, false
@@ -228,9 +228,9 @@
 
 // TestRunbookNamesEveryEvent fails for an event, logged by default, that an on-call engineer
 // would find in no runbook. The other direction, that each event of a page is logged, is
-// TestPagesNameRealThings.
+// TestNamesOnPagesExist.
 func TestRunbookNamesEveryEvent(t *testing.T) {
-	text := runbooks(t)
+	text := runbookText(t)
 	named := map[string]bool{}
 	for _, match := range pageEvent.FindAllStringSubmatch(text, -1) {
 		named[match[1]] = true
@@ -249,7 +249,7 @@
 // TestRunbookNamesEveryMetric: the operators' pages have every metric of the sources.
 func TestRunbookNamesEveryMetric(t *testing.T) {
 	named := map[string]bool{}
-	for _, match := range codeSpan.FindAllStringSubmatch(runbooks(t), -1) {
+	for _, match := range codeSpan.FindAllStringSubmatch(runbookText(t), -1) {
 		if metric := metricName.FindStringSubmatch(match[1]); metric != nil {
 			named[metric[1]] = true
 		}
@@ -265,8 +265,8 @@
 	}
 }
 
-// runbooks is the text of all runbookPages.
-func runbooks(t *testing.T) string {
+// runbookText is the text of all runbookPages.
+func runbookText(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
 	for _, page := range runbookPages {
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -19,7 +19,7 @@
 	tests   []string // in its test files only, beside those above
 
 	// pure packages do no input or output and start nothing concurrent: they import
-	// nothing of impureLibrary, except in tests.
+	// nothing of impurePackages, except in tests.
 	pure bool
 }
 
@@ -204,8 +204,8 @@
 	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
-// impureLibrary are the packages of the standard library that a pure package does without.
-var impureLibrary = []string{
+// impurePackages are the packages of the standard library that a pure package does without.
+var impurePackages = []string{
 	"context", "crypto/rand", "net", "os", "os/exec", "os/signal", "sync", "sync/atomic", "syscall",
 }
 
@@ -315,7 +315,7 @@
 		row, listed := allowed[name]
 		if !listed {
 			add("%s has no row in allowedImports in imports_test.go: decide what it may import and add\n\t%q: {imports: %#v},\nand name it in docs/architecture.md",
-				name, name, ofModule(found[name].code))
+				name, name, modulePackages(found[name].code))
 			continue
 		}
 		violations = append(violations, packageViolations(name, found[name], row)...)
@@ -327,17 +327,17 @@
 func packageViolations(name string, found packageImports, row dependencies) []string {
 	var violations []string
 	add := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
-	for _, imported := range ofModule(found.code) {
+	for _, imported := range modulePackages(found.code) {
 		if !slices.Contains(row.imports, imported) {
 			add("%s imports %s, which allowedImports does not allow: move the code to where the dependency may point, or change the row and say why in the commit", name, imported)
 		}
 	}
-	for _, imported := range ofModule(found.tests) {
+	for _, imported := range modulePackages(found.tests) {
 		if !slices.Contains(row.imports, imported) && !slices.Contains(row.tests, imported) {
 			add("tests of %s import %s, which allowedImports does not allow: add it to the row's tests, if it may be", name, imported)
 		}
 	}
-	for _, imported := range impureLibrary {
+	for _, imported := range impurePackages {
 		if row.pure && slices.Contains(found.code, imported) {
 			add("%s imports %s, though its row says that it is pure: leave input, output and concurrency to its callers", name, imported)
 		}
@@ -355,8 +355,8 @@
 	return violations
 }
 
-// ofModule selects the packages of this module, each once.
-func ofModule(imports []string) []string {
+// modulePackages selects the packages of this module, each once.
+func modulePackages(imports []string) []string {
 	selected := map[string]bool{}
 	for _, imported := range imports {
 		if strings.HasPrefix(imported, "internal/") || strings.HasPrefix(imported, "cmd/") {
--- a/internal/architecture/model_states_test.go
+++ b/internal/architecture/model_states_test.go
@@ -13,18 +13,18 @@
 // modelPackage declares jobs and attempts, whose states only its methods change.
 const modelPackage = "internal/coordination/cluster"
 
-// modelStates are the fields that hold the states of attempts and jobs. Names that other
+// modelStateFields are the fields that hold the states of attempts and jobs. Names that other
 // types have too (Cancelled, Done) are left out: without types they can't be told apart.
-var modelStates = map[string]bool{
+var modelStateFields = map[string]bool{
 	"Committed": true, "Orphaned": true, "StartSent": true, "StartInResponse": true, "StartUnanswered": true,
 	"StartsInFlight": true, "StartSentAt": true, "StopSentAt": true, "ReportedState": true, "RunningSince": true,
 	"Stopping": true, "Finished": true,
 }
 
-// TestOnlyTheModelSetsItsStates: outside the model no code, tests apart, assigns to a state
+// TestOnlyModelPackageSetsStateFields: outside the model no code, tests apart, assigns to a state
 // of an attempt or a job: each change has a named method, which keeps states that exclude
 // each other apart.
-func TestOnlyTheModelSetsItsStates(t *testing.T) {
+func TestOnlyModelPackageSetsStateFields(t *testing.T) {
 	examined := 0
 	for _, file := range goFiles(t) {
 		if !strings.HasPrefix(file, "internal/coordination/") || path.Dir(file) == modelPackage || strings.HasSuffix(file, "_test.go") {
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		examined++
-		for _, field := range assignedStates(parsed) {
+		for _, field := range assignedStateFields(parsed) {
 			t.Errorf("%s sets %s: use or add a method of the model", positions.Position(field.Pos()), field.Name)
 		}
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestAssignedStates shows that assignedStates finds each kind of assignment.
-func TestAssignedStates(t *testing.T) {
+// TestAssignedStateFields shows that assignedStateFields finds each kind of assignment.
+func TestAssignedStateFields(t *testing.T) {
 	for source, want := range map[string]int{
 		"a.Committed = true":                1,
 		"a.Stopping, a.GraceS = true, 1":    1,
@@ -59,17 +59,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := len(assignedStates(parsed)); got != want {
+		if got := len(assignedStateFields(parsed)); got != want {
 			t.Errorf("%s: %d found, want %d", source, got, want)
 		}
 	}
 }
 
-// assignedStates are the names of model states that a file assigns to.
-func assignedStates(file *ast.File) (found []*ast.Ident) {
+// assignedStateFields are the names of model states that a file assigns to.
+func assignedStateFields(file *ast.File) (found []*ast.Ident) {
 	collect := func(targets ...ast.Expr) {
 		for _, target := range targets {
-			if selector, ok := target.(*ast.SelectorExpr); ok && modelStates[selector.Sel.Name] {
+			if selector, ok := target.(*ast.SelectorExpr); ok && modelStateFields[selector.Sel.Name] {
 				found = append(found, selector.Sel)
 			}
 		}
--- a/internal/architecture/module_test.go
+++ b/internal/architecture/module_test.go
@@ -39,8 +39,8 @@
 	return files
 }
 
-// TestSourceDirectories shows that no Go file lies where the tests here do not look.
-func TestSourceDirectories(t *testing.T) {
+// TestNoGoFilesOutsideSourceDirectories shows that no Go file lies where the tests here do not look.
+func TestNoGoFilesOutsideSourceDirectories(t *testing.T) {
 	entries, err := os.ReadDir(moduleRoot)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -52,8 +52,8 @@
 // requiredPages are checked whole, and must be there.
 var requiredPages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/recovery.md"}
 
-// TestPagesNameRealThings reads each page of checkedPages.
-func TestPagesNameRealThings(t *testing.T) {
+// TestNamesOnPagesExist reads each page of checkedPages.
+func TestNamesOnPagesExist(t *testing.T) {
 	checker := newPageChecker(t)
 	pages := pagesToCheck(t)
 	for _, page := range requiredPages {
@@ -141,14 +141,14 @@
 	repositoryPath = regexp.MustCompile(`(?:^|[^\w./-])(?:\./)?((?:internal|cmd|docs|deploy)/[\w./-]+)`)
 	goFile         = regexp.MustCompile(`^[\w./-]+\.go$`)
 	testFunction   = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
-	plainCall      = regexp.MustCompile(`^\w+\(\)$`)
+	functionCall   = regexp.MustCompile(`^\w+\(\)$`)
 	dottedName     = regexp.MustCompile(`^[A-Za-z_]\w*(?:\.[A-Za-z_][\w-]*)+$`)
 	metricName     = regexp.MustCompile(`^(gappond_\w+)(?:\{[^}]*\})?$`)
 	exportedName   = regexp.MustCompile(`\b([a-z]\w*)\.([A-Z]\w*(?:\.\w+)?)`)
 )
 
-// otherFiles are the endings of names of files that are not looked for.
-var otherFiles = []string{".toml", ".md", ".properties", ".sh", ".mod", ".sum", ".html", ".json", ".jsonl", ".txt", ".conf"}
+// uncheckedExtensions are the endings of names of files that are not looked for.
+var uncheckedExtensions = []string{".toml", ".md", ".properties", ".sh", ".mod", ".sum", ".html", ".json", ".jsonl", ".txt", ".conf"}
 
 // pageChecker knows what a page may name.
 type pageChecker struct {
@@ -186,7 +186,7 @@
 // problems are the names on a page that are not real.
 func (c *pageChecker) problems(page, text string) []string {
 	var problems []string
-	add := func(name, why string) { problems = append(problems, problem(page, name, why)) }
+	add := func(name, why string) { problems = append(problems, problemText(page, name, why)) }
 	for _, match := range repositoryPath.FindAllStringSubmatch(text, -1) {
 		if name := strings.TrimRight(match[1], "./-"); !c.pathExists(name) {
 			add(name, "no such file, package or declaration")
@@ -194,7 +194,7 @@
 	}
 	for _, block := range fencedBlock.FindAllString(text, -1) {
 		for _, match := range exportedName.FindAllStringSubmatch(block, -1) {
-			if c.declared.hasPackage(match[1]) && !c.declared.inPackage(match[1], match[2]) {
+			if c.declared.hasPackage(match[1]) && !c.declared.declaredInPackage(match[1], match[2]) {
 				add(match[0], "package "+match[1]+" declares no "+match[2])
 			}
 		}
@@ -209,8 +209,8 @@
 	return problems
 }
 
-// problem is what the tests say of a name that is not real.
-func problem(page, name, why string) string {
+// problemText is what the tests say of a name that is not real.
+func problemText(page, name, why string) string {
 	return fmt.Sprintf("%s names %s: %s", page, name, why)
 }
 
@@ -219,12 +219,12 @@
 	var problems []string
 	for _, match := range localLink.FindAllStringSubmatch(text, -1) {
 		if _, err := os.Stat(filepath.Join(moduleRoot, path.Dir(page), match[1])); err != nil {
-			problems = append(problems, problem(page, match[1], "no such file, seen from the page"))
+			problems = append(problems, problemText(page, match[1], "no such file, seen from the page"))
 		}
 	}
 	for _, match := range headingLink.FindAllStringSubmatch(text, -1) {
 		if !hasHeading(page, text, match[1], match[2]) {
-			problems = append(problems, problem(page, match[1]+"#"+match[2], "no such heading"))
+			problems = append(problems, problemText(page, match[1]+"#"+match[2], "no such heading"))
 		}
 	}
 	return problems
@@ -258,7 +258,7 @@
 	directory, last := path.Split(name)
 	packageName, declaration, _ := strings.Cut(last, ".")
 	s := c.declared.packages[directory+packageName]
-	return s != nil && c.declared.has(s, declaration)
+	return s != nil && c.declared.declares(s, declaration)
 }
 
 // spanProblem says why the text of a code span is no real name, or nothing.
@@ -281,10 +281,10 @@
 			return "no Go file's path ends so"
 		}
 	case testFunction.MatchString(span):
-		if !c.declared.anywhere(span) {
+		if !c.declared.declaredAnywhere(span) {
 			return "no such test"
 		}
-	case plainCall.MatchString(span):
+	case functionCall.MatchString(span):
 		if !c.declared.hasFunction(strings.TrimSuffix(span, "()")) {
 			return "no function or method is called so"
 		}
@@ -302,13 +302,13 @@
 func (c *pageChecker) dottedProblem(name string) string {
 	first, rest, _ := strings.Cut(name, ".")
 	switch {
-	case c.settings[name], slices.Contains(otherFiles, path.Ext(name)):
+	case c.settings[name], slices.Contains(uncheckedExtensions, path.Ext(name)):
 		return ""
 	case c.declared.hasPackage(first):
-		if !c.declared.inPackage(first, rest) {
+		if !c.declared.declaredInPackage(first, rest) {
 			return "package " + first + " declares no " + rest
 		}
-	case c.declared.anywhere(name), c.declared.outside[first]:
+	case c.declared.declaredAnywhere(name), c.declared.externalPackages[first]:
 	default:
 		return "no package, type or settings key has it"
 	}
