--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -11,27 +11,27 @@
 	"testing"
 )
 
-// declarations are what the module's packages declare, test files included.
+// declarations contains what the module's packages declare, including in test files.
 type declarations struct {
-	files            []string                        // Go files, by path from the root
-	packages         map[string]*packageScope        // by path from the root
-	externalPackages map[string]bool                 // names of imported packages that are not of this module
-	embedded         map[*packageScope]embeddedTypes // for members that a type has from another of its package
-	metrics          map[string]bool                 // names of metrics, as string literals outside tests
+	files            []string                        // paths of the Go files, relative to the root
+	packages         map[string]*packageScope        // by path relative to the root
+	externalPackages map[string]bool                 // base names of imported packages of other modules
+	embedded         map[*packageScope]embeddedTypes // for members that a type gets from an embedded type
+	metrics          map[string]bool                 // metric names: string literals in non-test files
 }
 
-// packageScope is what one package declares: "Name" of a constant, variable, function or type,
-// and "Type.Member" of a field or method.
+// packageScope contains what one package declares: "Name" for a constant, variable, function or
+// type, and "Type.Member" for a field or method.
 type packageScope struct {
 	name      string
 	names     map[string]bool
-	functions map[string]bool // functions and methods by their own name
+	functions map[string]bool // functions, and methods without their type
 }
 
-// embeddedTypes lists by type the types that it embeds.
+// embeddedTypes maps each type to the types that it embeds.
 type embeddedTypes map[string][]string
 
-// readDeclarations reads all packages of the module.
+// readDeclarations parses all packages of the module.
 func readDeclarations(t *testing.T) *declarations {
 	t.Helper()
 	d := &declarations{
@@ -64,10 +64,10 @@
 	return d
 }
 
-// metricPrefix begins the name of every metric.
+// metricPrefix is the prefix of every metric name.
 const metricPrefix = "gappond_"
 
-// addMetric takes up a string literal that is the name of a metric.
+// addMetric adds the value of a string literal that begins with metricPrefix.
 func (d *declarations) addMetric(node ast.Node) bool {
 	if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 		if name, err := strconv.Unquote(literal.Value); err == nil && strings.HasPrefix(name, metricPrefix) {
@@ -77,7 +77,7 @@
 	return true
 }
 
-// addDeclaration takes up one declaration of a file.
+// addDeclaration adds the names that a top-level declaration declares.
 func (d *declarations) addDeclaration(s *packageScope, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
@@ -102,7 +102,7 @@
 	}
 }
 
-// addMembers takes up a struct's fields or an interface's methods.
+// addMembers adds a struct's fields or an interface's methods, and the types that it embeds.
 func (d *declarations) addMembers(s *packageScope, spec *ast.TypeSpec) {
 	var fields *ast.FieldList
 	switch declared := spec.Type.(type) {
@@ -125,7 +125,8 @@
 	}
 }
 
-// typeName is the name of a receiver's or an embedded field's type.
+// typeName returns the name of a type without package, pointer and type arguments. For other
+// expressions it returns the identifier or the selected name, or "" if there is none.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -142,7 +143,8 @@
 	return ""
 }
 
-// declares reports whether a package declares "Name" or "Type.Member".
+// declares reports whether a package declares name, which is "Name" or "Type.Member". A member
+// may come from an embedded type of the same package.
 func (d *declarations) declares(s *packageScope, name string) bool {
 	if s.names[name] {
 		return true
@@ -159,7 +161,7 @@
 	return false
 }
 
-// hasPackage reports whether some package of the module is called so.
+// hasPackage reports whether the module has a package of that name.
 func (d *declarations) hasPackage(name string) bool {
 	for _, s := range d.packages {
 		if s.name == name {
@@ -169,7 +171,7 @@
 	return false
 }
 
-// declaredInPackage reports whether a package that is called so declares the name.
+// declaredInPackage reports whether any package called packageName declares the name.
 func (d *declarations) declaredInPackage(packageName, name string) bool {
 	for _, s := range d.packages {
 		if s.name == packageName && d.declares(s, name) {
@@ -189,7 +191,8 @@
 	return false
 }
 
-// hasFile reports whether a Go file's path is the name or ends in it.
+// hasFile reports whether there is a Go file with that name. The name may include the last
+// directories of the path.
 func (d *declarations) hasFile(name string) bool {
 	for _, file := range d.files {
 		if file == name || strings.HasSuffix(file, "/"+name) {
@@ -199,7 +202,7 @@
 	return false
 }
 
-// hasFunction reports whether a function or a method is called so.
+// hasFunction reports whether any package declares a function or method of that name.
 func (d *declarations) hasFunction(name string) bool {
 	for _, s := range d.packages {
 		if s.functions[name] {
--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,4 +1,4 @@
-// Package architecture holds the tests that keep the structure of the module and the
-// pages about it true: which package may import which, and whether the files, packages
-// and identifiers that a page names exist. It has no code outside its tests.
+// Package architecture contains tests of the module's structure and documentation. They check
+// which packages each package may import, and that the files, packages and identifiers that the
+// documentation names exist. The package has no code outside its tests.
 package architecture
--- a/internal/architecture/events_test.go
+++ b/internal/architecture/events_test.go
@@ -13,12 +13,12 @@
 	"testing"
 )
 
-// runbookPages are the pages of which one at least must name each event that is logged above
-// the level debug.
+// runbookPages are the operators' pages. At least one of them must name each event that is
+// logged above level debug.
 var runbookPages = []string{"docs/operations.md", "docs/recovery.md"}
 
-// logMethods are the methods of a logger by the index of their message's argument; true for
-// levels that are in the log by default.
+// logMethods gives for each logging method the index of the message argument, and whether its
+// level is logged by default. isDeclared tells the entries from the zero value.
 var logMethods = map[string]struct {
 	message    int
 	byDefault  bool
@@ -28,14 +28,14 @@
 	"DebugContext": {1, false, true}, "InfoContext": {1, true, true}, "WarnContext": {1, true, true}, "ErrorContext": {1, true, true},
 }
 
-// loggedEvents are the messages that the sources outside tests log.
+// loggedEvents contains the messages that the non-test sources log.
 type loggedEvents struct {
 	all       map[string]bool // every message
-	byDefault map[string]bool // those logged above the level debug
-	literals  map[string]bool // every string literal: reasons and other values of attributes
+	byDefault map[string]bool // those logged above level debug
+	literals  map[string]bool // every string literal, and so the values of log attributes
 }
 
-// loggingFunction is a function that logs one of its parameters as the message.
+// loggingFunction describes a function that logs one of its parameters as the message.
 type loggingFunction struct {
 	parameter int
 	byDefault bool
@@ -45,12 +45,12 @@
 type eventReader struct {
 	files     []*ast.File
 	constants map[string]string          // string constants by name
-	functions map[string]loggingFunction // by the function's own name
+	functions map[string]loggingFunction // by name, for methods without the type
 	events    loggedEvents
 }
 
-// readEvents reads the messages that are logged: a literal or a constant that is given to a
-// method of logMethods, or to a function that hands it on to one as its message.
+// readEvents returns the messages that the module logs. A message is a literal or a constant
+// that is passed to a method in logMethods, or to a function that passes it on as the message.
 func readEvents(t *testing.T) loggedEvents {
 	t.Helper()
 	r := &eventReader{
@@ -71,11 +71,11 @@
 	return r.events
 }
 
-// readAll goes through the files for constants and literals, for functions that log a
-// parameter, directly or by another such function, and for the messages themselves.
+// readAll first collects the constants and literals of all files, then the functions that log a
+// parameter, directly or through another such function, and last the messages.
 func (r *eventReader) readAll() {
 	r.inspect(r.addConstants)
-	for known := -1; known < len(r.functions); { // until none hands a message on to a new one
+	for known := -1; known < len(r.functions); { // until no further logging function is found
 		known = len(r.functions)
 		r.addLoggingFunctions()
 	}
@@ -101,7 +101,8 @@
 	}
 }
 
-// addConstants takes up string constants and all string literals.
+// addConstants adds all string literals, and by name the constants and variables that are
+// initialised with one.
 func (r *eventReader) addConstants(node ast.Node) {
 	switch node := node.(type) {
 	case *ast.BasicLit:
@@ -117,7 +118,7 @@
 	}
 }
 
-// addLoggingFunction takes up a function that logs one of its parameters as the message.
+// addLoggingFunction adds the function if it logs one of its parameters as the message.
 func (r *eventReader) addLoggingFunction(function *ast.FuncDecl) {
 	parameters := parameterNames(function)
 	ast.Inspect(function.Body, func(node ast.Node) bool {
@@ -136,7 +137,7 @@
 	})
 }
 
-// addEvent takes up the message of a call that logs one.
+// addEvent adds the message if the node is a call that logs one.
 func (r *eventReader) addEvent(node ast.Node) {
 	message, byDefault, ok := loggedMessage(node)
 	if !ok {
@@ -153,7 +154,7 @@
 	}
 }
 
-// loggedMessage is the message of a call of a logger's method.
+// loggedMessage returns the message argument if the node is a call of a logging method.
 func loggedMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall {
@@ -170,7 +171,8 @@
 	return call.Args[level.message], level.byDefault, true
 }
 
-// isLogger reports whether an expression is, by its last name, a logger or package slog.
+// isLogger reports whether an expression is a logger or package slog, judging by its last
+// identifier only.
 func isLogger(expression ast.Expr) bool {
 	switch name := typeName(expression); name {
 	case "slog":
@@ -180,7 +182,8 @@
 	}
 }
 
-// forwardedMessage is the message of a call of a function that logs one of its parameters.
+// forwardedMessage returns the message argument if the node is a call of a function that logs
+// one of its parameters.
 func (r *eventReader) forwardedMessage(node ast.Node) (message ast.Expr, byDefault, ok bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall {
@@ -193,7 +196,7 @@
 	return call.Args[function.parameter], function.byDefault, true
 }
 
-// text is the string that an expression stands for, if it is a literal or a constant.
+// text returns the value of an expression that is a string literal or a known constant.
 func (r *eventReader) text(expression ast.Expr) (string, bool) {
 	if text, ok := literalText(expression); ok {
 		return text, true
@@ -202,7 +205,7 @@
 	return text, ok
 }
 
-// literalText is the value of a string literal.
+// literalText returns the value of a string literal.
 func literalText(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -212,7 +215,7 @@
 	return text, err == nil
 }
 
-// parameterNames lists the names of a function's parameters in order.
+// parameterNames returns the names of a function's parameters, in order.
 func parameterNames(function *ast.FuncDecl) []string {
 	var names []string
 	for _, field := range function.Type.Params.List {
@@ -223,12 +226,12 @@
 	return names
 }
 
-// pageEvent is an event on a page: `event: text`.
+// pageEvent matches an event named on a page: `event: text`.
 var pageEvent = regexp.MustCompile("`event: ([^`\n]+)`")
 
-// TestRunbookNamesEveryEvent fails for an event, logged by default, that an on-call engineer
-// would find in no runbook. The other direction, that each event of a page is logged, is
-// TestNamesOnPagesExist.
+// TestRunbookNamesEveryEvent checks that an on-call engineer finds every event that is logged
+// by default in a runbook. TestNamesOnPagesExist checks the reverse: that the sources log every
+// event that a page names.
 func TestRunbookNamesEveryEvent(t *testing.T) {
 	text := runbookText(t)
 	named := map[string]bool{}
@@ -237,16 +240,16 @@
 	}
 	events := readEvents(t)
 	if len(events.byDefault) == 0 {
-		t.Fatal("no logged event was found in the sources")
+		t.Fatal("found no logged event in the sources")
 	}
 	for event := range events.byDefault {
 		if !named[event] {
-			t.Errorf("%q is logged, and on none of %q as `event: %s`", event, runbookPages, event)
+			t.Errorf("%q is logged, but no page of %q names it as `event: %s`", event, runbookPages, event)
 		}
 	}
 }
 
-// TestRunbookNamesEveryMetric: the operators' pages have every metric of the sources.
+// TestRunbookNamesEveryMetric checks that the operators' pages name every metric in the sources.
 func TestRunbookNamesEveryMetric(t *testing.T) {
 	named := map[string]bool{}
 	for _, match := range codeSpan.FindAllStringSubmatch(runbookText(t), -1) {
@@ -256,16 +259,16 @@
 	}
 	metrics := readDeclarations(t).metrics
 	if len(metrics) == 0 {
-		t.Fatal("no metric was found in the sources")
+		t.Fatal("found no metric in the sources")
 	}
 	for metric := range metrics {
 		if !named[metric] {
-			t.Errorf("%s is in the sources, and on none of %q", metric, runbookPages)
+			t.Errorf("%s is in the sources, but no page of %q names it", metric, runbookPages)
 		}
 	}
 }
 
-// runbookText is the text of all runbookPages.
+// runbookText returns the text of all runbookPages.
 func runbookText(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -279,7 +282,8 @@
 	return all.String()
 }
 
-// TestLoggedMessages shows what counts as an event, by a source with each kind of call.
+// TestLoggedMessages checks which strings count as events, on a source with each kind of logging
+// call.
 func TestLoggedMessages(t *testing.T) {
 	const source = `package p
 const named = "by a constant"
@@ -288,9 +292,9 @@
 	log.Debug("only for debugging")
 	slog.Error(named)
 	a.logger.InfoContext(ctx, "with a context")
-	a.once("handed on", 1)
-	a.errors.Error("of no logger")
-	a.twice("handed on twice")
+	a.once("forwarded", 1)
+	a.errors.Error("not by a logger")
+	a.twice("forwarded twice")
 }
 func (a *a) twice(text string) { a.once(text, 2) }
 func (a *a) once(text string, n int) { a.log.Warn(text) }
@@ -305,14 +309,14 @@
 	}
 	r.readAll()
 	for event, byDefault := range map[string]bool{
-		"by a constant": true, "by a literal": true, "with a context": true, "handed on": true, "handed on twice": true,
+		"by a constant": true, "by a literal": true, "with a context": true, "forwarded": true, "forwarded twice": true,
 		"only for debugging": false,
 	} {
 		if !r.events.all[event] || r.events.byDefault[event] != byDefault {
 			t.Errorf("%q: logged %v, by default %v", event, r.events.all[event], r.events.byDefault[event])
 		}
 	}
-	for _, text := range []string{"a value", "of no logger", "key"} {
+	for _, text := range []string{"a value", "not by a logger", "key"} {
 		if r.events.all[text] {
 			t.Errorf("%q counts as an event", text)
 		}
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -13,19 +13,19 @@
 	"testing"
 )
 
-// dependencies are the packages of this module that a package may import.
+// dependencies lists the packages of this module that a package may import.
 type dependencies struct {
 	imports []string // in all its files
 	tests   []string // in its test files only, beside those above
 
-	// pure packages do no input or output and start nothing concurrent: they import
-	// nothing of impurePackages, except in tests.
+	// pure packages do no input or output and no concurrent work. They import none of
+	// impurePackages, except in tests.
 	pure bool
 }
 
-// allowedImports has a row for each package of the module, paths relative to its root.
-// It is exact: an import that is not listed fails the test, and so does a listed one
-// that no file needs any more, so that the table can be read as the state of things.
+// allowedImports has a row for each package of the module, with paths relative to the module
+// root. It is exact: the test fails for an import that is not listed, and for a listed import
+// that no file uses. So the table shows the actual imports.
 var allowedImports = map[string]dependencies{
 	"cmd/gappond": {imports: []string{
 		"internal/cli",
@@ -204,19 +204,19 @@
 	"internal/architecture": {tests: []string{"internal/config"}},
 }
 
-// impurePackages are the packages of the standard library that a pure package does without.
+// impurePackages are the packages of the standard library that a pure package must not import.
 var impurePackages = []string{
 	"context", "crypto/rand", "net", "os", "os/exec", "os/signal", "sync", "sync/atomic", "syscall",
 }
 
-// TestImportDirections compares the imports of every package with allowedImports.
+// TestImportDirections checks that the imports of every package match allowedImports.
 func TestImportDirections(t *testing.T) {
 	for _, violation := range importViolations(readImports(t), allowedImports) {
 		t.Error(violation)
 	}
 }
 
-// TestImportViolations shows that importViolations finds each kind of violation.
+// TestImportViolations checks that importViolations finds each kind of violation.
 func TestImportViolations(t *testing.T) {
 	allowed := map[string]dependencies{
 		"internal/a": {pure: true, imports: []string{"internal/b"}, tests: []string{"internal/c"}},
@@ -224,7 +224,7 @@
 	}
 	for name, c := range map[string]struct {
 		found map[string]packageImports
-		want  []string // a part of each violation
+		want  []string // a substring of each violation
 	}{
 		"as allowed": {found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b", "net/http"}, tests: []string{"internal/b", "internal/c", "os"}},
@@ -235,22 +235,22 @@
 			"internal/b":   {},
 			"internal/new": {code: []string{"internal/b"}},
 		}},
-		"package that is gone": {want: []string{"internal/b does not exist"}, found: map[string]packageImports{
+		"listed package does not exist": {want: []string{"internal/b does not exist"}, found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
 		}},
 		"import not allowed": {want: []string{"internal/b imports internal/a"}, found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
 			"internal/b": {code: []string{"internal/a"}},
 		}},
-		"import of tests in code": {want: []string{"internal/a imports internal/c"}, found: map[string]packageImports{
+		"test import in non-test code": {want: []string{"internal/a imports internal/c"}, found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b", "internal/c"}, tests: []string{"internal/c"}},
 			"internal/b": {},
 		}},
-		"import of tests not allowed": {want: []string{"tests of internal/b import internal/c"}, found: map[string]packageImports{
+		"test import not allowed": {want: []string{"tests of internal/b import internal/c"}, found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b"}, tests: []string{"internal/c"}},
 			"internal/b": {tests: []string{"internal/c"}},
 		}},
-		"impure": {want: []string{"internal/a imports os"}, found: map[string]packageImports{
+		"impure import in pure package": {want: []string{"internal/a imports os"}, found: map[string]packageImports{
 			"internal/a": {code: []string{"internal/b", "os"}, tests: []string{"internal/c"}},
 			"internal/b": {},
 		}},
@@ -264,18 +264,18 @@
 			}
 			for i, want := range c.want {
 				if !strings.Contains(violations[i], want) {
-					t.Errorf("violation %q, want %q", violations[i], want)
+					t.Errorf("violation %q, want one that contains %q", violations[i], want)
 				}
 			}
 		})
 	}
 }
 
-// packageImports are what the files of a package import: packages of this module by their
-// path from its root, others by their import path.
+// packageImports lists what the non-test and the test files of a package import. Packages of this
+// module are given by their path relative to its root, others by their import path.
 type packageImports struct{ code, tests []string }
 
-// readImports reads the imports of every package of the module, for every platform.
+// readImports returns the imports of every package of the module, in the files of all platforms.
 func readImports(t *testing.T) map[string]packageImports {
 	t.Helper()
 	found := map[string]packageImports{}
@@ -301,8 +301,8 @@
 	return found
 }
 
-// importViolations are the differences between what packages import and what they may,
-// each with what to do about it, in a fixed order.
+// importViolations returns the differences between the actual and the allowed imports, in a fixed
+// order. Each text says how to resolve the difference.
 func importViolations(found map[string]packageImports, allowed map[string]dependencies) []string {
 	var violations []string
 	add := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
@@ -323,39 +323,40 @@
 	return violations
 }
 
-// packageViolations are those of one package.
+// packageViolations returns the violations of one package.
 func packageViolations(name string, found packageImports, row dependencies) []string {
 	var violations []string
 	add := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	for _, imported := range modulePackages(found.code) {
 		if !slices.Contains(row.imports, imported) {
-			add("%s imports %s, which allowedImports does not allow: move the code to where the dependency may point, or change the row and say why in the commit", name, imported)
+			add("%s imports %s, which allowedImports does not allow: move the code to a package that may have this dependency, or change the row and give the reason in the commit message", name, imported)
 		}
 	}
 	for _, imported := range modulePackages(found.tests) {
 		if !slices.Contains(row.imports, imported) && !slices.Contains(row.tests, imported) {
-			add("tests of %s import %s, which allowedImports does not allow: add it to the row's tests, if it may be", name, imported)
+			add("tests of %s import %s, which allowedImports does not allow: add it to the row's tests if the dependency is acceptable", name, imported)
 		}
 	}
 	for _, imported := range impurePackages {
 		if row.pure && slices.Contains(found.code, imported) {
-			add("%s imports %s, though its row says that it is pure: leave input, output and concurrency to its callers", name, imported)
+			add("%s imports %s, although its row says that it is pure: leave input, output and concurrency to its callers", name, imported)
 		}
 	}
 	for _, imported := range row.imports {
 		if !slices.Contains(found.code, imported) {
-			add("%s may import %s and does not: remove that from its row in allowedImports", name, imported)
+			add("%s may import %s but does not: remove it from its row in allowedImports", name, imported)
 		}
 	}
 	for _, imported := range row.tests {
 		if !slices.Contains(found.tests, imported) {
-			add("tests of %s may import %s and do not: remove that from its row in allowedImports", name, imported)
+			add("tests of %s may import %s but do not: remove it from its row in allowedImports", name, imported)
 		}
 	}
 	return violations
 }
 
-// modulePackages selects the packages of this module, each once.
+// modulePackages returns the packages of this module among the imports, sorted and without
+// duplicates.
 func modulePackages(imports []string) []string {
 	selected := map[string]bool{}
 	for _, imported := range imports {
--- a/internal/architecture/model_states_test.go
+++ b/internal/architecture/model_states_test.go
@@ -10,22 +10,24 @@
 	"testing"
 )
 
-// modelPackage declares jobs and attempts, whose states only its methods change.
+// modelPackage is the package that declares jobs and attempts. Only its methods change their
+// states.
 const modelPackage = "internal/coordination/cluster"
 
-// modelStateFields are the fields that hold the states of attempts and jobs. Names that other
-// types have too (Cancelled, Done) are left out: without types they can't be told apart.
+// modelStateFields are the fields that contain the states of attempts and jobs. Field names that
+// other types also have (Cancelled, Done) are left out, because the check has no type information
+// to distinguish them.
 var modelStateFields = map[string]bool{
 	"Committed": true, "Orphaned": true, "StartSent": true, "StartInResponse": true, "StartUnanswered": true,
 	"StartsInFlight": true, "StartSentAt": true, "StopSentAt": true, "ReportedState": true, "RunningSince": true,
 	"Stopping": true, "Finished": true,
 }
 
-// TestOnlyModelPackageSetsStateFields: outside the model no code, tests apart, assigns to a state
-// of an attempt or a job: each change has a named method, which keeps states that exclude
-// each other apart.
+// TestOnlyModelPackageSetsStateFields checks that non-test code of the coordination packages other
+// than modelPackage never assigns to a state of an attempt or a job. Each state change is a method
+// of the model, which ensures that mutually exclusive states are never set together.
 func TestOnlyModelPackageSetsStateFields(t *testing.T) {
-	examined := 0
+	examinedFiles := 0
 	for _, file := range goFiles(t) {
 		if !strings.HasPrefix(file, "internal/coordination/") || path.Dir(file) == modelPackage || strings.HasSuffix(file, "_test.go") {
 			continue
@@ -35,17 +37,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		examined++
+		examinedFiles++
 		for _, field := range assignedStateFields(parsed) {
-			t.Errorf("%s sets %s: use or add a method of the model", positions.Position(field.Pos()), field.Name)
+			t.Errorf("%s sets %s: call a method of package cluster instead, or add one", positions.Position(field.Pos()), field.Name)
 		}
 	}
-	if examined == 0 {
+	if examinedFiles == 0 {
 		t.Error("no file was examined")
 	}
 }
 
-// TestAssignedStateFields shows that assignedStateFields finds each kind of assignment.
+// TestAssignedStateFields checks that assignedStateFields finds each kind of assignment.
 func TestAssignedStateFields(t *testing.T) {
 	for source, want := range map[string]int{
 		"a.Committed = true":                1,
@@ -65,7 +67,7 @@
 	}
 }
 
-// assignedStateFields are the names of model states that a file assigns to.
+// assignedStateFields returns the identifiers of modelStateFields that a file assigns to.
 func assignedStateFields(file *ast.File) (found []*ast.Ident) {
 	collect := func(targets ...ast.Expr) {
 		for _, target := range targets {
--- a/internal/architecture/module_test.go
+++ b/internal/architecture/module_test.go
@@ -14,10 +14,10 @@
 	moduleRoot = "../.."
 )
 
-// sourceDirectories are where the module's Go files are.
+// sourceDirectories are the directories that contain the module's Go files.
 var sourceDirectories = []string{"cmd", "internal"}
 
-// goFiles lists the module's Go files, test files too, by path from the root.
+// goFiles returns the paths of the module's Go files, including test files, relative to the root.
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
@@ -39,7 +39,9 @@
 	return files
 }
 
-// TestNoGoFilesOutsideSourceDirectories shows that no Go file lies where the tests here do not look.
+// TestNoGoFilesOutsideSourceDirectories checks that there are no Go files in the root, nor in the
+// directories directly below it other than sourceDirectories and hidden ones. The tests of this
+// package would not read such files.
 func TestNoGoFilesOutsideSourceDirectories(t *testing.T) {
 	entries, err := os.ReadDir(moduleRoot)
 	if err != nil {
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -15,44 +15,46 @@
 	"github.com/gappond/gappond/internal/config"
 )
 
-// checkedPages are the patterns of the pages whose names must be real. What is checked:
+// checkedPages are the patterns of the pages on which every name must exist. These are checked:
 //
-//   - a path that begins with internal/, cmd/, docs/ or deploy/, anywhere on the page and in
-//     its diagrams: it exists; "internal/a/..." stands for internal/a, and
-//     "internal/a.Name" for a declaration of that package;
-//   - a local link of Markdown: the file exists, seen from the page, and has the heading that
-//     follows a "#";
-//   - in backticks, `name.go` or `directory/name.go`: a Go file's path ends so;
-//   - in backticks, `TestName`, `BenchmarkName` or `FuzzName`: such a function exists;
-//   - in backticks, `name()`: a function or method of that name is declared somewhere;
+//   - a path that begins with internal/, cmd/, docs/ or deploy/, anywhere on the page including
+//     its diagrams: it exists. "internal/a/..." means internal/a, and "internal/a.Name" means a
+//     declaration of that package;
+//   - a local Markdown link: the file exists, relative to the page, and has the heading that
+//     the anchor after "#" refers to;
+//   - in backticks, `name.go` or `directory/name.go`: the path of a Go file ends with it;
+//   - in backticks, `TestName`, `BenchmarkName` or `FuzzName`: a function of that name exists;
+//   - in backticks, `name()`: some package declares a function or method of that name;
 //   - in backticks, `package.Name` or `package.Type.Member`, exported or not: the package
 //     declares it, and a member is a field or method of the type;
 //   - in backticks, `Type.Member`: some package declares it;
-//   - in backticks, other words joined by dots: a key of the settings or of the operators'
-//     properties;
+//   - in backticks, other words joined by dots: they are a key of the settings file or of the
+//     operators' properties;
 //   - in backticks, `event: text`: the sources log exactly that message;
-//   - in backticks, `reason: text`: the sources have exactly that string, as a log attribute's
-//     value for example;
-//   - in backticks, `gappond_name` or `gappond_name{label}`: such a metric is in the sources;
-//   - in fenced blocks, package.Name and package.Type.Member of this module's packages, if
-//     Name is exported.
+//   - in backticks, `reason: text`: the sources contain exactly that string literal, for example
+//     as the value of a log attribute;
+//   - in backticks, `gappond_name` or `gappond_name{label}`: the sources have a metric of that
+//     name;
+//   - in fenced blocks, package.Name and package.Type.Member, if the package is one of this module
+//     and Name is exported: the package declares it.
 //
-// Names of packages outside the module that it imports (`http.Server`), names of files other
-// than Go's, and all else in backticks are not checked.
+// Not checked are names in imported packages of other modules (`http.Server`), file names other
+// than those of Go files, and everything else in backticks.
 var checkedPages = []string{"*.md", "docs/*.md", "docs/design/*.md"}
 
-// historicalPages name what was, or is to come, as well as what is: of these only the links
-// are checked.
+// historicalPages also name things that no longer exist or do not exist yet. Only their links are
+// checked.
 var historicalPages = []string{
 	"docs/ROADMAP.md",      // plans, with packages that do not exist yet
-	"docs/measurements.md", // as measured then, with the names of then
-	"docs/questions.md",    // as asked and answered then
+	"docs/measurements.md", // measurements of earlier versions, with their names
+	"docs/questions.md",    // questions and answers about earlier versions
 }
 
-// requiredPages are checked whole, and must be there.
+// requiredPages must exist and be among the pages on which every name is checked.
 var requiredPages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/recovery.md"}
 
-// TestNamesOnPagesExist reads each page of checkedPages.
+// TestNamesOnPagesExist checks that every name on the pages of checkedPages exists, and every local
+// link on historicalPages.
 func TestNamesOnPagesExist(t *testing.T) {
 	checker := newPageChecker(t)
 	pages := pagesToCheck(t)
@@ -81,7 +83,7 @@
 	}
 }
 
-// pagesToCheck lists the pages that match checkedPages and are not historical.
+// pagesToCheck returns the pages that match checkedPages and are not in historicalPages.
 func pagesToCheck(t *testing.T) []string {
 	t.Helper()
 	var pages []string
@@ -99,10 +101,10 @@
 	return pages
 }
 
-// TestPageChecker shows for each kind of name that a real one passes and a wrong one fails.
+// TestPageChecker checks for each kind of name that an existing one passes and a missing one fails.
 func TestPageChecker(t *testing.T) {
 	checker := newPageChecker(t)
-	for _, right := range []string{
+	for _, existing := range []string{
 		"`internal/buddy/buddy.go`, `internal/...`, internal/buddy. `cmd/gappond`",
 		"`internal/config.Config`", "`go test ./internal/buddy`", "[design](design.md#glossary) [cell](design.md#where-each-section-went) [x](https://example.org/y.md)",
 		"`buddy.go`", "`buddy/buddy.go`", "`TestPageChecker`", "`newPageChecker()`", "`config.Load()`",
@@ -112,11 +114,11 @@
 		"`event: serving`", "`reason: leader lease taken over`", "`service.toml`", "`GET /metrics`", "`LOG_LEVEL`", "`200`", "`127.0.0.1:8080`",
 		"```mermaid\nconfig.Load --> internal/buddy\nhttp.Nothing --> config.toml\n```",
 	} {
-		if problems := checker.problems("docs/page.md", right); len(problems) > 0 {
-			t.Errorf("%s: %q", right, problems)
+		if problems := checker.problems("docs/page.md", existing); len(problems) > 0 {
+			t.Errorf("%s: %q", existing, problems)
 		}
 	}
-	for _, wrong := range []string{
+	for _, missing := range []string{
 		"`internal/buddy/nothing.go`", "internal/nothing", "`internal/nothing/...`", "`cmd/nothing`", "`docs/nothing.md`",
 		"`internal/config.Nothing`", "`go test ./internal/nothing`", "[design](nothing.md)", "[design](design.md#nothing)", "[here](#nothing)",
 		"`nothing.go`", "`config/buddy.go`", "`TestNothing`", "`BenchmarkNothing`", "`nothingAtAll()`", "`config.Nothing()`",
@@ -125,32 +127,33 @@
 		"`nothing.Type`", "`gappond_nothing`", "`gappond_nothing{class}`", "`cluster.nothing`", "`cluster.workers.nothing`", "`fleet.nothing-at-all`",
 		"```\nconfig.Nothing\n```", "```\nconfig.Config.Nothing\n```", "```mermaid\nA --> internal/nothing\n```",
 	} {
-		if problems := checker.problems("docs/page.md", wrong); len(problems) != 1 {
-			t.Errorf("%s: %q", wrong, problems)
+		if problems := checker.problems("docs/page.md", missing); len(problems) != 1 {
+			t.Errorf("%s: %q", missing, problems)
 		}
 	}
 }
 
 var (
-	fencedBlock    = regexp.MustCompile("(?ms)^```.*?^```")
-	codeSpan       = regexp.MustCompile("`([^`\n]+)`")
-	localLink      = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
-	headingLink    = regexp.MustCompile(`\]\(([^)#:\s]*)#([^)\s]+)\)`)
-	heading        = regexp.MustCompile(`(?m)^#+ +(.+)$`)
-	notInAnchors   = regexp.MustCompile(`[^\w -]`)
-	repositoryPath = regexp.MustCompile(`(?:^|[^\w./-])(?:\./)?((?:internal|cmd|docs|deploy)/[\w./-]+)`)
-	goFile         = regexp.MustCompile(`^[\w./-]+\.go$`)
-	testFunction   = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
-	functionCall   = regexp.MustCompile(`^\w+\(\)$`)
-	dottedName     = regexp.MustCompile(`^[A-Za-z_]\w*(?:\.[A-Za-z_][\w-]*)+$`)
-	metricName     = regexp.MustCompile(`^(gappond_\w+)(?:\{[^}]*\})?$`)
-	exportedName   = regexp.MustCompile(`\b([a-z]\w*)\.([A-Z]\w*(?:\.\w+)?)`)
+	fencedBlock         = regexp.MustCompile("(?ms)^```.*?^```")
+	codeSpan            = regexp.MustCompile("`([^`\n]+)`")
+	localLink           = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
+	headingLink         = regexp.MustCompile(`\]\(([^)#:\s]*)#([^)\s]+)\)`)
+	heading             = regexp.MustCompile(`(?m)^#+ +(.+)$`)
+	nonAnchorCharacters = regexp.MustCompile(`[^\w -]`)
+	repositoryPath      = regexp.MustCompile(`(?:^|[^\w./-])(?:\./)?((?:internal|cmd|docs|deploy)/[\w./-]+)`)
+	goFile              = regexp.MustCompile(`^[\w./-]+\.go$`)
+	testFunction        = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
+	functionCall        = regexp.MustCompile(`^\w+\(\)$`)
+	dottedName          = regexp.MustCompile(`^[A-Za-z_]\w*(?:\.[A-Za-z_][\w-]*)+$`)
+	metricName          = regexp.MustCompile(`^(gappond_\w+)(?:\{[^}]*\})?$`)
+	exportedName        = regexp.MustCompile(`\b([a-z]\w*)\.([A-Z]\w*(?:\.\w+)?)`)
 )
 
-// uncheckedExtensions are the endings of names of files that are not looked for.
+// uncheckedExtensions are the extensions of file names that are not checked when they stand in
+// backticks without a directory.
 var uncheckedExtensions = []string{".toml", ".md", ".properties", ".sh", ".mod", ".sum", ".html", ".json", ".jsonl", ".txt", ".conf"}
 
-// pageChecker knows what a page may name.
+// pageChecker contains the names that a page may use.
 type pageChecker struct {
 	declared *declarations
 	settings map[string]bool
@@ -167,7 +170,7 @@
 	return c
 }
 
-// addSettings takes up the keys of a part of the settings file.
+// addSettings adds the keys of a section of the settings file, and of the sections in it.
 func (c *pageChecker) addSettings(prefix string, part reflect.Type) {
 	for part.Kind() == reflect.Pointer || part.Kind() == reflect.Slice {
 		part = part.Elem()
@@ -183,19 +186,19 @@
 	}
 }
 
-// problems are the names on a page that are not real.
+// problems returns a message for each nonexistent name and each broken link on a page.
 func (c *pageChecker) problems(page, text string) []string {
 	var problems []string
 	add := func(name, why string) { problems = append(problems, problemText(page, name, why)) }
 	for _, match := range repositoryPath.FindAllStringSubmatch(text, -1) {
 		if name := strings.TrimRight(match[1], "./-"); !c.pathExists(name) {
-			add(name, "no such file, package or declaration")
+			add(name, "no such file, directory or declaration")
 		}
 	}
 	for _, block := range fencedBlock.FindAllString(text, -1) {
 		for _, match := range exportedName.FindAllStringSubmatch(block, -1) {
 			if c.declared.hasPackage(match[1]) && !c.declared.declaredInPackage(match[1], match[2]) {
-				add(match[0], "package "+match[1]+" declares no "+match[2])
+				add(match[0], "package "+match[1]+" does not declare "+match[2])
 			}
 		}
 	}
@@ -209,17 +212,18 @@
 	return problems
 }
 
-// problemText is what the tests say of a name that is not real.
+// problemText returns the message about a name that does not exist.
 func problemText(page, name, why string) string {
 	return fmt.Sprintf("%s names %s: %s", page, name, why)
 }
 
-// linkProblems are the local links of a page, its fenced blocks left out, that lead nowhere.
+// linkProblems returns a message for each local link whose file or heading does not exist. The
+// given text of the page has no fenced blocks.
 func linkProblems(page, text string) []string {
 	var problems []string
 	for _, match := range localLink.FindAllStringSubmatch(text, -1) {
 		if _, err := os.Stat(filepath.Join(moduleRoot, path.Dir(page), match[1])); err != nil {
-			problems = append(problems, problemText(page, match[1], "no such file, seen from the page"))
+			problems = append(problems, problemText(page, match[1], "no such file, relative to the page"))
 		}
 	}
 	for _, match := range headingLink.FindAllStringSubmatch(text, -1) {
@@ -230,8 +234,9 @@
 	return problems
 }
 
-// hasHeading reports whether the page that a link names, the page itself if it names none, has
-// a heading with the anchor. A page that does not exist is reported elsewhere.
+// hasHeading reports whether the linked page has a heading with the anchor. If linked is empty, the
+// link refers to the page itself, whose text is given. For a linked page that cannot be read it
+// returns true, because linkProblems reports a missing file separately.
 func hasHeading(page, text, linked, anchor string) bool {
 	if linked != "" {
 		content, err := os.ReadFile(filepath.Join(moduleRoot, path.Dir(page), linked))
@@ -241,7 +246,7 @@
 		text = fencedBlock.ReplaceAllString(string(content), "")
 	}
 	for _, match := range heading.FindAllStringSubmatch(text, -1) {
-		words := notInAnchors.ReplaceAllString(strings.ToLower(match[1]), "")
+		words := nonAnchorCharacters.ReplaceAllString(strings.ToLower(match[1]), "")
 		if strings.ReplaceAll(words, " ", "-") == anchor {
 			return true
 		}
@@ -249,8 +254,8 @@
 	return false
 }
 
-// pathExists reports whether a path from the root is a file, a directory or, after the
-// package's path and a dot, a declaration.
+// pathExists reports whether a path relative to the root is a file, a directory, or the path of a
+// package followed by a dot and the name of one of its declarations.
 func (c *pageChecker) pathExists(name string) bool {
 	if _, err := os.Stat(filepath.Join(moduleRoot, name)); err == nil {
 		return true
@@ -261,32 +266,32 @@
 	return s != nil && c.declared.declares(s, declaration)
 }
 
-// spanProblem says why the text of a code span is no real name, or nothing.
+// spanProblem returns why the name in a code span does not exist, or "" if there is no problem.
 func (c *pageChecker) spanProblem(span string) string {
 	event, isEvent := strings.CutPrefix(span, "event: ")
 	reason, isReason := strings.CutPrefix(span, "reason: ")
 	switch {
 	case isEvent:
 		if !c.events.all[event] {
-			return "no such message is logged"
+			return "the sources log no such message"
 		}
 	case isReason:
 		if !c.events.literals[reason] {
-			return "no such string is in the sources"
+			return "the sources have no such string"
 		}
 	case repositoryPath.MatchString(span):
-		return "" // seen to already
+		return "" // problems checks all paths
 	case goFile.MatchString(span):
 		if !c.declared.hasFile(span) {
-			return "no Go file's path ends so"
+			return "no Go file has a path that ends with it"
 		}
 	case testFunction.MatchString(span):
 		if !c.declared.declaredAnywhere(span) {
-			return "no such test"
+			return "no such test, benchmark or fuzz test"
 		}
 	case functionCall.MatchString(span):
 		if !c.declared.hasFunction(strings.TrimSuffix(span, "()")) {
-			return "no function or method is called so"
+			return "no such function or method"
 		}
 	case metricName.MatchString(span):
 		if !c.declared.metrics[metricName.FindStringSubmatch(span)[1]] {
@@ -298,7 +303,8 @@
 	return ""
 }
 
-// dottedProblem says why words joined by dots are no real name, or nothing.
+// dottedProblem returns why a name of words joined by dots does not exist, or "" if there is no
+// problem.
 func (c *pageChecker) dottedProblem(name string) string {
 	first, rest, _ := strings.Cut(name, ".")
 	switch {
@@ -306,11 +312,11 @@
 		return ""
 	case c.declared.hasPackage(first):
 		if !c.declared.declaredInPackage(first, rest) {
-			return "package " + first + " declares no " + rest
+			return "package " + first + " does not declare " + rest
 		}
 	case c.declared.declaredAnywhere(name), c.declared.externalPackages[first]:
 	default:
-		return "no package, type or settings key has it"
+		return "no package, type member or settings key of that name"
 	}
 	return ""
 }
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Everything that must pass: formatting, vet, the linters, the deploy build, the tests.
-# --quick, for one's own use: without the race detector and the longest tests (go test -short).
+# Runs all required checks: formatting, vet, the linters, the deploy build and the tests.
+# --quick, for use during development, omits the race detector and the longest tests
+# (go test -short).
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -18,13 +19,14 @@
 readonly steps=9
 number=0
 
-# begin names a step; its number and name head what it prints.
+# begin counts a step and prints a heading with its number and name.
 begin() {
 	number=$((number + 1))
 	echo "== step $number of $steps: $1"
 }
 
-# step runs a command as a step and says how long it took.
+# step runs a command as a step and prints how long it took. If the command fails, the script ends
+# with the exit code of the command.
 step() {
 	local name=$1 from=$SECONDS code=0
 	shift
