--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -16,7 +16,7 @@
 	files            []string                        // paths of the Go files, relative to the root
 	packages         map[string]*packageScope        // by path relative to the root
 	externalPackages map[string]bool                 // base names of imported packages of other modules
-	embedded         map[*packageScope]embeddedTypes // for members that a type gets from an embedded type
+	embedded         map[*packageScope]embeddedTypes // to find members that come from an embedded type
 	metrics          map[string]bool                 // metric names: string literals in non-test files
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// typeName returns the name of a type without package, pointer and type arguments. For other
-// expressions it returns the identifier or the selected name, or "" if there is none.
+// typeName returns the name of a type without its package, pointer and type arguments. For other
+// expressions, such as a.log, it returns the last identifier, or "" if there is none.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -191,8 +191,7 @@
 	return false
 }
 
-// hasFile reports whether there is a Go file with that name. The name may include the last
-// directories of the path.
+// hasFile reports whether the path of a Go file is the name, or ends with a slash and the name.
 func (d *declarations) hasFile(name string) bool {
 	for _, file := range d.files {
 		if file == name || strings.HasSuffix(file, "/"+name) {
--- a/internal/architecture/events_test.go
+++ b/internal/architecture/events_test.go
@@ -18,7 +18,8 @@
 var runbookPages = []string{"docs/operations.md", "docs/recovery.md"}
 
 // logMethods gives for each logging method the index of the message argument, and whether its
-// level is logged by default. isDeclared tells the entries from the zero value.
+// level is logged by default. isDeclared is true in every entry, to distinguish it from the zero
+// value that a look-up of another method returns.
 var logMethods = map[string]struct {
 	message    int
 	byDefault  bool
@@ -32,7 +33,7 @@
 type loggedEvents struct {
 	all       map[string]bool // every message
 	byDefault map[string]bool // those logged above level debug
-	literals  map[string]bool // every string literal, and so the values of log attributes
+	literals  map[string]bool // every string literal, including the values of log attributes
 }
 
 // loggingFunction describes a function that logs one of its parameters as the message.
@@ -49,8 +50,9 @@
 	events    loggedEvents
 }
 
-// readEvents returns the messages that the module logs. A message is a literal or a constant
-// that is passed to a method in logMethods, or to a function that passes it on as the message.
+// readEvents returns the messages that the module's non-test files log. A message is a literal or
+// a constant that is passed to a method in logMethods, or to a function that passes it on as the
+// message.
 func readEvents(t *testing.T) loggedEvents {
 	t.Helper()
 	r := &eventReader{
@@ -229,9 +231,9 @@
 // pageEvent matches an event named on a page: `event: text`.
 var pageEvent = regexp.MustCompile("`event: ([^`\n]+)`")
 
-// TestRunbookNamesEveryEvent checks that an on-call engineer finds every event that is logged
-// by default in a runbook. TestNamesOnPagesExist checks the reverse: that the sources log every
-// event that a page names.
+// TestRunbookNamesEveryEvent checks that a runbook names every event that is logged by default, so
+// that an on-call engineer can look it up. TestNamesOnPagesExist checks the reverse: that the
+// sources log every event that a page names.
 func TestRunbookNamesEveryEvent(t *testing.T) {
 	text := runbookText(t)
 	named := map[string]bool{}
@@ -282,8 +284,8 @@
 	return all.String()
 }
 
-// TestLoggedMessages checks which strings count as events, on a source with each kind of logging
-// call.
+// TestLoggedMessages checks which strings of a source file count as events. The file has a logging
+// call of each kind.
 func TestLoggedMessages(t *testing.T) {
 	const source = `package p
 const named = "by a constant"
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -16,9 +16,9 @@
 // dependencies lists the packages of this module that a package may import.
 type dependencies struct {
 	imports []string // in all its files
-	tests   []string // in its test files only, beside those above
+	tests   []string // in its test files only, in addition to imports
 
-	// pure packages do no input or output and no concurrent work. They import none of
+	// pure packages do no input or output and start no concurrent work. They import none of
 	// impurePackages, except in tests.
 	pure bool
 }
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -46,7 +46,7 @@
 // checked.
 var historicalPages = []string{
 	"docs/ROADMAP.md",      // plans, with packages that do not exist yet
-	"docs/measurements.md", // measurements of earlier versions, with their names
+	"docs/measurements.md", // measurements of earlier versions, with the names of those versions
 	"docs/questions.md",    // questions and answers about earlier versions
 }
 
