--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -26,11 +26,11 @@
 	defer os.RemoveAll(dir)
 	p := &processControllers{command: command, dir: dir}
 	defer p.Kill()
-	return restart.RunLive(seed, p)
+	return restart.RunOnLoopback(seed, p)
 }
 
 // Start implements simulation.Controllers.
-func (p *processControllers) Start(v *simulation.Live) error {
+func (p *processControllers) Start(v *simulation.Loopback) error {
 	for i := range v.Controllers() {
 		settings, err := toml.Marshal(v.Config(i))
 		if err != nil {
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -18,7 +18,7 @@
 	incarnation        protocol.Incarnation
 	sequence           protocol.Sequence
 	token              protocol.Term
-	answeredAt         time.Time // when the last answered report was sent, or the session began
+	leaseRenewedAt     time.Time // when the last answered report was sent, or the session began
 	tasks              map[string]*agentTask
 	images             map[string]bool
 	controllerIndex    int
@@ -30,14 +30,14 @@
 	dead               bool
 	hung               bool
 	heldPackets        []func() // what arrives while the machine hangs
-	noticeS            *float64
+	preemptionNoticeS  *float64
 	failsTasks         bool
 	opensNoConnections bool // opens no connection
 	tokenReportedAt    time.Time
 }
 
 func newAgent(w *World, h *host) *agent {
-	agent := &agent{w: w, host: h, incarnation: 1, answeredAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
+	agent := &agent{w: w, host: h, incarnation: 1, leaseRenewedAt: w.Now, tasks: map[string]*agentTask{}, images: map[string]bool{}, controllerIndex: w.rng.IntN(len(w.nodes))}
 	agent.heartbeatDue = w.Now.Add(w.between(0, secs(w.shape.Agents.ReportS)))
 	agent.timer = newTickTimer(w, agent.tick)
 	agent.setTimer()
@@ -55,7 +55,7 @@
 	if a.w.Now.After(a.leaseEnd()) {
 		a.expireLease()
 	}
-	if a.canReport() && !a.w.Now.Before(a.nextHeartbeat()) {
+	if a.canSendHeartbeat() && !a.w.Now.Before(a.nextHeartbeat()) {
 		a.heartbeatDue = a.w.Now.Add(a.w.between(secs(a.w.shape.Agents.ReportS*0.75), secs(a.w.shape.Agents.ReportS*1.25)))
 		a.sendHeartbeat()
 	}
@@ -66,17 +66,17 @@
 // forward calls it.
 func (a *agent) setTimer() {
 	due := a.leaseEnd().Add(1) // a lease is over after its end
-	if next := a.nextHeartbeat(); a.canReport() && next.Before(due) {
+	if next := a.nextHeartbeat(); a.canSendHeartbeat() && next.Before(due) {
 		due = next
 	}
 	a.timer.wakeBy(due)
 }
 
 // leaseEnd is the end of the machine's lease.
-func (a *agent) leaseEnd() time.Time { return a.answeredAt.Add(secs(a.w.shape.Agents.LeaseS)) }
+func (a *agent) leaseEnd() time.Time { return a.leaseRenewedAt.Add(secs(a.w.shape.Agents.LeaseS)) }
 
-// canReport says whether the machine can heartbeat now.
-func (a *agent) canReport() bool { return !a.hung && !a.inFlight }
+// canSendHeartbeat says whether the machine can heartbeat now.
+func (a *agent) canSendHeartbeat() bool { return !a.hung && !a.inFlight }
 
 // nextHeartbeat is when the next heartbeat is due: at its time, or sooner if there is news.
 func (a *agent) nextHeartbeat() time.Time {
@@ -95,18 +95,18 @@
 	a.tasks = map[string]*agentTask{}
 	a.incarnation++
 	a.sequence = 0
-	a.answeredAt = a.w.Now
+	a.leaseRenewedAt = a.w.Now
 	a.changed = true
 }
 
-// noteChange has news reported before the next heartbeat's time.
-func (a *agent) noteChange() {
+// reportChange has news reported before the next heartbeat's time.
+func (a *agent) reportChange() {
 	a.changed = true
 	a.setTimer()
 }
 
-// heartbeatSoon has the next heartbeat sent after one that was of no use.
-func (a *agent) heartbeatSoon() {
+// retryHeartbeat has the next heartbeat sent after one that was of no use.
+func (a *agent) retryHeartbeat() {
 	a.inFlight, a.changed = false, true
 	a.setTimer()
 }
@@ -150,9 +150,9 @@
 func (a *agent) heartbeat() *protocol.Heartbeat {
 	a.sequence++
 	r := &protocol.Heartbeat{Machine: a.host.ID, Address: a.host.Address, Type: a.host.Type, Zone: a.host.Zone, Spot: a.host.Spot,
-		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, PreemptionNoticeS: a.noticeS}
+		Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.token, PreemptionNoticeS: a.preemptionNoticeS}
 	for _, task := range a.sortedTasks() {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.kept})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.saved})
 	}
 	return r
 }
@@ -162,13 +162,13 @@
 	a.inFlight, a.changed, a.lastSent = true, false, w.Now
 	sent, incarnation := w.Now, a.incarnation
 	body := encode(a.heartbeat())
-	if w.keep {
-		w.kept = append(w.kept, body)
+	if w.recordHeartbeats {
+		w.recordedHeartbeats = append(w.recordedHeartbeats, body)
 	}
-	if w.copies > 0 && w.rng.IntN(4) == 0 {
-		w.after(w.between(time.Second, w.copies), func() { w.deliverCopy(w.nodes[w.rng.IntN(len(w.nodes))], body) })
+	if w.maxCopyDelay > 0 && w.rng.IntN(4) == 0 {
+		w.after(w.between(time.Second, w.maxCopyDelay), func() { w.deliverHeartbeatCopy(w.nodes[w.rng.IntN(len(w.nodes))], body) })
 	}
-	w.reach(string(a.host.ID), a.controllerIndex, 4*time.Second, func(id uint64) coordination.Event {
+	w.callController(string(a.host.ID), a.controllerIndex, 4*time.Second, func(id uint64) coordination.Event {
 		r, err := protocol.ParseHeartbeat(body)
 		if err != nil {
 			panic(err)
@@ -194,7 +194,7 @@
 		if a.incarnation != incarnation || !a.accept(response.FencingToken) {
 			return
 		}
-		a.answeredAt = sent
+		a.leaseRenewedAt = sent
 		a.execute(response.Commands)
 	case http.StatusMisdirectedRequest:
 		a.followRedirect(body)
@@ -210,7 +210,7 @@
 	for i, o := range a.w.nodes {
 		if o.name == string(r.Target) && i != a.controllerIndex {
 			a.controllerIndex = i
-			a.w.after(a.w.between(0, 500*time.Millisecond), a.heartbeatSoon)
+			a.w.after(a.w.between(0, 500*time.Millisecond), a.retryHeartbeat)
 			return
 		}
 	}
@@ -220,12 +220,12 @@
 // tryNextController heartbeats to the next node a second later.
 func (a *agent) tryNextController() {
 	a.controllerIndex = (a.controllerIndex + 1) % len(a.w.nodes)
-	a.w.after(time.Second, a.heartbeatSoon)
+	a.w.after(time.Second, a.retryHeartbeat)
 }
 
-// deliverCopy delivers a late duplicate of an old heartbeat to a controller; nobody reads the
+// deliverHeartbeatCopy delivers a late duplicate of an old heartbeat to a controller; nobody reads the
 // answer.
-func (w *World) deliverCopy(c *controller, body []byte) {
+func (w *World) deliverHeartbeatCopy(c *controller, body []byte) {
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		panic(err)
@@ -235,14 +235,14 @@
 
 func (a *agent) accept(token protocol.Term) bool {
 	if token < a.token {
-		a.w.rules.lowerTokens++
+		a.w.rules.staleTokens++
 		return false
 	}
 	if token > a.token {
 		a.token = token
 		if a.w.Now.Sub(a.tokenReportedAt) > secs(a.w.shape.Agents.LeaseS/2) {
 			a.tokenReportedAt = a.w.Now
-			a.noteChange()
+			a.reportChange()
 		}
 	}
 	return true
@@ -279,7 +279,7 @@
 		}
 		key := attemptName(c.Task, c.Attempt)
 		task := a.tasks[key]
-		a.w.Audit.ordered(a.w.Now, a.host.ID, c)
+		a.w.Audit.executed(a.w.Now, a.host.ID, c)
 		switch c.Kind {
 		case protocol.CommandStart:
 			if task == nil {
@@ -287,7 +287,7 @@
 			}
 		case protocol.CommandStop:
 			if task != nil {
-				task.halt(c.GraceS)
+				task.stop(c.GraceS)
 			}
 		case protocol.CommandForget:
 			if task != nil && task.state == protocol.TaskExited {
@@ -307,7 +307,7 @@
 func (a *agent) start(key string, id protocol.JobID, index int, c protocol.Command) {
 	job := a.w.rules.jobs[id]
 	task := &agentTask{agent: a, name: c.Task, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
-	a.noteChange()
+	a.reportChange()
 	a.w.Audit.began(a.w.Now, task.instance())
 	a.tasks[key] = task
 	if job == nil {
@@ -323,9 +323,9 @@
 	if a.images[task.job.Image] {
 		fetch = 0
 	}
-	a.wait(fetch, task, func() {
+	a.schedule(fetch, task, func() {
 		a.images[task.job.Image] = true
-		task.arrive()
+		task.imageReady()
 	})
 }
 
@@ -354,15 +354,15 @@
 	return ""
 }
 
-// wait does something for a task later, unless it is over by then or the
+// schedule does something for a task later, unless it is over by then or the
 // machine hangs, in which case it waits for the machine.
-func (a *agent) wait(d time.Duration, task *agentTask, do func()) {
+func (a *agent) schedule(d time.Duration, task *agentTask, do func()) {
 	a.w.after(d, func() {
 		if a.dead || task.state == protocol.TaskExited {
 			return
 		}
 		if a.hung {
-			a.heldPackets = append(a.heldPackets, func() { a.wait(0, task, do) })
+			a.heldPackets = append(a.heldPackets, func() { a.schedule(0, task, do) })
 			return
 		}
 		if a.tasks[attemptName(task.name, task.attempt)] == task {
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -11,17 +11,17 @@
 // Audit judges what workers were told by their own logs and the jobs alone. It knows
 // nothing of the controllers, their records or their logs.
 type Audit struct {
-	jobs   map[protocol.JobID]*auditedJob
-	here   map[instance]bool // attempts on machines: true until they have exited
-	at     map[string]int    // attempts of a task that have not exited
-	need   [3]map[string]int // orders that the state of things asks for, by kind and task
-	from   time.Time         // judged from then on, zero: not yet
-	since  map[instance]time.Time
-	before map[instance]float64 // seconds that attempts had run by then
+	jobs          map[protocol.JobID]*auditedJob
+	attempts      map[instance]bool // attempts on machines: true until they have exited
+	at            map[string]int    // attempts of a task that have not exited
+	needed        [3]map[string]int // orders that the state of things asks for, by kind and task
+	countedFrom   time.Time         // judged from then on, zero: not yet
+	startedAt     map[instance]time.Time
+	secondsBefore map[instance]float64 // seconds that attempts had run by then
 	// when a worker was told again to forget a task's earlier attempt
-	again   map[instance]time.Time
-	Orders  [3]int // starts, stops and forgets that workers have executed
-	Verdict Verdict
+	forgetRepeatedAt map[instance]time.Time
+	Orders           [3]int // starts, stops and forgets that workers have executed
+	Verdict          Verdict
 }
 
 // auditedJob is a job as its user submitted it and as workers have done it.
@@ -58,8 +58,8 @@
 )
 
 func newAudit() *Audit {
-	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, here: map[instance]bool{}, at: map[string]int{},
-		since: map[instance]time.Time{}, before: map[instance]float64{}, again: map[instance]time.Time{}, need: [3]map[string]int{{}, {}, {}}}
+	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, at: map[string]int{},
+		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, forgetRepeatedAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
 }
 
 // submitted notes a job that its user has begun to submit.
@@ -70,7 +70,7 @@
 	j := &auditedJob{tasks: spec.Tasks, gang: spec.Gang(), done: map[string]bool{}}
 	a.jobs[spec.ID] = j
 	for i := range spec.Tasks {
-		a.need[needStart][protocol.TaskName(spec.ID, i)]++
+		a.needed[needStart][protocol.TaskName(spec.ID, i)]++
 	}
 }
 
@@ -86,14 +86,14 @@
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
-		a.need[needStop][name] += a.at[name]
+		a.needed[needStop][name] += a.at[name]
 	}
 }
 
-// Judge begins to count: the controllers are back. What is due then is reckoned anew.
-func (a *Audit) Judge(now time.Time) {
-	a.from, a.Verdict = now, Verdict{}
-	a.need = [3]map[string]int{{}, {}, {}}
+// Begin begins to count: the controllers are back. What is due then is reckoned anew.
+func (a *Audit) Begin(now time.Time) {
+	a.countedFrom, a.Verdict = now, Verdict{}
+	a.needed = [3]map[string]int{{}, {}, {}}
 	ending := map[protocol.JobID]bool{} // jobs of which nothing is to go on
 	for id, j := range a.jobs {
 		present := 0
@@ -101,7 +101,7 @@
 			name := protocol.TaskName(id, i)
 			present += min(a.at[name], 1)
 			if !j.done[name] && !j.cancelled && a.at[name] == 0 {
-				a.need[needStart][name]++
+				a.needed[needStart][name]++
 			}
 		}
 		if j.cancelled || j.gang && present > 0 && present < j.tasks && len(j.done) == 0 {
@@ -109,24 +109,24 @@
 			ending[id] = true
 		}
 	}
-	for k, on := range a.here {
+	for k, on := range a.attempts {
 		id, _, _ := protocol.SplitTask(k.task)
 		switch {
 		case !on:
-			a.need[needForget][k.task]++
+			a.needed[needForget][k.task]++
 		case a.jobs[id] == nil:
-			a.need[needStop][k.task]++
+			a.needed[needStop][k.task]++
 		case !ending[id]:
-			a.before[k] = now.Sub(a.since[k]).Seconds()
+			a.secondsBefore[k] = now.Sub(a.startedAt[k]).Seconds()
 		}
 	}
 }
 
 // Finish counts what of the work from before has gone on until now, or to its end.
 func (a *Audit) Finish() Verdict {
-	for k, seconds := range a.before {
+	for k, seconds := range a.secondsBefore {
 		id, _, _ := protocol.SplitTask(k.task)
-		if a.here[k] || a.jobs[id].done[k.task] {
+		if a.attempts[k] || a.jobs[id].done[k.task] {
 			a.Verdict.KeptSeconds += seconds
 		}
 		a.Verdict.BeforeSeconds += seconds
@@ -135,36 +135,36 @@
 	return a.Verdict
 }
 
-// ordered takes an order that a worker has executed.
-func (a *Audit) ordered(now time.Time, machineID protocol.MachineID, c protocol.Command) {
+// executed takes an order that a worker has executed.
+func (a *Audit) executed(now time.Time, machineID protocol.MachineID, c protocol.Command) {
 	kind := slices.Index([]protocol.CommandKind{protocol.CommandStart, protocol.CommandStop, protocol.CommandForget}, c.Kind)
 	a.Orders[kind]++
-	if a.from.IsZero() {
+	if a.countedFrom.IsZero() {
 		return
 	}
 	a.Verdict.Orders[kind]++
 	if kind == needStart {
 		if a.Verdict.First == 0 {
-			a.Verdict.First = now.Sub(a.from)
+			a.Verdict.First = now.Sub(a.countedFrom)
 		}
-		a.Verdict.Last = now.Sub(a.from)
+		a.Verdict.Last = now.Sub(a.countedFrom)
 		id, _, _ := protocol.SplitTask(c.Task)
-		if _, known := a.here[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
+		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
 			a.Verdict.DuplicateStarts++
 		}
 	}
 	at := instance{machine: machineID, task: c.Task}
 	switch {
-	case a.need[kind][c.Task] > 0:
-		a.need[kind][c.Task]--
+	case a.needed[kind][c.Task] > 0:
+		a.needed[kind][c.Task]--
 		a.Verdict.Needed++
 	case kind == needForget:
 		a.Verdict.Excess[kind]++
-		a.again[at] = now
+		a.forgetRepeatedAt[at] = now
 	default:
 		a.Verdict.Excess[kind]++
 	}
-	if at, repeated := a.again[at]; kind == needStart && repeated && at.Equal(now) {
+	if at, repeated := a.forgetRepeatedAt[at]; kind == needStart && repeated && at.Equal(now) {
 		a.Verdict.Excess[needForget]-- // the start needs it, were the first one lost
 		a.Verdict.Needed++
 	}
@@ -172,21 +172,21 @@
 
 // began notes an attempt that a worker has taken in.
 func (a *Audit) began(now time.Time, k instance) {
-	a.here[k], a.since[k] = true, now
+	a.attempts[k], a.startedAt[k] = true, now
 	a.at[k.task]++
 }
 
 // ended notes the end of an attempt, for whatever cause. A task that is not done is due
 // again, an exited attempt to be forgotten, the rest of its gang to be stopped.
 func (a *Audit) ended(k instance, cause protocol.Cause, lost bool) {
-	if !a.here[k] {
+	if !a.attempts[k] {
 		return
 	}
 	a.at[k.task]--
-	if a.here[k] = false; lost {
-		delete(a.here, k)
+	if a.attempts[k] = false; lost {
+		delete(a.attempts, k)
 	} else {
-		a.need[needForget][k.task]++
+		a.needed[needForget][k.task]++
 	}
 	id, _, _ := protocol.SplitTask(k.task)
 	j := a.jobs[id]
@@ -195,28 +195,28 @@
 	case cause == protocol.CauseDone:
 		j.done[k.task] = true
 	case !j.cancelled:
-		a.need[needStart][k.task]++
+		a.needed[needStart][k.task]++
 		if j.gang {
-			a.brokenBy(id, k, j)
+			a.gangBroken(id, k, j)
 		}
 	}
 }
 
-// brokenBy: the first task of a gang's attempt to end otherwise than done has the others
+// gangBroken: the first task of a gang's attempt to end otherwise than done has the others
 // stopped, those that do not end by themselves.
-func (a *Audit) brokenBy(id protocol.JobID, k instance, j *auditedJob) {
-	for other, on := range a.here {
+func (a *Audit) gangBroken(id protocol.JobID, k instance, j *auditedJob) {
+	for other, on := range a.attempts {
 		if !on || other.attempt != k.attempt {
 			continue
 		}
 		job, index, ok := protocol.SplitTask(other.task)
-		if ok && job == id && index < j.tasks && a.need[needStop][other.task] == 0 {
-			a.need[needStop][other.task] = 1
+		if ok && job == id && index < j.tasks && a.needed[needStop][other.task] == 0 {
+			a.needed[needStop][other.task] = 1
 		}
 	}
 }
 
 // forgot notes that a worker has dropped an exited attempt.
 func (a *Audit) forgot(k instance) {
-	delete(a.here, k)
+	delete(a.attempts, k)
 }
--- a/internal/simulation/builders_test.go
+++ b/internal/simulation/builders_test.go
@@ -14,8 +14,8 @@
 // The builders of deployments and jobs for all tests of this package, and what tests wait
 // for and count.
 
-// waitStep is how often a wait looks at the world.
-const waitStep = 20 * time.Millisecond
+// waitPollInterval is how often a wait looks at the world.
+const waitPollInterval = 20 * time.Millisecond
 
 // logs is where a run's log goes: nowhere, unless SIMULATION_LOG asks for it.
 func logs() io.Writer {
@@ -28,7 +28,7 @@
 // startWorld makes a deployment and lets it settle: a leader is elected and the machines
 // have reported.
 func startWorld(seed uint64, shape Shape, settle time.Duration) *World {
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.Run(settle)
 	return w
 }
@@ -51,38 +51,38 @@
 
 // service is a service of small replicas without GPUs, spread over the zones.
 func service(id protocol.JobID, replicas int) *protocol.Job {
-	job := perTask(array(id, replicas), 2, 0, 10)
+	job := withTaskResources(array(id, replicas), 2, 0, 10)
 	job.Class, job.Shape, job.Priority, job.EstimateS, job.Spread = "service", protocol.ShapeService, "critical", 0, true
 	return job
 }
 
 // largeGang is a gang of 32 tasks that take whole machines of one zone.
 func largeGang(id protocol.JobID) *protocol.Job {
-	job := perTask(gangJob(id, 32), 20, 2, 110)
+	job := withTaskResources(gangJob(id, 32), 20, 2, 110)
 	job.OneZone = true
 	return job
 }
 
-// perTask sets what each task of a job takes of a machine.
-func perTask(job *protocol.Job, cpus, gpus, memoryGB float64) *protocol.Job {
+// withTaskResources sets what each task of a job takes of a machine.
+func withTaskResources(job *protocol.Job, cpus, gpus, memoryGB float64) *protocol.Job {
 	job.CPUs, job.GPUs, job.MemoryGB = cpus, gpus, memoryGB
 	return job
 }
 
-// queued sets the queue that a job waits in.
-func queued(job *protocol.Job, class string, team protocol.TeamName, priority string) *protocol.Job {
+// withQueue sets the queue that a job waits in.
+func withQueue(job *protocol.Job, class string, team protocol.TeamName, priority string) *protocol.Job {
 	job.Class, job.Team, job.Priority = class, team, priority
 	return job
 }
 
-// checkpointed has a job save a checkpoint every so many seconds, which takes some seconds.
-func checkpointed(job *protocol.Job, every, save float64) *protocol.Job {
+// withCheckpoints has a job save a checkpoint every so many seconds, which takes some seconds.
+func withCheckpoints(job *protocol.Job, every, save float64) *protocol.Job {
 	job.CheckpointIntervalS, job.CheckpointSaveS = every, save
 	return job
 }
 
-// submitRunning has a user submit a job at once and waits until all its tasks run.
-func (w *World) submitRunning(t *testing.T, limit time.Duration, job *protocol.Job, run float64) *user {
+// submitAndWaitUntilRunning has a user submit a job at once and waits until all its tasks run.
+func (w *World) submitAndWaitUntilRunning(t *testing.T, limit time.Duration, job *protocol.Job, run float64) *user {
 	t.Helper()
 	u := w.submit(arrival{job: job, run: run})
 	w.waitUntilRunning(t, limit, u)
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// others are the nodes that are not the one given.
-func (w *World) others(c *controller) []*controller {
+// otherControllers are the nodes that are not the one given.
+func (w *World) otherControllers(c *controller) []*controller {
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(o *controller) bool { return o == c })
 }
 
-// workersInOrder are the machines that are up, in the order in which they were rented.
-func (w *World) workersInOrder() (list []*agent) {
+// agentsInCreationOrder are the machines that are up, in the order in which they were rented.
+func (w *World) agentsInCreationOrder() (list []*agent) {
 	for _, h := range w.cloud.hosts {
 		if agent := w.agents[h.ID]; agent != nil {
 			list = append(list, agent)
@@ -114,19 +114,19 @@
 	return list
 }
 
-// loseOldest ends the workers of up to n machines, those that were rented first, and returns
+// loseOldestAgents ends the workers of up to n machines, those that were rented first, and returns
 // how many.
-func (w *World) loseOldest(n int) int {
-	list := w.workersInOrder()
+func (w *World) loseOldestAgents(n int) int {
+	list := w.agentsInCreationOrder()
 	list = list[:min(n, len(list))]
 	for _, agent := range list {
-		w.loseWorker(agent)
+		w.loseAgent(agent)
 	}
 	return len(list)
 }
 
-// workerOf is the machine that a task of a job is on.
-func (w *World) workerOf(job protocol.JobID, task int) *agent {
+// agentOf is the machine that a task of a job is on.
+func (w *World) agentOf(job protocol.JobID, task int) *agent {
 	return w.rules.placed[protocol.TaskName(job, task)].agent
 }
 
@@ -161,7 +161,7 @@
 		if w.Now.Sub(from) > limit {
 			t.Fatalf("%s: not within %v", what, limit)
 		}
-		w.Run(waitStep)
+		w.Run(waitPollInterval)
 	}
 	return w.Now.Sub(from)
 }
@@ -169,13 +169,13 @@
 // waitUntilRunning waits until all tasks of some users' jobs run.
 func (w *World) waitUntilRunning(t *testing.T, limit time.Duration, users ...*user) time.Duration {
 	t.Helper()
-	return w.waitFor(t, limit, fmt.Sprint(jobsOf(users), " run"), func() bool { return w.running(users...) })
+	return w.waitFor(t, limit, fmt.Sprint(jobIDsOf(users), " run"), func() bool { return w.running(users...) })
 }
 
 // waitUntilOver waits until some users have had a final answer.
 func (w *World) waitUntilOver(t *testing.T, limit time.Duration, users ...*user) time.Duration {
 	t.Helper()
-	return w.waitFor(t, limit, fmt.Sprint(jobsOf(users), " are over"), func() bool { return over(users...) })
+	return w.waitFor(t, limit, fmt.Sprint(jobIDsOf(users), " are over"), func() bool { return over(users...) })
 }
 
 // waitForLeader waits until a node leads.
@@ -184,8 +184,8 @@
 	return w.waitFor(t, limit, "a node leads", func() bool { return w.leader() != nil })
 }
 
-// jobsOf lists the names of some users' jobs.
-func jobsOf(users []*user) (jobs []protocol.JobID) {
+// jobIDsOf lists the names of some users' jobs.
+func jobIDsOf(users []*user) (jobs []protocol.JobID) {
 	for _, u := range users {
 		jobs = append(jobs, u.job.spec.ID)
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -15,23 +15,23 @@
 
 // cloudProvider is a stand-in for the cloud.
 type cloudProvider struct {
-	w        *World
-	hosts    []*host
-	rented   map[string][]protocol.MachineID
-	next     int
-	down     bool
-	capacity int
-	calls    *rate.Limiter
-	requests int
-	history  []snapshot
-	fastBoot bool // machines are up within two seconds
+	w              *World
+	hosts          []*host
+	rented         map[string][]protocol.MachineID
+	next           int
+	down           bool
+	capacity       int
+	requestLimiter *rate.Limiter
+	requests       int
+	snapshots      []snapshot
+	fastBoot       bool // machines are up within two seconds
 }
 
 // host is a machine in the cloud.
 type host struct {
 	protocol.Machine
 	createdAt time.Time
-	gone      bool
+	deleted   bool
 }
 
 // snapshot is the machine list of a moment.
@@ -42,7 +42,7 @@
 
 func newCloudProvider(w *World) *cloudProvider {
 	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
-		calls: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
+		requestLimiter: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
 		c.add(w.shape.Zones[i%len(w.shape.Zones)], false, 0)
@@ -61,15 +61,15 @@
 func (c *cloudProvider) recordSnapshot() {
 	var list []protocol.Machine
 	for _, h := range c.hosts {
-		if !h.gone {
+		if !h.deleted {
 			m := h.Machine
 			m.AgeS = c.w.Now.Sub(h.createdAt).Seconds()
 			list = append(list, m)
 		}
 	}
-	c.history = append(c.history, snapshot{c.w.Now, list})
-	if len(c.history) > snapshotsKept {
-		c.history = c.history[1:]
+	c.snapshots = append(c.snapshots, snapshot{c.w.Now, list})
+	if len(c.snapshots) > snapshotsKept {
+		c.snapshots = c.snapshots[1:]
 	}
 	c.w.after(snapshotInterval, c.recordSnapshot)
 }
@@ -79,14 +79,14 @@
 	c.next++
 	id := protocol.MachineID(fmt.Sprintf("i-%06d", c.next))
 	address := string(id)
-	if c.w.live != nil {
-		address = c.w.live.address(id)
+	if c.w.loopback != nil {
+		address = c.w.loopback.address(id)
 	}
 	h := &host{Machine: protocol.Machine{ID: id, Address: address, Type: c.w.shape.Type.Name, Zone: zone, Spot: spot, Phase: protocol.MachineBooting}, createdAt: c.w.Now}
 	c.hosts = append(c.hosts, h)
 	c.w.zoneOf[string(id)] = zone
 	c.w.after(boot, func() {
-		if !h.gone {
+		if !h.deleted {
 			h.Phase = protocol.MachineRunning
 			c.w.agents[id] = newAgent(c.w, h)
 		}
@@ -96,26 +96,26 @@
 
 // destroy takes a machine and everything on it away at once.
 func (c *cloudProvider) destroy(h *host) {
-	h.gone = true
+	h.deleted = true
 	if agent := c.w.agents[h.ID]; agent != nil {
-		c.w.loseWorker(agent)
+		c.w.loseAgent(agent)
 	}
 }
 
-// loseWorker ends a machine's worker and its tasks; the cloud goes on listing the machine.
-func (w *World) loseWorker(agent *agent) {
+// loseAgent ends a machine's worker and its tasks; the cloud goes on listing the machine.
+func (w *World) loseAgent(agent *agent) {
 	agent.kill()
 	delete(w.agents, agent.host.ID)
 }
 
 // serve answers a call as the protocol says, within the budget.
-func (c *cloudProvider) serve(method, path string, body []byte, answer answerFunc) {
+func (c *cloudProvider) serve(method, path string, body []byte, answer responseFunc) {
 	c.requests++
 	if c.down {
 		answer(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: "unavailable"}))
 		return
 	}
-	if !c.calls.AllowN(c.w.Now, 1) {
+	if !c.requestLimiter.AllowN(c.w.Now, 1) {
 		answer(http.StatusTooManyRequests, nil)
 		return
 	}
@@ -126,17 +126,17 @@
 	case u.Path == protocol.PathMachines && method == http.MethodGet:
 		c.list(u.Query(), answer)
 	case u.Path == protocol.PathMachines:
-		c.rent(body, answer)
+		c.createMachines(body, answer)
 	default:
-		c.remove(body, answer)
+		c.deleteMachines(body, answer)
 	}
 }
 
 // list answers with a page of the machine list as it was a while ago.
-func (c *cloudProvider) list(q url.Values, answer answerFunc) {
+func (c *cloudProvider) list(q url.Values, answer responseFunc) {
 	lag := c.w.between(4*time.Second, 10*time.Second)
 	var list []protocol.Machine
-	for _, s := range c.history {
+	for _, s := range c.snapshots {
 		if c.w.Now.Sub(s.at) >= lag {
 			list = s.list
 		}
@@ -150,8 +150,8 @@
 	answer(http.StatusOK, encode(protocol.MachineList{Machines: list[:min(limit, len(list))], More: len(list) > limit}))
 }
 
-// rent rents machines as far as there are any.
-func (c *cloudProvider) rent(body []byte, answer answerFunc) {
+// createMachines rents machines as far as there are any.
+func (c *cloudProvider) createMachines(body []byte, answer responseFunc) {
 	var r protocol.CreateMachinesRequest
 	decode(body, &r)
 	if names, ok := c.rented[r.RequestID]; ok {
@@ -160,7 +160,7 @@
 	}
 	up := 0
 	for _, h := range c.hosts {
-		if !h.gone {
+		if !h.deleted {
 			up++
 		}
 	}
@@ -188,12 +188,12 @@
 	return boot
 }
 
-// remove deletes machines.
-func (c *cloudProvider) remove(body []byte, answer answerFunc) {
+// deleteMachines deletes machines.
+func (c *cloudProvider) deleteMachines(body []byte, answer responseFunc) {
 	var r protocol.MachineIDs
 	decode(body, &r)
 	for _, h := range c.hosts {
-		if slices.Contains(r.Machines, h.ID) && !h.gone {
+		if slices.Contains(r.Machines, h.ID) && !h.deleted {
 			c.destroy(h)
 		}
 	}
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -15,8 +15,8 @@
 	Away     time.Duration
 	After    time.Duration // for which the workers' orders are judged
 	Recovery bool          // recoveries are followed
-	// Equal: all jobs have one priority, so that none is stopped for another.
-	Equal bool
+	// EqualPriorities: all jobs have one priority, so that none is stopped for another.
+	EqualPriorities bool
 }
 
 // ColdResult is what a cold restart cost.
@@ -31,7 +31,7 @@
 // deployment is a world whose controllers can be ended and started, in real time or not.
 type deployment interface {
 	do(func(w *World))
-	pass(d time.Duration)
+	advance(d time.Duration)
 	start() error
 	kill()
 }
@@ -39,7 +39,7 @@
 // Shape is the deployment of the cold restart: short leases, so that it takes seconds, and
 // budgets that follow the number of machines.
 func (c ColdRestart) Shape() Shape {
-	s := Small()
+	s := SmallShape()
 	s.Machines, s.Capacity, s.Recovery = c.Machines, c.Machines, c.Recovery
 	s.Teams = []config.Team{{Name: "free"}}
 	s.Agents = config.AgentTimings{ReportS: 1, LeaseS: 14, GangWaitS: 20, GangPeerS: 4, CancelS: 40}
@@ -53,26 +53,26 @@
 // Simulate plays it on a fake clock.
 func (c ColdRestart) Simulate(seed uint64) (ColdResult, error) {
 	w := newWorld(seed, nil, c.Shape(), nil)
-	return c.run(&simulated{w})
+	return c.run(&simulatedDeployment{w})
 }
 
-// simulated is a deployment on a fake clock.
-type simulated struct{ w *World }
+// simulatedDeployment is a deployment on a fake clock.
+type simulatedDeployment struct{ w *World }
 
-func (s *simulated) do(f func(w *World)) { f(s.w) }
+func (s *simulatedDeployment) do(f func(w *World)) { f(s.w) }
 
-func (s *simulated) pass(d time.Duration) { s.w.Run(d) }
+func (s *simulatedDeployment) advance(d time.Duration) { s.w.Run(d) }
 
 // start starts all controllers.
-func (s *simulated) start() error {
+func (s *simulatedDeployment) start() error {
 	for _, c := range s.w.nodes {
-		c.boot()
+		c.startProcess()
 	}
 	return nil
 }
 
 // kill ends all controllers for good.
-func (s *simulated) kill() {
+func (s *simulatedDeployment) kill() {
 	for _, c := range s.w.nodes {
 		c.alive = false
 	}
@@ -81,31 +81,31 @@
 // Controllers are controllers that run elsewhere.
 type Controllers interface {
 	// Start starts all of them.
-	Start(v *Live) error
+	Start(v *Loopback) error
 	// Kill ends all at once, without a signal that they could act on.
 	Kill()
 }
 
-// RunLive plays it in real time on loopback.
-func (c ColdRestart) RunLive(seed uint64, controllers Controllers) (ColdResult, error) {
-	v := NewLive(seed, c.Shape())
+// RunOnLoopback plays it in real time on loopback.
+func (c ColdRestart) RunOnLoopback(seed uint64, controllers Controllers) (ColdResult, error) {
+	v := NewLoopback(seed, c.Shape())
 	defer v.Close()
-	return c.run(&live{v, controllers})
+	return c.run(&loopbackDeployment{v, controllers})
 }
 
-// live is a deployment in real time.
-type live struct {
-	v           *Live
+// loopbackDeployment is a deployment in real time.
+type loopbackDeployment struct {
+	v           *Loopback
 	controllers Controllers
 }
 
-func (l *live) do(f func(w *World)) { l.v.Do(f) }
+func (l *loopbackDeployment) do(f func(w *World)) { l.v.Do(f) }
 
-func (l *live) pass(d time.Duration) { time.Sleep(d) }
+func (l *loopbackDeployment) advance(d time.Duration) { time.Sleep(d) }
 
-func (l *live) start() error { return l.controllers.Start(l.v) }
+func (l *loopbackDeployment) start() error { return l.controllers.Start(l.v) }
 
-func (l *live) kill() { l.controllers.Kill() }
+func (l *loopbackDeployment) kill() { l.controllers.Kill() }
 
 // run plays it: the deployment comes up, jobs of all kinds come until the loss, some are
 // cancelled just before it and some end during it.
@@ -113,10 +113,10 @@
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
 	}
-	d.pass(6 * time.Second)
+	d.advance(6 * time.Second)
 	var users []*user
-	d.do(func(w *World) { users = w.coldJobs(c) })
-	d.pass(c.Before - 15*time.Millisecond)
+	d.do(func(w *World) { users = w.submitColdRestartJobs(c) })
+	d.advance(c.Before - 15*time.Millisecond)
 	d.do(func(*World) {
 		for i, u := range users {
 			if i%12 == 5 && u.accepted {
@@ -124,19 +124,19 @@
 			}
 		}
 	})
-	d.pass(15 * time.Millisecond)
+	d.advance(15 * time.Millisecond)
 	d.kill()
-	d.do(func(w *World) { w.loseMachines(c.Machines / lostMachines) })
-	d.pass(c.Away)
+	d.do(func(w *World) { w.loseMachines(c.Machines / machinesPerLoss) })
+	d.advance(c.Away)
 	var requests, changes int
 	d.do(func(w *World) {
-		w.Audit.Judge(w.Now)
+		w.Audit.Begin(w.Now)
 		requests, changes = w.store.requests, w.store.changed
 	})
 	if err := d.start(); err != nil {
 		return ColdResult{}, err
 	}
-	d.pass(c.After)
+	d.advance(c.After)
 	var result ColdResult
 	d.do(func(w *World) {
 		result = ColdResult{Verdict: w.Audit.Finish(), Requests: w.store.requests - requests, Changes: w.store.changed - changes, Rules: w.rules.failures}
@@ -148,22 +148,22 @@
 	return result, nil
 }
 
-// lostMachines: one machine in so many dies while no controller is up.
-const lostMachines = 40
+// machinesPerLoss: one machine in so many dies while no controller is up.
+const machinesPerLoss = 40
 
 // loseMachines ends machines that carry work.
 func (w *World) loseMachines(n int) {
 	for _, h := range w.cloud.hosts {
 		if agent := w.agents[h.ID]; n > 0 && agent != nil && len(agent.tasks) > 0 {
 			n--
-			w.loseWorker(agent)
+			w.loseAgent(agent)
 		}
 	}
 }
 
-// coldJobs submits gangs and arrays for three quarters of the machines, the last of them
+// submitColdRestartJobs submits gangs and arrays for three quarters of the machines, the last of them
 // so late that they are half-way when the controllers are lost.
-func (w *World) coldJobs(c ColdRestart) (users []*user) {
+func (w *World) submitColdRestartJobs(c ColdRestart) (users []*user) {
 	unsubmitted := c.Machines * int(w.shape.Type.GPUs) * 3 / 4
 	for i := 0; unsubmitted > 0; i++ {
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("run-%06d", 100+i)), Class: "array", Team: "free", Shape: protocol.ShapeArray, Priority: "normal",
@@ -171,7 +171,7 @@
 		if i%2 == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(5)
 		}
-		if c.Equal {
+		if c.EqualPriorities {
 			spec.Priority = "normal"
 		}
 		unsubmitted -= spec.Tasks
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -11,28 +11,28 @@
 
 // controller is a process that runs a node.
 type controller struct {
-	w       *World
-	name    string
-	node    *coordination.Node
-	life    int // counts the processes
-	alive   bool
-	linked  map[string]bool // peers to which there is a link
-	nextID  uint64          // of requests from outside
-	waiting map[uint64]answerFunc
-	refused bool      // the key-value store refuses this node alone
-	wakeAt  time.Time // when the node is to be stepped by its timer
-	timerAt time.Time // when the timer goes off, zero while it is not set
-	backlog backlog   // of a slow node
-	working bool      // a slow node takes time for a batch
-	calling int       // calls to workers that this life of the process has under way
+	w              *World
+	name           string
+	node           *coordination.Node
+	life           int // counts the processes
+	alive          bool
+	linked         map[string]bool // peers to which there is a link
+	nextID         uint64          // of requests from outside
+	pendingReplies map[uint64]responseFunc
+	refused        bool      // the key-value store refuses this node alone
+	wakeAt         time.Time // when the node is to be stepped by its timer
+	timerAt        time.Time // when the timer goes off, zero while it is not set
+	backlog        backlog   // of a slow node
+	busy           bool      // a slow node takes time for a batch
+	callsInFlight  int       // calls to workers that this life of the process has under way
 }
 
-// boot starts the process anew.
-func (c *controller) boot() {
+// startProcess starts the process anew.
+func (c *controller) startProcess() {
 	c.life++
 	c.alive = true
 	c.linked = map[string]bool{}
-	c.waiting = map[uint64]answerFunc{}
+	c.pendingReplies = map[uint64]responseFunc{}
 	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
 	life := c.life
 	var pollLinks func()
@@ -44,7 +44,7 @@
 	}
 	c.w.after(c.w.between(0, tuning.MinTimerInterval), pollLinks)
 	c.timerAt = time.Time{}
-	c.backlog, c.working, c.calling = backlog{}, false, 0
+	c.backlog, c.busy, c.callsInFlight = backlog{}, false, 0
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	c.alive = false
-	c.w.after(back, c.boot)
+	c.w.after(back, c.startProcess)
 }
 
 // crashAll ends all controllers without a signal; they are back after a while.
@@ -96,7 +96,7 @@
 			continue
 		}
 		up := o.alive
-		for _, k := range c.w.cuts {
+		for _, k := range c.w.partitions {
 			up = up && !k.match(c.name, o.name)
 		}
 		if up != c.linked[o.name] {
@@ -111,12 +111,12 @@
 }
 
 // ask hands the node a request from outside.
-func (c *controller) ask(r request, answer answerFunc) {
+func (c *controller) ask(r request, answer responseFunc) {
 	if !c.alive {
 		return
 	}
 	c.nextID++
-	c.waiting[c.nextID] = answer
+	c.pendingReplies[c.nextID] = answer
 	c.step(r(c.nextID))
 }
 
@@ -124,15 +124,15 @@
 func (c *controller) step(events ...coordination.Event) {
 	if c.w.shape.Slow {
 		c.backlog.add(events)
-		c.takeBatch()
+		c.processBatch()
 		return
 	}
-	c.carryOut(c.node.Step(c.w.Now, events))
+	c.perform(c.node.Step(c.w.Now, events))
 	c.setTimer(c.node.Due())
 }
 
-// carryOut does what the node wants done.
-func (c *controller) carryOut(actions []coordination.Action) {
+// perform does what the node wants done.
+func (c *controller) perform(actions []coordination.Action) {
 	c.w.steps++
 	for _, a := range actions {
 		if c.w.recorder != nil {
@@ -140,8 +140,8 @@
 		}
 		switch a := a.(type) {
 		case coordination.Reply:
-			if answer := c.waiting[a.ID]; answer != nil {
-				delete(c.waiting, a.ID)
+			if answer := c.pendingReplies[a.ID]; answer != nil {
+				delete(c.pendingReplies, a.ID)
 				answer(a.Status, a.Body)
 			}
 		case coordination.PeerSend:
@@ -154,7 +154,7 @@
 
 // send sends a message to a peer, if there is a link and both releases know the message.
 func (c *controller) send(a coordination.PeerSend) {
-	if !c.maySend(a) {
+	if !c.canSend(a) {
 		return
 	}
 	life := c.life
@@ -163,8 +163,8 @@
 			continue
 		}
 		to := o.life
-		m := recode(announced(a.Message, c.w.release[c.name], c.w.release[o.name]))
-		c.w.carry(c.name, o.name, func() {
+		m := reencode(limitAnnouncement(a.Message, c.w.release[c.name], c.w.release[o.name]))
+		c.w.transmit(c.name, o.name, func() {
 			if o.alive && o.life == to {
 				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
 			}
@@ -182,9 +182,9 @@
 	}
 	switch a.To {
 	case coordination.ToCloud:
-		c.w.call(c.name, cloudHost, a.Timeout, func(answer answerFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
+		c.w.call(c.name, cloudHost, a.Timeout, func(answer responseFunc) { c.w.cloud.serve(a.Method, a.Path, a.Body, answer) }, done)
 	case coordination.ToAgent:
-		c.callWorker(a, done)
+		c.callAgent(a, done)
 	default:
 		c.callStore(a, done)
 	}
@@ -192,29 +192,29 @@
 
 // callStore makes a request of the key-value store; version 0.2 drops new fields of what it
 // reads.
-func (c *controller) callStore(a coordination.Request, done answerFunc) {
-	c.w.call(c.name, storeHost, a.Timeout, func(answer answerFunc) {
+func (c *controller) callStore(a coordination.Request, done responseFunc) {
+	c.w.call(c.name, storeHost, a.Timeout, func(answer responseFunc) {
 		if c.w.release[c.name] == release02 {
 			whole := answer
-			answer = func(status int, body []byte) { whole(status, withoutNewFields(body)) }
+			answer = func(status int, body []byte) { whole(status, dropNewFields(body)) }
 		}
 		c.w.store.serve(a.Method, a.Path, a.Body, c, answer)
 	}, done)
 }
 
-// callWorker calls a worker and counts the calls under way.
-func (c *controller) callWorker(a coordination.Request, done answerFunc) {
+// callAgent calls a worker and counts the calls under way.
+func (c *controller) callAgent(a coordination.Request, done responseFunc) {
 	c.w.calls++
-	c.calling++
-	c.w.mostCalls = max(c.w.mostCalls, c.calling)
+	c.callsInFlight++
+	c.w.maxConcurrentCalls = max(c.w.maxConcurrentCalls, c.callsInFlight)
 	life := c.life
-	c.w.call(c.name, a.Address, a.Timeout, func(answer answerFunc) {
+	c.w.call(c.name, a.Address, a.Timeout, func(answer responseFunc) {
 		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
 			agent.serve(a.Method, a.Path, a.Body, answer)
 		}
 	}, func(status int, body []byte) {
 		if c.life == life {
-			c.calling--
+			c.callsInFlight--
 		}
 		done(status, body)
 	})
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -11,15 +11,15 @@
 
 // downtime counts what users and workers notice while controllers are replaced.
 type downtime struct {
-	w            *World
-	asked        int // requests to a node that was up until it had answered or its time was over
-	unanswered   int // of them
-	refused      int // answered with a status that has the user come back
-	expiries     int // agents' leases that ran out
-	lastServed   time.Time
-	longest      time.Duration // the longest time without a request that was served
-	incarnations map[protocol.MachineID]protocol.Incarnation
-	until        time.Time
+	w             *World
+	requestsSent  int // requests to a node that was up until it had answered or its time was over
+	unanswered    int // of them
+	refused       int // answered with a status that has the user come back
+	leaseExpiries int // agents' leases that ran out
+	lastServed    time.Time
+	longestGap    time.Duration // the longest time without a request that was served
+	incarnations  map[protocol.MachineID]protocol.Incarnation
+	until         time.Time
 }
 
 // watchDowntime sends requests of every kind to the nodes that are up, as the load
@@ -30,7 +30,7 @@
 	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
 		for id, agent := range w.agents {
 			if d.incarnations[id] != 0 && agent.incarnation > d.incarnations[id] {
-				d.expiries++
+				d.leaseExpiries++
 			}
 			d.incarnations[id] = agent.incarnation
 		}
@@ -60,16 +60,16 @@
 	}
 	c := up[d.w.rng.IntN(len(up))]
 	life := c.life
-	d.w.call("users", c.name, limit, func(answer answerFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
+	d.w.call("users", c.name, limit, func(answer responseFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
 		if status == 0 && (!c.alive || c.life != life) {
 			return // it was killed under the request: the connection tells the user
 		}
-		d.asked++
+		d.requestsSent++
 		switch {
 		case status == 0:
 			d.unanswered++
 		case status == 200 || status == 201 || status == 404:
-			d.longest = max(d.longest, d.w.Now.Sub(d.lastServed))
+			d.longestGap = max(d.longestGap, d.w.Now.Sub(d.lastServed))
 			d.lastServed = d.w.Now
 		default:
 			d.refused++
@@ -77,16 +77,16 @@
 	})
 }
 
-// backAfter is how long a controller that is replaced is away.
-const backAfter = 4 * time.Second
+// restartDelay is how long a controller that is replaced is away.
+const restartDelay = 4 * time.Second
 
-// replacement is an order in which the controllers are replaced by the new version.
-type replacement struct {
-	replace func(w *World, one func(c *controller))
-	away    time.Duration // how long no controller may be up
+// replacementOrder is an order in which the controllers are replaced by the new version.
+type replacementOrder struct {
+	replace    func(w *World, one func(c *controller))
+	allDownFor time.Duration // how long no controller may be up
 }
 
-var replacements = map[string]replacement{
+var replacementOrders = map[string]replacementOrder{
 	"one after the other": {func(w *World, one func(c *controller)) {
 		for i, c := range w.nodes {
 			w.after(time.Duration(i)*10*time.Second, func() { one(c) })
@@ -101,7 +101,7 @@
 		for _, c := range w.nodes {
 			one(c)
 		}
-	}, backAfter},
+	}, restartDelay},
 	"the leader first": {func(w *World, one func(c *controller)) {
 		first := w.leader()
 		one(first)
@@ -131,27 +131,27 @@
 	}, 0},
 }
 
-// TestNoDowntime: while the controllers are replaced by the new version, in any order
+// TestUpgradeCausesNoDowntime: while the controllers are replaced by the new version, in any order
 // and from either earlier version, every user's request gets an answer, and one is
 // served again soon after one is up; no agent's lease expires; tokens only rise; and
 // nothing that runs stops, no replica and no gang.
-func TestNoDowntime(t *testing.T) {
+func TestUpgradeCausesNoDowntime(t *testing.T) {
 	t.Parallel()
-	for name, order := range replacements {
+	for name, order := range replacementOrders {
 		for from, label := range map[release]string{release02: "0.2", release03: "0.3", current: "itself"} {
 			t.Run(name+" from "+label, func(t *testing.T) {
 				t.Parallel()
-				order.play(t, from)
+				order.replaceAndMeasure(t, from)
 			})
 		}
 	}
 }
 
-// play replaces the controllers of one release and counts what is noticed.
-func (order replacement) play(t *testing.T, from release) {
-	shape := lowered(Small(), 15, 4)
+// lowerLimits replaces the controllers of one release and counts what is noticed.
+func (order replacementOrder) replaceAndMeasure(t *testing.T, from release) {
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Capacity = 20
-	w := NewShaped(500, logs(), shape)
+	w := NewWithShape(500, logs(), shape)
 	for i, c := range w.nodes {
 		w.release[c.name] = from
 		if i == 2 && from == release02 {
@@ -174,10 +174,10 @@
 	d := w.watchDowntime("run-000001", 50*time.Second)
 	order.replace(w, func(c *controller) {
 		w.release[c.name] = current
-		c.crash(backAfter)
+		c.crash(restartDelay)
 	})
 	w.Run(55 * time.Second)
-	d.check(t, order.away)
+	d.check(t, order.allDownFor)
 	for _, u := range append(services, gang) {
 		if again := sum(u.job.starts) - starts[u.job.spec.ID]; again > 0 || u.unserved > 0 || !w.running(u) {
 			t.Errorf("%s: %d tasks are started again, %v are not served", u.job.spec.ID, again, u.unserved)
@@ -190,18 +190,18 @@
 // service beyond that in which no controller is up, expired leases and lower tokens.
 func (d *downtime) check(t *testing.T, away time.Duration) {
 	t.Helper()
-	t.Logf("%d requests, %d refused, served again within %v", d.asked, d.refused, d.longest)
-	if d.asked < 500 || d.unanswered > 0 {
-		t.Errorf("%d of %d requests are not answered", d.unanswered, d.asked)
+	t.Logf("%d requests, %d refused, served again within %v", d.requestsSent, d.refused, d.longestGap)
+	if d.requestsSent < 500 || d.unanswered > 0 {
+		t.Errorf("%d of %d requests are not answered", d.unanswered, d.requestsSent)
 	}
-	if limit := away + tuning.LeaderLeaseTTL + 3*time.Second; d.longest > limit {
-		t.Errorf("nothing is served for %v", d.longest)
+	if limit := away + tuning.LeaderLeaseTTL + 3*time.Second; d.longestGap > limit {
+		t.Errorf("nothing is served for %v", d.longestGap)
 	}
-	if d.expiries > 0 {
-		t.Errorf("%d leases expired", d.expiries)
+	if d.leaseExpiries > 0 {
+		t.Errorf("%d leases expired", d.leaseExpiries)
 	}
-	if d.w.rules.lowerTokens > 0 {
-		t.Errorf("%d times a worker was shown a lower token", d.w.rules.lowerTokens)
+	if d.w.rules.staleTokens > 0 {
+		t.Errorf("%d times a worker was shown a lower token", d.w.rules.staleTokens)
 	}
 }
 
@@ -221,7 +221,7 @@
 	for mixture := range 8 {
 		t.Run(fmt.Sprint("mixture ", mixture), func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(uint64(520+mixture), logs(), lowered(Small(), 15, 4))
+			w := NewWithShape(uint64(520+mixture), logs(), withLoweredLimits(SmallShape(), 15, 4))
 			for i, c := range w.nodes {
 				if mixture>>i&1 == 1 {
 					w.release[c.name] = release03
@@ -256,7 +256,7 @@
 		w.expectPhase(t, c, "repeated", submit, 200, protocol.PhaseRunning)
 	}
 	w.expectPhase(t, w.nodes[(node+1)%len(w.nodes)], "cancelled", cancel, 200, protocol.PhaseCancelled)
-	w.rules.jobs[job.ID].cancelled = w.Now
+	w.rules.jobs[job.ID].cancelledAt = w.Now
 	for _, c := range w.nodes {
 		for _, r := range []request{submit, cancel, statusQuery(job.ID)} {
 			w.expectPhase(t, c, "after its cancellation", r, 200, protocol.PhaseCancelled)
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -93,13 +93,13 @@
 	heap = heap[:len(heap)-1]
 	*q = heap
 	if len(heap) > 0 {
-		heap.sink(last)
+		heap.siftDown(last)
 	}
 	return first
 }
 
-// sink puts an event at the place of the first one and moves those that come before it up.
-func (q eventQueue) sink(e event) {
+// siftDown puts an event at the place of the first one and moves those that come before it up.
+func (q eventQueue) siftDown(e event) {
 	i := 0
 	for {
 		child := 2*i + 1
@@ -127,7 +127,7 @@
 	rng       *rand.Rand
 	queue     eventQueue
 	scheduled int      // events so far
-	reached   position // of the newest event that has happened
+	lastEvent position // of the newest event that has happened
 }
 
 // newTimeline is a timeline at its start.
@@ -148,7 +148,7 @@
 
 // after does something once the time has passed.
 func (t *timeline) after(d time.Duration, do func()) {
-	t.queue.push(event{t.reached.following(d, t.nextNumber()), do})
+	t.queue.push(event{t.lastEvent.following(d, t.nextNumber()), do})
 }
 
 // nextNumber numbers events in the order in which they are scheduled.
@@ -162,8 +162,8 @@
 	end := t.elapsed() + d
 	for len(t.queue) > 0 && t.queue[0].at <= end {
 		e := t.queue.pop()
-		t.Now, t.reached = worldStart.Add(e.at), e.position
+		t.Now, t.lastEvent = worldStart.Add(e.at), e.position
 		e.do()
 	}
-	t.Now, t.reached = worldStart.Add(end), position{at: end, scheduled: end, number: t.scheduled}
+	t.Now, t.lastEvent = worldStart.Add(end), position{at: end, scheduled: end, number: t.scheduled}
 }
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -7,21 +7,21 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// maxWaitBesideCapacity is how long a job may wait beside capacity for it once all faults are
+// maxWaitDespiteCapacity is how long a job may wait beside capacity for it once all faults are
 // over.
-const maxWaitBesideCapacity = 90 * time.Second
+const maxWaitDespiteCapacity = 90 * time.Second
 
 // faultCombination is a pair or more of faults that fall together, in a deployment that
 // works at its limit.
 type faultCombination struct {
-	name  string
-	shape func(s *Shape)
-	play  func(w *World)
-	most  int // starts after a confirmed cancellation, held-up commands apart
+	name               string
+	shape              func(s *Shape)
+	inject             func(w *World)
+	maxCancelledStarts int // starts after a confirmed cancellation, held-up commands apart
 }
 
 var faultCombinations = []faultCombination{
-	{name: "jobs bound to a zone lose machines", play: func(w *World) {
+	{name: "jobs bound to a zone lose machines", inject: func(w *World) {
 		for i := range 6 {
 			s := array(jobID(800010+i), 4)
 			s.OneZone = true
@@ -31,61 +31,61 @@
 			w.submit(arrival{after: time.Duration(i) * time.Second, job: s, run: 40})
 		}
 		w.every(6*time.Second, 6, func(int) {
-			for _, k := range w.someWorkers(1) {
-				w.loseWorker(k)
+			for _, k := range w.randomMachines(1) {
+				w.loseAgent(k)
 			}
 		})
 		w.after(15*time.Second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "a cancellation, a question and a repeated submission meet the end", play: func(w *World) {
-		w.cancelAtEnd, w.askAllNodes = 0.7, true
+	{name: "a cancellation, a question and a repeated submission meet the end", inject: func(w *World) {
+		w.cancelAtEndShare, w.askAllNodes = 0.7, true
 		w.after(60*time.Second, func() { w.crashLeader(300 * time.Millisecond) })
-		w.after(110*time.Second, func() { w.cancelAtEnd = 0 })
+		w.after(110*time.Second, func() { w.cancelAtEndShare = 0 })
 	}},
-	{name: "jobs are cancelled while the lead changes hands", play: func(w *World) {
+	{name: "jobs are cancelled while the lead changes hands", inject: func(w *World) {
 		w.every(14*time.Second, 6, func(i int) {
 			w.crashLeader(time.Duration(100+i*700) * time.Millisecond)
-			w.every(700*time.Millisecond, 6, func(int) { w.cancelNow(1, 0) })
+			w.every(700*time.Millisecond, 6, func(int) { w.cancelRunningJobs(1, 0) })
 		})
-	}, most: 4},
-	{name: "a team at its limit, some machines cannot be asked, the leader changes", play: func(w *World) {
+	}, maxCancelledStarts: 4},
+	{name: "a team at its limit, some machines cannot be asked, the leader changes", inject: func(w *World) {
 		w.every(25*time.Second, 4, func(i int) {
-			for _, k := range w.someWorkers(2) {
+			for _, k := range w.randomMachines(2) {
 				id := k.host.ID
-				w.interrupt(18*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(18*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(2*time.Second, func() { w.crashLeader(time.Second) })
-			w.after(3*time.Second, func() { w.cancelNow(4, 0) })
+			w.after(3*time.Second, func() { w.cancelRunningJobs(4, 0) })
 		})
-	}, most: 8},
-	{name: "a report is held back until a new leader has acted", play: func(w *World) {
+	}, maxCancelledStarts: 8},
+	{name: "a report is held back until a new leader has acted", inject: func(w *World) {
 		w.every(30*time.Second, 4, func(int) {
-			for _, k := range w.someWorkers(3) {
+			for _, k := range w.randomMachines(3) {
 				id := k.host.ID
-				held := &cut{fate: packetsHeld, match: fromHost(string(id))}
-				w.cuts = append(w.cuts, held)
+				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
 			w.after(time.Second, func() { w.crashLeader(20 * time.Second) })
 		})
 	}},
-	{name: "transactions are carried out late, after newer ones", play: func(w *World) {
+	{name: "transactions are carried out late, after newer ones", inject: func(w *World) {
 		w.store.delayTransactions(0.3, 100*time.Second)
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
-	}, most: 2},
-	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, play: func(w *World) {
+	}, maxCancelledStarts: 2},
+	{name: "machines are up at once while writes lag, and the leader ends", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
-				w.store.loseAnswers(0.4, 10*time.Second)
+				w.store.loseResponses(0.4, 10*time.Second)
 			} else {
 				w.store.delayTransactions(0.4, 10*time.Second)
 			}
 			w.after(w.between(time.Second, 6*time.Second), func() { w.crashLeader(500 * time.Millisecond) })
 		})
 	}},
-	{name: "users ask all nodes within milliseconds, some cancel at once", play: func(w *World) {
+	{name: "users ask all nodes within milliseconds, some cancel at once", inject: func(w *World) {
 		w.askAllNodes = true
 		w.every(time.Second, 100, func(i int) {
 			var cancel time.Duration
@@ -95,8 +95,8 @@
 			w.submit(arrival{job: array(jobID(800200+i), 1), run: 3, cancelAfter: cancel})
 		})
 		w.every(30*time.Second, 3, func(int) { w.crashLeader(400 * time.Millisecond) })
-	}, most: 2},
-	{name: "controllers hand over and back, all end, one returns within a second", play: func(w *World) {
+	}, maxCancelledStarts: 2},
+	{name: "controllers hand over and back, all end, one returns within a second", inject: func(w *World) {
 		w.every(10*time.Second, 9, func(i int) {
 			if i%3 < 2 {
 				w.crashLeader(w.between(50*time.Millisecond, 900*time.Millisecond))
@@ -107,68 +107,68 @@
 			}
 		})
 	}},
-	{name: "the gap", play: func(w *World) {
+	{name: "the gap", inject: func(w *World) {
 		w.every(100*time.Second, 2, func(int) {
 			if c := w.leader(); c != nil {
 				// Its watches hang while renewals pass: it knows of no cancellation.
-				w.store.blind = c
-				w.after(500*time.Millisecond, func() { w.cancelNow(20, 0) })
+				w.store.nodeWithoutWatches = c
+				w.after(500*time.Millisecond, func() { w.cancelRunningJobs(20, 0) })
 				w.after(9*time.Second, func() { w.store.outage(61 * time.Second) })
-				w.after(75*time.Second, func() { w.store.blind = nil })
+				w.after(75*time.Second, func() { w.store.nodeWithoutWatches = nil })
 			}
 		})
-	}, most: 20},
-	{name: "the leader alone is refused, then everybody", play: func(w *World) {
+	}, maxCancelledStarts: 20},
+	{name: "the leader alone is refused, then everybody", inject: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 14*time.Second)
-				w.cancelNow(20, 0)
+				w.store.refuseNode(c, 14*time.Second)
+				w.cancelRunningJobs(20, 0)
 				w.after(time.Duration(1+i)*time.Second, func() { w.store.outage(58 * time.Second) })
 			}
 		})
-	}, most: 4},
-	{name: "a leader without key-value store and peers keeps workers and users", play: func(w *World) {
+	}, maxCancelledStarts: 4},
+	{name: "a leader without key-value store and peers keeps workers and users", inject: func(w *World) {
 		w.every(60*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.isolate(c, 40*time.Second, i == 0)
-				w.after(6*time.Second, func() { w.cancelNow(12, 0) })
-				w.after(9*time.Second, func() { w.cancelNow(12, 0) })
+				w.after(6*time.Second, func() { w.cancelRunningJobs(12, 0) })
+				w.after(9*time.Second, func() { w.cancelRunningJobs(12, 0) })
 			}
 		})
-	}, most: 6},
-	{name: "workers open no connections, calls reach them", play: func(w *World) {
+	}, maxCancelledStarts: 6},
+	{name: "workers open no connections, calls reach them", inject: func(w *World) {
 		w.every(45*time.Second, 3, func(i int) {
-			w.blockReports([]int{1, 3, 99}[i], 35*time.Second)
-			w.after(10*time.Second, func() { w.cancelNow(4, 0) })
+			w.blockHeartbeats([]int{1, 3, 99}[i], 35*time.Second)
+			w.after(10*time.Second, func() { w.cancelRunningJobs(4, 0) })
 			w.after(14*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
-	}, most: 4},
-	{name: "all controllers are away for longer than a lease", play: func(w *World) {
+	}, maxCancelledStarts: 4},
+	{name: "all controllers are away for longer than a lease", inject: func(w *World) {
 		w.after(20*time.Second, func() {
 			for _, c := range w.nodes {
 				c.crash(secs(w.shape.Agents.LeaseS) + w.between(2*time.Second, 9*time.Second))
 			}
 		})
 	}},
-	{name: "jobs of a few tasks end far apart across changes of leader", play: func(w *World) {
+	{name: "jobs of a few tasks end far apart across changes of leader", inject: func(w *World) {
 		for i := range 8 {
 			u := w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(800030+i), 2+i%2), run: 60})
 			u.job.progress[0], u.job.progress[1] = 55, 25
 		}
 		w.every(13*time.Second, 6, func(int) { w.crashLeader(1500 * time.Millisecond) })
 	}},
-	{name: "commands and answers are held up and the machine goes on", play: func(w *World) {
+	{name: "commands and answers are held up and the machine goes on", inject: func(w *World) {
 		w.every(12*time.Second, 8, func(i int) {
-			for _, k := range w.someWorkers(2) {
+			for _, k := range w.randomMachines(2) {
 				k.hang(w.between(2*time.Second, 20*time.Second))
 			}
-			w.after(time.Second, func() { w.cancelNow(1, 0) })
+			w.after(time.Second, func() { w.cancelRunningJobs(1, 0) })
 			if i%3 == 1 {
 				w.crashLeader(time.Second)
 			}
 		})
-	}, most: 6},
-	{name: "leaders change ten times in two minutes, also in an outage", play: func(w *World) {
+	}, maxCancelledStarts: 6},
+	{name: "leaders change ten times in two minutes, also in an outage", inject: func(w *World) {
 		w.every(12*time.Second, 10, func(i int) {
 			w.crashLeader(w.between(100*time.Millisecond, 5*time.Second))
 			if i == 4 {
@@ -176,90 +176,90 @@
 			}
 		})
 	}},
-	{name: "a leader ends while machines with long tasks are cut off or receive nothing", play: func(w *World) {
+	{name: "a leader ends while machines with long tasks are cut off or receive nothing", inject: func(w *World) {
 		w.every(40*time.Second, 3, func(i int) {
-			for n, k := range w.someWorkers(3) {
+			for n, k := range w.randomMachines(3) {
 				if n == 0 {
 					w.blockInbound(k.host.ID, 35*time.Second, i%2 == 0)
 				} else {
 					id := k.host.ID
-					w.interrupt(15*time.Second, packetsHeld, fromHost(string(id)))
+					w.disconnect(15*time.Second, packetsHeld, fromHost(string(id)))
 				}
 			}
 			w.after(2*time.Second, func() { w.crashLeader(3 * time.Second) })
 		})
 	}},
-	{name: "a zone with a controller is cut off for longer than a lease", play: func(w *World) {
-		for i, fate := range []packetFate{packetsHeld, packetsLost} {
+	{name: "a zone with a controller is cut off for longer than a lease", inject: func(w *World) {
+		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.interrupt(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
-				w.after(10*time.Second, func() { w.cancelNow(6, 0) })
+				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.after(10*time.Second, func() { w.cancelRunningJobs(6, 0) })
 			})
 		}
-	}, most: 6},
-	{name: "old reports reach every controller as a new leader begins", play: func(w *World) {
+	}, maxCancelledStarts: 6},
+	{name: "old reports reach every controller as a new leader begins", inject: func(w *World) {
 		w.every(25*time.Second, 5, func(i int) {
-			w.keepCopiesForNextLeader(24 * time.Second)
+			w.replayHeartbeatsToNextLeader(24 * time.Second)
 			w.after(15*time.Second, func() {
-				for _, k := range w.someWorkers(1) {
-					w.loseWorker(k)
+				for _, k := range w.randomMachines(1) {
+					w.loseAgent(k)
 				}
-				w.cancelNow(2, 0)
+				w.cancelRunningJobs(2, 0)
 				w.crashLeader(time.Duration(i) * 400 * time.Millisecond)
 			})
 		})
-	}, most: 2},
-	{name: "more work than capacity, urgent and not, over slow links", play: func(w *World) {
+	}, maxCancelledStarts: 2},
+	{name: "more work than capacity, urgent and not, over slow links", inject: func(w *World) {
 		w.submitMixedJobs(30, 40*time.Second)
-		w.store.slow = 150 * time.Millisecond
-		w.after(100*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 150 * time.Millisecond
+		w.after(100*time.Second, func() { w.store.extraLatency = 0 })
 		w.after(50*time.Second, func() { w.crashLeader(2 * time.Second) })
-	}, most: 4},
-	{name: "transactions are carried out at once and their answers lost", play: func(w *World) {
+	}, maxCancelledStarts: 4},
+	{name: "transactions are carried out at once and their answers lost", inject: func(w *World) {
 		w.askAllNodes = true
-		w.store.loseAnswers(0.4, 110*time.Second)
+		w.store.loseResponses(0.4, 110*time.Second)
 		w.after(50*time.Second, func() { w.crashLeader(time.Second) })
-	}, most: 4},
-	{name: "old reports arrive after newer ones, of earlier sessions and attempts", play: func(w *World) {
-		w.copies = 3 * secs(w.shape.Agents.LeaseS)
-		w.after(110*time.Second, func() { w.copies = 0 })
+	}, maxCancelledStarts: 4},
+	{name: "old reports arrive after newer ones, of earlier sessions and attempts", inject: func(w *World) {
+		w.maxCopyDelay = 3 * secs(w.shape.Agents.LeaseS)
+		w.after(110*time.Second, func() { w.maxCopyDelay = 0 })
 		w.every(30*time.Second, 4, func(i int) {
-			for _, k := range w.someWorkers(2) {
+			for _, k := range w.randomMachines(2) {
 				w.blockInbound(k.host.ID, secs(w.shape.Agents.LeaseS)+3*time.Second, i%2 == 0)
 			}
 			w.after(10*time.Second, func() { w.crashLeader(time.Second) })
 		})
-	}, most: 2},
-	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", play: func(w *World) {
+	}, maxCancelledStarts: 2},
+	{name: "teams at their limits, cancelled jobs' machines are cut off or hang, the leader changes", inject: func(w *World) {
 		for i := range 10 {
 			s := array(jobID(800040+i), 6)
 			s.Team = []protocol.TeamName{"red", "blue"}[i%2]
 			w.submit(arrival{job: s, run: 45})
 		}
 		w.every(22*time.Second, 5, func(i int) {
-			w.cancelNow(5, 20*time.Second)
-			for _, k := range w.someWorkers(1) {
+			w.cancelRunningJobs(5, 20*time.Second)
+			for _, k := range w.randomMachines(1) {
 				id := k.host.ID
-				w.interrupt(20*time.Second, i%2 == 0, fromHost(string(id)))
+				w.disconnect(20*time.Second, i%2 == 0, fromHost(string(id)))
 			}
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
-	}, most: 10},
-	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", play: func(w *World) {
+	}, maxCancelledStarts: 10},
+	{name: "the key-value store is slow, refuses the leader, then everybody, while users cancel and ask", inject: func(w *World) {
 		w.askAllNodes = true
-		w.store.slow = 300 * time.Millisecond
-		w.every(3*time.Second, 12, func(int) { w.cancelNow(1, 0) })
+		w.store.extraLatency = 300 * time.Millisecond
+		w.every(3*time.Second, 12, func(int) { w.cancelRunningJobs(1, 0) })
 		w.after(20*time.Second, func() {
 			if c := w.leader(); c != nil {
-				w.store.refuse(c, 20*time.Second)
+				w.store.refuseNode(c, 20*time.Second)
 			}
 		})
 		w.after(26*time.Second, func() { w.store.outage(secs(w.shape.Agents.CancelS) + 6*time.Second) })
-		w.after(95*time.Second, func() { w.store.slow = 0 })
-	}, most: 4},
+		w.after(95*time.Second, func() { w.store.extraLatency = 0 })
+	}, maxCancelledStarts: 4},
 	{name: "one-task jobs come four a second, a quarter cancelled", shape: func(s *Shape) {
 		s.Store.RPS, s.Store.WriteRPS, s.Store.TxnOps, s.Capacity = 300, 50, 12, 30
-	}, play: func(w *World) {
+	}, inject: func(w *World) {
 		w.every(250*time.Millisecond, 400, func(i int) {
 			var cancel time.Duration
 			if i%4 == 0 {
@@ -267,7 +267,7 @@
 			}
 			w.submit(arrival{job: array(jobID(810000+i), 1), run: 4, cancelAfter: cancel})
 		})
-	}, most: 10},
+	}, maxCancelledStarts: 10},
 }
 
 // TestFaultCombinations plays every combination of faults on a few seeds, over work of every
@@ -285,16 +285,16 @@
 			t.Parallel()
 			late := 0
 			for seed := range seeds {
-				shape := Small()
+				shape := SmallShape()
 				if seed%2 == 1 {
-					shape = tiny()
+					shape = tinyCPUShape()
 				}
 				if m.shape != nil {
 					m.shape(&shape)
 				}
 				late += m.run(t, 500+seed, shape)
 			}
-			if late > (m.most+1)*int(seeds) { // one may be on its way at any time
+			if late > (m.maxCancelledStarts+1)*int(seeds) { // one may be on its way at any time
 				t.Errorf("%d starts after a confirmed cancellation", late)
 			}
 		})
@@ -304,13 +304,13 @@
 // run plays a combination on a seed and returns the starts after a confirmed cancellation.
 func (m *faultCombination) run(t *testing.T, seed uint64, shape Shape) (late int) {
 	t.Helper()
-	w := NewShaped(seed, logs(), shape)
+	w := NewWithShape(seed, logs(), shape)
 	w.submitMixedJobs(16, 60*time.Second)
 	w.Run(20 * time.Second)
-	m.play(w)
+	m.inject(w)
 	w.Run(200 * time.Second)
-	w.cancelAtEnd, w.askAllNodes, w.cloud.fastBoot = 0, false, false
-	w.faultsOver = w.Now
+	w.cancelAtEndShare, w.askAllNodes, w.cloud.fastBoot = 0, false, false
+	w.faultsEndedAt = w.Now
 	w.watchWaitingJobs()
 	w.runUntilOver()
 	if w.rules.started == 0 {
@@ -319,5 +319,5 @@
 	for _, f := range w.rules.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
-	return w.rules.lateStarts
+	return w.rules.startsAfterCancellation
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -7,51 +7,51 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// someWorkers draws up to n machines.
-func (w *World) someWorkers(n int) []*agent {
-	list := w.workersInOrder()
+// randomMachines draws up to n machines.
+func (w *World) randomMachines(n int) []*agent {
+	list := w.agentsInCreationOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
 }
 
-// blockReports lets machines reach no controller for a while, though calls reach them.
-func (w *World) blockReports(n int, d time.Duration) {
-	for _, agent := range w.someWorkers(n) {
+// blockHeartbeats lets machines reach no controller for a while, though calls reach them.
+func (w *World) blockHeartbeats(n int, d time.Duration) {
+	for _, agent := range w.randomMachines(n) {
 		agent.opensNoConnections = true
 		w.after(d, func() { agent.opensNoConnections = false })
 	}
 }
 
-// keepCopiesForNextLeader keeps copies of the reports of a while; every controller gets them just
+// replayHeartbeatsToNextLeader keeps copies of the reports of a while; every controller gets them just
 // as the next leader begins.
-func (w *World) keepCopiesForNextLeader(d time.Duration) {
-	w.keep, w.kept = true, nil
+func (w *World) replayHeartbeatsToNextLeader(d time.Duration) {
+	w.recordHeartbeats, w.recordedHeartbeats = true, nil
 	was := w.leader()
 	var awaitLeader func()
 	awaitLeader = func() {
 		if c := w.leader(); c != nil && c != was {
-			w.keep = false
-			for _, body := range w.kept {
+			w.recordHeartbeats = false
+			for _, body := range w.recordedHeartbeats {
 				for _, n := range w.nodes {
-					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverCopy(n, body) })
+					w.after(w.between(0, 20*time.Millisecond), func() { w.deliverHeartbeatCopy(n, body) })
 				}
 			}
-			w.kept = nil
+			w.recordedHeartbeats = nil
 			return
 		}
 		d -= 5 * time.Millisecond
 		if d > 0 {
 			w.after(5*time.Millisecond, awaitLeader)
 		} else {
-			w.keep, w.kept = false, nil
+			w.recordHeartbeats, w.recordedHeartbeats = false, nil
 		}
 	}
 	awaitLeader()
 }
 
-// cancelNow has users cancel up to n jobs that run, within a fifth of a second;
+// cancelRunningJobs has users cancel up to n jobs that run, within a fifth of a second;
 // the machines of some hang.
-func (w *World) cancelNow(n int, hang time.Duration) {
+func (w *World) cancelRunningJobs(n int, hang time.Duration) {
 	for _, u := range w.users {
 		if n == 0 {
 			return
@@ -75,16 +75,16 @@
 	}
 }
 
-// oddRequests has users repeat submissions, cancel what is over and send what can
+// sendRedundantAndInvalidRequests has users repeat submissions, cancel what is over and send what can
 // never run.
-func (w *World) oddRequests(d time.Duration) {
+func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
 	const apart = 500 * time.Millisecond
 	w.every(apart, int(d/apart), func(int) {
 		c := w.nodes[w.rng.IntN(len(w.nodes))]
 		if u := w.users[w.rng.IntN(len(w.users))]; u.accepted {
 			u.askAllNodes()
 			if u.over {
-				u.cancelTooLate(c)
+				u.cancelFinishedJob(c)
 			}
 		}
 		job := w.impossibleJob()
@@ -96,8 +96,8 @@
 	})
 }
 
-// cancelTooLate asks a node for the cancellation of a job that is over, which changes nothing.
-func (u *user) cancelTooLate(c *controller) {
+// cancelFinishedJob asks a node for the cancellation of a job that is over, which changes nothing.
+func (u *user) cancelFinishedJob(c *controller) {
 	told := u.phase
 	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
 		var a protocol.Accepted
@@ -131,14 +131,14 @@
 	var inspect func()
 	inspect = func() {
 		for _, u := range w.users {
-			if !w.waitsBesideCapacity(u) {
+			if !w.waitsDespiteCapacity(u) {
 				delete(since, u)
 				continue
 			}
 			if since[u].IsZero() {
 				since[u] = w.Now
 			}
-			if w.Now.Sub(since[u]) > maxWaitBesideCapacity {
+			if w.Now.Sub(since[u]) > maxWaitDespiteCapacity {
 				w.rules.violated(ruleLeftWaiting, "%s waits beside capacity for %v", u.job.spec.ID, w.Now.Sub(since[u]))
 				since[u] = w.Now
 			}
@@ -148,14 +148,14 @@
 	inspect()
 }
 
-// waitsBesideCapacity says whether an accepted job has a task nowhere while machines have
+// waitsDespiteCapacity says whether an accepted job has a task nowhere while machines have
 // capacity for it, a gang for all, and its team is under its limit.
-func (w *World) waitsBesideCapacity(u *user) bool {
+func (w *World) waitsDespiteCapacity(u *user) bool {
 	spec := u.job.spec
-	if !u.accepted || u.cancelRequested || u.over || u.job.mistaken {
+	if !u.accepted || u.cancelRequested || u.over || u.job.alwaysFails {
 		return false
 	}
-	want := w.unplaced(u)
+	want := w.unplacedTasks(u)
 	if want == 0 || spec.Gang() && want < spec.Tasks {
 		return false
 	}
@@ -178,8 +178,8 @@
 	return false
 }
 
-// unplaced counts the tasks of a user's job that are neither done nor on a machine.
-func (w *World) unplaced(u *user) (n int) {
+// unplacedTasks counts the tasks of a user's job that are neither done nor on a machine.
+func (w *World) unplacedTasks(u *user) (n int) {
 	for i := range u.job.spec.Tasks {
 		if w.rules.placed[protocol.TaskName(u.job.spec.ID, i)] == nil && !u.job.done[i] {
 			n++
@@ -193,7 +193,7 @@
 func (w *World) tasksThatFit(spec *protocol.Job) map[protocol.ZoneName]int {
 	fit := map[protocol.ZoneName]int{}
 	for _, agent := range w.agents {
-		if agent.hung || agent.noticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
+		if agent.hung || agent.preemptionNoticeS != nil || spec.Zone != "" && spec.Zone != agent.host.Zone || agent.host.Spot && !spec.Spot {
 			continue
 		}
 		cpus, gpus, memory := w.shape.Type.CPUs, w.shape.Type.GPUs, w.shape.Type.MemoryGB
@@ -223,7 +223,7 @@
 		w.Run(5 * time.Second)
 	}
 	for _, u := range w.users {
-		if !u.over && !u.job.mistaken {
+		if !u.over && !u.job.alwaysFails {
 			w.rules.violated(ruleLiveness, "%s %s of %d tasks is still %q: done %v", u.job.spec.ID, u.job.spec.Shape, u.job.spec.Tasks, u.phase, u.job.done)
 		}
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -7,23 +7,23 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// faultDraw is what the lot has drawn for a fault.
-type faultDraw struct {
-	node    *controller
-	machine *agent // nil if none is up
-	span    time.Duration
-	fate    packetFate // at a cut
+// faultParameters is what the lot has drawn for a fault.
+type faultParameters struct {
+	node     *controller
+	machine  *agent // nil if none is up
+	duration time.Duration
+	fate     packetHandling // at a cut
 }
 
 // faultKind is a kind of fault that random days inject.
 type faultKind struct {
 	name   string
-	inject func(w *World, d faultDraw)
+	inject func(w *World, d faultParameters)
 }
 
-// onMachine makes a fault of a machine one that does nothing if no machine is up.
-func onMachine(inject func(w *World, agent *agent, d faultDraw)) func(*World, faultDraw) {
-	return func(w *World, d faultDraw) {
+// machineFault makes a fault of a machine one that does nothing if no machine is up.
+func machineFault(inject func(w *World, agent *agent, d faultParameters)) func(*World, faultParameters) {
+	return func(w *World, d faultParameters) {
 		if d.machine != nil {
 			inject(w, d.machine, d)
 		}
@@ -34,55 +34,55 @@
 // a new kind changes every random day.
 var faultKinds = []faultKind{
 	// A controller's process ends without a signal and is back within seconds.
-	{"controller crashes", func(w *World, d faultDraw) { d.node.crash(w.crashTime()) }},
+	{"controller crashes", func(w *World, d faultParameters) { d.node.crash(w.randomDowntime()) }},
 	// All controllers end at once and are back one after the other.
-	{"all controllers crash", func(w *World, _ faultDraw) {
+	{"all controllers crash", func(w *World, _ faultParameters) {
 		for _, c := range w.nodes {
-			c.crash(w.crashTime())
+			c.crash(w.randomDowntime())
 		}
 	}},
 	// Nothing passes between the zones.
-	{"zones cut off from each other", func(w *World, d faultDraw) { w.interrupt(d.span, d.fate, w.inDifferentZones) }},
+	{"zones cut off from each other", func(w *World, d faultParameters) { w.disconnect(d.duration, d.fate, w.inDifferentZones) }},
 	// A controller reaches neither the key-value store nor any other host.
-	{"controller cut off", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
+	{"controller cut off", func(w *World, d faultParameters) {
+		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
 	// A controller reaches everything but the key-value store.
-	{"controller cut off from the store", func(w *World, d faultDraw) {
-		w.interrupt(d.span, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
+	{"controller cut off from the store", func(w *World, d faultParameters) {
+		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
 	// The key-value store refuses every request.
-	{"store outage", func(w *World, d faultDraw) { w.store.outage(d.span) }},
+	{"store outage", func(w *World, d faultParameters) { w.store.outage(d.duration) }},
 	// The key-value store refuses one controller alone.
-	{"store refuses a controller", func(w *World, d faultDraw) { w.store.refuse(d.node, d.span) }},
+	{"store refuses a controller", func(w *World, d faultParameters) { w.store.refuseNode(d.node, d.duration) }},
 	// The cloud refuses every request.
-	{"cloud outage", func(w *World, d faultDraw) {
+	{"cloud outage", func(w *World, d faultParameters) {
 		w.cloud.down = true
-		w.after(d.span, func() { w.cloud.down = false })
+		w.after(d.duration, func() { w.cloud.down = false })
 	}},
 	// A machine reaches nobody and nobody reaches it.
-	{"machine cut off", onMachine(func(w *World, k *agent, d faultDraw) {
-		w.interrupt(d.span, d.fate, fromHost(string(k.host.ID)))
+	{"machine cut off", machineFault(func(w *World, k *agent, d faultParameters) {
+		w.disconnect(d.duration, d.fate, fromHost(string(k.host.ID)))
 	})},
 	// A machine stands still and goes on.
-	{"machine hangs", onMachine(func(_ *World, k *agent, d faultDraw) { k.hang(d.span) })},
+	{"machine hangs", machineFault(func(_ *World, k *agent, d faultParameters) { k.hang(d.duration) })},
 	// A machine's worker ends with its tasks; the cloud goes on listing the machine.
-	{"machine dies", onMachine(func(w *World, k *agent, _ faultDraw) { w.loseWorker(k) })},
+	{"machine dies", machineFault(func(w *World, k *agent, _ faultParameters) { w.loseAgent(k) })},
 	// Every task that starts on a machine ends with an error.
-	{"machine fails every task", onMachine(func(_ *World, k *agent, _ faultDraw) { k.failsTasks = true })},
+	{"machine fails every task", machineFault(func(_ *World, k *agent, _ faultParameters) { k.failsTasks = true })},
 	// A machine's reports arrive, but no answer and no order reaches it.
-	{"machine receives nothing", onMachine(func(w *World, k *agent, d faultDraw) {
-		w.blockInbound(k.host.ID, 2*d.span, d.fate)
+	{"machine receives nothing", machineFault(func(w *World, k *agent, d faultParameters) {
+		w.blockInbound(k.host.ID, 2*d.duration, d.fate)
 	})},
 	// Copies of reports arrive late, at any controller.
-	{"copies of reports come late", func(w *World, d faultDraw) {
-		w.copies = w.between(2*time.Second, 90*time.Second)
-		w.after(d.span, func() { w.copies = 0 })
+	{"copies of reports come late", func(w *World, d faultParameters) {
+		w.maxCopyDelay = w.between(2*time.Second, 90*time.Second)
+		w.after(d.duration, func() { w.maxCopyDelay = 0 })
 	}},
 	// A controller reaches its workers, but neither the store nor its peers.
-	{"controller isolated", func(w *World, d faultDraw) { w.isolate(d.node, d.span, d.fate) }},
+	{"controller isolated", func(w *World, d faultParameters) { w.isolate(d.node, d.duration, d.fate) }},
 	// Controllers end one after the other and are back within a fraction of a second.
-	{"controllers restart at once", func(w *World, _ faultDraw) {
+	{"controllers restart at once", func(w *World, _ faultParameters) {
 		for i := range 3 {
 			w.after(time.Duration(i)*w.between(100*time.Millisecond, 2*time.Second), func() {
 				w.nodes[w.rng.IntN(len(w.nodes))].crash(w.between(10*time.Millisecond, 400*time.Millisecond))
@@ -90,100 +90,100 @@
 		}
 	}},
 	// Every answer of the key-value store takes long.
-	{"store slow", func(w *World, d faultDraw) {
-		w.store.slow = w.between(50*time.Millisecond, 400*time.Millisecond)
-		w.after(d.span, func() { w.store.slow = 0 })
+	{"store slow", func(w *World, d faultParameters) {
+		w.store.extraLatency = w.between(50*time.Millisecond, 400*time.Millisecond)
+		w.after(d.duration, func() { w.store.extraLatency = 0 })
 	}},
 	// The cloud takes a spot instance back, with notice.
-	{"spot instance reclaimed", onMachine(func(w *World, k *agent, _ faultDraw) {
+	{"spot instance reclaimed", machineFault(func(w *World, k *agent, _ faultParameters) {
 		if k.host.Spot {
-			k.giveNotice(20)
+			k.announcePreemption(20)
 			w.after(w.between(10*time.Second, 30*time.Second), func() { w.cloud.destroy(k.host) })
 		}
 	})},
 	// Some transactions are carried out late, after newer ones, and get no answer.
-	{"transactions late", func(w *World, d faultDraw) { w.store.delayTransactions(0.3, d.span) }},
+	{"transactions late", func(w *World, d faultParameters) { w.store.delayTransactions(0.3, d.duration) }},
 	// Some transactions are carried out at once and get no answer.
-	{"answers to transactions lost", func(w *World, d faultDraw) { w.store.loseAnswers(0.3, d.span) }},
+	{"answers to transactions lost", func(w *World, d faultParameters) { w.store.loseResponses(0.3, d.duration) }},
 	// Two machines open no connection; calls reach them.
-	{"machines cannot report", func(w *World, d faultDraw) { w.blockReports(2, d.span) }},
+	{"machines cannot report", func(w *World, d faultParameters) { w.blockHeartbeats(2, d.duration) }},
 	// All controllers are away for long.
-	{"cold restart", func(w *World, d faultDraw) {
+	{"cold restart", func(w *World, d faultParameters) {
 		for _, c := range w.nodes {
-			c.crash(w.between(d.span/2, d.span))
+			c.crash(w.between(d.duration/2, d.duration))
 		}
 	}},
 	// All controllers end; the next leader gets copies of old reports, and some machines
 	// report late.
-	{"cold restart, copies and machines late", func(w *World, d faultDraw) {
+	{"cold restart, copies and machines late", func(w *World, d faultParameters) {
 		for _, c := range w.nodes {
 			c.crash(w.between(time.Second, 8*time.Second))
 		}
-		w.keepCopiesForNextLeader(2 * d.span)
-		w.blockReports(2, d.span/2)
+		w.replayHeartbeatsToNextLeader(2 * d.duration)
+		w.blockHeartbeats(2, d.duration/2)
 	}},
 	// The next leader gets copies of old reports as it begins.
-	{"copies kept for the next leader", func(w *World, d faultDraw) { w.keepCopiesForNextLeader(2 * d.span) }},
+	{"copies kept for the next leader", func(w *World, d faultParameters) { w.replayHeartbeatsToNextLeader(2 * d.duration) }},
 	// Jobs are cancelled whose machines hang.
-	{"jobs cancelled, machines hang", func(w *World, d faultDraw) { w.cancelNow(4, d.span) }},
+	{"jobs cancelled, machines hang", func(w *World, d faultParameters) { w.cancelRunningJobs(4, d.duration) }},
 	// Half of the jobs are cancelled at the moment of their end.
-	{"jobs cancelled at their end", func(w *World, d faultDraw) {
-		w.cancelAtEnd = 0.5
-		w.after(d.span, func() { w.cancelAtEnd = 0 })
+	{"jobs cancelled at their end", func(w *World, d faultParameters) {
+		w.cancelAtEndShare = 0.5
+		w.after(d.duration, func() { w.cancelAtEndShare = 0 })
 	}},
 	// Users ask every node after every answer.
-	{"users ask all nodes", func(w *World, d faultDraw) {
+	{"users ask all nodes", func(w *World, d faultParameters) {
 		w.askAllNodes = true
-		w.after(d.span, func() { w.askAllNodes = false })
+		w.after(d.duration, func() { w.askAllNodes = false })
 	}},
 	// Users repeat submissions, cancel what is over and submit what can never run.
-	{"odd requests", func(w *World, d faultDraw) { w.oddRequests(min(d.span, 10*time.Second)) }},
+	{"odd requests", func(w *World, d faultParameters) { w.sendRedundantAndInvalidRequests(min(d.duration, 10*time.Second)) }},
 	// No watch of a controller is answered, while its other requests are.
-	{"watches of a controller hang", func(w *World, d faultDraw) {
-		w.store.blind = d.node
-		w.after(d.span, func() { w.store.blind = nil })
+	{"watches of a controller hang", func(w *World, d faultParameters) {
+		w.store.nodeWithoutWatches = d.node
+		w.after(d.duration, func() { w.store.nodeWithoutWatches = nil })
 	}},
 	// The store refuses the leader alone, jobs are cancelled, and then it refuses everybody.
-	{"the leader is refused, then all are", func(w *World, d faultDraw) {
+	{"the leader is refused, then all are", func(w *World, d faultParameters) {
 		if c := w.leader(); c != nil {
-			w.store.refuse(c, 3*time.Second)
-			w.cancelNow(3, 0)
-			w.after(w.between(time.Second, 4*time.Second), func() { w.store.outage(d.span) })
+			w.store.refuseNode(c, 3*time.Second)
+			w.cancelRunningJobs(3, 0)
+			w.after(w.between(time.Second, 4*time.Second), func() { w.store.outage(d.duration) })
 		}
 	}},
 }
 
-// crashTime draws how long a crashed controller is away.
-func (w *World) crashTime() time.Duration { return w.between(200*time.Millisecond, 6*time.Second) }
+// randomDowntime draws how long a crashed controller is away.
+func (w *World) randomDowntime() time.Duration { return w.between(200*time.Millisecond, 6*time.Second) }
 
 // injectFault injects one fault of a kind drawn by lot, and says which.
 func (w *World) injectFault() string {
-	d := w.drawFault()
+	d := w.drawFaultParameters()
 	kind := faultKinds[w.rng.IntN(len(faultKinds))]
 	kind.inject(w, d)
 	var machine protocol.MachineID
 	if d.machine != nil {
 		machine = d.machine.host.ID
 	}
-	what := fmt.Sprintf("%s (of %s or %s, %v, %v)", kind.name, d.node.name, machine, d.span, d.fate)
+	what := fmt.Sprintf("%s (of %s or %s, %v, %v)", kind.name, d.node.name, machine, d.duration, d.fate)
 	w.log.Info("fault injected", "fault", what)
 	return what
 }
 
-// drawFault draws what a fault may need: a controller, a machine, its time.
-func (w *World) drawFault() faultDraw {
-	d := faultDraw{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
-	for _, agent := range w.workersInOrder() {
+// drawFaultParameters draws what a fault may need: a controller, a machine, its time.
+func (w *World) drawFaultParameters() faultParameters {
+	d := faultParameters{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
+	for _, agent := range w.agentsInCreationOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
 			d.machine = agent
 		}
 	}
-	d.span = w.between(time.Second, 45*time.Second)
+	d.duration = w.between(time.Second, 45*time.Second)
 	return d
 }
 
-// giveNotice has a machine report that it is taken away after some seconds.
-func (a *agent) giveNotice(seconds float64) {
-	a.noticeS = &seconds
-	a.noteChange()
+// announcePreemption has a machine report that it is taken away after some seconds.
+func (a *agent) announcePreemption(seconds float64) {
+	a.preemptionNoticeS = &seconds
+	a.reportChange()
 }
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -31,8 +31,8 @@
 	trace   io.Writer // a readable copy, nil for none
 }
 
-// watch has a fingerprint made of what the controllers of a world do from now on.
-func (f *fingerprint) watch(w *World) *World {
+// attach has a fingerprint made of what the controllers of a world do from now on.
+func (f *fingerprint) attach(w *World) *World {
 	f.w, f.hash = w, sha256.New()
 	w.recorder = f.record
 	return w
@@ -77,21 +77,21 @@
 // add hashes the parts of an action, each with its length before it.
 func (f *fingerprint) add(controller, kind string, parts ...any) {
 	f.actions++
-	f.number(uint64(f.w.Now.UnixNano()))
-	f.text([]byte(controller))
-	f.text([]byte(kind))
+	f.addNumber(uint64(f.w.Now.UnixNano()))
+	f.addBytes([]byte(controller))
+	f.addBytes([]byte(kind))
 	for _, part := range parts {
 		switch p := part.(type) {
 		case string:
-			f.text([]byte(p))
+			f.addBytes([]byte(p))
 		case []byte:
-			f.text(p)
+			f.addBytes(p)
 		case int:
-			f.number(uint64(p))
+			f.addNumber(uint64(p))
 		case uint64:
-			f.number(p)
+			f.addNumber(p)
 		case time.Duration:
-			f.number(uint64(p))
+			f.addNumber(uint64(p))
 		default:
 			panic("a part that fingerprints do not know")
 		}
@@ -115,101 +115,101 @@
 	return out.String()
 }
 
-func (f *fingerprint) number(n uint64) {
+func (f *fingerprint) addNumber(n uint64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], n)
 	f.hash.Write(b[:])
 }
 
-func (f *fingerprint) text(b []byte) {
-	f.number(uint64(len(b)))
+func (f *fingerprint) addBytes(b []byte) {
+	f.addNumber(uint64(len(b)))
 	f.hash.Write(b)
 }
 
-// fingerprintDay is a kind of day that fingerprints are taken of.
-type fingerprintDay struct {
+// fingerprintScenario is a kind of day that fingerprints are taken of.
+type fingerprintScenario struct {
 	name  string
 	seeds int // that the golden file has, from 0 on
-	play  func(seed uint64, f *fingerprint)
+	run   func(seed uint64, f *fingerprint)
 }
 
-// ofShape is a random day of a shape.
-func ofShape(shape Shape) func(seed uint64, f *fingerprint) {
-	return func(seed uint64, f *fingerprint) { f.watch(NewShaped(seed, logs(), shape)).playDay() }
+// randomFaultsScenario is a random day of a shape.
+func randomFaultsScenario(shape Shape) func(seed uint64, f *fingerprint) {
+	return func(seed uint64, f *fingerprint) { f.attach(NewWithShape(seed, logs(), shape)).runWithFaults() }
 }
 
-// fingerprintDays are shapes and events that between them reach all that a controller does.
-func fingerprintDays() []fingerprintDay {
-	recoveringTiny, slow := tiny(), Small()
+// fingerprintScenarios are shapes and events that between them reach all that a controller does.
+func fingerprintScenarios() []fingerprintScenario {
+	recoveringTiny, slow := tinyCPUShape(), SmallShape()
 	recoveringTiny.Recovery, slow.Slow = true, true
-	return []fingerprintDay{
-		{"small", 6, ofShape(Small())},
-		{"small-recovery", 6, ofShape(recovering())},
-		{"tiny", 5, ofShape(tiny())},
-		{"tiny-recovery", 5, ofShape(recoveringTiny)},
-		{"slow", 3, ofShape(slow)},
-		{"slow-crowd", 2, slowCrowdDay},
-		{"upgrade-0.2", 4, upgradeDay(0)},
-		{"upgrade-0.3", 4, upgradeDay(1)},
-		{"upgrade-mixed", 4, upgradeDay(2)},
-		{"lowered-limits", len(lowerings), loweredLimitsDay},
-		{"services", len(serviceFaults), servicesDay},
-		{"cold-restart", 4, coldRestartDay},
-		{"restored-store", 3, restoredStoreDay},
-		{"damaged-records", 2, damagedRecordsDay},
-		{"fleet", 2, fleetDay},
+	return []fingerprintScenario{
+		{"small", 6, randomFaultsScenario(SmallShape())},
+		{"small-recovery", 6, randomFaultsScenario(smallWithRecovery())},
+		{"tiny", 5, randomFaultsScenario(tinyCPUShape())},
+		{"tiny-recovery", 5, randomFaultsScenario(recoveringTiny)},
+		{"slow", 3, randomFaultsScenario(slow)},
+		{"slow-crowd", 2, slowCrowdScenario},
+		{"upgrade-0.2", 4, upgradeScenario(0)},
+		{"upgrade-0.3", 4, upgradeScenario(1)},
+		{"upgrade-mixed", 4, upgradeScenario(2)},
+		{"lowered-limits", len(loweringScenarios), loweredLimitsScenario},
+		{"services", len(serviceFaults), servicesScenario},
+		{"cold-restart", 4, coldRestartScenario},
+		{"restored-store", 3, restoredStoreScenario},
+		{"damaged-records", 2, malformedRecordsScenario},
+		{"fleet", 2, largeClusterScenario},
 	}
 }
 
-// randomFaults injects faults of kinds drawn by lot for a while.
-func (w *World) randomFaults(apart time.Duration, times int) {
+// runWithRandomFaults injects faults of kinds drawn by lot for a while.
+func (w *World) runWithRandomFaults(apart time.Duration, times int) {
 	w.every(apart, times, func(int) { w.injectFault() })
 	w.Run(time.Duration(times) * apart)
 	w.Run(40 * time.Second)
-	w.faultsOver = w.Now
-	w.healWorkers()
+	w.faultsEndedAt = w.Now
+	w.healAgents()
 }
 
-// slowCrowdDay is a crowd of jobs and questions at controllers that take time for all.
-func slowCrowdDay(seed uint64, f *fingerprint) {
-	shape := smallestBudgets()
+// slowCrowdScenario is a crowd of jobs and questions at controllers that take time for all.
+func slowCrowdScenario(seed uint64, f *fingerprint) {
+	shape := smallestBudgetShape()
 	shape.Slow, shape.Capacity = true, 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(3 * time.Second)
-	w.submitCrowd(60, 60*time.Second)
+	w.submitJobBurst(60, 60*time.Second)
 	w.every(20*time.Millisecond, 500, func(i int) {
 		w.nodes[i%len(w.nodes)].ask(statusQuery(jobID(900_000+i)), func(int, []byte) {})
 	})
 	w.Run(40 * time.Second)
-	w.randomFaults(7*time.Second, 8)
+	w.runWithRandomFaults(7*time.Second, 8)
 	w.Run(60 * time.Second)
 }
 
-// upgradeDay is a day of TestUpgrade: from 0.2, 0.3 or both; the limits are lowered after.
+// upgradeScenario is a day of TestUpgradeUnderFaultsKeepsRules: from 0.2, 0.3 or both; the limits are lowered after.
 // Only the first seed is without other faults.
-func upgradeDay(from int) func(seed uint64, f *fingerprint) {
+func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
-		f.watch(newUpgradeWorld(3*int(seed) + from)).playUpgrade(seed > 0)
+		f.attach(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsDay has the limits fall far in one of the ways of TestLimitsLoweredFar, with
+// loweredLimitsScenario has the limits fall far in one of the ways of TestLimitsLoweredFarBelowRecordSizes, with
 // other faults after.
-func loweredLimitsDay(seed uint64, f *fingerprint) {
-	c := lowerings[seed%uint64(len(lowerings))]
-	w := f.watch(c.newWorld(seed))
-	w.submitWide()
-	c.play(w)
+func loweredLimitsScenario(seed uint64, f *fingerprint) {
+	c := loweringScenarios[seed%uint64(len(loweringScenarios))]
+	w := f.attach(c.newWorld(seed))
+	w.submitLargeJobs()
+	c.lowerLimits(w)
 	w.Run(20 * time.Second)
-	w.randomFaults(9*time.Second, 5)
+	w.runWithRandomFaults(9*time.Second, 5)
 	w.Run(60 * time.Second)
 }
 
-// servicesDay has services beside other work, one of the faults of TestServicesServeThroughFaults and others
+// servicesScenario has services beside other work, one of the faults of TestServicesServeThroughFaults and others
 // after.
-func servicesDay(seed uint64, f *fingerprint) {
-	w := f.watch(New(seed, logs()))
+func servicesScenario(seed uint64, f *fingerprint) {
+	w := f.attach(New(seed, logs()))
 	w.Run(6 * time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 150 * time.Second})
 	w.Run(10 * time.Second)
@@ -220,27 +220,27 @@
 	}
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(4 * time.Second)
-	serviceFaults[seed%uint64(len(serviceFaults))].play(w, u)
+	serviceFaults[seed%uint64(len(serviceFaults))].inject(w, u)
 	w.Run(40 * time.Second)
-	w.randomFaults(9*time.Second, 6)
+	w.runWithRandomFaults(9*time.Second, 6)
 	w.Run(60 * time.Second)
 }
 
-// coldRestartDay loses all controllers of a hundred and twenty machines in the middle of work.
-func coldRestartDay(seed uint64, f *fingerprint) {
-	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, Equal: seed%3 == 0}
-	w := f.watch(newWorld(seed, logs(), c.Shape(), nil))
-	if _, err := c.run(&simulated{w}); err != nil {
+// coldRestartScenario loses all controllers of a hundred and twenty machines in the middle of work.
+func coldRestartScenario(seed uint64, f *fingerprint) {
+	c := ColdRestart{Machines: 120, Before: 15 * time.Second, Away: 3 * time.Second, After: 40 * time.Second, Recovery: seed%2 == 0, EqualPriorities: seed%3 == 0}
+	w := f.attach(newWorld(seed, logs(), c.Shape(), nil))
+	if _, err := c.run(&simulatedDeployment{w}); err != nil {
 		panic(err)
 	}
 }
 
-// restoredStoreDay has the key-value store come back without its newest records while no
+// restoredStoreScenario has the key-value store come back without its newest records while no
 // controller is up.
-func restoredStoreDay(seed uint64, f *fingerprint) {
-	shape := Small()
+func restoredStoreScenario(seed uint64, f *fingerprint) {
+	shape := SmallShape()
 	shape.Recovery, shape.Capacity = seed%2 == 0, 24
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submitMixedJobs(10, 60*time.Second)
 	w.Run(40 * time.Second)
@@ -255,48 +255,48 @@
 	w.Run(time.Second)
 	w.store.restore(old)
 	w.Run(100 * time.Second)
-	w.randomFaults(9*time.Second, 4)
+	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// damagedRecordsDay has new leaders find records that make no sense.
-func damagedRecordsDay(seed uint64, f *fingerprint) {
-	shape := Small()
+// malformedRecordsScenario has new leaders find records that make no sense.
+func malformedRecordsScenario(seed uint64, f *fingerprint) {
+	shape := SmallShape()
 	shape.Recovery, shape.Machines = seed%2 == 0, 8
-	w := f.watch(NewShaped(seed, logs(), shape))
+	w := f.attach(NewWithShape(seed, logs(), shape))
 	w.Run(6 * time.Second)
 	w.submit(arrival{job: array("run-000001", 5), run: 150})
 	w.submit(arrival{job: gangJob("run-000002", 6), run: 150})
 	w.submitMixedJobs(8, 60*time.Second)
 	w.Run(30 * time.Second)
 	w.crashAll(3 * time.Second)
-	w.damage("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
-	w.damage("g/j/run-999998", `{"w":"x","v":9}`)
-	w.damage("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
-	w.damage("g/m/nobody", `{"w":"x","rooms":7}`)
-	w.damage("g/q/unknown", `1`)
+	w.writeMalformedRecord("g/j/run-000001", []string{`{"w":"x","spec":7}`, `{"w":"x","v":9}`, `null`}[seed%3])
+	w.writeMalformedRecord("g/j/run-999998", `{"w":"x","v":9}`)
+	w.writeMalformedRecord("g/t/run-000002/1", `{"w":"x","tasks":[[1]]}`)
+	w.writeMalformedRecord("g/m/nobody", `{"w":"x","rooms":7}`)
+	w.writeMalformedRecord("g/q/unknown", `1`)
 	w.Run(60 * time.Second)
-	w.randomFaults(9*time.Second, 4)
+	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// fleetDay is a day of some three hundred machines with random faults, the loss of a zone
+// largeClusterScenario is a day of some three hundred machines with random faults, the loss of a zone
 // and of all controllers.
-func fleetDay(seed uint64, f *fingerprint) {
-	shape := thousandMachines()
+func largeClusterScenario(seed uint64, f *fingerprint) {
+	shape := thousandMachineShape()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
-	w := f.watch(NewShaped(seed, logs(), shape))
-	w.submitCrowd(70, 60*time.Second)
+	w := f.attach(NewWithShape(seed, logs(), shape))
+	w.submitJobBurst(70, 60*time.Second)
 	w.Run(30 * time.Second)
 	dark := shape.Zones[2]
-	w.interrupt(30*time.Second, packetsHeld, w.aroundZone(dark))
+	w.disconnect(30*time.Second, packetsHeld, w.acrossZoneBoundary(dark))
 	w.Run(35 * time.Second)
 	w.loseMachines(20)
 	w.crashAll(4 * time.Second)
 	w.Run(20 * time.Second)
-	w.randomFaults(8*time.Second, 6)
+	w.runWithRandomFaults(8*time.Second, 6)
 }
 
 // fingerprintOf plays a day; FINGERPRINT_TRACE names a directory for readable copies.
-func fingerprintOf(t *testing.T, day fingerprintDay, seed uint64) string {
+func fingerprintOf(t *testing.T, day fingerprintScenario, seed uint64) string {
 	f := &fingerprint{}
 	if dir := os.Getenv("FINGERPRINT_TRACE"); dir != "" {
 		file, err := os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.txt", day.name, seed)))
@@ -308,7 +308,7 @@
 		defer out.Flush()
 		f.trace = out
 	}
-	day.play(seed, f)
+	day.run(seed, f)
 	return f.sum()
 }
 
@@ -328,7 +328,7 @@
 	var lock sync.Mutex
 	var names []string
 	found := map[string]string{}
-	for _, day := range fingerprintDays() {
+	for _, day := range fingerprintScenarios() {
 		from, to := first, last+1
 		if printed == "" {
 			from, to = 0, uint64(day.seeds)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,10 +8,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// fleet is a deployment of two thousand machines on controllers and budgets not
+// twoThousandMachineShape is a deployment of two thousand machines on controllers and budgets not
 // much larger than those of a thousand.
-func fleet() Shape {
-	s := thousandMachines()
+func twoThousandMachineShape() Shape {
+	s := thousandMachineShape()
 	s.Machines, s.Capacity = 420, 2000
 	s.setQuotas(380, 1350)
 	s.Store = config.StoreLimits{RPS: 300, WriteRPS: 35, ValueKB: 8, TxnOps: 24}
@@ -20,10 +20,10 @@
 	return s
 }
 
-// fleet4000 is a deployment of four thousand machines and half as many again that a
+// fourThousandMachineShape is a deployment of four thousand machines and half as many again that a
 // burst can rent, on controllers and budgets that are wider by about the same.
-func fleet4000() Shape {
-	s := fleet()
+func fourThousandMachineShape() Shape {
+	s := twoThousandMachineShape()
 	s.Machines, s.Capacity = 4000, 6000
 	s.setQuotas(1000, 4000)
 	s.Store = config.StoreLimits{RPS: 600, WriteRPS: 70, ValueKB: 8, TxnOps: 24}
@@ -39,66 +39,66 @@
 	}
 }
 
-// TestFleetFallsTogether plays a day of two thousand machines.
-func TestFleetFallsTogether(t *testing.T) {
+// TestTwoThousandMachinesSurviveOverlappingFailures plays a day of two thousand machines.
+func TestTwoThousandMachinesSurviveOverlappingFailures(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a day of two thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet())
-	w.submitCrowd(200, 70*time.Second)
-	w.fallsTogether(t, 150)
+	w := NewWithShape(1, logs(), twoThousandMachineShape())
+	w.submitJobBurst(200, 70*time.Second)
+	w.runThroughOverlappingFailures(t, 150)
 }
 
-// TestFleetOf4000 plays one of four thousand, which work takes whole at once and half as
+// TestFourThousandMachinesSurviveOverlappingFailures plays one of four thousand, which work takes whole at once and half as
 // many again after: arrays of thousands of tasks beside gangs.
-func TestFleetOf4000(t *testing.T) {
+func TestFourThousandMachinesSurviveOverlappingFailures(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a day of four thousand machines")
 	}
 	t.Parallel()
-	w := NewShaped(1, logs(), fleet4000())
-	w.submitCrowd(300, 70*time.Second)
+	w := NewWithShape(1, logs(), fourThousandMachineShape())
+	w.submitJobBurst(300, 70*time.Second)
 	for i := range 8 {
-		spec := queued(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
+		spec := withQueue(array(jobID(900+i), 1300), "array", w.shape.Teams[i].Name, "idle")
 		spec.Spot, spec.EstimateS = true, 40
 		w.submit(arrival{after: w.between(0, 20*time.Second), job: spec, run: 30 + 20*w.rng.Float64()})
 	}
-	w.fallsTogether(t, 1400)
+	w.runThroughOverlappingFailures(t, 1400)
 }
 
-// fallsTogether goes on with a day: a zone goes dark, many machines die together, the
+// runThroughOverlappingFailures goes on with a day: a zone goes dark, many machines die together, the
 // key-value store is out for 25 s and all controllers are lost at its end. Every rule
 // holds, everybody is served, and what is done and asked keeps within bounds that are
 // counted, not timed.
-func (w *World) fallsTogether(t *testing.T, die int) {
+func (w *World) runThroughOverlappingFailures(t *testing.T, die int) {
 	t.Helper()
 	shape, jobs := w.shape, len(w.users)
 	w.Run(40 * time.Second)
-	w.interrupt(40*time.Second, packetsHeld, w.aroundZone(shape.Zones[2]))
+	w.disconnect(40*time.Second, packetsHeld, w.acrossZoneBoundary(shape.Zones[2]))
 	w.Run(42 * time.Second)
-	lost := w.loseOldest(die)
+	lost := w.loseOldestAgents(die)
 	w.Run(10 * time.Second)
 	w.store.outage(25 * time.Second)
 	w.Run(24 * time.Second)
 	w.crashAll(4 * time.Second)
 	t.Logf("%d machines of %d lost, then all controllers", lost, len(w.agents)+lost)
 
-	w.expectQuickReturn(t)
-	w.faultsOver = w.Now
-	w.finishDay(t, 700*time.Second)
+	w.expectQuickRecovery(t)
+	w.faultsEndedAt = w.Now
+	w.finishAndCheck(t, 700*time.Second)
 
-	t.Logf("at most %d calls to workers at once", w.mostCalls)
-	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.mostCalls > limit {
-		t.Errorf("%d calls to workers under way at once", w.mostCalls)
+	t.Logf("at most %d calls to workers at once", w.maxConcurrentCalls)
+	if limit := int(float64(shape.Resources.FDLimit) * tuning.AgentCallConnectionShare); w.maxConcurrentCalls > limit {
+		t.Errorf("%d calls to workers under way at once", w.maxConcurrentCalls)
 	}
 	changes := int(w.elapsed().Seconds() * shape.Store.WriteRPS)
 	w.expectWithin(t, workBounds{refused: 40, changes: changes, bytes: 40_000 * jobs})
 }
 
-// expectQuickReturn checks that controllers that were all lost just now take a submission
+// expectQuickRecovery checks that controllers that were all lost just now take a submission
 // and start a task soon, and that their calls to workers keep within their share.
-func (w *World) expectQuickReturn(t *testing.T) {
+func (w *World) expectQuickRecovery(t *testing.T) {
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
 	lost := w.Now
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -11,56 +11,56 @@
 
 // agentTask is an attempt of a task on an agent.
 type agentTask struct {
-	agent   *agent
-	job     *protocol.Job
-	name    string
-	index   int
-	attempt protocol.AttemptNumber
-	state   protocol.TaskState
-	cause   protocol.Cause
-	kept    bool
-	on      bool // it has its image and has not exited
-	began   time.Time
-	gang    *gang
+	agent     *agent
+	job       *protocol.Job
+	name      string
+	index     int
+	attempt   protocol.AttemptNumber
+	state     protocol.TaskState
+	cause     protocol.Cause
+	saved     bool
+	onMachine bool // it has its image and has not exited
+	startedAt time.Time
+	gang      *gang
 }
 
 // gang is one attempt of a gang: the tasks find each other by its number.
 type gang struct {
-	job     *protocol.Job
-	members map[int]*agentTask
-	running bool
-	began   time.Time
-	stopped time.Time
-	over    bool
+	job             *protocol.Job
+	members         map[int]*agentTask
+	running         bool
+	startedAt       time.Time
+	stopRequestedAt time.Time
+	ended           bool
 }
 
-// arrive is the moment at which a task has its image: it is on its machine.
-func (t *agentTask) arrive() {
+// imageReady is the moment at which a task has its image: it is on its machine.
+func (t *agentTask) imageReady() {
 	w := t.agent.w
-	t.on = true
-	t.agent.noteChange()
+	t.onMachine = true
+	t.agent.reportChange()
 	w.rules.starts(t)
 	job := w.rules.jobs[t.job.ID]
 	switch {
 	case job.done[t.index]:
 		t.exit(protocol.CauseDone, false)
-	case t.agent.failsTasks || job.mistaken:
-		t.agent.wait(300*time.Millisecond, t, func() { t.exit(protocol.CauseError, false) })
+	case t.agent.failsTasks || job.alwaysFails:
+		t.agent.schedule(300*time.Millisecond, t, func() { t.exit(protocol.CauseError, false) })
 	case t.job.Gang():
 		t.joinGang(job)
 	case t.job.Service():
 		t.runReplica(job)
 	default:
-		t.runAlone(job)
+		t.runArrayTask(job)
 	}
 }
 
-// runAlone runs a task of an array to its end.
-func (t *agentTask) runAlone(job *simJob) {
+// runArrayTask runs a task of an array to its end.
+func (t *agentTask) runArrayTask(job *simJob) {
 	w := t.agent.w
-	t.state, t.began = protocol.TaskRunning, w.Now
+	t.state, t.startedAt = protocol.TaskRunning, w.Now
 	job.begin(w.Now)
-	t.agent.wait(secs(max(0, job.run-job.progress[t.index])), t, func() {
+	t.agent.schedule(secs(max(0, job.run-job.progress[t.index])), t, func() {
 		if t.state == protocol.TaskRunning {
 			job.done[t.index] = true
 			t.exit(protocol.CauseDone, false)
@@ -71,12 +71,12 @@
 // runReplica runs a replica, which may end by itself now and then.
 func (t *agentTask) runReplica(job *simJob) {
 	w := t.agent.w
-	t.state, t.began = protocol.TaskRunning, w.Now
+	t.state, t.startedAt = protocol.TaskRunning, w.Now
 	job.begin(w.Now)
 	if job.ends == 0 {
 		return
 	}
-	t.agent.wait(w.between(job.ends/2, job.ends), t, func() {
+	t.agent.schedule(w.between(job.ends/2, job.ends), t, func() {
 		t.exit([]protocol.Cause{protocol.CauseDone, protocol.CauseError}[w.rng.IntN(2)], false)
 	})
 }
@@ -86,13 +86,13 @@
 	w := t.agent.w
 	t.state = protocol.TaskWaiting
 	g := job.gangs[t.attempt]
-	if g == nil || g.over {
+	if g == nil || g.ended {
 		g = &gang{job: t.job, members: map[int]*agentTask{}}
 		job.gangs[t.attempt] = g
 	}
 	t.gang = g
 	g.members[t.index] = t
-	t.agent.wait(secs(w.shape.Agents.GangWaitS), t, func() {
+	t.agent.schedule(secs(w.shape.Agents.GangWaitS), t, func() {
 		if t.state == protocol.TaskWaiting {
 			t.exit(protocol.CauseGangTimeout, false)
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// list is the gang's tasks in order.
-func (g *gang) list() []*agentTask {
+// sortedMembers is the gang's tasks in order.
+func (g *gang) sortedMembers() []*agentTask {
 	var l []*agentTask
 	for _, task := range g.members {
 		l = append(l, task)
@@ -114,27 +114,27 @@
 
 // start has all tasks of a gang run, and complete together.
 func (g *gang) start(w *World, j *simJob) {
-	g.running, g.began = true, w.Now
+	g.running, g.startedAt = true, w.Now
 	j.begin(w.Now)
-	for _, task := range g.list() {
+	for _, task := range g.sortedMembers() {
 		task.state = protocol.TaskRunning
-		task.agent.noteChange()
+		task.agent.reportChange()
 	}
 	w.after(secs(max(0, j.run-j.progress[0])), func() {
-		if g.over || !g.stopped.IsZero() {
+		if g.ended || !g.stopRequestedAt.IsZero() {
 			return
 		}
-		for _, task := range g.list() {
+		for _, task := range g.sortedMembers() {
 			if task.agent.hung {
 				g.fail(w, nil)
 				return
 			}
 		}
-		g.over = true
+		g.ended = true
 		for i := range j.done {
 			j.done[i] = true
 		}
-		for _, task := range g.list() {
+		for _, task := range g.sortedMembers() {
 			task.exit(protocol.CauseDone, false)
 		}
 	})
@@ -142,32 +142,32 @@
 
 // fail ends a running gang that lost a task: the others notice it.
 func (g *gang) fail(w *World, lost *agentTask) {
-	if g.over {
+	if g.ended {
 		return
 	}
-	g.over = true
+	g.ended = true
 	j := w.rules.jobs[g.job.ID]
-	if g.stopped.IsZero() && g.job.CheckpointIntervalS > 0 {
-		run := j.progress[0] + w.Now.Sub(g.began).Seconds()
+	if g.stopRequestedAt.IsZero() && g.job.CheckpointIntervalS > 0 {
+		run := j.progress[0] + w.Now.Sub(g.startedAt).Seconds()
 		j.progress[0] = max(j.progress[0], math.Floor(run/g.job.CheckpointIntervalS)*g.job.CheckpointIntervalS)
 	}
-	for _, task := range g.list() {
+	for _, task := range g.sortedMembers() {
 		if task != lost {
-			task.agent.wait(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
+			task.agent.schedule(w.between(0, secs(w.shape.Agents.GangPeerS)), task, func() { task.exit(protocol.CauseGangBroken, false) })
 		}
 	}
 }
 
 // begin notes that a job runs for the first time.
 func (j *simJob) begin(now time.Time) {
-	if j.began.IsZero() {
-		j.began = now
+	if j.startedAt.IsZero() {
+		j.startedAt = now
 	}
 }
 
-// halt carries out a command to stop: a task that can save and is given the time does so
+// stop carries out a command to stop: a task that can save and is given the time does so
 // first, every other one exits at once.
-func (t *agentTask) halt(grace float64) {
+func (t *agentTask) stop(grace float64) {
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
 	}
@@ -177,52 +177,52 @@
 		return
 	}
 	t.state = protocol.TaskSaving
-	t.agent.noteChange()
+	t.agent.reportChange()
 	if t.gang != nil {
-		t.gang.stopInOrder(t.agent.w)
+		t.gang.beginStop(t.agent.w)
 		return
 	}
-	t.saveAlone()
+	t.saveArrayTask()
 }
 
-// saveAlone ends a task of an array once it has saved.
-func (t *agentTask) saveAlone() {
+// saveArrayTask ends a task of an array once it has saved.
+func (t *agentTask) saveArrayTask() {
 	w := t.agent.w
 	job := w.rules.jobs[t.job.ID]
-	run := job.progress[t.index] + w.Now.Sub(t.began).Seconds()
-	t.agent.wait(secs(t.job.CheckpointSaveS), t, func() {
+	run := job.progress[t.index] + w.Now.Sub(t.startedAt).Seconds()
+	t.agent.schedule(secs(t.job.CheckpointSaveS), t, func() {
 		job.progress[t.index] = max(job.progress[t.index], run)
 		t.exit(protocol.CauseStopped, true)
 	})
 }
 
-// stopInOrder begins, with the first task told to stop, to wait for all of them: the
+// beginStop begins, with the first task told to stop, to wait for all of them: the
 // gang's progress is saved if every one is told in time.
-func (g *gang) stopInOrder(w *World) {
-	if !g.stopped.IsZero() {
+func (g *gang) beginStop(w *World) {
+	if !g.stopRequestedAt.IsZero() {
 		return
 	}
-	g.stopped = w.Now
+	g.stopRequestedAt = w.Now
 	job := w.rules.jobs[g.job.ID]
-	run := job.progress[0] + w.Now.Sub(g.began).Seconds()
+	run := job.progress[0] + w.Now.Sub(g.startedAt).Seconds()
 	w.after(secs(w.shape.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
 }
 
 // finishStop saves the gang's progress, or ends it without if a task was not told.
 func (g *gang) finishStop(w *World, job *simJob, run float64) {
-	if g.over {
+	if g.ended {
 		return
 	}
-	for _, task := range g.list() {
+	for _, task := range g.sortedMembers() {
 		if task.state != protocol.TaskSaving {
 			g.fail(w, nil)
 			return
 		}
 	}
-	g.over = true
+	g.ended = true
 	job.progress[0] = max(job.progress[0], run)
-	for _, task := range g.list() {
-		task.agent.wait(0, task, func() { task.exit(protocol.CauseStopped, true) })
+	for _, task := range g.sortedMembers() {
+		task.agent.schedule(0, task, func() { task.exit(protocol.CauseStopped, true) })
 	}
 }
 
@@ -231,18 +231,18 @@
 	if t.state == protocol.TaskExited {
 		return
 	}
-	t.leave()
+	t.removeFromMachine()
 	t.agent.w.Audit.ended(t.instance(), cause, false)
-	t.state, t.cause, t.kept = protocol.TaskExited, cause, kept
-	t.agent.noteChange()
-	if j := t.agent.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.last != nil && !slices.Contains(j.done, false) {
-		j.last()
+	t.state, t.cause, t.saved = protocol.TaskExited, cause, kept
+	t.agent.reportChange()
+	if j := t.agent.w.rules.jobs[t.job.ID]; cause == protocol.CauseDone && !t.job.Service() && j.onCompletion != nil && !slices.Contains(j.done, false) {
+		j.onCompletion()
 	}
 }
 
 // lose drops a task with its agent's incarnation, or its machine.
 func (t *agentTask) lose() {
-	t.leave()
+	t.removeFromMachine()
 	t.agent.w.Audit.ended(t.instance(), "", true)
 	t.agent.w.Audit.forgot(t.instance())
 }
@@ -250,14 +250,14 @@
 // instance names the attempt and its machine.
 func (t *agentTask) instance() instance { return instance{t.agent.host.ID, t.name, t.attempt} }
 
-// leave takes a task off its machine.
-func (t *agentTask) leave() {
+// removeFromMachine takes a task off its machine.
+func (t *agentTask) removeFromMachine() {
 	w := t.agent.w
-	if t.on {
-		t.on = false
+	if t.onMachine {
+		t.onMachine = false
 		w.rules.leaves(t)
 	}
-	if g := t.gang; g != nil && !g.over {
+	if g := t.gang; g != nil && !g.ended {
 		if g.running {
 			g.fail(w, t)
 		} else {
--- a/internal/simulation/grown_test.go
+++ b/internal/simulation/grown_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// thousandMachines is a deployment of a thousand machines and three zones.
-func thousandMachines() Shape {
-	s := Small()
+// thousandMachineShape is a deployment of a thousand machines and three zones.
+func thousandMachineShape() Shape {
+	s := SmallShape()
 	s.Zones = []protocol.ZoneName{"east", "north", "west"}
 	s.Machines, s.Capacity = 260, 1200
 	s.Type = protocol.MachineType{Name: "two", CPUs: 24, GPUs: 2, MemoryGB: 144, CacheGB: 120, FetchGBPerS: 0.6, Price: 5, SpotPrice: 2, BootS: 20, Zones: s.Zones}
@@ -26,54 +26,54 @@
 	return s
 }
 
-// threeZones is a deployment of a few machines in three zones, whose controllers have all the
+// threeZoneShape is a deployment of a few machines in three zones, whose controllers have all the
 // resources that they want.
-func threeZones(machines int) Shape {
-	s := thousandMachines()
+func threeZoneShape(machines int) Shape {
+	s := thousandMachineShape()
 	s.Machines, s.Capacity, s.Resources = machines, 60, config.ProcessLimits{}
 	return s
 }
 
-// submitCrowd makes gangs and arrays of many sizes come for a while.
-func (w *World) submitCrowd(jobs int, span time.Duration) {
+// submitJobBurst makes gangs and arrays of many sizes come for a while.
+func (w *World) submitJobBurst(jobs int, span time.Duration) {
 	for i := range jobs {
 		spec := array(jobID(100+i), 1+w.rng.IntN(40))
-		queued(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
+		withQueue(spec, "array", w.shape.Teams[w.rng.IntN(len(w.shape.Teams))].Name, "idle").Spot = true
 		spec.Image, spec.ImageGB, spec.EstimateS, spec.DeadlineS = fmt.Sprint("img-", w.rng.IntN(12)), 6, 40, 150
 		spec.MemoryGB = 54
 		if w.rng.IntN(3) == 0 {
 			spec.Class, spec.Shape, spec.Priority, spec.Tasks = "gang", protocol.ShapeGang, "high", 1<<w.rng.IntN(6)
-			checkpointed(perTask(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
+			withCheckpoints(withTaskResources(spec, 20, w.shape.Type.GPUs, 110), 45, 4)
 			spec.OneZone, spec.Spot, spec.DeadlineS, spec.EstimateS = true, false, 0, 120
 		}
 		w.submit(arrival{after: w.between(0, span), job: spec, run: spec.EstimateS * (0.5 + w.rng.Float64())})
 	}
 }
 
-// smallestBudgets is a deployment of two hundred machines behind the smallest budgets.
-func smallestBudgets() Shape {
-	s := Small()
+// smallestBudgetShape is a deployment of two hundred machines behind the smallest budgets.
+func smallestBudgetShape() Shape {
+	s := SmallShape()
 	s.Machines, s.Capacity = 36, 218
 	s.Teams = []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	s.Agents.ReportS = 5
 	return s
 }
 
-// TestDaysKeepWithinCountedBounds plays a day of a thousand machines and one behind the smallest
+// TestControllerWorkKeepsWithinCountedBounds plays a day of a thousand machines and one behind the smallest
 // budgets: everything is served, and the work that is done and asked of the
 // key-value store keeps within bounds, counted, not timed.
-func TestDaysKeepWithinCountedBounds(t *testing.T) {
+func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, day := range []struct {
 		name  string
 		shape Shape
 		jobs  int
-	}{{"thousand", thousandMachines(), 200}, {"weakest", smallestBudgets(), 60}} {
+	}{{"thousand", thousandMachineShape(), 200}, {"weakest", smallestBudgetShape(), 60}} {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
-			w := NewShaped(1, logs(), day.shape)
-			w.submitCrowd(day.jobs, 120*time.Second)
-			w.finishDay(t, 600*time.Second)
+			w := NewWithShape(1, logs(), day.shape)
+			w.submitJobBurst(day.jobs, 120*time.Second)
+			w.finishAndCheck(t, 600*time.Second)
 			w.expectWithin(t, workBounds{refused: 20, changes: 25 * day.jobs, bytes: 40_000 * day.jobs})
 		})
 	}
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -9,7 +9,7 @@
 // most, whatever their share of a core, and ask the key-value store for little.
 func TestIdleControllersRarelyWake(t *testing.T) {
 	t.Parallel()
-	shape := Small()
+	shape := SmallShape()
 	shape.Machines = 0
 	for _, cores := range []float64{0.018, 0.24} {
 		shape.Resources.Cores = cores
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -25,40 +25,40 @@
 	storeFaults
 	storeUsage
 
-	w       *World
-	watches []*watch
-	limits  config.StoreLimits
-	calls   *rate.Limiter
-	writes  *rate.Limiter
+	w              *World
+	watches        []*watch
+	limits         config.StoreLimits
+	requestLimiter *rate.Limiter
+	writeLimiter   *rate.Limiter
 }
 
 // storeUsage counts what was asked of the store.
 type storeUsage struct {
-	requests int
-	bytes    int // of requests
-	changed  int // keys, by transactions within the budget
-	refused  int // requests and transactions beyond the budgets
-	tooLarge int // transactions beyond the limits
+	requests              int
+	bytes                 int // of requests
+	changed               int // keys, by transactions within the budget
+	refused               int // requests and transactions beyond the budgets
+	oversizedTransactions int // transactions beyond the limits
 }
 
 // watch is a request that waits for changes of keys with a prefix.
 type watch struct {
-	from   *controller
-	prefix string
-	after  protocol.Revision
-	answer answerFunc
-	ended  bool
+	from    *controller
+	prefix  string
+	after   protocol.Revision
+	respond responseFunc
+	ended   bool
 }
 
 func newKeyValueStore(w *World) *keyValueStore {
 	budget := func(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), int(rps)) }
 	s := &keyValueStore{
-		keyspace:   keyspace{keys: map[string]protocol.Entry{}},
-		leaseTable: leaseTable{leases: map[protocol.LeaseID]*lease{}},
-		w:          w,
-		limits:     w.shape.Store,
-		calls:      budget(w.shape.Store.RPS),
-		writes:     budget(w.shape.Store.WriteRPS),
+		keyspace:       keyspace{keys: map[string]protocol.Entry{}},
+		leaseTable:     leaseTable{leases: map[protocol.LeaseID]*lease{}},
+		w:              w,
+		limits:         w.shape.Store,
+		requestLimiter: budget(w.shape.Store.RPS),
+		writeLimiter:   budget(w.shape.Store.WriteRPS),
 	}
 	w.after(0, s.tick)
 	return s
@@ -83,14 +83,14 @@
 }
 
 // serve answers a request as the protocol says, within the budgets.
-func (s *keyValueStore) serve(method, path string, body []byte, from *controller, answer answerFunc) {
+func (s *keyValueStore) serve(method, path string, body []byte, from *controller, answer responseFunc) {
 	s.requests++
 	s.bytes += len(body)
-	if s.slow > 0 {
+	if s.extraLatency > 0 {
 		prompt := answer
-		answer = func(status int, body []byte) { s.w.after(s.slow, func() { prompt(status, body) }) }
+		answer = func(status int, body []byte) { s.w.after(s.extraLatency, func() { prompt(status, body) }) }
 	}
-	if !s.calls.AllowN(s.w.Now, 1) {
+	if !s.requestLimiter.AllowN(s.w.Now, 1) {
 		s.refused++
 		answer(http.StatusTooManyRequests, nil)
 		return
@@ -108,7 +108,7 @@
 	case method == http.MethodGet:
 		s.get(strings.TrimPrefix(u.Path, "/kv/"), answer)
 	case u.Path == protocol.PathTransactions:
-		s.receive(body, answer)
+		s.handleTransaction(body, answer)
 	case u.Path == protocol.PathLeases:
 		s.grantLease(body, answer)
 	default:
@@ -117,13 +117,13 @@
 }
 
 // list answers with a page of keys.
-func (s *keyValueStore) list(q url.Values, answer answerFunc) {
+func (s *keyValueStore) list(q url.Values, answer responseFunc) {
 	limit, _ := strconv.Atoi(q.Get("page"))
 	answer(http.StatusOK, encode(s.page(q.Get("starts"), q.Get("after"), limit)))
 }
 
 // get answers with one key.
-func (s *keyValueStore) get(key string, answer answerFunc) {
+func (s *keyValueStore) get(key string, answer responseFunc) {
 	if e, ok := s.keys[key]; ok {
 		answer(http.StatusOK, encode(e))
 		return
@@ -132,7 +132,7 @@
 }
 
 // grantLease gives a lease.
-func (s *keyValueStore) grantLease(body []byte, answer answerFunc) {
+func (s *keyValueStore) grantLease(body []byte, answer responseFunc) {
 	var r protocol.LeaseRequest
 	decode(body, &r)
 	id := s.grant(s.w.Now, time.Duration(r.TTLMs)*time.Millisecond)
@@ -140,7 +140,7 @@
 }
 
 // renewLease renews the lease that a path names.
-func (s *keyValueStore) renewLease(path string, answer answerFunc) {
+func (s *keyValueStore) renewLease(path string, answer responseFunc) {
 	number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	id := protocol.LeaseID(number)
 	if !s.renew(s.w.Now, id) {
@@ -150,13 +150,13 @@
 	answer(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// receive carries a transaction out, unless it, or its answer, is to be lost.
-func (s *keyValueStore) receive(body []byte, answer answerFunc) {
+// handleTransaction carries a transaction out, unless it, or its answer, is to be lost.
+func (s *keyValueStore) handleTransaction(body []byte, answer responseFunc) {
 	unanswered := func(int, []byte) {}
 	switch {
-	case s.lost == 0 || s.w.rng.Float64() >= s.lost:
+	case s.lostShare == 0 || s.w.rng.Float64() >= s.lostShare:
 		s.commit(body, answer)
-	case s.late:
+	case s.lateCommits:
 		s.w.after(s.w.between(2*time.Second, 12*time.Second), func() { s.commit(body, unanswered) })
 	default:
 		s.commit(body, unanswered)
@@ -164,7 +164,7 @@
 }
 
 // commit carries a transaction out if it keeps within the limits and its conditions hold.
-func (s *keyValueStore) commit(body []byte, answer answerFunc) {
+func (s *keyValueStore) commit(body []byte, answer responseFunc) {
 	var t protocol.Transaction
 	decode(body, &t)
 	if status, refusal := s.refusal(&t, len(body)); status != 0 {
@@ -172,21 +172,21 @@
 		return
 	}
 	s.apply(t.Changes)
-	s.w.rules.checkStaged(t.Changes)
+	s.w.rules.checkStagedRecords(t.Changes)
 	answer(http.StatusOK, encode(protocol.TransactionResponse{Revision: s.revision}))
 	s.notify()
 }
 
 // refusal is the answer to a transaction that is not carried out, status 0 for one that is.
 func (s *keyValueStore) refusal(t *protocol.Transaction, size int) (status int, body []byte) {
-	if n := len(t.Changes); n > 0 && !s.writes.AllowN(s.w.Now, n) {
+	if n := len(t.Changes); n > 0 && !s.writeLimiter.AllowN(s.w.Now, n) {
 		s.refused++
 		return http.StatusTooManyRequests, nil
 	}
 	s.changed += len(t.Changes)
-	if excess := s.beyondLimits(t, size); excess != "" {
-		s.tooLarge++
-		if s.limits == s.w.shape.Store || s.tooLarge > 20 { // they were lowered without notice
+	if excess := s.limitViolation(t, size); excess != "" {
+		s.oversizedTransactions++
+		if s.limits == s.w.shape.Store || s.oversizedTransactions > 20 { // they were lowered without notice
 			s.w.rules.violated(ruleLimits, "%s", excess)
 		}
 		return http.StatusBadRequest, nil
@@ -202,8 +202,8 @@
 	return 0, nil
 }
 
-// beyondLimits says in which way a transaction is too large, "" if it is not.
-func (s *keyValueStore) beyondLimits(t *protocol.Transaction, size int) string {
+// limitViolation says in which way a transaction is too large, "" if it is not.
+func (s *keyValueStore) limitViolation(t *protocol.Transaction, size int) string {
 	if len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps || size > protocol.MaxBodyBytes {
 		return fmt.Sprintf("transaction of %d operations, %d conditions, %d bytes", len(t.Changes), len(t.Conditions), size)
 	}
@@ -216,10 +216,10 @@
 }
 
 // watch opens a watch.
-func (s *keyValueStore) watch(q url.Values, from *controller, answer answerFunc) {
+func (s *keyValueStore) watch(q url.Values, from *controller, answer responseFunc) {
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
-	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), answer: answer}
+	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), respond: answer}
 	s.watches = append(s.watches, x)
 	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.answerWatch(x, true) })
 	s.notify()
@@ -235,7 +235,7 @@
 // answerWatch answers a watch that has something to show, or whose time is over. While
 // the store does not serve its node, a watch waits.
 func (s *keyValueStore) answerWatch(x *watch, over bool) {
-	if x.ended || x.from == s.blind {
+	if x.ended || x.from == s.nodeWithoutWatches {
 		return
 	}
 	if s.down || x.from.refused {
@@ -250,5 +250,5 @@
 	}
 	x.ended = true
 	s.watches = slices.DeleteFunc(s.watches, func(o *watch) bool { return o == x })
-	x.answer(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
+	x.respond(http.StatusOK, encode(protocol.WatchResponse{Revision: s.revision, Events: events}))
 }
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -16,47 +16,47 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Live runs a world's stand-ins in real time on loopback, for controllers that are
+// Loopback runs a world's stand-ins in real time on loopback, for controllers that are
 // processes or owners of their own: every worker has an address, reports by HTTP and is
 // called by HTTP, as the key-value store, the cloud and the users are.
-type Live struct {
-	mu      sync.Mutex
-	w       *World
-	began   time.Time
-	client  *http.Client
-	servers []*httptest.Server
-	state   *httptest.Server
-	cloud   *httptest.Server
-	users   []string          // where the controllers take requests
-	peers   map[string]string // and those of their peers, by name
-	stop    context.CancelFunc
+type Loopback struct {
+	mu               sync.Mutex
+	w                *World
+	startedAt        time.Time
+	client           *http.Client
+	servers          []*httptest.Server
+	state            *httptest.Server
+	cloud            *httptest.Server
+	requestAddresses []string          // where the controllers take requests
+	peerAddresses    map[string]string // and those of their peers, by name
+	stop             context.CancelFunc
 }
 
-// liveTick is how often events of the world that are due are carried out.
-const liveTick = 3 * time.Millisecond
+// loopbackTick is how often events of the world that are due are carried out.
+const loopbackTick = 3 * time.Millisecond
 
-// NewLive makes a world whose controllers are elsewhere. Its workers are logged.
-func NewLive(seed uint64, shape Shape) *Live {
-	v := &Live{peers: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.state = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
+// NewLoopback makes a world whose controllers are elsewhere. Its workers are logged.
+func NewLoopback(seed uint64, shape Shape) *Loopback {
+	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
+	v.state = v.serve(func(r *http.Request, body []byte, answer responseFunc) {
 		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, answer)
 	})
-	v.cloud = v.serve(func(r *http.Request, body []byte, answer answerFunc) {
+	v.cloud = v.serve(func(r *http.Request, body []byte, answer responseFunc) {
 		v.w.cloud.serve(r.Method, r.URL.RequestURI(), body, answer)
 	})
 	v.w = newWorld(seed, nil, shape, v)
 	for _, c := range v.w.nodes {
-		v.users = append(v.users, freeAddress())
-		v.peers[c.name] = freeAddress()
+		v.requestAddresses = append(v.requestAddresses, freeAddress())
+		v.peerAddresses[c.name] = freeAddress()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	v.stop, v.began = cancel, time.Now()
+	v.stop, v.startedAt = cancel, time.Now()
 	go v.run(ctx)
 	return v
 }
 
 // Close ends everything.
-func (v *Live) Close() {
+func (v *Loopback) Close() {
 	v.stop()
 	for _, s := range v.servers {
 		s.CloseClientConnections()
@@ -65,30 +65,30 @@
 }
 
 // Controllers is how many controllers there are.
-func (v *Live) Controllers() int { return len(v.users) }
+func (v *Loopback) Controllers() int { return len(v.requestAddresses) }
 
 // Config is the settings of one of the controllers.
-func (v *Live) Config(i int) *config.Config {
+func (v *Loopback) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
-	c.Listen, c.PeerListen = v.users[i], v.peers[string(c.Name)]
+	c.Listen, c.PeerListen = v.requestAddresses[i], v.peerAddresses[string(c.Name)]
 	c.Endpoints = config.Endpoints{State: v.state.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
 	for k := range c.Peers {
-		c.Peers[k].Addr = v.peers[string(c.Peers[k].Name)]
+		c.Peers[k].Addr = v.peerAddresses[string(c.Peers[k].Name)]
 	}
 	return c
 }
 
 // Do does something with the world while nothing else happens in it.
-func (v *Live) Do(do func(w *World)) {
+func (v *Loopback) Do(do func(w *World)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.w.Run(time.Since(v.began) - v.w.elapsed())
+	v.w.Run(time.Since(v.startedAt) - v.w.elapsed())
 	do(v.w)
 }
 
 // run carries out what is due until the world is closed.
-func (v *Live) run(ctx context.Context) {
-	tick := time.NewTicker(liveTick)
+func (v *Loopback) run(ctx context.Context) {
+	tick := time.NewTicker(loopbackTick)
 	defer tick.Stop()
 	for {
 		select {
@@ -102,7 +102,7 @@
 
 // serve starts a server on loopback whose requests are answered by a stand-in, at once
 // or later.
-func (v *Live) serve(handle func(r *http.Request, body []byte, answer answerFunc)) *httptest.Server {
+func (v *Loopback) serve(handle func(r *http.Request, body []byte, answer responseFunc)) *httptest.Server {
 	type reply struct {
 		status int
 		body   []byte
@@ -133,8 +133,8 @@
 }
 
 // address gives a machine its worker's address.
-func (v *Live) address(id protocol.MachineID) string {
-	s := v.serve(func(r *http.Request, body []byte, answer answerFunc) {
+func (v *Loopback) address(id protocol.MachineID) string {
+	s := v.serve(func(r *http.Request, body []byte, answer responseFunc) {
 		if agent := v.w.agents[id]; agent != nil {
 			agent.serve(r.Method, r.URL.Path, body, answer)
 		}
@@ -143,7 +143,7 @@
 }
 
 // ask sends a user's or worker's request to a controller.
-func (v *Live) ask(node int, timeout time.Duration, event coordination.Event, done answerFunc) {
+func (v *Loopback) ask(node int, timeout time.Duration, event coordination.Event, done responseFunc) {
 	method, path, body := "POST", "", []byte(nil)
 	switch e := event.(type) {
 	case coordination.AgentHeartbeat:
@@ -156,13 +156,13 @@
 		path = protocol.PathJobs + "/" + string(e.Job) + "/" + protocol.CancelAction
 	}
 	go func() {
-		status, answer := v.fetch(method, "http://"+v.users[node]+path, timeout, body)
+		status, answer := v.fetch(method, "http://"+v.requestAddresses[node]+path, timeout, body)
 		v.Do(func(*World) { done(status, answer) })
 	}()
 }
 
 // fetch makes a request; status 0: no answer came in time.
-func (v *Live) fetch(method, url string, timeout time.Duration, body []byte) (status int, answer []byte) {
+func (v *Loopback) fetch(method, url string, timeout time.Duration, body []byte) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -13,23 +13,23 @@
 	"github.com/gappond/gappond/internal/transport"
 )
 
-// owners are three controllers of this process with the real transport.
-type owners struct {
+// inProcessControllers are three controllers of this process with the real transport.
+type inProcessControllers struct {
 	t      *testing.T
-	life   int
+	boots  int
 	cancel context.CancelFunc
-	ended  sync.WaitGroup
+	exited sync.WaitGroup
 }
 
-func (o *owners) Start(v *Live) error {
+func (o *inProcessControllers) Start(v *Loopback) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	o.cancel = cancel
-	o.life++
+	o.boots++
 	for i := range 3 {
 		cfg := v.Config(i)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		node := coordination.New(cfg, log, uint64(o.life*10+i), fmt.Sprint("life-", o.life, "-", i))
-		o.ended.Go(func() {
+		node := coordination.New(cfg, log, uint64(o.boots*10+i), fmt.Sprint("life-", o.boots, "-", i))
+		o.exited.Go(func() {
 			if err := transport.NewController(cfg, log, node).Run(ctx); err != nil {
 				o.t.Error(err)
 			}
@@ -38,24 +38,24 @@
 	return nil
 }
 
-func (o *owners) Kill() {
+func (o *inProcessControllers) Kill() {
 	o.cancel()
-	o.ended.Wait()
+	o.exited.Wait()
 }
 
-// TestTwoHundredWorkers: three controllers with the real transport and two hundred workers
+// TestColdRestartOnLoopbackKeepsWork: three controllers with the real transport and two hundred workers
 // on loopback; all controllers are lost at once with hundreds of tasks half-way and come
 // back together. By the workers' own logs no task is started twice, no order goes beyond
 // what the true state asked for, and all work that ran goes on. All jobs have one priority:
 // what makes way for others is no difference. It takes real time, some
 // forty seconds, and the race detector watches it in CI.
-func TestTwoHundredWorkers(t *testing.T) {
+func TestColdRestartOnLoopbackKeepsWork(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes real time")
 	}
 	// Not in parallel: the days on the fake clock would take its processors.
-	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, Equal: true}
-	r, err := c.RunLive(1, &owners{t: t})
+	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, EqualPriorities: true}
+	r, err := c.RunOnLoopback(1, &inProcessControllers{t: t})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,9 +7,9 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// answerFunc takes the answer to a request: its HTTP status, 0 if none came in time, and its
+// responseFunc takes the answer to a request: its HTTP status, 0 if none came in time, and its
 // body.
-type answerFunc func(status int, body []byte)
+type responseFunc func(status int, body []byte)
 
 // Names in the network of the outside systems.
 const (
@@ -17,45 +17,45 @@
 	cloudHost = "cloud"
 )
 
-// packetFate is what becomes of the packets that a cut keeps from passing.
-type packetFate bool
+// packetHandling is what becomes of the packets that a cut keeps from passing.
+type packetHandling bool
 
 // Packets at a cut are lost, or held and delivered in order at its end.
 const (
-	packetsLost packetFate = false
-	packetsHeld packetFate = true
+	packetsDropped packetHandling = false
+	packetsHeld    packetHandling = true
 )
 
-func (f packetFate) String() string {
+func (f packetHandling) String() string {
 	if f == packetsHeld {
 		return "packets held"
 	}
 	return "packets lost"
 }
 
-// cut is an interruption between hosts.
-type cut struct {
+// partition is an interruption between hosts.
+type partition struct {
 	match func(from, to string) bool
-	fate  packetFate
+	fate  packetHandling
 	held  []func()
 }
 
 // network carries packets between hosts, each after a random time, and lets none through a
 // cut.
 type network struct {
-	time   *timeline
-	zoneOf map[string]protocol.ZoneName // of hosts
-	cuts   []*cut
+	time       *timeline
+	zoneOf     map[string]protocol.ZoneName // of hosts
+	partitions []*partition
 }
 
-// carry takes a packet from one host to another.
-func (n *network) carry(from, to string, deliver func()) {
+// transmit takes a packet from one host to another.
+func (n *network) transmit(from, to string, deliver func()) {
 	n.time.after(n.time.between(200*time.Microsecond, 4*time.Millisecond), func() { n.arrive(from, to, deliver) })
 }
 
 // arrive delivers a packet unless a cut keeps it from passing.
 func (n *network) arrive(from, to string, deliver func()) {
-	for _, c := range n.cuts {
+	for _, c := range n.partitions {
 		if c.match(from, to) {
 			if c.fate == packetsHeld {
 				c.held = append(c.held, func() { n.arrive(from, to, deliver) })
@@ -66,26 +66,26 @@
 	deliver()
 }
 
-// interrupt cuts hosts off from each other for a while.
-func (n *network) interrupt(d time.Duration, fate packetFate, match func(a, b string) bool) {
-	n.cutFor(d, &cut{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
+// disconnect cuts hosts off from each other for a while.
+func (n *network) disconnect(d time.Duration, fate packetHandling, match func(a, b string) bool) {
+	n.addPartition(d, &partition{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
 }
 
 // blockInbound lets nothing through to a machine for a while, though what it sends
 // arrives.
-func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetFate) {
-	n.cutFor(d, &cut{fate: fate, match: func(_, to string) bool { return to == string(id) }})
+func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetHandling) {
+	n.addPartition(d, &partition{fate: fate, match: func(_, to string) bool { return to == string(id) }})
 }
 
-// cutFor has a cut stand for a while.
-func (n *network) cutFor(d time.Duration, c *cut) {
-	n.cuts = append(n.cuts, c)
+// addPartition has a cut stand for a while.
+func (n *network) addPartition(d time.Duration, c *partition) {
+	n.partitions = append(n.partitions, c)
 	n.time.after(d, func() { n.heal(c) })
 }
 
 // heal ends a cut; what was held is delivered in order.
-func (n *network) heal(c *cut) {
-	n.cuts = slices.DeleteFunc(slices.Clone(n.cuts), func(o *cut) bool { return o == c })
+func (n *network) heal(c *partition) {
+	n.partitions = slices.DeleteFunc(slices.Clone(n.partitions), func(o *partition) bool { return o == c })
 	for _, deliver := range c.held {
 		deliver()
 	}
@@ -96,8 +96,8 @@
 	return n.zoneOf[a] != n.zoneOf[b] && n.zoneOf[a] != "" && n.zoneOf[b] != ""
 }
 
-// aroundZone matches packets between a zone and everything outside it.
-func (n *network) aroundZone(zone protocol.ZoneName) func(a, b string) bool {
+// acrossZoneBoundary matches packets between a zone and everything outside it.
+func (n *network) acrossZoneBoundary(zone protocol.ZoneName) func(a, b string) bool {
 	return func(a, b string) bool { return (n.zoneOf[a] == zone) != (n.zoneOf[b] == zone) }
 }
 
@@ -108,7 +108,7 @@
 
 // call makes a request from one host to another. handle gets it whenever it
 // arrives, even if the caller has given up; done gets one answer.
-func (n *network) call(from, to string, timeout time.Duration, handle func(answer answerFunc), done answerFunc) {
+func (n *network) call(from, to string, timeout time.Duration, handle func(answer responseFunc), done responseFunc) {
 	answered := false
 	finish := func(status int, body []byte) {
 		if !answered {
@@ -116,9 +116,9 @@
 			done(status, body)
 		}
 	}
-	n.carry(from, to, func() {
+	n.transmit(from, to, func() {
 		handle(func(status int, body []byte) {
-			n.carry(to, from, func() { finish(status, body) })
+			n.transmit(to, from, func() { finish(status, body) })
 		})
 	})
 	n.time.after(timeout, func() { finish(0, nil) })
@@ -126,20 +126,20 @@
 
 // isolate cuts a controller off from the key-value store and the other
 // controllers, but not from its workers.
-func (w *World) isolate(c *controller, d time.Duration, fate packetFate) {
-	w.interrupt(d, fate, func(a, b string) bool {
+func (w *World) isolate(c *controller, d time.Duration, fate packetHandling) {
+	w.disconnect(d, fate, func(a, b string) bool {
 		return a == c.name && (b == storeHost || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
 	})
 }
 
-// reach makes a request of a worker or user to a controller.
-func (w *World) reach(from string, node int, timeout time.Duration, event request, done answerFunc) {
-	if w.live != nil {
-		w.live.ask(node, timeout, event(0), done)
+// callController makes a request of a worker or user to a controller.
+func (w *World) callController(from string, node int, timeout time.Duration, event request, done responseFunc) {
+	if w.loopback != nil {
+		w.loopback.ask(node, timeout, event(0), done)
 		return
 	}
 	c := w.nodes[node]
-	w.call(from, c.name, timeout, func(answer answerFunc) {
+	w.call(from, c.name, timeout, func(answer responseFunc) {
 		if agent := w.agents[protocol.MachineID(from)]; agent == nil || !agent.opensNoConnections {
 			c.ask(event, answer)
 		}
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -19,8 +19,8 @@
 	release02                // 0.2: knows none of these
 )
 
-// level is the level that a release announces to its peers, 0 if it announces none.
-func (r release) level() uint64 {
+// featureLevel is the level that a release announces to its peers, 0 if it announces none.
+func (r release) featureLevel() uint64 {
 	switch r {
 	case release02:
 		return 0
@@ -30,21 +30,21 @@
 	return protocol.CurrentFeatureLevel
 }
 
-// announced is a message as a controller of one release takes it from another: the
+// limitAnnouncement is a message as a controller of one release takes it from another: the
 // announced level is the lower of both, since an earlier release does nothing that a
 // later level would allow.
-func announced(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
+func limitAnnouncement(m protocol.PeerMessage, from, to release) protocol.PeerMessage {
 	if _, ok := protocol.AnnouncedFeatureLevel(m); !ok {
 		return m
 	}
 	a := m.(protocol.PeerResponse)
-	a.Status = min(from.level(), to.level())
+	a.Status = min(from.featureLevel(), to.featureLevel())
 	return a
 }
 
-// maySend says whether a node sends a message: version 0.2 knows nothing of what was
+// canSend says whether a node sends a message: version 0.2 knows nothing of what was
 // added, and cuts a link on which it comes.
-func (c *controller) maySend(a coordination.PeerSend) bool {
+func (c *controller) canSend(a coordination.PeerSend) bool {
 	_, announces := protocol.AnnouncedFeatureLevel(a.Message)
 	added := false
 	switch a.Message.(type) {
@@ -57,13 +57,13 @@
 	return c.w.release[c.name] != release02 || !announces && !added
 }
 
-// withoutNewFields takes out of records what version 0.2 drops when it reads them.
-func withoutNewFields(body []byte) []byte { return newFields.ReplaceAll(body, nil) }
+// dropNewFields takes out of records what version 0.2 drops when it reads them.
+func dropNewFields(body []byte) []byte { return newFields.ReplaceAll(body, nil) }
 
 var newFields = regexp.MustCompile(`"parts":\d+,`)
 
-// recode passes a message through the peers' wire format.
-func recode(m protocol.PeerMessage) protocol.PeerMessage {
+// reencode passes a message through the peers' wire format.
+func reencode(m protocol.PeerMessage) protocol.PeerMessage {
 	out, err := protocol.ReadPeerFrame(newReader(protocol.AppendPeerFrame(nil, m)))
 	if err != nil {
 		panic(err)
@@ -71,9 +71,9 @@
 	return out
 }
 
-// checkStaged reports a part of a job that its own record does not name while a
+// checkStagedRecords reports a part of a job that its own record does not name while a
 // controller of an earlier release is up, which would delete it.
-func (r *rules) checkStaged(changes []protocol.Change) {
+func (r *rules) checkStagedRecords(changes []protocol.Change) {
 	for _, c := range changes {
 		id, num, ok := storage.ParseTaskRecordKey(c.Set)
 		if !ok {
@@ -83,7 +83,7 @@
 		if err != nil || num < max(rec.BaseRecords(), rec.TotalRecords) {
 			continue
 		}
-		r.staged++
+		r.stagedRecords++
 		for _, n := range r.w.nodes {
 			if n.alive && r.w.release[n.name] != current {
 				r.violated(ruleCompatibility, "%s is staged beside %s of an earlier release", c.Set, n.name)
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -27,9 +27,9 @@
 
 // stageLog reads from the leader's log when each stage of a replica's way ends.
 type stageLog struct {
-	w    *World
-	ends map[string][stages]time.Time // by task
-	lost map[string]string            // machines that were lost, by the tasks that they had
+	w           *World
+	ends        map[string][stages]time.Time // by task
+	lostMachine map[string]string            // machines that were lost, by the tasks that they had
 }
 
 var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
@@ -49,26 +49,26 @@
 	name := field["job"] + "/" + field["task"]
 	switch string(m[1]) {
 	case "deleting machine":
-		for task, machine := range s.lost {
+		for task, machine := range s.lostMachine {
 			if machine == field["machine"] {
-				s.end(task, detection)
+				s.recordEnd(task, detection)
 			}
 		}
 	case "task gone":
-		if s.lost[name] == field["machine"] {
-			s.end(name, proof)
+		if s.lostMachine[name] == field["machine"] {
+			s.recordEnd(name, proof)
 		}
 	case "task placed":
-		s.end(name, placement)
+		s.recordEnd(name, placement)
 	case "start":
-		s.end(name, commitment)
+		s.recordEnd(name, commitment)
 	}
 	return len(line), nil
 }
 
-// end notes the first end of a stage of a task that was lost.
-func (s *stageLog) end(task string, x stage) {
-	if _, ok := s.lost[task]; !ok {
+// recordEnd notes the first end of a stage of a task that was lost.
+func (s *stageLog) recordEnd(task string, x stage) {
+	if _, ok := s.lostMachine[task]; !ok {
 		return
 	}
 	ends := s.ends[task]
@@ -81,9 +81,9 @@
 	}
 }
 
-// observe notes what the workers have.
-func (s *stageLog) observe() {
-	for task, machine := range s.lost {
+// observeAgents notes what the workers have.
+func (s *stageLog) observeAgents() {
+	for task, machine := range s.lostMachine {
 		id, index, _ := strings.Cut(task, "/")
 		for _, agent := range s.w.agents {
 			if string(agent.host.ID) == machine || agent.dead {
@@ -93,21 +93,21 @@
 				if t.name != task || t.job == nil || string(t.job.ID) != id || strconv.Itoa(t.index) != index || s.ends[task][commitment].IsZero() {
 					continue
 				}
-				s.end(task, command)
+				s.recordEnd(task, command)
 				if t.state == protocol.TaskRunning {
-					s.end(task, image)
+					s.recordEnd(task, image)
 				}
 			}
 		}
 	}
 }
 
-// replicaLoss lets the machine of a replica die and returns the mean of each stage over
+// measureReplicaLoss lets the machine of a replica die and returns the mean of each stage over
 // the replicas that were on it and run again, and how many do not.
-func replicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
+func measureReplicaLoss(t *testing.T, seed uint64, shape Shape) (mean [stages]time.Duration, again, missing int) {
 	t.Helper()
-	s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-	w := NewShaped(seed, s, shape)
+	s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
+	w := NewWithShape(seed, s, shape)
 	w.Run(6 * time.Second)
 	var users []*user
 	for i := range 6 {
@@ -119,29 +119,29 @@
 	w.Run(w.between(40*time.Second, 45*time.Second))
 	at := w.Now
 	s.w = w
-	s.lose(w.workerOf("run-000000", 1))
+	s.loseMachine(w.agentOf("run-000000", 1))
 	for range 3000 {
 		w.Run(10 * time.Millisecond)
-		s.observe()
+		s.observeAgents()
 	}
 	w.expectRulesHeld(t)
 	return s.mean(at, detection)
 }
 
-// lose lets a machine die and notes the replicas that it had.
-func (s *stageLog) lose(agent *agent) {
+// loseMachine lets a machine die and notes the replicas that it had.
+func (s *stageLog) loseMachine(agent *agent) {
 	for name, task := range s.w.rules.placed {
 		if task.agent == agent {
-			s.lost[name] = string(agent.host.ID)
+			s.lostMachine[name] = string(agent.host.ID)
 		}
 	}
-	s.w.loseWorker(agent)
+	s.w.loseAgent(agent)
 }
 
 // mean is the mean of each stage from the first one on, over the tasks that run, and
 // how many run and do not.
 func (s *stageLog) mean(at time.Time, first stage) (mean [stages]time.Duration, again, missing int) {
-	for task := range s.lost {
+	for task := range s.lostMachine {
 		ends := s.ends[task]
 		if ends[image].IsZero() {
 			missing++
@@ -162,8 +162,8 @@
 
 // stageSums adds up the means of several seeds.
 type stageSums struct {
-	sum   [stages]time.Duration
-	total int
+	sum      [stages]time.Duration
+	replicas int
 }
 
 // add takes in the means of a seed, by the number of replicas that they are of.
@@ -171,14 +171,14 @@
 	for x := range mean {
 		s.sum[x] += mean[x] * time.Duration(again)
 	}
-	s.total += again
+	s.replicas += again
 }
 
-// check logs the mean of each stage from the first one on and keeps it within a limit.
-func (s *stageSums) check(t *testing.T, first stage, limits [stages]time.Duration) {
+// expectWithin logs the mean of each stage from the first one on and keeps it within a limit.
+func (s *stageSums) expectWithin(t *testing.T, first stage, limits [stages]time.Duration) {
 	t.Helper()
 	for x := first; x < stages; x++ {
-		mean := s.sum[x] / time.Duration(max(1, s.total))
+		mean := s.sum[x] / time.Duration(max(1, s.replicas))
 		t.Logf("%-10s %v", stageNames[x], mean.Round(time.Millisecond))
 		if mean > limits[x] {
 			t.Errorf("%s takes %v", stageNames[x], mean)
@@ -190,28 +190,28 @@
 // machine are away, and keeps each part within its bound.
 func TestReplicaLossByStage(t *testing.T) {
 	t.Parallel()
-	shape := threeZones(12)
+	shape := threeZoneShape(12)
 	var sums stageSums
 	for seed := range uint64(12) {
-		mean, again, missing := replicaLoss(t, 700+seed, shape)
+		mean, again, missing := measureReplicaLoss(t, 700+seed, shape)
 		if missing > 0 {
 			t.Errorf("seed %d: %d replicas do not run again", seed, missing)
 		}
 		sums.add(mean, again)
 	}
-	sums.check(t, detection, [stages]time.Duration{8 * time.Second, 1500 * time.Millisecond, time.Second, 500 * time.Millisecond, 200 * time.Millisecond, 5 * time.Second})
-	t.Logf("%d replicas", sums.total)
+	sums.expectWithin(t, detection, [stages]time.Duration{8 * time.Second, 1500 * time.Millisecond, time.Second, 500 * time.Millisecond, 200 * time.Millisecond, 5 * time.Second})
+	t.Logf("%d replicas", sums.replicas)
 }
 
 // TestServiceStartByStage measures where the time goes from a service's submission until
 // its replicas run, on machines that are up and do not have its image.
 func TestServiceStartByStage(t *testing.T) {
 	t.Parallel()
-	shape := threeZones(30)
+	shape := threeZoneShape(30)
 	var sums stageSums
 	for seed := range uint64(12) {
-		s := &stageLog{ends: map[string][stages]time.Time{}, lost: map[string]string{}}
-		w := NewShaped(750+seed, s, shape)
+		s := &stageLog{ends: map[string][stages]time.Time{}, lostMachine: map[string]string{}}
+		w := NewWithShape(750+seed, s, shape)
 		w.Run(8 * time.Second)
 		s.w = w
 		spec := service("run-000000", 6)
@@ -219,11 +219,11 @@
 		at := w.Now
 		w.submit(arrival{job: spec})
 		for i := range spec.Tasks {
-			s.lost[protocol.TaskName(spec.ID, i)] = ""
+			s.lostMachine[protocol.TaskName(spec.ID, i)] = ""
 		}
 		for range 800 {
 			w.Run(10 * time.Millisecond)
-			s.observe()
+			s.observeAgents()
 		}
 		mean, again, missing := s.mean(at, placement)
 		if missing > 0 {
@@ -232,5 +232,5 @@
 		sums.add(mean, again)
 		w.expectRulesHeld(t)
 	}
-	sums.check(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
+	sums.expectWithin(t, placement, [stages]time.Duration{placement: 300 * time.Millisecond, commitment: 200 * time.Millisecond, command: 100 * time.Millisecond, image: 3 * time.Second})
 }
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -7,14 +7,14 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// share is the part of a service's replica time that was served.
-func (u *user) share() float64 { return float64(u.served) / float64(u.served+u.unserved) }
+// servedShare is the part of a service's replica time that was served.
+func (u *user) servedShare() float64 { return float64(u.served) / float64(u.served+u.unserved) }
 
 // serviceFault is something that happens to a service's machines or to the controllers.
 type serviceFault struct {
-	name  string
-	play  func(w *World, u *user)
-	least float64 // share of 200 s of four replicas that must be served
+	name     string
+	inject   func(w *World, u *user)
+	minShare float64 // share of 200 s of four replicas that must be served
 }
 
 var serviceFaults = []serviceFault{
@@ -24,27 +24,27 @@
 		w.crashAll(4 * time.Second)
 	}, 1},
 	{"a machine dies", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
-		w.loseWorker(k)
+		k := w.agentOf(u.job.spec.ID, 1)
+		w.loseAgent(k)
 	}, 0.97},
 	{"a machine is taken away with notice", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
-		k.giveNotice(20)
+		k := w.agentOf(u.job.spec.ID, 1)
+		k.announcePreemption(20)
 		w.after(20*time.Second, func() { w.cloud.destroy(k.host) })
 	}, 0.994},
 	{"a machine fails every task", func(w *World, u *user) {
-		w.workerOf(u.job.spec.ID, 1).failsTasks = true
+		w.agentOf(u.job.spec.ID, 1).failsTasks = true
 		w.submit(arrival{after: time.Second, job: array("run-000081", 4), run: 10})
 		w.submit(arrival{after: 2 * time.Second, job: array("run-000082", 4), run: 10})
 	}, 0.994},
 	{"a machine opens no connection", func(w *World, u *user) {
-		k := w.workerOf(u.job.spec.ID, 1)
+		k := w.agentOf(u.job.spec.ID, 1)
 		k.opensNoConnections = true
 		w.after(100*time.Second, func() { k.opensNoConnections = false })
 	}, 0.98},
 	{"the key-value store is down", func(w *World, _ *user) { w.store.outage(15 * time.Second) }, 1},
 	{"a zone is cut off", func(w *World, _ *user) {
-		w.interrupt(25*time.Second, packetsLost, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+		w.disconnect(25*time.Second, packetsDropped, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 	}, 0.9},
 }
 
@@ -59,14 +59,14 @@
 
 // run plays it with one service of four replicas.
 func (c serviceFault) run(t *testing.T) {
-	w := startWorld(70, Small(), 6*time.Second)
+	w := startWorld(70, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4), cancelAfter: 210 * time.Second})
 	w.waitUntilRunning(t, 5*time.Second, u)
 	w.submit(arrival{after: time.Second, job: gangJob("run-000002", 4), run: 300}) // no machine but its own goes idle
 	w.Run(20 * time.Second)
-	c.play(w, u)
+	c.inject(w, u)
 	w.Run(200 * time.Second)
-	if got := u.share(); got < c.least {
+	if got := u.servedShare(); got < c.minShare {
 		t.Errorf("%.4f of the replica time is served", got)
 	} else {
 		t.Logf("%.4f", got)
@@ -83,16 +83,16 @@
 // fails on every machine, and takes no machine from others.
 func TestEndedReplicasRestartWithoutStorm(t *testing.T) {
 	t.Parallel()
-	w := startWorld(71, Small(), 6*time.Second)
+	w := startWorld(71, SmallShape(), 6*time.Second)
 	u := w.submit(arrival{job: service("run-000001", 4)})
 	u.job.ends = 60 * time.Second
 	w.Run(200 * time.Second)
-	if got := u.share(); got < 0.95 {
+	if got := u.servedShare(); got < 0.95 {
 		t.Errorf("%.4f of the replica time is served", got)
 	}
 	u.cancelRequested = false
 	for i, ends := range []time.Duration{200 * time.Millisecond, 0} {
-		v := w.submit(arrival{job: service(jobID(10+i), 6), mistaken: ends == 0})
+		v := w.submit(arrival{job: service(jobID(10+i), 6), alwaysFails: ends == 0})
 		v.job.ends = ends
 		w.Run(150 * time.Second)
 		n := sum(v.job.starts)
@@ -111,7 +111,7 @@
 // TestServiceBeyondTeamLimitIsRefused: a service needs quota for all its tasks.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	t.Parallel()
-	w := startWorld(72, Small(), 6*time.Second)
+	w := startWorld(72, SmallShape(), 6*time.Second)
 	for _, c := range []struct{ replicas, status int }{{2, 201}, {3, 422}} {
 		spec := service(jobID(c.replicas), c.replicas)
 		spec.Team, spec.GPUs = "red", 4 // of 10
@@ -121,24 +121,26 @@
 	}
 }
 
-// wholeMachines is a gang of two tasks that take most of a machine of the small shape each.
-func wholeMachines(id protocol.JobID) *protocol.Job { return perTask(gangJob(id, 2), 28, 4, 200) }
+// gangOfLargeTasks is a gang of two tasks that take most of a machine of the small shape each.
+func gangOfLargeTasks(id protocol.JobID) *protocol.Job {
+	return withTaskResources(gangJob(id, 2), 28, 4, 200)
+}
 
-// TestReplicasLeaveGPUs: replicas are spread over machines, and take no processors
+// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and take no processors
 // or memory that work on GPUs needs while there are others.
-func TestReplicasLeaveGPUs(t *testing.T) {
+func TestReplicasLeaveRoomForGPUJobs(t *testing.T) {
 	t.Parallel()
-	shape := Small()
+	shape := SmallShape()
 	shape.Machines, shape.Capacity = 8, 8
 	w := startWorld(73, shape, 6*time.Second)
-	big := w.submitRunning(t, 20*time.Second, wholeMachines("run-000001"), 20)
+	big := w.submitAndWaitUntilRunning(t, 20*time.Second, gangOfLargeTasks("run-000001"), 20)
 	for i := range 4 {
 		spec := service(jobID(10+i), 4)
 		spec.Spread = i%2 == 0
-		w.submitRunning(t, 10*time.Second, spec, 0)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, spec, 0)
 		on := map[protocol.MachineID]int{}
 		for k := range 4 {
-			on[w.workerOf(spec.ID, k).host.ID]++
+			on[w.agentOf(spec.ID, k).host.ID]++
 		}
 		if len(on) != 4 {
 			t.Errorf("%s is on %v", spec.ID, on)
@@ -146,7 +148,7 @@
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
 	for i := range 4 { // eight machines with two replicas each: 4 of 32 processors
-		w.submitRunning(t, 10*time.Second, wholeMachines(jobID(20+i)), 20)
+		w.submitAndWaitUntilRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -12,49 +12,49 @@
 
 // The rules.
 const (
-	ruleRanTwice      rule = "ran_twice"     // a task is on one machine at most
-	ruleQuota         rule = "quota"         // a team keeps within its limit
-	ruleWrongPlace    rule = "wrong_place"   // zones and spot instances are as the job asks
-	ruleRanCancelled  rule = "ran_cancelled" // a cancelled job is gone within cancel_s
-	ruleWentBack      rule = "went_back"     // no answer is older than one before
-	ruleNotDone       rule = "not_done"      // a job that is called done is
-	ruleForgotten     rule = "forgotten"     // an accepted job stays known and is answered for
-	ruleRefused       rule = "refused"       // a valid job is accepted
-	ruleAccepted      rule = "accepted"      // a job that can never run is refused
-	ruleLate          rule = "late"          // the largest jobs begin in time
-	ruleUnserved      rule = "unserved"      // half of every class and team is served
-	ruleLeftWaiting   rule = "left"          // no job waits for long beside capacity for it
-	ruleLiveness      rule = "liveness"      // every job is over in the end
-	ruleLimits        rule = "limits"        // transactions keep within the store's limits
-	ruleCompatibility rule = "compatibility" // earlier releases see nothing that they don't know
+	ruleRanTwice       rule = "ran_twice"     // a task is on one machine at most
+	ruleQuota          rule = "quota"         // a team keeps within its limit
+	ruleWrongPlacement rule = "wrong_place"   // zones and spot instances are as the job asks
+	ruleRanCancelled   rule = "ran_cancelled" // a cancelled job is gone within cancel_s
+	ruleWentBack       rule = "went_back"     // no answer is older than one before
+	ruleNotDone        rule = "not_done"      // a job that is called done is
+	ruleForgotten      rule = "forgotten"     // an accepted job stays known and is answered for
+	ruleRefused        rule = "refused"       // a valid job is accepted
+	ruleAccepted       rule = "accepted"      // a job that can never run is refused
+	ruleLate           rule = "late"          // the largest jobs begin in time
+	ruleUnserved       rule = "unserved"      // half of every class and team is served
+	ruleLeftWaiting    rule = "left"          // no job waits for long beside capacity for it
+	ruleLiveness       rule = "liveness"      // every job is over in the end
+	ruleLimits         rule = "limits"        // transactions keep within the store's limits
+	ruleCompatibility  rule = "compatibility" // earlier releases see nothing that they don't know
 )
 
 // rules checks the protocol's rules at every step.
 type rules struct {
-	w           *World
-	jobs        map[protocol.JobID]*simJob
-	placed      map[string]*agentTask         // where a task is
-	gpusInUse   map[protocol.TeamName]float64 // GPUs by team
-	failures    []string
-	started     int
-	lateStarts  int // starts after a confirmed cancellation
-	lowerTokens int // answers and orders with a lower token than the worker had seen
-	staged      int // parts of records written before they were named
+	w                       *World
+	jobs                    map[protocol.JobID]*simJob
+	placed                  map[string]*agentTask         // where a task is
+	gpusInUse               map[protocol.TeamName]float64 // GPUs by team
+	failures                []string
+	started                 int
+	startsAfterCancellation int // starts after a confirmed cancellation
+	staleTokens             int // answers and orders with a lower token than the worker had seen
+	stagedRecords           int // parts of records written before they were named
 }
 
 // simJob is a job as the outside world knows it.
 type simJob struct {
-	spec      *protocol.Job
-	run       float64
-	progress  []float64
-	done      []bool
-	gangs     map[protocol.AttemptNumber]*gang
-	mistaken  bool
-	cancelled time.Time     // when its user was told
-	began     time.Time     // when it first ran, a gang as a whole
-	last      func()        // what happens when the last task has completed
-	starts    map[int]int   // of each task
-	ends      time.Duration // a service's replicas end by themselves after about this, 0: never
+	spec         *protocol.Job
+	run          float64
+	progress     []float64
+	done         []bool
+	gangs        map[protocol.AttemptNumber]*gang
+	alwaysFails  bool
+	cancelledAt  time.Time     // when its user was told
+	startedAt    time.Time     // when it first ran, a gang as a whole
+	onCompletion func()        // what happens when the last task has completed
+	starts       map[int]int   // of each task
+	ends         time.Duration // a service's replicas end by themselves after about this, 0: never
 }
 
 // newSimJob is a job none of whose tasks has run.
@@ -85,8 +85,8 @@
 	} else {
 		j.starts[task.index]++
 	}
-	if !r.jobs[spec.ID].cancelled.IsZero() {
-		r.lateStarts++
+	if !r.jobs[spec.ID].cancelledAt.IsZero() {
+		r.startsAfterCancellation++
 	}
 	if o := r.placed[task.name]; o != nil {
 		r.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, task.agent.host.ID, o.agent.host.ID)
@@ -94,7 +94,7 @@
 	r.placed[task.name] = task
 	r.gpusInUse[spec.Team] += spec.GPUs
 	r.checkQuota(spec.Team)
-	r.checkPlace(task)
+	r.checkPlacement(task)
 	r.checkCancelled(task)
 }
 
@@ -107,11 +107,11 @@
 	}
 }
 
-// checkPlace checks that a task is where its job may be.
-func (r *rules) checkPlace(task *agentTask) {
+// checkPlacement checks that a task is where its job may be.
+func (r *rules) checkPlacement(task *agentTask) {
 	spec := task.job
 	if spec.Zone != "" && spec.Zone != task.agent.host.Zone || task.agent.host.Spot && !spec.Spot {
-		r.violated(ruleWrongPlace, "%s on %s", task.name, task.agent.host.ID)
+		r.violated(ruleWrongPlacement, "%s on %s", task.name, task.agent.host.ID)
 	}
 	if !spec.OneZone && !spec.Spread {
 		return
@@ -123,18 +123,18 @@
 		}
 	}
 	if spec.OneZone && len(zones) > 1 {
-		r.violated(ruleWrongPlace, "%s in more zones than one: %v", spec.ID, zones)
+		r.violated(ruleWrongPlacement, "%s in more zones than one: %v", spec.ID, zones)
 	}
 	if spec.Spread && zones[task.agent.host.Zone] > (spec.Tasks+1)/2 {
-		r.violated(ruleWrongPlace, "%s has %v", spec.ID, zones)
+		r.violated(ruleWrongPlacement, "%s has %v", spec.ID, zones)
 	}
 }
 
 // checkCancelled checks that a task's job was not cancelled too long ago.
 func (r *rules) checkCancelled(task *agentTask) {
 	j := r.jobs[task.job.ID]
-	if !j.cancelled.IsZero() && r.w.Now.Sub(j.cancelled) > secs(r.w.shape.Agents.CancelS) {
-		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelled))
+	if !j.cancelledAt.IsZero() && r.w.Now.Sub(j.cancelledAt) > secs(r.w.shape.Agents.CancelS) {
+		r.violated(ruleRanCancelled, "%s is on %s %v after", task.name, task.agent.host.ID, r.w.Now.Sub(j.cancelledAt))
 	}
 }
 
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -13,8 +13,8 @@
 // and what runs goes on running.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(1, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	w := startWorld(1, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	starts := w.rules.started
 
 	w.leader().crash(time.Minute)
@@ -31,7 +31,7 @@
 // replaces its predecessor's leader lease without waiting for it to expire.
 func TestRestartedLeaderReplacesItsOwnLease(t *testing.T) {
 	t.Parallel()
-	w := startWorld(2, Small(), 5*time.Second)
+	w := startWorld(2, SmallShape(), 5*time.Second)
 	c := w.leader()
 
 	c.crash(200 * time.Millisecond)
@@ -46,13 +46,13 @@
 	w.expectRulesHeld(t)
 }
 
-// TestHeldBackStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
+// TestDelayedStartDoesNotRunDoneTask: a direct start that is held in the network for a minute
 // must not start its task again after it is done and forgotten.
-func TestHeldBackStartDoesNotRunDoneTask(t *testing.T) {
+func TestDelayedStartDoesNotRunDoneTask(t *testing.T) {
 	t.Parallel()
-	w := startWorld(3, Small(), 6*time.Second)
+	w := startWorld(3, SmallShape(), 6*time.Second)
 	c := w.leader()
-	w.interrupt(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
+	w.disconnect(60*time.Second, packetsHeld, func(a, b string) bool { return a == c.name && w.agents[protocol.MachineID(b)] != nil })
 	u := w.submit(arrival{job: array("run-000001", 4), run: 5})
 	w.waitUntilOver(t, 50*time.Second, u)
 	starts := w.rules.started
@@ -63,12 +63,12 @@
 	w.expectRulesHeld(t)
 }
 
-// TestShortStoreOutageCostsNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
+// TestShortStoreOutageLosesNoTaskAndNoLeader: an outage shorter than the leader's grace costs no task,
 // takes no node out of the load balancer and changes no leader.
-func TestShortStoreOutageCostsNoTaskAndNoLeader(t *testing.T) {
+func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
-	w := startWorld(4, Small(), 5*time.Second)
-	u := w.submitRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
+	w := startWorld(4, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, gangJob("run-000001", 3), 60)
 	c, starts := w.leader(), w.rules.started
 
 	w.store.outage(14 * time.Second)
@@ -93,8 +93,8 @@
 // is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
-	w := startWorld(5, Small(), 5*time.Second)
-	c := w.others(w.leader())[1]
+	w := startWorld(5, SmallShape(), 5*time.Second)
+	c := w.otherControllers(w.leader())[1]
 
 	c.refused = true
 	w.Run(8 * time.Second)
@@ -118,20 +118,20 @@
 	}
 }
 
-// TestLostStoreAnswersApplyNothingTwice: the key-value store carries out what the leader sends, but
+// TestLostStoreResponsesApplyNothingTwice: the key-value store carries out what the leader sends, but
 // its answers are lost for a while. Nothing is applied twice or forgotten.
-func TestLostStoreAnswersApplyNothingTwice(t *testing.T) {
+func TestLostStoreResponsesApplyNothingTwice(t *testing.T) {
 	t.Parallel()
-	w := startWorld(6, Small(), 5*time.Second)
+	w := startWorld(6, SmallShape(), 5*time.Second)
 	c := w.leader()
 	for i := range 6 {
 		w.submit(arrival{after: time.Duration(i) * time.Second, job: array(jobID(i), 2), run: 8})
 	}
 
-	lossy := &cut{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
-	w.cuts = append(w.cuts, lossy)
+	lossy := &partition{match: func(a, b string) bool { return a == storeHost && b == c.name && w.rng.IntN(2) == 0 }}
+	w.partitions = append(w.partitions, lossy)
 	w.Run(12 * time.Second)
-	w.cuts = nil
+	w.partitions = nil
 
 	w.waitUntilOver(t, 120*time.Second, w.users...)
 	w.expectRulesHeld(t)
@@ -141,7 +141,7 @@
 // the machine types from the records and take submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
-	w := startWorld(12, Small(), 5*time.Second)
+	w := startWorld(12, SmallShape(), 5*time.Second)
 
 	w.cloud.down = true
 	w.crashAll(time.Second)
@@ -161,8 +161,8 @@
 // exceed it nor keep the leader from its leader lease; every user gets an answer.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
-	w := startWorld(13, Small(), 5*time.Second)
-	w.submitRunning(t, 10*time.Second, array("run-000001", 2), 60)
+	w := startWorld(13, SmallShape(), 5*time.Second)
+	w.submitAndWaitUntilRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
 	answers, asked := 0, 0
@@ -189,19 +189,19 @@
 	w.expectRulesHeld(t)
 }
 
-// TestCutOffLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
+// TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader cut off from everything but some workers does
 // not know of a cancellation; its grace ends before the cancellation must hold.
-func TestCutOffLeaderStopsBeforeCancellationMustHold(t *testing.T) {
+func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
-	w := startWorld(7, Small(), 5*time.Second)
-	u := w.submitRunning(t, 20*time.Second, array("run-000001", 8), 500)
+	w := startWorld(7, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 8), 500)
 	c := w.leader()
 	inside := map[string]bool{c.name: true}
 	for i := range 8 {
-		inside[string(w.workerOf("run-000001", i).host.ID)] = true
+		inside[string(w.agentOf("run-000001", i).host.ID)] = true
 	}
 
-	w.interrupt(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
+	w.disconnect(100*time.Second, packetsHeld, func(a, b string) bool { return inside[a] != inside[b] })
 	w.Run(2 * time.Second)
 	w.waitFor(t, 20*time.Second, "another leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
@@ -213,16 +213,16 @@
 	w.expectRulesHeld(t)
 }
 
-// TestPeersRelayReportsAcrossZoneCut: across a cut between two zones, reports of the far zone's workers
+// TestPeersRelayHeartbeatsAcrossZonePartition: across a cut between two zones, reports of the far zone's workers
 // reach the leader through the controllers, and nothing is lost.
-func TestPeersRelayReportsAcrossZoneCut(t *testing.T) {
+func TestPeersRelayHeartbeatsAcrossZonePartition(t *testing.T) {
 	t.Parallel()
-	w := startWorld(8, Small(), 5*time.Second)
-	u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 120)
+	w := startWorld(8, SmallShape(), 5*time.Second)
+	u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 120)
 	c, starts := w.leader(), w.rules.started
-	bridge := w.others(c)[0].name // reaches everybody, wherever it is
+	bridge := w.otherControllers(c)[0].name // reaches everybody, wherever it is
 
-	w.interrupt(60*time.Second, packetsLost, func(a, b string) bool {
+	w.disconnect(60*time.Second, packetsDropped, func(a, b string) bool {
 		return a != bridge && b != bridge && w.inDifferentZones(a, b)
 	})
 
@@ -235,8 +235,8 @@
 // service's limits and survives a change of leader.
 func TestArrayOfManyRecordsSurvivesFailover(t *testing.T) {
 	t.Parallel()
-	w := startWorld(9, Small(), 5*time.Second)
-	u := w.submit(arrival{job: perTask(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
+	w := startWorld(9, SmallShape(), 5*time.Second)
+	u := w.submit(arrival{job: withTaskResources(array("run-000001", 700), 0.2, 0, 0.5), run: 10})
 	w.Run(20 * time.Second)
 
 	w.leader().crash(2 * time.Second)
@@ -255,8 +255,8 @@
 // key-value store, survives a change of leader and is cancelled in time.
 func TestLargestJobSurvivesFailoverAndIsCancelled(t *testing.T) {
 	t.Parallel()
-	w := startWorld(14, Small(), 5*time.Second)
-	job := perTask(array("run-000001", 100_000), 0.2, 0, 0.5)
+	w := startWorld(14, SmallShape(), 5*time.Second)
+	job := withTaskResources(array("run-000001", 100_000), 0.2, 0, 0.5)
 	u := w.submit(arrival{job: job, run: 10, cancelAfter: 30 * time.Second})
 	w.Run(15 * time.Second)
 	if w.rules.started == 0 {
@@ -278,13 +278,13 @@
 // that is there, keeping its checkpoint.
 func TestGangRestartsOnSpareFromCheckpoint(t *testing.T) {
 	t.Parallel()
-	w := startWorld(10, Small(), 6*time.Second)
-	job := checkpointed(gangJob("run-000001", 2), 10, 2)
+	w := startWorld(10, SmallShape(), 6*time.Second)
+	job := withCheckpoints(gangJob("run-000001", 2), 10, 2)
 	job.GPUs, job.OneZone = 2, true
-	u := w.submitRunning(t, 10*time.Second, job, 60)
+	u := w.submitAndWaitUntilRunning(t, 10*time.Second, job, 60)
 	w.Run(25 * time.Second)
 
-	w.loseWorker(w.workerOf("run-000001", 0))
+	w.loseAgent(w.agentOf("run-000001", 0))
 
 	// Silence, two probes and a deletion: well before the lease would expire.
 	if took := w.waitUntilRunning(t, 24*time.Second, u); took > 18*time.Second {
@@ -297,19 +297,19 @@
 	w.expectRulesHeld(t)
 }
 
-// TestZoneCutOffFromAllPeersCostsNoTask: a cut between two zones that leaves no path between their
+// TestZonePartitionedFromAllPeersLosesNoTask: a cut between two zones that leaves no path between their
 // controllers costs nothing that runs: the reports of the far zone reach the
 // leader by way of the key-value store, and so do its answers.
-func TestZoneCutOffFromAllPeersCostsNoTask(t *testing.T) {
+func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetFate{packetsHeld, packetsLost} {
+	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
 		t.Run(fate.String(), func(t *testing.T) {
 			t.Parallel()
-			w := startWorld(11, Small(), 5*time.Second)
-			u := w.submitRunning(t, 60*time.Second, array("run-000001", 12), 150)
+			w := startWorld(11, SmallShape(), 5*time.Second)
+			u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
-			w.interrupt(90*time.Second, fate, w.inDifferentZones)
+			w.disconnect(90*time.Second, fate, w.inDifferentZones)
 			w.Run(20 * time.Second)
 			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,19 +32,19 @@
 		var cancel time.Duration
 		if w.rng.IntN(6) == 0 {
 			spec.Class, spec.Shape, spec.Priority = "service", protocol.ShapeService, "critical"
-			checkpointed(perTask(spec, 1, 0, 4), 0, 0).EstimateS = 0
+			withCheckpoints(withTaskResources(spec, 1, 0, 4), 0, 0).EstimateS = 0
 			cancel = w.between(150*time.Second, 320*time.Second)
 		} else if w.rng.IntN(5) == 0 {
 			cancel = w.between(time.Second, 60*time.Second)
 		}
-		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, mistaken: cancel > 0 && w.rng.IntN(3) == 0})
+		w.submit(arrival{after: w.between(0, span), job: spec, run: 5 + 40*w.rng.Float64(), cancelAfter: cancel, alwaysFails: cancel > 0 && w.rng.IntN(3) == 0})
 	}
 }
 
-// tiny is a deployment whose leader's share of a core pays for a few workers
+// tinyCPUShape is a deployment whose leader's share of a core pays for a few workers
 // only: the other controllers answer the rest for it.
-func tiny() Shape {
-	s := Small()
+func tinyCPUShape() Shape {
+	s := SmallShape()
 	s.Resources.Cores = 0.0006
 	return s
 }
@@ -64,21 +64,21 @@
 	for seed := range days {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			shape := Small()
+			shape := SmallShape()
 			if seed%2 == 1 {
-				shape = tiny()
+				shape = tinyCPUShape()
 			}
 			shape.Recovery = seed%4 > 1
-			day(t, uint64(seed), shape)
+			checkRandomRun(t, uint64(seed), shape)
 		})
 	}
 }
 
-// day plays a random day and reports every rule that was broken, with the faults of the day.
-func day(t *testing.T, seed uint64, shape Shape) {
-	w := NewShaped(seed, logs(), shape)
-	history := w.playDay()
-	w.checkServed(2 * largestStartWithin) // with a fault every few seconds for four minutes
+// checkRandomRun plays a random day and reports every rule that was broken, with the faults of the day.
+func checkRandomRun(t *testing.T, seed uint64, shape Shape) {
+	w := NewWithShape(seed, logs(), shape)
+	history := w.runWithFaults()
+	w.checkServed(2 * maxLargestJobWait) // with a fault every few seconds for four minutes
 	if w.rules.started == 0 {
 		t.Error("nothing ran")
 	}
@@ -90,15 +90,15 @@
 	}
 }
 
-// playDay lets a day with overlapping faults pass until all is over, and lists the faults.
-func (w *World) playDay() (history []string) {
+// runWithFaults lets a day with overlapping faults pass until all is over, and lists the faults.
+func (w *World) runWithFaults() (history []string) {
 	w.submitMixedJobs(24, 150*time.Second)
 	for w.elapsed() < 240*time.Second {
 		w.Run(w.between(time.Second, 16*time.Second))
 		history = append(history, w.clock()+" "+w.injectFault())
 	}
 	w.Run(90 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	for _, agent := range w.agents {
 		agent.failsTasks = false
 	}
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -16,7 +16,7 @@
 // leader loses its leader lease to nothing but its own end.
 func TestSlowControllersKeepLeaseUnderLoad(t *testing.T) {
 	t.Parallel()
-	shape := smallestBudgets()
+	shape := smallestBudgetShape()
 	shape.Slow = true
 	shape.Capacity = 328
 	shape.Resources.Cores, shape.Resources.MemoryMB = 0.018, 65
@@ -24,8 +24,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(seed, shape, 3*time.Second)
-			terms := w.terms()
-			w.submitCrowd(60, 100*time.Second)
+			terms := w.leaderLeaseRevision()
+			w.submitJobBurst(60, 100*time.Second)
 			// Users ask about jobs that nobody submitted, fifty a second.
 			for i := range 500 {
 				w.after(40*time.Second+time.Duration(i)*20*time.Millisecond, func() {
@@ -38,25 +38,27 @@
 				})
 			}
 			w.Run(60 * time.Second)
-			if got := w.terms(); got != terms {
+			if got := w.leaderLeaseRevision(); got != terms {
 				t.Errorf("the leader lease was lost to load: revision %d, then %d", terms, got)
 			}
 			w.leader().crash(4 * time.Second)
 			w.Run(20 * time.Second)
 			w.crashAll(4 * time.Second)
 			w.Run(20 * time.Second)
-			terms = w.terms()
-			w.faultsOver = w.Now
-			w.finishDay(t, 700*time.Second)
-			if got := w.terms(); got != terms {
+			terms = w.leaderLeaseRevision()
+			w.faultsEndedAt = w.Now
+			w.finishAndCheck(t, 700*time.Second)
+			if got := w.leaderLeaseRevision(); got != terms {
 				t.Errorf("the leader lease was lost after the faults: revision %d, then %d", terms, got)
 			}
 			for _, c := range w.nodes {
-				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.most)
+				t.Logf("%s: at most %v answers, reports and users' requests waited", c.name, c.backlog.maxQueued)
 			}
 		})
 	}
 }
 
-// terms is the revision of the leader lease that stands.
-func (w *World) terms() protocol.Revision { return w.store.keys[storage.LeaderKey].Revision }
+// leaderLeaseRevision is the revision of the leader lease that stands.
+func (w *World) leaderLeaseRevision() protocol.Revision {
+	return w.store.keys[storage.LeaderKey].Revision
+}
--- a/internal/simulation/tick_timer.go
+++ b/internal/simulation/tick_timer.go
@@ -19,7 +19,7 @@
 
 // newTickTimer makes a timer whose first tick is at once. It is not set.
 func newTickTimer(w *World, wake func()) *tickTimer {
-	return &tickTimer{world: w, first: w.reached.following(0, w.nextNumber()), wake: wake}
+	return &tickTimer{world: w, first: w.lastEvent.following(0, w.nextNumber()), wake: wake}
 }
 
 // wakeBy has the agent woken at the first tick to come at or after a time, unless it is
@@ -41,7 +41,7 @@
 // tickFrom is the first tick at or after an instant that is still to come.
 func (t *tickTimer) tickFrom(instant time.Duration) position {
 	n := (instant - t.first.at + tickInterval - 1) / tickInterval
-	if tick := t.tick(n); t.world.reached.before(tick) {
+	if tick := t.tick(n); t.world.lastEvent.before(tick) {
 		return tick
 	}
 	return t.tick(n + 1)
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -10,15 +10,15 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// lowered is the shape of a deployment whose key-value store will lower its limits.
-func lowered(s Shape, writes float64, ops int) Shape {
-	s.Lowered = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
+// withLoweredLimits is the shape of a deployment whose key-value store will lower its limits.
+func withLoweredLimits(s Shape, writes float64, ops int) Shape {
+	s.NextStoreLimits = &config.StoreLimits{RPS: s.Store.RPS, WriteRPS: writes, ValueKB: 2, TxnOps: ops}
 	return s
 }
 
-// upgrade ends the controllers one after the other; each comes back as the new
+// upgradeInTurn ends the controllers one after the other; each comes back as the new
 // version. One that ends before its turn comes back as it was.
-func (w *World) upgrade(every time.Duration) {
+func (w *World) upgradeInTurn(every time.Duration) {
 	for i, c := range w.nodes {
 		w.after(time.Duration(i)*every, func() {
 			w.release[c.name] = current
@@ -29,11 +29,11 @@
 	}
 }
 
-// TestUpgrade: version 0.2, 0.3 or both serve, with records that the lowered limits do
+// TestUpgradeUnderFaultsKeepsRules: version 0.2, 0.3 or both serve, with records that the lowered limits do
 // not allow; the controllers are replaced while faults go on, the limits are
 // lowered, and every rule holds; nothing is lost and all is served. The leader may
 // be any of both versions at any time.
-func TestUpgrade(t *testing.T) {
+func TestUpgradeUnderFaultsKeepsRules(t *testing.T) {
 	t.Parallel()
 	days := 36
 	if testing.Short() {
@@ -43,7 +43,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := newUpgradeWorld(seed)
-			w.playUpgrade(seed%3 > 0)
+			w.runUpgrade(seed%3 > 0)
 			w.expectRulesHeld(t)
 		})
 	}
@@ -51,12 +51,12 @@
 
 // newUpgradeWorld is a world of controllers of earlier versions.
 func newUpgradeWorld(seed int) *World {
-	shape := lowered(Small(), 12, 4)
+	shape := withLoweredLimits(SmallShape(), 12, 4)
 	if seed%2 == 1 {
-		shape = lowered(tiny(), 12, 4)
+		shape = withLoweredLimits(tinyCPUShape(), 12, 4)
 	}
 	shape.Capacity = 30
-	w := NewShaped(uint64(900+seed), logs(), shape)
+	w := NewWithShape(uint64(900+seed), logs(), shape)
 	for i, c := range w.nodes {
 		// From 0.2, from 0.3, or from both.
 		w.release[c.name] = []release{release02, release03, []release{release02, release03}[(i+seed)%2]}[seed%3]
@@ -65,36 +65,36 @@
 	return w
 }
 
-// playUpgrade lets the controllers be replaced amid work, with faults or without, and the
+// runUpgrade lets the controllers be replaced amid work, with faults or without, and the
 // limits be lowered, until all is over.
-func (w *World) playUpgrade(faults bool) {
+func (w *World) runUpgrade(faults bool) {
 	w.submitMixedJobs(12, 100*time.Second)
 	for i := range 4 {
 		spec := array(jobID(600000+i), 60+w.rng.IntN(90))
-		perTask(spec, 1, 0.25, 5).Spot = true
+		withTaskResources(spec, 1, 0.25, 5).Spot = true
 		w.submit(arrival{after: w.between(0, 50*time.Second), job: spec, run: 20 + 60*w.rng.Float64()})
 		g := gangJob(jobID(600010+i), 16+w.rng.IntN(8))
-		checkpointed(g, 10, 2).OneZone = true
+		withCheckpoints(g, 10, 2).OneZone = true
 		w.submit(arrival{after: w.between(0, 80*time.Second), job: g, run: 30})
 	}
 	w.Run(w.between(30*time.Second, 60*time.Second))
 	if faults {
 		w.every(9*time.Second, 8, func(int) { w.injectFault() })
 	}
-	w.upgrade(w.between(time.Second, 20*time.Second))
+	w.upgradeInTurn(w.between(time.Second, 20*time.Second))
 	w.Run(70 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.Run(40 * time.Second)
 	w.crashLeader(300 * time.Millisecond)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
-	w.healWorkers()
+	w.faultsEndedAt = w.Now
+	w.healAgents()
 	w.watchWaitingJobs()
 	w.runUntilOver()
 }
 
-// healWorkers lets sick machines work again.
-func (w *World) healWorkers() {
+// healAgents lets sick machines work again.
+func (w *World) healAgents() {
 	for _, agent := range w.agents {
 		agent.failsTasks = false
 	}
@@ -106,23 +106,23 @@
 // records are as well, and no machine is forgotten on the way.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
-	shape := lowered(thousandMachines(), 21, 8)
+	shape := withLoweredLimits(thousandMachineShape(), 21, 8)
 	shape.Store.TxnOps = 24
-	w := NewShaped(77, logs(), shape)
+	w := NewWithShape(77, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
-	w.submitCrowd(60, 30*time.Second)
+	w.submitJobBurst(60, 30*time.Second)
 	for i := range 5 {
-		spec := queued(array(jobID(600000+i), 150), "array", "team-0", "idle")
+		spec := withQueue(array(jobID(600000+i), 150), "array", "team-0", "idle")
 		w.submit(arrival{job: spec, run: 150})
-		g := queued(largeGang(jobID(600010+i)), "gang", "team-1", "high")
+		g := withQueue(largeGang(jobID(600010+i)), "gang", "team-1", "high")
 		w.submit(arrival{job: g, run: 100})
 	}
 	w.Run(60 * time.Second)
-	starts, before := w.rules.started, w.gangTasksStartedAgain()
+	starts, before := w.rules.started, w.gangTaskRestarts()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
@@ -134,21 +134,21 @@
 			t.Errorf("%s still has %d bytes", key, len(e.Value))
 		}
 	}
-	w.store.lower()
+	w.store.applyNextLimits()
 	w.crashAll(time.Second)
 	w.Run(10 * time.Second)
-	w.faultsOver = w.Now
-	w.finishDay(t, 500*time.Second)
-	again := w.gangTasksStartedAgain() - before
+	w.faultsEndedAt = w.Now
+	w.finishAndCheck(t, 500*time.Second)
+	again := w.gangTaskRestarts() - before
 	t.Logf("%d starts before the upgrade, %d tasks of gangs started again since", starts, again)
 	if again > 0 {
 		t.Errorf("%d tasks of gangs were started again", again)
 	}
 }
 
-// gangTasksStartedAgain counts the starts of gangs' tasks beyond the first; arrays
+// gangTaskRestarts counts the starts of gangs' tasks beyond the first; arrays
 // make way for them.
-func (w *World) gangTasksStartedAgain() (again int) {
+func (w *World) gangTaskRestarts() (again int) {
 	for _, j := range w.rules.jobs {
 		if j.spec.Gang() {
 			for _, n := range j.starts {
@@ -159,26 +159,26 @@
 	return again
 }
 
-// TestOversizedUnderLoweredLimits: the limits are lowered before anything was
+// TestOversizedRecordsAreSplitUnderLoweredLimits: the limits are lowered before anything was
 // split, and a new leader that knows nothing of its peers finds the records.
-func TestOversizedUnderLoweredLimits(t *testing.T) {
+func TestOversizedRecordsAreSplitUnderLoweredLimits(t *testing.T) {
 	t.Parallel()
-	shape := lowered(Small(), 15, 4)
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Capacity = 40
-	w := NewShaped(78, logs(), shape)
+	w := NewWithShape(78, logs(), shape)
 	for _, c := range w.nodes {
 		w.release[c.name] = release02
 		c.crash(time.Millisecond)
 	}
 	w.Run(5 * time.Second)
 	spec := array("run-600000", 140)
-	perTask(spec, 2, 0.5, 10)
+	withTaskResources(spec, 2, 0.5, 10)
 	u := w.submit(arrival{job: spec, run: 60})
 	g := gangJob("run-600001", 20)
 	v := w.submit(arrival{after: 5 * time.Second, job: g, run: 40})
-	cancelled := w.submit(arrival{after: 5 * time.Second, job: perTask(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
+	cancelled := w.submit(arrival{after: 5 * time.Second, job: withTaskResources(array("run-600002", 120), 1, 0.25, 20), run: 500, cancelAfter: 55 * time.Second})
 	w.Run(40 * time.Second)
-	w.store.lower()
+	w.store.applyNextLimits()
 	for _, c := range w.nodes {
 		w.release[c.name] = current
 		c.crash(time.Second)
@@ -188,73 +188,73 @@
 	w.expectRulesHeld(t)
 }
 
-// wide is a job whose description takes most of a record's lowered size.
-func wide(spec *protocol.Job) *protocol.Job {
+// withLargeDescription is a job whose description takes most of a record's lowered size.
+func withLargeDescription(spec *protocol.Job) *protocol.Job {
 	spec.Types = []protocol.MachineTypeName{"four", protocol.MachineTypeName(strings.Repeat("x", 1400))}
 	return spec
 }
 
-// lowering is a way in which the limits fall while a release is upgraded.
-type lowering struct {
-	name string
-	from release
-	play func(w *World)
+// loweringScenario is a way in which the limits fall while a release is upgraded.
+type loweringScenario struct {
+	name        string
+	from        release
+	lowerLimits func(w *World)
 }
 
-var lowerings = []lowering{
+var loweringScenarios = []loweringScenario{
 	{"after the upgrade", release02, func(w *World) {
-		w.upgrade(8 * time.Second)
+		w.upgradeInTurn(8 * time.Second)
 		w.Run(40 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 	}},
 	{"after the upgrade, all records untouched", release03, func(w *World) {
-		w.upgrade(time.Second)
-		w.store.lower()
+		w.upgradeInTurn(time.Second)
+		w.store.applyNextLimits()
 	}},
 	{"in the middle of the upgrade", release03, func(w *World) {
-		w.upgrade(10 * time.Second)
-		w.after(14*time.Second, w.store.lower)
+		w.upgradeInTurn(10 * time.Second)
+		w.after(14*time.Second, w.store.applyNextLimits)
 	}},
 	{"in the middle of the upgrade from 0.2", release02, func(w *World) {
-		w.upgrade(5 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.upgradeInTurn(5 * time.Second)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"in a takeover", release02, func(w *World) {
-		w.upgrade(time.Second)
+		w.upgradeInTurn(time.Second)
 		w.Run(8 * time.Second)
-		w.store.lower()
+		w.store.applyNextLimits()
 		w.crashLeader(300 * time.Millisecond)
 		w.after(3*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(4*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 	}},
 	{"while the key-value store is slow", release02, func(w *World) {
-		w.upgrade(2 * time.Second)
+		w.upgradeInTurn(2 * time.Second)
 		w.Run(10 * time.Second)
-		w.store.slow = 400 * time.Millisecond
-		w.store.lower()
-		w.after(25*time.Second, func() { w.store.slow = 0 })
+		w.store.extraLatency = 400 * time.Millisecond
+		w.store.applyNextLimits()
+		w.after(25*time.Second, func() { w.store.extraLatency = 0 })
 	}},
 	{"in an outage", release02, func(w *World) {
-		w.upgrade(2 * time.Second)
+		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
 		w.store.outage(12 * time.Second)
-		w.after(6*time.Second, w.store.lower)
+		w.after(6*time.Second, w.store.applyNextLimits)
 	}},
 	{"answers are lost", release02, func(w *World) {
-		w.upgrade(2 * time.Second)
+		w.upgradeInTurn(2 * time.Second)
 		w.Run(5 * time.Second)
-		w.store.lower()
-		w.store.loseAnswers(0.3, 20*time.Second)
+		w.store.applyNextLimits()
+		w.store.loseResponses(0.3, 20*time.Second)
 	}},
 }
 
-// TestLimitsLoweredFar: the limits fall to a sixteenth at a stroke, so that a record
+// TestLimitsLoweredFarBelowRecordSizes: the limits fall to a sixteenth at a stroke, so that a record
 // needs more parts than a transaction has changes. They fall in the middle of an
 // upgrade, in a takeover, or while the key-value store is slow or absent. Every rule
 // holds, nothing is refused twice, and all that is there runs to its end.
-func TestLimitsLoweredFar(t *testing.T) {
+func TestLimitsLoweredFarBelowRecordSizes(t *testing.T) {
 	t.Parallel()
-	for _, c := range lowerings {
+	for _, c := range loweringScenarios {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(c.name, " seed ", seed), func(t *testing.T) {
 				t.Parallel()
@@ -265,24 +265,24 @@
 }
 
 // run plays it with records that need many parts.
-func (c lowering) run(t *testing.T, seed uint64) {
+func (c loweringScenario) run(t *testing.T, seed uint64) {
 	w := c.newWorld(seed)
-	users := w.submitWide()
-	c.play(w)
+	users := w.submitLargeJobs()
+	c.lowerLimits(w)
 	w.Run(60 * time.Second)
-	w.faultsOver = w.Now
+	w.faultsEndedAt = w.Now
 	w.waitUntilOver(t, 400*time.Second, users...)
 	w.Run(20 * time.Second)
-	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.staged, w.store.tooLarge, w.rules.started)
+	t.Logf("%d parts staged, %d transactions too large, %d starts", w.rules.stagedRecords, w.store.oversizedTransactions, w.rules.started)
 	w.expectRulesHeld(t)
 }
 
 // newWorld is a world of the earlier version whose records may be large.
-func (c lowering) newWorld(seed uint64) *World {
-	shape := lowered(Small(), 15, 4)
+func (c loweringScenario) newWorld(seed uint64) *World {
+	shape := withLoweredLimits(SmallShape(), 15, 4)
 	shape.Store.ValueKB, shape.Store.TxnOps, shape.Capacity = 32, 24, 40
 	shape.Type.CPUs = 320
-	w := NewShaped(300+seed, logs(), shape)
+	w := NewWithShape(300+seed, logs(), shape)
 	for _, n := range w.nodes {
 		w.release[n.name] = c.from
 		n.crash(time.Millisecond)
@@ -290,15 +290,15 @@
 	return w
 }
 
-// submitWide makes users with jobs whose records are the largest, and lets them run for a while.
-func (w *World) submitWide() (users []*user) {
+// submitLargeJobs makes users with jobs whose records are the largest, and lets them run for a while.
+func (w *World) submitLargeJobs() (users []*user) {
 	w.Run(5 * time.Second)
 	for i := range 3 {
-		a := wide(array(jobID(600000+i), 98))
-		perTask(a, 1, 0, 0.5)
+		a := withLargeDescription(array(jobID(600000+i), 98))
+		withTaskResources(a, 1, 0, 0.5)
 		users = append(users, w.submit(arrival{job: a, run: 60 + 30*w.rng.Float64()}))
-		g := wide(gangJob(jobID(600010+i), 40))
-		checkpointed(perTask(g, 1, 0, 0.5), 20, 2)
+		g := withLargeDescription(gangJob(jobID(600010+i), 40))
+		withCheckpoints(withTaskResources(g, 1, 0, 0.5), 20, 2)
 		users = append(users, w.submit(arrival{job: g, run: 50 + 30*w.rng.Float64()}))
 	}
 	w.Run(30 * time.Second)
