--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -13,8 +13,8 @@
 
 // userBehaviour is what users do beyond submitting jobs and asking for them.
 type userBehaviour struct {
-	askAllNodes bool    // they ask every node after every answer
-	cancelAtEnd float64 // this share of the jobs is cancelled at the moment of their end
+	askAllNodes      bool    // they ask every node after every answer
+	cancelAtEndShare float64 // this share of the jobs is cancelled at the moment of their end
 }
 
 // user submits one job and asks for it until it is over.
@@ -23,11 +23,11 @@
 	job              *simJob
 	accepted         bool
 	submittedAt      time.Time      // of the first attempt to submit
-	answeredAt       time.Time      // of the newest answer about the job
+	lastResponseAt   time.Time      // of the newest answer about the job
 	phase            protocol.Phase // the newest answer
 	cancelRequested  bool           // has asked to cancel
 	over             bool
-	silent           bool          // asks nothing any more
+	stoppedAsking    bool          // asks nothing any more
 	served, unserved time.Duration // replica time that was served and that was not, from 5 s on
 }
 
@@ -43,18 +43,18 @@
 	job         *protocol.Job
 	run         float64       // seconds for which its tasks run
 	cancelAfter time.Duration // the user cancels it so long after, 0: not
-	mistaken    bool          // every task ends with an error
+	alwaysFails bool          // every task ends with an error
 }
 
 // submit lets a user come.
 func (w *World) submit(a arrival) *user {
 	spec := a.job
 	j := newSimJob(spec)
-	j.run, j.mistaken = a.run, a.mistaken
+	j.run, j.alwaysFails = a.run, a.alwaysFails
 	u := &user{w: w, job: j}
 	w.users = append(w.users, u)
-	j.last = func() {
-		if w.rng.Float64() < w.cancelAtEnd {
+	j.onCompletion = func() {
+		if w.rng.Float64() < w.cancelAtEndShare {
 			u.cancel()
 		}
 	}
@@ -93,19 +93,19 @@
 }
 
 // ask sends a request to a node drawn by lot, unless the user has left.
-func (u *user) ask(limit time.Duration, r request, done answerFunc) {
-	if u.silent {
+func (u *user) send(limit time.Duration, r request, done responseFunc) {
+	if u.stoppedAsking {
 		return
 	}
-	u.w.reach("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
+	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
 }
 
 // submit asks for the job to be run until it is accepted, and sometimes once more.
 func (u *user) submit() {
-	u.ask(submitTimeout, submission(u.job.spec), func(status int, body []byte) {
+	u.send(submitTimeout, submission(u.job.spec), func(status int, body []byte) {
 		switch status {
 		case http.StatusOK, http.StatusCreated:
-			u.handleAnswer(body)
+			u.handleResponse(body)
 			if !u.accepted {
 				u.accepted = true
 				u.w.after(5*time.Second, u.poll)
@@ -121,12 +121,12 @@
 	})
 }
 
-// final says whether a phase is the last one of a job.
-func final(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
+// isFinal says whether a phase is the last one of a job.
+func isFinal(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
 
-// handleAnswer checks an answer against what this user was told before.
-func (u *user) handleAnswer(body []byte) {
-	u.answeredAt = u.w.Now
+// handleResponse checks an answer against what this user was told before.
+func (u *user) handleResponse(body []byte) {
+	u.lastResponseAt = u.w.Now
 	var a protocol.Accepted
 	decode(body, &a)
 	u.checkPhase(a)
@@ -135,9 +135,9 @@
 	if news && u.w.askAllNodes {
 		u.askAllNodes()
 	}
-	if final(a.Phase) {
+	if isFinal(a.Phase) {
 		u.over = true
-		if a.Phase == protocol.PhaseCancelled && u.job.cancelled.IsZero() {
+		if a.Phase == protocol.PhaseCancelled && u.job.cancelledAt.IsZero() {
 			u.noteCancelled()
 		}
 	}
@@ -146,7 +146,7 @@
 // checkPhase checks that a job's phase does not go back, and that a job that is called
 // cancelled or done is so.
 func (u *user) checkPhase(a protocol.Accepted) {
-	if final(u.phase) && a.Phase != u.phase {
+	if isFinal(u.phase) && a.Phase != u.phase {
 		u.w.rules.violated(ruleWentBack, "%s was %s and is %s", a.ID, u.phase, a.Phase)
 	}
 	if a.Phase == protocol.PhaseCancelled && !u.cancelRequested {
@@ -165,7 +165,7 @@
 
 // noteCancelled has the job's tasks checked once its cancellation must hold.
 func (u *user) noteCancelled() {
-	u.job.cancelled = u.w.Now
+	u.job.cancelledAt = u.w.Now
 	u.w.after(secs(u.w.shape.Agents.CancelS)+time.Millisecond, func() {
 		for i := range u.job.spec.Tasks {
 			if task := u.w.rules.placed[protocol.TaskName(u.job.spec.ID, i)]; task != nil {
@@ -178,16 +178,16 @@
 // poll asks for the job again and again until it is over, and a few times more.
 func (u *user) poll() {
 	before := u.phase
-	u.ask(queryTimeout, statusQuery(u.job.spec.ID), func(status int, body []byte) {
+	u.send(queryTimeout, statusQuery(u.job.spec.ID), func(status int, body []byte) {
 		switch {
 		case status == http.StatusOK && u.phase == before:
-			u.handleAnswer(body)
+			u.handleResponse(body)
 		case status == http.StatusOK:
-			u.answeredAt = u.w.Now
+			u.lastResponseAt = u.w.Now
 		case status == http.StatusNotFound:
 			u.w.rules.violated(ruleForgotten, "%s is unknown", u.job.spec.ID)
 		default:
-			u.checkAnswered()
+			u.checkResponseDelay()
 		}
 		if !u.over || u.w.rng.IntN(3) == 0 {
 			u.w.after(5*time.Second, u.poll)
@@ -207,19 +207,19 @@
 			if i >= 2*len(w.nodes) {
 				question = submission(u.job.spec)
 			}
-			w.call("users", c.name, queryTimeout, func(answer answerFunc) { c.ask(question, answer) },
-				func(status int, body []byte) { u.checkRepeated(c, told, status, body) })
+			w.call("users", c.name, queryTimeout, func(answer responseFunc) { c.ask(question, answer) },
+				func(status int, body []byte) { u.checkRepeatedResponse(c, told, status, body) })
 		})
 	}
 }
 
-// checkRepeated checks a node's answer to a question about a job that is accepted.
-func (u *user) checkRepeated(c *controller, told protocol.Phase, status int, body []byte) {
+// checkRepeatedResponse checks a node's answer to a question about a job that is accepted.
+func (u *user) checkRepeatedResponse(c *controller, told protocol.Phase, status int, body []byte) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		var a protocol.Accepted
 		decode(body, &a)
-		if final(told) && a.Phase != told {
+		if isFinal(told) && a.Phase != told {
 			u.w.rules.violated(ruleWentBack, "%s was %s and is %s at %s", a.ID, told, a.Phase, c.name)
 		}
 		if status == http.StatusCreated {
@@ -248,22 +248,22 @@
 	u.w.after(step, u.measureService)
 }
 
-// checkAnswered checks that no job goes without an answer for long once all
+// checkResponseDelay checks that no job goes without an answer for long once all
 // faults are over, however other jobs fare.
-func (u *user) checkAnswered() {
-	from := u.w.faultsOver
-	if u.answeredAt.After(from) {
-		from = u.answeredAt
+func (u *user) checkResponseDelay() {
+	from := u.w.faultsEndedAt
+	if u.lastResponseAt.After(from) {
+		from = u.lastResponseAt
 	}
-	if !u.w.faultsOver.IsZero() && u.w.Now.Sub(from) > forgottenAfter {
+	if !u.w.faultsEndedAt.IsZero() && u.w.Now.Sub(from) > maxTimeWithoutResponse {
 		u.w.rules.violated(ruleForgotten, "no question about %s is answered for %v", u.job.spec.ID, u.w.Now.Sub(from))
 	}
 }
 
 // Bounds of the rules about jobs.
 const (
-	forgottenAfter     = 75 * time.Second
-	largestStartWithin = 4 * time.Minute
+	maxTimeWithoutResponse = 75 * time.Second
+	maxLargestJobWait      = 4 * time.Minute
 )
 
 // checkServed checks at the end of a day that at least half of every class, of every
@@ -281,7 +281,7 @@
 		groups := []string{"class " + spec.Class, "team " + string(spec.Team)}
 		if spec.Tasks == largest[spec.Class] {
 			groups = append(groups, "the largest of "+spec.Class)
-			if wait := cmp.Or(u.job.began, w.Now).Sub(u.submittedAt); wait > within {
+			if wait := cmp.Or(u.job.startedAt, w.Now).Sub(u.submittedAt); wait > within {
 				w.rules.violated(ruleLate, "%s of %d tasks began after %v", spec.ID, spec.Tasks, wait)
 			}
 		}
@@ -302,7 +302,7 @@
 // countedUsers are the users whose jobs were to be done.
 func (w *World) countedUsers() (counted []*user) {
 	for _, u := range w.users {
-		if !u.cancelRequested && !u.job.mistaken && !u.submittedAt.IsZero() && !u.job.spec.Service() {
+		if !u.cancelRequested && !u.job.alwaysFails && !u.submittedAt.IsZero() && !u.job.spec.Service() {
 			counted = append(counted, u)
 		}
 	}
@@ -316,10 +316,10 @@
 	}
 	u.cancelRequested = true
 	u.w.Audit.cancelled(u.job.spec.ID)
-	u.ask(submitTimeout, cancellation(u.job.spec.ID), func(status int, body []byte) {
+	u.send(submitTimeout, cancellation(u.job.spec.ID), func(status int, body []byte) {
 		switch status {
 		case http.StatusOK:
-			u.handleAnswer(body)
+			u.handleResponse(body)
 		case http.StatusNotFound:
 			u.w.rules.violated(ruleForgotten, "%s cannot be cancelled", u.job.spec.ID)
 		default:
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -28,16 +28,16 @@
 	Store     config.StoreLimits
 	Cloud     config.CloudLimits
 	Resources config.ProcessLimits
-	// Lowered are the key-value store's limits to come, which the settings announce.
-	Lowered *config.StoreLimits
+	// NextStoreLimits are the key-value store's limits to come, which the settings announce.
+	NextStoreLimits *config.StoreLimits
 	// Recovery has the controllers follow their recoveries, as operators may ask.
 	Recovery bool
 	// Slow controllers take time for what they do, by their share of a core.
 	Slow bool
 }
 
-// Small is the shape of most tests.
-func Small() Shape {
+// SmallShape is the shape of most tests.
+func SmallShape() Shape {
 	zones := []protocol.ZoneName{"east", "west"}
 	return Shape{
 		Zones: zones, Machines: 4, Capacity: 12,
@@ -57,59 +57,59 @@
 	timeline
 	network
 	userBehaviour
-	reportCopies
+	heartbeatCopies
 	activity
 
-	shape Shape
-	live  *Live // where the controllers are elsewhere
-	Audit *Audit
+	shape    Shape
+	loopback *Loopback // where the controllers are elsewhere
+	Audit    *Audit
 
 	log *slog.Logger
 
-	nodes      []*controller
-	store      *keyValueStore
-	cloud      *cloudProvider
-	agents     map[protocol.MachineID]*agent
-	users      []*user
-	rules      *rules
-	faultsOver time.Time          // when all faults were over
-	release    map[string]release // of every controller
+	nodes         []*controller
+	store         *keyValueStore
+	cloud         *cloudProvider
+	agents        map[protocol.MachineID]*agent
+	users         []*user
+	rules         *rules
+	faultsEndedAt time.Time          // when all faults were over
+	release       map[string]release // of every controller
 	// recorder, if there is one, is shown every action of every controller as it is carried out.
 	recorder func(controller string, action coordination.Action)
 }
 
-// reportCopies are copies of workers' reports, as a network may deliver them.
-type reportCopies struct {
-	copies time.Duration // for so long copies may be late, 0: there are none
-	keep   bool          // copies are kept for the next leader
-	kept   [][]byte
+// heartbeatCopies are copies of workers' reports, as a network may deliver them.
+type heartbeatCopies struct {
+	maxCopyDelay       time.Duration // for so long copies may be late, 0: there are none
+	recordHeartbeats   bool          // copies are kept for the next leader
+	recordedHeartbeats [][]byte
 }
 
 // activity counts what the controllers do.
 type activity struct {
-	steps     int // of all controllers
-	calls     int // to workers
-	mostCalls int // of them under way at once at one controller
+	steps              int // of all controllers
+	calls              int // to workers
+	maxConcurrentCalls int // of them under way at once at one controller
 }
 
 // New makes a small world of three controllers.
-func New(seed uint64, logs io.Writer) *World { return NewShaped(seed, logs, Small()) }
+func New(seed uint64, logs io.Writer) *World { return NewWithShape(seed, logs, SmallShape()) }
 
-// NewShaped makes a world of three controllers and any size.
-func NewShaped(seed uint64, logs io.Writer, shape Shape) *World {
+// NewWithShape makes a world of three controllers and any size.
+func NewWithShape(seed uint64, logs io.Writer, shape Shape) *World {
 	w := newWorld(seed, logs, shape, nil)
 	for _, c := range w.nodes {
-		c.boot()
+		c.startProcess()
 	}
 	return w
 }
 
 // newWorld makes a world whose controllers have yet to be started, or are elsewhere.
-func newWorld(seed uint64, logs io.Writer, shape Shape, live *Live) *World {
+func newWorld(seed uint64, logs io.Writer, shape Shape, live *Loopback) *World {
 	w := &World{
 		timeline: newTimeline(seed),
 		shape:    shape,
-		live:     live,
+		loopback: live,
 		Audit:    newAudit(),
 		agents:   map[protocol.MachineID]*agent{},
 		release:  map[string]release{},
@@ -147,7 +147,7 @@
 	}
 	c.Cluster = config.Cluster{Nodes: 3, Zones: w.shape.Zones, Teams: w.shape.Teams, Agents: w.shape.Agents,
 		Store: w.shape.Store, Cloud: w.shape.Cloud, Process: w.shape.Resources}
-	if next := w.shape.Lowered; next != nil && w.release[name] != release02 {
+	if next := w.shape.NextStoreLimits; next != nil && w.release[name] != release02 {
 		present := w.shape.Store
 		c.Cluster.Present = &present
 		c.Cluster.Store = *next
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -7,10 +7,10 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// zoneLoss runs services until the fleet has shrunk to what they need, then loses every
+// measureZoneLoss runs services until the fleet has shrunk to what they need, then loses every
 // machine of a zone. It returns how long it took until as many replicas as the rules
 // allow ran again, and the machines that were up before.
-func zoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
+func measureZoneLoss(t *testing.T, seed uint64, shape Shape, services, replicas int, quiet time.Duration) (took time.Duration, machines int) {
 	t.Helper()
 	w := startWorld(seed, shape, 6*time.Second)
 	var users []*user
@@ -32,29 +32,29 @@
 	}
 	w.waitFor(t, 90*time.Second, "all run", func() bool { return running() == services*replicas })
 	w.Run(quiet)
-	zone := w.workerOf("run-000000", 1).host.Zone
+	zone := w.agentOf("run-000000", 1).host.Zone
 	allowed := services * replicas
 	for _, u := range users {
 		if u.job.spec.Spread && len(shape.Zones) == 2 {
 			allowed -= replicas / 2 // no more than half of them may be in the zone that is left
 		}
 	}
-	for _, agent := range w.workersInOrder() {
+	for _, agent := range w.agentsInCreationOrder() {
 		machines++
 		if agent.host.Zone == zone {
-			w.loseWorker(agent)
+			w.loseAgent(agent)
 		}
 	}
 	return w.waitFor(t, 120*time.Second, "they run again", func() bool { return running() >= allowed }), machines
 }
 
-// TestZoneLossWithoutBoot: when a zone is lost with all its machines, the replicas that
+// TestZoneLossIsRepairedWithoutBootingMachines: when a zone is lost with all its machines, the replicas that
 // the rules allow elsewhere run again in the other zones on machines that are up, also
 // when nothing but services has run for a long while.
-func TestZoneLossWithoutBoot(t *testing.T) {
+func TestZoneLossIsRepairedWithoutBootingMachines(t *testing.T) {
 	t.Parallel()
-	three := threeZones(9)
-	two := Small()
+	three := threeZoneShape(9)
+	two := SmallShape()
 	two.Machines, two.Capacity = 8, 40
 	for name, c := range map[string]struct {
 		shape Shape
@@ -69,7 +69,7 @@
 			var sum time.Duration
 			total := 0
 			for seed := range uint64(6) {
-				took, machines := zoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
+				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, quiet)
 				if took > c.limit {
 					t.Errorf("%s, quiet for %v, seed %d: %v", name, quiet, seed, took)
 				}
