--- a/internal/architecture/declarations_test.go
+++ b/internal/architecture/declarations_test.go
@@ -11,31 +11,31 @@
 	"testing"
 )
 
-// declarations are what the module's packages declare, test files included.
+// declarations contains what the module's packages declare, including in test files.
 type declarations struct {
-	files    []string               // Go files, by path from the root
-	packages map[string]*scope      // by path from the root
-	outside  map[string]bool        // names of imported packages that are not of this module
-	embedded map[*scope]embeddedMap // for members that a type has from another of its package
-	metrics  map[string]bool        // names of metrics, as string literals outside tests
+	files            []string                        // paths of the Go files, relative to the root
+	packages         map[string]*packageScope        // by path relative to the root
+	externalPackages map[string]bool                 // base names of imported packages of other modules
+	embedded         map[*packageScope]embeddedTypes // to find members that come from an embedded type
+	metrics          map[string]bool                 // metric names: string literals in non-test files
 }
 
-// scope is what one package declares: "Name" of a constant, variable, function or type,
-// and "Type.Member" of a field or method.
-type scope struct {
+// packageScope contains what one package declares: "Name" for a constant, variable, function or
+// type, and "Type.Member" for a field or method.
+type packageScope struct {
 	name      string
 	names     map[string]bool
-	functions map[string]bool // functions and methods by their own name
+	functions map[string]bool // functions, and methods without their type
 }
 
-// embeddedMap lists by type the types that it embeds.
-type embeddedMap map[string][]string
+// embeddedTypes maps each type to the types that it embeds.
+type embeddedTypes map[string][]string
 
-// readDeclarations reads all packages of the module.
+// readDeclarations parses all packages of the module.
 func readDeclarations(t *testing.T) *declarations {
 	t.Helper()
 	d := &declarations{
-		files: goFiles(t), packages: map[string]*scope{}, outside: map[string]bool{}, embedded: map[*scope]embeddedMap{},
+		files: goFiles(t), packages: map[string]*packageScope{}, externalPackages: map[string]bool{}, embedded: map[*packageScope]embeddedTypes{},
 		metrics: map[string]bool{},
 	}
 	for _, file := range d.files {
@@ -46,16 +46,16 @@
 		directory := path.Dir(file)
 		s := d.packages[directory]
 		if s == nil {
-			s = &scope{name: path.Base(directory), names: map[string]bool{}, functions: map[string]bool{}}
-			d.packages[directory], d.embedded[s] = s, embeddedMap{}
+			s = &packageScope{name: path.Base(directory), names: map[string]bool{}, functions: map[string]bool{}}
+			d.packages[directory], d.embedded[s] = s, embeddedTypes{}
 		}
 		for _, spec := range parsed.Imports {
 			if imported, err := strconv.Unquote(spec.Path.Value); err == nil && !strings.HasPrefix(imported, modulePath) {
-				d.outside[path.Base(imported)] = true
+				d.externalPackages[path.Base(imported)] = true
 			}
 		}
 		for _, declaration := range parsed.Decls {
-			d.add(s, declaration)
+			d.addDeclaration(s, declaration)
 		}
 		if !strings.HasSuffix(file, "_test.go") {
 			ast.Inspect(parsed, d.addMetric)
@@ -64,10 +64,10 @@
 	return d
 }
 
-// metricPrefix begins the name of every metric.
+// metricPrefix is the prefix of every metric name.
 const metricPrefix = "gappond_"
 
-// addMetric takes up a string literal that is the name of a metric.
+// addMetric adds the value of a string literal that begins with metricPrefix.
 func (d *declarations) addMetric(node ast.Node) bool {
 	if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 		if name, err := strconv.Unquote(literal.Value); err == nil && strings.HasPrefix(name, metricPrefix) {
@@ -77,8 +77,8 @@
 	return true
 }
 
-// add takes up one declaration of a file.
-func (d *declarations) add(s *scope, declaration ast.Decl) {
+// addDeclaration adds the names that a top-level declaration declares.
+func (d *declarations) addDeclaration(s *packageScope, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
 		name := declared.Name.Name
@@ -102,8 +102,8 @@
 	}
 }
 
-// addMembers takes up a struct's fields or an interface's methods.
-func (d *declarations) addMembers(s *scope, spec *ast.TypeSpec) {
+// addMembers adds a struct's fields or an interface's methods, and the types that it embeds.
+func (d *declarations) addMembers(s *packageScope, spec *ast.TypeSpec) {
 	var fields *ast.FieldList
 	switch declared := spec.Type.(type) {
 	case *ast.StructType:
@@ -125,7 +125,8 @@
 	}
 }
 
-// typeName is the name of a receiver's or an embedded field's type.
+// typeName returns the name of a type without its package, pointer and type arguments. For other
+// expressions, such as a.log, it returns the last identifier, or "" if there is none.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -142,8 +143,9 @@
 	return ""
 }
 
-// has reports whether a package declares "Name" or "Type.Member".
-func (d *declarations) has(s *scope, name string) bool {
+// declares reports whether a package declares name, which is "Name" or "Type.Member". A member
+// may come from an embedded type of the same package.
+func (d *declarations) declares(s *packageScope, name string) bool {
 	if s.names[name] {
 		return true
 	}
@@ -152,14 +154,14 @@
 		return false
 	}
 	for _, embedded := range d.embedded[s][owner] {
-		if embedded != owner && d.has(s, embedded+"."+member) {
+		if embedded != owner && d.declares(s, embedded+"."+member) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasPackage reports whether some package of the module is called so.
+// hasPackage reports whether the module has a package of that name.
 func (d *declarations) hasPackage(name string) bool {
 	for _, s := range d.packages {
 		if s.name == name {
@@ -169,27 +171,27 @@
 	return false
 }
 
-// inPackage reports whether a package that is called so declares the name.
-func (d *declarations) inPackage(packageName, name string) bool {
+// declaredInPackage reports whether any package called packageName declares the name.
+func (d *declarations) declaredInPackage(packageName, name string) bool {
 	for _, s := range d.packages {
-		if s.name == packageName && d.has(s, name) {
+		if s.name == packageName && d.declares(s, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// anywhere reports whether any package declares the name.
-func (d *declarations) anywhere(name string) bool {
+// declaredAnywhere reports whether any package declares the name.
+func (d *declarations) declaredAnywhere(name string) bool {
 	for _, s := range d.packages {
-		if d.has(s, name) {
+		if d.declares(s, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasFile reports whether a Go file's path is the name or ends in it.
+// hasFile reports whether the path of a Go file is the name, or ends with a slash and the name.
 func (d *declarations) hasFile(name string) bool {
 	for _, file := range d.files {
 		if file == name || strings.HasSuffix(file, "/"+name) {
@@ -199,7 +201,7 @@
 	return false
 }
 
-// hasFunction reports whether a function or a method is called so.
+// hasFunction reports whether any package declares a function or method of that name.
 func (d *declarations) hasFunction(name string) bool {
 	for _, s := range d.packages {
 		if s.functions[name] {
--- a/internal/architecture/model_states_test.go
+++ b/internal/architecture/model_states_test.go
@@ -10,22 +10,24 @@
 	"testing"
 )
 
-// modelPackage declares jobs and attempts, whose states only its methods change.
+// modelPackage is the package that declares jobs and attempts. Only its methods change their
+// states.
 const modelPackage = "internal/coordination/cluster"
 
-// modelStates are the fields that hold the states of attempts and jobs. Names that other
-// types have too (Cancelled, Done) are left out: without types they can't be told apart.
-var modelStates = map[string]bool{
+// modelStateFields are the fields that contain the states of attempts and jobs. Field names that
+// other types also have (Cancelled, Done) are left out, because the check has no type information
+// to distinguish them.
+var modelStateFields = map[string]bool{
 	"Committed": true, "Orphaned": true, "StartSent": true, "StartInResponse": true, "StartUnanswered": true,
 	"StartsInFlight": true, "StartSentAt": true, "StopSentAt": true, "ReportedState": true, "RunningSince": true,
 	"Stopping": true, "Finished": true,
 }
 
-// TestOnlyTheModelSetsItsStates: outside the model no code, tests apart, assigns to a state
-// of an attempt or a job: each change has a named method, which keeps states that exclude
-// each other apart.
-func TestOnlyTheModelSetsItsStates(t *testing.T) {
-	examined := 0
+// TestOnlyModelPackageSetsStateFields checks that non-test code of the coordination packages other
+// than modelPackage never assigns to a state of an attempt or a job. Each state change is a method
+// of the model, which ensures that mutually exclusive states are never set together.
+func TestOnlyModelPackageSetsStateFields(t *testing.T) {
+	examinedFiles := 0
 	for _, file := range goFiles(t) {
 		if !strings.HasPrefix(file, "internal/coordination/") || path.Dir(file) == modelPackage || strings.HasSuffix(file, "_test.go") {
 			continue
@@ -35,18 +37,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		examined++
-		for _, field := range assignedStates(parsed) {
-			t.Errorf("%s sets %s: use or add a method of the model", positions.Position(field.Pos()), field.Name)
+		examinedFiles++
+		for _, field := range assignedStateFields(parsed) {
+			t.Errorf("%s sets %s: call a method of package cluster instead, or add one", positions.Position(field.Pos()), field.Name)
 		}
 	}
-	if examined == 0 {
+	if examinedFiles == 0 {
 		t.Error("no file was examined")
 	}
 }
 
-// TestAssignedStates shows that assignedStates finds each kind of assignment.
-func TestAssignedStates(t *testing.T) {
+// TestAssignedStateFields checks that assignedStateFields finds each kind of assignment.
+func TestAssignedStateFields(t *testing.T) {
 	for source, want := range map[string]int{
 		"a.Committed = true":                1,
 		"a.Stopping, a.GraceS = true, 1":    1,
@@ -59,17 +61,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := len(assignedStates(parsed)); got != want {
+		if got := len(assignedStateFields(parsed)); got != want {
 			t.Errorf("%s: %d found, want %d", source, got, want)
 		}
 	}
 }
 
-// assignedStates are the names of model states that a file assigns to.
-func assignedStates(file *ast.File) (found []*ast.Ident) {
+// assignedStateFields returns the identifiers of modelStateFields that a file assigns to.
+func assignedStateFields(file *ast.File) (found []*ast.Ident) {
 	collect := func(targets ...ast.Expr) {
 		for _, target := range targets {
-			if selector, ok := target.(*ast.SelectorExpr); ok && modelStates[selector.Sel.Name] {
+			if selector, ok := target.(*ast.SelectorExpr); ok && modelStateFields[selector.Sel.Name] {
 				found = append(found, selector.Sel)
 			}
 		}
