--- a/internal/coordination/autoscaler/autoscaler.go
+++ b/internal/coordination/autoscaler/autoscaler.go
@@ -24,11 +24,12 @@
 	RequestScheduling()
 	// RecordMachine schedules a write of the machine's entry in its machine record.
 	RecordMachine(machine *cluster.Machine)
-	// MachinesDeleted removes machines that are known to be deleted from the cluster model.
+	// MachinesDeleted removes from the cluster model machines that are known to be deleted.
 	MachinesDeleted(machines ...protocol.MachineID)
-	// Drain cordons a machine and empties it of tasks, so that it can be deleted.
+	// Drain cordons a machine and has its tasks stop, move or run to their end, so that it can
+	// be deleted.
 	Drain(machine *cluster.Machine)
-	// UniqueName returns a name that no other request has.
+	// UniqueName returns a name that no other request has, for use as a request ID.
 	UniqueName() string
 	// After calls do once the pause has passed, unless this leader has stepped down by then.
 	After(pause time.Duration, do func())
--- a/internal/coordination/autoscaler/machine_list.go
+++ b/internal/coordination/autoscaler/machine_list.go
@@ -50,7 +50,8 @@
 	ml.env.After(pause, func() { ml.requestPage(after) })
 }
 
-// requestPage requests the page that follows a machine.
+// requestPage requests the page that begins behind the machine after, or the first page if after
+// is empty.
 func (ml *machineList) requestPage(after protocol.MachineID) {
 	ml.pages++
 	ml.cloud.ListMachines(after, ml.handlePage)
--- a/internal/coordination/autoscaler/machine_requests.go
+++ b/internal/coordination/autoscaler/machine_requests.go
@@ -16,7 +16,7 @@
 	tries int
 }
 
-// machineRequests sends the requests for machines.
+// machineRequests sends the requests for machines and handles their results.
 type machineRequests struct {
 	dependencies
 	deleted     map[protocol.MachineID]bool // machines that are known to be deleted
@@ -51,7 +51,7 @@
 	mr.send(request)
 }
 
-// send sends a request. A request whose response is lost is sent again under the same name, for
+// send sends a request. A request whose response is lost is sent again with the same ID, for
 // which the cloud returns the same machines.
 func (mr *machineRequests) send(request *machineRequest) {
 	request.tries++
@@ -95,7 +95,7 @@
 	}
 }
 
-// markUnavailable stops requests for an offer without capacity for a while.
+// markUnavailable suspends requests for an offer for which the cloud has no capacity.
 func (mr *machineRequests) markUnavailable(offer Offer) {
 	mr.unavailable[offer] = mr.state.Now().Add(tuning.NoCapacityBackoff)
 }
--- a/internal/coordination/autoscaler/scale_in_test.go
+++ b/internal/coordination/autoscaler/scale_in_test.go
@@ -156,7 +156,7 @@
 }
 
 // TestConsolidationDrainsHalfEmptyMachine: a machine is drained if its tasks can save their
-// progress and fit on another machine that costs no more. It is not drained if they can't save
+// progress and fit on another machine that costs no more. It is not drained if they cannot save
 // their progress.
 func TestConsolidationDrainsHalfEmptyMachine(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/coordination/autoscaler/scale_out_plan.go
+++ b/internal/coordination/autoscaler/scale_out_plan.go
@@ -9,7 +9,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// capacitySlot is the capacity of an existing or requested machine that waiting tasks may use.
+// capacitySlot is the capacity of an existing or requested machine that waiting tasks may use. It
+// is not a slot in the sense of package buddy.
 type capacitySlot struct {
 	machine *cluster.Machine // nil while the machine is only requested
 	offer   Offer
--- a/internal/coordination/autoscaler/scale_out_test.go
+++ b/internal/coordination/autoscaler/scale_out_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestRequestWithoutResponseIsRetriedUnderItsName: a request whose response is lost is sent again
-// under the same name. Until then, its machines are not requested a second time.
-func TestRequestWithoutResponseIsRetriedUnderItsName(t *testing.T) {
+// TestRequestWithoutResponseIsRetriedWithSameID: a request whose response is lost is sent again
+// with the same ID. Until then, its machines are not requested a second time.
+func TestRequestWithoutResponseIsRetriedWithSameID(t *testing.T) {
 	h := newHarness()
 	h.cluster.AddJob(clustertest.Gang(1, 4))
 	h.schedule()
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// newReserveSlot returns the slot of a machine. Tasks of gangs don't count as preemptible,
-// because they don't free their resources at once.
+// newReserveSlot returns the slot of a machine. Tasks of gangs do not count as preemptible,
+// because they do not free their resources at once.
 func newReserveSlot(machine *cluster.Machine, free cluster.Resources) *reserveSlot {
 	slot := &reserveSlot{capacitySlot: capacitySlot{machine: machine, offer: offerOf(machine), free: free}}
 	for _, attempt := range machine.Attempts {
--- a/internal/coordination/cluster/accounts_test.go
+++ b/internal/coordination/cluster/accounts_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestMachinesAreOrderedByName: OrderedMachines is sorted by ID in whatever order machines are
+// TestMachinesAreOrderedByID: OrderedMachines is sorted by ID in whatever order machines are
 // added, and a slice that was handed out does not change.
-func TestMachinesAreOrderedByName(t *testing.T) {
+func TestMachinesAreOrderedByID(t *testing.T) {
 	c := clustertest.New()
 	c.AddMachine("i-1", "big", "a")
 	c.AddMachine("i-3", "big", "a")
--- a/internal/coordination/cluster/attempt.go
+++ b/internal/coordination/cluster/attempt.go
@@ -32,9 +32,9 @@
 	Slots       []int
 	Committed   bool // a committed record contains the placement
 	// Recovered attempts come from a record of a previous leader. The record does not say
-	// whether they have ended since, and their capacity may have been used for others
+	// whether they have ended since, or whether their capacity has been used for others
 	// after that. So they are never started again, and one that the agent does not have
-	// is gone.
+	// counts as gone.
 	Recovered bool
 	Orphaned  bool // according to the records it should not run
 
@@ -64,8 +64,8 @@
 // and a start may have been sent.
 func (a *Attempt) MarkRecovered() { a.Committed, a.StartSent, a.Recovered = true, true, true }
 
-// MarkOrphaned marks the attempt as left by a previous leader although, according to the
-// records, it should not run. It must be stopped when an agent reports it.
+// MarkOrphaned marks the attempt as one that a previous leader placed but that should not run
+// according to the records. It must be stopped when an agent reports it.
 func (a *Attempt) MarkOrphaned() {
 	a.MarkRecovered()
 	a.Orphaned = true
@@ -87,7 +87,7 @@
 func (a *Attempt) EndDirectStart() { a.StartsInFlight-- }
 
 // MarkDirectStartUnanswered records that a direct start command got no response. The command
-// may take effect at any later time at which incarnation and fencing token still match.
+// may still take effect at any later time, as long as its incarnation and fencing token match.
 func (a *Attempt) MarkDirectStartUnanswered() {
 	a.StartsInFlight--
 	a.StartUnanswered = true
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -7,7 +7,7 @@
 // ZoneLimits limits how many more tasks of a job may be placed in each zone, given the zones
 // in which its tasks may be running now.
 type ZoneLimits struct {
-	Remaining map[protocol.ZoneName]int
+	Remaining map[protocol.ZoneName]int // how many more tasks each zone may take
 	// Only is the only allowed zone of a one-zone job whose zone is decided, else "".
 	Only protocol.ZoneName
 }
@@ -17,7 +17,7 @@
 	return z.Remaining[zone] != 0 && (z.Only == "" || z.Only == zone)
 }
 
-// Take counts a task of the job that was placed in a zone.
+// Take updates the limits after a task of the job was placed in a zone.
 func (z *ZoneLimits) Take(job *Job, zone protocol.ZoneName) {
 	z.Remaining[zone]--
 	if job.Spec.OneZone {
@@ -27,7 +27,7 @@
 
 // ZoneLimits returns the limits of a job.
 func (st *State) ZoneLimits(job *Job) ZoneLimits {
-	perZone := map[protocol.ZoneName]int{} // attempts of the job, at the end remaining tasks
+	perZone := map[protocol.ZoneName]int{} // first counts the job's attempts, at the end holds the remaining tasks
 	limits := ZoneLimits{Remaining: perZone}
 	for _, attempt := range job.Attempts {
 		perZone[attempt.Machine.Zone]++
@@ -69,7 +69,7 @@
 	return st.Schedulable(machine) && st.MeetsConstraints(job, machine)
 }
 
-// MeetsConstraints reports the same for a machine that is known to be schedulable.
+// MeetsConstraints reports the same as Eligible for a machine that is known to be schedulable.
 func (st *State) MeetsConstraints(job *Job, machine *Machine) bool {
 	return (machine.ReservedFor == nil || machine.ReservedFor == job) &&
 		SpecAllows(job.Spec, machine.TypeName, machine.Zone, machine.Spot) && !st.Avoids(job, machine)
--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -91,9 +91,11 @@
 
 // QueueTime returns the job's sort key among the jobs of its priority. It is the time of
 // submission or, for a job with start deadlines, the next of these that can still be met.
-// A job is moved back for each deadline that it has missed, because other jobs can still
-// meet theirs. The move is bounded, so no job waits for ever, and an overdue job goes back
-// to its time of submission.
+// The job is moved back from that deadline for each earlier one that it has missed, because
+// other jobs can still meet theirs, and for each of its remaining tasks, because small jobs can
+// meet theirs even if not all jobs can. Once it has missed all its deadlines, its key is the time
+// of submission, moved back for each of them. The move is bounded, so no job waits for ever. The
+// key of an overdue job is its time of submission again.
 func (j *Job) QueueTime(now time.Time) time.Time {
 	if len(j.StartDeadlines) == 0 || j.Overdue(now) {
 		return j.SubmittedAt
@@ -214,8 +216,8 @@
 	return true
 }
 
-// ReplicasMovableFrom returns how many more replicas the job's zone constraints allow in
-// other zones when the zone lost fails. perZone is the number of its replicas in each zone.
+// ReplicasMovableFrom returns how many more replicas the job's zone constraints allow in the
+// other zones if one zone is lost. perZone is the number of its replicas in each zone.
 func (j *Job) ReplicasMovableFrom(lost protocol.ZoneName, perZone map[protocol.ZoneName]int, zones []protocol.ZoneName) int {
 	if j.Spec.Zone != "" {
 		return 0
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -68,7 +68,7 @@
 // failed machines: more than half of the zone's machines, or more than about a third of all
 // machines, are silent at once. Machines behind a partition are back when it ends, with
 // their images. Replacements would have to boot first, perhaps behind the same partition.
-// The result reachable has the zones in which most machines send heartbeats on time.
+// The result reachable tells the zones in which most machines send heartbeats on time.
 func (st *State) SuspectedZones(silenceTimeout time.Duration) (suspected, reachable map[protocol.ZoneName]bool) {
 	var all silenceCount
 	perZone := map[protocol.ZoneName]silenceCount{}
@@ -90,9 +90,9 @@
 	return suspected, reachable
 }
 
-// isSilent reports whether a machine is unreachable: it does not receive responses, its lease
-// has expired, or it was silent for longer than silenceTimeout. Soon after a failover silence
-// does not count, because agents may not have found this leader yet.
+// isSilent reports whether a machine counts as silent: it does not receive responses, its lease
+// has expired, or no heartbeat has arrived for longer than silenceTimeout. Soon after a failover
+// only the first of these counts, because agents may not have found this leader yet.
 func (st *State) isSilent(machine *Machine, silenceTimeout time.Duration) bool {
 	if st.NotReceiving(machine) {
 		return true
@@ -104,9 +104,9 @@
 	return agent.LeaseExpired || !agent.Heard || st.Now().Sub(agent.LastHeartbeat) > silenceTimeout
 }
 
-// GoneLongerThanBootTime reports whether a machine behind a suspected partition has been gone,
-// since its lease expired, for longer than a replacement takes to boot. If its type is
-// unknown, the expired lease is enough.
+// GoneLongerThanBootTime reports whether the lease of a machine behind a suspected partition
+// expired longer ago than a replacement takes to boot. If the machine's type is unknown, the
+// expired lease is enough.
 func (st *State) GoneLongerThanBootTime(machine *Machine) bool {
 	machineType := st.TypeOf(machine)
 	return machine.Agent.LeaseExpired && (machineType == nil || st.Now().Sub(machine.Agent.LeaseExpiredAt) > config.Seconds(machineType.BootS))
@@ -128,8 +128,8 @@
 	return min(config.Seconds(st.Config.Cluster.Agents.ReportS*tuning.ReplicaSilenceIntervals), st.SilenceTimeout())
 }
 
-// AnyZoneSuspected reports whether SuspectedZones suspects any zone after the silence timeout
-// of machines with replicas.
+// AnyZoneSuspected reports whether any zone is suspected, judged by the silence time-out of
+// machines with replicas.
 func (st *State) AnyZoneSuspected() bool {
 	suspected, _ := st.SuspectedZones(st.ReplicaSilenceTimeout())
 	for _, isSuspected := range suspected {
--- a/internal/coordination/cluster/liveness_test.go
+++ b/internal/coordination/cluster/liveness_test.go
@@ -49,7 +49,7 @@
 	}
 	model.Advance(model.SilenceTimeout() + time.Second)
 	if suspected, _ := model.SuspectedZones(model.SilenceTimeout()); !suspected["a"] {
-		t.Error("the zone is not suspected although no heartbeat arrived within the silence timeout")
+		t.Error("the zone is not suspected although no heartbeat arrived within the silence time-out")
 	}
 }
 
--- a/internal/coordination/cluster/machine.go
+++ b/internal/coordination/cluster/machine.go
@@ -9,7 +9,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// Machine is a machine rented from the cloud, with its agent.
+// Machine is a machine that the cloud has created, with its agent.
 type Machine struct {
 	ID        protocol.MachineID
 	Address   string
@@ -30,7 +30,7 @@
 	Recovered   bool // loaded from a record of a previous leader
 	Cordoned    bool // accepts no new tasks; stored in the machine record
 	Deleting    bool
-	SpotNotice  bool                    // the cloud will soon preempt this spot machine
+	SpotNotice  bool                    // the cloud is about to preempt this spot machine
 	Quarantined bool                    // too many jobs had a task fail here
 	FailedJobs  map[protocol.JobID]bool // jobs that failed here since a task last succeeded here
 
--- a/internal/coordination/cluster/machine_record.go
+++ b/internal/coordination/cluster/machine_record.go
@@ -6,8 +6,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// MachineRecord is a stored record that several machines of a zone share. So scaling out or
-// in by many machines takes one or two writes instead of one for each machine.
+// MachineRecord is a stored record that several machines of a zone share, so that scaling out
+// or in by many machines takes one or two writes instead of one for each machine.
 type MachineRecord struct {
 	Key      string
 	Zone     protocol.ZoneName
@@ -15,8 +15,9 @@
 	Members  []*Machine
 	Bytes    int  // upper bound of the record's size
 	Queued   bool // must be written soon because machines were added or cordoned
-	// StaleSince is the time since which the stored record has contained machines that are
-	// gone. Such a record is written when there is time; zero if it is not stale.
+	// StaleSince is the time since which the stored record has contained machines that no
+	// longer belong in it, or zero if there are none. A stale record is rewritten when there
+	// is time.
 	StaleSince time.Time
 	// MovedOut are machines that the stored record contains and that were moved to other
 	// machine records. The other records are written first: a machine in no record would
--- a/internal/coordination/cluster/quota.go
+++ b/internal/coordination/cluster/quota.go
@@ -7,11 +7,11 @@
 type Quota struct {
 	GuaranteedCPUs, GuaranteedGPUs float64
 	LimitCPUs, LimitGPUs           float64
-	UsedCPUs, UsedGPUs             float64 // by all tasks that may be on a machine
+	UsedCPUs, UsedGPUs             float64 // by all attempts that are not proven gone
 }
 
-// Guarantees reports whether an amount fits into the guarantee. Without a guarantee nothing
-// fits.
+// Guarantees reports whether an amount fits into the guarantee. Without any guarantee nothing
+// fits. With a guarantee for only one resource, the other is not limited.
 func (q *Quota) Guarantees(amount Resources) bool {
 	if q.GuaranteedCPUs <= 0 && q.GuaranteedGPUs <= 0 {
 		return false
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -10,7 +10,7 @@
 // number of consecutive tasks. An oversized record is split like a node of a B-tree: some of
 // its tasks move to an additional record, an extra part, which lists its tasks.
 type RecordLayout struct {
-	TasksPerRecord int
+	TasksPerRecord int                 // of a base record
 	Revisions      []protocol.Revision // of every record; index 0 is the main record
 	MovedTasks     map[int]int         // extra part of each task that is not in its base record
 	ExtraParts     [][]int             // tasks of each extra part, in order
--- a/internal/coordination/clustertest/environment.go
+++ b/internal/coordination/clustertest/environment.go
@@ -2,8 +2,8 @@
 
 import "github.com/gappond/gappond/internal/coordination/cluster"
 
-// Environment is a fake of the leader that a scheduler calls. It returns what the test
-// sets and applies at once what a leader would do to attempts. It implements
+// Environment is a fake of the leader that a scheduler calls. It returns what the test has set,
+// and stops attempts in the cluster model as a leader would. It implements
 // scheduler.Environment.
 type Environment struct {
 	cluster *Cluster
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -20,7 +20,7 @@
 	case protocol.CauseNoCapacity, protocol.CauseTaskPresent:
 		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineRefusalBackoff)
 	default:
-		// no_such, or a cause that only a later version knows: retry, but not at once.
+		// protocol.CauseUnknownTask, or a cause that only a later version knows: retry, but not at once.
 		job.RetryAt = m.state.Now().Add(tuning.StoreRetryDelay * 8)
 	}
 }
@@ -59,10 +59,11 @@
 }
 
 // handleReplicaExit handles the exit of a replica that ended on its own, although it should run
-// until the user cancels its service, and returns whether the replica was stable. A replica that
+// until a user cancels its service, and returns whether the replica was stable. A replica that
 // ran for at least tuning.ReplicaStableTime is stable: its exit counts neither against it nor
-// against its machine. The replica is restarted elsewhere at once. If it keeps ending soon after
-// its start, it is restarted after growing pauses.
+// against its machine. A replica is restarted at once. After an early exit with an error it avoids
+// the machine, see attributeError. If it keeps ending soon after its start, it is restarted after
+// growing pauses.
 func (m *Manager) handleReplicaExit(attempt *cluster.Attempt) (stable bool) {
 	task := &attempt.Job.Tasks[attempt.Key.Index]
 	if !attempt.RunningSince.IsZero() && m.state.Now().Sub(attempt.RunningSince) >= tuning.ReplicaStableTime {
--- a/internal/coordination/lifecycle/lifecycle.go
+++ b/internal/coordination/lifecycle/lifecycle.go
@@ -27,7 +27,8 @@
 	// CommandsPending has the pending commands for a machine's agent sent without waiting for
 	// its next heartbeat.
 	CommandsPending(machine *cluster.Machine)
-	// Unreadable reports whether a record of a job cannot be read. Such a job is left as it is.
+	// Unreadable reports whether a record of a job cannot be read. Such a job is left as it is
+	// until a user cancels it.
 	Unreadable(job protocol.JobID) bool
 }
 
--- a/internal/coordination/scheduler/array.go
+++ b/internal/coordination/scheduler/array.go
@@ -117,7 +117,7 @@
 }
 
 // canWaitForImageLocalMachine reports whether an array has time to wait for machines that have
-// its image. A service never waits.
+// its image. An array that has missed all its start deadlines has time. A service never waits.
 func canWaitForImageLocalMachine(job *cluster.Job, state *cluster.State) bool {
 	if job.Spec.Service() {
 		return false
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -38,7 +38,7 @@
 			job.Priority = protocol.PriorityCritical
 		}
 		h.cluster.Config.Cluster.Process.Cores = cores
-		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // schedulable, with free capacity, preemptible
+		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // passes for schedulable machines, free capacity and preemptible work, with slack
 	})
 	t.Run("all preemptible", func(t *testing.T) {
 		h := newHarness()
--- a/internal/coordination/scheduler/gpu_requirements.go
+++ b/internal/coordination/scheduler/gpu_requirements.go
@@ -5,8 +5,8 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// perGPURequirements is the largest amount of processors and of memory that any current job
-// requires for each GPU.
+// perGPURequirements is the largest number of CPUs and the largest amount of memory that any
+// current job requires for each GPU.
 type perGPURequirements struct{ cpus, memoryGB float64 }
 
 // update computes the requirements from the current jobs. While no job uses GPUs they stay
@@ -24,8 +24,8 @@
 	}
 }
 
-// wouldStarveGPUs reports whether one more task without GPUs would leave too few processors or
-// too little memory on a machine for work on all its GPUs.
+// wouldStarveGPUs reports whether one more task without GPUs would leave too few CPUs or too
+// little memory on a machine for work on all its GPUs.
 func (r perGPURequirements) wouldStarveGPUs(spec *protocol.Job, machine *cluster.Machine, machineType *protocol.MachineType) bool {
 	if machineType == nil || machineType.GPUs == 0 || spec.GPUs > 0 {
 		return false
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -12,7 +12,8 @@
 
 // ShouldCheckpointOnPreemption reports whether a preempted task should save a checkpoint before it
 // stops. Saving costs time on the machine and delays the waiting job. Without it, the work of
-// about half a checkpoint interval is lost.
+// about half a checkpoint interval is lost. Tasks of a gang that makes checkpoints always save,
+// others only if that work is worth the time.
 func ShouldCheckpointOnPreemption(spec *protocol.Job) bool {
 	return spec.CheckpointIntervalS > 0 && (spec.Gang() || spec.CheckpointIntervalS/2 > tuning.MinCheckpointBenefit*spec.CheckpointSaveS)
 }
@@ -231,7 +232,7 @@
 	}
 }
 
-// removeUnneededVictims removes the victims without whose capacity the tasks still fit.
+// removeUnneededVictims removes victims whose capacity is not needed for the tasks to fit.
 func (p *machinePreemption) removeUnneededVictims(spec *protocol.Job, tasks int, free *cluster.Resources) {
 	for i := len(p.victims) - 1; i >= 0; i-- {
 		victim := p.victims[i]
--- a/internal/coordination/scheduler/replica_moves.go
+++ b/internal/coordination/scheduler/replica_moves.go
@@ -12,7 +12,7 @@
 // expire. Two attempts of a replica must never run at the same time, so the old attempt is
 // stopped before its replacement starts, but only once there is a machine for the replacement,
 // if possible one that has the image. Replicas of a service move one at a time, unless the cloud
-// is about to reclaim the spot machine.
+// is about to preempt the spot machine.
 func (sc *Scheduler) MoveReplicas() {
 	for _, machine := range sc.state.OrderedMachines {
 		if !replicasShouldLeave(machine, sc.state) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,8 +1,10 @@
-// Package scheduler decides which machine each task runs on. Each cycle processes the queue
-// by priority and then by order of arrival. A gang is placed all-or-nothing, in the smallest
-// domain that fits it (the deepest fit of the buddy system). Tasks of arrays and replicas of
+// Package scheduler decides which machine each task runs on. Each cycle processes the jobs by
+// priority and then by queue time: the order of arrival, or of the deadlines of jobs that have
+// some. A gang is placed all-or-nothing, in the smallest domain that fits it (the deepest fit of
+// the buddy system): a machine, else a zone, else the region. Tasks of arrays and replicas of
 // services are placed one by one on free capacity. For jobs that find no free capacity, the
-// scheduler preempts work of lower priority and reserves the capacity that becomes free.
+// scheduler preempts work of lower priority, or of teams beyond their guaranteed quota, and
+// reserves the capacity that becomes free.
 //
 // The scheduler works on the cluster model only and is deterministic. It does not write
 // records, contact agents or call the cloud: its Environment acts on its decisions.
--- a/internal/coordination/scheduler/service.go
+++ b/internal/coordination/scheduler/service.go
@@ -11,7 +11,7 @@
 
 // The replicas of a service run until a user cancels it. Like tasks of an array, they are placed
 // one by one on free capacity. Where possible, no two replicas of a service share a machine, and
-// machines with GPUs keep enough processors and memory free for work on these GPUs.
+// machines with GPUs keep enough CPUs and memory free for work on these GPUs.
 
 // placeService places each waiting replica on the best machine and returns how many still wait.
 func (sc *Scheduler) placeService(job *cluster.Job) (waiting int) {
@@ -107,7 +107,7 @@
 
 // compareForReplica orders candidates for a replica. Machines that are not suspected come first,
 // then those with the fewest replicas of the service, then those whose GPUs keep enough
-// processors and memory. Ties go to a machine that has the image, then to the cheaper one,
+// CPUs and memory. Ties go to a machine that has the image, then to the cheaper one,
 // then to the one with the fewest free slots.
 func compareForReplica(a, b candidate) int {
 	return cmp.Or(
--- a/internal/coordination/scheduler/zone_capacity.go
+++ b/internal/coordination/scheduler/zone_capacity.go
@@ -55,9 +55,9 @@
 
 // preemptionImpossible reports whether preemption certainly cannot free enough capacity for
 // the given number of tasks of a job (for one task, if the job is not a gang): free capacity and
-// all work of low enough priority, of whichever team, are too little together. Most jobs wait
-// when the machines are full of work that may not be preempted. This check then avoids
-// examining every machine for each waiting job.
+// all work of low enough priority, of whichever team, are too little together. Jobs mostly
+// wait because the machines are full of work that may not be preempted. This check then avoids
+// examining every machine for each of them.
 func (c *cycle) preemptionImpossible(job *cluster.Job, tasks int) bool {
 	if !job.Spec.Gang() {
 		tasks = 1
@@ -85,7 +85,7 @@
 
 // awaitsUnreportedCapacity reports whether, during a recovery, machines that have not reported
 // to this leader yet may have free capacity for the given number of tasks of a job. Nothing is
-// preempted for the job until these machines have reported or the silence timeout since the
+// preempted for the job until these machines have reported or the silence time-out since the
 // failover has passed. Otherwise work would be stopped although enough capacity is free.
 func (sc *Scheduler) awaitsUnreportedCapacity(job *cluster.Job, tasks int) bool {
 	if !sc.env.Recovering() || sc.state.Now().Sub(sc.state.LeadingSince) > sc.state.SilenceTimeout() {
