--- a/internal/coordination/autoscaler/cloud.go
+++ b/internal/coordination/autoscaler/cloud.go
@@ -2,8 +2,8 @@
 
 import "github.com/gappond/gappond/internal/protocol"
 
-// Cloud is the part of the cloud's interface that the autoscaler uses. Each method calls done exactly once, unless the leader
-// that made the call has stepped down by then.
+// Cloud is the part of the cloud's interface that the autoscaler uses. Each method calls done
+// exactly once, unless the leader that made the call has stepped down by then.
 type Cloud interface {
 	// CreateMachines requests machines. It is idempotent: repeating a request with its ID
 	// returns the same machines.
--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -85,7 +85,7 @@
 	return services
 }
 
-// activePerZone counts a job's active attempts in each zone.
+// activePerZone counts a job's active attempts in each zone that are not stopping.
 func activePerZone(job *cluster.Job) map[protocol.ZoneName]int {
 	perZone := map[protocol.ZoneName]int{}
 	for i := range job.Tasks {
--- a/internal/coordination/cluster/agent.go
+++ b/internal/coordination/cluster/agent.go
@@ -13,9 +13,9 @@
 	Sequence       protocol.Sequence    // newest known sequence number within the incarnation
 	Heard          bool                 // this leader has received a heartbeat of the agent
 	TokenConfirmed bool                 // the agent's newest heartbeat has this leader's fencing token
-	HigherToken    protocol.Term        // a fencing token above this leader's term that the agent has reported
-	LastHeartbeat  time.Time            // when the newest heartbeat arrived, by itself or in the response to a call
-	RespondedAt    time.Time            // when a heartbeat last got a response; the agent's lease runs from then at the latest
+	HigherToken    protocol.Term        // a token above this leader's term that the agent has reported
+	LastHeartbeat  time.Time            // arrival of the newest heartbeat, alone or in the response to a call
+	RespondedAt    time.Time            // last response to a heartbeat: the agent's lease starts no later
 	LeaseExpired   bool                 // the lease has certainly expired since the last heartbeat
 	LeaseExpiredAt time.Time            // when the expiry was detected
 
--- a/internal/coordination/cluster/constraints.go
+++ b/internal/coordination/cluster/constraints.go
@@ -27,7 +27,7 @@
 
 // ZoneLimits returns the limits of a job.
 func (st *State) ZoneLimits(job *Job) ZoneLimits {
-	perZone := map[protocol.ZoneName]int{} // first counts the job's attempts, at the end holds the remaining tasks
+	perZone := map[protocol.ZoneName]int{} // attempts of the job, at the end its remaining tasks
 	limits := ZoneLimits{Remaining: perZone}
 	for _, attempt := range job.Attempts {
 		perZone[attempt.Machine.Zone]++
--- a/internal/coordination/lifecycle/failure.go
+++ b/internal/coordination/lifecycle/failure.go
@@ -20,7 +20,8 @@
 	case protocol.CauseNoCapacity, protocol.CauseTaskPresent:
 		job.Failures.AvoidUntil[machine.ID] = m.state.Now().Add(tuning.MachineRefusalBackoff)
 	default:
-		// protocol.CauseUnknownTask, or a cause that only a later version knows: retry, but not at once.
+		// protocol.CauseUnknownTask, or a cause that only a later version knows: retry, but not
+		// at once.
 		job.RetryAt = m.state.Now().Add(tuning.StoreRetryDelay * 8)
 	}
 }
--- a/internal/coordination/lifecycle/gang.go
+++ b/internal/coordination/lifecycle/gang.go
@@ -31,8 +31,8 @@
 }
 
 // stopGang stops a gang's attempt. All tasks are told to stop at once, so that a graceful stop
-// reaches each of them before it exits on its own, which it does within gang_peer_s seconds,
-// a setting of the agents, after another task of the gang has ended.
+// reaches each of them before it exits on its own, which it does within gang_peer_s seconds
+// (a setting of the agents) of the end of another task of the gang.
 func (m *Manager) stopGang(job *cluster.Job, graceS float64) {
 	if !job.BeginStop() {
 		return
--- a/internal/coordination/scheduler/cycle_test.go
+++ b/internal/coordination/scheduler/cycle_test.go
@@ -38,13 +38,15 @@
 			job.Priority = protocol.PriorityCritical
 		}
 		h.cluster.Config.Cluster.Process.Cores = cores
-		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines)) // passes for schedulable machines, free capacity and preemptible work, with slack
+		// Allows for passes to find schedulable machines, free capacity and preemptible work.
+		h.checkExamined(t, h.addWaitingGangs(), 4*len(h.cluster.OrderedMachines))
 	})
 	t.Run("all preemptible", func(t *testing.T) {
 		h := newHarness()
 		h.fillFleet()
 		h.cluster.Config.Cluster.Process.Cores = cores
 		waiting := h.addWaitingGangs()
+		// The last search may exceed the limit by one pass per zone.
 		h.checkExamined(t, waiting, 4*len(h.cluster.OrderedMachines)+budget+len(h.cluster.OrderedMachines)*len(h.cluster.Config.Cluster.Zones))
 		searched := 0
 		for _, job := range waiting {
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -99,8 +99,8 @@
 
 // fitInZone returns machines within one zone for the gang, or nil. It prefers zones where tasks
 // return to surviving machines of a broken attempt, then zones that have a free block of the
-// gang's order, then those with the least residual capacity. In a zone without such a
-// block, the gang takes several smaller ones.
+// gang's order, then those with the least residual capacity. In a zone without such a block, the
+// gang takes several smaller ones.
 func (g gangSearch) fitInZone(only protocol.ZoneName) []candidate {
 	var best zonePlacement
 	for _, zone := range g.cycle.state.Config.Cluster.Zones {
--- a/internal/coordination/scheduler/placement_test.go
+++ b/internal/coordination/scheduler/placement_test.go
@@ -150,7 +150,7 @@
 		t.Errorf("the gang is not on the cheaper machine")
 	}
 	if len(empty.Attempts) != 0 {
-		t.Errorf("the empty on-demand machine is used although others are fuller, have the image or are cheaper")
+		t.Errorf("a gang is on the empty on-demand machine without the image")
 	}
 }
 
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduler decides which machine each task runs on. Each cycle processes the jobs by
-// priority and then by queue time: the order of arrival, or of the deadlines of jobs that have
-// some. A gang is placed all-or-nothing, in the smallest domain that fits it (the deepest fit of
-// the buddy system): a machine, else a zone, else the region. Tasks of arrays and replicas of
+// priority and then by queue time, which follows from a job's submission and its deadlines. A
+// gang is placed all-or-nothing, in the smallest domain that fits it (the deepest fit of the
+// buddy system): a machine, else a zone, else the region. Tasks of arrays and replicas of
 // services are placed one by one on free capacity. For jobs that find no free capacity, the
 // scheduler preempts work of lower priority, or of teams beyond their guaranteed quota, and
 // reserves the capacity that becomes free.
