--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -68,7 +68,7 @@
 // failed machines: more than half of the zone's machines, or more than about a third of all
 // machines, are silent at once. Machines behind a partition are back when it ends, with
 // their images. Replacements would have to boot first, perhaps behind the same partition.
-// The result reachable tells the zones in which most machines send heartbeats on time.
+// The result reachable holds the zones in which most machines send heartbeats on time.
 func (st *State) SuspectedZones(silenceTimeout time.Duration) (suspected, reachable map[protocol.ZoneName]bool) {
 	var all silenceCount
 	perZone := map[protocol.ZoneName]silenceCount{}
