--- a/internal/coordination/autoscaler/zone_reserve.go
+++ b/internal/coordination/autoscaler/zone_reserve.go
@@ -85,7 +85,7 @@
 	return services
 }
 
-// activePerZone counts a job's active attempts in each zone.
+// activePerZone counts a job's active attempts in each zone that are not stopping.
 func activePerZone(job *cluster.Job) map[protocol.ZoneName]int {
 	perZone := map[protocol.ZoneName]int{}
 	for i := range job.Tasks {
@@ -127,8 +127,8 @@
 	}
 }
 
-// newReserveSlot returns the slot of a machine. Tasks of gangs don't count as preemptible,
-// because they don't free their resources at once.
+// newReserveSlot returns the slot of a machine. Tasks of gangs do not count as preemptible,
+// because they do not free their resources at once.
 func newReserveSlot(machine *cluster.Machine, free cluster.Resources) *reserveSlot {
 	slot := &reserveSlot{capacitySlot: capacitySlot{machine: machine, offer: offerOf(machine), free: free}}
 	for _, attempt := range machine.Attempts {
