--- a/internal/coordination/commit/budget.go
+++ b/internal/coordination/commit/budget.go
@@ -14,7 +14,7 @@
 }
 
 // availableBudget returns the budget for a transaction, without the part that is reserved for
-// users' requests.
+// users' requests and relayed messages.
 func availableBudget(limiter *rate.Limiter, now time.Time) writeBudget {
 	burst := float64(limiter.Burst())
 	// Storing the end of a job takes two changes. The reserve therefore leaves at least two, even
@@ -22,8 +22,8 @@
 	return writeBudget{available: limiter.TokensAt(now) - min(burst*tuning.UserBurstReserve, burst-2), burst: burst}
 }
 
-// allowsNonUrgent reports whether a transaction that already has this many changes may get
-// further changes that are not urgent. Part of the budget is reserved for urgent ones.
+// allowsNonUrgent reports whether a transaction that already has this many changes may get two
+// more that are not urgent. Part of the budget is reserved for urgent ones.
 func (wb writeBudget) allowsNonUrgent(changes int) bool {
 	return float64(changes+2) <= wb.available-wb.burst*tuning.GangBurstReserve
 }
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -192,15 +192,16 @@
 
 // addDeletions adds as many deletions of obsolete keys as fit.
 func (c *Committer) addDeletions(b *transactionBuilder) {
-	for len(c.obsolete) > 0 && b.fits(1, 0, smallRecordBytes) {
+	for len(c.obsolete) > 0 && b.fits(1, 0, changeOverheadBytes) {
 		b.remove(c.obsolete[0])
 		b.tx.deletions = append(b.tx.deletions, c.obsolete[0])
 		c.obsolete = c.obsolete[1:]
 	}
 }
 
-// AwaitsRecordSplit reports whether a gang has a record that must be split before the gang's
-// placements are written. It marks such records dirty.
+// AwaitsRecordSplit reports whether a gang has a record that must be split, or is being split,
+// before the gang's placements can be written. It marks oversized records dirty, so that they are
+// split and written.
 func (c *Committer) AwaitsRecordSplit(job *cluster.Job) bool {
 	limits := c.limits.afterLowering()
 	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.MaxGangTasksPerRecord(limits.TxnOps) {
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -161,7 +161,7 @@
 }
 
 // TestJobWithMissingRecordTakesStoredFinalRecord: a conflict may be caused by an earlier copy of
-// the transaction that ended the job. The stored final record is then valid.
+// the transaction that ended the job. The job then ends with the stored final record.
 func TestJobWithMissingRecordTakesStoredFinalRecord(t *testing.T) {
 	for name, tc := range map[string]struct {
 		final    kv.GetResult
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// addFinal replaces the main record of a job that has ended with its final record.
+// addFinal adds the end of a job: its final record replaces its main record.
 func (b *transactionBuilder) addFinal(job *cluster.Job, phase protocol.Phase) {
 	final := &storage.FinalRecord{Writer: b.tx.writer, Phase: phase, Done: job.DoneTasks}
 	if !b.fits(2, 2, finalRecordBytes) {
@@ -58,9 +58,9 @@
 	machineRecords map[*cluster.MachineRecord]bool // of the machines of these attempts
 }
 
-// recordWrite returns the write of one of a job's records. If an array's placements concern
-// more machine records than a transaction has conditions for, the excess placements are dropped
-// and planned again.
+// recordWrite returns the write of one of a job's records. If its placements concern more machine
+// records than a transaction has conditions for, the excess placements are dropped and planned
+// again. Those of a gang are kept: storage.MaxGangTasksPerRecord limits its tasks in a record.
 func (b *transactionBuilder) recordWrite(job *cluster.Job, r int) recordWrite {
 	tasks, placed := recordContent(job, r)
 	write := recordWrite{record: r, placed: placed, machineRecords: map[*cluster.MachineRecord]bool{}}
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -35,8 +35,8 @@
 // isQueued selects the machine records that are to be written soon.
 func isQueued(record *cluster.MachineRecord) bool { return record.Queued }
 
-// isStale selects the machine records that have listed removed machines for longer than
-// tuning.StaleMachineRecordDelay.
+// isStale selects the machine records that have listed machines that are no longer assigned to
+// them for longer than tuning.StaleMachineRecordDelay.
 func (mr *MachineRecords) isStale(record *cluster.MachineRecord) bool {
 	return !record.StaleSince.IsZero() && mr.state.Now().Sub(record.StaleSince) > tuning.StaleMachineRecordDelay
 }
@@ -91,7 +91,7 @@
 	for _, entry := range stored.Machines {
 		machine := mr.state.EnsureMachine(entry.ID, entry.Address, entry.Type, entry.Zone, entry.Spot)
 		if machine.Record != nil {
-			record.StaleSince = mr.state.Now() // listed in two records: the first entry is kept
+			record.StaleSince = mr.state.Now() // listed in two records: it stays in the first one
 			machine.Cordoned = machine.Cordoned || entry.Cordoned
 			continue
 		}
@@ -103,7 +103,8 @@
 }
 
 // SplitOversized moves machines out of oversized records into other records. Such a machine is
-// given no task until the other record is written. From then on both records list it.
+// given no task until the other record is written. Then both records list it until the oversized
+// one is written too.
 func (mr *MachineRecords) SplitOversized() {
 	capacity := mr.capacity()
 	for _, record := range slices.Clone(mr.records) {
@@ -155,9 +156,9 @@
 func (mr *MachineRecords) noteCommitted(write machineRecordWrite, revision protocol.Revision) {
 	record := write.record
 	if len(write.members) == 0 {
-		// The key is deleted. Machines that were added in the meantime are written under a new
-		// key, so that a delayed creation of the old record cannot find its guard satisfied on
-		// a key that is in use.
+		// The key is deleted and not used again. A delayed transaction that creates the old
+		// record may still be applied, because its guard requires that the key does not exist.
+		// Machines that were added in the meantime are therefore written under a new key.
 		record.Key, record.Revision = storage.MachineRecordKey(mr.env.UniqueName()), 0
 		if len(record.Members) == 0 {
 			mr.records = slices.DeleteFunc(mr.records, func(other *cluster.MachineRecord) bool { return other == record })
@@ -172,14 +173,15 @@
 	}
 }
 
-// addMachineRecords adds the selected machine records that fit.
+// addMachineRecords adds writes of the selected machine records, and deletions of those without
+// machines, as far as they fit.
 func (b *transactionBuilder) addMachineRecords(machines *MachineRecords, selected func(*cluster.MachineRecord) bool) {
 	for _, record := range machines.records {
 		if !selected(record) || !machines.movesRecorded(record) {
 			continue
 		}
 		if len(record.Members) == 0 {
-			if record.Revision != 0 && b.fits(1, 1, smallRecordBytes) {
+			if record.Revision != 0 && b.fits(1, 1, changeOverheadBytes) {
 				b.guardMachineRecord(record)
 				b.remove(record.Key)
 				b.tx.machineRecords = append(b.tx.machineRecords, machineRecordWrite{record: record})
@@ -192,7 +194,7 @@
 			stored.Machines = append(stored.Machines, machineEntry(machine))
 		}
 		value := storage.Encode(stored)
-		if !b.fits(1, 1, len(value)+smallRecordBytes) {
+		if !b.fits(1, 1, len(value)+changeOverheadBytes) {
 			continue
 		}
 		b.guardMachineRecord(record)
--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -9,7 +9,8 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// recordReader reads stored records again after a transaction met unexpected revisions.
+// recordReader reads stored records again after a refused transaction. Their revisions may differ
+// from those that the leader expected.
 type recordReader struct {
 	state    *cluster.State
 	store    Store
@@ -46,7 +47,8 @@
 		return
 	}
 	if result.Outcome == kv.NotFound {
-		// A transaction that was believed lost has replaced it by the job's final record.
+		// A transaction that seemed to be refused was applied after all: it has replaced the
+		// main record by the job's final record.
 		rr.lookUpFinal(job)
 		return
 	}
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -32,7 +32,7 @@
 
 // mayStage reports whether the parts of a record may be written by several transactions. When a
 // node of an earlier version becomes the leader, it deletes parts that the job's main record
-// does not reference, possibly after it has split the record itself.
+// does not reference. By then that node may have split the record itself and use the same keys.
 func (s *recordSplitter) mayStage() bool { return s.env.PeersSupport(protocol.FeatureLevelStagedParts) }
 
 // currentLimits returns the limits that a record must keep within now.
@@ -79,9 +79,9 @@
 	}
 }
 
-// pendingSplit returns the records that must be written by the transaction that completes a
-// split, with the main record last. It returns nil if no record is being split. Staged parts need
-// not be written again unless they are dirty.
+// pendingSplit starts the split of a job's dirty record if it is oversized. It returns the records
+// that must be written by the transaction that completes a split, with the main record last, or
+// nil if no record is being split. Staged parts need not be written again unless they are dirty.
 func (s *recordSplitter) pendingSplit(job *cluster.Job) []int {
 	limits := s.currentLimits()
 	s.splitDirty(job, limits)
@@ -107,8 +107,8 @@
 }
 
 // split splits a record until every part keeps within the limits. Unless parts may be staged,
-// it stops at the number of parts that one transaction can write. The remaining parts of a gang
-// that are still oversized may then be split for the next transaction.
+// it stops at the number of parts that one transaction can write. Parts of a gang that are still
+// oversized then may be split again for the next transaction.
 func (s *recordSplitter) split(job *cluster.Job, r int, limits config.StoreLimits) {
 	maxParts := limits.TxnOps - 2
 	if s.mayStage() {
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -14,9 +14,9 @@
 
 // Upper bounds on what changes and conditions add to the size of a transaction.
 const (
-	operationOverheadBytes = 40  // of a change or a condition, besides its key and value
-	smallRecordBytes       = 200 // of a change and its conditions, besides a large value
-	finalRecordBytes       = 400 // of a job's final record and the deletion of its main record
+	operationOverheadBytes = 40  // per change or condition, without its key and value
+	changeOverheadBytes    = 200 // per change with its conditions, without the value that it writes
+	finalRecordBytes       = 400 // per job: its final record and the deletion of its main record
 )
 
 // transaction is a transaction that was built, with everything that depends on its outcome.
@@ -44,13 +44,13 @@
 // transactionBuilder builds a transaction within the store's limits.
 type transactionBuilder struct {
 	splitter   *recordSplitter
-	limits     config.StoreLimits // in force for records and transactions
+	limits     config.StoreLimits // that records and conditions must keep within now
 	outcomes   Outcomes
 	tx         *transaction
 	txn        protocol.Transaction
 	bytes      int
 	guarded    map[*cluster.MachineRecord]bool
-	maxChanges int // allowed by the write budget and the store's limits
+	maxChanges int // allowed by the write budget and by the limits after lowering
 }
 
 // newBuilder returns a builder for tx that keeps within the write budget.
--- a/internal/coordination/commit/urgency.go
+++ b/internal/coordination/commit/urgency.go
@@ -19,11 +19,13 @@
 	urgent urgency = iota
 	// ordinary changes are new placements of arrays and ends of jobs.
 	ordinary
-	// taskCompletions record that single tasks are done. Agents keep reporting these tasks until
-	// their completion is stored.
+	// taskCompletions are changes without new placements to jobs that have not ended, mostly
+	// completions of single tasks. Agents keep reporting these tasks until their completion is
+	// stored.
 	taskCompletions
-	// notDue changes are task completions that can wait: the tasks of an array end one after the
-	// other, and their record is usually written with the next placement anyway.
+	// notDue changes are recent changes of the class taskCompletions. They can wait: the tasks of
+	// an array end one after the other, and their record is usually written with the next
+	// placement anyway.
 	notDue
 )
 
@@ -58,8 +60,9 @@
 	return notDue
 }
 
-// byUrgency returns the jobs that still have changes to write, by urgency. Urgent jobs are
-// ordered by priority. Among equals, the job that has been dirty longest comes first.
+// byUrgency returns the jobs that still have changes to write, by urgency, and notes that the
+// others are no longer queued. Urgent jobs are ordered by priority. Among equals, the job that
+// has been dirty longest comes first.
 func (dj dirtyJobs) byUrgency(now time.Time) []rankedJob {
 	var ranked []rankedJob
 	for _, job := range dj {
--- a/internal/coordination/loader/jobs.go
+++ b/internal/coordination/loader/jobs.go
@@ -23,7 +23,7 @@
 		Write: cluster.WriteState{Dirty: map[int]bool{}},
 	}
 	if job.ArrivalOrder == 0 {
-		job.ArrivalOrder = revision // the record has not been written since its submission
+		job.ArrivalOrder = revision // the record has not been rewritten since its submission
 	}
 	job.Records.Revisions[0] = revision
 	job.Records.ExtraParts = make([][]int, len(job.Records.Revisions)-record.BaseRecords())
--- a/internal/coordination/loader/loader.go
+++ b/internal/coordination/loader/loader.go
@@ -46,7 +46,7 @@
 	log       *slog.Logger
 
 	quarantined     map[protocol.JobID]bool // jobs with a record that cannot be read
-	loggedMalformed map[protocol.JobID]bool // jobs with a malformed record that was logged
+	loggedMalformed map[protocol.JobID]bool // jobs for which a malformed record was logged
 }
 
 // New returns a loader for a cluster model that is still empty.
--- a/internal/coordination/loader/loader_test.go
+++ b/internal/coordination/loader/loader_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestObserveChange: changes of a job's record that the watch delivers. A new job is added, a
-// cancellation applied unless it is older than the known record, and a job with a record of a
-// later version quarantined.
+// TestObserveChange: the loader applies changes of a job's record that the watch delivers. A new
+// job is added, a cancellation is applied unless it is older than the known record, and a job
+// with a record of a later version is quarantined.
 func TestObserveChange(t *testing.T) {
 	cancelled := jobRecord(placedTask(0, 1, "i-1"))
 	cancelled.Cancelled = true
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -42,7 +42,7 @@
 	env    Environment
 
 	syncedAt time.Time        // the mirror includes every change made before this time
-	awaited  observedRevision // the revision that the mirror has to reach, if it has not yet
+	awaited  observedRevision // the revision that the mirror has yet to reach, if it is above Revision
 
 	loading       bool
 	loadStartedAt time.Time // when the first page was requested
--- a/internal/coordination/reconcile/reconcile_test.go
+++ b/internal/coordination/reconcile/reconcile_test.go
@@ -215,8 +215,8 @@
 
 // TestResolutionsAgainstGroundTruth checks the resolutions against simple rules on the tasks that
 // the agents actually have. A recorded attempt that runs on its machine is not stopped; only an
-// unrecorded one that runs is. An attempt is released only if a current heartbeat of its agent
-// proves it gone, and no task is released twice.
+// unrecorded one that runs is stopped. An attempt is released only if a current heartbeat of its
+// agent proves it gone, and no task is released twice.
 func TestResolutionsAgainstGroundTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _, heartbeats := drawCluster(t)
@@ -255,8 +255,9 @@
 	})
 }
 
-// TestEveryStoredAttemptIsClassifiedOnce: every recorded attempt is classified exactly once, one that
-// its agent has lost as absent, and every task newly reported as done as ended.
+// TestEveryStoredAttemptIsClassifiedOnce: every stored attempt is classified exactly once. An
+// attempt of an earlier incarnation of its agent is ReportedAbsent, and an attempt that newly
+// reports its task as done is ReportedEnded.
 func TestEveryStoredAttemptIsClassifiedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _, heartbeats := drawCluster(t)
@@ -328,7 +329,7 @@
 	return protocol.TaskStatus{Task: protocol.TaskName(jobID(n), index), Attempt: attempt, State: state, Cause: cause}
 }
 
-// TestClasses has a case for each class of attempts, and for malformed input.
+// TestClasses: an attempt of each class is classified correctly, and so is malformed input.
 func TestClasses(t *testing.T) {
 	s := &testSnapshot{
 		jobs:  map[protocol.JobID]Job{jobID(1): {Tasks: 4}, jobID(2): {Tasks: 2, Gang: true, Epoch: 3}, jobID(3): {Tasks: 1, Service: true}, jobID(4): {Unreadable: true}},
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -159,7 +159,7 @@
 	default:
 		switch token := m.reachableToken(); {
 		case token <= m.term:
-			m.deleteUnreachable()
+			m.deleteMachinesWithUnreachableToken()
 		case protocol.Term(m.storeRevision) >= token:
 			m.env.StepDown("agents hold higher tokens, the next term is above them")
 		default:
@@ -168,10 +168,10 @@
 	}
 }
 
-// deleteUnreachable deletes the machines whose agents hold a token that the revision cannot
-// reach, once their leases have expired. When all of them are gone, no token from a discarded
-// history is left.
-func (m *Monitor) deleteUnreachable() {
+// deleteMachinesWithUnreachableToken deletes the machines whose agents hold a token that the
+// revision cannot reach, once their leases have expired. When all of them are gone, no token from
+// a discarded history is left.
+func (m *Monitor) deleteMachinesWithUnreachableToken() {
 	remaining := false
 	for _, machine := range m.state.OrderedMachines {
 		if machine.Agent.HigherToken <= m.term {
@@ -236,9 +236,9 @@
 }
 
 // WithholdsStarts reports whether a job must not start anything yet. If the store was restored,
-// attempts of recorded jobs that are in no record may run on machines whose agents have yet to
-// report. Whether it was restored is unknown until a recorded agent has shown its token, or
-// none has reported for the silence timeout.
+// recorded jobs may have attempts that are in no record and that run on machines whose agents
+// have yet to report. Whether the store was restored is unknown until a recorded agent has
+// accepted this leader's token, or until the leader has led for the silence timeout.
 func (m *Monitor) WithholdsStarts(job *cluster.Job) bool {
 	if !job.Recovered || !m.env.Recovering() || !m.env.MachinesRecorded() {
 		return false
--- a/internal/coordination/restore/restore_test.go
+++ b/internal/coordination/restore/restore_test.go
@@ -85,7 +85,7 @@
 		nextToken protocol.Term // token of a later heartbeat that repeats the check; 0 for none
 	}{
 		"newer term":                  {result: kv.TransactionResult{Outcome: kv.ConditionFailed}, stepsDown: true},
-		"term still stands":           {result: kv.TransactionResult{Outcome: kv.Done, Revision: 10}, writes: true},
+		"term is still the newest":    {result: kv.TransactionResult{Outcome: kv.Done, Revision: 10}, writes: true},
 		"no response":                 {result: kv.TransactionResult{Outcome: kv.Unknown}, nextToken: 90},
 		"malformed response":          {result: kv.TransactionResult{Outcome: kv.Done, Malformed: true, Revision: 10}, nextToken: 90},
 		"response without a revision": {result: kv.TransactionResult{Outcome: kv.Done}, nextToken: 90},
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -59,8 +59,8 @@
 	return TaskRecordPrefix + string(id) + "/" + strconv.Itoa(n)
 }
 
-// ParseTaskRecordKey returns the job and the record number that a task record's key names, and false
-// if the key is not valid.
+// ParseTaskRecordKey returns the job and the record number that a task record's key names, and
+// false if the key is not valid.
 func ParseTaskRecordKey(key string) (id protocol.JobID, n int, ok bool) {
 	rest, ok := strings.CutPrefix(key, TaskRecordPrefix)
 	if !ok {
@@ -103,7 +103,8 @@
 // four characters, and 256 bytes are reserved for the rest of the record.
 func RelayCapacity(valueKB float64) int { return (int(valueKB*1024) - 256) / 4 * 3 }
 
-// LeaderLease is the record of the leader lease. Its revision is the leader's term and fencing token.
+// LeaderLease is the record of the leader lease. Its revision is the leader's term and fencing
+// token.
 type LeaderLease struct {
 	Node protocol.NodeName `json:"node"`
 	// Boot identifies the node's process: a restarted node has another value.
@@ -111,8 +112,9 @@
 }
 
 // RestoreMarker marks a store that was restored to an older state and lacks changes whose effects
-// agents have seen. Tasks of jobs submitted earlier may run on machines whose agents have not
-// reported yet. Token is the highest fencing token that an agent held.
+// agents have seen (the discarded history). Jobs submitted earlier may have tasks that no record
+// shows as placed and that run on machines whose agents have not reported yet. Token is the highest
+// fencing token that an agent held.
 type RestoreMarker struct {
 	Writer string        `json:"w"`
 	Token  protocol.Term `json:"token"`
@@ -284,7 +286,7 @@
 }
 
 // MaxSize returns the largest size of the encoded entry in bytes, whatever address the machine gets
-// and whether or not it is cordoned.
+// and whether or not it is cordoned or a spot machine.
 func (r MachineEntry) MaxSize() int {
 	r.Cordoned, r.Spot = true, true
 	return len(Encode(r)) + 1 + max(0, maxAddressBytes-len(r.Address))
@@ -315,7 +317,8 @@
 // MaxGangTasksPerRecord returns how many tasks of a gang one record may hold. Even if each task is
 // on another machine, and each machine in another machine record, the transaction that stores the
 // placements keeps within the limit of four conditions for each change that it may have. The four
-// that are subtracted cover the conditions on the leader lease and on two of the job's records.
+// that are subtracted leave room for the conditions on the leader lease and on two of the job's
+// records, which are three.
 func MaxGangTasksPerRecord(txnOps int) int { return 4*txnOps - 4 }
 
 // Storable reports whether a job's specification leaves room for a task in its main record.
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestParseTaskRecordKey: the key of a task record is parsed, and other or invalid keys are rejected.
+// TestParseTaskRecordKey: the key of a task record is parsed, and other or invalid keys are
+// rejected.
 func TestParseTaskRecordKey(t *testing.T) {
 	id, n, ok := ParseTaskRecordKey(TaskRecordKey("run-1", 12))
 	if id != "run-1" || n != 12 || !ok {
