--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -16,7 +16,7 @@
 	store    Store
 	machines *MachineRecords
 	outcomes Outcomes
-	finish   func(*cluster.Job, storage.FinalRecord) // called for a job whose final record is stored
+	finish   func(*cluster.Job, storage.FinalRecord) // called for jobs whose final record is stored
 }
 
 // reread reads the current revision of a key whose guard may have failed.
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -25,7 +25,8 @@
 }
 
 // maySplit reports whether records may be written in parts. Version 0.2 does not read the parts:
-// it takes them for abandoned records and deletes them.
+// it takes them for abandoned records and deletes them. Nodes that read them have announced at
+// least FeatureLevelCancellations, which covers more than cancellations.
 func (s *recordSplitter) maySplit() bool {
 	return s.env.PeersSupport(protocol.FeatureLevelCancellations)
 }
--- a/internal/coordination/loader/failover.go
+++ b/internal/coordination/loader/failover.go
@@ -54,7 +54,7 @@
 	})
 	slices.SortFunc(records, func(a, b storedMachineRecord) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(ids)
-	for _, id := range ids { // sorted, so that each is appended to the ordered list without copying the list
+	for _, id := range ids { // in sorted order, so that each is appended without copying the list
 		ld.state.EnsureMachine(id, "", "", "", false)
 	}
 	for _, stored := range records {
--- a/internal/coordination/mirror/mirror.go
+++ b/internal/coordination/mirror/mirror.go
@@ -42,7 +42,7 @@
 	env    Environment
 
 	syncedAt time.Time        // the mirror includes every change made before this time
-	awaited  observedRevision // the revision that the mirror has yet to reach, if it is above Revision
+	awaited  observedRevision // the revision that the mirror has yet to reach, if above Revision
 
 	loading       bool
 	loadStartedAt time.Time // when the first page was requested
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -214,7 +214,7 @@
 	Writer             string                 `json:"w"`
 	Spec               *protocol.Job          `json:"spec"`
 	SubmittedAtMs      int64                  `json:"at"`            // wall-clock time of the submission
-	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // gives the order of arrival; 0 until the record is first rewritten
+	SubmissionRevision protocol.Revision      `json:"seq,omitempty"` // order of arrival; 0 until the record is first rewritten
 	Attempt            protocol.AttemptNumber `json:"try,omitempty"` // epoch of a gang
 	Cancelled          bool                   `json:"off,omitempty"`
 	Done               int                    `json:"done,omitempty"`   // number of done tasks
