--- a/internal/coordination/agent_client.go
+++ b/internal/coordination/agent_client.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// callResult returns the result of a call from the agent's response. Status 0 means that no
-// response arrived.
+// callResult returns the result of a call whose response had this status and body. Status 0 means
+// that no response arrived.
 func callResult(status int, body []byte) agents.CallResult {
 	var result agents.CallResult
 	switch status {
@@ -55,8 +55,8 @@
 	return result
 }
 
-// callAgentFor sends commands to an agent on behalf of the leader, which delegated the call,
-// and returns the agent's response to the leader.
+// callAgentFor sends commands to an agent for the leader, which delegated the call, and sends the
+// agent's response back to the leader.
 func (n *Node) callAgentFor(c protocol.PeerAgentCall) {
 	n.request(ToAgent, c.Address, http.MethodPost, protocol.PathCommands, c.Body, tuning.ProbeTimeout, func(status int, body []byte) {
 		n.peers.Send(c.Origin, protocol.PeerResponse{ID: c.ID, Target: c.Origin, Status: uint64(status), Body: body})
--- a/internal/coordination/agent_client_test.go
+++ b/internal/coordination/agent_client_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestHeartbeatOutcomeAndStatus: the outcome of a heartbeat at a controller, and the status of the
-// response to its agent.
+// TestHeartbeatOutcomeAndStatus: a controller processes a heartbeat with the outcome that fits its
+// own state and the heartbeat, and responds to the agent with the status of that outcome.
 func TestHeartbeatOutcomeAndStatus(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/coordination/agents/agents.go
+++ b/internal/coordination/agents/agents.go
@@ -3,7 +3,7 @@
 // commands that carry the leader's fencing token, and decides whether an agent still holds
 // its lease.
 //
-// It works on the cluster model. It does not place tasks, write records or rent machines.
+// It works on the cluster model. It does not place tasks, write records or create machines.
 // Package lifecycle handles the end of an attempt, and a Client transports the calls to agents.
 package agents
 
@@ -25,10 +25,10 @@
 	LivenessEnvironment
 }
 
-// Fleet is what the package needs of the component that rents and deletes machines.
+// Fleet is what the package needs of the component that creates and deletes machines.
 type Fleet interface {
-	// Booting reports whether a machine has yet to send its first heartbeat and is still
-	// expected to.
+	// Booting reports whether a machine's first heartbeat has not arrived yet but is still
+	// expected.
 	Booting(machine *cluster.Machine) bool
 	// Deleted reports whether a machine is known to be deleted.
 	Deleted(machine protocol.MachineID) bool
@@ -46,7 +46,7 @@
 	Client      Client
 	Environment Environment
 	Log         *slog.Logger
-	Term        protocol.Term // the fencing token
+	Term        protocol.Term // the leader's term, which is its fencing token
 }
 
 // Manager groups the components that communicate with agents for one leader.
@@ -84,7 +84,7 @@
 }
 
 // UnansweredLeaseExpiresAt returns the time at which the lease of any agent that this leader
-// has not answered has certainly expired.
+// has not responded to has certainly expired.
 func (m *Manager) UnansweredLeaseExpiresAt() time.Time {
 	return m.Liveness.LeaseExpiresAt(&cluster.Machine{})
 }
--- a/internal/coordination/agents/agents_test.go
+++ b/internal/coordination/agents/agents_test.go
@@ -82,7 +82,7 @@
 
 const testGrace = 5 * time.Second
 
-// machine adds a machine whose agent has just shown the token and been answered.
+// machine adds a machine whose agent has just shown the token and received a response.
 func (l *testLeader) machine(id protocol.MachineID, zone protocol.ZoneName) *cluster.Machine {
 	machine := l.state.AddMachine(id, "big", zone)
 	machine.Record = &cluster.MachineRecord{}
@@ -235,7 +235,7 @@
 }
 
 // TestRestartWithinAnsweredLeaseStopsScheduling: a newer incarnation of an agent whose
-// heartbeats were answered all the time shows that the responses do not reach it.
+// heartbeats got responses all the time shows that the responses do not reach it.
 func TestRestartWithinAnsweredLeaseStopsScheduling(t *testing.T) {
 	l := newTestLeader()
 	machine := l.machine("i-1", "a")
@@ -244,7 +244,7 @@
 		l.accept(t, heartbeat(machine, testTerm))
 	}
 	if !l.state.Schedulable(machine) {
-		t.Fatal("not schedulable though its heartbeats are answered")
+		t.Fatal("not schedulable though its heartbeats get responses")
 	}
 	l.state.Advance(4 * time.Second)
 	restarted := heartbeat(machine, testTerm)
@@ -255,7 +255,7 @@
 	}
 }
 
-// TestAgentWithoutHeartbeatsTakesNoWork: an agent that answers calls but sends no heartbeats
+// TestAgentWithoutHeartbeatsTakesNoWork: an agent that responds to calls but sends no heartbeats
 // loses its tasks when its lease expires. So it gets no tasks, and none of its capacity is used,
 // until its heartbeats arrive again.
 func TestAgentWithoutHeartbeatsTakesNoWork(t *testing.T) {
--- a/internal/coordination/agents/calls.go
+++ b/internal/coordination/agents/calls.go
@@ -90,7 +90,7 @@
 	c.client.RequestHeartbeat(machine, c.begin(done))
 }
 
-// begin counts a call against the limits and returns the done that ends it.
+// begin counts a call against the limits. It returns a callback that ends the call and calls done.
 func (c *Calls) begin(done func(CallResult)) func(CallResult) {
 	c.Limiter.AllowN(c.state.Now(), 1)
 	c.InFlight++
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -147,7 +147,7 @@
 	if heartbeat.Incarnation > machine.Agent.Incarnation {
 		machine.Delivery.MustNotForget = map[cluster.AttemptID]bool{}
 		if machine.Agent.TokenConfirmed && h.state.Now().Sub(machine.Agent.RespondedAt) < config.Seconds(h.state.Config.Cluster.Agents.LeaseS) {
-			// The agent's lease expired although its heartbeats were answered all the time.
+			// The agent's lease expired although its heartbeats got responses all the time.
 			machine.Agent.IneffectiveResponses = tuning.MaxIneffectiveResponses
 		}
 	}
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -19,7 +19,7 @@
 	Leads() bool
 	// AllPeersReachable reports whether this controller has a link to every other one.
 	AllPeersReachable() bool
-	// ConfirmationGrace returns how long a leader may go on answering agents after its leader
+	// ConfirmationGrace returns how long a leader may go on responding to agents after its leader
 	// lease has expired, as long as its peers confirm it.
 	ConfirmationGrace() time.Duration
 }
@@ -41,8 +41,8 @@
 }
 
 // LeaseExpiresAt returns the time at which an agent's lease has certainly expired. If this
-// leader has never answered the agent, the previous leader may have done so until the end of its
-// grace.
+// leader has never responded to the agent, the previous leader may have done so until the end of
+// its grace.
 func (l *Liveness) LeaseExpiresAt(machine *cluster.Machine) time.Time {
 	grace := l.env.ConfirmationGrace()
 	lastRenewal := l.state.LeadingSince.Add(grace)
@@ -56,9 +56,9 @@
 // suspectedPartitions holds the zones in which a network partition is suspected.
 type suspectedPartitions struct {
 	suspected map[protocol.ZoneName]bool
-	// suspectedForReplicas holds the same zones by the shorter silence time-out of machines with
-	// replicas, and reachableZones the zones most of whose machines still send heartbeats. Both
-	// are nil until they are needed.
+	// suspectedForReplicas holds the zones that are suspected by the shorter silence time-out of
+	// machines with replicas. reachableZones holds the zones most of whose machines still send
+	// heartbeats. Both are nil until they are needed.
 	suspectedForReplicas, reachableZones map[protocol.ZoneName]bool
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// isUnresponsive reports whether an agent has left probes unanswered and has been silent for so
+// isUnresponsive reports whether an agent has not responded to probes and has been silent for so
 // long that its machine counts as dead. While all peers are reachable, an agent that is not
 // receiving counts as unresponsive without that silence. Suspected partitions are not
 // considered here.
@@ -127,8 +127,8 @@
 		return false
 	}
 	// While a peer is unreachable, the agent may be behind the same partition and about to find
-	// a controller that forwards its heartbeats. For the same reason, unanswered calls of this
-	// controller do not show that the agent is not receiving.
+	// a controller that forwards its heartbeats. For the same reason, calls of this controller
+	// without a response do not show that the agent is not receiving.
 	allPeersReachable := l.env.AllPeersReachable()
 	if allPeersReachable && l.state.NotReceiving(machine) {
 		return true
@@ -140,7 +140,7 @@
 	return l.state.Now().Sub(machine.Agent.LastHeartbeat) > maxSilence
 }
 
-// maxSilence returns how long an agent that does not answer probes may be silent before its
+// maxSilence returns how long an agent that does not respond to probes may be silent before its
 // machine counts as dead.
 func (l *Liveness) maxSilence(hasReplicas bool) time.Duration {
 	if hasReplicas {
@@ -160,14 +160,15 @@
 	return l.state.SilenceTimeout() + tuning.PartitionSilenceAllowance
 }
 
-// mayDeleteSilent reports whether the fault is in the machine and not in the network, or the
-// machine has been gone for longer than a replacement takes to boot.
+// mayDeleteSilent reports whether an unresponsive machine may be deleted: either no partition is
+// suspected in its zone, so that the fault is in the machine and not in the network, or it has been
+// gone for longer than a replacement takes to boot.
 func (l *Liveness) mayDeleteSilent(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	return !partitions.suspected[machine.Zone] || l.state.GoneLongerThanBootTime(machine)
 }
 
-// mayDeleteReplicaHost reports the same of a machine with replicas, or whether its replicas can
-// be placed in reachable zones.
+// mayDeleteReplicaHost reports the same of a machine with replicas. Such a machine may also be
+// deleted if another zone is reachable and most of its replicas fit into other zones.
 func (l *Liveness) mayDeleteReplicaHost(machine *cluster.Machine, partitions *suspectedPartitions) bool {
 	if partitions.suspectedForReplicas == nil {
 		partitions.suspectedForReplicas, partitions.reachableZones = l.state.SuspectedZones(l.state.ReplicaSilenceTimeout())
--- a/internal/coordination/api/api.go
+++ b/internal/coordination/api/api.go
@@ -22,7 +22,7 @@
 	Now() time.Time
 	// UniqueName returns a name that no other write uses.
 	UniqueName() string
-	// StoreUnreachable reports whether requests to the key-value store go unanswered. Users
+	// StoreUnreachable reports whether requests to the key-value store get no response. Users
 	// are then told at once to try again, possibly at another controller.
 	StoreUnreachable() bool
 	// ForwardSubmission has a peer handle a submission. It returns false if no peer can.
--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -25,12 +25,13 @@
 	return ae.n.forwarder.ForwardRequest(requestID, submissionRequest(spec))
 }
 
-// AnnounceCancellation implements api.Environment. It tells the leader at once, so that the
-// leader need not wait for its watch, or until the store serves it again.
+// AnnounceCancellation implements api.Environment. It tells the leader at once, because the
+// leader's watch may show the cancellation late: the store may not be serving the leader.
 func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancellation(jobID) }
 
-// CancellationConfirmed implements api.Environment. If this node leads, its leader may not know
-// of the cancellation yet: it may have been read from the store while the watch hangs.
+// CancellationConfirmed implements api.Environment. If this node leads, it cancels the job in the
+// leader's state, which may not show the cancellation yet: the user's request may have read it
+// from the store while the watch hangs.
 func (ae apiEnvironment) CancellationConfirmed(jobID protocol.JobID) {
 	if ae.n.ownLeader != nil {
 		ae.n.ownLeader.cancelByID(jobID)
--- a/internal/coordination/commit_environment.go
+++ b/internal/coordination/commit_environment.go
@@ -51,8 +51,8 @@
 type commitEnvironment struct{ leaderEnvironment }
 
 // PeersSupport implements commit.Environment. The store's limits are lowered only after all
-// controllers were upgraded. Once they are known to be lowered, peers without a link to this
-// node are left out: a job must not wait for their return.
+// controllers were upgraded. So once the limits are known to be lowered, peers without a link to
+// this node are not considered: a job must not wait for their return.
 func (ce commitEnvironment) PeersSupport(level uint64) bool {
 	if ce.l.n.storeLimits.Lowered() {
 		return ce.l.n.peers.AllConnectedSupport(level)
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -12,7 +12,7 @@
 	cluster *config.Cluster
 }
 
-// grace returns how long a leader that cannot renew its leader lease goes on answering
+// grace returns how long a leader that cannot renew its leader lease goes on responding to
 // heartbeats. The tasks of an agent whose lease it renews during the grace still end within the
 // time in which a cancellation must take effect.
 func (ab authorityBounds) grace() time.Duration {
@@ -43,7 +43,7 @@
 
 // maxSinceConfirmation returns how long a leader may act after it sent a request that all peers
 // confirmed. The next leader starts after that request and assumes that the old one may go on
-// answering agents for the grace, counted from that start.
+// responding to agents for the grace, counted from that start.
 func (ab authorityBounds) maxSinceConfirmation() time.Duration {
 	return min(ab.grace(), ab.maxSinceRenewal())
 }
@@ -57,7 +57,8 @@
 	confirmation *peerConfirmation
 }
 
-// start returns the time from which the authority counts.
+// start returns the time from which the authority counts: that of the last renewal or that at which
+// the leader last knew every cancellation, whichever is earlier.
 func (a *authority) start() time.Time {
 	if synced := a.mirror.SyncedAt(); synced.Before(a.lease.renewedAt) {
 		return synced
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -30,8 +30,9 @@
 	confirmedAt time.Time                  // when the last request that all peers confirmed was sent
 }
 
-// request asks the peers again if renewals fail, that is, if the authority has counted from the
-// same start for tuning.ConfirmationDelay.
+// request asks the peers to confirm if renewals fail, that is, if the authority has counted from
+// the same start for tuning.ConfirmationDelay. It asks them again after each
+// tuning.ConfirmationInterval.
 func (pc *peerConfirmation) request(authorityStart time.Time) {
 	now := pc.env.Now()
 	if !pc.env.Leading() || now.Sub(authorityStart) < tuning.ConfirmationDelay ||
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -2,8 +2,8 @@
 // whether the controller may act as leader now.
 //
 // A leader's authority is limited in time. It counts from the last renewal of the leader lease or
-// from the time at which the leader last knew every cancellation, whichever is earlier. A
-// successor, and everyone who was told of a cancellation, can therefore rely on its end. While
+// from the time at which the leader last knew every cancellation, whichever is earlier. The next
+// leader, and everyone who was told of a cancellation, can therefore rely on its end. While
 // the key-value store is unavailable to all controllers, the confirmation of all peers takes the
 // place of the renewal. After a pause of the process, the controller does nothing as leader until
 // the leader lease has been renewed.
@@ -36,8 +36,8 @@
 	UniqueName() string
 	// Leading reports whether the controller has taken over as leader.
 	Leading() bool
-	// SteppedDown is called when the controller has given up the leader lease. It must end all
-	// that the controller does as leader.
+	// SteppedDown is called when the controller has given up the leader lease. It must end
+	// everything that the controller does as leader.
 	SteppedDown()
 	// CancellationConfirmed is called for each cancellation that a peer has confirmed to a user.
 	CancellationConfirmed(jobID protocol.JobID)
@@ -57,8 +57,8 @@
 // Peers are the other controllers.
 type Peers interface {
 	Count() int
-	// RequestConfirmation asks all reachable peers to confirm that no other controller leads,
-	// and returns the number of the request.
+	// RequestConfirmation asks all reachable peers that know the request to confirm that no other
+	// controller leads, and returns the number of the request.
 	RequestConfirmation() uint64
 }
 
@@ -97,15 +97,15 @@
 // HolderTerm returns the holder's term, 0 while nobody holds the leader lease.
 func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
 
-// LeaderGrace returns how long a leader that cannot renew its leader lease goes on
-// answering heartbeats.
+// LeaderGrace returns how long a leader that cannot renew its leader lease goes on responding to
+// heartbeats.
 func (e *Election) LeaderGrace() time.Duration { return e.bounds.grace() }
 
 // LeaseTTL returns how long the leader lease stays valid after its last renewal.
 func (e *Election) LeaseTTL() time.Duration { return e.bounds.leaseTTL() }
 
 // HasAuthority reports whether this controller may act as leader. Either its leader lease was
-// renewed so recently that a successor still allows for it, and it knew every cancellation so
+// renewed so recently that the next leader still allows for it, and it knew every cancellation so
 // recently that its responses to agents delay none beyond its deadline; or all peers have
 // confirmed its authority recently enough.
 func (e *Election) HasAuthority() bool { return e.authority.holds() }
@@ -121,8 +121,8 @@
 // MayStartLeading reports whether this controller may begin to lead. The mirror then includes
 // every change that was made before the leader lease was acquired, and the lease has been renewed
 // since. If the controller began earlier, its lease could expire before the first renewal is
-// sent: reading the records of a large deployment takes a small controller a second, and all
-// agents return at the same time.
+// sent: reading the records of a large deployment takes a small controller a second, and the
+// heartbeats of all agents arrive at the same time.
 func (e *Election) MayStartLeading() bool { return e.MayAct() && e.HolderTerm() == e.Term() }
 
 // Condition returns the transaction condition that this controller's term still lasts.
@@ -176,19 +176,19 @@
 	e.lease.renew()
 }
 
-// Due passes to schedule each time at which the leader lease is to be renewed, given up or
+// Due calls wakeBy with each time at which the leader lease is to be renewed, given up or
 // acquired.
-func (e *Election) Due(schedule func(time.Time)) {
+func (e *Election) Due(wakeBy func(time.Time)) {
 	if !e.lease.held() {
 		if e.candidate.mayAcquire() {
-			schedule(e.candidate.retryAt)
+			wakeBy(e.candidate.retryAt)
 		}
 		return
 	}
 	if !e.lease.renewing {
-		schedule(e.lease.renewAt)
+		wakeBy(e.lease.renewAt)
 	}
-	schedule(e.authority.end())
+	wakeBy(e.authority.end())
 }
 
 // Acquired records that a request sent at the given time acquired the leader lease for this
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -15,8 +15,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// controller implements everything around an Election. Calls to the store wait until a test
-// answers them.
+// controller implements everything that an Election depends on. Calls to the store wait until a
+// test responds to them.
 type controller struct {
 	*Election
 	now             time.Time
@@ -67,7 +67,7 @@
 	c.cancelled = append(c.cancelled, jobID)
 }
 
-// succeed answers the only call in flight with success.
+// succeed responds with success to the only call in flight.
 func (c *controller) succeed(t *testing.T, path string, body any) {
 	t.Helper()
 	if len(c.calls) != 1 || c.calls[0].Path != path {
@@ -167,7 +167,7 @@
 }
 
 // TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail, the confirmation of every peer
-// extends a leader's authority, and the leader takes over the cancellations that they name. One
+// extends a leader's authority, and the leader learns the cancellations that they name. One
 // peer that has not answered, that leads, or that has started since the leader last knew every
 // cancellation prevents this.
 func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
@@ -219,7 +219,8 @@
 	}
 }
 
-// TestLeaderStepsDownForHigherTerm: a leader lease with a later revision is a successor's.
+// TestLeaderStepsDownForHigherTerm: a leader lease with a later revision belongs to the next
+// leader.
 func TestLeaderStepsDownForHigherTerm(t *testing.T) {
 	c := newController(t, 0, 0)
 	c.elect(t)
--- a/internal/coordination/election_environment.go
+++ b/internal/coordination/election_environment.go
@@ -29,7 +29,8 @@
 // Count implements election.Peers.
 func (ee electionEnvironment) Count() int { return ee.n.peers.Count() }
 
-// RequestConfirmation implements election.Peers.
+// RequestConfirmation implements election.Peers. It does not ask peers of an earlier version, which
+// do not know the request.
 func (ee electionEnvironment) RequestConfirmation() uint64 {
 	n := ee.n
 	n.nextID++
--- a/internal/coordination/failover.go
+++ b/internal/coordination/failover.go
@@ -7,14 +7,14 @@
 	l := newLeader(n)
 	n.ownLeader = l
 	n.peers.TriggerHeartbeat()      // tells the peers its share of direct heartbeats
-	n.machineTypes.requestRefresh() // fetches current prices, and writes the record of the types if there is none
+	n.machineTypes.requestRefresh() // fetches current prices, and updates the record of the types
 	l.loader.LoadAll(&n.mirror.Mirror)
 	if marker, ok := n.mirror.Get(storage.RestoreMarkerKey); ok {
 		l.restoreMonitor.LoadMarker(marker)
 	}
 	l.beginRecovery()
 	// The mirror returns jobs and machines in no particular order. What follows must not depend on
-	// that order.
+	// that order, so it goes through the jobs in the order of the queue.
 	for _, job := range l.scheduler.Queue() {
 		l.lifecycle.CheckEnded(job)
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -94,8 +94,8 @@
 		l.lifecycle.Stop(attempt, 0)
 	}
 	l.agents.Delivery.SendPending()
-	if _, orders := countRequests(l.n.out, ToAgent, protocol.PathCommands); orders != 1 {
-		t.Errorf("%d command calls are sent, want 1", orders)
+	if _, commandCalls := countRequests(l.n.out, ToAgent, protocol.PathCommands); commandCalls != 1 {
+		t.Errorf("%d command calls are sent, want 1", commandCalls)
 	}
 }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -37,7 +37,7 @@
 	nextCycleAt         time.Time       // a requested scheduling cycle does not start earlier
 	nextSweepAt         time.Time       // next check of machines, recovery and store restore
 	usingProxies        bool            // the peers handle a part of the agents for the leader
-	loggedKeys          map[string]bool // keys of invalid input that was logged already
+	loggedKeys          map[string]bool // keys of invalid input that has been logged
 }
 
 // newLeader returns a leader that has loaded no records yet. Each part gets the other parts that
@@ -69,8 +69,8 @@
 func (l *leader) runSchedulingCycle() { l.autoscaler.Demand = l.scheduler.RunCycle() }
 
 // cancelByID cancels a job whose cancellation is in the records, as this node or a peer has
-// confirmed. Until the leader's watch shows the changed record, transactions that write the job
-// are refused, and the record is read again.
+// confirmed. Until the leader's watch shows the changed record, the conditions of transactions that
+// write the job fail, and the record is read again.
 func (l *leader) cancelByID(id protocol.JobID) {
 	if job := l.cluster.Jobs[id]; job != nil {
 		l.cancelJob(job)
--- a/internal/coordination/machine_types.go
+++ b/internal/coordination/machine_types.go
@@ -20,7 +20,7 @@
 	nextRefreshAt time.Time
 }
 
-// requestRefresh requests the types from the cloud with the next tick.
+// requestRefresh requests the types from the cloud at the next tick.
 func (mt *machineTypes) requestRefresh() { mt.nextRefreshAt = mt.n.now }
 
 // due calls wakeBy with the time of the next request to the cloud.
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -30,7 +30,7 @@
 	forwarded    map[uint64]forwardedRequest // requests that peers respond to
 	received     map[uint64]receivedRequest  // requests of peers that this controller responds to
 	delegated    map[uint64]delegatedCall    // calls to agents that peers make
-	nextExpiryAt time.Time                   // when they are next checked for overdue responses
+	nextExpiryAt time.Time                   // next check for overdue responses of peers
 }
 
 // forwardedRequest is a request that this controller forwarded to a peer.
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -95,9 +95,9 @@
 			hr.redirect(q, to)
 			return
 		}
-		// If its heartbeat were refused, the agent would try one controller after another, one
-		// second each, until one leads. All agents doing so at once would use up the CPU time
-		// that an election needs.
+		// An agent whose heartbeat is refused tries one controller after another, one second
+		// each, until one leads. All agents doing so at once would use up the CPU time that an
+		// election needs.
 		hr.queued = append(hr.queued, q)
 	default:
 		if to := hr.redirectTarget(machineID, leader); to != "" {
@@ -128,10 +128,10 @@
 	}
 	if !hr.peers.Reachable(leader) {
 		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.takeRedirectToken() {
-			// The agent is here only because this controller acted as the leader's proxy, and
-			// can probably reach the leader. Redirects are limited even so: all agents at once
-			// would be more connections than the leader can open. Until an agent's turn comes,
-			// its heartbeats may be relayed through the store.
+			// The agent is here only because this controller acted as the leader's proxy, so it
+			// can probably reach the leader itself. Redirects are limited even so: all agents at
+			// once would need more new connections than the leader can open. Until an agent is
+			// redirected, its heartbeats may be relayed through the store.
 			return leader
 		}
 		return ""
@@ -147,8 +147,8 @@
 	switch {
 	case status.DirectShare >= tuning.DirectShareScale:
 	case to == hr.self, !hr.peers.FullyConnected(), !hr.takeRedirectToken():
-		// The agent stays here: this controller is its proxy, a link is missing that may be
-		// the proxy's, or other agents are redirected first.
+		// The agent stays here: this controller is its proxy, or a link is missing that may be
+		// its proxy's, or other agents are redirected first.
 		contact.proxiedAt = now
 		hr.contacts[machineID] = contact
 		return ""
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -389,9 +389,9 @@
 	}
 }
 
-// TestSilentLinkIsReset: this controller sends its peers heartbeats at intervals. The link to a peer
-// that has been silent for twice the time after which it counts as unreachable is reset; the next
-// reset comes only after another such silence.
+// TestSilentLinkIsReset: a controller sends its peers heartbeats at intervals. It resets the link
+// to a peer that has been silent for twice the time after which the peer counts as unreachable. The
+// next reset comes only after another such silence.
 func TestSilentLinkIsReset(t *testing.T) {
 	b := newController(t, 0, "b", 0)
 	b.now = b.now.Add(2*tuning.PeerSilenceTimeout + time.Millisecond)
--- a/internal/coordination/membership/peers.go
+++ b/internal/coordination/membership/peers.go
@@ -167,7 +167,7 @@
 	return p.everyPeerSupports(featureLevel, func(*peer) bool { return true })
 }
 
-// AllConnectedSupport reports the same for only those peers to which a link is up.
+// AllConnectedSupport reports the same, but considers only the peers to which a link is up.
 func (p *Peers) AllConnectedSupport(featureLevel uint64) bool {
 	return p.everyPeerSupports(featureLevel, func(peer *peer) bool { return peer.linkUp })
 }
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -14,7 +14,7 @@
 
 // outbox holds the messages that wait to be sent to a peer through the key-value store. The store
 // is the last resort when a network partition leaves no path over the links between controllers.
-// It belongs to no zone, so agents in a zone that is cut off can still reach the leader.
+// It belongs to no zone, so agents in a partitioned zone can still reach the leader through it.
 type outbox struct {
 	frames      []byte
 	writing     bool
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -29,7 +29,7 @@
 	rng  *rand.Rand
 	boot string // identifies this process
 
-	startedAt time.Time // of this process
+	startedAt time.Time // when this process ran its first step
 
 	now     time.Time
 	out     []Action // of the current step
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// announceCancellation tells the leader of a cancellation that is in the records, so that the
-// leader need not wait for its watch, or until the store serves it again.
+// announceCancellation tells the leader of a cancellation that is in the records. The leader's
+// watch may show it late: the store may not be serving the leader.
 func (n *Node) announceCancellation(jobID protocol.JobID) {
 	if n.ownLeader != nil {
 		n.ownLeader.cancelByID(jobID)
--- a/internal/coordination/proxies_test.go
+++ b/internal/coordination/proxies_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestHeartbeatsAreAnsweredByNextLeader: while there is no leader, agents' heartbeats wait for the
-// next one, so that agents do not try one node after the other. They wait no longer than an agent
+// next one, so that agents do not try one node after another. They wait no longer than an agent
 // waits for a response.
 func TestHeartbeatsAreAnsweredByNextLeader(t *testing.T) {
 	b := connectedFollower("b", 0)
--- a/internal/coordination/recovery_phase.go
+++ b/internal/coordination/recovery_phase.go
@@ -5,9 +5,10 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// beginRecovery begins the recovery phase, after all records are loaded. The phase tracks
-// differences between records and agents and the commands sent, until every agent that the records
-// name is accounted for or its lease has expired.
+// beginRecovery begins the recovery phase, after all records are loaded, if the operator's
+// properties enable it or the records hold a restore marker. The phase counts the commands sent and
+// the differences between the records and what the agents report. It lasts until every agent that
+// the records name is accounted for or its lease has expired.
 func (l *leader) beginRecovery() {
 	if !l.n.cfg.Operator.RecoveryPhase && !l.restoreMonitor.HasMarker() {
 		return
--- a/internal/coordination/safety_test.go
+++ b/internal/coordination/safety_test.go
@@ -12,7 +12,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// Each of these tests covers one safety rule. Simulations of whole days rarely reach the states in
+// Each of these tests covers one safety rule. Whole simulation runs rarely reach the states in
 // which a violation of the rule would show.
 
 // testHeartbeat lets the leader accept a heartbeat of a machine's agent and returns the commands in
@@ -70,12 +70,12 @@
 	l.committer.Commit()
 	r := l.n.lastRequest(t, ToStore)
 	txn, _ := parse[protocol.Transaction](r.Body)
-	guards := map[string]protocol.Revision{}
+	conditions := map[string]protocol.Revision{}
 	for _, c := range txn.Conditions {
-		guards[c.Key] = c.Revision
+		conditions[c.Key] = c.Revision
 	}
 	for key, want := range map[string]protocol.Revision{storage.LeaderKey: protocol.Revision(l.n.election.Term()), storage.JobKey(job.ID): revision, machine.Record.Key: machine.Record.Revision} {
-		if got, ok := guards[key]; !ok || got != want {
+		if got, ok := conditions[key]; !ok || got != want {
 			t.Errorf("the condition on %s has revision %d (%v), want %d", key, got, ok, want)
 		}
 	}
--- a/internal/coordination/scale_test.go
+++ b/internal/coordination/scale_test.go
@@ -12,7 +12,7 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// These tests cover limits that fleets of some thousand machines reach.
+// These tests cover limits that fleets of several thousand machines reach.
 
 // TestGangStartsAreQueuedInTaskOrder: the starts of a gang are sent in task order, not in map
 // order, so that the same seed gives the same simulation run.
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -9,9 +9,9 @@
 	"github.com/gappond/gappond/internal/storage"
 )
 
-// TestSubmissionIsOnlyJudgedOnceAllIsKnown: before a node knows the machine types and has loaded
-// the records, it replies that it cannot tell yet whether a job can run.
-func TestSubmissionIsOnlyJudgedOnceAllIsKnown(t *testing.T) {
+// TestSubmissionIsUnavailableUntilTypesAndRecordsAreLoaded: before a node knows the machine
+// types and has loaded the records, it replies that it cannot tell yet whether a job can run.
+func TestSubmissionIsUnavailableUntilTypesAndRecordsAreLoaded(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	base := gangOf(2, 1)
 	base.ID, base.Priority = "run-000001", "normal"
