--- a/internal/coordination/api_environment.go
+++ b/internal/coordination/api_environment.go
@@ -26,7 +26,7 @@
 }
 
 // AnnounceCancellation implements api.Environment. It tells the leader at once, because the
-// leader's watch may show the cancellation late: the store may not be serving the leader.
+// leader's watch shows the cancellation later, or only once the store serves the leader again.
 func (ae apiEnvironment) AnnounceCancellation(jobID protocol.JobID) { ae.n.announceCancellation(jobID) }
 
 // CancellationConfirmed implements api.Environment. If this node leads, it cancels the job in the
--- a/internal/coordination/budgets.go
+++ b/internal/coordination/budgets.go
@@ -59,10 +59,10 @@
 	return sb.calls.TokensAt(now) >= 1+float64(sb.calls.Burst())*tuning.NodeRequestReserve
 }
 
-// TakeUserWrite reports whether a user's write may be sent now. The request budget must allow it,
-// too. If so, the write is taken from the budget for users. When that is used up, it is taken from
-// the one for store-relayed messages, as long as this is more than half full: such messages are
-// rarely needed.
+// TakeUserWrite reports whether a user's write may be sent now, and takes it from a budget if so.
+// The request budget must allow the write, too. When the budget for users is used up, the write is
+// taken from the one for store-relayed messages, as long as this is more than half full: such
+// messages are rarely needed.
 func (sb *storeBudgets) TakeUserWrite(now time.Time) bool {
 	if !sb.AllowsUserRead(now) {
 		return false
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -9,15 +9,14 @@
 
 // While the store is unavailable to all controllers, none of them can confirm a cancellation to
 // a user or take over as leader. A leader that cannot renew its leader lease repeatedly asks all
-// peers over the controllers' links to confirm that no other controller leads, and to name the
+// peers over the controllers' links to confirm that they do not lead, and to name the
 // cancellations that they told users of. As long as every peer does, the leader's authority
 // counts from the time of the last request: a peer that told a user of a cancellation before
 // then has named it in its answer, and the next leader begins later. A single peer is enough to
 // end this: one that does not answer, that leads, or whose process has started since the leader
 // last knew every cancellation.
 
-// peerConfirmation asks the peers to confirm that no other controller leads, and counts their
-// answers.
+// peerConfirmation asks the peers to confirm that they do not lead, and counts their answers.
 type peerConfirmation struct {
 	bounds authorityBounds
 	env    Environment
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -57,8 +57,8 @@
 // Peers are the other controllers.
 type Peers interface {
 	Count() int
-	// RequestConfirmation asks all reachable peers that know the request to confirm that no other
-	// controller leads, and returns the number of the request.
+	// RequestConfirmation asks all reachable peers that know the request to confirm that they do
+	// not lead, and returns the number of the request.
 	RequestConfirmation() uint64
 }
 
--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -130,7 +130,7 @@
 		if now.Sub(contact.proxiedAt) < tuning.RedirectRetention && hr.takeRedirectToken() {
 			// The agent is here only because this controller acted as the leader's proxy, so it
 			// can probably reach the leader itself. Redirects are limited even so: all agents at
-			// once would need more new connections than the leader can open. Until an agent is
+			// once would need more new connections than the leader can accept. Until an agent is
 			// redirected, its heartbeats may be relayed through the store.
 			return leader
 		}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -110,7 +110,7 @@
 }
 
 // announceCancellation tells the leader of a cancellation that is in the records. The leader's
-// watch may show it late: the store may not be serving the leader.
+// watch shows it later, or only once the store serves the leader again.
 func (n *Node) announceCancellation(jobID protocol.JobID) {
 	if n.ownLeader != nil {
 		n.ownLeader.cancelByID(jobID)
--- a/internal/coordination/replies.go
+++ b/internal/coordination/replies.go
@@ -51,8 +51,8 @@
 }
 
 // Forwarded passes on a peer's response to a forwarded request.
-func (ur userReplies) Forwarded(requestID uint64, response protocol.PeerResponse) {
-	reply := Reply{ID: requestID, Status: int(response.Status), Body: response.Body}
+func (ur userReplies) Forwarded(requestID uint64, answer protocol.PeerResponse) {
+	reply := Reply{ID: requestID, Status: int(answer.Status), Body: answer.Body}
 	if reply.Status == http.StatusServiceUnavailable {
 		reply.RetryAfter = time.Second
 	}
