--- a/cmd/gappond/main.go
+++ b/cmd/gappond/main.go
@@ -1,9 +1,9 @@
-// Command gappond is a cluster scheduler: see README.md. Its command serve runs a
-// controller until it receives an interrupt or SIGTERM, check-config checks the settings and
-// prints the operators' settings in force, and version prints the version.
+// Command gappond is a cluster scheduler: see README.md. Its subcommand serve runs a controller
+// until it receives an interrupt or SIGTERM, check-config checks the settings and prints the
+// operators' settings in force, and version prints the version.
 //
-// It exits with code 0 on success, 1 when a command fails, for example because a
-// setting is invalid or an address is in use, and 80 for invalid arguments.
+// It exits with code 0 on success, 1 when a command fails, for example because a setting is invalid
+// or an address is in use, and 80 for invalid arguments.
 package main
 
 import (
--- a/cmd/recoverybench/main.go
+++ b/cmd/recoverybench/main.go
@@ -49,17 +49,17 @@
 }
 
 // coldRestart returns a cold restart with the given number of machines.
-func (p *measurementOptions) coldRestart(machines int, recovery bool) simulation.ColdRestart {
-	return simulation.ColdRestart{Machines: machines, Before: p.Before, Away: p.Away, After: p.After, Recovery: recovery}
+func (o *measurementOptions) coldRestart(machines int, recovery bool) simulation.ColdRestart {
+	return simulation.ColdRestart{Machines: machines, Before: o.Before, Away: o.Away, After: o.After, Recovery: recovery}
 }
 
 // appendMeasurement appends a measurement to the output file and prints a summary of it.
-func (p *measurementOptions) appendMeasurement(m Measurement) error {
+func (o *measurementOptions) appendMeasurement(m Measurement) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	f, err := os.OpenFile(p.Out, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	f, err := os.OpenFile(o.Out, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -78,9 +78,9 @@
 )
 
 // forEachRun calls measure for each run with each number of machines.
-func (p *measurementOptions) forEachRun(measure func(machines, run int) error) error {
-	for _, machines := range p.Machines {
-		for run := 1; run <= p.Runs; run++ {
+func (o *measurementOptions) forEachRun(measure func(machines, run int) error) error {
+	for _, machines := range o.Machines {
+		for run := 1; run <= o.Runs; run++ {
 			if err := measure(machines, run); err != nil {
 				return fmt.Errorf("%d machines, run %d: %w", machines, run, err)
 			}
--- a/cmd/recoverybench/processes.go
+++ b/cmd/recoverybench/processes.go
@@ -30,13 +30,13 @@
 }
 
 // Start implements simulation.Controllers.
-func (p *processControllers) Start(v *simulation.Loopback) error {
-	for i := range v.Controllers() {
-		settings, err := toml.Marshal(v.Config(i))
+func (p *processControllers) Start(loopback *simulation.Loopback) error {
+	for i := range loopback.Controllers() {
+		settings, err := toml.Marshal(loopback.Config(i))
 		if err != nil {
 			return err
 		}
-		file := filepath.Join(p.dir, string(v.Config(i).Name)+".toml")
+		file := filepath.Join(p.dir, string(loopback.Config(i).Name)+".toml")
 		if err := os.WriteFile(file, settings, 0o644); err != nil {
 			return err
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes. kong defines them; the help of every program and docs/operations.md state them.
+// Exit codes. kong defines them. The help of every program and docs/operations.md name them.
 const (
 	ExitDone   = 0
 	ExitFailed = 1
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,11 +25,11 @@
 
 // AgentTimings holds the timings that are the same for all agents.
 type AgentTimings struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	ReportS   float64 `toml:"report_s"`    // nominal interval of an agent's heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // how long an agent keeps its tasks without a response
+	GangWaitS float64 `toml:"gang_wait_s"` // how long a task waits for the others of its gang
+	GangPeerS float64 `toml:"gang_peer_s"` // within which a gang's other tasks exit after one is lost
+	CancelS   float64 `toml:"cancel_s"`    // within which a cancellation must have taken effect
 }
 
 // CloudLimits holds the limits of the cloud's API.
@@ -46,8 +46,8 @@
 	Teams      []Team              `toml:"teams"`
 	Objectives []Objective         `toml:"objectives"`
 	Agents     AgentTimings        `toml:"workers"`
-	// Store holds the tightest limits of the store that are known: the smaller of each current
-	// and announced limit. Present holds the current limits if others are announced, else nil.
+	// Store holds the tightest known limits of the store: of each current and announced limit the
+	// smaller one. Present holds the current limits if others are announced, and otherwise nil.
 	Store   StoreLimits   `toml:"state"`
 	Present *StoreLimits  `toml:"-"`
 	Cloud   CloudLimits   `toml:"cloud"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestAnnouncedStoreLimits checks that the smaller of each current and announced limit of the
-// store applies. The announced limits may be incomplete, larger than the current ones or missing.
-// An invalid one is rejected with an error that names its key.
+// TestAnnouncedStoreLimits checks that of each current and announced limit of the store the
+// smaller one applies. The announced limits may be incomplete, larger than the current ones or
+// missing. An invalid one is rejected with an error that names its key.
 func TestAnnouncedStoreLimits(t *testing.T) {
 	for next, want := range map[string]StoreLimits{
 		"": {RPS: 250, WriteRPS: 30, ValueKB: 8, TxnOps: 24},
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -14,12 +14,12 @@
 // Kinds of objectives. All but the guarantee affect a job's position in the queue. The
 // guarantee is expressed by the teams' settings.
 const (
-	ObjectiveWait      = "wait"
-	ObjectiveFinished  = "finished"
-	ObjectiveDeadline  = "deadline"
+	ObjectiveWait      = "wait"     // to start within WithinS of the submission
+	ObjectiveFinished  = "finished" // to be done within WithinS of the submission
+	ObjectiveDeadline  = "deadline" // to be done within Times the job's own deadline
 	ObjectiveGuarantee = "guarantee"
-	// ObjectiveUp requires a service's replicas to run for a share of the time, counted from some
-	// time after the submission.
+	// ObjectiveUp requires a service's replicas to run for a share of the time, counted from
+	// WithinS after the submission.
 	ObjectiveUp = "up"
 )
 
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -30,7 +30,7 @@
 }
 
 // MaxUserRequests returns the limit on users' requests in progress at one node. It is a share of
-// the connections that are kept open for users, so that heartbeats always find room.
+// the connections that are kept open for users, so that heartbeats always find room in the queue.
 func (p ProcessLimits) MaxUserRequests() int {
 	return max(tuning.MinUserQueueLength, int(float64(p.FDLimit)*tuning.UserKeepAliveShare*tuning.UserQueueConnectionShare))
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -19,7 +19,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Smallest returns the smaller of each current and announced limit, so that both hold.
+// Smallest returns, of each current and announced limit, the smaller one, so that both hold.
 func (s StoreLimits) Smallest() StoreLimits {
 	t := s
 	t.Next = nil
--- a/internal/golden/json.go
+++ b/internal/golden/json.go
@@ -15,9 +15,9 @@
 
 // JSONNames lists the JSON names of the package under test: the tags of all fields that its sources
 // declare and, for each of the given types, the path and kind of every field and two samples of the
-// whole value. The keys of types are names that the test chooses for the list. If no field of the
-// types has a declared tag, the test fails unless the tag is exempt, so that no type can be left
-// out by mistake.
+// whole value. The keys of types are names that the test chooses for the list. The test fails for
+// each declared tag that no field of the types has, unless the tag is exempt. So no type can be
+// left out by mistake.
 func JSONNames(t *testing.T, types map[string]reflect.Type, exempt []string) []string {
 	t.Helper()
 	tags := declaredTags(t)
--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -64,8 +64,8 @@
 	Spot              bool            `json:"loaners"`
 	Incarnation       Incarnation     `json:"tenure"`
 	Sequence          Sequence        `json:"tally"`
-	FencingToken      Term            `json:"warrant"`
-	PreemptionNoticeS *float64        `json:"recall_s"`
+	FencingToken      Term            `json:"warrant"`  // highest that the agent has seen
+	PreemptionNoticeS *float64        `json:"recall_s"` // time until the preemption; nil: no notice
 	Tasks             []TaskStatus    `json:"pieces"`
 }
 
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -58,7 +58,7 @@
 type PeerConfirmationRequest struct{ ID uint64 }
 
 // PeerConfirmation is the response to a PeerConfirmationRequest. It describes the sender at the
-// time of writing.
+// time when it wrote the response.
 type PeerConfirmation struct {
 	ID       uint64
 	Term     Term   // under which the sender leads; 0 if it does not lead
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -274,8 +274,8 @@
 
 // TestFramesOfEarlierVersions checks that frames written by versions 0.2 and 0.3 can be read, and
 // that writing the messages again gives the same bytes. During an upgrade this version runs
-// together with them, and they close a link on any other frame. A feature level announcement is a
-// frame of a kind that both versions support; only its level differs.
+// together with them, and they close a link when they receive a frame of another form. A feature
+// level announcement is a frame of a kind that both versions support; only its level differs.
 func TestFramesOfEarlierVersions(t *testing.T) {
 	for version, wantKinds := range map[string]int{"0.2": 6, "0.3": 9} {
 		data, err := os.ReadFile("testdata/frames-" + version + ".txt")
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// newHTTPClient returns a client that keeps up to maxIdle idle connections, and up to maxIdlePerHost
-// of them to one host.
+// newHTTPClient returns a client that keeps up to maxIdle idle connections, and up to
+// maxIdlePerHost of them to one host.
 func newHTTPClient(maxIdle, maxIdlePerHost int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -56,8 +56,8 @@
 	eventually(t, "the heartbeat is queued", func() bool { return len(c.loop.queues.heartbeats) == 1 })
 }
 
-// TestHeartbeatsAreAcceptedDuringAQueryFlood checks that every heartbeat is accepted in time in spite
-// of stalled connections and a flood of status queries for unknown jobs. Every query gets a
+// TestHeartbeatsAreAcceptedDuringAQueryFlood checks that every heartbeat is accepted in time in
+// spite of stalled connections and a flood of status queries for unknown jobs. Every query gets a
 // response, too.
 func TestHeartbeatsAreAcceptedDuringAQueryFlood(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
@@ -181,8 +181,8 @@
 	return 0, io.EOF
 }
 
-// TestAbandonedRequestsAreSkipped checks that a node that has fallen behind does no work for requests
-// whose clients have given up. Events that belong to no request are still handled.
+// TestAbandonedRequestsAreSkipped checks that a node that has fallen behind does no work for
+// requests whose clients have given up. Events that belong to no request are still handled.
 func TestAbandonedRequestsAreSkipped(t *testing.T) {
 	c := newStoppedController()
 	abandoned, abandon := context.WithCancel(context.Background())
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -38,7 +38,7 @@
 	return p
 }
 
-// start listens for peers and dials them, in goroutines that end with the context.
+// start listens for peers and dials every peer, in goroutines that end with the context.
 func (p *peerLinks) start(ctx context.Context, running *sync.WaitGroup) error {
 	listener, err := listen(ctx, p.address)
 	if err != nil {
@@ -115,8 +115,8 @@
 	}
 }
 
-// enqueue adds an event to the event loop's queue. If the queue is full, it waits until there is room
-// or the context ends.
+// enqueue adds an event to the event loop's queue. If the queue is full, it waits until there is
+// room or the context ends.
 func enqueue(ctx context.Context, events chan<- coordination.Event, e coordination.Event) {
 	select {
 	case events <- e:
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -155,7 +155,7 @@
 		store.CloseClientConnections()
 		store.Close()
 		http.DefaultClient.CloseIdleConnections()
-		// The goroutines of the HTTP server stay for half a second after a request that was cut off.
+		// The goroutines of the HTTP server stay for half a second after an aborted request.
 		var leaked error
 		for range 5 {
 			if leaked = goleak.Find(existingGoroutines); leaked == nil {
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestSubmissionBeforeMachineTypesAreKnown checks that a submission gets status 503 with Retry-After
-// at once until the machine types are known.
+// TestSubmissionBeforeMachineTypesAreKnown checks that until the machine types are known, a
+// submission gets status 503 with Retry-After at once.
 func TestSubmissionBeforeMachineTypesAreKnown(t *testing.T) {
 	cfg, cloud := startController(t, false, 0)
 	var status int
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -8,7 +8,7 @@
 const (
 	// SilenceIntervals is the silence time-out in heartbeat intervals: how long an agent may be
 	// silent before it is probed. Heartbeats jitter by a quarter of the interval. An agent whose
-	// heartbeat was lost answers the probe.
+	// heartbeat was lost responds to the probe.
 	SilenceIntervals = 1.7
 	// MinSilenceTimeout is the lower bound of the silence time-out: an agent that gets no response
 	// waits 4 s and tries the next node a second later.
@@ -24,11 +24,12 @@
 	ZoneSuspicionTime = 15 * time.Second
 	// ProbeTimeout bounds a probe and a direct command.
 	ProbeTimeout = 1200 * time.Millisecond
-	// MaxUnansweredProbes is the number of unanswered probes after which a silent
-	// machine is deleted.
+	// MaxUnansweredProbes is the number of unanswered probes after which a silent machine is
+	// deleted.
 	MaxUnansweredProbes = 2
 	// MaxIneffectiveResponses is the number of consecutive responses without a visible effect
-	// after which an agent counts as not receiving. A single one may be lost or late.
+	// after which responses and commands count as not reaching an agent. A single response may be
+	// lost or late.
 	MaxIneffectiveResponses = 2
 	// PartitionSilenceAllowance is added to the silence time-out while a peer is unreachable:
 	// the agent tries the leader, waits 4 s, and then tries another node.
@@ -64,8 +65,8 @@
 	// responds to directly when the fleet exceeds that limit. The rest of the processor time is left
 	// for scheduling cycles, which come in bursts.
 	RetainedAgentShare = 0.33
-	// DirectResumeShare is the share of that limit to which the fleet must shrink before the
-	// leader responds to all agents directly again.
+	// DirectResumeShare is the share of the leader's limit to which a fleet that exceeded it must
+	// shrink before the leader responds to all agents directly again.
 	DirectResumeShare = 0.8
 	// RedirectCPUCost is the approximate processor time of redirecting an agent to its proxy: the
 	// response, and at the proxy a new connection with its first heartbeat.
@@ -76,10 +77,11 @@
 	MaxRedirectBurst = 20
 	// DelegatedCallMargin is added to the time-out of a call that a peer makes for the leader.
 	DelegatedCallMargin = time.Second
-	// DirectShareScale is the direct share that stands for all agents: the share of agents that
-	// send heartbeats to the leader directly is given in thousandths.
+	// DirectShareScale is the scale of the direct share, which is the share of agents that send
+	// heartbeats to the leader directly. It is given in thousandths, so 1000 stands for all agents.
 	DirectShareScale = 1000
-	// DirectShareSteps is the number of steps in which that share changes.
+	// DirectShareSteps is the number of steps in which the direct share changes, so that few agents
+	// change their proxy as the fleet grows.
 	DirectShareSteps = 20
 	// AgentCallCPUCost is the approximate processor time of a call to an agent: a connection, a
 	// request, and a response with the agent's heartbeat.
@@ -87,13 +89,14 @@
 	// AgentCallCPUShare is the share of the controller's processor time for calls to agents.
 	// Commands that have to wait are sent in the response to the agent's next heartbeat.
 	AgentCallCPUShare = 0.25
-	// MinConcurrentAgentCalls is the number of calls that may always be made at once.
+	// MinConcurrentAgentCalls is the number of calls to agents that may be made at once however
+	// small the shares of processor time and sockets are.
 	MinConcurrentAgentCalls = 32
 	// StopGraceSeconds is added to a job's checkpoint save time in an orderly stop, in seconds.
 	StopGraceSeconds = 3.0
 	// DirectStartSettleTime is how long a start that was sent directly is not repeated in a
-	// heartbeat response. A direct start mostly takes a few milliseconds, and a heartbeat that comes
-	// meanwhile was sent before the agent received the start.
+	// heartbeat response. A direct start usually takes a few milliseconds, and a heartbeat that
+	// arrives in the meantime was sent before the agent received the start.
 	DirectStartSettleTime = 300 * time.Millisecond
 	// CommandResendDelay is the pause before a direct command is repeated.
 	CommandResendDelay = 1500 * time.Millisecond
@@ -123,15 +126,15 @@
 )
 
 const (
-	// MaxTrustedAttempt bounds the attempt numbers that are accepted from heartbeats: the next
-	// attempt of a task is numbered above reported attempts below this bound only. Otherwise a
-	// corrupted heartbeat could use up all numbers.
+	// MaxTrustedAttempt bounds the attempt numbers that are accepted from heartbeats. The next
+	// attempt of a task gets a number above all reported ones, but reported numbers from this bound
+	// on are ignored. Otherwise a corrupted heartbeat could use up all numbers.
 	MaxTrustedAttempt = 1 << 62
 	// MaxRememberedLogKeys is the number of keys of malformed input that are remembered so that
 	// each is logged only once. It allows a few keys for each of thousands of machines.
 	MaxRememberedLogKeys = 20_000
 )
 
-// MaxCommandsPerResponse bounds the commands in one response. At 100 bytes each they
-// fit into a message of 64 KiB.
+// MaxCommandsPerResponse bounds the commands in one response. At 100 bytes each they fit into a
+// message of 64 KiB.
 const MaxCommandsPerResponse = 400
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -16,7 +16,8 @@
 	MachineListBudgetShare = 0.35
 	// MachineTypesInterval is the interval between two reads of the machine types and their prices.
 	MachineTypesInterval = 30 * time.Second
-	// MachineListPageSize is the page size of the machine list, the largest that the cloud allows.
+	// MachineListPageSize is the number of machines on a page of the machine list, the largest that
+	// the cloud allows.
 	MachineListPageSize = 500
 	// MaxMachinesPerRequest is the largest number of machines that one request may create.
 	MaxMachinesPerRequest = 50
@@ -48,13 +49,14 @@
 	// ZoneReserveInterval is the pause between two evaluations of the capacity that is reserved for
 	// the loss of a zone. It is well below a boot time.
 	ZoneReserveInterval = 5 * time.Second
-	// MaxZoneReserveMachines bounds the machines that such an evaluation considers, including
-	// those that it would request.
+	// MaxZoneReserveMachines bounds the machines that an evaluation of this reserve considers,
+	// including those that it would request.
 	MaxZoneReserveMachines = 20_000
 	// EstimateSlackFactor extends a user's estimate of a job's run time, which is often wrong by
 	// half.
 	EstimateSlackFactor = 1.3
-	// BootTimeSlackFactor extends a nominal boot time.
+	// BootTimeSlackFactor extends a nominal boot time, to decide whether a machine that is requested
+	// later would still boot in time for a job's deadline.
 	BootTimeSlackFactor = 1.2
 	// ConsolidationInterval is the pause between two rounds that drain machines to save money.
 	ConsolidationInterval = 5 * time.Second
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -6,8 +6,8 @@
 
 // The key-value store.
 const (
-	// StoreRequestTimeout bounds one request. Responses usually take under 10 ms and
-	// now and then a few hundred.
+	// StoreRequestTimeout bounds one request. Responses usually take under 10 ms, and now and then a
+	// few hundred milliseconds.
 	StoreRequestTimeout = 1500 * time.Millisecond
 	// WatchLongPoll is how long the store may hold a watch open.
 	WatchLongPoll = 10 * time.Second
@@ -38,21 +38,21 @@
 	// UserRequestTimeout bounds a user's request. Users give up status queries after 2 s and
 	// submissions after 5 s.
 	UserRequestTimeout = 1800 * time.Millisecond
-	// WriteBudgetShare is the share of the store's write limit that all nodes
-	// use together. The rest absorbs differences between clocks.
+	// WriteBudgetShare is the share of the store's write limit that all nodes use together. The rest
+	// absorbs differences between clocks.
 	WriteBudgetShare = 0.95
-	// UserWriteBudgetShare is the share for users' submissions and cancellations, divided
-	// equally among the nodes.
+	// UserWriteBudgetShare is the share of the store's write limit for users' submissions and
+	// cancellations. It is divided equally among the nodes.
 	UserWriteBudgetShare = 0.2
-	// RelayWriteBudgetShare is the share for messages relayed through the store. During a network
-	// partition, each of hundreds of agents must have a heartbeat forwarded, and get its response,
-	// within its lease.
+	// RelayWriteBudgetShare is the share of that limit for messages relayed through the store, also
+	// divided equally. During a network partition, each of hundreds of agents must have a heartbeat
+	// forwarded, and get its response, within its lease.
 	RelayWriteBudgetShare = 0.2
-	// UserBurstReserve is the share of the burst that the leader's own transactions leave for
-	// users' requests and relayed messages, because it sees those writes only afterwards.
+	// UserBurstReserve is the share of the write burst that the leader's own transactions leave for
+	// users' requests and relayed messages, because the leader sees those writes only afterwards.
 	UserBurstReserve = 0.2
-	// RequestBudgetShare is the share of the store's request limit that the nodes
-	// use together. The rest absorbs watches and differences between clocks.
+	// RequestBudgetShare is the share of the store's request limit that the nodes use together. The
+	// rest absorbs watches and differences between clocks.
 	RequestBudgetShare = 0.8
 	// NodeRequestReserve is the share of a node's request burst that users' requests leave for the
 	// node's own requests.
--- a/internal/tuning/transport.go
+++ b/internal/tuning/transport.go
@@ -4,12 +4,12 @@
 
 // The event loop and its queues.
 const (
-	// MinTimerInterval is the least pause after which the event loop checks its timers without
-	// an event. Waking up for a timer costs a process about 100 microseconds of processor
-	// time, more in system calls than in code.
+	// MinTimerInterval is the least pause after which the event loop checks its timers without an
+	// event. Waking up for a timer costs a process about 100 microseconds of processor time, more in
+	// system calls than in code.
 	MinTimerInterval = 100 * time.Millisecond
-	// MaxTimerInterval is the longest such pause, when no timer is due. It is well below
-	// ProcessPauseThreshold, by which a node detects that its process was paused.
+	// MaxTimerInterval is the longest such pause, which applies when no timer is due earlier. It is
+	// well below ProcessPauseThreshold, by which a node detects that its process was paused.
 	MaxTimerInterval = time.Second
 	// EventQueueLength bounds the event queue; beyond it requests are shed.
 	EventQueueLength = 4096
@@ -17,7 +17,7 @@
 	// node. The limit ensures that heartbeats always find room in the queue.
 	MinUserQueueLength = 512
 	// UserQueueConnectionShare is the limit on users' requests in progress, as a share of the
-	// users' connections, where this is above MinUserQueueLength.
+	// connections that are kept open for users, where this is above MinUserQueueLength.
 	UserQueueConnectionShare = 0.5
 )
 
@@ -58,7 +58,8 @@
 	// UserKeepAliveShare is the same for users' connections. It is lower, so that agents'
 	// heartbeats take precedence.
 	UserKeepAliveShare = 0.5
-	// MinConnections is the lower bound of each of these numbers, whatever the limit is.
+	// MinConnections is the lower bound of each number of connections that the shares above give,
+	// however low the socket limit is.
 	MinConnections = 16
 	// AgentCallConnectionShare is the share of the socket limit for calls to agents in progress.
 	// The links to peers and the connections to external systems need a few dozen sockets.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,6 +1,6 @@
-// Package tuning holds every constant of gappond, each with its unit and the
-// reason for its value. Values that depend on the deployment are derived from the
-// platform's settings. Values that operators may set are fields of Operator.
+// Package tuning holds the constants that determine gappond's timing, budgets and limits, each
+// with its unit and the reason for its value. Values that depend on the deployment are derived
+// from the platform's settings. Values that operators may set are fields of Operator.
 package tuning
 
 import "time"
