--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -105,20 +105,20 @@
 func (r *row) add(m Measurement) {
 	r.Runs++
 	addToMean := func(mean *float64, v float64) { *mean += (v - *mean) / float64(r.Runs) }
-	result := m.Result
-	addToMean(&r.Tasks, float64(result.Tasks))
-	addToMean(&r.Needed, float64(result.Needed))
-	addToMean(&r.ExcessStarts, float64(result.Excess[0]))
-	addToMean(&r.ExcessStops, float64(result.Excess[1]))
-	addToMean(&r.ExcessForgets, float64(result.Excess[2]))
+	v := m.Result
+	addToMean(&r.Tasks, float64(v.Tasks))
+	addToMean(&r.Needed, float64(v.Needed))
+	addToMean(&r.ExcessStarts, float64(v.Excess[0]))
+	addToMean(&r.ExcessStops, float64(v.Excess[1]))
+	addToMean(&r.ExcessForgets, float64(v.Excess[2]))
 	r.Excess = r.ExcessStarts + r.ExcessStops + r.ExcessForgets
-	addToMean(&r.KeptPercent, 100*result.KeptSeconds/max(result.BeforeSeconds, 1))
-	addToMean(&r.First, result.First.Seconds())
-	addToMean(&r.Last, result.Last.Seconds())
-	addToMean(&r.Requests, float64(result.Requests))
-	addToMean(&r.Changes, float64(result.Changes))
-	r.Duplicates += result.DuplicateStarts
-	r.RulesBroken += len(result.Rules)
+	addToMean(&r.KeptPercent, 100*v.KeptSeconds/max(v.BeforeSeconds, 1))
+	addToMean(&r.First, v.First.Seconds())
+	addToMean(&r.Last, v.Last.Seconds())
+	addToMean(&r.Requests, float64(v.Requests))
+	addToMean(&r.Changes, float64(v.Changes))
+	r.Duplicates += v.DuplicateStarts
+	r.RulesBroken += len(v.Rules)
 }
 
 func kinds(rows []row) (list []string) {
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -10,7 +10,7 @@
 	// access, before it reports that it is not ready for users' requests.
 	IsolationTimeout = 5 * time.Second
 	// StoreUnreachableTimeout is how long requests to the store must have gone unanswered before
-	// users' requests are refused at once: two time-outs of such requests.
+	// users' requests are refused at once: twice StoreRequestTimeout.
 	StoreUnreachableTimeout = 3 * time.Second
 	// StoreProbeInterval is how long a node sends the store no request before it sends one only to
 	// find out whether the store responds.
