--- a/internal/protocol/agent.go
+++ b/internal/protocol/agent.go
@@ -28,11 +28,11 @@
 const (
 	CauseDone        Cause = "done"
 	CauseStopped     Cause = "stopped"
-	CauseGangBroken  Cause = "mates_gone"
-	CauseGangTimeout Cause = "alone"
+	CauseGangBroken  Cause = "mates_gone" // another task of its gang is lost
+	CauseGangTimeout Cause = "alone"      // it waited too long for the other tasks of its gang
 	CauseError       Cause = "error"
 	CauseNoCapacity  Cause = "full"
-	CauseTaskPresent Cause = "in_use"
+	CauseTaskPresent Cause = "in_use" // another attempt of the task is on the machine
 	CauseUnknownTask Cause = "no_such"
 )
 
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -14,8 +14,7 @@
 	// CandidateCPUCost is the approximate processor time of examining one machine for one job.
 	CandidateCPUCost = 100 * time.Nanosecond
 	// MaxSchedulingCycleTime is how long a scheduling cycle may go on starting preemption
-	// searches. Between two cycles the leader must renew its lease and respond to
-	// heartbeats.
+	// searches. Between two cycles the leader must renew its lease and respond to heartbeats.
 	MaxSchedulingCycleTime = 100 * time.Millisecond
 	// MinExaminedMachines is the number of machines that a cycle may examine however small the
 	// controller's share of a core is: enough for the searches of a few jobs on a small fleet.
