--- a/cmd/recoverybench/report.go
+++ b/cmd/recoverybench/report.go
@@ -104,7 +104,7 @@
 // add adds a run to the means and sums.
 func (r *row) add(m Measurement) {
 	r.Runs++
-	addToMean := func(average *float64, v float64) { *average += (v - *average) / float64(r.Runs) }
+	addToMean := func(mean *float64, v float64) { *mean += (v - *mean) / float64(r.Runs) }
 	v := m.Result
 	addToMean(&r.Tasks, float64(v.Tasks))
 	addToMean(&r.Needed, float64(v.Needed))
