--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -263,13 +263,13 @@
 		respond(200, encode(a.heartbeat()))
 		return
 	}
-	var o protocol.CommandBatch
-	decode(body, &o)
-	if o.Incarnation != a.incarnation || !a.accept(o.FencingToken) {
+	var batch protocol.CommandBatch
+	decode(body, &batch)
+	if batch.Incarnation != a.incarnation || !a.accept(batch.FencingToken) {
 		respond(409, encode(a.heartbeat()))
 		return
 	}
-	a.execute(o.Commands)
+	a.execute(batch.Commands)
 	respond(200, encode(a.heartbeat()))
 }
 
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -13,15 +13,15 @@
 type Audit struct {
 	jobs          map[protocol.JobID]*auditedJob
 	attempts      map[instance]bool // attempts on machines; true until they have exited
-	at            map[string]int    // by task name, the attempts that have not exited
+	notExited     map[string]int    // by task name, the attempts that have not exited
 	needed        [3]map[string]int // commands that are due, by kind and task name
 	countedFrom   time.Time         // when the count began; zero: not yet
 	startedAt     map[instance]time.Time
 	secondsBefore map[instance]float64 // by attempt, the seconds that it had run when the count began
 	// by machine and task, when an agent last executed a forget command that was not due
-	forgetRepeatedAt map[instance]time.Time
-	Orders           [3]int // starts, stops and forgets that agents have executed
-	Verdict          Verdict
+	excessForgetAt map[instance]time.Time
+	Orders         [3]int // starts, stops and forgets that agents have executed
+	Verdict        Verdict
 }
 
 // auditedJob is a job as its user submitted it, and what the agents have done of it.
@@ -58,8 +58,8 @@
 )
 
 func newAudit() *Audit {
-	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, at: map[string]int{},
-		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, forgetRepeatedAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
+	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, notExited: map[string]int{},
+		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, excessForgetAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
 }
 
 // submitted notes a job when its user first tries to submit it.
@@ -87,7 +87,7 @@
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
-		a.needed[needStop][name] += a.at[name]
+		a.needed[needStop][name] += a.notExited[name]
 	}
 }
 
@@ -100,8 +100,8 @@
 		present := 0
 		for i := range j.tasks {
 			name := protocol.TaskName(id, i)
-			present += min(a.at[name], 1)
-			if !j.done[name] && !j.cancelled && a.at[name] == 0 {
+			present += min(a.notExited[name], 1)
+			if !j.done[name] && !j.cancelled && a.notExited[name] == 0 {
 				a.needed[needStart][name]++
 			}
 		}
@@ -151,22 +151,22 @@
 		}
 		a.Verdict.Last = now.Sub(a.countedFrom)
 		id, _, _ := protocol.SplitTask(c.Task)
-		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
+		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.notExited[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
 			a.Verdict.DuplicateStarts++
 		}
 	}
-	at := instance{machine: machineID, task: c.Task}
+	placement := instance{machine: machineID, task: c.Task}
 	switch {
 	case a.needed[kind][c.Task] > 0:
 		a.needed[kind][c.Task]--
 		a.Verdict.Needed++
 	case kind == needForget:
 		a.Verdict.Excess[kind]++
-		a.forgetRepeatedAt[at] = now
+		a.excessForgetAt[placement] = now
 	default:
 		a.Verdict.Excess[kind]++
 	}
-	if at, repeated := a.forgetRepeatedAt[at]; kind == needStart && repeated && at.Equal(now) {
+	if forgotAt, repeated := a.excessForgetAt[placement]; kind == needStart && repeated && forgotAt.Equal(now) {
 		a.Verdict.Excess[needForget]-- // the forget was due for the start, in case the first forget was lost
 		a.Verdict.Needed++
 	}
@@ -175,7 +175,7 @@
 // began notes an attempt that an agent has accepted.
 func (a *Audit) began(now time.Time, k instance) {
 	a.attempts[k], a.startedAt[k] = true, now
-	a.at[k.task]++
+	a.notExited[k.task]++
 }
 
 // ended notes the end of an attempt, for any cause. If it was lost, its agent no longer has it.
@@ -185,7 +185,7 @@
 	if !a.attempts[k] {
 		return
 	}
-	a.at[k.task]--
+	a.notExited[k.task]--
 	if a.attempts[k] = false; lost {
 		delete(a.attempts, k)
 	} else {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -15,16 +15,16 @@
 
 // cloudProvider is the stand-in for the cloud.
 type cloudProvider struct {
-	w              *World
-	hosts          []*host
-	rented         map[string][]protocol.MachineID // by request ID, so that a repeated request creates nothing
-	next           int
-	down           bool
-	capacity       int
-	requestLimiter *rate.Limiter
-	requests       int
-	snapshots      []snapshot
-	fastBoot       bool // machines boot within two seconds
+	w                *World
+	hosts            []*host
+	createdByRequest map[string][]protocol.MachineID // by request ID, so that a repeated request creates nothing
+	next             int
+	down             bool
+	capacity         int
+	requestLimiter   *rate.Limiter
+	requests         int
+	snapshots        []snapshot
+	fastBoot         bool // machines boot within two seconds
 }
 
 // host is a machine in the cloud.
@@ -41,7 +41,7 @@
 }
 
 func newCloudProvider(w *World) *cloudProvider {
-	c := &cloudProvider{w: w, rented: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
+	c := &cloudProvider{w: w, createdByRequest: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		requestLimiter: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
@@ -154,8 +154,8 @@
 func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
 	var r protocol.CreateMachinesRequest
 	decode(body, &r)
-	if names, ok := c.rented[r.RequestID]; ok {
-		respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
+	if ids, ok := c.createdByRequest[r.RequestID]; ok {
+		respond(http.StatusOK, encode(protocol.MachineIDs{Machines: ids}))
 		return
 	}
 	up := 0
@@ -168,12 +168,12 @@
 		respond(http.StatusServiceUnavailable, encode(protocol.ErrorBody{Error: protocol.NoCapacity}))
 		return
 	}
-	var names []protocol.MachineID
+	var ids []protocol.MachineID
 	for range min(r.Count, c.capacity-up) {
-		names = append(names, c.add(r.Zone, r.Spot, c.bootTime()))
+		ids = append(ids, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.rented[r.RequestID] = names
-	respond(http.StatusOK, encode(protocol.MachineIDs{Machines: names}))
+	c.createdByRequest[r.RequestID] = ids
+	respond(http.StatusOK, encode(protocol.MachineIDs{Machines: ids}))
 }
 
 // bootTime returns how long a machine takes to boot. One in twenty takes so long that it counts as
--- a/internal/simulation/confirmed_cancels_test.go
+++ b/internal/simulation/confirmed_cancels_test.go
@@ -132,14 +132,14 @@
 			t.Parallel()
 			w, u, c := leaderWithHungWatches(t, 630+seed, 6)
 			peer := w.otherControllers(c)[1]
-			cutOff := &partition{match: oneWay(peer, c)}
-			w.partitions = append(w.partitions, cutOff)
+			fromPeer := &partition{match: oneWay(peer, c)}
+			w.partitions = append(w.partitions, fromPeer)
 
 			w.cancelAtController(peer, u)
 			w.store.outage(100 * time.Second)
 			peer.crash(200 * time.Millisecond)
 			w.Run(100 * time.Millisecond)
-			w.heal(cutOff)
+			w.heal(fromPeer)
 			w.Run(60 * time.Second)
 
 			if c.node.Leading() {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -14,7 +14,7 @@
 	w              *World
 	name           string
 	node           *coordination.Node
-	life           int // counts the starts of the process
+	generation     int // counts the starts of the process
 	alive          bool
 	linked         map[string]bool // peers with a link to this node
 	nextID         uint64          // of external requests
@@ -29,15 +29,15 @@
 
 // startProcess starts a new process of the controller.
 func (c *controller) startProcess() {
-	c.life++
+	c.generation++
 	c.alive = true
 	c.linked = map[string]bool{}
 	c.pendingReplies = map[uint64]responseFunc{}
-	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.life))
-	life := c.life
+	c.node = coordination.New(c.w.config(c.name), c.w.log.With("node", c.name), c.w.rng.Uint64(), fmt.Sprintf("%s-%d", c.name, c.generation))
+	generation := c.generation
 	var pollLinks func()
 	pollLinks = func() {
-		if c.alive && c.life == life {
+		if c.alive && c.generation == generation {
 			c.updateLinks()
 			c.w.after(tuning.MinTimerInterval, pollLinks)
 		}
@@ -59,11 +59,11 @@
 
 // armTimer sets the timer to fire at wakeAt.
 func (c *controller) armTimer() {
-	life, at := c.life, c.wakeAt
+	generation, at := c.generation, c.wakeAt
 	c.timerAt = at
 	c.w.after(at.Sub(c.w.Now), func() {
 		switch {
-		case !c.alive || c.life != life || !c.timerAt.Equal(at):
+		case !c.alive || c.generation != generation || !c.timerAt.Equal(at):
 		case c.w.Now.Before(c.wakeAt):
 			c.armTimer()
 		default:
@@ -74,18 +74,18 @@
 }
 
 // crash ends the process without a signal. It starts again after the time back.
-func (c *controller) crash(back time.Duration) {
+func (c *controller) crash(downtime time.Duration) {
 	if !c.alive {
 		return
 	}
 	c.alive = false
-	c.w.after(back, c.startProcess)
+	c.w.after(downtime, c.startProcess)
 }
 
 // crashAll ends all controllers without a signal. They start again after the time back.
-func (w *World) crashAll(back time.Duration) {
+func (w *World) crashAll(downtime time.Duration) {
 	for _, c := range w.nodes {
-		c.crash(back)
+		c.crash(downtime)
 	}
 }
 
@@ -157,16 +157,16 @@
 	if !c.canSend(a) {
 		return
 	}
-	life := c.life
+	generation := c.generation
 	for _, o := range c.w.nodes {
 		if o.name != string(a.Peer) || !c.linked[o.name] {
 			continue
 		}
-		to := o.life
+		peerGeneration := o.generation
 		m := reencode(limitAnnouncement(a.Message, c.w.release[c.name], c.w.release[o.name]))
 		c.w.transmit(c.name, o.name, func() {
-			if o.alive && o.life == to {
-				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(life), Message: m})
+			if o.alive && o.generation == peerGeneration {
+				o.step(coordination.PeerReceive{Peer: protocol.NodeName(c.name), Link: uint64(generation), Message: m})
 			}
 		})
 	}
@@ -174,9 +174,9 @@
 
 // request makes a request of an external system.
 func (c *controller) request(a coordination.Request) {
-	life := c.life
+	generation := c.generation
 	done := func(status int, body []byte) {
-		if c.alive && c.life == life {
+		if c.alive && c.generation == generation {
 			c.step(coordination.Response{ID: a.ID, Status: status, Body: body})
 		}
 	}
@@ -207,13 +207,13 @@
 	c.w.calls++
 	c.callsInFlight++
 	c.w.maxConcurrentCalls = max(c.w.maxConcurrentCalls, c.callsInFlight)
-	life := c.life
+	generation := c.generation
 	c.w.call(c.name, a.Address, a.Timeout, func(respond responseFunc) {
 		if agent := c.w.agents[protocol.MachineID(a.Address)]; agent != nil {
 			agent.serve(a.Method, a.Path, a.Body, respond)
 		}
 	}, func(status int, body []byte) {
-		if c.life == life {
+		if c.generation == generation {
 			c.callsInFlight--
 		}
 		done(status, body)
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -11,24 +11,24 @@
 
 // downtime records what users and agents notice while controllers are replaced.
 type downtime struct {
-	w             *World
-	requestsSent  int // to a controller that was up until it responded or the request timed out
-	unanswered    int // of these, requests that timed out
-	refused       int // responses with a status after which the user retries
-	leaseExpiries int // expired leases of agents
-	lastServed    time.Time
-	longestGap    time.Duration // longest time without a served request
-	incarnations  map[protocol.MachineID]protocol.Incarnation
-	until         time.Time
+	w               *World
+	requestsSent    int // to a controller that was up until it responded or the request timed out
+	withoutResponse int // of these, requests that timed out
+	refused         int // responses with a status after which the user retries
+	leaseExpiries   int // expired leases of agents
+	lastServed      time.Time
+	longestGap      time.Duration // longest time without a served request
+	incarnations    map[protocol.MachineID]protocol.Incarnation
+	until           time.Time
 }
 
 // watchDowntime sends a request every 50 ms, each to one of the controllers that are up, as the
 // load balancer does. The kinds of request alternate. It also counts the leases that expire, by
 // the agents' incarnations.
-func (w *World) watchDowntime(acceptedJob string, until time.Duration) *downtime {
-	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
+func (w *World) watchDowntime(acceptedJob string, span time.Duration) *downtime {
+	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(span)}
 	requests := 0
-	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
+	w.every(50*time.Millisecond, int(span/(50*time.Millisecond)), func(i int) {
 		for id, agent := range w.agents {
 			if d.incarnations[id] != 0 && agent.incarnation > d.incarnations[id] {
 				d.leaseExpiries++
@@ -49,7 +49,7 @@
 }
 
 // ask sends a request to a random controller that is up and ready, if there is one.
-func (d *downtime) ask(limit time.Duration, event request) {
+func (d *downtime) ask(timeout time.Duration, r request) {
 	var up []*controller
 	for _, c := range d.w.nodes {
 		if c.alive && c.node.Ready() {
@@ -60,15 +60,15 @@
 		return
 	}
 	c := up[d.w.rng.IntN(len(up))]
-	life := c.life
-	d.w.call("users", c.name, limit, func(answer responseFunc) { c.ask(event, answer) }, func(status int, _ []byte) {
-		if status == 0 && (!c.alive || c.life != life) {
+	generation := c.generation
+	d.w.call("users", c.name, timeout, func(respond responseFunc) { c.ask(r, respond) }, func(status int, _ []byte) {
+		if status == 0 && (!c.alive || c.generation != generation) {
 			return // the controller crashed: the closed connection tells the user to retry
 		}
 		d.requestsSent++
 		switch {
 		case status == 0:
-			d.unanswered++
+			d.withoutResponse++
 		case status == 200 || status == 201 || status == 404:
 			d.longestGap = max(d.longestGap, d.w.Now.Sub(d.lastServed))
 			d.lastServed = d.w.Now
@@ -190,13 +190,13 @@
 
 // check reports as errors: requests without a response, a time without served requests that is
 // too long even for the time with all controllers down, expired leases, and lower tokens.
-func (d *downtime) check(t *testing.T, away time.Duration) {
+func (d *downtime) check(t *testing.T, allDownFor time.Duration) {
 	t.Helper()
 	t.Logf("%d requests, %d refused, longest time without a served request %v", d.requestsSent, d.refused, d.longestGap)
-	if d.requestsSent < 500 || d.unanswered > 0 {
-		t.Errorf("%d of %d requests got no response, want 0 of at least 500", d.unanswered, d.requestsSent)
+	if d.requestsSent < 500 || d.withoutResponse > 0 {
+		t.Errorf("%d of %d requests got no response, want 0 of at least 500", d.withoutResponse, d.requestsSent)
 	}
-	if limit := away + tuning.LeaderLeaseTTL + 3*time.Second; d.longestGap > limit {
+	if limit := allDownFor + tuning.LeaderLeaseTTL + 3*time.Second; d.longestGap > limit {
 		t.Errorf("no request was served for %v", d.longestGap)
 	}
 	if d.leaseExpiries > 0 {
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -63,7 +63,7 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.randomMachines(3) {
 				id := k.host.ID
-				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				held := &partition{handling: packetsHeld, match: fromHost(string(id))}
 				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
@@ -192,9 +192,9 @@
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than an agent lease", inject: func(w *World) {
-		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
+		for i, handling := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.disconnect(45*time.Second, handling, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelRunningJobs(6, 0) })
 			})
 		}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -12,7 +12,7 @@
 	node     *controller
 	machine  *agent // nil if no machine is up
 	duration time.Duration
-	fate     packetHandling // of packets in a partition
+	handling packetHandling // of packets in a partition
 }
 
 // faultKind is a kind of fault that a run with random faults can inject.
@@ -43,14 +43,14 @@
 		}
 	}},
 	// No packet passes between zones.
-	{"zones cut off from each other", func(w *World, d faultParameters) { w.disconnect(d.duration, d.fate, w.inDifferentZones) }},
+	{"zones cut off from each other", func(w *World, d faultParameters) { w.disconnect(d.duration, d.handling, w.inDifferentZones) }},
 	// A controller reaches neither the store nor any machine or other controller.
 	{"controller cut off", func(w *World, d faultParameters) {
-		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
+		w.disconnect(d.duration, d.handling, func(a, b string) bool { return a == d.node.name && (b == storeHost || w.zoneOf[b] != "") })
 	}},
 	// A controller reaches everything except the store.
 	{"controller cut off from the store", func(w *World, d faultParameters) {
-		w.disconnect(d.duration, d.fate, func(a, b string) bool { return a == d.node.name && b == storeHost })
+		w.disconnect(d.duration, d.handling, func(a, b string) bool { return a == d.node.name && b == storeHost })
 	}},
 	// The store refuses every request.
 	{"store outage", func(w *World, d faultParameters) { w.store.outage(d.duration) }},
@@ -63,7 +63,7 @@
 	}},
 	// A machine reaches no other host, and no other host reaches it.
 	{"machine cut off", machineFault(func(w *World, machine *agent, d faultParameters) {
-		w.disconnect(d.duration, d.fate, fromHost(string(machine.host.ID)))
+		w.disconnect(d.duration, d.handling, fromHost(string(machine.host.ID)))
 	})},
 	// A machine hangs for a while and then resumes.
 	{"machine hangs", machineFault(func(_ *World, machine *agent, d faultParameters) { machine.hang(d.duration) })},
@@ -73,7 +73,7 @@
 	{"machine fails every task", machineFault(func(_ *World, machine *agent, _ faultParameters) { machine.failsTasks = true })},
 	// A machine's heartbeats arrive, but no response and no command reaches the machine.
 	{"machine receives nothing", machineFault(func(w *World, machine *agent, d faultParameters) {
-		w.blockInbound(machine.host.ID, 2*d.duration, d.fate)
+		w.blockInbound(machine.host.ID, 2*d.duration, d.handling)
 	})},
 	// Copies of heartbeats arrive late, at random controllers.
 	{"heartbeat copies arrive late", func(w *World, d faultParameters) {
@@ -81,7 +81,7 @@
 		w.after(d.duration, func() { w.maxCopyDelay = 0 })
 	}},
 	// A controller reaches agents, but neither the store nor its peers.
-	{"controller isolated", func(w *World, d faultParameters) { w.isolate(d.node, d.duration, d.fate) }},
+	{"controller isolated", func(w *World, d faultParameters) { w.isolate(d.node, d.duration, d.handling) }},
 	// Random controllers crash one after the other and restart within a fraction of a second.
 	{"controllers restart quickly", func(w *World, _ faultParameters) {
 		for i := range 3 {
@@ -166,14 +166,14 @@
 	if d.machine != nil {
 		machine = d.machine.host.ID
 	}
-	description := fmt.Sprintf("%s (drawn: controller %s, machine %s, %v, %v)", kind.name, d.node.name, machine, d.duration, d.fate)
+	description := fmt.Sprintf("%s (drawn: controller %s, machine %s, %v, %v)", kind.name, d.node.name, machine, d.duration, d.handling)
 	w.log.Info("fault injected", "fault", description)
 	return description
 }
 
 // drawFaultParameters draws the parameters that a fault may need.
 func (w *World) drawFaultParameters() faultParameters {
-	d := faultParameters{node: w.nodes[w.rng.IntN(len(w.nodes))], fate: w.rng.IntN(2) == 0}
+	d := faultParameters{node: w.nodes[w.rng.IntN(len(w.nodes))], handling: w.rng.IntN(2) == 0}
 	for _, agent := range w.agentsInCreationOrder() {
 		if d.machine == nil || w.rng.IntN(3) == 0 {
 			d.machine = agent
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -34,8 +34,8 @@
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
+		for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+			t.Run(fmt.Sprintf("busy %v, %v", busy, handling), func(t *testing.T) {
 				t.Parallel()
 				shape := SmallShape()
 				shape.Machines, shape.Capacity = 2, 3 // one per zone, and one more that can be created
@@ -49,7 +49,7 @@
 					w.after(time.Second+time.Millisecond, u.cancel)
 				}
 
-				w.blockInbound(id, 600*time.Second, fate)
+				w.blockInbound(id, 600*time.Second, handling)
 				w.Run(time.Second)
 				wholeMachine := gangJob("run-000010", 4)
 				wholeMachine.Zone = zone
@@ -128,7 +128,7 @@
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
-	starts, rented := w.rules.started, len(w.cloud.rented)
+	starts, createRequests := w.rules.started, len(w.cloud.createdByRequest)
 
 	for _, c := range w.nodes {
 		w.expectOnlyStopCommands(t, c, oldHeartbeat)
@@ -139,7 +139,7 @@
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
-	if n := len(w.cloud.rented) - rented; n > 2 {
+	if n := len(w.cloud.createdByRequest) - createRequests; n > 2 {
 		t.Errorf("%d requests to create machines, want at most 2", n)
 	}
 	w.expectRulesHeld(t)
@@ -211,14 +211,14 @@
 // to another node.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+		t.Run(handling.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(25, SmallShape(), 6*time.Second)
 			u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
-			w.isolate(c, 100*time.Second, fate)
+			w.isolate(c, 100*time.Second, handling)
 
 			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
 				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
@@ -251,8 +251,8 @@
 		t.Error("the isolated node still leads")
 	}
 	status = 0
-	report := w.agentOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
+	heartbeat := w.agentOf("run-000001", 0).heartbeat()
+	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: heartbeat} }, recordStatus)
 	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
 }
 
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -105,15 +105,15 @@
 func (w *World) expectQuickRecovery(t *testing.T) {
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
-	lostAt := w.Now
+	crashedAt := w.Now
 	u := w.submit(arrival{job: array("run-000001", 1), run: 10})
 	u.job.spec.Team = w.shape.Teams[0].Name
 	w.waitFor(t, 20*time.Second, "a submission is accepted", func() bool { return u.accepted })
-	t.Logf("a submission is accepted after %v", w.Now.Sub(lostAt))
+	t.Logf("a submission is accepted after %v", w.Now.Sub(crashedAt))
 	starts := w.rules.started
 	w.waitFor(t, 20*time.Second, "a task starts", func() bool { return w.rules.started > starts })
-	t.Logf("a task starts after %v", w.Now.Sub(lostAt))
-	w.Run(lostAt.Add(20 * time.Second).Sub(w.Now))
+	t.Logf("a task starts after %v", w.Now.Sub(crashedAt))
+	w.Run(crashedAt.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the crash: %d steps, %d calls to agents, %d requests to the store, %d changed keys", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
 		t.Errorf("%d calls to agents in 20 s, the controllers' share of the processor time allows %d", n, limit)
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -224,31 +224,31 @@
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
 	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), respond: respond}
 	s.watches = append(s.watches, x)
-	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.answerWatch(x, true) })
+	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.respondToWatch(x, true) })
 	s.notify()
 }
 
 // notify responds to the watches that have events.
 func (s *keyValueStore) notify() {
 	for _, x := range slices.Clone(s.watches) {
-		s.answerWatch(x, false)
+		s.respondToWatch(x, false)
 	}
 }
 
-// answerWatch responds to a watch that has events or has timed out. While the store does not serve
+// respondToWatch responds to a watch that has events or has timed out. While the store does not serve
 // its node, the watch waits.
-func (s *keyValueStore) answerWatch(x *watch, over bool) {
+func (s *keyValueStore) respondToWatch(x *watch, timedOut bool) {
 	if x.ended || x.from == s.nodeWithoutWatches {
 		return
 	}
 	if s.down || x.from.refused {
-		if over {
-			s.w.after(storeTick, func() { s.answerWatch(x, true) })
+		if timedOut {
+			s.w.after(storeTick, func() { s.respondToWatch(x, true) })
 		}
 		return
 	}
 	events := s.eventsAfter(x.after, x.prefix)
-	if len(events) == 0 && !over {
+	if len(events) == 0 && !timedOut {
 		return
 	}
 	x.ended = true
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -26,7 +26,7 @@
 	startedAt        time.Time
 	client           *http.Client
 	servers          []*httptest.Server
-	state            *httptest.Server
+	store            *httptest.Server
 	cloud            *httptest.Server
 	requestAddresses []string          // by controller, where it listens for users and agents
 	peerAddresses    map[string]string // by controller name, where it listens for peers
@@ -39,7 +39,7 @@
 // NewLoopback starts a world whose controllers run outside it. The world's Audit follows its agents.
 func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.state = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
+	v.store = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
 		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, respond)
 	})
 	v.cloud = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
@@ -72,7 +72,7 @@
 func (v *Loopback) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
 	c.Listen, c.PeerListen = v.requestAddresses[i], v.peerAddresses[string(c.Name)]
-	c.Endpoints = config.Endpoints{State: v.state.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
+	c.Endpoints = config.Endpoints{State: v.store.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
 	for k := range c.Peers {
 		c.Peers[k].Addr = v.peerAddresses[string(c.Peers[k].Name)]
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -26,8 +26,8 @@
 	packetsHeld    packetHandling = true
 )
 
-func (f packetHandling) String() string {
-	if f == packetsHeld {
+func (h packetHandling) String() string {
+	if h == packetsHeld {
 		return "packets held"
 	}
 	return "packets lost"
@@ -35,9 +35,9 @@
 
 // partition stops the packets that match selects.
 type partition struct {
-	match func(from, to string) bool
-	fate  packetHandling
-	held  []func()
+	match    func(from, to string) bool
+	handling packetHandling
+	held     []func()
 }
 
 // network delivers packets between hosts, each after a random delay, unless a partition stops
@@ -57,7 +57,7 @@
 func (n *network) arrive(from, to string, deliver func()) {
 	for _, c := range n.partitions {
 		if c.match(from, to) {
-			if c.fate == packetsHeld {
+			if c.handling == packetsHeld {
 				c.held = append(c.held, func() { n.arrive(from, to, deliver) })
 			}
 			return
@@ -67,14 +67,14 @@
 }
 
 // disconnect stops the packets that match selects, in both directions, for the time d.
-func (n *network) disconnect(d time.Duration, fate packetHandling, match func(a, b string) bool) {
-	n.addPartition(d, &partition{fate: fate, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
+func (n *network) disconnect(d time.Duration, handling packetHandling, match func(a, b string) bool) {
+	n.addPartition(d, &partition{handling: handling, match: func(a, b string) bool { return match(a, b) || match(b, a) }})
 }
 
 // blockInbound stops all packets to a machine for the time d. Packets that the machine sends
 // still arrive.
-func (n *network) blockInbound(id protocol.MachineID, d time.Duration, fate packetHandling) {
-	n.addPartition(d, &partition{fate: fate, match: func(_, to string) bool { return to == string(id) }})
+func (n *network) blockInbound(id protocol.MachineID, d time.Duration, handling packetHandling) {
+	n.addPartition(d, &partition{handling: handling, match: func(_, to string) bool { return to == string(id) }})
 }
 
 // addPartition adds a partition that ends after d.
@@ -128,22 +128,22 @@
 
 // isolate disconnects a controller from the key-value store and the other controllers, but not
 // from its agents.
-func (w *World) isolate(c *controller, d time.Duration, fate packetHandling) {
-	w.disconnect(d, fate, func(a, b string) bool {
+func (w *World) isolate(c *controller, d time.Duration, handling packetHandling) {
+	w.disconnect(d, handling, func(a, b string) bool {
 		return a == c.name && (b == storeHost || slices.ContainsFunc(w.nodes, func(o *controller) bool { return o.name == b }))
 	})
 }
 
 // callController makes a request of an agent or user to a controller.
-func (w *World) callController(from string, node int, timeout time.Duration, event request, done responseFunc) {
+func (w *World) callController(from string, node int, timeout time.Duration, r request, done responseFunc) {
 	if w.loopback != nil {
-		w.loopback.ask(node, timeout, event(0), done)
+		w.loopback.ask(node, timeout, r(0), done)
 		return
 	}
 	c := w.nodes[node]
 	w.call(from, c.name, timeout, func(respond responseFunc) {
 		if agent := w.agents[protocol.MachineID(from)]; agent == nil || !agent.opensNoConnections {
-			c.ask(event, respond)
+			c.ask(r, respond)
 		}
 	}, done)
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -167,20 +167,20 @@
 	w.submitAndWaitUntilRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
-	answers, asked := 0, 0
+	responses, queries := 0, 0
 	for range 400 { // 20 s of 600 queries a second, half of them for a job that does not exist
 		for i, n := range w.nodes {
 			for k := range 10 {
-				asked++
-				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { answers++ })
+				queries++
+				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { responses++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
 	}
 	w.Run(5 * time.Second)
 
-	if answers != asked {
-		t.Errorf("%d answers to %d status queries", answers, asked)
+	if responses != queries {
+		t.Errorf("%d answers to %d status queries", responses, queries)
 	}
 	if rate := float64(w.store.requests-before) / 25; rate > 80 {
 		t.Errorf("%.0f requests to the store a second", rate)
@@ -305,14 +305,14 @@
 // reach the leader through the key-value store, and the leader's responses return the same way.
 func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+		t.Run(handling.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(11, SmallShape(), 5*time.Second)
 			u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
-			w.disconnect(90*time.Second, fate, w.inDifferentZones)
+			w.disconnect(90*time.Second, handling, w.inDifferentZones)
 			w.Run(20 * time.Second)
 			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -62,7 +62,7 @@
 		return
 	}
 	c.busy = true
-	life := c.life
+	generation := c.generation
 	batch, cost := c.backlog.nextBatch()
 	actions := c.node.Step(c.w.Now, batch)
 	for _, a := range actions {
@@ -71,7 +71,7 @@
 		}
 	}
 	c.w.after(time.Duration(float64(cost)/c.w.shape.Resources.Cores), func() {
-		if !c.alive || c.life != life {
+		if !c.alive || c.generation != generation {
 			return
 		}
 		c.perform(actions)
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -36,11 +36,11 @@
 // at any time. Every rule holds, nothing is lost, and all jobs are served.
 func TestUpgradeUnderFaultsKeepsRules(t *testing.T) {
 	t.Parallel()
-	days := 36
+	seeds := 36
 	if testing.Short() {
-		days = 9
+		seeds = 9
 	}
-	for seed := range days {
+	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			w := newUpgradeWorld(seed)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -93,11 +93,11 @@
 }
 
 // send sends a request to a random node, unless the user has stopped asking.
-func (u *user) send(limit time.Duration, r request, done responseFunc) {
+func (u *user) send(timeout time.Duration, r request, done responseFunc) {
 	if u.stoppedAsking {
 		return
 	}
-	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
+	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), timeout, r, done)
 }
 
 // submit submits the job until it is accepted, and sometimes once more after that.
