--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -18,7 +18,7 @@
 	incarnation        protocol.Incarnation
 	sequence           protocol.Sequence
 	token              protocol.Term
-	leaseRenewedAt     time.Time // when the last heartbeat that got a response was sent, or the incarnation began
+	leaseRenewedAt     time.Time // when the last accepted heartbeat was sent, or the incarnation began
 	tasks              map[string]*agentTask
 	images             map[string]bool
 	controllerIndex    int
@@ -32,8 +32,8 @@
 	heldPackets        []func() // handlers of what arrives while the machine hangs
 	preemptionNoticeS  *float64
 	failsTasks         bool
-	opensNoConnections bool // the agent's heartbeats reach no controller
-	tokenReportedAt    time.Time
+	opensNoConnections bool      // the agent's heartbeats reach no controller
+	tokenReportedAt    time.Time // when a higher token last caused an early heartbeat
 }
 
 func newAgent(w *World, h *host) *agent {
@@ -178,7 +178,9 @@
 	}, func(status int, body []byte) { a.handleHeartbeatResponse(status, body, sent, incarnation) })
 }
 
-// handleHeartbeatResponse handles the response to a heartbeat.
+// handleHeartbeatResponse handles the response to a heartbeat. A response renews the lease from the
+// time when the heartbeat was sent, unless it came late, the machine hangs, a new incarnation began
+// or its token is lower. A redirect or an error makes the agent turn to another node.
 func (a *agent) handleHeartbeatResponse(status int, body []byte, sent time.Time, incarnation protocol.Incarnation) {
 	if a.dead {
 		return
@@ -234,7 +236,8 @@
 	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: r} }, func(int, []byte) {})
 }
 
-// accept reports whether the agent accepts a fencing token, and stores a higher one.
+// accept reports whether the agent accepts a fencing token, and stores a higher one. A higher token
+// causes an early heartbeat, unless one did so within the last half of a lease time.
 func (a *agent) accept(token protocol.Term) bool {
 	if token < a.token {
 		a.w.rules.staleTokens++
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -13,12 +13,12 @@
 type Audit struct {
 	jobs          map[protocol.JobID]*auditedJob
 	attempts      map[instance]bool // attempts on machines; true until they have exited
-	notExited     map[string]int    // by task name, the attempts that have not exited
+	notExited     map[string]int    // by task name, how many attempts have not exited
 	needed        [3]map[string]int // commands that are due, by kind and task name
 	countedFrom   time.Time         // when the count began; zero: not yet
 	startedAt     map[instance]time.Time
 	secondsBefore map[instance]float64 // by attempt, the seconds that it had run when the count began
-	// by machine and task, when an agent last executed a forget command that was not due
+	// by machine and task (attempt 0), when an agent last executed a forget command that was not due
 	excessForgetAt map[instance]time.Time
 	Orders         [3]int // starts, stops and forgets that agents have executed
 	Verdict        Verdict
@@ -42,13 +42,13 @@
 // Verdict counts the commands that agents have executed since the count began. It tells apart
 // those that were due, according to the true state at that time and the events since.
 type Verdict struct {
-	Orders          [3]int // starts, stops and forgets
-	Needed          int    // commands of all kinds that were due
-	Excess          [3]int // starts, stops and forgets that were not due, repeated ones included
-	DuplicateStarts int    // starts of a task that was on a machine or done
-	First, Last     time.Duration
-	BeforeSeconds   float64 // run time of the tasks that ran when the count began, until then
-	KeptSeconds     float64 // the part of it whose tasks are still running, or done
+	Orders          [3]int        // starts, stops and forgets
+	Needed          int           // commands of all kinds that were due
+	Excess          [3]int        // starts, stops and forgets that were not due, repeated ones included
+	DuplicateStarts int           // starts of a task that was on a machine or done
+	First, Last     time.Duration // of the first and last start command, since the count began
+	BeforeSeconds   float64       // run time of the tasks that ran when the count began, until then
+	KeptSeconds     float64       // the part of it whose tasks are still running, or done
 }
 
 const (
@@ -123,8 +123,8 @@
 	}
 }
 
-// Finish adds up the work from before the count and how much of it was kept: its task still runs,
-// or is done.
+// Finish adds up the run time from before the count. That of an attempt that still runs, or whose
+// task is done, counts as kept.
 func (a *Audit) Finish() Verdict {
 	for k, seconds := range a.secondsBefore {
 		id, _, _ := protocol.SplitTask(k.task)
@@ -167,7 +167,7 @@
 		a.Verdict.Excess[kind]++
 	}
 	if forgotAt, repeated := a.excessForgetAt[placement]; kind == needStart && repeated && forgotAt.Equal(now) {
-		a.Verdict.Excess[needForget]-- // the forget was due for the start, in case the first forget was lost
+		a.Verdict.Excess[needForget]-- // a forget that comes with a start is due: an earlier one may have been lost
 		a.Verdict.Needed++
 	}
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -17,7 +17,7 @@
 type cloudProvider struct {
 	w                *World
 	hosts            []*host
-	createdByRequest map[string][]protocol.MachineID // by request ID, so that a repeated request creates nothing
+	createdByRequest map[string][]protocol.MachineID // by request ID: a repeated request creates nothing
 	next             int
 	down             bool
 	capacity         int
--- a/internal/simulation/cold_restart.go
+++ b/internal/simulation/cold_restart.go
@@ -13,7 +13,7 @@
 	Machines int
 	Before   time.Duration // from the first submission to the loss
 	Away     time.Duration
-	After    time.Duration // how long the commands to agents are counted, from the return of the controllers
+	After    time.Duration // how long commands to agents are counted after the controllers return
 	Recovery bool          // sets the operator's property recovery.phase
 	// EqualPriorities gives all jobs the same priority, so that none is preempted for another.
 	EqualPriorities bool
--- a/internal/simulation/cold_restart_test.go
+++ b/internal/simulation/cold_restart_test.go
@@ -26,8 +26,8 @@
 	t              *testing.T
 	gang           *user
 	array          *user
-	commandsBefore [3]int // commands executed until resetCounts, by kind
-	starts         int
+	commandsBefore [3]int // commands executed before resetCounts, by kind
+	starts         int    // tasks started before resetCounts
 }
 
 // newColdRestartWorld returns a world in which a gang on two machines and an array run.
@@ -135,7 +135,7 @@
 			c.Run(scenario.downFor)
 			s := c.waitUntilRecovered(20 * time.Second)
 			if s.Reason != reconcile.EndAllAccountedFor || s.Classes[reconcile.Matching] != 11 || s.RecordedAttempts != 11 {
-				t.Errorf("%+v", s)
+				t.Errorf("unexpected recovery summary: %+v", s)
 			}
 			c.Run(15 * time.Second)
 			c.expectNothingStartedOrStopped(name)
@@ -174,7 +174,7 @@
 }
 
 // TestColdRestartRecordsEndOfTaskOnce: tasks end, and only the leader that then crashes learns of
-// it. Its transaction that records the ends fails in a store outage, or is carried out late and
+// it. Its transaction that records the ends fails in a store outage, or is committed late and
 // without a response. The ends are recorded once, and the tasks do not start again.
 func TestColdRestartRecordsEndOfTaskOnce(t *testing.T) {
 	t.Parallel()
@@ -218,7 +218,7 @@
 
 // TestColdRestartLateHeartbeatCopiesStopNothing: copies of heartbeats from before the crash reach
 // the new leader before any agent does. They contain tasks that have ended since, and lack tasks
-// that run now. They must not cause a stop, and must not count as proof of anything.
+// that run now. They must not cause a stop, and must not count as evidence of what runs.
 func TestColdRestartLateHeartbeatCopiesStopNothing(t *testing.T) {
 	t.Parallel()
 	w := NewWithShape(46, logs(), smallWithRecovery())
@@ -399,7 +399,7 @@
 	e.Key = "g/j/run-000007"
 	old.keys[e.Key] = e
 	c.store.restore(old)
-	lost.stoppedAsking, later.stoppedAsking = true, true // the store has lost what they were told
+	lost.stoppedAsking, later.stoppedAsking = true, true // the store has lost what these users were told
 	c.resetCounts()
 	return later
 }
@@ -477,7 +477,7 @@
 			u := c.submit(arrival{job: array("run-000006", 2), run: 10})
 			c.waitUntilOver(t, 30*time.Second, u)
 			if s := c.waitUntilRecovered(60 * time.Second); s.Classes[reconcile.Unreadable] != 6 || s.Commands.Stops > 0 {
-				t.Errorf("%+v", s)
+				t.Errorf("unexpected recovery summary: %+v", s)
 			}
 			if !c.running(c.gang) || !c.running(c.array) {
 				t.Error("tasks that ran before the restart no longer run")
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -14,7 +14,7 @@
 	w              *World
 	name           string
 	node           *coordination.Node
-	generation     int // counts the starts of the process
+	generation     int // of the process; grows with each start
 	alive          bool
 	linked         map[string]bool // peers with a link to this node
 	nextID         uint64          // of external requests
@@ -73,7 +73,7 @@
 	})
 }
 
-// crash ends the process without a signal. It starts again after the time back.
+// crash ends the process without a signal. It starts again after downtime.
 func (c *controller) crash(downtime time.Duration) {
 	if !c.alive {
 		return
@@ -82,7 +82,7 @@
 	c.w.after(downtime, c.startProcess)
 }
 
-// crashAll ends all controllers without a signal. They start again after the time back.
+// crashAll ends all controllers without a signal. They start again after downtime.
 func (w *World) crashAll(downtime time.Duration) {
 	for _, c := range w.nodes {
 		c.crash(downtime)
@@ -152,7 +152,8 @@
 	}
 }
 
-// send sends a message to a peer if there is a link to it and the node's release knows the message.
+// send sends a message to a peer if there is a link to it and the node's release supports the
+// message.
 func (c *controller) send(a coordination.PeerSend) {
 	if !c.canSend(a) {
 		return
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -17,7 +17,8 @@
 	shape  func(s *Shape)
 	inject func(w *World)
 	// maxCancelledStarts bounds the starts of tasks after their job's cancellation was confirmed,
-	// as an average over the seeds. One start command that may be in flight is not counted.
+	// as an average over the seeds. One more start per seed is allowed, whose command may be in
+	// flight.
 	maxCancelledStarts int
 }
 
@@ -75,7 +76,7 @@
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, maxCancelledStarts: 2},
-	{name: "machines boot within two seconds, transactions get no response or run late, the leader crashes", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
+	{name: "machines boot within two seconds, transactions get no response or are committed late, the leader crashes", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
@@ -297,7 +298,7 @@
 				}
 				cancelledStarts += c.run(t, 500+seed, shape)
 			}
-			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start may be in flight
+			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start per seed may be in flight
 				t.Errorf("%d starts of tasks after their cancellation was confirmed", cancelledStarts)
 			}
 		})
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -7,7 +7,7 @@
 	"github.com/gappond/gappond/internal/protocol"
 )
 
-// randomMachines returns up to n machines in random order.
+// randomMachines returns the agents of up to n machines in random order.
 func (w *World) randomMachines(n int) []*agent {
 	list := w.agentsInCreationOrder()
 	w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -78,7 +78,7 @@
 }
 
 // sendRedundantAndInvalidRequests has users repeat submissions, cancel jobs that are over and
-// submit jobs that can never run.
+// submit jobs that can never run, twice a second for the time d.
 func (w *World) sendRedundantAndInvalidRequests(d time.Duration) {
 	const interval = 500 * time.Millisecond
 	w.every(interval, int(d/interval), func(int) {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,8 +13,8 @@
 )
 
 // finishAndCheck runs the world until all jobs are over, for at most limit. It checks that at least
-// half of the jobs of every class and team were done, that the largest jobs started in time and that
-// no rule was broken.
+// half of the jobs of every class and team were done, that the largest jobs started in time and
+// that no rule was broken.
 func (w *World) finishAndCheck(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
@@ -29,8 +29,8 @@
 
 // TestMachineThatReceivesNothingIsDeleted: a machine's heartbeats arrive, but no response and no
 // command reaches the machine, so that its lease expires again and again. The leader must notice
-// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may have to
-// wait for the machine.
+// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may be
+// delayed by the machine.
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
@@ -113,10 +113,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine that
-// was deleted under an earlier leader. The current leader must not take the copy as proof that the
-// machine is up: it may respond with stop commands only, and it neither records the machine, nor
-// places work on it, nor keeps its ID in use.
+// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine
+// that was deleted under an earlier leader. The current leader must not take the copy as proof that
+// the machine is up: it may respond with stop commands only, and it neither records the machine,
+// nor places work on it, nor keeps its ID in use.
 func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, SmallShape(), 6*time.Second)
@@ -145,8 +145,8 @@
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response contains
-// no commands except stops.
+// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response
+// contains no commands except stops.
 func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
 	r, err := protocol.ParseHeartbeat(heartbeatCopy)
@@ -207,8 +207,8 @@
 
 // TestIsolatedLeaderRefusesUsersAndAgents: a leader is cut off from the store and the other
 // controllers but still reaches its agents. It must respond to users at once with 503, so that they
-// go to another node. It must stop accepting heartbeats when its authority ends, and send the agents
-// to another node.
+// go to another node. It must stop accepting heartbeats when its authority ends, and send the
+// agents to another node.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
 	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
@@ -225,14 +225,14 @@
 			})
 			w.expectRefusals(t, c)
 			w.waitUntilOver(t, 200*time.Second, u)
-			w.expectStarts(t, starts, 0, "across the isolation")
+			w.expectStarts(t, starts, 0, "during the isolation")
 			w.expectRulesHeld(t)
 		})
 	}
 }
 
-// expectRefusals checks that an isolated leader refuses users at once, and agents when its authority
-// has ended.
+// expectRefusals checks that an isolated leader refuses users at once, and agents when its
+// authority has ended.
 func (w *World) expectRefusals(t *testing.T, c *controller) {
 	t.Helper()
 	w.Run(8 * time.Second)
--- a/internal/simulation/fingerprint_test.go
+++ b/internal/simulation/fingerprint_test.go
@@ -23,7 +23,8 @@
 const fingerprintsFile = "testdata/fingerprints.txt"
 
 // fingerprint hashes every action of every controller, in order. Each action is hashed in the form
-// in which it leaves the process, so that no type, field or package of the program affects the hash.
+// in which it leaves the process, so that no type, field or package of the program affects the
+// hash.
 type fingerprint struct {
 	w       *World
 	hash    hash.Hash
@@ -190,16 +191,17 @@
 	w.Run(60 * time.Second)
 }
 
-// upgradeScenario returns a run of TestUpgradeUnderFaultsKeepsRules: an upgrade from release 0.2, 0.3 or both, after
-// which the store's limits are lowered. Only the first seed injects no other faults.
+// upgradeScenario returns a run of TestUpgradeUnderFaultsKeepsRules: an upgrade from release 0.2,
+// 0.3 or both, after which the store's limits are lowered. Only the first seed injects no other
+// faults.
 func upgradeScenario(from int) func(seed uint64, f *fingerprint) {
 	return func(seed uint64, f *fingerprint) {
 		f.attach(newUpgradeWorld(3*int(seed) + from)).runUpgrade(seed > 0)
 	}
 }
 
-// loweredLimitsScenario lowers the store's limits far in one of the ways of TestLimitsLoweredFarBelowRecordSizes,
-// and then injects other faults.
+// loweredLimitsScenario lowers the store's limits far, in one of the ways of
+// TestLimitsLoweredFarBelowRecordSizes, and then injects other faults.
 func loweredLimitsScenario(seed uint64, f *fingerprint) {
 	c := loweringScenarios[seed%uint64(len(loweringScenarios))]
 	w := f.attach(c.newWorld(seed))
@@ -282,8 +284,8 @@
 	w.runWithRandomFaults(9*time.Second, 4)
 }
 
-// largeClusterScenario runs a deployment of about three hundred machines in which a zone is cut off,
-// machines die, all controllers crash and random faults follow.
+// largeClusterScenario runs a deployment of about three hundred machines in which a zone is cut
+// off, machines die, all controllers crash and random faults follow.
 func largeClusterScenario(seed uint64, f *fingerprint) {
 	shape := thousandMachineShape()
 	shape.Machines, shape.Capacity, shape.Recovery = 240, 360, seed%2 == 0
@@ -299,8 +301,9 @@
 	w.runWithRandomFaults(8*time.Second, 6)
 }
 
-// fingerprintOf runs a scenario with a seed and returns the fingerprint. If the environment variable
-// FINGERPRINT_TRACE names a directory, the actions are also written there in readable form.
+// fingerprintOf runs a scenario with a seed and returns the fingerprint. If the environment
+// variable FINGERPRINT_TRACE names a directory, the actions are also written there in readable
+// form.
 func fingerprintOf(t *testing.T, scenario fingerprintScenario, seed uint64) string {
 	f := &fingerprint{}
 	if dir := os.Getenv("FINGERPRINT_TRACE"); dir != "" {
@@ -317,9 +320,9 @@
 	return f.sum()
 }
 
-// TestFingerprints: with the same seed, every controller must do the same at the same time, byte for
-// byte, in every process and in every version of the program that is meant to behave the same. A
-// changed hash means that the behaviour has changed; -update rewrites the golden file. With
+// TestFingerprints: with the same seed, every controller must do the same at the same time, byte
+// for byte, in every process and in every version of the program that is meant to behave the same.
+// A changed hash means that the behaviour has changed; -update rewrites the golden file. With
 // FINGERPRINT_SEEDS=a-b, the test prints the hashes of these seeds instead and compares nothing.
 func TestFingerprints(t *testing.T) {
 	var first, last uint64
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// twoThousandMachineShape returns a deployment that can grow to two thousand machines. The resources
-// and budgets of its controllers are not much larger than those of thousandMachineShape.
+// twoThousandMachineShape returns a deployment that can grow to two thousand machines. The
+// resources and budgets of its controllers are not much larger than those of thousandMachineShape.
 func twoThousandMachineShape() Shape {
 	s := thousandMachineShape()
 	s.Machines, s.Capacity = 420, 2000
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -24,7 +24,7 @@
 	gang      *gang
 }
 
-// gang is one attempt of a gang. Its tasks find each other by the attempt number.
+// gang is one attempt of a gang job. Its tasks find each other by the attempt number.
 type gang struct {
 	job             *protocol.Job
 	members         map[int]*agentTask
@@ -169,7 +169,8 @@
 }
 
 // stop executes a command to stop. A task that can save a checkpoint within the grace period does
-// so first. Any other task exits at once.
+// so first, and one that is already saving goes on if there is a grace period. Any other task exits
+// at once.
 func (t *agentTask) stop(grace float64) {
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
@@ -199,8 +200,8 @@
 	})
 }
 
-// beginStop is called for each task of the gang that is told to stop. The first call starts the
-// wait for the others. The gang's progress is saved if every task is told in time.
+// beginStop is called for each task of the gang that begins to save on a stop command. The first
+// call starts the wait for the others. The gang's progress is saved if all begin in time.
 func (g *gang) beginStop(w *World) {
 	if !g.stopRequestedAt.IsZero() {
 		return
@@ -211,7 +212,7 @@
 	w.after(secs(w.shape.Agents.GangPeerS), func() { g.finishStop(w, job, run) })
 }
 
-// finishStop saves the gang's progress, unless a task was not told to stop: then the attempt fails.
+// finishStop saves the gang's progress if every task is saving. Otherwise the attempt fails.
 func (g *gang) finishStop(w *World, job *simJob, run float64) {
 	if g.ended {
 		return
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestIdleControllersRarelyWake: controllers without jobs wake up only a few times a second, whatever
-// their share of a core, and send few requests to the key-value store.
+// TestIdleControllersRarelyWake: controllers without jobs wake up only a few times a second,
+// whatever their share of a core, and send few requests to the key-value store.
 func TestIdleControllersRarelyWake(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 )
 
-// storeTick is the interval at which the store looks for expired leases. It is also the interval
-// of further tries to respond to a watch that timed out while the store does not serve its node.
+// storeTick is the interval at which the store looks for expired leases. At the same interval it
+// retries the response to a watch that timed out while the store does not serve its node.
 const storeTick = 50 * time.Millisecond
 
 // keyValueStore is the stand-in for the key-value store, written from the protocol.
@@ -150,8 +150,8 @@
 	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// handleTransaction commits a transaction. A share of them, chosen at random while such a fault is
-// set, gets no response, and may be committed late.
+// handleTransaction commits a transaction. A random share of them, lostShare, gets no response, and
+// is committed late if lateCommits is set.
 func (s *keyValueStore) handleTransaction(body []byte, respond responseFunc) {
 	discardResponse := func(int, []byte) {}
 	switch {
@@ -235,8 +235,8 @@
 	}
 }
 
-// respondToWatch responds to a watch that has events or has timed out. While the store does not serve
-// its node, the watch waits.
+// respondToWatch responds to a watch that has events or has timed out. While the store does not
+// serve its node, the watch waits.
 func (s *keyValueStore) respondToWatch(x *watch, timedOut bool) {
 	if x.ended || x.from == s.nodeWithoutWatches {
 		return
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -36,7 +36,8 @@
 // loopbackTick is the interval at which the world runs its due events.
 const loopbackTick = 3 * time.Millisecond
 
-// NewLoopback starts a world whose controllers run outside it. The world's Audit follows its agents.
+// NewLoopback starts a world whose controllers run outside it. The world's Audit follows its
+// agents.
 func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
 	v.store = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -45,10 +45,10 @@
 
 // TestColdRestartOnLoopbackKeepsWork: three controllers with the real transport serve two hundred
 // agents on loopback. All controllers are killed at once while hundreds of tasks are in progress,
-// and come back together. By the agents' own logs, no task is started twice, no command
-// goes beyond what the true state required, and all work that was running continues. All jobs have
-// the same priority, because a stop for preemption is not a command that the true state required.
-// The test runs in real time, for about forty seconds. CI runs it with the race detector.
+// and come back together. According to what the agents executed, no task is started twice, no
+// command goes beyond what the true state required, and all work that was running continues. All
+// jobs have the same priority, because a stop for preemption is not a command that the true state
+// required. The test runs in real time, for about forty seconds. CI runs it with the race detector.
 func TestColdRestartOnLoopbackKeepsWork(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs in real time")
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -30,7 +30,7 @@
 	if h == packetsHeld {
 		return "packets held"
 	}
-	return "packets lost"
+	return "packets dropped"
 }
 
 // partition stops the packets that match selects.
--- a/internal/simulation/release.go
+++ b/internal/simulation/release.go
@@ -9,14 +9,14 @@
 )
 
 // release is a version of the program. A controller of an earlier release runs the current state
-// machine, limited at its boundaries to what the earlier release had: what it sends, what it
-// receives and which fields of a record it keeps.
+// machine. Only what it sends, what it receives and which fields of a record it keeps are limited
+// to what the earlier release had.
 type release int
 
 const (
 	current   release = iota // the version under test
-	release03                // 0.3: knows services and split records, but no staged records
-	release02                // 0.2: knows none of them
+	release03                // 0.3: supports services and split records, but no staged records
+	release02                // 0.2: supports none of these
 )
 
 // featureLevel returns the feature level that a release announces to its peers, 0 if it announces
@@ -43,8 +43,8 @@
 	return a
 }
 
-// canSend reports whether the node's release knows a message. Version 0.2 does not know the
-// messages added later, and closes a link on which one arrives: sending it one breaks a rule.
+// canSend reports whether the node's release supports a message. Version 0.2 does not support the
+// messages added later, and closes a link on which one arrives. To send it one violates a rule.
 func (c *controller) canSend(a coordination.PeerSend) bool {
 	_, announces := protocol.AnnouncedFeatureLevel(a.Message)
 	added := false
--- a/internal/simulation/replica_loss_test.go
+++ b/internal/simulation/replica_loss_test.go
@@ -30,7 +30,7 @@
 type stageLog struct {
 	w           *World
 	ends        map[string][stages]time.Time // by task name
-	lostMachine map[string]string            // by observed task; "" for a task not yet started
+	lostMachine map[string]string            // by observed task, the lost machine that it was on; "" if none
 }
 
 var logLine = regexp.MustCompile(`msg="?(deleting machine|task gone|task placed|start)"? .*`)
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -70,7 +70,7 @@
 	if got := u.servedShare(); got < c.minShare {
 		t.Errorf("%.4f of the replica time is served", got)
 	} else {
-		t.Logf("%.4f", got)
+		t.Logf("%.4f of the replica time is served", got)
 	}
 	w.Run(60 * time.Second)
 	if !u.over || u.phase != protocol.PhaseCancelled {
@@ -118,7 +118,7 @@
 		spec := service(jobID(c.replicas), c.replicas)
 		spec.Team, spec.GPUs = "red", 4 // of 10
 		if got := w.statusOf(w.nodes[0], submission(spec)); got != c.status {
-			t.Errorf("%d replicas: %d, want %d", c.replicas, got, c.status)
+			t.Errorf("%d replicas: status %d, want %d", c.replicas, got, c.status)
 		}
 	}
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -26,7 +26,7 @@
 	ruleLeftWaiting    rule = "left"          // no job waits long while there is free capacity for it
 	ruleLiveness       rule = "liveness"      // every job ends eventually
 	ruleLimits         rule = "limits"        // transactions stay within the store's limits
-	ruleCompatibility  rule = "compatibility" // earlier releases receive nothing that they don't know
+	ruleCompatibility  rule = "compatibility" // earlier releases receive nothing that they do not support
 )
 
 // rules checks the rules of the protocol at every step.
@@ -45,8 +45,8 @@
 // simJob is a job as its user and the agents know it.
 type simJob struct {
 	spec         *protocol.Job
-	run          float64
-	progress     []float64
+	run          float64   // run time of each task, in seconds
+	progress     []float64 // seconds of saved run time by task index; a gang uses only index 0
 	done         []bool
 	gangs        map[protocol.AttemptNumber]*gang
 	alwaysFails  bool
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease
-// expires, and running tasks continue.
+// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader
+// lease expires, and running tasks continue.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, SmallShape(), 5*time.Second)
@@ -23,7 +23,7 @@
 		t.Errorf("failover after %v", took)
 	}
 	w.waitUntilOver(t, 90*time.Second, u)
-	w.expectStarts(t, starts, 0, "across the failover")
+	w.expectStarts(t, starts, 0, "during the failover")
 	w.expectRulesHeld(t)
 }
 
@@ -63,9 +63,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is shorter
-// than the leader's grace, no task is lost, no node is taken out of the load balancer, and the leader
-// does not change.
+// TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is
+// shorter than the leader's grace, no task is lost, no node is taken out of the load balancer, and
+// the leader does not change.
 func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, SmallShape(), 5*time.Second)
@@ -83,7 +83,7 @@
 		}
 	}
 	w.waitUntilOver(t, 90*time.Second, u)
-	w.expectStarts(t, starts, 0, "across the outage")
+	w.expectStarts(t, starts, 0, "during the outage")
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
 	}
@@ -101,9 +101,9 @@
 	w.Run(8 * time.Second)
 
 	if c.node.Ready() {
-		t.Error("ready")
+		t.Error("the node that the store refuses is ready")
 	}
-	// Requests of users who are still connected to it are answered by a peer.
+	// A peer responds to the requests of users who are still connected to this node.
 	if got := w.statusOf(c, submission(array("run-000009", 1))); got != 201 {
 		t.Errorf("status %d for a submission", got)
 	}
@@ -115,7 +115,7 @@
 	w.Run(2 * time.Second)
 
 	if !c.node.Ready() {
-		t.Error("not ready after the store serves it again")
+		t.Error("the node is not ready after the store serves it again")
 	}
 }
 
@@ -159,8 +159,8 @@
 }
 
 // TestStatusQueriesKeepWithinStoreBudget: far more status queries than the key-value store's budget
-// allows neither exceed it nor keep the leader from renewing its leader lease. Every query gets an
-// answer.
+// allows neither exceed it nor keep the leader from renewing its leader lease. Every query gets a
+// response.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
 	w := startWorld(13, SmallShape(), 5*time.Second)
@@ -180,7 +180,7 @@
 	w.Run(5 * time.Second)
 
 	if responses != queries {
-		t.Errorf("%d answers to %d status queries", responses, queries)
+		t.Errorf("%d responses to %d status queries", responses, queries)
 	}
 	if rate := float64(w.store.requests-before) / 25; rate > 80 {
 		t.Errorf("%.0f requests to the store a second", rate)
@@ -193,7 +193,7 @@
 
 // TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader that a partition leaves connected
 // only to some agents does not know of a cancellation. Its grace ends before the cancellation must
-// hold.
+// have taken effect.
 func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, SmallShape(), 5*time.Second)
@@ -294,7 +294,7 @@
 		t.Errorf("the gang runs again after %v", took)
 	}
 	if u.job.progress[0] < 20 {
-		t.Errorf("progress %v", u.job.progress[0])
+		t.Errorf("saved progress %v s, want at least 20 s", u.job.progress[0])
 	}
 	w.waitUntilOver(t, 120*time.Second, u)
 	w.expectRulesHeld(t)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -49,9 +49,9 @@
 	return s
 }
 
-// TestRulesHold: in random runs with overlapping faults every rule holds at every step, and all jobs
-// are over some time after the faults have ended. In every second run most heartbeats reach the
-// leader through the other controllers.
+// TestRulesHold: in random runs with overlapping faults every rule holds at every step, and all
+// jobs are over some time after the faults have ended. In every second run most heartbeats reach
+// the leader through the other controllers.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
 	seeds := 24
@@ -131,14 +131,14 @@
 	}
 }
 
-// TestUnknownJobIsNotFound: a status query for a job that was never submitted is answered with 404.
+// TestUnknownJobIsNotFound: a status query for a job that was never submitted gets status 404.
 func TestUnknownJobIsNotFound(t *testing.T) {
 	t.Parallel()
 	w := New(1, nil)
 	w.Run(5 * time.Second)
 	for _, c := range w.nodes {
 		if got := w.statusOf(c, statusQuery("run-999999")); got != 404 {
-			t.Errorf("%s answers with status %d", c.name, got)
+			t.Errorf("%s responds with status %d, want 404", c.name, got)
 		}
 	}
 }
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// nextBatch removes a batch from the queues, composed as in the event loop of a real controller, and
-// returns it with its cost in processor time.
+// nextBatch removes a batch from the queues, composed as in the event loop of a real controller,
+// and returns it with its cost in processor time.
 func (b *backlog) nextBatch() (batch []coordination.Event, cost time.Duration) {
 	cost = stepCost
 	for rank, limit := range [3]int{tuning.MaxUrgentEventsPerBatch, tuning.MaxUrgentEventsPerBatch, tuning.MaxUserEventsPerBatch} {
--- a/internal/simulation/slow_test.go
+++ b/internal/simulation/slow_test.go
@@ -10,10 +10,10 @@
 )
 
 // TestSlowControllersKeepLeaseUnderLoad: in this simulation the controllers' work takes time. Each
-// controller has 1.8% of a core, and there are half as many machines again as in the deployment with
-// such controllers. Under a burst of jobs, a flood of status queries, and the crash of one controller
-// and then of all, every rule holds, all jobs are served, and a leader loses its leader lease only
-// by its own crash.
+// controller has 1.8% of a core. There may be half as many machines again as in the deployment with
+// such controllers. Under a burst of jobs, a flood of status queries, and the crash of one
+// controller and then of all, every rule holds, all jobs are served, and a leader loses its leader
+// lease only by its own crash.
 func TestSlowControllersKeepLeaseUnderLoad(t *testing.T) {
 	t.Parallel()
 	shape := smallestBudgetShape()
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// refuseNode makes the store refuse all requests of one node for the time d. The node's watches wait
-// meanwhile.
+// refuseNode makes the store refuse all requests of one node for the time d. The node's watches
+// wait meanwhile.
 func (s *keyValueStore) refuseNode(c *controller, d time.Duration) {
 	c.refused = true
 	s.w.after(d, func() {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -104,7 +104,7 @@
 // TestRecordsAreSplitBeforeLimitsAreLowered: records that version 0.2 wrote are split once all
 // controllers support the new form. The transactions keep within the lowered limits, also if the
 // limits are lowered while a new leader has not heard from its peers yet. The machine records of
-// the thousandMachineShape shape are split too, and no machine is forgotten in the process.
+// this large deployment are split too, and no machine is forgotten in the process.
 func TestRecordsAreSplitBeforeLimitsAreLowered(t *testing.T) {
 	t.Parallel()
 	shape := withLoweredLimits(thousandMachineShape(), 21, 8)
@@ -267,7 +267,7 @@
 	}
 }
 
-// run plays the scenario with records that need many parts.
+// run runs the scenario with records that need many parts.
 func (c loweringScenario) run(t *testing.T, seed uint64) {
 	w := c.newWorld(seed)
 	users := w.submitLargeJobs()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -124,7 +124,8 @@
 // isFinal reports whether a job in the given phase is over.
 func isFinal(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
 
-// handleResponse checks a response against what this user was told before.
+// handleResponse checks a response about the job against earlier ones, and notes its phase. A job
+// in a final phase is over.
 func (u *user) handleResponse(body []byte) {
 	u.lastResponseAt = u.w.Now
 	var a protocol.Accepted
--- a/internal/simulation/work_bounds_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -61,9 +61,9 @@
 	return s
 }
 
-// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest budgets,
-// all jobs are served, and the controllers' work and their requests to the key-value store stay
-// within bounds. The bounds are counts, not durations.
+// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest
+// budgets, all jobs are served, and the controllers' work and their requests to the key-value store
+// stay within bounds. The bounds are counts, not durations.
 func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -66,7 +66,7 @@
 
 	log *slog.Logger
 
-	nodes         []*controller
+	nodes         []*controller // each runs one node
 	store         *keyValueStore
 	cloud         *cloudProvider
 	agents        map[protocol.MachineID]*agent
--- a/internal/simulation/zone_loss_test.go
+++ b/internal/simulation/zone_loss_test.go
@@ -71,7 +71,7 @@
 			for seed := range uint64(6) {
 				took, machines := measureZoneLoss(t, 800+seed, c.shape, 8, 6, settle)
 				if took > c.limit {
-					t.Errorf("%s, settled for %v, seed %d: %v", name, settle, seed, took)
+					t.Errorf("%s, settled for %v, seed %d: the replicas run again only after %v", name, settle, seed, took)
 				}
 				sum += took
 				total += machines
