--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -13,7 +13,7 @@
 type Audit struct {
 	jobs          map[protocol.JobID]*auditedJob
 	attempts      map[instance]bool // attempts on machines; true until they have exited
-	notExited     map[string]int    // by task name, how many attempts have not exited
+	at            map[string]int    // by task name, how many attempts have not exited
 	needed        [3]map[string]int // commands that are due, by kind and task name
 	countedFrom   time.Time         // when the count began; zero: not yet
 	startedAt     map[instance]time.Time
@@ -58,7 +58,7 @@
 )
 
 func newAudit() *Audit {
-	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, notExited: map[string]int{},
+	return &Audit{jobs: map[protocol.JobID]*auditedJob{}, attempts: map[instance]bool{}, at: map[string]int{},
 		startedAt: map[instance]time.Time{}, secondsBefore: map[instance]float64{}, excessForgetAt: map[instance]time.Time{}, needed: [3]map[string]int{{}, {}, {}}}
 }
 
@@ -87,7 +87,7 @@
 func (a *Audit) stopAll(id protocol.JobID, j *auditedJob) {
 	for i := range j.tasks {
 		name := protocol.TaskName(id, i)
-		a.needed[needStop][name] += a.notExited[name]
+		a.needed[needStop][name] += a.at[name]
 	}
 }
 
@@ -100,8 +100,8 @@
 		present := 0
 		for i := range j.tasks {
 			name := protocol.TaskName(id, i)
-			present += min(a.notExited[name], 1)
-			if !j.done[name] && !j.cancelled && a.notExited[name] == 0 {
+			present += min(a.at[name], 1)
+			if !j.done[name] && !j.cancelled && a.at[name] == 0 {
 				a.needed[needStart][name]++
 			}
 		}
@@ -151,22 +151,22 @@
 		}
 		a.Verdict.Last = now.Sub(a.countedFrom)
 		id, _, _ := protocol.SplitTask(c.Task)
-		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.notExited[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
+		if _, known := a.attempts[instance{machineID, c.Task, c.Attempt}]; !known && (a.at[c.Task] > 0 || a.jobs[id] != nil && a.jobs[id].done[c.Task]) {
 			a.Verdict.DuplicateStarts++
 		}
 	}
-	placement := instance{machine: machineID, task: c.Task}
+	at := instance{machine: machineID, task: c.Task}
 	switch {
 	case a.needed[kind][c.Task] > 0:
 		a.needed[kind][c.Task]--
 		a.Verdict.Needed++
 	case kind == needForget:
 		a.Verdict.Excess[kind]++
-		a.excessForgetAt[placement] = now
+		a.excessForgetAt[at] = now
 	default:
 		a.Verdict.Excess[kind]++
 	}
-	if forgotAt, repeated := a.excessForgetAt[placement]; kind == needStart && repeated && forgotAt.Equal(now) {
+	if at, repeated := a.excessForgetAt[at]; kind == needStart && repeated && at.Equal(now) {
 		a.Verdict.Excess[needForget]-- // a forget that comes with a start is due: an earlier one may have been lost
 		a.Verdict.Needed++
 	}
@@ -175,7 +175,7 @@
 // began notes an attempt that an agent has accepted.
 func (a *Audit) began(now time.Time, k instance) {
 	a.attempts[k], a.startedAt[k] = true, now
-	a.notExited[k.task]++
+	a.at[k.task]++
 }
 
 // ended notes the end of an attempt, for any cause. If it was lost, its agent no longer has it.
@@ -185,7 +185,7 @@
 	if !a.attempts[k] {
 		return
 	}
-	a.notExited[k.task]--
+	a.at[k.task]--
 	if a.attempts[k] = false; lost {
 		delete(a.attempts, k)
 	} else {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -15,16 +15,16 @@
 
 // cloudProvider is the stand-in for the cloud.
 type cloudProvider struct {
-	w                *World
-	hosts            []*host
-	createdByRequest map[string][]protocol.MachineID // by request ID: a repeated request creates nothing
-	next             int
-	down             bool
-	capacity         int
-	requestLimiter   *rate.Limiter
-	requests         int
-	snapshots        []snapshot
-	fastBoot         bool // machines boot within two seconds
+	w              *World
+	hosts          []*host
+	created        map[string][]protocol.MachineID // by request ID: a repeated request creates nothing
+	next           int
+	down           bool
+	capacity       int
+	requestLimiter *rate.Limiter
+	requests       int
+	snapshots      []snapshot
+	fastBoot       bool // machines boot within two seconds
 }
 
 // host is a machine in the cloud.
@@ -41,7 +41,7 @@
 }
 
 func newCloudProvider(w *World) *cloudProvider {
-	c := &cloudProvider{w: w, createdByRequest: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
+	c := &cloudProvider{w: w, created: map[string][]protocol.MachineID{}, capacity: w.shape.Capacity,
 		requestLimiter: rate.NewLimiter(rate.Limit(w.shape.Cloud.RPS), int(2*w.shape.Cloud.RPS))}
 	w.after(0, c.recordSnapshot)
 	for i := range w.shape.Machines {
@@ -154,7 +154,7 @@
 func (c *cloudProvider) createMachines(body []byte, respond responseFunc) {
 	var r protocol.CreateMachinesRequest
 	decode(body, &r)
-	if ids, ok := c.createdByRequest[r.RequestID]; ok {
+	if ids, ok := c.created[r.RequestID]; ok {
 		respond(http.StatusOK, encode(protocol.MachineIDs{Machines: ids}))
 		return
 	}
@@ -172,7 +172,7 @@
 	for range min(r.Count, c.capacity-up) {
 		ids = append(ids, c.add(r.Zone, r.Spot, c.bootTime()))
 	}
-	c.createdByRequest[r.RequestID] = ids
+	c.created[r.RequestID] = ids
 	respond(http.StatusOK, encode(protocol.MachineIDs{Machines: ids}))
 }
 
--- a/internal/simulation/downtime_test.go
+++ b/internal/simulation/downtime_test.go
@@ -25,10 +25,10 @@
 // watchDowntime sends a request every 50 ms, each to one of the controllers that are up, as the
 // load balancer does. The kinds of request alternate. It also counts the leases that expire, by
 // the agents' incarnations.
-func (w *World) watchDowntime(acceptedJob string, span time.Duration) *downtime {
-	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(span)}
+func (w *World) watchDowntime(acceptedJob string, until time.Duration) *downtime {
+	d := &downtime{w: w, lastServed: w.Now, incarnations: map[protocol.MachineID]protocol.Incarnation{}, until: w.Now.Add(until)}
 	requests := 0
-	w.every(50*time.Millisecond, int(span/(50*time.Millisecond)), func(i int) {
+	w.every(50*time.Millisecond, int(until/(50*time.Millisecond)), func(i int) {
 		for id, agent := range w.agents {
 			if d.incarnations[id] != 0 && agent.incarnation > d.incarnations[id] {
 				d.leaseExpiries++
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -128,7 +128,7 @@
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
-	starts, createRequests := w.rules.started, len(w.cloud.createdByRequest)
+	starts, created := w.rules.started, len(w.cloud.created)
 
 	for _, c := range w.nodes {
 		w.expectOnlyStopCommands(t, c, oldHeartbeat)
@@ -139,7 +139,7 @@
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
-	if n := len(w.cloud.createdByRequest) - createRequests; n > 2 {
+	if n := len(w.cloud.created) - created; n > 2 {
 		t.Errorf("%d requests to create machines, want at most 2", n)
 	}
 	w.expectRulesHeld(t)
@@ -251,8 +251,10 @@
 		t.Error("the isolated node still leads")
 	}
 	status = 0
-	heartbeat := w.agentOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: heartbeat} }, recordStatus)
+	agentHeartbeat := w.agentOf("run-000001", 0).heartbeat()
+	c.ask(func(id uint64) coordination.Event {
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: agentHeartbeat}
+	}, recordStatus)
 	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
 }
 
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -26,7 +26,7 @@
 	startedAt        time.Time
 	client           *http.Client
 	servers          []*httptest.Server
-	store            *httptest.Server
+	storeServer      *httptest.Server
 	cloud            *httptest.Server
 	requestAddresses []string          // by controller, where it listens for users and agents
 	peerAddresses    map[string]string // by controller name, where it listens for peers
@@ -40,7 +40,7 @@
 // agents.
 func NewLoopback(seed uint64, shape Shape) *Loopback {
 	v := &Loopback{peerAddresses: map[string]string{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * shape.Machines}}}
-	v.store = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
+	v.storeServer = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
 		v.w.store.serve(r.Method, r.URL.RequestURI(), body, &controller{}, respond)
 	})
 	v.cloud = v.serve(func(r *http.Request, body []byte, respond responseFunc) {
@@ -73,7 +73,7 @@
 func (v *Loopback) Config(i int) *config.Config {
 	c := v.w.config(v.w.nodes[i].name)
 	c.Listen, c.PeerListen = v.requestAddresses[i], v.peerAddresses[string(c.Name)]
-	c.Endpoints = config.Endpoints{State: v.store.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
+	c.Endpoints = config.Endpoints{State: v.storeServer.Listener.Addr().String(), Cloud: v.cloud.Listener.Addr().String()}
 	for k := range c.Peers {
 		c.Peers[k].Addr = v.peerAddresses[string(c.Peers[k].Name)]
 	}
