--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -87,7 +87,7 @@
 			w.after(w.between(time.Second, 6*time.Second), func() { w.crashLeader(500 * time.Millisecond) })
 		})
 	}},
-	{name: "users query all nodes within milliseconds, some cancel at once", inject: func(w *World) {
+	{name: "users query all controllers within milliseconds, some cancel at once", inject: func(w *World) {
 		w.askAllNodes = true
 		w.every(time.Second, 100, func(i int) {
 			var cancel time.Duration
@@ -121,7 +121,7 @@
 			}
 		})
 	}, maxCancelledStarts: 20},
-	{name: "the store refuses the leader, then every node", inject: func(w *World) {
+	{name: "the store refuses the leader, then every controller", inject: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.store.refuseNode(c, 14*time.Second)
@@ -248,7 +248,7 @@
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, maxCancelledStarts: 10},
-	{name: "the store is slow and refuses the leader, then every node, while users cancel and query", inject: func(w *World) {
+	{name: "the store is slow and refuses the leader, then every controller, while users cancel and query", inject: func(w *World) {
 		w.askAllNodes = true
 		w.store.extraLatency = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelRunningJobs(1, 0) })
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// cancelFinishedJob asks a node to cancel a job that is over, and checks that the job's phase stays
-// the same.
+// cancelFinishedJob asks a controller to cancel a job that is over, and checks that the job's phase
+// stays the same.
 func (u *user) cancelFinishedJob(c *controller) {
 	earlier := u.phase
 	c.ask(cancellation(u.job.spec.ID), func(status int, body []byte) {
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -132,8 +132,8 @@
 		w.cancelAtEndShare = 0.5
 		w.after(d.duration, func() { w.cancelAtEndShare = 0 })
 	}},
-	// Users query every node each time they learn of a new phase of their job.
-	{"users query all nodes", func(w *World, d faultParameters) {
+	// Users query every controller each time they learn of a new phase of their job.
+	{"users query all controllers", func(w *World, d faultParameters) {
 		w.askAllNodes = true
 		w.after(d.duration, func() { w.askAllNodes = false })
 	}},
@@ -144,8 +144,9 @@
 		w.store.nodeWithoutWatches = d.node
 		w.after(d.duration, func() { w.store.nodeWithoutWatches = nil })
 	}},
-	// The store refuses only the leader, jobs are cancelled, and then the store refuses all nodes.
-	{"store refuses the leader, then all nodes", func(w *World, d faultParameters) {
+	// The store refuses only the leader, jobs are cancelled, and then the store refuses all
+	// controllers.
+	{"store refuses the leader, then all controllers", func(w *World, d faultParameters) {
 		if c := w.leader(); c != nil {
 			w.store.refuseNode(c, 3*time.Second)
 			w.cancelRunningJobs(3, 0)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -145,8 +145,8 @@
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response
-// contains no commands except stops.
+// expectOnlyStopCommands sends a copy of a heartbeat to a controller and checks that the
+// response contains no commands except stops.
 func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
 	r, err := protocol.ParseHeartbeat(heartbeatCopy)
@@ -207,8 +207,8 @@
 
 // TestIsolatedLeaderRefusesUsersAndAgents: a leader is cut off from the store and the other
 // controllers but still reaches its agents. It must respond to users at once with 503, so that they
-// go to another node. It must stop accepting heartbeats when its authority ends, and send the
-// agents to another node.
+// go to another controller. It must stop accepting heartbeats when its authority ends, and send the
+// agents to another controller.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
 	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
@@ -220,7 +220,7 @@
 
 			w.isolate(c, 100*time.Second, handling)
 
-			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
+			w.waitFor(t, 10*time.Second, "another controller leads", func() bool {
 				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
@@ -237,7 +237,7 @@
 	t.Helper()
 	w.Run(8 * time.Second)
 	if c.node.Ready() {
-		t.Error("the isolated node reports that it is ready")
+		t.Error("the isolated controller reports that it is ready")
 	}
 	status, askedAt := 0, w.Now
 	recordStatus := func(s int, _ []byte) { status = s }
@@ -248,14 +248,14 @@
 	}
 	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
-		t.Error("the isolated node still leads")
+		t.Error("the isolated controller still leads")
 	}
 	status = 0
 	agentHeartbeat := w.agentOf("run-000001", 0).heartbeat()
 	c.ask(func(id uint64) coordination.Event {
 		return coordination.AgentHeartbeat{ID: id, Heartbeat: agentHeartbeat}
 	}, recordStatus)
-	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
+	w.waitFor(t, 4*time.Second, "the agent is sent to another controller", func() bool { return status == 421 || status == 503 })
 }
 
 // TestLeaderIsElectedInTimeAfterRapidRestarts: controllers crash during elections and transactions,
@@ -287,7 +287,7 @@
 	}
 }
 
-// restartRepeatedly crashes leaders during transactions and other nodes during elections. All
+// restartRepeatedly crashes leaders during transactions and other controllers during elections. All
 // restart within a fraction of a second.
 func (w *World) restartRepeatedly(rounds int) {
 	for i := range rounds {
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -18,11 +18,11 @@
 		w.Run(60 * time.Second)
 		stepRate := float64(w.steps-steps) / 60 / float64(len(w.nodes))
 		requestRate := float64(w.store.requests-requests) / 60
-		t.Logf("on %v of a core: %.1f steps a second at each node, %.1f requests to the store a second by all nodes", cores, stepRate, requestRate)
-		// A node receives two peer heartbeats and two responses a second. The leader also checks
+		t.Logf("on %v of a core: %.1f steps a second at each controller, %.1f requests to the store a second by all controllers", cores, stepRate, requestRate)
+		// A controller receives two peer heartbeats and two responses a second. The leader also checks
 		// its machines twice a second and calls the cloud. All other steps are due to timers.
 		if stepRate > 9 {
-			t.Errorf("on %v of a core: %.1f steps a second at each node", cores, stepRate)
+			t.Errorf("on %v of a core: %.1f steps a second at each controller", cores, stepRate)
 		}
 		if requestRate > 6 {
 			t.Errorf("on %v of a core: %.1f requests to the store a second", cores, requestRate)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -38,7 +38,7 @@
 	w.Run(250 * time.Millisecond)
 
 	if took := w.waitForLeader(t, 5*time.Second); took > time.Second {
-		t.Errorf("a node leads again after %v", took)
+		t.Errorf("a controller leads again after %v", took)
 	}
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
@@ -64,8 +64,8 @@
 }
 
 // TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is
-// shorter than the leader's grace, no task is lost, no node is taken out of the load balancer, and
-// the leader does not change.
+// shorter than the leader's grace, no task is lost, no controller is taken out of the load
+// balancer, and the leader does not change.
 func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, SmallShape(), 5*time.Second)
@@ -78,7 +78,7 @@
 		w.Run(time.Second)
 		for _, n := range w.nodes {
 			if !n.node.Ready() {
-				t.Fatalf("%s is not ready in an outage that affects all nodes", n.name)
+				t.Fatalf("%s is not ready in an outage that affects all controllers", n.name)
 			}
 		}
 	}
@@ -90,8 +90,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestNodeRefusedByStoreAloneIsNotReady: a node that is the only one refused by the key-value store
-// reports that it is not ready.
+// TestNodeRefusedByStoreAloneIsNotReady: a controller that is the only one refused by the
+// key-value store reports that it is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := startWorld(5, SmallShape(), 5*time.Second)
@@ -101,9 +101,9 @@
 	w.Run(8 * time.Second)
 
 	if c.node.Ready() {
-		t.Error("the node that the store refuses is ready")
+		t.Error("the controller that the store refuses is ready")
 	}
-	// A peer responds to the requests of users who are still connected to this node.
+	// A peer responds to the requests of users who are still connected to this controller.
 	if got := w.statusOf(c, submission(array("run-000009", 1))); got != 201 {
 		t.Errorf("status %d for a submission", got)
 	}
@@ -115,7 +115,7 @@
 	w.Run(2 * time.Second)
 
 	if !c.node.Ready() {
-		t.Error("the node is not ready after the store serves it again")
+		t.Error("the controller is not ready after the store serves it again")
 	}
 }
 
@@ -138,8 +138,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestNodesStartWithoutCloud: nodes that start while the cloud does not respond read the machine
-// types from the stored records and accept submissions.
+// TestNodesStartWithoutCloud: controllers that start while the cloud does not respond read the
+// machine types from the stored records and accept submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
 	w := startWorld(12, SmallShape(), 5*time.Second)
@@ -206,7 +206,7 @@
 
 	w.disconnect(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
 	w.Run(2 * time.Second)
-	w.waitFor(t, 20*time.Second, "another node leads", func() bool { return w.leader() != nil && w.leader() != c })
+	w.waitFor(t, 20*time.Second, "another controller leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
 	w.Run(150 * time.Second)
 
--- a/internal/simulation/work_bounds_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -102,7 +102,7 @@
 	if w.store.bytes > bounds.bytes {
 		t.Errorf("%d bytes in requests, want at most %d", w.store.bytes, bounds.bytes)
 	}
-	// Ten ticks a second at each of the three nodes, and the steps that handle events.
+	// Ten ticks a second at each of the three controllers, and the steps that handle events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
 		t.Errorf("%d steps in %.0f s", w.steps, span)
 	}
