--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -17,7 +17,8 @@
 	shape  func(s *Shape)
 	inject func(w *World)
 	// maxCancelledStarts bounds the starts of tasks after their job's cancellation was confirmed,
-	// as an average over the seeds. One start command that may be in flight is not counted.
+	// as an average over the seeds. One more start per seed is allowed, whose command may be in
+	// flight.
 	maxCancelledStarts int
 }
 
@@ -63,7 +64,7 @@
 		w.every(30*time.Second, 4, func(int) {
 			for _, k := range w.randomMachines(3) {
 				id := k.host.ID
-				held := &partition{fate: packetsHeld, match: fromHost(string(id))}
+				held := &partition{handling: packetsHeld, match: fromHost(string(id))}
 				w.partitions = append(w.partitions, held)
 				w.after(12*time.Second, func() { w.heal(held) })
 			}
@@ -75,7 +76,7 @@
 		w.after(40*time.Second, func() { w.crashLeader(200 * time.Millisecond) })
 		w.after(70*time.Second, func() { w.crashLeader(5 * time.Second) })
 	}, maxCancelledStarts: 2},
-	{name: "machines boot within two seconds, transactions get no response or run late, the leader crashes", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
+	{name: "machines boot within two seconds, transactions get no response or are committed late, the leader crashes", shape: func(s *Shape) { s.Machines = 2 }, inject: func(w *World) {
 		w.cloud.fastBoot = true
 		w.every(15*time.Second, 6, func(i int) {
 			if i%2 == 0 {
@@ -86,7 +87,7 @@
 			w.after(w.between(time.Second, 6*time.Second), func() { w.crashLeader(500 * time.Millisecond) })
 		})
 	}},
-	{name: "users query all nodes within milliseconds, some cancel at once", inject: func(w *World) {
+	{name: "users query all controllers within milliseconds, some cancel at once", inject: func(w *World) {
 		w.askAllNodes = true
 		w.every(time.Second, 100, func(i int) {
 			var cancel time.Duration
@@ -120,7 +121,7 @@
 			}
 		})
 	}, maxCancelledStarts: 20},
-	{name: "the store refuses the leader, then every node", inject: func(w *World) {
+	{name: "the store refuses the leader, then every controller", inject: func(w *World) {
 		w.every(90*time.Second, 2, func(i int) {
 			if c := w.leader(); c != nil {
 				w.store.refuseNode(c, 14*time.Second)
@@ -192,9 +193,9 @@
 		})
 	}},
 	{name: "a zone with a controller is cut off for longer than an agent lease", inject: func(w *World) {
-		for i, fate := range []packetHandling{packetsHeld, packetsDropped} {
+		for i, handling := range []packetHandling{packetsHeld, packetsDropped} {
 			w.after(time.Duration(i)*70*time.Second, func() {
-				w.disconnect(45*time.Second, fate, func(a, _ string) bool { return w.zoneOf[a] == "east" })
+				w.disconnect(45*time.Second, handling, func(a, _ string) bool { return w.zoneOf[a] == "east" })
 				w.after(10*time.Second, func() { w.cancelRunningJobs(6, 0) })
 			})
 		}
@@ -247,7 +248,7 @@
 			w.after(time.Duration(i)*time.Second, func() { w.crashLeader(2 * time.Second) })
 		})
 	}, maxCancelledStarts: 10},
-	{name: "the store is slow and refuses the leader, then every node, while users cancel and query", inject: func(w *World) {
+	{name: "the store is slow and refuses the leader, then every controller, while users cancel and query", inject: func(w *World) {
 		w.askAllNodes = true
 		w.store.extraLatency = 300 * time.Millisecond
 		w.every(3*time.Second, 12, func(int) { w.cancelRunningJobs(1, 0) })
@@ -297,7 +298,7 @@
 				}
 				cancelledStarts += c.run(t, 500+seed, shape)
 			}
-			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start may be in flight
+			if cancelledStarts > (c.maxCancelledStarts+1)*int(seeds) { // one start per seed may be in flight
 				t.Errorf("%d starts of tasks after their cancellation was confirmed", cancelledStarts)
 			}
 		})
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,8 +13,8 @@
 )
 
 // finishAndCheck runs the world until all jobs are over, for at most limit. It checks that at least
-// half of the jobs of every class and team were done, that the largest jobs started in time and that
-// no rule was broken.
+// half of the jobs of every class and team were done, that the largest jobs started in time and
+// that no rule was broken.
 func (w *World) finishAndCheck(t *testing.T, limit time.Duration) {
 	t.Helper()
 	for end := w.Now.Add(limit); !over(w.users...) && w.Now.Before(end); {
@@ -29,13 +29,13 @@
 
 // TestMachineThatReceivesNothingIsDeleted: a machine's heartbeats arrive, but no response and no
 // command reaches the machine, so that its lease expires again and again. The leader must notice
-// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may have to
-// wait for the machine.
+// this, place nothing on the machine and delete it. Neither a gang nor a cancellation may be
+// delayed by the machine.
 func TestMachineThatReceivesNothingIsDeleted(t *testing.T) {
 	t.Parallel()
 	for _, busy := range []bool{true, false} {
-		for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-			t.Run(fmt.Sprintf("busy %v, %v", busy, fate), func(t *testing.T) {
+		for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+			t.Run(fmt.Sprintf("busy %v, %v", busy, handling), func(t *testing.T) {
 				t.Parallel()
 				shape := SmallShape()
 				shape.Machines, shape.Capacity = 2, 3 // one per zone, and one more that can be created
@@ -49,7 +49,7 @@
 					w.after(time.Second+time.Millisecond, u.cancel)
 				}
 
-				w.blockInbound(id, 600*time.Second, fate)
+				w.blockInbound(id, 600*time.Second, handling)
 				w.Run(time.Second)
 				wholeMachine := gangJob("run-000010", 4)
 				wholeMachine.Zone = zone
@@ -113,10 +113,10 @@
 	w.expectRulesHeld(t)
 }
 
-// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine that
-// was deleted under an earlier leader. The current leader must not take the copy as proof that the
-// machine is up: it may respond with stop commands only, and it neither records the machine, nor
-// places work on it, nor keeps its ID in use.
+// TestHeartbeatCopyDoesNotReviveDeletedMachine: a late copy of a heartbeat comes from a machine
+// that was deleted under an earlier leader. The current leader must not take the copy as proof that
+// the machine is up: it may respond with stop commands only, and it neither records the machine,
+// nor places work on it, nor keeps its ID in use.
 func TestHeartbeatCopyDoesNotReviveDeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := startWorld(24, SmallShape(), 6*time.Second)
@@ -128,7 +128,7 @@
 	w.Run(20 * time.Second)
 	w.leader().crash(time.Second)
 	w.waitForLeader(t, 10*time.Second)
-	starts, rented := w.rules.started, len(w.cloud.rented)
+	starts, created := w.rules.started, len(w.cloud.created)
 
 	for _, c := range w.nodes {
 		w.expectOnlyStopCommands(t, c, oldHeartbeat)
@@ -139,14 +139,14 @@
 	next := w.submit(arrival{after: time.Second, job: array("run-000002", 2), run: 10})
 	w.waitUntilOver(t, 120*time.Second, next)
 	w.expectStarts(t, starts, 2, "for the 2 tasks of the next job")
-	if n := len(w.cloud.rented) - rented; n > 2 {
+	if n := len(w.cloud.created) - created; n > 2 {
 		t.Errorf("%d requests to create machines, want at most 2", n)
 	}
 	w.expectRulesHeld(t)
 }
 
-// expectOnlyStopCommands sends a copy of a heartbeat to a node and checks that the response contains
-// no commands except stops.
+// expectOnlyStopCommands sends a copy of a heartbeat to a controller and checks that the
+// response contains no commands except stops.
 func (w *World) expectOnlyStopCommands(t *testing.T, c *controller, heartbeatCopy []byte) {
 	t.Helper()
 	r, err := protocol.ParseHeartbeat(heartbeatCopy)
@@ -207,37 +207,37 @@
 
 // TestIsolatedLeaderRefusesUsersAndAgents: a leader is cut off from the store and the other
 // controllers but still reaches its agents. It must respond to users at once with 503, so that they
-// go to another node. It must stop accepting heartbeats when its authority ends, and send the agents
-// to another node.
+// go to another controller. It must stop accepting heartbeats when its authority ends, and send the
+// agents to another controller.
 func TestIsolatedLeaderRefusesUsersAndAgents(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+		t.Run(handling.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(25, SmallShape(), 6*time.Second)
 			u := w.submitAndWaitUntilRunning(t, 20*time.Second, array("run-000001", 6), 100)
 			c, starts := w.leader(), w.rules.started
 
-			w.isolate(c, 100*time.Second, fate)
+			w.isolate(c, 100*time.Second, handling)
 
-			w.waitFor(t, 10*time.Second, "another node leads", func() bool {
+			w.waitFor(t, 10*time.Second, "another controller leads", func() bool {
 				return slices.ContainsFunc(w.otherControllers(c), func(o *controller) bool { return o.node.Leading() })
 			})
 			w.expectRefusals(t, c)
 			w.waitUntilOver(t, 200*time.Second, u)
-			w.expectStarts(t, starts, 0, "across the isolation")
+			w.expectStarts(t, starts, 0, "during the isolation")
 			w.expectRulesHeld(t)
 		})
 	}
 }
 
-// expectRefusals checks that an isolated leader refuses users at once, and agents when its authority
-// has ended.
+// expectRefusals checks that an isolated leader refuses users at once, and agents when its
+// authority has ended.
 func (w *World) expectRefusals(t *testing.T, c *controller) {
 	t.Helper()
 	w.Run(8 * time.Second)
 	if c.node.Ready() {
-		t.Error("the isolated node reports that it is ready")
+		t.Error("the isolated controller reports that it is ready")
 	}
 	status, askedAt := 0, w.Now
 	recordStatus := func(s int, _ []byte) { status = s }
@@ -248,12 +248,14 @@
 	}
 	w.Run(secs(w.shape.Agents.CancelS) - secs(w.shape.Agents.LeaseS))
 	if c.node.Leading() {
-		t.Error("the isolated node still leads")
+		t.Error("the isolated controller still leads")
 	}
 	status = 0
-	report := w.agentOf("run-000001", 0).heartbeat()
-	c.ask(func(id uint64) coordination.Event { return coordination.AgentHeartbeat{ID: id, Heartbeat: report} }, recordStatus)
-	w.waitFor(t, 4*time.Second, "the agent is sent to another node", func() bool { return status == 421 || status == 503 })
+	agentHeartbeat := w.agentOf("run-000001", 0).heartbeat()
+	c.ask(func(id uint64) coordination.Event {
+		return coordination.AgentHeartbeat{ID: id, Heartbeat: agentHeartbeat}
+	}, recordStatus)
+	w.waitFor(t, 4*time.Second, "the agent is sent to another controller", func() bool { return status == 421 || status == 503 })
 }
 
 // TestLeaderIsElectedInTimeAfterRapidRestarts: controllers crash during elections and transactions,
@@ -285,7 +287,7 @@
 	}
 }
 
-// restartRepeatedly crashes leaders during transactions and other nodes during elections. All
+// restartRepeatedly crashes leaders during transactions and other controllers during elections. All
 // restart within a fraction of a second.
 func (w *World) restartRepeatedly(rounds int) {
 	for i := range rounds {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 )
 
-// storeTick is the interval at which the store looks for expired leases. It is also the interval
-// of further tries to respond to a watch that timed out while the store does not serve its node.
+// storeTick is the interval at which the store looks for expired leases. At the same interval it
+// retries the response to a watch that timed out while the store does not serve its node.
 const storeTick = 50 * time.Millisecond
 
 // keyValueStore is the stand-in for the key-value store, written from the protocol.
@@ -150,8 +150,8 @@
 	respond(http.StatusOK, encode(protocol.LeaseResponse{Lease: id}))
 }
 
-// handleTransaction commits a transaction. A share of them, chosen at random while such a fault is
-// set, gets no response, and may be committed late.
+// handleTransaction commits a transaction. A random share of them, lostShare, gets no response, and
+// is committed late if lateCommits is set.
 func (s *keyValueStore) handleTransaction(body []byte, respond responseFunc) {
 	discardResponse := func(int, []byte) {}
 	switch {
@@ -224,31 +224,31 @@
 	wait, _ := strconv.Atoi(q.Get("block_ms"))
 	x := &watch{from: from, prefix: q.Get("starts"), after: protocol.Revision(after), respond: respond}
 	s.watches = append(s.watches, x)
-	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.answerWatch(x, true) })
+	s.w.after(time.Duration(wait)*time.Millisecond, func() { s.respondToWatch(x, true) })
 	s.notify()
 }
 
 // notify responds to the watches that have events.
 func (s *keyValueStore) notify() {
 	for _, x := range slices.Clone(s.watches) {
-		s.answerWatch(x, false)
+		s.respondToWatch(x, false)
 	}
 }
 
-// answerWatch responds to a watch that has events or has timed out. While the store does not serve
-// its node, the watch waits.
-func (s *keyValueStore) answerWatch(x *watch, over bool) {
+// respondToWatch responds to a watch that has events or has timed out. While the store does not
+// serve its node, the watch waits.
+func (s *keyValueStore) respondToWatch(x *watch, timedOut bool) {
 	if x.ended || x.from == s.nodeWithoutWatches {
 		return
 	}
 	if s.down || x.from.refused {
-		if over {
-			s.w.after(storeTick, func() { s.answerWatch(x, true) })
+		if timedOut {
+			s.w.after(storeTick, func() { s.respondToWatch(x, true) })
 		}
 		return
 	}
 	events := s.eventsAfter(x.after, x.prefix)
-	if len(events) == 0 && !over {
+	if len(events) == 0 && !timedOut {
 		return
 	}
 	x.ended = true
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader lease
-// expires, and running tasks continue.
+// TestCrashedLeaderIsReplacedAfterItsLease: a crashed leader is replaced soon after its leader
+// lease expires, and running tasks continue.
 func TestCrashedLeaderIsReplacedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, SmallShape(), 5*time.Second)
@@ -23,7 +23,7 @@
 		t.Errorf("failover after %v", took)
 	}
 	w.waitUntilOver(t, 90*time.Second, u)
-	w.expectStarts(t, starts, 0, "across the failover")
+	w.expectStarts(t, starts, 0, "during the failover")
 	w.expectRulesHeld(t)
 }
 
@@ -38,7 +38,7 @@
 	w.Run(250 * time.Millisecond)
 
 	if took := w.waitForLeader(t, 5*time.Second); took > time.Second {
-		t.Errorf("a node leads again after %v", took)
+		t.Errorf("a controller leads again after %v", took)
 	}
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
@@ -63,9 +63,9 @@
 	w.expectRulesHeld(t)
 }
 
-// TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is shorter
-// than the leader's grace, no task is lost, no node is taken out of the load balancer, and the leader
-// does not change.
+// TestShortStoreOutageLosesNoTaskAndNoLeader: during an outage of the key-value store that is
+// shorter than the leader's grace, no task is lost, no controller is taken out of the load
+// balancer, and the leader does not change.
 func TestShortStoreOutageLosesNoTaskAndNoLeader(t *testing.T) {
 	t.Parallel()
 	w := startWorld(4, SmallShape(), 5*time.Second)
@@ -78,20 +78,20 @@
 		w.Run(time.Second)
 		for _, n := range w.nodes {
 			if !n.node.Ready() {
-				t.Fatalf("%s is not ready in an outage that affects all nodes", n.name)
+				t.Fatalf("%s is not ready in an outage that affects all controllers", n.name)
 			}
 		}
 	}
 	w.waitUntilOver(t, 90*time.Second, u)
-	w.expectStarts(t, starts, 0, "across the outage")
+	w.expectStarts(t, starts, 0, "during the outage")
 	if w.leader() != c {
 		t.Errorf("%s leads", w.leader().name)
 	}
 	w.expectRulesHeld(t)
 }
 
-// TestNodeRefusedByStoreAloneIsNotReady: a node that is the only one refused by the key-value store
-// reports that it is not ready.
+// TestNodeRefusedByStoreAloneIsNotReady: a controller that is the only one refused by the
+// key-value store reports that it is not ready.
 func TestNodeRefusedByStoreAloneIsNotReady(t *testing.T) {
 	t.Parallel()
 	w := startWorld(5, SmallShape(), 5*time.Second)
@@ -101,9 +101,9 @@
 	w.Run(8 * time.Second)
 
 	if c.node.Ready() {
-		t.Error("ready")
+		t.Error("the controller that the store refuses is ready")
 	}
-	// Requests of users who are still connected to it are answered by a peer.
+	// A peer responds to the requests of users who are still connected to this controller.
 	if got := w.statusOf(c, submission(array("run-000009", 1))); got != 201 {
 		t.Errorf("status %d for a submission", got)
 	}
@@ -115,7 +115,7 @@
 	w.Run(2 * time.Second)
 
 	if !c.node.Ready() {
-		t.Error("not ready after the store serves it again")
+		t.Error("the controller is not ready after the store serves it again")
 	}
 }
 
@@ -138,8 +138,8 @@
 	w.expectRulesHeld(t)
 }
 
-// TestNodesStartWithoutCloud: nodes that start while the cloud does not respond read the machine
-// types from the stored records and accept submissions.
+// TestNodesStartWithoutCloud: controllers that start while the cloud does not respond read the
+// machine types from the stored records and accept submissions.
 func TestNodesStartWithoutCloud(t *testing.T) {
 	t.Parallel()
 	w := startWorld(12, SmallShape(), 5*time.Second)
@@ -159,28 +159,28 @@
 }
 
 // TestStatusQueriesKeepWithinStoreBudget: far more status queries than the key-value store's budget
-// allows neither exceed it nor keep the leader from renewing its leader lease. Every query gets an
-// answer.
+// allows neither exceed it nor keep the leader from renewing its leader lease. Every query gets a
+// response.
 func TestStatusQueriesKeepWithinStoreBudget(t *testing.T) {
 	t.Parallel()
 	w := startWorld(13, SmallShape(), 5*time.Second)
 	w.submitAndWaitUntilRunning(t, 10*time.Second, array("run-000001", 2), 60)
 	c, before := w.leader(), w.store.requests
 
-	answers, asked := 0, 0
+	responses, queries := 0, 0
 	for range 400 { // 20 s of 600 queries a second, half of them for a job that does not exist
 		for i, n := range w.nodes {
 			for k := range 10 {
-				asked++
-				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { answers++ })
+				queries++
+				n.ask(statusQuery(jobID(1+(i+k)%2)), func(int, []byte) { responses++ })
 			}
 		}
 		w.Run(50 * time.Millisecond)
 	}
 	w.Run(5 * time.Second)
 
-	if answers != asked {
-		t.Errorf("%d answers to %d status queries", answers, asked)
+	if responses != queries {
+		t.Errorf("%d responses to %d status queries", responses, queries)
 	}
 	if rate := float64(w.store.requests-before) / 25; rate > 80 {
 		t.Errorf("%.0f requests to the store a second", rate)
@@ -193,7 +193,7 @@
 
 // TestPartitionedLeaderStopsBeforeCancellationMustHold: a leader that a partition leaves connected
 // only to some agents does not know of a cancellation. Its grace ends before the cancellation must
-// hold.
+// have taken effect.
 func TestPartitionedLeaderStopsBeforeCancellationMustHold(t *testing.T) {
 	t.Parallel()
 	w := startWorld(7, SmallShape(), 5*time.Second)
@@ -206,7 +206,7 @@
 
 	w.disconnect(100*time.Second, packetsHeld, func(a, b string) bool { return leaderSide[a] != leaderSide[b] })
 	w.Run(2 * time.Second)
-	w.waitFor(t, 20*time.Second, "another node leads", func() bool { return w.leader() != nil && w.leader() != c })
+	w.waitFor(t, 20*time.Second, "another controller leads", func() bool { return w.leader() != nil && w.leader() != c })
 	u.cancel()
 	w.Run(150 * time.Second)
 
@@ -294,7 +294,7 @@
 		t.Errorf("the gang runs again after %v", took)
 	}
 	if u.job.progress[0] < 20 {
-		t.Errorf("progress %v", u.job.progress[0])
+		t.Errorf("saved progress %v s, want at least 20 s", u.job.progress[0])
 	}
 	w.waitUntilOver(t, 120*time.Second, u)
 	w.expectRulesHeld(t)
@@ -305,14 +305,14 @@
 // reach the leader through the key-value store, and the leader's responses return the same way.
 func TestZonePartitionedFromAllPeersLosesNoTask(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []packetHandling{packetsHeld, packetsDropped} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, handling := range []packetHandling{packetsHeld, packetsDropped} {
+		t.Run(handling.String(), func(t *testing.T) {
 			t.Parallel()
 			w := startWorld(11, SmallShape(), 5*time.Second)
 			u := w.submitAndWaitUntilRunning(t, 60*time.Second, array("run-000001", 12), 150)
 			starts := w.rules.started
 
-			w.disconnect(90*time.Second, fate, w.inDifferentZones)
+			w.disconnect(90*time.Second, handling, w.inDifferentZones)
 			w.Run(20 * time.Second)
 			needsBothZones := w.submit(arrival{job: array("run-000002", 16), run: 10})
 
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// nextBatch removes a batch from the queues, composed as in the event loop of a real controller, and
-// returns it with its cost in processor time.
+// nextBatch removes a batch from the queues, composed as in the event loop of a real controller,
+// and returns it with its cost in processor time.
 func (b *backlog) nextBatch() (batch []coordination.Event, cost time.Duration) {
 	cost = stepCost
 	for rank, limit := range [3]int{tuning.MaxUrgentEventsPerBatch, tuning.MaxUrgentEventsPerBatch, tuning.MaxUserEventsPerBatch} {
@@ -62,7 +62,7 @@
 		return
 	}
 	c.busy = true
-	life := c.life
+	generation := c.generation
 	batch, cost := c.backlog.nextBatch()
 	actions := c.node.Step(c.w.Now, batch)
 	for _, a := range actions {
@@ -71,7 +71,7 @@
 		}
 	}
 	c.w.after(time.Duration(float64(cost)/c.w.shape.Resources.Cores), func() {
-		if !c.alive || c.life != life {
+		if !c.alive || c.generation != generation {
 			return
 		}
 		c.perform(actions)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -93,11 +93,11 @@
 }
 
 // send sends a request to a random node, unless the user has stopped asking.
-func (u *user) send(limit time.Duration, r request, done responseFunc) {
+func (u *user) send(timeout time.Duration, r request, done responseFunc) {
 	if u.stoppedAsking {
 		return
 	}
-	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), limit, r, done)
+	u.w.callController("users", u.w.rng.IntN(len(u.w.nodes)), timeout, r, done)
 }
 
 // submit submits the job until it is accepted, and sometimes once more after that.
@@ -124,7 +124,8 @@
 // isFinal reports whether a job in the given phase is over.
 func isFinal(p protocol.Phase) bool { return p == protocol.PhaseDone || p == protocol.PhaseCancelled }
 
-// handleResponse checks a response against what this user was told before.
+// handleResponse checks a response about the job against earlier ones, and notes its phase. A job
+// in a final phase is over.
 func (u *user) handleResponse(body []byte) {
 	u.lastResponseAt = u.w.Now
 	var a protocol.Accepted
--- a/internal/simulation/work_bounds_test.go
+++ b/internal/simulation/work_bounds_test.go
@@ -61,9 +61,9 @@
 	return s
 }
 
-// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest budgets,
-// all jobs are served, and the controllers' work and their requests to the key-value store stay
-// within bounds. The bounds are counts, not durations.
+// TestControllerWorkKeepsWithinCountedBounds: on a thousand machines, and with the smallest
+// budgets, all jobs are served, and the controllers' work and their requests to the key-value store
+// stay within bounds. The bounds are counts, not durations.
 func TestControllerWorkKeepsWithinCountedBounds(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -102,7 +102,7 @@
 	if w.store.bytes > bounds.bytes {
 		t.Errorf("%d bytes in requests, want at most %d", w.store.bytes, bounds.bytes)
 	}
-	// Ten ticks a second at each of the three nodes, and the steps that handle events.
+	// Ten ticks a second at each of the three controllers, and the steps that handle events.
 	if limit := int(span) * (30 + w.shape.Capacity/2); w.steps > limit {
 		t.Errorf("%d steps in %.0f s", w.steps, span)
 	}
