--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -14,11 +14,11 @@
 	Revisions      []protocol.Revision // of every record; index 0 is the main record
 	MovedTasks     map[int]int         // extra part of each task that is not in its base record
 	ExtraParts     [][]int             // tasks of each extra part, in order
-	// UnnamedParts maps extra parts that the stored main record does not count yet to the
+	// UnreferencedParts maps extra parts that the stored main record does not count yet to the
 	// records that they were split from. StagedParts are those of them that are already
 	// written with their current content.
-	UnnamedParts map[int]int
-	StagedParts  map[int]bool
+	UnreferencedParts map[int]int
+	StagedParts       map[int]bool
 	// AbandonedParts are the extra parts that a previous leader staged without completing the
 	// split, with their revisions.
 	AbandonedParts map[int]protocol.Revision
@@ -82,9 +82,9 @@
 	for _, i := range list[(len(list)+1)/2:] {
 		j.MoveTask(i, part)
 	}
-	if j.Records.UnnamedParts == nil {
-		j.Records.UnnamedParts = map[int]int{}
+	if j.Records.UnreferencedParts == nil {
+		j.Records.UnreferencedParts = map[int]int{}
 	}
-	j.Records.UnnamedParts[part] = record
+	j.Records.UnreferencedParts[part] = record
 	return part
 }
--- a/internal/coordination/cluster/states_test.go
+++ b/internal/coordination/cluster/states_test.go
@@ -143,8 +143,8 @@
 	c := clustertest.New()
 	job := c.AddJob(clustertest.Array(9))
 	for _, record := range []int{0, 1, 0} {
-		if part := job.SplitRecord(record); job.Records.UnnamedParts[part] != record {
-			t.Errorf("part %d counts as split from record %d", part, job.Records.UnnamedParts[part])
+		if part := job.SplitRecord(record); job.Records.UnreferencedParts[part] != record {
+			t.Errorf("part %d counts as split from record %d", part, job.Records.UnreferencedParts[part])
 		}
 	}
 	seen := map[int]bool{}
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -207,7 +207,7 @@
 	if !c.splitter.maySplit() || job.Records.TasksPerRecord <= storage.MaxGangTasksPerRecord(limits.TxnOps) {
 		return false
 	}
-	return c.markOversized(job) || len(job.Records.UnnamedParts) > 0
+	return c.markOversized(job) || len(job.Records.UnreferencedParts) > 0
 }
 
 // JobQueue provides the jobs in scheduling order.
--- a/internal/coordination/commit/job_records.go
+++ b/internal/coordination/commit/job_records.go
@@ -208,7 +208,7 @@
 	job.Records.Splitting = true
 	b.outcomes.DropUncommitted(job)
 	for _, r := range records {
-		if _, isPart := job.Records.UnnamedParts[r]; !isPart {
+		if _, isPart := job.Records.UnreferencedParts[r]; !isPart {
 			continue
 		}
 		if !b.addRecordWrites(write, b.recordWrite(job, r)) {
--- a/internal/coordination/commit/record_splitter.go
+++ b/internal/coordination/commit/record_splitter.go
@@ -69,7 +69,7 @@
 
 // splitDirty starts the split of one of a job's dirty records if any of them is oversized.
 func (s *recordSplitter) splitDirty(job *cluster.Job, limits config.StoreLimits) {
-	if len(job.Records.UnnamedParts) > 0 || !s.maySplit() {
+	if len(job.Records.UnreferencedParts) > 0 || !s.maySplit() {
 		return
 	}
 	for _, r := range slices.Sorted(maps.Keys(job.Write.Dirty)) {
@@ -86,7 +86,7 @@
 func (s *recordSplitter) pendingSplit(job *cluster.Job) []int {
 	limits := s.currentLimits()
 	s.splitDirty(job, limits)
-	if len(job.Records.UnnamedParts) == 0 {
+	if len(job.Records.UnreferencedParts) == 0 {
 		return nil
 	}
 	// The main record is always written, and may be oversized too.
@@ -94,11 +94,11 @@
 		s.split(job, 0, limits)
 	}
 	var records []int
-	for part, source := range job.Records.UnnamedParts {
+	for part, source := range job.Records.UnreferencedParts {
 		if !job.Records.StagedParts[part] || job.Write.Dirty[part] {
 			records = append(records, part)
 		}
-		if _, isNew := job.Records.UnnamedParts[source]; !isNew {
+		if _, isNew := job.Records.UnreferencedParts[source]; !isNew {
 			records = append(records, source)
 		}
 	}
@@ -116,7 +116,7 @@
 		maxParts = len(job.Tasks)
 	}
 	pending := []int{r}
-	for len(pending) > 0 && len(job.Records.UnnamedParts) < maxParts {
+	for len(pending) > 0 && len(job.Records.UnreferencedParts) < maxParts {
 		r := pending[0]
 		pending = pending[1:]
 		if s.oversized(job, r, limits) {
@@ -130,7 +130,7 @@
 // parts, so that writing it completes a split.
 func noteRecordsCommitted(job *cluster.Job, write *jobWrite) {
 	if !write.staging {
-		job.Records.UnnamedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
+		job.Records.UnreferencedParts, job.Records.StagedParts, job.Records.Splitting = nil, nil, false
 		return
 	}
 	if job.Records.StagedParts == nil {
--- a/internal/coordination/commit/record_splitter_test.go
+++ b/internal/coordination/commit/record_splitter_test.go
@@ -231,8 +231,8 @@
 		s := storeWithJob(record)
 		l := newLeader(s, loweredLimits, protocol.CurrentFeatureLevel)
 		job := l.Jobs[record.Spec.ID]
-		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnnamedParts) < 8 {
-			t.Fatalf("no transaction, or only %d new parts", len(job.Records.UnnamedParts))
+		if txn := l.nextTransaction(t); txn == nil || len(job.Records.UnreferencedParts) < 8 {
+			t.Fatalf("no transaction, or only %d new parts", len(job.Records.UnreferencedParts))
 		}
 		first := job.TasksOf(1) // the first transaction stages the first part
 		if staged {
