--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -13,9 +13,9 @@
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// ThrottleInterval returns the interval at which an operation that costs so much processor time
-// takes no more than the given share of the process's cores. It returns 0 if the number of
-// cores is not limited.
+// ThrottleInterval returns the interval at which an operation with the given CPU cost takes no
+// more than the given share of the process's cores. It returns 0 if the number of cores is not
+// limited.
 func (p ProcessLimits) ThrottleInterval(cpuCost time.Duration, cpuShare float64) time.Duration {
 	if p.Cores <= 0 {
 		return 0
--- a/internal/coordination/agents/liveness.go
+++ b/internal/coordination/agents/liveness.go
@@ -19,7 +19,7 @@
 	Leads() bool
 	// AllPeersReachable reports whether this controller has a link to every other one.
 	AllPeersReachable() bool
-	// ConfirmationGrace returns how long a leader may go on responding to agents after its leader
+	// ConfirmationGrace returns how long a leader may continue to respond to agents after its leader
 	// lease has expired, as long as its peers confirm it.
 	ConfirmationGrace() time.Duration
 }
--- a/internal/coordination/cluster/liveness.go
+++ b/internal/coordination/cluster/liveness.go
@@ -23,7 +23,7 @@
 // NotReceiving reports whether responses and commands do not reach an agent although its
 // heartbeats arrive. Either its heartbeats do not show the effect of the responses before
 // them, or its lease expired although its heartbeats got responses. Its lease would expire
-// again and again, so the machine gets no tasks. If the agent does not answer calls either,
+// again and again, so the machine gets no tasks. If the agent does not respond to calls either,
 // the machine is deleted.
 func (st *State) NotReceiving(machine *Machine) bool {
 	return machine.Agent.IneffectiveResponses >= tuning.MaxIneffectiveResponses
@@ -32,7 +32,7 @@
 // NotReporting reports whether no heartbeat of an agent, apart from those in responses to
 // calls, has arrived for more than half a lease. The time counts from the start of this
 // leadership at the earliest. The agent's lease is about to expire, or expires again and
-// again, even if it answers calls. So the machine gets no tasks.
+// again, even if it responds to calls. So the machine gets no tasks.
 func (st *State) NotReporting(machine *Machine) bool {
 	since := st.LeadingSince
 	if machine.Agent.RespondedAt.After(since) {
--- a/internal/coordination/cluster/machine_record.go
+++ b/internal/coordination/cluster/machine_record.go
@@ -15,9 +15,10 @@
 	Members  []*Machine
 	Bytes    int  // upper bound of the record's size
 	Queued   bool // must be written soon because machines were added or cordoned
-	// StaleSince is the time since which the stored record has contained machines that no
-	// longer belong in it, or zero if there are none. A stale record is rewritten when there
-	// is time.
+	// StaleSince is the time since which the stored record has contained machines that do not
+	// belong in it, or zero if there are none. These machines were removed, were moved to
+	// another record, or are also listed in another record. A stale record is rewritten when
+	// there is time.
 	StaleSince time.Time
 	// MovedOut are machines that the stored record contains and that were moved to other
 	// machine records. The other records are written first: a machine in no record would
--- a/internal/coordination/commit/machine_records.go
+++ b/internal/coordination/commit/machine_records.go
@@ -157,7 +157,7 @@
 	record := write.record
 	if len(write.members) == 0 {
 		// The key is deleted and not used again. A delayed transaction that creates the old
-		// record may still be applied, because its guard requires that the key does not exist.
+		// record may still be applied, because its condition requires that the key does not exist.
 		// Machines that were added in the meantime are therefore written under a new key.
 		record.Key, record.Revision = storage.MachineRecordKey(mr.env.UniqueName()), 0
 		if len(record.Members) == 0 {
--- a/internal/coordination/commit/outcome.go
+++ b/internal/coordination/commit/outcome.go
@@ -158,7 +158,7 @@
 }
 
 // handleConflict undoes a refused transaction. Its changes are planned again. failed lists the
-// keys whose guards did not hold, as far as the store has reported them.
+// keys whose conditions did not hold, as far as the store has reported them.
 func (c *Committer) handleConflict(tx *transaction, failed []string) {
 	c.inFlight = nil
 	c.outcomes.TransactionConflicted()
@@ -170,7 +170,7 @@
 	for _, write := range tx.machineRecords {
 		write.record.Queued = true
 		if len(failed) == 0 {
-			c.reader.reread(write.record.Key) // it is not known which guard failed
+			c.reader.reread(write.record.Key) // it is not known which condition failed
 		}
 	}
 	for _, key := range failed {
--- a/internal/coordination/commit/record_reader.go
+++ b/internal/coordination/commit/record_reader.go
@@ -19,7 +19,7 @@
 	finish   func(*cluster.Job, storage.FinalRecord) // called for jobs whose final record is stored
 }
 
-// reread reads the current revision of a key whose guard may have failed.
+// reread reads the current revision of a key whose condition may have failed.
 func (rr *recordReader) reread(key string) {
 	rr.store.Get(key, func(result kv.GetResult) {
 		if result.Outcome != kv.Done && result.Outcome != kv.NotFound || result.Malformed {
--- a/internal/coordination/commit/transaction.go
+++ b/internal/coordination/commit/transaction.go
@@ -68,7 +68,8 @@
 // remainingChanges returns the number of changes that can still be added.
 func (b *transactionBuilder) remainingChanges() int { return b.maxChanges - b.changes() }
 
-// fits reports whether so many more changes, conditions and bytes fit into the transaction.
+// fits reports whether the given numbers of further changes, conditions and bytes fit into the
+// transaction.
 func (b *transactionBuilder) fits(changes, conditions, bytes int) bool {
 	return b.remainingChanges() >= changes &&
 		len(b.txn.Conditions)+conditions <= kv.ConditionsPerChange*b.limits.TxnOps &&
--- a/internal/coordination/due.go
+++ b/internal/coordination/due.go
@@ -8,7 +8,7 @@
 
 // Due returns how long the node need not be stepped if no event arrives: none of its timers is due
 // earlier. A wake-up costs the process several system calls: ten wake-ups a second take a tenth of
-// the processor time of the smallest controllers. The result is never shorter than
+// the CPU time of the smallest controllers. The result is never shorter than
 // MinTimerInterval, so that timers that are due at about the same time share a wake-up.
 func (n *Node) Due() time.Duration {
 	due := n.now.Add(tuning.MaxTimerInterval)
--- a/internal/coordination/election/authority.go
+++ b/internal/coordination/election/authority.go
@@ -12,8 +12,8 @@
 	cluster *config.Cluster
 }
 
-// grace returns how long a leader that cannot renew its leader lease goes on responding to
-// heartbeats. The tasks of an agent whose lease it renews during the grace still end within the
+// grace returns how long a leader that cannot renew its leader lease continues to respond
+// to heartbeats. The tasks of an agent whose lease it renews during the grace still end within the
 // time in which a cancellation must take effect.
 func (ab authorityBounds) grace() time.Duration {
 	timings := ab.cluster.Agents
@@ -42,8 +42,8 @@
 }
 
 // maxSinceConfirmation returns how long a leader may act after it sent a request that all peers
-// confirmed. The next leader starts after that request and assumes that the old one may go on
-// responding to agents for the grace, counted from that start.
+// confirmed. The next leader starts after that request and assumes that the old one may continue
+// to respond to agents for the grace, counted from that start.
 func (ab authorityBounds) maxSinceConfirmation() time.Duration {
 	return min(ab.grace(), ab.maxSinceRenewal())
 }
--- a/internal/coordination/election/confirmation.go
+++ b/internal/coordination/election/confirmation.go
@@ -12,11 +12,11 @@
 // peers over the controllers' links to confirm that they do not lead, and to name the
 // cancellations that they told users of. As long as every peer does, the leader's authority
 // counts from the time of the last request: a peer that told a user of a cancellation before
-// then has named it in its answer, and the next leader begins later. A single peer is enough to
-// end this: one that does not answer, that leads, or whose process has started since the leader
+// then has named it in its response, and the next leader begins later. A single peer is enough to
+// end this: one that does not respond, that leads, or whose process has started since the leader
 // last knew every cancellation.
 
-// peerConfirmation asks the peers to confirm that they do not lead, and counts their answers.
+// peerConfirmation asks the peers to confirm that they do not lead, and counts their responses.
 type peerConfirmation struct {
 	bounds authorityBounds
 	env    Environment
@@ -25,7 +25,7 @@
 
 	requestID   uint64
 	requestedAt time.Time                  // when the outstanding request was sent
-	answers     map[protocol.NodeName]bool // peers that have confirmed it; nil before the first request
+	responses   map[protocol.NodeName]bool // peers that have confirmed it; nil before the first request
 	confirmedAt time.Time                  // when the last request that all peers confirmed was sent
 }
 
@@ -38,26 +38,26 @@
 		now.Sub(pc.requestedAt) < tuning.ConfirmationInterval || pc.peers.Count() == 0 {
 		return
 	}
-	pc.requestID, pc.requestedAt, pc.answers = pc.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
+	pc.requestID, pc.requestedAt, pc.responses = pc.peers.RequestConfirmation(), now, map[protocol.NodeName]bool{}
 }
 
-// awaits reports whether an answer with this number belongs to the outstanding request. Other
-// answers are old, perhaps delayed on the way, or were never asked for.
+// awaits reports whether a response with this number belongs to the outstanding request. Other
+// responses are old, perhaps delayed on the way, or were never asked for.
 func (pc *peerConfirmation) awaits(requestID uint64) bool {
-	return pc.env.Leading() && pc.answers != nil && requestID == pc.requestID
+	return pc.env.Leading() && pc.responses != nil && requestID == pc.requestID
 }
 
-// count counts a peer's answer to the outstanding request, if the peer confirms.
+// count counts a peer's response to the outstanding request, if the peer confirms.
 func (pc *peerConfirmation) count(from protocol.NodeName, m protocol.PeerConfirmation) {
-	// The answer does not name cancellations that an earlier process of the peer told users of.
+	// The response does not name cancellations that an earlier process of the peer told users of.
 	// So the peer must have started before this controller last knew every cancellation.
 	up := time.Duration(m.UptimeMs) * time.Millisecond
 	latestStart := pc.env.Now().Add(-up + time.Duration(float64(up)*tuning.MaxClockDrift))
 	if m.Term != 0 || !m.Complete || latestStart.After(pc.mirror.SyncedAt()) {
 		return
 	}
-	pc.answers[from] = true
-	if len(pc.answers) == pc.peers.Count() {
+	pc.responses[from] = true
+	if len(pc.responses) == pc.peers.Count() {
 		pc.confirmedAt = pc.requestedAt
 		pc.mirror.MarkSynced(pc.requestedAt)
 	}
@@ -75,5 +75,5 @@
 
 // reset discards the outstanding request and the last confirmation.
 func (pc *peerConfirmation) reset() {
-	pc.requestID, pc.requestedAt, pc.answers, pc.confirmedAt = 0, time.Time{}, nil, time.Time{}
+	pc.requestID, pc.requestedAt, pc.responses, pc.confirmedAt = 0, time.Time{}, nil, time.Time{}
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -9,7 +9,7 @@
 // the leader lease has been renewed.
 //
 // Election consists of four parts: candidate observes the leader lease and tries to acquire it,
-// heldLease renews it, peerConfirmation asks the peers and counts their answers, and authority
+// heldLease renews it, peerConfirmation asks the peers and counts their responses, and authority
 // determines from these until when a leader may act.
 //
 // The package reads and writes no record other than the leader lease, and does not depend on what
@@ -97,8 +97,8 @@
 // HolderTerm returns the holder's term, 0 while nobody holds the leader lease.
 func (e *Election) HolderTerm() protocol.Term { return protocol.Term(e.candidate.revision) }
 
-// LeaderGrace returns how long a leader that cannot renew its leader lease goes on responding to
-// heartbeats.
+// LeaderGrace returns how long a leader that cannot renew its leader lease continues to respond
+// to heartbeats.
 func (e *Election) LeaderGrace() time.Duration { return e.bounds.grace() }
 
 // LeaseTTL returns how long the leader lease stays valid after its last renewal.
@@ -227,9 +227,9 @@
 	e.env.SteppedDown()
 }
 
-// Confirm returns the answer to a leader's confirmation request: the term under which this
+// Confirm returns the response to a leader's confirmation request: the term under which this
 // controller leads itself (0 if it does not), how long its process has been up, and the
-// cancellations that it has confirmed to users. If these do not fit into a frame, the answer
+// cancellations that it has confirmed to users. If these do not fit into a frame, the response
 // names none of them and is marked as incomplete.
 func (e *Election) Confirm(request protocol.PeerConfirmationRequest, up time.Duration, cancelled []protocol.JobID) protocol.PeerConfirmation {
 	m := protocol.PeerConfirmation{ID: request.ID, Term: e.Term(), UptimeMs: uint64(up.Milliseconds()), Cancellations: cancelled}
@@ -239,7 +239,7 @@
 	return m
 }
 
-// ReceiveConfirmation processes a peer's answer to a confirmation request.
+// ReceiveConfirmation processes a peer's response to a confirmation request.
 func (e *Election) ReceiveConfirmation(from protocol.NodeName, m protocol.PeerConfirmation) {
 	if !e.confirmation.awaits(m.ID) {
 		return
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -168,7 +168,7 @@
 
 // TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail, the confirmation of every peer
 // extends a leader's authority, and the leader learns the cancellations that they name. One
-// peer that has not answered, that leads, or that has started since the leader last knew every
+// peer that has not responded, that leads, or that has started since the leader last knew every
 // cancellation prevents this.
 func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestNoCoreLimitAndFewWrites: calls to agents are not paced if the settings limit no processor
+// TestNoCoreLimitAndFewWrites: calls to agents are not paced if the settings limit no CPU
 // time, and with two writes a second the end of a job is still stored.
 func TestNoCoreLimitAndFewWrites(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
--- a/internal/coordination/membership/forwarder.go
+++ b/internal/coordination/membership/forwarder.go
@@ -124,7 +124,7 @@
 	return ok
 }
 
-// HandleResponse passes a peer's response to whoever waits for it.
+// HandleResponse passes a peer's response to the caller that waits for it.
 func (f *Forwarder) HandleResponse(response protocol.PeerResponse) {
 	if call, ok := f.delegated[response.ID]; ok {
 		delete(f.delegated, response.ID)
--- a/internal/coordination/membership_environment.go
+++ b/internal/coordination/membership_environment.go
@@ -67,8 +67,8 @@
 func (ls leadership) RecordsLoaded() bool { return ls.n.mirror.Ready() }
 
 // directShare returns how many of a thousand agents send their heartbeats to the leader directly:
-// all, if the leader's limits on processor time and sockets suffice for them. Otherwise it returns
-// fewer than these limits allow, so that enough processor time is left for scheduling. The
+// all, if the leader's limits on CPU time and sockets suffice for them. Otherwise it returns
+// fewer than these limits allow, so that enough CPU time is left for scheduling. The
 // heartbeats of the other agents arrive on the links between controllers, many in one read.
 func (l *leader) directShare() uint64 {
 	limits := l.n.cfg.Cluster.Process
--- a/internal/coordination/scheduler/cycle.go
+++ b/internal/coordination/scheduler/cycle.go
@@ -82,7 +82,7 @@
 
 // CyclePause returns the pause after a cycle. The pause is longer the more machines the cycle
 // examined and the smaller the controller's share of a core is, so that scheduling leaves
-// processor time for heartbeats and commits.
+// CPU time for heartbeats and commits.
 func (sc *Scheduler) CyclePause() time.Duration {
 	pause := sc.state.Config.Cluster.Process.ThrottleInterval(time.Duration(sc.machinesExamined)*tuning.CandidateCPUCost, tuning.SchedulingCPUShare)
 	return min(max(pause, tuning.MinSchedulingInterval), tuning.MaxSchedulingInterval)
--- a/internal/coordination/scheduler/preemption.go
+++ b/internal/coordination/scheduler/preemption.go
@@ -30,7 +30,7 @@
 // guaranteed quota. A job that is within its own team's guarantee is never preempted for
 // another team. Nor is a job of higher priority preempted for one of lower priority, although
 // the guarantee would justify it: the queue would give the machines back to the higher
-// priority, and the two jobs would preempt each other for ever.
+// priority, and the two jobs would preempt each other endlessly.
 func mayReclaim(job, victim *cluster.Job, victimQuota *cluster.Quota) bool {
 	if !job.Queue.MayReclaim || victim.Spec.Team == job.Spec.Team {
 		return false
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Begin begins the count when the controllers are back. It computes anew which commands are due.
+// Begin begins the count when the controllers are back. It recomputes which commands are due.
 func (a *Audit) Begin(now time.Time) {
 	a.countedFrom, a.Verdict = now, Verdict{}
 	a.needed = [3]map[string]int{{}, {}, {}}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -48,7 +48,7 @@
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
-// setTimer has the node stepped after d. Each step sets the timer anew, as the event loop of a real
+// setTimer has the node stepped after d. Each step sets the timer again, as the event loop of a real
 // controller does.
 func (c *controller) setTimer(d time.Duration) {
 	c.wakeAt = c.w.Now.Add(d)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -101,7 +101,7 @@
 }
 
 // expectQuickRecovery checks that controllers that have all just crashed soon accept a submission
-// and start a task, and that their calls to agents stay within their share of the processor time.
+// and start a task, and that their calls to agents stay within their share of the CPU time.
 func (w *World) expectQuickRecovery(t *testing.T) {
 	t.Helper()
 	steps, calls, requests, changed := w.steps, w.calls, w.store.requests, w.store.changed
@@ -116,6 +116,6 @@
 	w.Run(crashedAt.Add(20 * time.Second).Sub(w.Now))
 	t.Logf("in the 20 s after the crash: %d steps, %d calls to agents, %d requests to the store, %d changed keys", w.steps-steps, w.calls-calls, w.store.requests-requests, w.store.changed-changed)
 	if n, limit := w.calls-calls, int(21*w.shape.Resources.Cores*tuning.AgentCallCPUShare/tuning.AgentCallCPUCost.Seconds()); n > limit {
-		t.Errorf("%d calls to agents in 20 s, the controllers' share of the processor time allows %d", n, limit)
+		t.Errorf("%d calls to agents in 20 s, the controllers' share of the CPU time allows %d", n, limit)
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -169,7 +169,7 @@
 }
 
 // stop executes a command to stop. A task that can save a checkpoint within the grace period does
-// so first, and one that is already saving goes on if there is a grace period. Any other task exits
+// so first, and one that is already saving continues if there is a grace period. Any other task exits
 // at once.
 func (t *agentTask) stop(grace float64) {
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -53,7 +53,7 @@
 	if testing.Short() {
 		t.Skip("runs in real time")
 	}
-	// Not in parallel: the simulations on the fake clock would take processor time from it.
+	// Not in parallel: the simulations on the fake clock would take CPU time from it.
 	c := ColdRestart{Machines: 200, Before: 12 * time.Second, Away: 4 * time.Second, After: 22 * time.Second, Recovery: true, EqualPriorities: true}
 	r, err := c.RunOnLoopback(1, &inProcessControllers{t: t})
 	if err != nil {
--- a/internal/simulation/replicas_test.go
+++ b/internal/simulation/replicas_test.go
@@ -128,7 +128,7 @@
 	return withTaskResources(gangJob(id, 2), 28, 4, 200)
 }
 
-// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and do not take processors
+// TestReplicasLeaveRoomForGPUJobs: replicas are spread over machines, and do not take CPUs
 // or memory that GPU jobs need while other capacity is available.
 func TestReplicasLeaveRoomForGPUJobs(t *testing.T) {
 	t.Parallel()
@@ -149,7 +149,7 @@
 		}
 	}
 	w.waitUntilOver(t, 60*time.Second, big)
-	for i := range 4 { // eight machines with two replicas each, which take 4 of 32 processors
+	for i := range 4 { // eight machines with two replicas each, which take 4 of 32 CPUs
 		w.submitAndWaitUntilRunning(t, 10*time.Second, gangOfLargeTasks(jobID(20+i)), 20)
 	}
 	w.expectRulesHeld(t)
--- a/internal/simulation/slow.go
+++ b/internal/simulation/slow.go
@@ -7,7 +7,7 @@
 	"github.com/gappond/gappond/internal/tuning"
 )
 
-// The processor time that a slow controller needs for its work. The values are generous, so that
+// The CPU time that a slow controller needs for its work. The values are generous, so that
 // bursts use up the smallest shares of a core.
 const (
 	stepCost    = 150 * time.Microsecond // of a step, in addition to its events
@@ -39,7 +39,7 @@
 }
 
 // nextBatch removes a batch from the queues, composed as in the event loop of a real controller,
-// and returns it with its cost in processor time.
+// and returns it with its cost in CPU time.
 func (b *backlog) nextBatch() (batch []coordination.Event, cost time.Duration) {
 	cost = stepCost
 	for rank, limit := range [3]int{tuning.MaxUrgentEventsPerBatch, tuning.MaxUrgentEventsPerBatch, tuning.MaxUserEventsPerBatch} {
@@ -56,7 +56,7 @@
 }
 
 // processBatch makes a slow controller process a batch, unless it is still busy with the last one.
-// Its actions are performed when its share of a core has provided the processor time.
+// Its actions are performed when its share of a core has provided the CPU time.
 func (c *controller) processBatch() {
 	if c.busy || !c.alive {
 		return
--- a/internal/storage/mirror.go
+++ b/internal/storage/mirror.go
@@ -27,7 +27,7 @@
 // Ready reports whether the mirror has been loaded.
 func (m *Mirror) Ready() bool { return m.ready }
 
-// BeginLoad starts loading all records anew.
+// BeginLoad starts loading all records again.
 func (m *Mirror) BeginLoad() {
 	m.loadedEntries = map[string]protocol.Entry{}
 	m.loadRevision = 0
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -10,7 +10,7 @@
 //	g/t/<job>/<n>   a task record: further tasks of a job that does not fit into its main record
 //	g/m/<id>        a machine record: some machines of one zone
 //	g/x/<from>/<to> messages relayed between controllers that have no link to each other
-//	h/<job>         the final record of a finished job, kept for ever
+//	h/<job>         the final record of a finished job, never deleted
 //
 // Every node mirrors all records below g/. The records below h/ grow without bound and are read one
 // key at a time.
--- a/internal/transport/outgoing_link.go
+++ b/internal/transport/outgoing_link.go
@@ -25,7 +25,7 @@
 }
 
 // coalesceDelay returns how long heartbeats are gathered for one write. The delay limits the
-// processor time that the leader spends on the writes from all its peers to PeerWriteCPUShare.
+// CPU time that the leader spends on the writes from all its peers to PeerWriteCPUShare.
 func coalesceDelay(cfg *config.Config) time.Duration {
 	delayPerPeer := cfg.Cluster.Process.ThrottleInterval(tuning.PeerWriteCPUCost, tuning.PeerWriteCPUShare)
 	return min(delayPerPeer*time.Duration(len(cfg.Peers)), tuning.MaxCoalesceDelay)
--- a/internal/transport/overload_test.go
+++ b/internal/transport/overload_test.go
@@ -114,7 +114,7 @@
 		go func() {
 			defer clients.Done()
 			// The time-out is far longer than a response takes on a busy machine. Without it a
-			// client that gets no socket would wait for ever.
+			// client that gets no socket would wait indefinitely.
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 			defer client.CloseIdleConnections()
 			responses := 0
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -301,7 +301,7 @@
 }
 
 // TestInvalidPeersAreDisconnected checks that a peer is disconnected if it sends anything but valid
-// frames, and that the node goes on.
+// frames, and that the node continues to work.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
 	cfg, _ := startController(t, true, 0)
 	eventually(t, "the controller is ready", isReady(t, cfg))
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -53,25 +53,25 @@
 	// RedirectRetention is how long a follower remembers that it redirected an agent. An agent
 	// that returns within this time could not reach the leader, and its heartbeats are forwarded.
 	RedirectRetention = time.Minute
-	// HeartbeatForwardTimeout bounds a forwarded heartbeat; the agent gives up after 4 s.
+	// HeartbeatForwardTimeout bounds a forwarded heartbeat; the agent stops waiting after 4 s.
 	HeartbeatForwardTimeout = 3 * time.Second
-	// HeartbeatCPUCost is the approximate processor time of a heartbeat that an agent sends to the
+	// HeartbeatCPUCost is the approximate CPU time of a heartbeat that an agent sends to the
 	// leader directly: two or three reads, a write, a wake-up, and about 20 microseconds of code.
 	HeartbeatCPUCost = 120 * time.Microsecond
-	// HeartbeatCPUShare is the share of the leader's processor time for agents that send their
+	// HeartbeatCPUShare is the share of the leader's CPU time for agents that send their
 	// heartbeats to it directly. The peers respond to the other agents on its behalf.
 	HeartbeatCPUShare = 0.15
 	// RetainedAgentShare is the share of the agents within the leader's limit that it still
-	// responds to directly when the fleet exceeds that limit. The rest of the processor time is left
+	// responds to directly when the fleet exceeds that limit. The rest of the CPU time is left
 	// for scheduling cycles, which come in bursts.
 	RetainedAgentShare = 0.33
 	// DirectResumeShare is the share of the leader's limit to which a fleet that exceeded it must
 	// shrink before the leader responds to all agents directly again.
 	DirectResumeShare = 0.8
-	// RedirectCPUCost is the approximate processor time of redirecting an agent to its proxy: the
+	// RedirectCPUCost is the approximate CPU time of redirecting an agent to its proxy: the
 	// response, and at the proxy a new connection with its first heartbeat.
 	RedirectCPUCost = 600 * time.Microsecond
-	// RedirectCPUShare is the share of each node's processor time for agents redirected to it.
+	// RedirectCPUShare is the share of each node's CPU time for agents redirected to it.
 	RedirectCPUShare = 0.25
 	// MaxRedirectBurst is the number of agents that may be redirected at once.
 	MaxRedirectBurst = 20
@@ -83,14 +83,14 @@
 	// DirectShareSteps is the number of steps in which the direct share changes, so that few agents
 	// change their proxy as the fleet grows.
 	DirectShareSteps = 20
-	// AgentCallCPUCost is the approximate processor time of a call to an agent: a connection, a
+	// AgentCallCPUCost is the approximate CPU time of a call to an agent: a connection, a
 	// request, and a response with the agent's heartbeat.
 	AgentCallCPUCost = 300 * time.Microsecond
-	// AgentCallCPUShare is the share of the controller's processor time for calls to agents.
+	// AgentCallCPUShare is the share of the controller's CPU time for calls to agents.
 	// Commands that have to wait are sent in the response to the agent's next heartbeat.
 	AgentCallCPUShare = 0.25
 	// MinConcurrentAgentCalls is the number of calls to agents that may be made at once however
-	// small the shares of processor time and sockets are.
+	// small the shares of CPU time and sockets are.
 	MinConcurrentAgentCalls = 32
 	// StopGraceSeconds is added to a job's checkpoint save time in an orderly stop, in seconds.
 	StopGraceSeconds = 3.0
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -10,7 +10,7 @@
 	// a crashed leader to be replaced before agents' heartbeats have gone unanswered for two
 	// intervals, and long enough for two lost renewals.
 	LeaderLeaseTTL = 3 * time.Second
-	// FailoverCPUCost is the approximate processor time of a failover: the records of some hundred
+	// FailoverCPUCost is the approximate CPU time of a failover: the records of some hundred
 	// jobs are read while all agents return. The leader lease is extended by the time that this
 	// takes on the node's share of a core, so that no healthy leader loses its lease because of a
 	// failover.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -11,15 +11,15 @@
 	// MaxSchedulingInterval is the longest pause between two cycles: the expiry of a time-out
 	// triggers no event that requests a cycle.
 	MaxSchedulingInterval = time.Second
-	// CandidateCPUCost is the approximate processor time of examining one machine for one job.
+	// CandidateCPUCost is the approximate CPU time of examining one machine for one job.
 	CandidateCPUCost = 100 * time.Nanosecond
-	// MaxSchedulingCycleTime is how long a scheduling cycle may go on starting preemption
+	// MaxSchedulingCycleTime is how long a scheduling cycle may continue to start preemption
 	// searches. Between two cycles the leader must renew its lease and respond to heartbeats.
 	MaxSchedulingCycleTime = 100 * time.Millisecond
 	// MinExaminedMachines is the number of machines that a cycle may examine however small the
 	// controller's share of a core is: enough for the searches of a few jobs on a small fleet.
 	MinExaminedMachines = 5000
-	// SchedulingCPUShare is the share of the controller's processor time that scheduling cycles
+	// SchedulingCPUShare is the share of the controller's CPU time that scheduling cycles
 	// may take. The rest is left for heartbeats, commits and users' requests.
 	SchedulingCPUShare = 0.25
 	// PreemptionSearchBackoff is the pause after a search for tasks to preempt found nothing.
@@ -27,7 +27,7 @@
 	// MachineSweepInterval is how often all machines are checked for silence, expired leases and
 	// deletion. It is shorter than any time-out that depends on it.
 	MachineSweepInterval = 500 * time.Millisecond
-	// CPUsPerSlot is the number of processors that make up a slot on machines
+	// CPUsPerSlot is the number of CPUs that make up a slot on machines
 	// without GPUs. Memory is divided in the machine's own proportion.
 	CPUsPerSlot = 4.0
 	// MachineRefusalBackoff is how long a job avoids a machine that refused its task.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -14,10 +14,10 @@
 	// MinWatchDelay is the least pause before a watch that returned is opened again,
 	// so that a burst of changes costs one request and not one request each.
 	MinWatchDelay = 20 * time.Millisecond
-	// StoreRequestCPUCost is the approximate processor time of a request to the store:
+	// StoreRequestCPUCost is the approximate CPU time of a request to the store:
 	// a write, two or three reads, two wake-ups, and the code.
 	StoreRequestCPUCost = 250 * time.Microsecond
-	// WatchCPUShare is the share of the processor time that watches may take. On a small
+	// WatchCPUShare is the share of the CPU time that watches may take. On a small
 	// share of a core, the pauses between watches grow.
 	WatchCPUShare = 0.05
 	// StatusQueryCPUShare is the same for the checks of status queries.
--- a/internal/tuning/transport.go
+++ b/internal/tuning/transport.go
@@ -5,7 +5,7 @@
 // The event loop and its queues.
 const (
 	// MinTimerInterval is the least pause after which the event loop checks its timers without an
-	// event. Waking up for a timer costs a process about 100 microseconds of processor time, more in
+	// event. Waking up for a timer costs a process about 100 microseconds of CPU time, more in
 	// system calls than in code.
 	MinTimerInterval = 100 * time.Millisecond
 	// MaxTimerInterval is the longest such pause, which applies when no timer is due earlier. It is
@@ -69,10 +69,10 @@
 	// PeerBatchBytes is the approximate number of bytes of frames that are written, and read, at
 	// once.
 	PeerBatchBytes = 16 << 10
-	// PeerWriteCPUCost is the approximate processor time that the leader spends on one write of
+	// PeerWriteCPUCost is the approximate CPU time that the leader spends on one write of
 	// collected heartbeats by a peer: a read, a wake-up, and the write of the responses.
 	PeerWriteCPUCost = 250 * time.Microsecond
-	// PeerWriteCPUShare is the share of the leader's processor time for these writes.
+	// PeerWriteCPUShare is the share of the leader's CPU time for these writes.
 	PeerWriteCPUShare = 0.15
 	// MaxCoalesceDelay bounds how long heartbeats are collected for one write, because this delays
 	// the news of a task's end.
@@ -91,7 +91,7 @@
 	MaxUserEventsPerBatch = 32
 	// GCPercent is the garbage collector's target: the growth of the heap between two collections,
 	// in percent of the memory in use. It trades memory, of which there is enough, for
-	// processor time.
+	// CPU time.
 	GCPercent = 300
 	// GCMemoryShare is the share of the process's memory limit within which the garbage collector
 	// tries to keep the memory in use.
