--- a/internal/coordination/cluster/job.go
+++ b/internal/coordination/cluster/job.go
@@ -94,8 +94,8 @@
 // The job is moved back from that deadline for each earlier one that it has missed, because
 // other jobs can still meet theirs, and for each of its remaining tasks, because small jobs can
 // meet theirs even if not all jobs can. Once it has missed all its deadlines, its key is the time
-// of submission, moved back for each of them. The move is bounded, so no job waits indefinitely. The
-// key of an overdue job is its time of submission again.
+// of submission, moved back for each of them. The move is bounded, so no job waits indefinitely.
+// The key of an overdue job is its time of submission again.
 func (j *Job) QueueTime(now time.Time) time.Time {
 	if len(j.StartDeadlines) == 0 || j.Overdue(now) {
 		return j.SubmittedAt
--- a/internal/coordination/cluster/records.go
+++ b/internal/coordination/cluster/records.go
@@ -14,9 +14,9 @@
 	Revisions      []protocol.Revision // of every record; index 0 is the main record
 	MovedTasks     map[int]int         // extra part of each task that is not in its base record
 	ExtraParts     [][]int             // tasks of each extra part, in order
-	// UnreferencedParts maps extra parts that the stored main record does not reference yet to the
-	// records that they were split from. StagedParts are those of them that are already
-	// written with their current content.
+	// UnreferencedParts maps extra parts to the records that they were split from. It holds the
+	// parts that the stored main record does not count in TotalRecords yet.
+	// StagedParts are those of them that are already written with their current content.
 	UnreferencedParts map[int]int
 	StagedParts       map[int]bool
 	// AbandonedParts are the extra parts that a previous leader staged without completing the
--- a/internal/coordination/cluster/state.go
+++ b/internal/coordination/cluster/state.go
@@ -167,7 +167,7 @@
 func compareMachineIDs(a, b *Machine) int { return cmp.Compare(a.ID, b.ID) }
 
 // TypeOf returns the machine's type, or nil while it is unknown. When the type becomes known
-// or changes, it allocates the slots of the machine's attempts again.
+// or changes, it reallocates the slots of the machine's attempts.
 func (st *State) TypeOf(machine *Machine) *protocol.MachineType {
 	if machine.Type == nil || machine.Type.Name != machine.TypeName {
 		if machine.Type = st.Types[machine.TypeName]; machine.Type == nil {
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -201,9 +201,9 @@
 // Renewed records that a request sent at the given time renewed the leader lease.
 func (e *Election) Renewed(sent time.Time) { e.lease.renewed(sent) }
 
-// ProcessPaused is called when the process resumes after a pause during which its clocks went
-// on. Full buffers and overdue timers are then waiting, and another controller may lead by now.
-// Nothing is done as leader until the leader lease has been renewed.
+// ProcessPaused is called when the process resumes after a pause during which its clocks
+// continued to run. Full buffers and overdue timers are then waiting, and another controller may
+// lead by now. Nothing is done as leader until the leader lease has been renewed.
 func (e *Election) ProcessPaused(gap time.Duration) {
 	if !e.lease.held() {
 		return
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -146,8 +146,8 @@
 }
 
 // TestPausedLeaderWaitsForLeaseRenewal: a leader whose process was paused for seconds, while its
-// clocks went on, accepts no heartbeat, sends no command and writes nothing before its leader lease
-// is renewed. If the lease must have expired during the pause, it steps down.
+// clocks continued to run, accepts no heartbeat, sends no command and writes nothing before
+// its leader lease is renewed. If the lease must have expired during the pause, it steps down.
 func TestPausedLeaderWaitsForLeaseRenewal(t *testing.T) {
 	l := testLeader(time.Unix(1_800_000_000, 0))
 	n := l.n
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -49,7 +49,7 @@
 		box.frames, box.writing = nil, true
 		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.writing = false // the sender of a lost message gets no response and sends it again
+			box.writing = false // after a loss, a node that gets no response sends its request again
 		})
 	}
 }
--- a/internal/coordination/unreadable_records_test.go
+++ b/internal/coordination/unreadable_records_test.go
@@ -15,7 +15,7 @@
 
 // TestJobWithUnreadableRecordIsLeftAlone: if a record of a job cannot be read, because a later
 // version wrote it or because it is malformed, the job is left alone. None of its records are
-// written or deleted, its tasks continue to run and are not started again, their machine is kept, and
+// written or deleted, its tasks keep running and are not started again, their machine is kept, and
 // other jobs are handled normally. If the main record is readable, the job can still be cancelled.
 func TestJobWithUnreadableRecordIsLeftAlone(t *testing.T) {
 	for name, corrupt := range map[string]func(s *storedRecords, mainKey, taskKey string){
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -103,7 +103,7 @@
 	return priority
 }
 
-// jobWire mirrors Job with pointers, so that a missing field can be distinguished from a zero value.
+// jobWire mirrors Job with pointers, to distinguish a missing field from a zero value.
 type jobWire struct {
 	ID                  *string   `json:"uid"`
 	Class               *string   `json:"lane"`
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -48,8 +48,8 @@
 	c.setTimer(c.w.between(0, tuning.MinTimerInterval))
 }
 
-// setTimer has the node stepped after d. Each step sets the timer again, as the event loop of a real
-// controller does.
+// setTimer has the node stepped after d. Each step sets the timer again, as the event loop of a
+// real controller does.
 func (c *controller) setTimer(d time.Duration) {
 	c.wakeAt = c.w.Now.Add(d)
 	if c.timerAt.IsZero() || c.wakeAt.Before(c.timerAt) {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -169,8 +169,8 @@
 }
 
 // stop executes a command to stop. A task that can save a checkpoint within the grace period does
-// so first, and one that is already saving continues if there is a grace period. Any other task exits
-// at once.
+// so first, and one that is already saving continues if there is a grace period. Any other task
+// exits at once.
 func (t *agentTask) stop(grace float64) {
 	if t.state == protocol.TaskExited || t.state == protocol.TaskSaving && grace > 0 {
 		return
