--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -177,8 +177,8 @@
 		want         bool
 	}{
 		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true}, true},
-		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
-		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour}, false},
+		"response to an earlier request": {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
+		"incomplete response":            {protocol.PeerConfirmation{ID: 1, UptimeMs: hour}, false},
 		"peer just started":              {protocol.PeerConfirmation{ID: 1, UptimeMs: 1, Complete: true}, false},
 		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 4}, false},
 		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 10}, false},
--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -50,7 +50,7 @@
 	StepDown(reason string)
 	// Recovering reports whether the recovery after the failover is still active.
 	Recovering() bool
-	// LeaseExpiresAt returns the time by which a machine's agent has certainly given up its
+	// LeaseExpiresAt returns the time by which a machine's agent has certainly ended its
 	// tasks.
 	LeaseExpiresAt(machine *cluster.Machine) time.Time
 	// DeleteMachine deletes a machine in the cloud.
