--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -173,8 +173,8 @@
 func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
-		secondAnswer protocol.PeerConfirmation
-		want         bool
+		secondResponse protocol.PeerConfirmation
+		want           bool
 	}{
 		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true}, true},
 		"response to an earlier request": {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
@@ -193,14 +193,14 @@
 		if c.confirmation.holds() {
 			t.Fatalf("%s: confirmed by one of two peers", name)
 		}
-		c.ReceiveConfirmation("b", test.secondAnswer)
+		c.ReceiveConfirmation("b", test.secondResponse)
 		if got := c.confirmation.holds(); got != test.want || got != c.synced.Equal(asked) {
 			t.Errorf("%s: confirmed %v, synced at %v", name, got, c.synced)
 		}
 		if !slices.Equal(c.cancelled, []protocol.JobID{"run-000001"}) {
 			t.Errorf("%s: cancellations %v", name, c.cancelled)
 		}
-		if leads := c.Term() != 0; leads != (test.secondAnswer.Term <= 9) {
+		if leads := c.Term() != 0; leads != (test.secondResponse.Term <= 9) {
 			t.Errorf("%s: leads %v", name, leads)
 		}
 	}
