--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -168,17 +168,17 @@
 
 // TestAuthorityNeedsConfirmationFromAllPeers: while renewals fail, the confirmation of every peer
 // extends a leader's authority, and the leader learns the cancellations that they name. One
-// peer that has not answered, that leads, or that has started since the leader last knew every
+// peer that has not responded, that leads, or that has started since the leader last knew every
 // cancellation prevents this.
 func TestAuthorityNeedsConfirmationFromAllPeers(t *testing.T) {
 	hour := uint64(time.Hour.Milliseconds())
 	for name, test := range map[string]struct {
-		secondAnswer protocol.PeerConfirmation
-		want         bool
+		secondResponse protocol.PeerConfirmation
+		want           bool
 	}{
 		"all peers confirm":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true}, true},
-		"answer to an earlier request":   {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
-		"incomplete answer":              {protocol.PeerConfirmation{ID: 1, UptimeMs: hour}, false},
+		"response to an earlier request": {protocol.PeerConfirmation{ID: 0, UptimeMs: hour, Complete: true}, false},
+		"incomplete response":            {protocol.PeerConfirmation{ID: 1, UptimeMs: hour}, false},
 		"peer just started":              {protocol.PeerConfirmation{ID: 1, UptimeMs: 1, Complete: true}, false},
 		"peer leads under a lower term":  {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 4}, false},
 		"peer leads under a higher term": {protocol.PeerConfirmation{ID: 1, UptimeMs: hour, Complete: true, Term: 10}, false},
@@ -193,14 +193,14 @@
 		if c.confirmation.holds() {
 			t.Fatalf("%s: confirmed by one of two peers", name)
 		}
-		c.ReceiveConfirmation("b", test.secondAnswer)
+		c.ReceiveConfirmation("b", test.secondResponse)
 		if got := c.confirmation.holds(); got != test.want || got != c.synced.Equal(asked) {
 			t.Errorf("%s: confirmed %v, synced at %v", name, got, c.synced)
 		}
 		if !slices.Equal(c.cancelled, []protocol.JobID{"run-000001"}) {
 			t.Errorf("%s: cancellations %v", name, c.cancelled)
 		}
-		if leads := c.Term() != 0; leads != (test.secondAnswer.Term <= 9) {
+		if leads := c.Term() != 0; leads != (test.secondResponse.Term <= 9) {
 			t.Errorf("%s: leads %v", name, leads)
 		}
 	}
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -49,7 +49,7 @@
 		box.frames, box.writing = nil, true
 		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.writing = false // lost messages are sent again by whoever gets no response
+			box.writing = false // after a loss, a node that gets no response sends its request again
 		})
 	}
 }
