--- a/internal/coordination/membership/heartbeat_router.go
+++ b/internal/coordination/membership/heartbeat_router.go
@@ -84,7 +84,7 @@
 	hr.route(queuedHeartbeat{requestID, heartbeat, hr.leader.Now().Add(tuning.HeartbeatForwardTimeout)})
 }
 
-// route does the same for a heartbeat that has a deadline.
+// route does what Route does, for a heartbeat that already has a deadline.
 func (hr *HeartbeatRouter) route(q queuedHeartbeat) {
 	machineID, leader := q.heartbeat.Machine, hr.leader.Holder()
 	switch {
--- a/internal/coordination/membership/relay.go
+++ b/internal/coordination/membership/relay.go
@@ -49,7 +49,9 @@
 		box.frames, box.writing = nil, true
 		box.nextWriteAt = now.Add(tuning.RelayWriteInterval)
 		p.store.Transact(txn, func(kv.TransactionResult) {
-			box.writing = false // after a loss, a node that gets no response sends its request again
+			// Whatever the outcome, the next messages may be written. If this write was lost, a node
+			// that gets no response to its message sends its request again.
+			box.writing = false
 		})
 	}
 }
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -205,8 +205,9 @@
 	}
 }
 
-// gangBroken makes a stop command due for the other tasks of a gang's attempt, once a task of it
-// has ended without completing. It covers those that do not exit by themselves.
+// gangBroken records, after a task of a gang has ended without completing, that a stop command is
+// due for each other task of the same attempt. The command stops the tasks that do not exit by
+// themselves.
 func (a *Audit) gangBroken(id protocol.JobID, k instance, j *auditedJob) {
 	for other, on := range a.attempts {
 		if !on || other.attempt != k.attempt {
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -44,7 +44,8 @@
 	// MaxSilentShare is the share of the fleet that may be silent at once before
 	// a network partition is suspected instead of machine failures.
 	MaxSilentShare = 0.34
-	// MaxZoneSilentShare is the same for the machines of one zone.
+	// MaxZoneSilentShare is the share of a zone's machines that may be silent at once before
+	// a network partition of the zone is suspected.
 	MaxZoneSilentShare = 0.5
 	// MaxReachableZoneSilentShare is the share of silent machines below which a zone counts as
 	// reachable. Some machines are silent without a fault, because heartbeats jitter by a quarter
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -49,7 +49,7 @@
 	// ZoneReserveInterval is the pause between two evaluations of the capacity that is reserved for
 	// the loss of a zone. It is well below a boot time.
 	ZoneReserveInterval = 5 * time.Second
-	// MaxZoneReserveMachines bounds the machines that an evaluation of this reserve considers,
+	// MaxZoneReserveMachines bounds the machines that an evaluation of the zone reserve considers,
 	// including those that it would request.
 	MaxZoneReserveMachines = 20_000
 	// EstimateSlackFactor extends a user's estimate of a job's run time, which is often wrong by
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -41,7 +41,8 @@
 	// ConfirmationDelay is how long a leader must have been without proof of its leadership before
 	// it asks its peers to confirm it. By then a few renewals have failed.
 	ConfirmationDelay = 2500 * time.Millisecond
-	// ConfirmationInterval is the interval at which such a leader asks: many times within its grace.
+	// ConfirmationInterval is the interval at which a leader without proof of its leadership asks its
+	// peers: many times within its grace.
 	ConfirmationInterval = time.Second
 	// MaxRememberedCancellations is the number of confirmed cancellations that are kept before
 	// those that have taken effect are removed. The number that a leadership confirmation lists is
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -20,10 +20,10 @@
 	// WatchCPUShare is the share of the CPU time that watches may take. On a small
 	// share of a core, the pauses between watches grow.
 	WatchCPUShare = 0.05
-	// StatusQueryCPUShare is the same for the checks of status queries.
+	// StatusQueryCPUShare is the share of the CPU time that the checks of status queries may take.
 	StatusQueryCPUShare = 0.05
-	// MaxRequestDelay bounds these pauses, because they delay the starts of jobs and the responses
-	// to users.
+	// MaxRequestDelay bounds the pauses before watches and before checks of status queries on a
+	// small share of a core, because they delay the starts of jobs and the responses to users.
 	MaxRequestDelay = 250 * time.Millisecond
 	// StoreRetryDelay is the pause after a store request that was refused or got no response.
 	StoreRetryDelay = 250 * time.Millisecond
@@ -44,8 +44,8 @@
 	// UserWriteBudgetShare is the share of the store's write limit for users' submissions and
 	// cancellations. It is divided equally among the nodes.
 	UserWriteBudgetShare = 0.2
-	// RelayWriteBudgetShare is the share of that limit for messages relayed through the store, also
-	// divided equally. During a network partition, each of hundreds of agents must have a heartbeat
+	// RelayWriteBudgetShare is the share of the store's write limit for messages relayed through
+	// the store, also divided equally among the nodes. During a network partition, each of hundreds of agents must have a heartbeat
 	// forwarded, and get its response, within its lease.
 	RelayWriteBudgetShare = 0.2
 	// UserBurstReserve is the share of the write burst that the leader's own transactions leave for
--- a/internal/tuning/transport.go
+++ b/internal/tuning/transport.go
@@ -8,8 +8,8 @@
 	// event. Waking up for a timer costs a process about 100 microseconds of CPU time, more in
 	// system calls than in code.
 	MinTimerInterval = 100 * time.Millisecond
-	// MaxTimerInterval is the longest such pause, which applies when no timer is due earlier. It is
-	// well below ProcessPauseThreshold, by which a node detects that its process was paused.
+	// MaxTimerInterval is the longest pause after which the event loop checks its timers without an
+	// event. It applies when no timer is due earlier. It is well below ProcessPauseThreshold, by which a node detects that its process was paused.
 	MaxTimerInterval = time.Second
 	// EventQueueLength bounds the event queue; beyond it requests are shed.
 	EventQueueLength = 4096
@@ -55,8 +55,8 @@
 	// kept open between two heartbeats. The remaining connections are for agents that connect for
 	// one heartbeat and for the load balancer's probes.
 	AgentKeepAliveShare = 0.68
-	// UserKeepAliveShare is the same for users' connections. It is lower, so that agents'
-	// heartbeats take precedence.
+	// UserKeepAliveShare is the share of the socket limit up to which a user's connection is kept
+	// open between two requests. It is lower, so that agents' heartbeats take precedence.
 	UserKeepAliveShare = 0.5
 	// MinConnections is the lower bound of each number of connections that the shares above give,
 	// however low the socket limit is.
@@ -72,7 +72,8 @@
 	// PeerWriteCPUCost is the approximate CPU time that the leader spends on one write of
 	// collected heartbeats by a peer: a read, a wake-up, and the write of the responses.
 	PeerWriteCPUCost = 250 * time.Microsecond
-	// PeerWriteCPUShare is the share of the leader's CPU time for these writes.
+	// PeerWriteCPUShare is the share of the leader's CPU time for peers' writes of
+	// collected heartbeats.
 	PeerWriteCPUShare = 0.15
 	// MaxCoalesceDelay bounds how long heartbeats are collected for one write, because this delays
 	// the news of a task's end.
