--- a/internal/coordination/restore/restore.go
+++ b/internal/coordination/restore/restore.go
@@ -71,7 +71,7 @@
 	tokenConfirmed bool // a recorded agent has accepted this leader's token
 	markerStored   bool
 	restoreProven  bool              // a restore was proven in this term
-	highestToken   protocol.Term     // highest agent token seen; reset to the term if confirmTerm must run again
+	highestToken   protocol.Term     // highest agent token seen; reset to the term to repeat confirmTerm
 	storeRevision  protocol.Revision // latest revision known of the store
 	confirmingTerm bool              // the check whether the term is still the newest is in flight
 	writingMarker  bool
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -45,8 +45,8 @@
 	// cancellations. It is divided equally among the nodes.
 	UserWriteBudgetShare = 0.2
 	// RelayWriteBudgetShare is the share of the store's write limit for messages relayed through
-	// the store, also divided equally among the nodes. During a network partition, each of hundreds of agents must have a heartbeat
-	// forwarded, and get its response, within its lease.
+	// the store, also divided equally among the nodes. During a network partition, each of hundreds
+	// of agents must have a heartbeat forwarded, and get its response, within its lease.
 	RelayWriteBudgetShare = 0.2
 	// UserBurstReserve is the share of the write burst that the leader's own transactions leave for
 	// users' requests and relayed messages, because the leader sees those writes only afterwards.
--- a/internal/tuning/transport.go
+++ b/internal/tuning/transport.go
@@ -9,7 +9,8 @@
 	// system calls than in code.
 	MinTimerInterval = 100 * time.Millisecond
 	// MaxTimerInterval is the longest pause after which the event loop checks its timers without an
-	// event. It applies when no timer is due earlier. It is well below ProcessPauseThreshold, by which a node detects that its process was paused.
+	// event. It applies when no timer is due earlier. It is well below ProcessPauseThreshold, by
+	// which a node detects that its process was paused.
 	MaxTimerInterval = time.Second
 	// EventQueueLength bounds the event queue; beyond it requests are shed.
 	EventQueueLength = 4096
